--- a/crates/merlinshelf-adapter/src/main.rs
+++ b/crates/merlinshelf-adapter/src/main.rs
@@ -52,22 +52,32 @@
     }
 
     fn text(&self, name: &str) -> Option<&'a str> {
-        self.0.iter().find(|field| field.0 == name).map(|field| field.1)
+        self.0
+            .iter()
+            .find(|field| field.0 == name)
+            .map(|field| field.1)
     }
 
     fn need(&self, name: &str) -> Result<&'a str, String> {
-        self.text(name).filter(|text| !text.is_empty()).ok_or(format!("{name} is missing"))
+        self.text(name)
+            .filter(|text| !text.is_empty())
+            .ok_or(format!("{name} is missing"))
     }
 
     fn number<T: std::str::FromStr>(&self, name: &str) -> Result<Option<T>, String> {
         self.text(name)
-            .map(|text| text.parse().map_err(|_| format!("{name}={text:?} is no number of its kind")))
+            .map(|text| {
+                text.parse()
+                    .map_err(|_| format!("{name}={text:?} is no number of its kind"))
+            })
             .transpose()
     }
 
     fn real(&self, name: &str) -> Result<Option<f64>, String> {
         match self.number::<f64>(name)? {
-            Some(value) if !value.is_finite() || value < 0.0 => Err(format!("{name} is out of range")),
+            Some(value) if !value.is_finite() || value < 0.0 => {
+                Err(format!("{name} is out of range"))
+            }
             value => Ok(value),
         }
     }
@@ -94,11 +104,19 @@
     }
 
     fn gauges(&self) -> Result<BTreeMap<String, f64>, String> {
-        let pairs = self.text("Stats").unwrap_or("").split(',').filter(|pair| !pair.is_empty());
+        let pairs = self
+            .text("Stats")
+            .unwrap_or("")
+            .split(',')
+            .filter(|pair| !pair.is_empty());
         pairs
             .map(|pair| {
-                let (name, value) = pair.split_once(':').ok_or(format!("no ':' in gauge {pair:?}"))?;
-                let value = value.parse().map_err(|_| format!("gauge {pair:?} is no number"))?;
+                let (name, value) = pair
+                    .split_once(':')
+                    .ok_or(format!("no ':' in gauge {pair:?}"))?;
+                let value = value
+                    .parse()
+                    .map_err(|_| format!("gauge {pair:?} is no number"))?;
                 Ok((name.to_owned(), value))
             })
             .collect()
@@ -129,7 +147,12 @@
             "SYNC" => {
                 let fields = Fields::parse(parts)?;
                 self.now_us = fields.number("TimeUs")?.ok_or("TimeUs is missing")?;
-                self.turn = Some(fields.number::<u64>("turn")?.ok_or("turn is missing")?.to_string());
+                self.turn = Some(
+                    fields
+                        .number::<u64>("turn")?
+                        .ok_or("turn is missing")?
+                        .to_string(),
+                );
             }
             "EOB" => {
                 let turn = self.turn.take().unwrap_or_default();
@@ -153,14 +176,23 @@
     fn init(&mut self, fields: &Fields) -> Result<(), String> {
         let name = fields.need("Backend")?.to_owned();
         let seed = fields.number::<u64>("Salt")?.unwrap_or(0);
-        let settings: Settings =
-            fields.0.iter().map(|&(name, value)| (name.to_owned(), value.to_owned())).collect();
+        let settings: Settings = fields
+            .0
+            .iter()
+            .map(|&(name, value)| (name.to_owned(), value.to_owned()))
+            .collect();
         let now = self.now_us as f64 / 1e6;
         match catch_unwind(|| Shedder::start(now, seed, settings)) {
             Ok(started) => {
                 let (shedder, decided) = started?;
                 let (numbers, names, free, released) = Default::default();
-                let mut instance = Instance { shedder, numbers, names, free, released };
+                let mut instance = Instance {
+                    shedder,
+                    numbers,
+                    names,
+                    free,
+                    released,
+                };
                 encode(&mut self.reply, &name, &mut instance, self.now_us, decided);
                 self.instances.insert(name, instance);
             }
@@ -178,12 +210,16 @@
         match kind {
             "SUBMIT" => {
                 job = fields.need("Job")?;
-                prior = fields.text("Prior").filter(|prior| !matches!(*prior, "" | "0"));
+                prior = fields
+                    .text("Prior")
+                    .filter(|prior| !matches!(*prior, "" | "0"));
                 arrival = Invocation {
                     operation: fields.number("Band")?.unwrap_or(0),
                     customer: fields.number("Team")?.unwrap_or(0),
                     caller: fields.number("Neighbour")?.unwrap_or(0),
-                    budget: fields.seconds("TimeBudgetUs")?.filter(|budget| *budget > 0.0),
+                    budget: fields
+                        .seconds("TimeBudgetUs")?
+                        .filter(|budget| *budget > 0.0),
                     age: fields.seconds("AgeUs")?.unwrap_or(0.0),
                     cost: fields.seconds("ExpectedUs")?.filter(|cost| *cost > 0.0),
                     held_kb: fields.real("HeldKb")?.unwrap_or(0.0),
@@ -207,7 +243,9 @@
             }
             _ => job = fields.need("Job")?,
         }
-        let Some(instance) = self.instances.get_mut(name) else { return Ok(()) };
+        let Some(instance) = self.instances.get_mut(name) else {
+            return Ok(());
+        };
         arrival.earlier = prior.and_then(|prior| instance.numbers.get(prior).copied());
         let inv = match kind {
             "SUBMIT" => Some(instance.number(job)),
@@ -244,30 +282,44 @@
     };
     for (inv, away, last) in decided.throttled {
         let (away, last) = (micros(away), u8::from(last));
-        put("OVERLOAD_REPLY", format_args!("Job={}\tCoolDownUs={away}\tNoRetry={last}", job(inv)));
+        put(
+            "OVERLOAD_REPLY",
+            format_args!("Job={}\tCoolDownUs={away}\tNoRetry={last}", job(inv)),
+        );
     }
     let mut each = |verb: &str, list: &[usize]| {
-        list.iter().for_each(|&inv| put(verb, format_args!("Job={}", job(inv))));
+        list.iter()
+            .for_each(|&inv| put(verb, format_args!("Job={}", job(inv))));
     };
     each("ERROR", &decided.errored);
     each("PREEMPT", &decided.stopped);
     for (inv, span) in decided.kept {
-        put("REMEMBER", format_args!("Job={}\tSpanUs={}", job(inv), micros(span)));
+        put(
+            "REMEMBER",
+            format_args!("Job={}\tSpanUs={}", job(inv), micros(span)),
+        );
     }
     let mut each = |verb: &str, list: &[usize]| {
-        list.iter().for_each(|&inv| put(verb, format_args!("Job={}", job(inv))));
+        list.iter()
+            .for_each(|&inv| put(verb, format_args!("Job={}", job(inv))));
     };
     each("ERASE", &decided.forgotten);
     each("SHARE", &decided.joined);
     each("DISPATCH", &decided.started);
     for (inv, patience) in decided.called {
-        put("CALL", format_args!("Job={}\tPatienceUs={}", job(inv), micros(patience)));
+        put(
+            "CALL",
+            format_args!("Job={}\tPatienceUs={}", job(inv), micros(patience)),
+        );
     }
     for inv in decided.degraded {
         put("DEGRADE", format_args!("Job={}", job(inv)));
     }
     if let Some(good) = decided.health {
-        put("SET_HEALTH", format_args!("Cached=1\tEnable={}", u8::from(good)));
+        put(
+            "SET_HEALTH",
+            format_args!("Cached=1\tEnable={}", u8::from(good)),
+        );
     }
     if let Some(level) = decided.level {
         put("SIGNAL", format_args!("X={level:.4}"));
@@ -276,7 +328,10 @@
         put("TRIM_AFTER", format_args!("SpanUs={}", micros(idle)));
     }
     for (after, handle) in decided.wake {
-        put("SLEEP", format_args!("AtUs={}\tHandle={handle}", now_us + micros(after).max(1)));
+        put(
+            "SLEEP",
+            format_args!("AtUs={}\tHandle={handle}", now_us + micros(after).max(1)),
+        );
     }
     for note in decided.notes {
         put("TRACE", format_args!("Msg={note}"));
@@ -286,8 +341,14 @@
 
 fn fault(out: &mut String, name: &str, panic: &(dyn Any + Send)) {
     let text = panic.downcast_ref::<String>().map(String::as_str);
-    let text = text.or(panic.downcast_ref::<&str>().copied()).unwrap_or("panic");
-    let _ = writeln!(out, "FAULT\tBackend={name}\tMsg={}", text.replace(['\n', '\t'], " "));
+    let text = text
+        .or(panic.downcast_ref::<&str>().copied())
+        .unwrap_or("panic");
+    let _ = writeln!(
+        out,
+        "FAULT\tBackend={name}\tMsg={}",
+        text.replace(['\n', '\t'], " ")
+    );
 }
 
 fn run() -> Result<(), String> {
@@ -296,13 +357,22 @@
     let mut line = Vec::new();
     for count in 1u64.. {
         line.clear();
-        if input.read_until(b'\n', &mut line).map_err(|error| error.to_string())? == 0 {
+        if input
+            .read_until(b'\n', &mut line)
+            .map_err(|error| error.to_string())?
+            == 0
+        {
             break;
         }
         let text = std::str::from_utf8(&line).map_err(|_| format!("line {count}: not UTF-8"))?;
         let text = text.trim_end_matches(['\n', '\r']);
-        if host.line(text).map_err(|error| format!("line {count}: {error}"))? {
-            let written = output.write_all(host.reply.as_bytes()).and_then(|()| output.flush());
+        if host
+            .line(text)
+            .map_err(|error| format!("line {count}: {error}"))?
+        {
+            let written = output
+                .write_all(host.reply.as_bytes())
+                .and_then(|()| output.flush());
             written.map_err(|error| error.to_string())?;
             host.reply.clear();
         }
--- a/crates/merlinshelf-adapter/tests/wire.rs
+++ b/crates/merlinshelf-adapter/tests/wire.rs
@@ -13,7 +13,12 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    child.stdin.take().expect("a pipe").write_all(input.as_bytes()).expect("it reads");
+    child
+        .stdin
+        .take()
+        .expect("a pipe")
+        .write_all(input.as_bytes())
+        .expect("it reads");
     let output = child.wait_with_output().expect("it ends");
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).replace('\t', " ");
     let (said, named) = (text(&output.stdout), text(&output.stderr));
@@ -42,8 +47,10 @@
         "SYNC\tTimeUs=1\tturn=3\n",
         "",
     ];
-    let shown: Vec<String> =
-        bad.iter().map(|line| talk(&format!("{START}SYNC\tTimeUs=1002000\tturn=2\n{line}"))).collect();
+    let shown: Vec<String> = bad
+        .iter()
+        .map(|line| talk(&format!("{START}SYNC\tTimeUs=1002000\tturn=2\n{line}")))
+        .collect();
     insta::assert_snapshot!(shown.join("\n---\n"));
 }
 
@@ -51,6 +58,9 @@
 fn a_panic_of_the_module_becomes_a_fault() {
     let many = START.replace("Classes.count=1", "Classes.count=1e30");
     let shown = talk(&many);
-    let fault = shown.lines().find(|line| line.starts_with("FAULT")).unwrap_or("none");
+    let fault = shown
+        .lines()
+        .find(|line| line.starts_with("FAULT"))
+        .unwrap_or("none");
     insta::assert_snapshot!(format!("{fault}\n{}", shown.lines().last().unwrap_or("")));
 }
--- a/crates/merlinshelf-agent/src/asked.rs
+++ b/crates/merlinshelf-agent/src/asked.rs
@@ -8,9 +8,15 @@
 pub fn selector(body: &Value) -> Selector {
     let texts = |name: &str| -> Vec<String> {
         let all = body[name].as_array();
-        all.into_iter().flatten().filter_map(|one| one.as_str().map(str::to_owned)).collect()
+        all.into_iter()
+            .flatten()
+            .filter_map(|one| one.as_str().map(str::to_owned))
+            .collect()
+    };
+    let pair = |text: &String| {
+        text.split_once('=')
+            .map(|(key, value)| (key.to_owned(), value.to_owned()))
     };
-    let pair = |text: &String| text.split_once('=').map(|(key, value)| (key.to_owned(), value.to_owned()));
     Selector {
         names: texts("names"),
         groups: texts("groups"),
@@ -27,14 +33,24 @@
         "start" => Command::Start,
         "drain" => Command::Drain {
             slowest_first: body["slowest_first"] == true,
-            at_once: body["at_once"].as_u64().and_then(|count| u32::try_from(count).ok()),
+            at_once: body["at_once"]
+                .as_u64()
+                .and_then(|count| u32::try_from(count).ok()),
+        },
+        "stop" => Command::Stop {
+            within: body["within_s"]
+                .as_f64()
+                .unwrap_or(30.0)
+                .clamp(0.0, 86_400.0),
         },
-        "stop" => Command::Stop { within: body["within_s"].as_f64().unwrap_or(30.0).clamp(0.0, 86_400.0) },
         "restart" => Command::Restart,
         "upgrade" => {
             let program = body["program"].as_str().ok_or("it names no program")?;
-            let program = std::fs::canonicalize(program).map_err(|error| format!("{program}: {error}"))?;
-            Command::Upgrade { program: program.to_string_lossy().into_owned() }
+            let program =
+                std::fs::canonicalize(program).map_err(|error| format!("{program}: {error}"))?;
+            Command::Upgrade {
+                program: program.to_string_lossy().into_owned(),
+            }
         }
         _ => return Ok(None),
     }))
@@ -69,8 +85,11 @@
         Stage::Back => "put back".to_owned(),
         Stage::Left(why) => format!("left: {why}"),
     };
-    let targets: Vec<Value> =
-        plan.targets.iter().map(|of| json!({ "name": of.name, "stage": stage(&of.stage) })).collect();
+    let targets: Vec<Value> = plan
+        .targets
+        .iter()
+        .map(|of| json!({ "name": of.name, "stage": stage(&of.stage) }))
+        .collect();
     json!({
         "plan": plan.number, "kind": plan.kind.name(), "state": plan.state.text(), "over": plan.state.is_over(),
         "done": done, "of": all, "at_once": plan.at_once, "targets": targets,
@@ -82,9 +101,15 @@
 
 /// The instances that are meant, in pages, and a sum.
 pub fn status(fleet: &Fleet, now: f64, names: &[String]) -> (Vec<Value>, Value) {
-    let meant: Vec<Value> =
-        names.iter().filter_map(|name| fleet.get(name)).map(|one| instance(now, one)).collect();
-    let pages = meant.chunks(PAGE).map(|page| json!({ "instances": page })).collect();
+    let meant: Vec<Value> = names
+        .iter()
+        .filter_map(|name| fleet.get(name))
+        .map(|one| instance(now, one))
+        .collect();
+    let pages = meant
+        .chunks(PAGE)
+        .map(|page| json!({ "instances": page }))
+        .collect();
     let (serving, whole) = fleet.capacity(now);
     let mut states = std::collections::BTreeMap::<&str, u32>::new();
     for one in fleet.instances() {
@@ -94,8 +119,7 @@
     if let Some(targets) = short.as_mut().and_then(Value::as_object_mut) {
         targets.remove("targets");
     }
-    let sum =
-        json!({ "states": states, "capacity": round(serving / whole.max(1e-9) * 100.0), "plan": short });
+    let sum = json!({ "states": states, "capacity": round(serving / whole.max(1e-9) * 100.0), "plan": short });
     (pages, sum)
 }
 
--- a/crates/merlinshelf-agent/src/council.rs
+++ b/crates/merlinshelf-agent/src/council.rs
@@ -124,14 +124,24 @@
                     error!(
                         "the council's file can't be used: {why}; it is set aside as {ASIDE}, and a new seat is asked for"
                     );
-                    disk.rename(FILE, ASIDE).map_err(|error| error.to_string())?;
+                    disk.rename(FILE, ASIDE)
+                        .map_err(|error| error.to_string())?;
                     Vec::new()
                 }
             },
         };
-        self.ticket = self.ticket.wrapping_mul(0x5851_F42D_4C95_7F2D).wrapping_add(0x1405_7B7E_F767_814F) | 1;
-        let council =
-            Council::begin(&self.name, &self.wanted, self.ticket, (self.ticket >> 33) as usize, &kept)?;
+        self.ticket = self
+            .ticket
+            .wrapping_mul(0x5851_F42D_4C95_7F2D)
+            .wrapping_add(0x1405_7B7E_F767_814F)
+            | 1;
+        let council = Council::begin(
+            &self.name,
+            &self.wanted,
+            self.ticket,
+            (self.ticket >> 33) as usize,
+            &kept,
+        )?;
         self.ledger = Ledger::default();
         self.came.push(Came::Decided(None));
         let (work, todo) = channel();
@@ -152,7 +162,10 @@
                 }
             }
         };
-        std::thread::Builder::new().name("council".into()).spawn(keep).map_err(|error| error.to_string())?;
+        std::thread::Builder::new()
+            .name("council".into())
+            .spawn(keep)
+            .map_err(|error| error.to_string())?;
         self.held = Some((council, work));
         self.carry_out();
         Ok(())
@@ -213,7 +226,9 @@
     }
 
     fn with(&mut self, now: f64, what: impl FnOnce(&mut Council)) {
-        let Some((council, _)) = &mut self.held else { return };
+        let Some((council, _)) = &mut self.held else {
+            return;
+        };
         // The log library ends loudly where what it is told can't be: then all goes on from what is kept.
         let done = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| what(council)));
         if done.is_err() {
@@ -232,11 +247,15 @@
     /// All steps in their order, up to one that waits for the disk.
     fn carry_out(&mut self) {
         while !self.keeping {
-            let Some((council, work)) = self.held.as_mut() else { return };
+            let Some((council, work)) = self.held.as_mut() else {
+                return;
+            };
             if council.is_long() {
                 council.compact(rmp_serde::to_vec_named(&self.ledger).unwrap_or_default());
             }
-            let Some(step) = council.next_step() else { return };
+            let Some(step) = council.next_step() else {
+                return;
+            };
             match step {
                 Step::Keep(records) => {
                     self.keeping = true;
--- a/crates/merlinshelf-agent/src/files.rs
+++ b/crates/merlinshelf-agent/src/files.rs
@@ -26,8 +26,8 @@
         .map_err(|error| named(format!(" {error}")))?;
     let mut wanted: Wanted = read_as(&text).map_err(named)?;
     let base = path.parent().unwrap_or(Path::new("."));
-    wanted.folder =
-        std::path::absolute(base.join(&wanted.folder)).map_err(|error| named(format!(" folder: {error}")))?;
+    wanted.folder = std::path::absolute(base.join(&wanted.folder))
+        .map_err(|error| named(format!(" folder: {error}")))?;
     for (name, group) in &mut wanted.groups {
         let of = |field: &str, path: &Path| {
             std::fs::canonicalize(base.join(path))
@@ -82,7 +82,11 @@
 fn teaching_address(listen: std::net::SocketAddr) -> Option<String> {
     // Ports of instances count upwards; these count in the upper half.
     let port = listen.port().checked_add(20_000)?;
-    let ip = if listen.ip().is_loopback() { listen.ip().to_string() } else { "127.0.0.1".into() };
+    let ip = if listen.ip().is_loopback() {
+        listen.ip().to_string()
+    } else {
+        "127.0.0.1".into()
+    };
     Some(format!("{ip}:{port}"))
 }
 
@@ -91,20 +95,29 @@
 /// # Errors
 /// The group is not in the file any more, its configuration can't be read, or the folder can't be written.
 pub fn make(wanted: &Wanted, one: &Instance) -> io::Result<Paths> {
-    let group =
-        wanted.groups.get(&one.group).ok_or_else(|| io::Error::other("its group is gone from the file"))?;
+    let group = wanted
+        .groups
+        .get(&one.group)
+        .ok_or_else(|| io::Error::other("its group is gone from the file"))?;
     let paths = paths(wanted, &one.name);
     std::fs::create_dir_all(&paths.folder)?;
-    let listen = address(&group.listen, one.number).ok_or_else(|| io::Error::other("it has no port"))?;
+    let listen =
+        address(&group.listen, one.number).ok_or_else(|| io::Error::other("it has no port"))?;
     let mut config: Value = serde_json::from_str(&std::fs::read_to_string(&group.config)?)?;
     config["name"] = json!(one.name);
     config["listen"] = json!(listen.to_string());
-    if let Some(engine) = group.engine.as_deref().and_then(|first| address(first, one.number)) {
+    if let Some(engine) = group
+        .engine
+        .as_deref()
+        .and_then(|first| address(first, one.number))
+    {
         config["engine"] = json!(engine.to_string());
     }
     let seed = u64::from_str_radix(config["seed"].as_str().unwrap_or("0"), 16).unwrap_or(0);
-    config["seed"] =
-        json!(format!("{:016x}", seed ^ u64::from(one.number).wrapping_mul(0x9E37_79B9_7F4A_7C15)));
+    config["seed"] = json!(format!(
+        "{:016x}",
+        seed ^ u64::from(one.number).wrapping_mul(0x9E37_79B9_7F4A_7C15)
+    ));
     let mut operator = json!({
         "control": { "socket": paths.control },
         "log": { "format": "json" },
@@ -164,7 +177,10 @@
     if std::fs::metadata(log).is_ok_and(|of| of.len() > LOG_MOST) {
         // Where the disk is full the old lines are lost, and the service is not.
         let _ = std::fs::copy(log, log.with_extension("1"));
-        let _ = std::fs::OpenOptions::new().write(true).truncate(true).open(log);
+        let _ = std::fs::OpenOptions::new()
+            .write(true)
+            .truncate(true)
+            .open(log);
     }
 }
 
@@ -181,5 +197,8 @@
     io::Read::read_to_end(&mut io::Read::take(file, 64 * 1024), &mut bytes)?;
     let text = String::from_utf8_lossy(&bytes);
     let lines: Vec<&str> = text.lines().skip(usize::from(from > 0)).collect();
-    Ok(lines[lines.len().saturating_sub(count)..].iter().map(|line| (*line).to_owned()).collect())
+    Ok(lines[lines.len().saturating_sub(count)..]
+        .iter()
+        .map(|line| (*line).to_owned())
+        .collect())
 }
--- a/crates/merlinshelf-agent/src/host.rs
+++ b/crates/merlinshelf-agent/src/host.rs
@@ -98,19 +98,26 @@
 pub fn serve(file: &Path) -> Result<(), String> {
     let wanted = files::load(file)?;
     logger::start(None, Format::Text);
-    let runtime = Builder::new_current_thread().enable_all().build().map_err(|error| error.to_string())?;
+    let runtime = Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .map_err(|error| error.to_string())?;
     let done = LocalSet::new().block_on(&runtime, run(file.to_path_buf(), wanted));
     logger::finish();
     done.map_err(|error| error.to_string())
 }
 
 fn unix() -> f64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64()
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_secs_f64()
 }
 
 async fn run(file: PathBuf, wanted: Wanted) -> io::Result<()> {
     let folder = wanted.folder.clone();
-    let named = |error: io::Error| io::Error::new(error.kind(), format!("{}: {error}", folder.display()));
+    let named =
+        |error: io::Error| io::Error::new(error.kind(), format!("{}: {error}", folder.display()));
     let (store, record) = Store::open(&folder).map_err(named)?;
     processes::inherit_orphans();
     let (requests, mut asked) = unbounded_channel();
@@ -140,7 +147,11 @@
     for (name, kept) in known {
         agent.adopt(&name, kept.identity).await;
     }
-    info!("the agent serves {} instances from {}", agent.fleet.instances().count(), agent.file.display());
+    info!(
+        "the agent serves {} instances from {}",
+        agent.fleet.instances().count(),
+        agent.file.display()
+    );
     let mut tick = interval(TICK);
     tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut term = signal(SignalKind::terminate())?;
@@ -185,7 +196,10 @@
         }
         if logs_at.elapsed() >= LOGS_EVERY {
             logs_at = Instant::now();
-            agent.fleet.instances().for_each(|one| files::turn_log(&agent.paths(&one.name).log));
+            agent
+                .fleet
+                .instances()
+                .for_each(|one| files::turn_log(&agent.paths(&one.name).log));
         }
     }
     info!("the agent ends; the instances go on");
@@ -203,11 +217,20 @@
     /// The policy for all goes on by what has happened.
     fn turn_policy(&mut self) {
         let now = self.now();
-        let Some(mut policy) = self.policy.take() else { return };
+        let Some(mut policy) = self.policy.take() else {
+            return;
+        };
         // Also one whose process has ended while it is looked for who took over from it: that one holds its lease.
         let with_process = self.fleet.instances().filter(|one| one.identity.is_some());
-        let instances = with_process.map(|one| (one.name.clone(), self.paths(&one.name).control)).collect();
-        let standing = || self.fleet.instances().map(|one| asked::instance(now, one)).collect();
+        let instances = with_process
+            .map(|one| (one.name.clone(), self.paths(&one.name).control))
+            .collect();
+        let standing = || {
+            self.fleet
+                .instances()
+                .map(|one| asked::instance(now, one))
+                .collect()
+        };
         policy.turn(now, unix(), &instances, standing);
         self.policy = Some(policy);
     }
@@ -223,7 +246,10 @@
     /// Where clients reach an instance.
     fn address(&self, name: &str) -> Option<SocketAddr> {
         let one = self.fleet.get(name)?;
-        address(&self.fleet.wanted().groups.get(&one.group)?.listen, one.number)
+        address(
+            &self.fleet.wanted().groups.get(&one.group)?.listen,
+            one.number,
+        )
     }
 
     /// Finds the process of an earlier agent's instance: by number and start, or as who took over from it and says so on its
@@ -235,7 +261,9 @@
             return self.fleet.found(now, name, known);
         }
         let control = self.paths(name).control;
-        let Some(report) = reported(&control).await else { return };
+        let Some(report) = reported(&control).await else {
+            return;
+        };
         if report.predecessor == Some(known.pid) && self.hold(name, &report.identity) {
             self.fleet.found(now, name, report.identity);
         }
@@ -243,12 +271,19 @@
 
     /// Holds the process and waits for its end beside the loop.
     fn hold(&mut self, name: &str, identity: &Identity) -> bool {
-        if self.held.get(name).is_some_and(|(known, _)| known == identity) {
+        if self
+            .held
+            .get(name)
+            .is_some_and(|(known, _)| known == identity)
+        {
             return true;
         }
-        let Ok(process) = Process::hold(identity) else { return false };
+        let Ok(process) = Process::hold(identity) else {
+            return false;
+        };
         let process = Rc::new(process);
-        self.held.insert(name.to_owned(), (identity.clone(), process.clone()));
+        self.held
+            .insert(name.to_owned(), (identity.clone(), process.clone()));
         let (sender, name, identity) = (self.events.0.clone(), name.to_owned(), identity.clone());
         spawn_local(async move {
             let status = process.ended().await;
@@ -262,14 +297,16 @@
         match event {
             Event::Ended(name, identity, status) => {
                 // One that was taken over from ends, too; only the one that is known now counts.
-                let current = self.held.get(&name).is_some_and(|(known, _)| *known == identity);
+                let current = self
+                    .held
+                    .get(&name)
+                    .is_some_and(|(known, _)| *known == identity);
                 if current {
                     self.held.remove(&name);
                     // One that was told to leave has nobody to go on with what it had.
-                    let (told, upgrades) = self
-                        .fleet
-                        .get(&name)
-                        .map_or((true, false), |one| (one.told, one.state == State::Upgrading));
+                    let (told, upgrades) = self.fleet.get(&name).map_or((true, false), |one| {
+                        (one.told, one.state == State::Upgrading)
+                    });
                     if !told {
                         return self.seek(name, identity, upgrades, Unfound::Ended(status));
                     }
@@ -287,14 +324,17 @@
                 self.fleet.ended(now, &name, status, chance);
             }
             Event::NobodyElse(name, Unfound::NotStarted) => {
-                let (chance, why) = (self.rng.random(), "another process listens on its control socket");
+                let (chance, why) = (
+                    self.rng.random(),
+                    "another process listens on its control socket",
+                );
                 self.fleet.not_started(now, &name, why, chance);
             }
             Event::Reported(name, report) => {
                 let known = self.fleet.get(&name).and_then(|one| one.identity.clone());
-                let own = known
-                    .as_ref()
-                    .is_some_and(|known| *known == report.identity || report.predecessor == Some(known.pid));
+                let own = known.as_ref().is_some_and(|known| {
+                    *known == report.identity || report.predecessor == Some(known.pid)
+                });
                 if own && !self.hold(&name, &report.identity) {
                     return; // it has ended since it said so
                 }
@@ -323,7 +363,9 @@
         spawn_local(async move {
             let until = Instant::now() + SOUGHT_FOR;
             loop {
-                let report = reported(&paths.control).await.filter(|report| report.identity != ended);
+                let report = reported(&paths.control)
+                    .await
+                    .filter(|report| report.identity != ended);
                 if let Some(report) = report {
                     if report.predecessor == Some(ended.pid) {
                         let _ = sender.send(Event::Reported(name, Box::new(report)));
@@ -383,9 +425,11 @@
                     Ok(paths) if control::is_taken(&paths.control) => {
                         return self.seek(name, Identity::default(), false, Unfound::NotStarted);
                     }
-                    Ok(paths) => {
-                        processes::start(Path::new(&program), &[&paths.config, &paths.operator], &paths.log)
-                    }
+                    Ok(paths) => processes::start(
+                        Path::new(&program),
+                        &[&paths.config, &paths.operator],
+                        &paths.log,
+                    ),
                     Err(error) => Err(error),
                 };
                 let held = started.and_then(|identity| {
@@ -398,12 +442,15 @@
                 });
                 if let Err(error) = held {
                     let chance = self.rng.random();
-                    self.fleet.not_started(now, &name, &error.to_string(), chance);
+                    self.fleet
+                        .not_started(now, &name, &error.to_string(), chance);
                 }
             }
             Step::Drain { name } => {
                 let control = self.paths(&name).control;
-                let Some((_, process)) = self.held.get(&name) else { return };
+                let Some((_, process)) = self.held.get(&name) else {
+                    return;
+                };
                 let process = process.clone();
                 spawn_local(async move {
                     let told = Talk::once(&control, Question::Drain, ANSWER_WITHIN).await;
@@ -451,7 +498,8 @@
         match asked {
             Asked::Fleet(body, reply) => self.fleet_asked(&body, reply),
             Asked::Status(reply) => {
-                let names: Vec<String> = self.fleet.instances().map(|one| one.name.clone()).collect();
+                let names: Vec<String> =
+                    self.fleet.instances().map(|one| one.name.clone()).collect();
                 _ = reply.send(asked::status(&self.fleet, self.now(), &names).1);
             }
             // Words for instances, dropped unanswered: their asker sees the end of it.
@@ -478,8 +526,11 @@
                 Ok(names) => {
                     let (pages, sum) = asked::status(&self.fleet, now, &names);
                     pages.into_iter().for_each(|page| say((Word::More, page)));
-                    for (agent, age, said) in
-                        self.policy.as_ref().map(|of| of.others(now)).unwrap_or_default()
+                    for (agent, age, said) in self
+                        .policy
+                        .as_ref()
+                        .map(|of| of.others(now))
+                        .unwrap_or_default()
                     {
                         say((
                             Word::More,
@@ -492,7 +543,9 @@
             },
             "policy" => match &mut self.policy {
                 Some(policy) => policy.asked(now, body, reply),
-                None => say(refused("policies are off: the fleet's file has no `council`".into())),
+                None => say(refused(
+                    "policies are off: the fleet's file has no `council`".into(),
+                )),
             },
             "watch" => self.watching.push(reply),
             "plan" => match self.fleet.plan() {
@@ -507,15 +560,21 @@
                 Err(why) => refused(why),
             }),
             "scale" => {
-                let count = body["count"].as_u64().and_then(|count| u32::try_from(count).ok());
-                let (group, count) = (body["group"].as_str().unwrap_or(""), count.unwrap_or(u32::MAX));
+                let count = body["count"]
+                    .as_u64()
+                    .and_then(|count| u32::try_from(count).ok());
+                let (group, count) = (
+                    body["group"].as_str().unwrap_or(""),
+                    count.unwrap_or(u32::MAX),
+                );
                 say(done(self.fleet.scale(now, group, count)));
             }
             "logs" => match self.fleet.select(&selector) {
                 Ok(names) => {
                     let count = body["lines"].as_u64().unwrap_or(20).min(1000) as usize;
                     for name in names {
-                        let lines = files::last_lines(&self.paths(&name).log, count).unwrap_or_default();
+                        let lines =
+                            files::last_lines(&self.paths(&name).log, count).unwrap_or_default();
                         say((Word::More, json!({ "name": name, "lines": lines })));
                     }
                     say((Word::Done, json!({})));
@@ -542,8 +601,13 @@
                     }
                 }
                 Ok(Some(command)) => match self.fleet.command(now, &selector, &command) {
-                    Ok(number) if body["wait"] == true => self.following.push((number, reply, String::new())),
-                    Ok(_) => say((Word::Done, self.fleet.plan().map(asked::plan).unwrap_or_default())),
+                    Ok(number) if body["wait"] == true => {
+                        self.following.push((number, reply, String::new()))
+                    }
+                    Ok(_) => say((
+                        Word::Done,
+                        self.fleet.plan().map(asked::plan).unwrap_or_default(),
+                    )),
                     Err(why) => say(refused(why.0)),
                 },
                 Ok(None) => say(refused(format!("{op:?} is nothing that is done here"))),
@@ -559,12 +623,16 @@
             let text = format!("{} {} {}", shown["plan"], shown["state"], shown["done"]);
             self.following.retain_mut(|(number, reply, last)| {
                 if *number != plan.number {
-                    let _ = reply.send((Word::Failed, json!({ "text": "another plan has taken its place" })));
+                    let _ = reply.send((
+                        Word::Failed,
+                        json!({ "text": "another plan has taken its place" }),
+                    ));
                     return false;
                 }
                 if plan.state.is_over() {
                     let well = plan.state == merlinshelf_fleet::PlanState::Done;
-                    let _ = reply.send((if well { Word::Done } else { Word::Failed }, shown.clone()));
+                    let _ =
+                        reply.send((if well { Word::Done } else { Word::Failed }, shown.clone()));
                     return false;
                 }
                 if *last != text {
@@ -578,7 +646,9 @@
             let names: Vec<String> = self.fleet.instances().map(|one| one.name.clone()).collect();
             let (pages, sum) = asked::status(&self.fleet, self.now(), &names);
             for reply in std::mem::take(&mut self.watching) {
-                pages.iter().for_each(|page| _ = reply.send((Word::More, page.clone())));
+                pages
+                    .iter()
+                    .for_each(|page| _ = reply.send((Word::More, page.clone())));
                 let _ = reply.send((Word::Done, sum.clone()));
             }
         }
@@ -597,7 +667,9 @@
     let pid = u32::try_from(status["process"].as_u64()?).ok()?;
     Some(Report {
         identity: processes::identity(pid)?,
-        predecessor: status["predecessor"].as_u64().and_then(|pid| u32::try_from(pid).ok()),
+        predecessor: status["predecessor"]
+            .as_u64()
+            .and_then(|pid| u32::try_from(pid).ok()),
         state: status["state"].as_str()?.to_owned(),
         healthy: status["healthy"].as_bool(),
         in_hand: status["in_hand"].as_u64().unwrap_or(0),
@@ -617,12 +689,17 @@
         match talk.next().await {
             Ok((Word::More, _)) => {}
             Ok((Word::Done, _)) => return Ok(()),
-            Ok((_, report)) => return Err(report["text"].as_str().unwrap_or("it failed").to_owned()),
+            Ok((_, report)) => {
+                return Err(report["text"].as_str().unwrap_or("it failed").to_owned());
+            }
             // Its end may have been missed over the hand-over itself: it says who serves.
             Err(error) => {
                 sleep(Duration::from_millis(300)).await;
-                let status =
-                    timeout(ANSWER_WITHIN, Talk::once(control, Question::Status, ANSWER_WITHIN)).await;
+                let status = timeout(
+                    ANSWER_WITHIN,
+                    Talk::once(control, Question::Status, ANSWER_WITHIN),
+                )
+                .await;
                 return match status {
                     Ok(Ok((_, status))) if status["predecessor"].is_u64() => Ok(()),
                     _ => Err(error.to_string()),
--- a/crates/merlinshelf-agent/src/links.rs
+++ b/crates/merlinshelf-agent/src/links.rs
@@ -62,8 +62,9 @@
         agents: &BTreeMap<String, String>,
         heard: UnboundedSender<(String, Peer)>,
     ) -> io::Result<Links> {
-        let named =
-            |error: io::Error| io::Error::new(error.kind(), format!("council.listen: {listen}: {error}"));
+        let named = |error: io::Error| {
+            io::Error::new(error.kind(), format!("council.listen: {listen}: {error}"))
+        };
         let listener = TcpListener::bind(listen).await.map_err(named)?;
         let mut tasks = vec![spawn_local(accept(listener, heard)).abort_handle()];
         let mut ways = BTreeMap::new();
@@ -72,7 +73,11 @@
             tasks.push(spawn_local(tell(address.clone(), words)).abort_handle());
             ways.insert(other.clone(), sender);
         }
-        Ok(Links { name: name.to_owned(), ways, tasks })
+        Ok(Links {
+            name: name.to_owned(),
+            ways,
+            tasks,
+        })
     }
 
     pub fn send(&self, to: &str, word: &Peer) {
@@ -105,7 +110,10 @@
             }
         }
         if let Some(open) = &mut stream
-            && !matches!(timeout(WRITE_WITHIN, open.write_all(&bytes)).await, Ok(Ok(())))
+            && !matches!(
+                timeout(WRITE_WITHIN, open.write_all(&bytes)).await,
+                Ok(Ok(()))
+            )
         {
             stream = None; // half a word may have gone: the connection ends with it
         }
--- a/crates/merlinshelf-agent/src/policy/asked.rs
+++ b/crates/merlinshelf-agent/src/policy/asked.rs
@@ -41,7 +41,13 @@
 impl PolicyAgent {
     fn sits(&self, name: &str) -> bool {
         let council = self.seat.council();
-        council.is_some_and(|council| council.roll().members.values().any(|member| member.name == name))
+        council.is_some_and(|council| {
+            council
+                .roll()
+                .members
+                .values()
+                .any(|member| member.name == name)
+        })
     }
 
     pub(super) fn put_parting(&mut self, now: f64) {
@@ -75,7 +81,9 @@
             let ledger = &self.seat.ledger;
             if let Some(ended) = ledger.outcome(&one.id) {
                 let held = ended.verdict == Verdict::Held;
-                let _ = one.reply.send((if held { Word::Done } else { Word::Failed }, shown(ended)));
+                let _ = one
+                    .reply
+                    .send((if held { Word::Done } else { Word::Failed }, shown(ended)));
                 continue;
             }
             if let Some(change) = ledger.change.as_ref().filter(|change| change.id == one.id)
@@ -91,11 +99,18 @@
                 let why = match (known, leads) {
                     (true, _) => "it is under way",
                     (false, true) => "it has not come into the log yet",
-                    (false, false) => "no majority of the agents is reached, and nothing changes without one",
+                    (false, false) => {
+                        "no majority of the agents is reached, and nothing changes without one"
+                    }
                 };
-                let text = format!("{why}; ask again with --id {}, which is the same change", one.id);
-                let _ =
-                    one.reply.send((Word::Failed, json!({ "text": text, "id": one.id, "state": "unknown" })));
+                let text = format!(
+                    "{why}; ask again with --id {}, which is the same change",
+                    one.id
+                );
+                let _ = one.reply.send((
+                    Word::Failed,
+                    json!({ "text": text, "id": one.id, "state": "unknown" }),
+                ));
                 continue;
             }
             if now >= one.put_at + PUT_AGAIN && !ledger.knows(&one.id) {
@@ -136,24 +151,35 @@
             ),
             what @ ("propose" | "undo") => {
                 let policy = match (what, &ledger.former) {
-                    ("propose", _) => match serde_json::from_value::<Policy>(body["policy"].clone()) {
-                        Ok(policy) => policy,
-                        Err(error) => {
-                            return say(Word::Refused, json!({ "text": format!("no policy: {error}") }));
+                    ("propose", _) => {
+                        match serde_json::from_value::<Policy>(body["policy"].clone()) {
+                            Ok(policy) => policy,
+                            Err(error) => {
+                                return say(
+                                    Word::Refused,
+                                    json!({ "text": format!("no policy: {error}") }),
+                                );
+                            }
                         }
-                    },
-                    (_, Some((0, _))) => {
-                        Policy { note: "undone: the base policy".into(), ..self.of.base.clone() }
                     }
-                    (_, Some((number, former))) => {
-                        Policy { note: format!("undone: back to {number}"), ..former.clone() }
+                    (_, Some((0, _))) => Policy {
+                        note: "undone: the base policy".into(),
+                        ..self.of.base.clone()
+                    },
+                    (_, Some((number, former))) => Policy {
+                        note: format!("undone: back to {number}"),
+                        ..former.clone()
+                    },
+                    (_, None) => {
+                        return say(Word::Refused, json!({ "text": "nothing was changed yet" }));
                     }
-                    (_, None) => return say(Word::Refused, json!({ "text": "nothing was changed yet" })),
                 };
                 let length = serde_json::to_vec(&policy).map_or(0, |bytes| bytes.len());
                 if length > merlinshelf_policy::document::LENGTH_MOST {
                     let most = merlinshelf_policy::document::LENGTH_MOST;
-                    let text = format!("the document has {length} bytes, and {most} at the most are taken");
+                    let text = format!(
+                        "the document has {length} bytes, and {most} at the most are taken"
+                    );
                     return say(Word::Refused, json!({ "text": text }));
                 }
                 if let Err(report) = garde::Validate::validate(&policy) {
@@ -172,14 +198,22 @@
                         }),
                     );
                 }
-                let Some(id) = body["id"].as_str().filter(|id| !id.is_empty() && id.len() <= 64) else {
+                let Some(id) = body["id"]
+                    .as_str()
+                    .filter(|id| !id.is_empty() && id.len() <= 64)
+                else {
                     return say(
                         Word::Refused,
                         json!({ "text": "a change needs an id of up to 64 characters" }),
                     );
                 };
                 let by = body["by"].as_str().unwrap_or(&self.of.name).to_owned();
-                let entry = Entry::Propose { id: id.to_owned(), policy: Box::new(policy), by, at: 0.0 };
+                let entry = Entry::Propose {
+                    id: id.to_owned(),
+                    policy: Box::new(policy),
+                    by,
+                    at: 0.0,
+                };
                 self.wait_for(now, id, Some(entry), body["wait"] == true, reply);
             }
             "outcome" => {
@@ -201,9 +235,17 @@
                     return say(Word::Refused, json!({ "text": text }));
                 }
                 if !self.sits(&name) {
-                    return say(Word::Refused, json!({ "text": format!("{name} is no member") }));
+                    return say(
+                        Word::Refused,
+                        json!({ "text": format!("{name} is no member") }),
+                    );
                 }
-                self.parting.push(Parting { name, reply, since: now, put_at: f64::NEG_INFINITY });
+                self.parting.push(Parting {
+                    name,
+                    reply,
+                    since: now,
+                    put_at: f64::NEG_INFINITY,
+                });
             }
             other => say(
                 Word::Refused,
@@ -229,9 +271,16 @@
         let change = ledger.change.as_ref().map(|of| {
             json!({ "number": of.number, "id": of.id, "by": of.by, "stage": format!("{:?}", of.stage).to_lowercase() })
         });
-        let roll = self.seat.council().map(|council| council.roll().clone()).unwrap_or_default();
-        let members: BTreeMap<String, u64> =
-            roll.members.iter().map(|(id, member)| (member.name.clone(), *id)).collect();
+        let roll = self
+            .seat
+            .council()
+            .map(|council| council.roll().clone())
+            .unwrap_or_default();
+        let members: BTreeMap<String, u64> = roll
+            .members
+            .iter()
+            .map(|(id, member)| (member.name.clone(), *id))
+            .collect();
         let instances: Vec<Value> = self
             .last_counts
             .keys()
@@ -251,7 +300,11 @@
 
 /// An ended change, for reports.
 fn shown(ended: &Ended) -> Value {
-    let state = if ended.verdict == Verdict::Held { "held" } else { "refused" };
+    let state = if ended.verdict == Verdict::Held {
+        "held"
+    } else {
+        "refused"
+    };
     json!({
         "number": ended.number, "id": ended.id, "state": state, "why": why(&ended.verdict), "by": ended.by,
         "note": ended.note, "at": ended.at,
--- a/crates/merlinshelf-agent/src/policy/budgets.rs
+++ b/crates/merlinshelf-agent/src/policy/budgets.rs
@@ -25,9 +25,18 @@
 
 impl Budgeting {
     pub fn new(of: &CouncilOf, life: u64) -> Budgeting {
-        let lease = Lease { lease_s: of.lease_ms as f64 / 1e3, drift: of.drift };
+        let lease = Lease {
+            lease_s: of.lease_ms as f64 / 1e3,
+            drift: of.drift,
+        };
         let house = House::new(life, lease, &of.zone);
-        Budgeting { lease, house, bank: None, wishes: BTreeMap::new(), bound: Budgets::new() }
+        Budgeting {
+            lease,
+            house,
+            bank: None,
+            wishes: BTreeMap::new(),
+            bound: Budgets::new(),
+        }
     }
 
     /// This agent leads from now on, or does not any more.
@@ -43,7 +52,9 @@
 
     /// What came with a host's asking: kept until its lease is granted, since only then it is sure that this agent leads.
     pub fn wished(&mut self, ask: &mut HostAsk) {
-        let Some(wishes) = ask.wishes.take() else { return };
+        let Some(wishes) = ask.wishes.take() else {
+            return;
+        };
         let of = self.wishes.entry(ask.host.clone()).or_default();
         of.push_back((ask.token, wishes));
         if of.len() > WISHES_MOST {
@@ -78,11 +89,16 @@
 
     /// What this host holds, and to whom it gave of it.
     fn held(&self, now: f64) -> Vec<Value> {
-        let all = self.bound.iter().flat_map(|(name, kinds)| kinds.keys().map(move |kind| (name, *kind)));
+        let all = self
+            .bound
+            .iter()
+            .flat_map(|(name, kinds)| kinds.keys().map(move |kind| (name, *kind)));
         let of = |(name, kind): (&String, Kind)| {
             let (held, to) = self.house.held(now, name, kind)?;
             let fares = self.house.phase(now, name);
-            Some(json!({ "dependency": name, "kind": kind, "held": held, "to": to, "fares": fares }))
+            Some(
+                json!({ "dependency": name, "kind": kind, "held": held, "to": to, "fares": fares }),
+            )
         };
         all.filter_map(of).collect()
     }
@@ -91,16 +107,25 @@
 impl PolicyAgent {
     /// Hosts that have something set aside: all that sit or are named.
     fn hosts(&self) -> u32 {
-        let roll = self.seat.council().map(|council| council.roll().clone()).unwrap_or_default();
+        let roll = self
+            .seat
+            .council()
+            .map(|council| council.roll().clone())
+            .unwrap_or_default();
         let members = roll.members.into_values().map(|member| member.name);
-        let all: std::collections::BTreeSet<String> = members.chain(self.of.agents.keys().cloned()).collect();
+        let all: std::collections::BTreeSet<String> =
+            members.chain(self.of.agents.keys().cloned()).collect();
         all.len() as u32
     }
 
     /// Budgets by what holds.
     pub(super) fn bound_budgets(&mut self, now: f64) {
         let ledger = &self.seat.ledger;
-        let budgets = if ledger.current > 0 { &ledger.policy.budgets } else { &self.of.base.budgets };
+        let budgets = if ledger.current > 0 {
+            &ledger.policy.budgets
+        } else {
+            &self.of.base.budgets
+        };
         if *budgets != self.budgeting.bound {
             self.budgeting.bound = budgets.clone();
             self.budgeting.house.bound(now, budgets);
--- a/crates/merlinshelf-agent/src/policy/mod.rs
+++ b/crates/merlinshelf-agent/src/policy/mod.rs
@@ -71,9 +71,14 @@
         let (tell, kept) = unbounded_channel();
         let base = of.base.fingerprint();
         // Clocks that run apart are played by one that does.
-        let rate = std::env::var("MERLINSHELF_CLOCK_RATE").ok().and_then(|text| text.parse().ok());
+        let rate = std::env::var("MERLINSHELF_CLOCK_RATE")
+            .ok()
+            .and_then(|text| text.parse().ok());
         Ok(PolicyAgent {
-            founding: Founding { lease_ms: of.lease_ms, base },
+            founding: Founding {
+                lease_ms: of.lease_ms,
+                base,
+            },
             seat: Seat::new(&of.name, &of.agents, folder, life, tell),
             links,
             warden: Warden::new(&of.name, life, base, of.drift),
@@ -119,7 +124,9 @@
                 }
             }
             Happened::Peer(_, Peer::Word(word)) => self.heard_of_lease(now, &word),
-            Happened::Peer(_, word @ (Peer::Propose(_) | Peer::Remove(_))) => self.as_leader(now, word),
+            Happened::Peer(_, word @ (Peer::Propose(_) | Peer::Remove(_))) => {
+                self.as_leader(now, word)
+            }
             Happened::Peer(from, Peer::Standing(text)) => {
                 if let Ok(standing) = serde_json::from_str(&text) {
                     self.standings.insert(from, (now, standing));
@@ -140,7 +147,9 @@
 
     /// An instance's sums, for the watch after a change. Sums that went back are another process's.
     pub fn counted(&mut self, name: &str, invocations: u64, succeeded: u64) {
-        let before = self.last_counts.insert(name.to_owned(), (invocations, succeeded));
+        let before = self
+            .last_counts
+            .insert(name.to_owned(), (invocations, succeeded));
         let before = before.filter(|before| before.0 <= invocations && before.1 <= succeeded);
         if let Some(before) = before {
             self.warden.service.0 += invocations - before.0;
@@ -172,7 +181,9 @@
             let text =
                 json!({ "instances": standing(), "council": self.seat.standing(), "budgets": budgets })
                     .to_string();
-            self.links.others().for_each(|other| self.links.send(other, &Peer::Standing(text.clone())));
+            self.links
+                .others()
+                .for_each(|other| self.links.send(other, &Peer::Standing(text.clone())));
         }
         self.warden.serving(now, instances.keys());
         self.bound_budgets(now);
@@ -193,12 +204,18 @@
         }
         while let Some((name, mut beat)) = self.warden.next_beat(now) {
             beat.given = self.budgeting.house.answers(now, &name);
-            let Some(control) = instances.get(&name).cloned() else { continue };
+            let Some(control) = instances.get(&name).cloned() else {
+                continue;
+            };
             let sender = self.happened.0.clone();
             spawn_local(async move {
                 let body = serde_json::to_value(&beat).unwrap_or_default();
-                let asked =
-                    async { Talk::ask(&control, Question::Policy, &body, BEAT_WITHIN).await?.next().await };
+                let asked = async {
+                    Talk::ask(&control, Question::Policy, &body, BEAT_WITHIN)
+                        .await?
+                        .next()
+                        .await
+                };
                 let said = match tokio::time::timeout(BEAT_WITHIN, asked).await {
                     Ok(Ok((Word::Done, said))) => {
                         serde_json::from_value(said).map_err(|error| Some(error.to_string()))
@@ -206,9 +223,9 @@
                     Ok(Ok((_, report))) if report["text"] == "unreadable question" => {
                         Err(Some("it knows no policies".to_owned()))
                     }
-                    Ok(Ok((_, report))) => {
-                        Err(Some(report["text"].as_str().unwrap_or("it refuses").to_owned()))
-                    }
+                    Ok(Ok((_, report))) => Err(Some(
+                        report["text"].as_str().unwrap_or("it refuses").to_owned(),
+                    )),
                     Ok(Err(_)) | Err(_) => Err(None),
                 };
                 let _ = sender.send(Happened::Beat(name, said));
@@ -232,7 +249,9 @@
         match word {
             Peer::Propose(entry @ Entry::Propose { .. }) => _ = self.seat.propose(now, &entry),
             // A seat is given up where this agent does not want it any more itself.
-            Peer::Remove(name) if self.seat.leads().is_some() && !self.of.agents.contains_key(&name) => {
+            Peer::Remove(name)
+                if self.seat.leads().is_some() && !self.of.agents.contains_key(&name) =>
+            {
                 self.seat.remove(now, &name);
             }
             _ => {}
@@ -266,7 +285,12 @@
                 if let (Some(news), Some((conductor, _))) = (news, &mut self.conductor) {
                     conductor.decided(now, &news, &self.seat.ledger);
                 }
-                let agreed = self.seat.ledger.founding.clone().filter(|agreed| *agreed != self.founding);
+                let agreed = self
+                    .seat
+                    .ledger
+                    .founding
+                    .clone()
+                    .filter(|agreed| *agreed != self.founding);
                 if agreed.is_some() && agreed != self.complained {
                     warn!(
                         "lease_ms or base of this agent's file is another than the installation's: {:?} against {agreed:?}; \
@@ -291,9 +315,15 @@
                 info!(lease_ms = founding.lease_ms; "policy: founded, leases of {} ms", founding.lease_ms)
             }
             News::Proposed(number) => info!(number = number; "policy {number}: proposed"),
-            News::Decided(number, true) => info!(number = number; "policy {number}: decided, it holds"),
+            News::Decided(number, true) => {
+                info!(number = number; "policy {number}: decided, it holds")
+            }
             News::Decided(number, false) => {
-                let ended = ledger.ended.iter().rev().find(|ended| ended.number == *number);
+                let ended = ledger
+                    .ended
+                    .iter()
+                    .rev()
+                    .find(|ended| ended.number == *number);
                 let why = ended.map(|ended| why(&ended.verdict)).unwrap_or_default();
                 info!(number = number; "policy {number}: refused: {why}");
             }
@@ -307,16 +337,31 @@
         if self.conductor.as_ref().map(|(_, term)| *term) != term {
             self.conductor = term.map(|term| {
                 info!(term = term; "this agent leads in term {term}");
-                let watch = Watch { over_s: self.of.watch_ms as f64 / 1e3, worse: self.of.worse };
+                let watch = Watch {
+                    over_s: self.of.watch_ms as f64 / 1e3,
+                    worse: self.of.worse,
+                };
                 // Also whoever sat once: one that was replaced may have a lease from its former life.
-                let roll = self.seat.council().map(|council| council.roll().clone()).unwrap_or_default();
+                let roll = self
+                    .seat
+                    .council()
+                    .map(|council| council.roll().clone())
+                    .unwrap_or_default();
                 let names = roll
                     .members
                     .into_values()
                     .map(|member| member.name)
                     .chain(self.of.agents.keys().cloned());
-                let agreed = self.seat.ledger.founding.clone().unwrap_or_else(|| self.founding.clone());
-                (Conductor::elected(now, agreed, self.of.drift, watch, names), term)
+                let agreed = self
+                    .seat
+                    .ledger
+                    .founding
+                    .clone()
+                    .unwrap_or_else(|| self.founding.clone());
+                (
+                    Conductor::elected(now, agreed, self.of.drift, watch, names),
+                    term,
+                )
             });
             self.budgeting.leads(term);
             self.bound_budgets(now);
@@ -334,7 +379,11 @@
                 (None, None) => {}
             }
         }
-        while let Some(step) = self.conductor.as_mut().and_then(|(conductor, _)| conductor.next_step()) {
+        while let Some(step) = self
+            .conductor
+            .as_mut()
+            .and_then(|(conductor, _)| conductor.next_step())
+        {
             did = true;
             match &step {
                 Step::Propose(Entry::Decide { number, .. }) => point("decides", *number),
@@ -361,7 +410,10 @@
     /// How the instances of other agents stand, for the status of all: agent, seconds since it said so, and its instances.
     pub fn others(&self, now: f64) -> Vec<(String, f64, Value)> {
         let age = |at: f64| now * self.clock_rate - at;
-        self.standings.iter().map(|(name, (at, said))| (name.clone(), age(*at), said.clone())).collect()
+        self.standings
+            .iter()
+            .map(|(name, (at, said))| (name.clone(), age(*at), said.clone()))
+            .collect()
     }
 }
 
@@ -375,8 +427,10 @@
 fn why(verdict: &Verdict) -> String {
     match verdict {
         Verdict::Held => String::new(),
-        Verdict::Refused(by) => {
-            by.iter().map(|(who, why)| format!("{who}: {why}")).collect::<Vec<_>>().join("; ")
-        }
+        Verdict::Refused(by) => by
+            .iter()
+            .map(|(who, why)| format!("{who}: {why}"))
+            .collect::<Vec<_>>()
+            .join("; "),
     }
 }
--- a/crates/merlinshelf-agent/src/processes.rs
+++ b/crates/merlinshelf-agent/src/processes.rs
@@ -9,7 +9,9 @@
 use std::process::{Command, Stdio};
 
 use merlinshelf_fleet::Identity;
-use rustix::process::{Pid, PidfdFlags, Signal, WaitOptions, pidfd_open, pidfd_send_signal, waitpid};
+use rustix::process::{
+    Pid, PidfdFlags, Signal, WaitOptions, pidfd_open, pidfd_send_signal, waitpid,
+};
 use tokio::io::Interest;
 use tokio::io::unix::AsyncFd;
 
@@ -20,7 +22,10 @@
 }
 
 fn pid_of(number: u32) -> io::Result<Pid> {
-    i32::try_from(number).ok().and_then(Pid::from_raw).ok_or_else(|| io::ErrorKind::NotFound.into())
+    i32::try_from(number)
+        .ok()
+        .and_then(Pid::from_raw)
+        .ok_or_else(|| io::ErrorKind::NotFound.into())
 }
 
 /// Successors of instances, whose parents end, become children of this process: so their status is known.
@@ -46,7 +51,9 @@
 
 /// The file that it runs.
 pub fn program(pid: u32) -> Option<String> {
-    std::fs::read_link(format!("/proc/{pid}/exe")).ok().map(|path| path.to_string_lossy().into_owned())
+    std::fs::read_link(format!("/proc/{pid}/exe"))
+        .ok()
+        .map(|path| path.to_string_lossy().into_owned())
 }
 
 /// Starts a program in a group of its own, its log behind what the file holds.
@@ -54,13 +61,28 @@
 /// # Errors
 /// The program or the log can't be had.
 pub fn start(program: &Path, arguments: &[&Path], log: &Path) -> io::Result<Identity> {
-    let named = |error: io::Error| io::Error::new(error.kind(), format!("{}: {error}", program.display()));
-    let log = OpenOptions::new().create(true).append(true).open(log).map_err(named)?;
+    let named =
+        |error: io::Error| io::Error::new(error.kind(), format!("{}: {error}", program.display()));
+    let log = OpenOptions::new()
+        .create(true)
+        .append(true)
+        .open(log)
+        .map_err(named)?;
     let mut command = Command::new(program);
-    command.arg("serve").arg("--config").arg(arguments[0]).arg("--operator").arg(arguments[1]);
-    command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log).process_group(0);
+    command
+        .arg("serve")
+        .arg("--config")
+        .arg(arguments[0])
+        .arg("--operator")
+        .arg(arguments[1]);
+    command
+        .stdin(Stdio::null())
+        .stdout(Stdio::null())
+        .stderr(log)
+        .process_group(0);
     let child = command.spawn().map_err(named)?;
-    identity(child.id()).ok_or_else(|| io::Error::other(format!("{}: it ended at once", program.display())))
+    identity(child.id())
+        .ok_or_else(|| io::Error::other(format!("{}: it ended at once", program.display())))
 }
 
 impl Process {
@@ -95,6 +117,8 @@
 /// Whether this very process was started with that file as one of its arguments.
 pub fn was_started_with(of: &Identity, file: &Path) -> bool {
     let line = std::fs::read(format!("/proc/{}/cmdline", of.pid)).unwrap_or_default();
-    let named = line.split(|byte| *byte == 0).any(|word| word == file.as_os_str().as_encoded_bytes());
+    let named = line
+        .split(|byte| *byte == 0)
+        .any(|word| word == file.as_os_str().as_encoded_bytes());
     named && identity(of.pid).as_ref() == Some(of)
 }
--- a/crates/merlinshelf-agent/src/store.rs
+++ b/crates/merlinshelf-agent/src/store.rs
@@ -31,7 +31,9 @@
         let record = match disk.read(FILE) {
             Ok(None) => Record::default(),
             Ok(Some(bytes)) => read(&bytes).unwrap_or_else(|why| {
-                warn!("what an earlier agent left can't be read: {why}; it is set aside as {ASIDE}");
+                warn!(
+                    "what an earlier agent left can't be read: {why}; it is set aside as {ASIDE}"
+                );
                 let _ = disk.rename(FILE, ASIDE);
                 Record::default()
             }),
@@ -41,7 +43,9 @@
             }
         };
         let (records, work) = channel();
-        std::thread::Builder::new().name("store".into()).spawn(move || keep(disk, &work))?;
+        std::thread::Builder::new()
+            .name("store".into())
+            .spawn(move || keep(disk, &work))?;
         Ok((Store { records }, record))
     }
 
@@ -83,7 +87,9 @@
 }
 
 fn read(bytes: &[u8]) -> Result<Record, String> {
-    let rest = bytes.strip_prefix(HEAD).ok_or("it is of another program or of a later version")?;
+    let rest = bytes
+        .strip_prefix(HEAD)
+        .ok_or("it is of another program or of a later version")?;
     let (record, _) = unframed(rest, LENGTH_MOST).map_err(|flaw| format!("{flaw:?}"))?;
     rmp_serde::from_slice(record).map_err(|error| error.to_string())
 }
@@ -94,7 +100,10 @@
 
     #[test]
     fn what_is_kept_is_read_back_and_what_is_spoilt_is_named() {
-        let mut record = Record { plans: 7, ..Record::default() };
+        let mut record = Record {
+            plans: 7,
+            ..Record::default()
+        };
         record.counts.insert("web".into(), 3);
         let mut bytes = HEAD.to_vec();
         bytes.extend(framed(&record));
--- a/crates/merlinshelf-agent/src/talk.rs
+++ b/crates/merlinshelf-agent/src/talk.rs
@@ -40,7 +40,11 @@
             Ok::<_, io::Error>(stream)
         };
         let stream = timeout(patience.min(TAKEN_WITHIN), ask).await??;
-        Ok(Talk { stream, come: Vec::new(), patience })
+        Ok(Talk {
+            stream,
+            come: Vec::new(),
+            patience,
+        })
     }
 
     /// The next word and its report.
@@ -73,8 +77,15 @@
     ///
     /// # Errors
     /// As of `ask` and `next`.
-    pub async fn once(socket: &Path, question: Question, patience: Duration) -> io::Result<(Word, Value)> {
-        Talk::ask(socket, question, &json!({}), patience).await?.next().await
+    pub async fn once(
+        socket: &Path,
+        question: Question,
+        patience: Duration,
+    ) -> io::Result<(Word, Value)> {
+        Talk::ask(socket, question, &json!({}), patience)
+            .await?
+            .next()
+            .await
     }
 }
 
@@ -87,7 +98,12 @@
 impl Blocking {
     /// # Errors
     /// As of [`Talk::ask`].
-    pub fn ask(socket: &Path, question: Question, body: &Value, patience: Duration) -> io::Result<Blocking> {
+    pub fn ask(
+        socket: &Path,
+        question: Question,
+        body: &Value,
+        patience: Duration,
+    ) -> io::Result<Blocking> {
         let runtime = Builder::new_current_thread().enable_all().build()?;
         let talk = runtime.block_on(Talk::ask(socket, question, body, patience))?;
         Ok(Blocking { runtime, talk })
--- a/crates/merlinshelf-backend/src/client/catalogue.rs
+++ b/crates/merlinshelf-backend/src/client/catalogue.rs
@@ -107,7 +107,9 @@
     let address = peers.borrow_and_update().catalogue;
     let (tasks, open) = (JoinSet::new(), BTreeMap::new());
     let (waiting, idle) = (VecDeque::new(), VecDeque::new());
-    let routed = routing.as_ref().map_or_else(Rc::default, |routing| routing.borrow().wake());
+    let routed = routing
+        .as_ref()
+        .map_or_else(Rc::default, |routing| routing.borrow().wake());
     let mut calls = Calls {
         exchange,
         address,
@@ -120,11 +122,17 @@
         idle,
         most,
     };
-    resumed.take().into_iter().for_each(|line| calls.resume(line));
+    resumed
+        .take()
+        .into_iter()
+        .for_each(|line| calls.resume(line));
     loop {
         calls.take_orders();
         calls.begin();
-        let due = calls.routing.as_ref().and_then(|routing| routing.borrow().wake_at());
+        let due = calls
+            .routing
+            .as_ref()
+            .and_then(|routing| routing.borrow().wake_at());
         let oldest = calls.idle.front().map(|line| line.idle_since + IDLE_MOST);
         select! {
             () = wake.notified() => {}
@@ -152,24 +160,45 @@
         loop {
             let order = self.exchange.borrow_mut().next_order();
             match order {
-                Some(Order::Invoke { id, number, wait, body, wanted }) => match &self.routing {
+                Some(Order::Invoke {
+                    id,
+                    number,
+                    wait,
+                    body,
+                    wanted,
+                }) => match &self.routing {
                     Some(routing) if routing.borrow().knows(&wanted) => {
-                        routing.borrow_mut().ask(&self.exchange, (id, number), wait, &body, &wanted);
+                        routing.borrow_mut().ask(
+                            &self.exchange,
+                            (id, number),
+                            wait,
+                            &body,
+                            &wanted,
+                        );
                     }
-                    _ => self.waiting.push_back(Call { id, number, wait, body, attempt: 0 }),
+                    _ => self.waiting.push_back(Call {
+                        id,
+                        number,
+                        wait,
+                        body,
+                        attempt: 0,
+                    }),
                 },
                 // Closing its connection gives a call up, with nothing of it left to come.
                 Some(Order::GiveUp { id, number }) => {
                     if let Some(routing) = &self.routing {
                         routing.borrow_mut().give_up(&self.exchange, (id, number));
                     }
-                    self.waiting.retain(|call| (call.id, call.number) != (id, number));
+                    self.waiting
+                        .retain(|call| (call.id, call.number) != (id, number));
                     let open: Vec<Attempt> = self
                         .open
                         .range((id, number, 0)..=(id, number, u64::MAX))
                         .map(|(key, _)| *key)
                         .collect();
-                    open.iter().filter_map(|key| self.open.remove(key)).for_each(|task| task.abort());
+                    open.iter()
+                        .filter_map(|key| self.open.remove(key))
+                        .for_each(|task| task.abort());
                 }
                 None => return,
             }
@@ -203,37 +232,71 @@
     fn make(&mut self, call: Call, line: Option<Line>, address: SocketAddr) {
         let key = (call.id, call.number, call.attempt);
         let (exchange, routing) = (self.exchange.clone(), self.routing.clone());
-        let task = async move { (key, make(call, line, address, &exchange, routing.as_ref()).await) };
+        let task = async move {
+            (
+                key,
+                make(call, line, address, &exchange, routing.as_ref()).await,
+            )
+        };
         self.open.insert(key, self.tasks.spawn_local(task));
     }
 
     /// Makes and gives up the attempts that were decided on.
     fn take_steps(&mut self) {
-        let Some(routing) = self.routing.clone() else { return };
+        let Some(routing) = self.routing.clone() else {
+            return;
+        };
         loop {
             let step = routing.borrow_mut().next();
             match step {
-                Some(Step::Attempt { ticket, attempt, server, wait }) => {
+                Some(Step::Attempt {
+                    ticket,
+                    attempt,
+                    server,
+                    wait,
+                }) => {
                     if self.tasks.len() >= self.most {
-                        let step = Step::Attempt { ticket, attempt, server, wait };
+                        let step = Step::Attempt {
+                            ticket,
+                            attempt,
+                            server,
+                            wait,
+                        };
                         return routing.borrow_mut().put_back(step);
                     }
                     let call = routing.borrow().call_of(ticket);
-                    let Some(((id, number), body)) = call else { continue };
+                    let Some(((id, number), body)) = call else {
+                        continue;
+                    };
                     match server.parse() {
                         Ok(address) => {
                             let name = routing.borrow().dependency_of(attempt);
                             self.exchange.borrow_mut().wants_line(&name);
-                            let call = Call { id, number, wait, body, attempt };
+                            let call = Call {
+                                id,
+                                number,
+                                wait,
+                                body,
+                                attempt,
+                            };
                             self.held_attempts.push_back((name, call, address));
                             self.make_held();
                         }
-                        Err(_) => routing.borrow_mut().ended(&self.exchange, attempt, &Called::NeverRan),
+                        Err(_) => {
+                            routing
+                                .borrow_mut()
+                                .ended(&self.exchange, attempt, &Called::NeverRan)
+                        }
                     }
                 }
                 Some(Step::GiveUp { attempt }) => {
-                    self.held_attempts.retain(|(_, call, _)| call.attempt != attempt);
-                    let open = self.open.keys().find(|(_, _, one)| *one == attempt).copied();
+                    self.held_attempts
+                        .retain(|(_, call, _)| call.attempt != attempt);
+                    let open = self
+                        .open
+                        .keys()
+                        .find(|(_, _, one)| *one == attempt)
+                        .copied();
                     if let Some(task) = open.and_then(|key| self.open.remove(&key)) {
                         task.abort();
                     }
@@ -264,25 +327,46 @@
 
     /// An attempt has ended and is told here.
     fn told(&self, (id, number, attempt): Attempt, called: Called) {
-        tell(&self.exchange, self.routing.as_ref(), (id, number, attempt), called);
+        tell(
+            &self.exchange,
+            self.routing.as_ref(),
+            (id, number, attempt),
+            called,
+        );
     }
 
     /// Goes on with a call that another process has begun.
     fn resume(&mut self, (socket, stream, record): Resumed) {
-        let (Some(id), Ok(address)) = (CallId::read(&record.id), record.address.parse()) else { return };
-        let Flow { taken, given, coming, going } = record.flow;
+        let (Some(id), Ok(address)) = (CallId::read(&record.id), record.address.parse()) else {
+            return;
+        };
+        let Flow {
+            taken,
+            given,
+            coming,
+            going,
+        } = record.flow;
         let line = Line {
             socket,
             stream,
             address,
             coming: Ring::resumed(coming, taken),
             going: Ring::resumed(going, given),
-            carried: record.carried.iter().filter_map(|id| CallId::read(id)).collect(),
+            carried: record
+                .carried
+                .iter()
+                .filter_map(|id| CallId::read(id))
+                .collect(),
             idle_since: Instant::now(),
         };
         // To whichever server it goes, its end is the call's.
         let (key, exchange) = ((id, record.number, 0), self.exchange.clone());
-        let task = async move { (key, carry(line, key, &exchange, None, "a line of the predecessor").await) };
+        let task = async move {
+            (
+                key,
+                carry(line, key, &exchange, None, "a line of the predecessor").await,
+            )
+        };
         self.open.insert(key, self.tasks.spawn_local(task));
     }
 
@@ -294,7 +378,10 @@
             // What has come on it since belongs to no call, and its far end may have closed it.
             match line.coming.fill(&line.socket) {
                 Ok(Moved::Blocked) => return Some(line),
-                _ => debug!("an idle line is gone after {} ms", line.idle_since.elapsed().as_millis()),
+                _ => debug!(
+                    "an idle line is gone after {} ms",
+                    line.idle_since.elapsed().as_millis()
+                ),
             }
         }
         None
@@ -305,8 +392,10 @@
             Ok((key, Made::Frozen | Made::Told)) => _ = self.open.remove(&key),
             Ok((key, Made::Ended(called, line))) => {
                 let awaited = self.open.remove(&key).is_some();
-                self.idle
-                    .extend(line.map(|line| *line).filter(|line| key.2 > 0 || line.address == self.address));
+                self.idle.extend(
+                    line.map(|line| *line)
+                        .filter(|line| key.2 > 0 || line.address == self.address),
+                );
                 if awaited {
                     self.told(key, called);
                 }
@@ -323,7 +412,11 @@
     }
 
     fn trim(&mut self) {
-        while self.idle.front().is_some_and(|line| line.idle_since.elapsed() >= IDLE_MOST) {
+        while self
+            .idle
+            .front()
+            .is_some_and(|line| line.idle_since.elapsed() >= IDLE_MOST)
+        {
             self.idle.pop_front();
         }
     }
@@ -368,8 +461,20 @@
         (false, _) => "a new line".into(),
     };
     line.carried.push(call.id);
-    catalogue::invoke(&mut line.going, call.id, (call.wait * 1e3).ceil() as u64, &call.body);
-    carry(line, (call.id, call.number, call.attempt), exchange, routing, &kind).await
+    catalogue::invoke(
+        &mut line.going,
+        call.id,
+        (call.wait * 1e3).ceil() as u64,
+        &call.body,
+    );
+    carry(
+        line,
+        (call.id, call.number, call.attempt),
+        exchange,
+        routing,
+        &kind,
+    )
+    .await
 }
 
 /// A new line, known to a predecessor that watches before anything goes over it.
@@ -378,7 +483,15 @@
     let stream = exchange.borrow_mut().next_stream();
     pass(exchange, Role::Line(stream), &socket).await?;
     let (coming, going, carried) = Default::default();
-    Ok(Line { socket, stream, address, coming, going, carried, idle_since: Instant::now() })
+    Ok(Line {
+        socket,
+        stream,
+        address,
+        coming,
+        going,
+        carried,
+        idle_since: Instant::now(),
+    })
 }
 
 /// A line under a call. However that ends, also by giving the call up, the line is closed where it is not kept.
@@ -403,8 +516,13 @@
     routing: Option<&routing::Shared>,
     kind: &str,
 ) -> Made {
-    let mut held = Held { line: Some(line), exchange: exchange.clone() };
-    let Some(line) = held.line.as_mut() else { return Made::Frozen };
+    let mut held = Held {
+        line: Some(line),
+        exchange: exchange.clone(),
+    };
+    let Some(line) = held.line.as_mut() else {
+        return Made::Frozen;
+    };
     let ended = line.call(call, exchange).await;
     if let Err(error) = &ended {
         // The connection is gone. That proves nothing of what was sent on it.
@@ -412,10 +530,14 @@
     }
     match ended {
         Ok(None) => {
-            let Some(line) = held.line.take() else { return Made::Frozen };
+            let Some(line) = held.line.take() else {
+                return Made::Frozen;
+            };
             let (stream, record) = (line.stream, line.record(call));
             match line.socket.into_std() {
-                Ok(socket) => exchange.borrow_mut().deposit(Deposit::Line(stream, record, socket)),
+                Ok(socket) => exchange
+                    .borrow_mut()
+                    .deposit(Deposit::Line(stream, record, socket)),
                 Err(error) => warn!("a line to the catalogue can't be handed in: {error}"),
             }
             Made::Frozen
@@ -459,7 +581,11 @@
             address: self.address.to_string(),
             id: ByteBuf::from(id.as_bytes()),
             number,
-            carried: self.carried.iter().map(|id| ByteBuf::from(id.as_bytes())).collect(),
+            carried: self
+                .carried
+                .iter()
+                .map(|id| ByteBuf::from(id.as_bytes()))
+                .collect(),
             flow: Flow {
                 taken: self.coming.moved(),
                 given: self.going.moved(),
@@ -497,7 +623,11 @@
             }
             let blocked = self.going.drain(&self.socket)? == Moved::Blocked;
             fault::point("line.written");
-            let interest = if blocked { Interest::READABLE | Interest::WRITABLE } else { Interest::READABLE };
+            let interest = if blocked {
+                Interest::READABLE | Interest::WRITABLE
+            } else {
+                Interest::READABLE
+            };
             select! {
                 biased;
                 Ok(_) = freezing.wait_for(|frozen| *frozen) => return Ok(None),
--- a/crates/merlinshelf-backend/src/client/engine.rs
+++ b/crates/merlinshelf-backend/src/client/engine.rs
@@ -75,7 +75,14 @@
 pub async fn hold(mut peers: Watched, exchange: Shared, resumed: Rc<RefCell<Option<Resumed>>>) {
     let mut freezing = exchange.borrow().freezing();
     let offer = exchange.borrow().names_dependencies();
-    let mut engine = Engine { exchange, last: 0, unsure: VecDeque::new(), tag: 0, offer, born: None };
+    let mut engine = Engine {
+        exchange,
+        last: 0,
+        unsure: VecDeque::new(),
+        tag: 0,
+        offer,
+        born: None,
+    };
     let mut link = resumed.take().and_then(|resumed| engine.resume(resumed));
     let mut next = None;
     loop {
@@ -97,7 +104,10 @@
                 // The old link serves on until the new one stands, which takes its place.
                 let address = link.address;
                 let ended = {
-                    let (run, moved) = (pin!(engine.run(&mut link)), pin!(moved(&mut peers, address)));
+                    let (run, moved) = (
+                        pin!(engine.run(&mut link)),
+                        pin!(moved(&mut peers, address)),
+                    );
                     select! {
                         biased;
                         Ok(_) = freezing.wait_for(|frozen| *frozen) => End::Frozen,
@@ -108,9 +118,12 @@
                 match ended {
                     End::Frozen => return engine.deposit(Some(link)),
                     End::Broken(reason) => {
-                        warn!("the engine's link broke after notice {}: {reason}", engine.last);
-                        engine.offer =
-                            engine.exchange.borrow().names_dependencies() && (link.hello || !engine.offer);
+                        warn!(
+                            "the engine's link broke after notice {}: {reason}",
+                            engine.last
+                        );
+                        engine.offer = engine.exchange.borrow().names_dependencies()
+                            && (link.hello || !engine.offer);
                     }
                     End::Moved => info!("the engine's link moves after notice {}", engine.last),
                 }
@@ -167,8 +180,18 @@
         let asked = self.born.map(|_| now);
         let (hello, caught_up, ask_at) = (false, false, now);
         let names = false;
-        let mut link =
-            Link { socket, stream, address, coming, going, hello, caught_up, names, asked, ask_at };
+        let mut link = Link {
+            socket,
+            stream,
+            address,
+            coming,
+            going,
+            hello,
+            caught_up,
+            names,
+            asked,
+            ask_at,
+        };
         engine::attach(&mut link.going, self.last, self.offer);
         Ok(link)
     }
@@ -182,9 +205,17 @@
         // The next question's answer proves that they were read, if the link holds; else its break says what to do.
         let proof = self.tag + 1;
         let inherited = self.exchange.borrow_mut().inherited();
-        self.unsure = inherited.into_iter().map(|(command, heard)| (proof, command, heard)).collect();
+        self.unsure = inherited
+            .into_iter()
+            .map(|(command, heard)| (proof, command, heard))
+            .collect();
         let (socket, stream, address) = (socket?, record.stream?, record.address.parse().ok()?);
-        let Flow { taken, given, coming, going } = record.flow;
+        let Flow {
+            taken,
+            given,
+            coming,
+            going,
+        } = record.flow;
         Some(Link {
             socket,
             stream,
@@ -209,14 +240,18 @@
         };
         records::Link {
             stream: link.map(|link| link.stream),
-            address: link.map(|link| link.address.to_string()).unwrap_or_default(),
+            address: link
+                .map(|link| link.address.to_string())
+                .unwrap_or_default(),
             last: self.last,
             tag: self.tag,
             asked: link.is_some_and(|link| link.asked.is_some()),
             hello: link.is_some_and(|link| link.hello),
             caught_up: link.is_some_and(|link| link.caught_up),
             names: link.is_some_and(|link| link.names),
-            born: self.born.map(|born| monotonic() - now.saturating_duration_since(born).as_secs_f64()),
+            born: self
+                .born
+                .map(|born| monotonic() - now.saturating_duration_since(born).as_secs_f64()),
             flow: link.map(flow).unwrap_or_default(),
         }
     }
@@ -234,7 +269,9 @@
     fn deposit(&self, link: Option<Link>) {
         let record = self.record(link.as_ref());
         let socket = link.and_then(|link| link.socket.into_std().ok());
-        self.exchange.borrow_mut().deposit(Deposit::Link(record, socket));
+        self.exchange
+            .borrow_mut()
+            .deposit(Deposit::Link(record, socket));
     }
 
     /// A link that is served no longer is closed also where a predecessor has a copy.
@@ -254,7 +291,11 @@
             }
             let blocked = link.going.drain(&link.socket)? == Moved::Blocked;
             fault::point("link.written");
-            let interest = if blocked { Interest::READABLE | Interest::WRITABLE } else { Interest::READABLE };
+            let interest = if blocked {
+                Interest::READABLE | Interest::WRITABLE
+            } else {
+                Interest::READABLE
+            };
             let next = link.asked.map_or(link.ask_at, |asked| asked + SILENT_MOST);
             select! {
                 biased;
@@ -297,9 +338,15 @@
 
     fn send_commands(&mut self, link: &mut Link) {
         while link.caught_up && link.going.len() <= UNSENT_MOST {
-            let Some((command, heard)) = self.exchange.borrow_mut().next_command() else { break };
+            let Some((command, heard)) = self.exchange.borrow_mut().next_command() else {
+                break;
+            };
             match &command {
-                Command::Run { id, operation, body } => engine::run(&mut link.going, *id, operation, body),
+                Command::Run {
+                    id,
+                    operation,
+                    body,
+                } => engine::run(&mut link.going, *id, operation, body),
                 Command::Feed { id, reply } => engine::feed(&mut link.going, *id, reply),
                 Command::Skip { id, need } => engine::skip(&mut link.going, *id, *need),
             }
@@ -338,7 +385,10 @@
         match *notice {
             Notice::Hello { warm, up_ms, names } => {
                 link.names = names && self.offer;
-                info!("the engine is up, {} for {up_ms} ms", if warm { "warm" } else { "cold" });
+                info!(
+                    "the engine is up, {} for {up_ms} ms",
+                    if warm { "warm" } else { "cold" }
+                );
                 (link.hello, link.asked) = (true, None);
                 let up = Duration::from_secs_f64((up_ms / 1e3).clamp(0.0, 1e6));
                 let born = Instant::now().checked_sub(up);
@@ -354,8 +404,19 @@
                 self.born = self.born.or(born);
                 exchange.engine_up(warm, up.as_secs_f64(), anew);
             }
-            Notice::Done { id, end, took_ms, result, .. } => exchange.ended(id, end, took_ms / 1e3, result),
-            Notice::Need { number, id, named, body } => {
+            Notice::Done {
+                id,
+                end,
+                took_ms,
+                result,
+                ..
+            } => exchange.ended(id, end, took_ms / 1e3, result),
+            Notice::Need {
+                number,
+                id,
+                named,
+                body,
+            } => {
                 let named = named.and_then(|name| std::str::from_utf8(name).ok());
                 exchange.wants_call(id, number, named, body);
             }
@@ -365,7 +426,10 @@
             },
             Notice::Note { text, .. } => info!("the engine notes: {}", text.escape_ascii()),
             Notice::Stats { tag, ref gauges } => {
-                let age = link.asked.take().map_or(Duration::MAX, |asked| asked.elapsed());
+                let age = link
+                    .asked
+                    .take()
+                    .map_or(Duration::MAX, |asked| asked.elapsed());
                 exchange.gauges(gauges, age);
                 drop(exchange);
                 self.answered(link, tag);
--- a/crates/merlinshelf-backend/src/config.rs
+++ b/crates/merlinshelf-backend/src/config.rs
@@ -40,7 +40,9 @@
             let mut text = String::new();
             file.take(FILE_MOST).read_to_string(&mut text).map(|_| text)
         };
-        let text = std::fs::File::open(path).and_then(read).map_err(|error| named(error.to_string()))?;
+        let text = std::fs::File::open(path)
+            .and_then(read)
+            .map_err(|error| named(error.to_string()))?;
         Config::read(&text).map_err(named)
     }
 
@@ -50,15 +52,22 @@
             ("name", self.name == later.name),
             ("listen", self.listen == later.listen),
             ("stop_ms", self.stop == later.stop),
-            ("limits", (self.memory_mb, self.sockets) == (later.memory_mb, later.sockets)),
+            (
+                "limits",
+                (self.memory_mb, self.sockets) == (later.memory_mb, later.sockets),
+            ),
             ("settings", self.settings == later.settings),
         ];
-        same.iter().filter(|(_, same)| !same).map(|(name, _)| *name).collect()
+        same.iter()
+            .filter(|(_, same)| !same)
+            .map(|(name, _)| *name)
+            .collect()
     }
 
     /// Reads the text of the file. What can't be used is named.
     pub fn read(text: &str) -> Result<Config, String> {
-        let whole: Value = serde_json::from_str(text).map_err(|error| format!("no JSON: {error}"))?;
+        let whole: Value =
+            serde_json::from_str(text).map_err(|error| format!("no JSON: {error}"))?;
         let whole = whole.as_object().ok_or("the configuration is no object")?;
         let seed = string(whole, "seed")?;
         let limits = object(whole, "limits")?;
@@ -70,7 +79,10 @@
             return Err("settings: empty".into());
         }
         let name = string(whole, "name")?;
-        if !name.bytes().all(|byte| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte)) {
+        if !name
+            .bytes()
+            .all(|byte| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte))
+        {
             return Err(format!("name: {name:?} can't stand in a path"));
         }
         Ok(Config {
@@ -81,7 +93,8 @@
                 members: address(whole, "members")?,
                 catalogue: address(whole, "backend")?,
             },
-            seed: u64::from_str_radix(seed, 16).map_err(|_| format!("seed: {seed:?} is not hexadecimal"))?,
+            seed: u64::from_str_radix(seed, 16)
+                .map_err(|_| format!("seed: {seed:?} is not hexadecimal"))?,
             stop: Duration::from_secs_f64(positive(whole, "stop_ms")?.min(1e9) / 1e3),
             memory_mb: positive(limits, "memory_mb")? as u64,
             sockets: positive(limits, "sockets")? as usize,
@@ -95,22 +108,33 @@
 }
 
 fn object<'a>(map: &'a Map<String, Value>, name: &str) -> Result<&'a Map<String, Value>, String> {
-    need(map, name)?.as_object().ok_or(format!("{name}: no object"))
+    need(map, name)?
+        .as_object()
+        .ok_or(format!("{name}: no object"))
 }
 
 fn string<'a>(map: &'a Map<String, Value>, name: &str) -> Result<&'a str, String> {
-    let text = need(map, name)?.as_str().ok_or(format!("{name}: no text"))?;
-    if text.is_empty() { Err(format!("{name}: empty")) } else { Ok(text) }
+    let text = need(map, name)?
+        .as_str()
+        .ok_or(format!("{name}: no text"))?;
+    if text.is_empty() {
+        Err(format!("{name}: empty"))
+    } else {
+        Ok(text)
+    }
 }
 
 fn address(map: &Map<String, Value>, name: &str) -> Result<SocketAddr, String> {
     let text = string(map, name)?;
-    text.parse().map_err(|_| format!("{name}: {text:?} is no address with a port"))
+    text.parse()
+        .map_err(|_| format!("{name}: {text:?} is no address with a port"))
 }
 
 fn positive(map: &Map<String, Value>, name: &str) -> Result<f64, String> {
     let value = need(map, name)?;
-    let number = value.as_f64().filter(|number| number.is_finite() && *number > 0.0);
+    let number = value
+        .as_f64()
+        .filter(|number| number.is_finite() && *number > 0.0);
     number.ok_or(format!("{name}: {value} is no number above 0"))
 }
 
@@ -118,7 +142,8 @@
 fn flatten(path: &str, value: &Value, settings: &mut Settings) {
     match value {
         Value::Object(map) => {
-            map.iter().for_each(|(name, value)| flatten(&format!("{path}.{name}"), value, settings));
+            map.iter()
+                .for_each(|(name, value)| flatten(&format!("{path}.{name}"), value, settings));
         }
         Value::Array(items) if items.iter().any(Value::is_object) => {
             settings.insert(format!("{path}.count"), items.len().to_string());
@@ -153,9 +178,15 @@
     #[test]
     fn settings_read_as_in_the_benchs_first_message() {
         let config = Config::read(EXAMPLE).expect("the example can be read");
-        assert_eq!((config.seed, config.stop), (0x8c1f_30d2_7a5b_e964, Duration::from_millis(3200)));
-        let lines: Vec<String> =
-            config.settings.iter().map(|(name, value)| format!("{name}={value}")).collect();
+        assert_eq!(
+            (config.seed, config.stop),
+            (0x8c1f_30d2_7a5b_e964, Duration::from_millis(3200))
+        );
+        let lines: Vec<String> = config
+            .settings
+            .iter()
+            .map(|(name, value)| format!("{name}={value}"))
+            .collect();
         insta::assert_snapshot!(lines.join("\n"));
     }
 
--- a/crates/merlinshelf-backend/src/control.rs
+++ b/crates/merlinshelf-backend/src/control.rs
@@ -61,11 +61,17 @@
 
 /// Opens the socket in place of one that nobody listens on, or of this process's predecessor's.
 pub fn open(path: &Path, asked: UnboundedSender<Asked>) -> io::Result<Control> {
-    let named =
-        |error: io::Error| io::Error::new(error.kind(), format!("control: {}: {error}", path.display()));
+    let named = |error: io::Error| {
+        io::Error::new(
+            error.kind(),
+            format!("control: {}: {error}", path.display()),
+        )
+    };
     let listener = bind(path).map_err(named)?;
     info!("control at {}", path.display());
-    Ok(Control { accepting: spawn_local(accept(listener, asked)) })
+    Ok(Control {
+        accepting: spawn_local(accept(listener, asked)),
+    })
 }
 
 /// The new socket takes the old one's place in one go, with its mode from the start.
@@ -155,7 +161,11 @@
     match question {
         Question::Status | Question::Drain => {
             let (sender, answer) = oneshot::channel();
-            let ask = if question == Question::Status { Asked::Status } else { Asked::Drain };
+            let ask = if question == Question::Status {
+                Asked::Status
+            } else {
+                Asked::Drain
+            };
             asked.send(ask(sender)).map_err(|_| gone())?;
             let answer = answer.await.map_err(|_| gone())?;
             say(stream, Word::Done, &answer).await
@@ -189,22 +199,35 @@
         Question::Policy => {
             let beat = match serde_json::from_slice(&body) {
                 Ok(beat) => beat,
-                Err(error) => return say(stream, Word::Failed, &json!({ "text": error.to_string() })).await,
+                Err(error) => {
+                    return say(stream, Word::Failed, &json!({ "text": error.to_string() })).await;
+                }
             };
             let (sender, said) = oneshot::channel();
-            asked.send(Asked::Policy(beat, sender)).map_err(|_| gone())?;
+            asked
+                .send(Asked::Policy(beat, sender))
+                .map_err(|_| gone())?;
             match said.await.map_err(|_| gone())? {
                 Some(said) => say(stream, Word::Done, &serde_json::to_value(&said)?).await,
                 None => say(stream, Word::Refused, &json!({ "text": POLICY_OFF })).await,
             }
         }
         // What agents say to each other, on their own listener alone.
-        Question::Council => say(stream, Word::Refused, &json!({ "text": "no agent listens here" })).await,
+        Question::Council => {
+            say(
+                stream,
+                Word::Refused,
+                &json!({ "text": "no agent listens here" }),
+            )
+            .await
+        }
         Question::Forget => {
             let body: Value = serde_json::from_slice(&body).unwrap_or_default();
             let origin = body["origin"].as_str().map(str::to_owned);
             let (sender, gone_by) = oneshot::channel();
-            asked.send(Asked::Forget(origin, sender)).map_err(|_| gone())?;
+            asked
+                .send(Asked::Forget(origin, sender))
+                .map_err(|_| gone())?;
             match gone_by.await.map_err(|_| gone())? {
                 Some(count) => say(stream, Word::Done, &json!({ "forgotten": count })).await,
                 None => say(stream, Word::Refused, &json!({ "text": LEARNING_OFF })).await,
@@ -229,7 +252,12 @@
             Progress::GivenUp(_) => (Word::Failed, "given_up"),
             Progress::TakenBack(_) => (Word::Failed, "taken_back"),
         };
-        say(stream, word, &json!({ "stage": stage, "text": one.to_string() })).await?;
+        say(
+            stream,
+            word,
+            &json!({ "stage": stage, "text": one.to_string() }),
+        )
+        .await?;
         if one.is_last() {
             break;
         }
@@ -244,7 +272,12 @@
         match control::question(&come) {
             Ok(Some(((form, question, body), _))) => return Ok((form, question, body.to_vec())),
             Ok(None) if come.len() <= QUESTION_MOST => {}
-            Ok(None) => return Err(io::Error::new(io::ErrorKind::InvalidData, "the question is too long")),
+            Ok(None) => {
+                return Err(io::Error::new(
+                    io::ErrorKind::InvalidData,
+                    "the question is too long",
+                ));
+            }
             Err(fault) => return Err(io::Error::new(io::ErrorKind::InvalidData, fault.0)),
         }
         stream.readable().await?;
--- a/crates/merlinshelf-backend/src/exchange/arrivals.rs
+++ b/crates/merlinshelf-backend/src/exchange/arrivals.rs
@@ -115,7 +115,9 @@
     }
 
     pub fn passes_budget(&self) -> bool {
-        self.settings.get("FamilyInfo.PassesDeadline").is_some_and(|text| text == "true")
+        self.settings
+            .get("FamilyInfo.PassesDeadline")
+            .is_some_and(|text| text == "true")
     }
 
     pub fn healthy(&self) -> bool {
@@ -124,18 +126,30 @@
 
     /// How long a connection with nothing open may stay; none at all once the program is closing.
     pub fn trim_after(&self) -> Duration {
-        if self.closing { Duration::ZERO } else { self.trim_after }
+        if self.closing {
+            Duration::ZERO
+        } else {
+            self.trim_after
+        }
     }
 
     /// A place for one more invocation to be read, if there is one beside all that are read and those in hand.
     pub fn take_place(&self) -> Option<Place> {
-        let mut place = Place { taken: self.reading.clone(), most: self.reading_most, bytes: 0 };
+        let mut place = Place {
+            taken: self.reading.clone(),
+            most: self.reading_most,
+            bytes: 0,
+        };
         (!self.is_full() && place.grow(PLACE_BYTES)).then_some(place)
     }
 
     /// The place of one that another process was reading: it had one, and what was begun is not cut off by a bound.
     pub fn keep_place(&self, bytes: usize) -> Place {
-        let mut place = Place { taken: self.reading.clone(), most: usize::MAX, bytes: 0 };
+        let mut place = Place {
+            taken: self.reading.clone(),
+            most: usize::MAX,
+            bytes: 0,
+        };
         place.grow(PLACE_BYTES + bytes);
         place.most = self.reading_most;
         place
@@ -159,7 +173,12 @@
         }
         self.counters.invocations += 1;
         let told = told(&arrival, unix_ms());
-        let Arrival { id, operation, body, .. } = arrival;
+        let Arrival {
+            id,
+            operation,
+            body,
+            ..
+        } = arrival;
         let one = InHand {
             id,
             operation,
@@ -169,9 +188,9 @@
             named: None,
             wanted: 0,
             missing: Vec::new(),
-            due: told
-                .budget
-                .map(|budget| self.origin.elapsed() + Duration::from_secs_f64(budget.clamp(0.0, 1e6))),
+            due: told.budget.map(|budget| {
+                self.origin.elapsed() + Duration::from_secs_f64(budget.clamp(0.0, 1e6))
+            }),
             calls: 0,
             calling: false,
             begun: false,
@@ -190,7 +209,13 @@
         }
         if self.shedder.is_none() {
             warn!("{id} came before the engine was up");
-            self.answer(inv, Answer::Throttled { away: 0.0, last: false });
+            self.answer(
+                inv,
+                Answer::Throttled {
+                    away: 0.0,
+                    last: false,
+                },
+            );
             self.hand.give_back(inv);
             return true;
         }
@@ -201,7 +226,11 @@
     /// An edge node has given one up by name.
     pub fn aborted(&mut self, reply: Reply) {
         let behind = self.hand.behind(reply.door);
-        let same = |inv: &usize| self.hand.get(*inv).is_some_and(|one| one.reply == Some(reply));
+        let same = |inv: &usize| {
+            self.hand
+                .get(*inv)
+                .is_some_and(|one| one.reply == Some(reply))
+        };
         if let Some(inv) = behind.into_iter().find(same) {
             self.counters.aborted += 1;
             self.answer(inv, Answer::Errored);
@@ -215,7 +244,9 @@
 /// up stays one of nothing, which is not the same as none.
 pub(super) fn told(arrival: &Arrival, unix_ms: f64) -> Invocation {
     let age = (unix_ms - arrival.stamp_ms).max(0.0);
-    let budget = arrival.patience_ms.map(|patience| (patience - age).max(0.0) / 1e3);
+    let budget = arrival
+        .patience_ms
+        .map(|patience| (patience - age).max(0.0) / 1e3);
     let most = arrival.patience_ms.unwrap_or(f64::INFINITY);
     Invocation {
         operation: arrival.operation,
--- a/crates/merlinshelf-backend/src/exchange/budgets.rs
+++ b/crates/merlinshelf-backend/src/exchange/budgets.rs
@@ -9,7 +9,9 @@
 
 use log::{info, warn};
 use merlinshelf::{Spend, Stage};
-use merlinshelf_shares::{Asked, Budgets, CATALOGUE, Given, Kind, Lease, Left, Phase, Spender, kinds, purse};
+use merlinshelf_shares::{
+    Asked, Budgets, CATALOGUE, Given, Kind, Lease, Left, Phase, Spender, kinds, purse,
+};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use rustix::fs::{FlockOperation, flock};
@@ -49,7 +51,10 @@
 
 impl Spending {
     pub(super) fn new(life: u64, seed: u64, of: &PolicyOf) -> Spending {
-        let lease = Lease { lease_s: of.lease_ms as f64 / 1e3, drift: of.drift };
+        let lease = Lease {
+            lease_s: of.lease_ms as f64 / 1e3,
+            drift: of.drift,
+        };
         let mut spender = Spender::new(life, lease);
         spender.bound(&of.base.budgets);
         Spending {
@@ -84,7 +89,9 @@
         let (now, chance) = (monotonic(), &mut self.chance);
         self.spender.given(now, given, &mut || chance.random());
         for name in given.places.keys() {
-            let Some(phase) = self.spender.phase(now, name) else { continue };
+            let Some(phase) = self.spender.phase(now, name) else {
+                continue;
+            };
             if self.phases.insert(name.clone(), phase).unwrap_or_default() != phase {
                 info!(dependency = name.as_str(); "budgets: {name} {} for all", said(phase));
             }
@@ -98,7 +105,13 @@
     }
 
     /// What is left of each, for a caller that was told before: what of that was `left_over`, and whether the dependency fails.
-    fn renew(&mut self, name: &str, left_over: Left, fails: bool, wanting: Wanting) -> Option<Left> {
+    fn renew(
+        &mut self,
+        name: &str,
+        left_over: Left,
+        fails: bool,
+        wanting: Wanting,
+    ) -> Option<Left> {
         let now = monotonic();
         let before = self.told.get(name).map(|(left, _)| *left);
         if !self.spender.bounds(name) {
@@ -118,7 +131,11 @@
         }
         self.spender.fails(now, name, fails);
         let closed = self.spender.phase(now, name) == Some(Phase::Fails);
-        let call = if fails || closed { Kind::Probes } else { Kind::First };
+        let call = if fails || closed {
+            Kind::Probes
+        } else {
+            Kind::First
+        };
         if wanting.call {
             self.draw(now, name, call);
         }
@@ -126,7 +143,16 @@
             self.draw(now, name, Kind::Again);
         }
         let left = self.spender.left(now, name);
-        self.told.insert(name.to_owned(), (Left { opens: false, ..left }, fails));
+        self.told.insert(
+            name.to_owned(),
+            (
+                Left {
+                    opens: false,
+                    ..left
+                },
+                fails,
+            ),
+        );
         Some(left)
     }
 
@@ -142,8 +168,14 @@
     /// One call of what the host has set aside, where nothing else is left of it.
     fn draw(&mut self, now: f64, name: &str, kind: Kind) {
         let aside = kinds::budget_of(&self.aside, name, kind).unwrap_or(0);
-        let Some(folder) = self.folder.as_ref().filter(|_| aside > 0) else { return };
-        let looked = self.looked_at.get(&(name.to_owned(), kind)).copied().unwrap_or(f64::NEG_INFINITY);
+        let Some(folder) = self.folder.as_ref().filter(|_| aside > 0) else {
+            return;
+        };
+        let looked = self
+            .looked_at
+            .get(&(name.to_owned(), kind))
+            .copied()
+            .unwrap_or(f64::NEG_INFINITY);
         if now < looked + LOOK_EVERY || !self.spender.lacks(now, name, kind) {
             return;
         }
@@ -157,7 +189,10 @@
             Ok(false) => {}
             Err(error) if !self.complained => {
                 self.complained = true;
-                warn!("budgets: what the host has set aside can't be had: {}: {error}", folder.display());
+                warn!(
+                    "budgets: what the host has set aside can't be had: {}: {error}",
+                    folder.display()
+                );
             }
             Err(_) => {}
         }
@@ -180,7 +215,14 @@
         _ => format!("%{byte:02x}"),
     });
     let path = folder.join(format!("{}.{}", plain.collect::<String>(), kind.name()));
-    let open = || OpenOptions::new().create(true).truncate(false).read(true).write(true).open(&path);
+    let open = || {
+        OpenOptions::new()
+            .create(true)
+            .truncate(false)
+            .read(true)
+            .write(true)
+            .open(&path)
+    };
     let mut file: File = match open() {
         Err(error) if error.kind() == io::ErrorKind::NotFound => {
             std::fs::create_dir_all(folder)?;
@@ -192,7 +234,9 @@
         return Ok(false);
     }
     let mut bytes = Vec::new();
-    Read::by_ref(&mut file).take(64 * 1024).read_to_end(&mut bytes)?;
+    Read::by_ref(&mut file)
+        .take(64 * 1024)
+        .read_to_end(&mut bytes)?;
     // The clock is read behind the lock: what is written down stands in the order in which it was drawn.
     let (may, next) = match purse::draw(&bytes, monotonic(), aside, drift) {
         Ok(next) => (true, Some(next)),
@@ -210,22 +254,37 @@
 impl Exchange {
     /// Tells the module what it may spend from here on. `again`: a further call is wanted now; `call`: one that its run wants.
     pub(super) fn lay_budgets(&mut self, wanting: Wanting) {
-        let Some(spending) = &mut self.spending else { return };
+        let Some(spending) = &mut self.spending else {
+            return;
+        };
         if !spending.spender.bounds(CATALOGUE) && !spending.told.contains_key(CATALOGUE) {
             return;
         }
-        let Some(shedder) = &mut self.shedder else { return };
+        let Some(shedder) = &mut self.shedder else {
+            return;
+        };
         let (over, fails) = shedder.spend(Spend::default());
         let waits = || {
-            self.hand
-                .all()
-                .into_iter()
-                .any(|inv| shedder.invocation(inv).is_some_and(|it| it.stage == Stage::AtCall))
+            self.hand.all().into_iter().any(|inv| {
+                shedder
+                    .invocation(inv)
+                    .is_some_and(|it| it.stage == Stage::AtCall)
+            })
+        };
+        let wanting = Wanting {
+            call: wanting.call || waits(),
+            ..wanting
         };
-        let wanting = Wanting { call: wanting.call || waits(), ..wanting };
         let [first, again, probes] = over.left;
-        let over = Left { first, again, probes, ..Left::ALL };
-        let left = spending.renew(CATALOGUE, over, fails, wanting).unwrap_or(Left::ALL);
+        let over = Left {
+            first,
+            again,
+            probes,
+            ..Left::ALL
+        };
+        let left = spending
+            .renew(CATALOGUE, over, fails, wanting)
+            .unwrap_or(Left::ALL);
         shedder.spend(Spend {
             left: [left.first, left.again, left.probes],
             closed: left.closed,
@@ -237,15 +296,20 @@
     fn count_budgets(&mut self) {
         if let Some(spending) = &mut self.spending {
             let (made, drawn) = std::mem::take(&mut spending.made);
-            (self.counters.budget_calls, self.counters.budget_drawn) =
-                (self.counters.budget_calls + made, self.counters.budget_drawn + drawn);
+            (self.counters.budget_calls, self.counters.budget_drawn) = (
+                self.counters.budget_calls + made,
+                self.counters.budget_drawn + drawn,
+            );
         }
     }
 
     /// A run wants a call to the one dependency of the platform.
     pub(super) fn note_wish(&mut self) {
         if let Some(spending) = &mut self.spending {
-            let failing = spending.told.get(CATALOGUE).is_some_and(|(left, fails)| *fails || left.closed);
+            let failing = spending
+                .told
+                .get(CATALOGUE)
+                .is_some_and(|(left, fails)| *fails || left.closed);
             spending.wants(CATALOGUE, if failing { Kind::Probes } else { Kind::First });
         }
     }
@@ -261,14 +325,28 @@
     }
 
     /// What may be spent on a dependency that is told apart, for the one who calls it: as `renew` of it says.
-    pub fn budget(&mut self, name: &str, left_over: Left, fails: bool, wanting: Wanting) -> Option<Left> {
-        self.spending.as_mut()?.renew(name, left_over, fails, wanting)
+    pub fn budget(
+        &mut self,
+        name: &str,
+        left_over: Left,
+        fails: bool,
+        wanting: Wanting,
+    ) -> Option<Left> {
+        self.spending
+            .as_mut()?
+            .renew(name, left_over, fails, wanting)
     }
 
     /// Dependencies whose budgets its caller is to be told of.
     pub fn budgeted(&self) -> Vec<String> {
-        let Some(spending) = &self.spending else { return Vec::new() };
-        let names = spending.spender.kinds().map(|(name, _)| name).chain(spending.told.keys());
+        let Some(spending) = &self.spending else {
+            return Vec::new();
+        };
+        let names = spending
+            .spender
+            .kinds()
+            .map(|(name, _)| name)
+            .chain(spending.told.keys());
         let mut names: Vec<String> = names.filter(|name| *name != CATALOGUE).cloned().collect();
         names.sort_unstable();
         names.dedup();
@@ -277,7 +355,9 @@
 
     /// A call to a dependency that is told apart is wanted, or has ended.
     pub fn note_budget(&mut self, name: &str, wants: Option<Kind>, ended: Option<bool>) {
-        let Some(spending) = &mut self.spending else { return };
+        let Some(spending) = &mut self.spending else {
+            return;
+        };
         if let Some(kind) = wants {
             spending.wants(name, kind);
         }
@@ -295,7 +375,9 @@
 
     /// Whether a connection may be opened now; it is counted where it may.
     pub fn may_open(&mut self, name: &str) -> bool {
-        let Some(spending) = &mut self.spending else { return true };
+        let Some(spending) = &mut self.spending else {
+            return true;
+        };
         let now = monotonic();
         if !spending.spender.is_bounded(now, name, Kind::Opened) {
             return true;
--- a/crates/merlinshelf-backend/src/exchange/calls.rs
+++ b/crates/merlinshelf-backend/src/exchange/calls.rs
@@ -17,8 +17,17 @@
 /// What the catalogue is to be asked.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Order {
-    Invoke { id: CallId, number: CallNumber, wait: f64, body: Rc<[u8]>, wanted: Wanted },
-    GiveUp { id: CallId, number: CallNumber },
+    Invoke {
+        id: CallId,
+        number: CallNumber,
+        wait: f64,
+        body: Rc<[u8]>,
+        wanted: Wanted,
+    },
+    GiveUp {
+        id: CallId,
+        number: CallNumber,
+    },
 }
 
 /// Whose call it is, as far as dependencies are told apart.
@@ -108,7 +117,9 @@
     /// Whose call the one is that this invocation's run wants now.
     pub(super) fn wanted(&mut self, inv: usize) -> Wanted {
         let now = self.origin.elapsed();
-        let Some(one) = self.hand.look(inv) else { unreachable!("a call of nobody") };
+        let Some(one) = self.hand.look(inv) else {
+            unreachable!("a call of nobody")
+        };
         Wanted {
             operation: self.names[one.operation].clone(),
             place: one.wanted.saturating_sub(1),
@@ -120,7 +131,11 @@
 
     /// The result will be without this part.
     fn note_missing(&mut self, inv: usize, part: Rc<str>) {
-        if let Some(one) = self.hand.get(inv).filter(|one| !one.missing.contains(&part)) {
+        if let Some(one) = self
+            .hand
+            .get(inv)
+            .filter(|one| !one.missing.contains(&part))
+        {
             one.missing.push(part);
         }
     }
@@ -138,11 +153,15 @@
     /// The module leaves a call out: the result is without that part.
     pub(super) fn note_left_out(&mut self, inv: usize) {
         let Some(parts) = &self.parts else { return };
-        let Some(one) = self.hand.look(inv) else { return };
-        let part = one
-            .named
-            .clone()
-            .or_else(|| parts.get(one.operation)?.get(one.wanted.saturating_sub(1)).cloned());
+        let Some(one) = self.hand.look(inv) else {
+            return;
+        };
+        let part = one.named.clone().or_else(|| {
+            parts
+                .get(one.operation)?
+                .get(one.wanted.saturating_sub(1))
+                .cloned()
+        });
         if let Some(part) = part {
             self.note_missing(inv, part);
         }
@@ -150,7 +169,9 @@
 
     /// Gives up an open call of this invocation.
     pub(super) fn drop_call(&mut self, inv: usize) -> bool {
-        let Some(one) = self.hand.get(inv).filter(|one| one.calling) else { return false };
+        let Some(one) = self.hand.get(inv).filter(|one| one.calling) else {
+            return false;
+        };
         (one.calling, one.calling_until) = (false, None);
         self.counters.cancels += 1;
         let (id, number) = (one.id, one.calls);
@@ -159,7 +180,9 @@
     }
 
     pub(super) fn call_timed_out(&mut self, id: CallId, number: CallNumber) {
-        let Some(inv) = self.hand.find(id) else { return };
+        let Some(inv) = self.hand.find(id) else {
+            return;
+        };
         if self.hand.get(inv).is_some_and(|one| one.calls == number) && self.drop_call(inv) {
             self.counters.calls_timed_out += 1;
             self.call_is_over(inv, Outcome::default());
@@ -168,25 +191,40 @@
 
     fn call_is_over(&mut self, inv: usize, outcome: Outcome) {
         // Only what may be called again spends a further call.
-        let repeats =
-            self.hand.look(inv).is_some_and(|one| self.idempotent[one.operation]) || outcome.never_ran;
+        let repeats = self
+            .hand
+            .look(inv)
+            .is_some_and(|one| self.idempotent[one.operation])
+            || outcome.never_ran;
         let again = !outcome.succeeded && repeats;
         self.note_end(outcome.succeeded, again);
         let wanting = Wanting { call: false, again };
-        self.decide_on(wanting, |shedder, now| shedder.call_ended(now, inv, outcome, 0.0));
+        self.decide_on(wanting, |shedder, now| {
+            shedder.call_ended(now, inv, outcome, 0.0)
+        });
     }
 
     pub(super) fn call(&mut self, inv: usize, wait: f64) {
         self.drop_call(inv);
-        let Some(one) = self.hand.get(inv) else { return };
-        let Some((_, body)) = one.need.clone() else { return };
+        let Some(one) = self.hand.get(inv) else {
+            return;
+        };
+        let Some((_, body)) = one.need.clone() else {
+            return;
+        };
         let at = self.origin.elapsed() + Duration::from_secs_f64(wait.clamp(0.001, 3600.0));
         one.calls += 1;
         (one.calling, one.calling_until) = (true, Some(at));
         let (id, number) = (one.id, one.calls);
         self.counters.calls += 1;
         let wanted = self.wanted(inv);
-        self.orders.push(Order::Invoke { id, number, wait, body, wanted });
+        self.orders.push(Order::Invoke {
+            id,
+            number,
+            wait,
+            body,
+            wanted,
+        });
         self.set_alarm(at, Alarm::Call(id, number));
     }
 }
--- a/crates/merlinshelf-backend/src/exchange/carry.rs
+++ b/crates/merlinshelf-backend/src/exchange/carry.rs
@@ -120,13 +120,20 @@
             healthy: self.healthy,
             trim_after: self.trim_after.as_secs_f64(),
             stop: self.leaving.map(|stop| {
-                monotonic() + stop.saturating_duration_since(tokio::time::Instant::now()).as_secs_f64()
+                monotonic()
+                    + stop
+                        .saturating_duration_since(tokio::time::Instant::now())
+                        .as_secs_f64()
             }),
             fresh_start,
             calls_again: self.calls_again.clone(),
             counters: self.counters.by_name(),
             learnt,
-            knowledge: ByteBuf::from(if whole { self.knowledge.clone() } else { Vec::new() }),
+            knowledge: ByteBuf::from(if whole {
+                self.knowledge.clone()
+            } else {
+                Vec::new()
+            }),
             policy: ByteBuf::new(),
             shares: ByteBuf::new(),
         }
@@ -139,7 +146,10 @@
 
     fn door(&self, number: usize) -> Option<(u64, records::Door)> {
         let (stream, answers) = self.doors.look(number)?;
-        let answers = answers.iter().map(|(tag, answer)| (*tag, answer.record())).collect();
+        let answers = answers
+            .iter()
+            .map(|(tag, answer)| (*tag, answer.record()))
+            .collect();
         Some((stream, records::Door { answers }))
     }
 
@@ -147,7 +157,9 @@
         let one = self.hand.look(number)?;
         let inv = self.shedder.as_ref()?.invocation(number)?.clone();
         let bytes = |bytes: &[u8]| ByteBuf::from(bytes);
-        let reply = one.reply.and_then(|reply| Some((self.doors.look(reply.door)?.0, reply.tag)));
+        let reply = one
+            .reply
+            .and_then(|reply| Some((self.doors.look(reply.door)?.0, reply.tag)));
         let command = one.command.as_ref().map(|(command, sent)| {
             let command = match command {
                 Command::Run { .. } => records::Command::Run,
@@ -156,12 +168,16 @@
             };
             (command, *sent)
         });
-        let until = |at: Duration| monotonic() + at.as_secs_f64() - self.origin.elapsed().as_secs_f64();
+        let until =
+            |at: Duration| monotonic() + at.as_secs_f64() - self.origin.elapsed().as_secs_f64();
         let record = records::Invocation {
             operation: one.operation,
             body: bytes(&one.body),
             reply,
-            need: one.need.as_ref().map(|(number, body)| (*number, bytes(body))),
+            need: one
+                .need
+                .as_ref()
+                .map(|(number, body)| (*number, bytes(body))),
             named: one.named.as_deref().map(str::to_owned),
             wanted: one.wanted,
             missing: one.missing.iter().map(|part| part.to_string()).collect(),
@@ -183,7 +199,8 @@
     /// From here on every change is noted before it shows.
     pub fn note(&mut self, journal: Journal, passing: mpsc::UnboundedSender<Passing>) {
         (self.journal, self.passing) = (Some(journal), Some(passing));
-        (self.hand.changes, self.doors.changes) = (Some(Default::default()), Some(Default::default()));
+        (self.hand.changes, self.doors.changes) =
+            (Some(Default::default()), Some(Default::default()));
     }
 
     /// Nobody watches any more.
@@ -217,7 +234,9 @@
 
     /// Notes all that has changed. Whatever shows outside comes after this.
     pub fn secure(&mut self) {
-        let Some(mut journal) = self.journal.take() else { return };
+        let Some(mut journal) = self.journal.take() else {
+            return;
+        };
         if let Some((changed, gone)) = self.hand.changes.replace(Default::default()) {
             for id in gone {
                 let mut name = [0; 16];
@@ -230,7 +249,12 @@
                 }
             }
         }
-        for number in self.doors.changes.replace(Default::default()).unwrap_or_default() {
+        for number in self
+            .doors
+            .changes
+            .replace(Default::default())
+            .unwrap_or_default()
+        {
             if let Some((stream, door)) = self.door(number) {
                 journal.put(Key::Door(stream), &door);
             }
@@ -252,8 +276,15 @@
 
     /// Whether what the image holds can go on under these settings.
     pub fn suits(&self, image: &Image) -> Result<(), String> {
-        let instance: records::Instance = image.get(Key::Instance).ok_or("the image holds no instance")?;
-        if instance.operations.iter().map(String::as_str).ne(self.names.iter().map(AsRef::as_ref)) {
+        let instance: records::Instance = image
+            .get(Key::Instance)
+            .ok_or("the image holds no instance")?;
+        if instance
+            .operations
+            .iter()
+            .map(String::as_str)
+            .ne(self.names.iter().map(AsRef::as_ref))
+        {
             return Err("the settings name other operations than the image".into());
         }
         Ok(())
@@ -261,7 +292,12 @@
 
     /// Takes up the instance and all invocations in hand from an image whose connections have come as well. The doors
     /// must be open by now; `lines` are the calls below that go on.
-    pub fn take_up(&mut self, image: &Image, lines: &[records::Line], learnt: Option<merlinshelf::Learnt>) {
+    pub fn take_up(
+        &mut self,
+        image: &Image,
+        lines: &[records::Line],
+        learnt: Option<merlinshelf::Learnt>,
+    ) {
         let instance: records::Instance = image.get(Key::Instance).unwrap_or_default();
         let numbers = image.keys().filter_map(|key| match key {
             Key::Edge(stream) | Key::Line(stream) => Some(stream + 1),
@@ -285,7 +321,9 @@
             self.leaving = Some(tokio::time::Instant::now() + left);
         }
         self.knowledge = instance.knowledge.into_vec();
-        let Some(learnt) = instance.learnt.or(learnt) else { return };
+        let Some(learnt) = instance.learnt.or(learnt) else {
+            return;
+        };
         match Shedder::start(learnt.born, self.seed, self.settings.clone()) {
             Ok((mut shedder, decided)) => {
                 shedder.take_up(learnt);
@@ -294,8 +332,11 @@
             }
             Err(reason) => return error!("the module does not start: {reason}"),
         }
-        let doors: HashMap<u64, usize> =
-            self.doors.numbers().filter_map(|number| Some((self.doors.look(number)?.0, number))).collect();
+        let doors: HashMap<u64, usize> = self
+            .doors
+            .numbers()
+            .filter_map(|number| Some((self.doors.look(number)?.0, number)))
+            .collect();
         let mut invocations: Vec<(CallId, records::Invocation)> = Vec::new();
         for key in image.keys() {
             match key {
@@ -305,16 +346,23 @@
                 }
                 Key::Door(stream) => {
                     let answers: records::Door = image.get(key).unwrap_or_default();
-                    if let Some(outbox) = doors.get(&stream).and_then(|door| self.doors.outbox(*door)) {
-                        answers.answers.into_iter().for_each(|(tag, one)| outbox.push((tag, one.into())));
+                    if let Some(outbox) =
+                        doors.get(&stream).and_then(|door| self.doors.outbox(*door))
+                    {
+                        answers
+                            .answers
+                            .into_iter()
+                            .for_each(|(tag, one)| outbox.push((tag, one.into())));
                     }
                 }
                 _ => {}
             }
         }
         invocations.sort_by_key(|(_, one)| one.place);
-        let called: HashSet<(&[u8], usize)> =
-            lines.iter().map(|line| (line.id.as_slice(), line.number)).collect();
+        let called: HashSet<(&[u8], usize)> = lines
+            .iter()
+            .map(|line| (line.id.as_slice(), line.number))
+            .collect();
         for (id, one) in invocations {
             let called = called.contains(&(id.as_bytes() as &[u8], one.calls));
             self.carry_on(id, one, &doors, called, now);
@@ -332,11 +380,19 @@
         if one.operation >= self.names.len() || self.hand.find(id).is_some() {
             return error!("{id} can't be carried on: operation {}", one.operation);
         }
-        let until =
-            one.calling_until.map(|until| Duration::from_secs_f64((until - now).clamp(0.001, 3600.0)));
-        let reply = one.reply.and_then(|(stream, tag)| Some(Reply { door: *doors.get(&stream)?, tag }));
+        let until = one
+            .calling_until
+            .map(|until| Duration::from_secs_f64((until - now).clamp(0.001, 3600.0)));
+        let reply = one.reply.and_then(|(stream, tag)| {
+            Some(Reply {
+                door: *doors.get(&stream)?,
+                tag,
+            })
+        });
         let unheard = reply.is_none() && one.reply.is_some();
-        let need = one.need.map(|(number, body)| (number, body.as_slice().into()));
+        let need = one
+            .need
+            .map(|(number, body)| (number, body.as_slice().into()));
         let inv = self.hand.take(InHand {
             id,
             operation: one.operation,
@@ -365,7 +421,10 @@
                     operation: self.names[one.operation].clone(),
                     body: one.body.as_slice().into(),
                 },
-                records::Command::Feed(reply) => Command::Feed { id, reply: reply.as_slice().into() },
+                records::Command::Feed(reply) => Command::Feed {
+                    id,
+                    reply: reply.as_slice().into(),
+                },
                 records::Command::Skip(need) => Command::Skip { id, need },
             };
             if sent {
@@ -380,11 +439,21 @@
         if let Some(until) = until {
             let at = self.origin.elapsed() + until;
             self.set_alarm(at, Alarm::Call(id, one.calls));
-            let body = self.hand.look(inv).and_then(|one| one.need.as_ref()).map(|(_, body)| body.clone());
+            let body = self
+                .hand
+                .look(inv)
+                .and_then(|one| one.need.as_ref())
+                .map(|(_, body)| body.clone());
             if let (false, Some(body)) = (called, body) {
                 // It was decided on and never sent: its line would be here otherwise.
                 let (wait, wanted) = (until.as_secs_f64(), self.wanted(inv));
-                self.orders.push(Order::Invoke { id, number: one.calls, wait, body, wanted });
+                self.orders.push(Order::Invoke {
+                    id,
+                    number: one.calls,
+                    wait,
+                    body,
+                    wanted,
+                });
             }
         }
         if unheard {
@@ -402,10 +471,19 @@
 /// Passes a new connection to the predecessor, before anything goes over it. Without one it costs nothing.
 pub async fn pass(exchange: &Shared, role: Role, socket: &impl AsFd) -> std::io::Result<()> {
     let passing = exchange.borrow().passing.clone();
-    let Some(passing) = passing else { return Ok(()) };
+    let Some(passing) = passing else {
+        return Ok(());
+    };
     let (told, passed) = oneshot::channel();
     let descriptor = socket.as_fd().try_clone_to_owned()?;
-    if passing.send(Passing { role, descriptor, passed: told }).is_ok() {
+    if passing
+        .send(Passing {
+            role,
+            descriptor,
+            passed: told,
+        })
+        .is_ok()
+    {
         let _ = passed.await; // an error: nobody watches any more
     }
     Ok(())
@@ -418,7 +496,10 @@
             Answer::Partial(result, missing) => {
                 records::Answer::Partial(ByteBuf::from(result.as_ref()), missing.to_string())
             }
-            Answer::Throttled { away, last } => records::Answer::Throttled { away: *away, last: *last },
+            Answer::Throttled { away, last } => records::Answer::Throttled {
+                away: *away,
+                last: *last,
+            },
             Answer::Errored => records::Answer::Errored,
             Answer::Unknown => records::Answer::Unknown,
         }
--- a/crates/merlinshelf-backend/src/exchange/decisions.rs
+++ b/crates/merlinshelf-backend/src/exchange/decisions.rs
@@ -38,7 +38,11 @@
     }
 
     /// The same where it is about a call below.
-    pub(super) fn decide_on(&mut self, wanting: Wanting, tell: impl FnOnce(&mut Shedder, f64) -> Decided) {
+    pub(super) fn decide_on(
+        &mut self,
+        wanting: Wanting,
+        tell: impl FnOnce(&mut Shedder, f64) -> Decided,
+    ) {
         self.mind_policy();
         self.lay_budgets(wanting);
         if !self.attempt(tell) {
@@ -49,7 +53,9 @@
     /// False if the module panicked.
     fn attempt(&mut self, tell: impl FnOnce(&mut Shedder, f64) -> Decided) -> bool {
         let now = self.seconds();
-        let Some(shedder) = &mut self.shedder else { return true };
+        let Some(shedder) = &mut self.shedder else {
+            return true;
+        };
         let decided = catch_unwind(AssertUnwindSafe(|| tell(shedder, now)));
         decided.map(|decided| self.carry_out(decided)).is_ok()
     }
@@ -61,7 +67,13 @@
         self.alarms.clear();
         for inv in self.hand.all() {
             if self.hand.get(inv).is_some_and(|one| !one.begun) {
-                self.answer(inv, Answer::Throttled { away: 0.0, last: false });
+                self.answer(
+                    inv,
+                    Answer::Throttled {
+                        away: 0.0,
+                        last: false,
+                    },
+                );
             }
             self.release(inv);
         }
@@ -112,7 +124,9 @@
     }
 
     pub(super) fn answer(&mut self, inv: usize, answer: Answer) {
-        let Some(reply) = self.hand.get(inv).and_then(|one| one.reply.take()) else { return };
+        let Some(reply) = self.hand.get(inv).and_then(|one| one.reply.take()) else {
+            return;
+        };
         match answer {
             Answer::Succeeded(_) => self.counters.succeeded += 1,
             Answer::Partial(..) => {
--- a/crates/merlinshelf-backend/src/exchange/doors.rs
+++ b/crates/merlinshelf-backend/src/exchange/doors.rs
@@ -20,13 +20,23 @@
 impl Door {
     pub fn open(exchange: &Shared) -> Door {
         let (number, stream, wake) = exchange.borrow_mut().open_door(None);
-        Door { exchange: exchange.clone(), number, stream, wake }
+        Door {
+            exchange: exchange.clone(),
+            number,
+            stream,
+            wake,
+        }
     }
 
     /// The door of a connection that another process has opened.
     pub fn reopen(exchange: &Shared, stream: u64) -> Door {
         let (number, stream, wake) = exchange.borrow_mut().open_door(Some(stream));
-        Door { exchange: exchange.clone(), number, stream, wake }
+        Door {
+            exchange: exchange.clone(),
+            number,
+            stream,
+            wake,
+        }
     }
 
     pub fn number(&self) -> usize {
@@ -76,7 +86,9 @@
     /// Says how many answers were left in it.
     pub fn close(&mut self, number: usize) -> usize {
         self.free.push(number);
-        self.places[number].take().map_or(0, |(_, outbox)| outbox.len())
+        self.places[number]
+            .take()
+            .map_or(0, |(_, outbox)| outbox.len())
     }
 
     /// For changes.
@@ -84,17 +96,27 @@
         if let Some(changes) = &mut self.changes {
             changes.insert(number);
         }
-        self.places.get_mut(number)?.as_mut().map(|(_, outbox)| outbox)
+        self.places
+            .get_mut(number)?
+            .as_mut()
+            .map(|(_, outbox)| outbox)
     }
 
     /// The connection behind a door, and the answers that wait there.
     pub fn look(&self, number: usize) -> Option<(u64, &Answers)> {
-        self.places.get(number)?.as_ref().map(|(stream, outbox)| (*stream, outbox))
+        self.places
+            .get(number)?
+            .as_ref()
+            .map(|(stream, outbox)| (*stream, outbox))
     }
 
     /// The doors that are open.
     pub fn numbers(&self) -> impl Iterator<Item = usize> + '_ {
-        self.places.iter().enumerate().filter(|(_, place)| place.is_some()).map(|(number, _)| number)
+        self.places
+            .iter()
+            .enumerate()
+            .filter(|(_, place)| place.is_some())
+            .map(|(number, _)| number)
     }
 
     pub fn len(&self) -> usize {
@@ -102,6 +124,9 @@
     }
 
     pub fn nudge_all(&self) {
-        self.places.iter().flatten().for_each(|(_, outbox)| outbox.nudge());
+        self.places
+            .iter()
+            .flatten()
+            .for_each(|(_, outbox)| outbox.nudge());
     }
 }
--- a/crates/merlinshelf-backend/src/exchange/hand.rs
+++ b/crates/merlinshelf-backend/src/exchange/hand.rs
@@ -118,6 +118,9 @@
 
     fn numbers(&self, which: impl Fn(&InHand) -> bool) -> Vec<usize> {
         let filled = self.places.iter().enumerate();
-        filled.filter(|(_, one)| one.as_ref().is_some_and(&which)).map(|(number, _)| number).collect()
+        filled
+            .filter(|(_, one)| one.as_ref().is_some_and(&which))
+            .map(|(number, _)| number)
+            .collect()
     }
 }
--- a/crates/merlinshelf-backend/src/exchange/mod.rs
+++ b/crates/merlinshelf-backend/src/exchange/mod.rs
@@ -114,9 +114,14 @@
 
     /// Fails where the module can't read a setting, naming it.
     pub fn new(settings: Settings, seed: u64, memory_mb: u64) -> Result<Exchange, String> {
-        let count = settings.get("Classes.count").and_then(|count| count.parse().ok()).unwrap_or(0);
+        let count = settings
+            .get("Classes.count")
+            .and_then(|count| count.parse().ok())
+            .unwrap_or(0);
         let names = (0..count).map(|place| {
-            let name: &str = settings.get(&format!("Classes.{place}.Name")).map_or("", String::as_str);
+            let name: &str = settings
+                .get(&format!("Classes.{place}.Name"))
+                .map_or("", String::as_str);
             Rc::from(name)
         });
         let names: Vec<Rc<str>> = names.collect();
@@ -125,22 +130,36 @@
         }
         // The wire brings no token by which a repeat could be known, so that such an operation might run twice.
         let has = |place: usize, effect: &str| {
-            settings.get(&format!("Classes.{place}.Effect")).is_some_and(|known| known == effect)
+            settings
+                .get(&format!("Classes.{place}.Effect"))
+                .is_some_and(|known| known == effect)
         };
         let tokened = |place: &usize| has(*place, "idempotency_key");
         if let Some(place) = (0..count).find(tokened) {
-            return Err(format!("settings: Classes.{place}.Effect: repeats can't be known on this wire"));
+            return Err(format!(
+                "settings: Classes.{place}.Effect: repeats can't be known on this wire"
+            ));
         }
         Shedder::start(0.0, seed, settings.clone())?;
-        let operations = names.iter().enumerate().map(|(place, name)| (name.as_bytes().to_vec(), place));
+        let operations = names
+            .iter()
+            .enumerate()
+            .map(|(place, name)| (name.as_bytes().to_vec(), place));
         let meters = settings.get("FamilyInfo.Meters").map_or("", String::as_str);
-        let idle = settings.get("FamilyInfo.CallerIdleUs").and_then(|us| us.parse().ok()).unwrap_or(0);
+        let idle = settings
+            .get("FamilyInfo.CallerIdleUs")
+            .and_then(|us| us.parse().ok())
+            .unwrap_or(0);
         Ok(Exchange {
             operations: operations.collect(),
             idempotent: (0..count).map(|place| has(place, "read_like")).collect(),
             calls_again: vec![false; names.len()],
             names,
-            meters: meters.split(',').filter(|name| !name.is_empty()).map(str::to_owned).collect(),
+            meters: meters
+                .split(',')
+                .filter(|name| !name.is_empty())
+                .map(str::to_owned)
+                .collect(),
             trim_after: idle_time(idle as f64 / 1e6),
             settings,
             seed,
@@ -216,7 +235,9 @@
 
     /// What the module has learnt by now, and its clock; none while the engine was never up.
     pub fn learnt(&self) -> Option<(f64, Learnt)> {
-        self.shedder.as_ref().map(|shedder| (self.seconds(), shedder.learnt()))
+        self.shedder
+            .as_ref()
+            .map(|shedder| (self.seconds(), shedder.learnt()))
     }
 
     /// How long runs take lately, of all operations together, in ms.
@@ -258,5 +279,9 @@
 }
 
 pub fn unix_ms() -> f64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64() * 1e3
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_secs_f64()
+        * 1e3
 }
--- a/crates/merlinshelf-backend/src/exchange/outbox.rs
+++ b/crates/merlinshelf-backend/src/exchange/outbox.rs
@@ -13,7 +13,10 @@
 
 impl<T> Default for Outbox<T> {
     fn default() -> Self {
-        Outbox { waiting: VecDeque::new(), wake: Rc::default() }
+        Outbox {
+            waiting: VecDeque::new(),
+            wake: Rc::default(),
+        }
     }
 }
 
--- a/crates/merlinshelf-backend/src/exchange/policy.rs
+++ b/crates/merlinshelf-backend/src/exchange/policy.rs
@@ -41,7 +41,10 @@
     /// The base policy does not fit this instance.
     pub fn hold_policy(&mut self, of: &PolicyOf, laid: Box<dyn Laid>) -> Result<(), String> {
         let base = std::mem::take(&mut self.settings);
-        let settings = of.base.settings(&base).and_then(|settings| laid.fits(&of.base).map(|()| settings));
+        let settings = of
+            .base
+            .settings(&base)
+            .and_then(|settings| laid.fits(&of.base).map(|()| settings));
         let settings = settings.map_err(|why| format!("policy.base: {why}"));
         let life = life();
         let holder = Holder::new(life, of.base.clone(), of.without, of.drift);
@@ -49,7 +52,12 @@
         let acting = holder.acting(monotonic());
         laid.lay(&of.base);
         self.settings = settings?;
-        self.policy = Some(Policed { holder, acting, base, laid });
+        self.policy = Some(Policed {
+            holder,
+            acting,
+            base,
+            laid,
+        });
         Ok(())
     }
 
@@ -57,9 +65,20 @@
     pub(super) fn pass_policy(&mut self) -> (Vec<u8>, Vec<u8>) {
         let life = life();
         self.lay_budgets(Wanting::default()); // what was spent since is counted
-        let passed = self.policy.as_mut().map(|policed| policed.holder.pass(life));
-        let policy = passed.and_then(|passed| rmp_serde::to_vec_named(&passed).ok()).unwrap_or_default();
-        (policy, self.spending.as_mut().map(|spending| spending.pass(life)).unwrap_or_default())
+        let passed = self
+            .policy
+            .as_mut()
+            .map(|policed| policed.holder.pass(life));
+        let policy = passed
+            .and_then(|passed| rmp_serde::to_vec_named(&passed).ok())
+            .unwrap_or_default();
+        (
+            policy,
+            self.spending
+                .as_mut()
+                .map(|spending| spending.pass(life))
+                .unwrap_or_default(),
+        )
     }
 
     /// Goes on with what a predecessor passed.
@@ -75,7 +94,9 @@
 
     /// Whether it may take invocations: it knows which policy holds, or has stopped waiting.
     pub fn policy_began(&self) -> bool {
-        self.policy.as_ref().is_none_or(|policed| policed.holder.began())
+        self.policy
+            .as_ref()
+            .is_none_or(|policed| policed.holder.began())
     }
 
     /// Nobody is waited for any more.
@@ -89,7 +110,9 @@
     pub fn policy_heard(&mut self, beat: Beat) -> Option<Said> {
         let seed = self.seed;
         let policed = self.policy.as_mut()?;
-        let Policed { holder, base, laid, .. } = policed;
+        let Policed {
+            holder, base, laid, ..
+        } = policed;
         let given = beat.given.clone();
         let aside = holder.base().budgets.clone();
         let mut said = holder.heard(monotonic(), beat, |policy| {
@@ -114,20 +137,39 @@
     }
 
     pub fn policy_said(&self) -> Option<Said> {
-        self.policy.as_ref().map(|policed| policed.holder.said(monotonic()))
+        self.policy
+            .as_ref()
+            .map(|policed| policed.holder.said(monotonic()))
     }
 
     /// How long callers are to stay away where nothing may be served.
     pub(super) fn turns_away(&self) -> Option<f64> {
-        let away = self.policy.as_ref().is_some_and(|policed| policed.acting == Acting::Away);
-        let allowed = self.settings.get("Allowed.RetryAfter").is_some_and(|text| text == "true");
-        let most = self.settings.get("Allowed.MaxRetryAfterUs").and_then(|text| text.parse::<f64>().ok());
-        away.then(|| if allowed { most.unwrap_or(0.0) / 1e6 } else { 0.0 })
+        let away = self
+            .policy
+            .as_ref()
+            .is_some_and(|policed| policed.acting == Acting::Away);
+        let allowed = self
+            .settings
+            .get("Allowed.RetryAfter")
+            .is_some_and(|text| text == "true");
+        let most = self
+            .settings
+            .get("Allowed.MaxRetryAfterUs")
+            .and_then(|text| text.parse::<f64>().ok());
+        away.then(|| {
+            if allowed {
+                most.unwrap_or(0.0) / 1e6
+            } else {
+                0.0
+            }
+        })
     }
 
     /// Looks whether something else is to be acted on by now.
     pub(super) fn mind_policy(&mut self) {
-        let Some(policed) = &mut self.policy else { return };
+        let Some(policed) = &mut self.policy else {
+            return;
+        };
         let acting = policed.holder.acting(monotonic());
         if acting == policed.acting {
             return;
@@ -152,7 +194,9 @@
 
     /// A new module under the settings as they are takes up all that the former one had.
     fn switch(&mut self) {
-        let Some(former) = self.shedder.take() else { return };
+        let Some(former) = self.shedder.take() else {
+            return;
+        };
         let (seed, settings, learnt) = (self.seed, self.settings.clone(), former.learnt());
         match catch_unwind(|| Shedder::start(learnt.born, seed, settings)) {
             Ok(Ok((mut shedder, mut decided))) => {
@@ -175,7 +219,9 @@
                 self.carry_out(decided);
             }
             _ => {
-                error!("the module does not start under another policy: it goes on under the former one");
+                error!(
+                    "the module does not start under another policy: it goes on under the former one"
+                );
                 self.shedder = Some(former);
             }
         }
--- a/crates/merlinshelf-backend/src/exchange/runs.rs
+++ b/crates/merlinshelf-backend/src/exchange/runs.rs
@@ -18,9 +18,19 @@
 /// What the engine is to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
-    Run { id: CallId, operation: Rc<str>, body: Rc<[u8]> },
-    Feed { id: CallId, reply: Rc<[u8]> },
-    Skip { id: CallId, need: u64 },
+    Run {
+        id: CallId,
+        operation: Rc<str>,
+        body: Rc<[u8]>,
+    },
+    Feed {
+        id: CallId,
+        reply: Rc<[u8]>,
+    },
+    Skip {
+        id: CallId,
+        need: u64,
+    },
 }
 
 impl Command {
@@ -39,7 +49,10 @@
     /// The next command, and how much had been heard of its invocation when it was given.
     pub fn next_command(&mut self) -> Option<(Command, u64)> {
         let (command, heard) = self.commands.pop()?;
-        let one = self.hand.find(command.id()).and_then(|inv| self.hand.get(inv));
+        let one = self
+            .hand
+            .find(command.id())
+            .and_then(|inv| self.hand.get(inv));
         if let Some((_, sent)) = one.and_then(|one| one.command.as_mut()) {
             *sent = true;
         }
@@ -48,7 +61,10 @@
 
     /// The engine has read a command that was given when so much had been heard of its invocation.
     pub fn command_read(&mut self, command: &Command, heard: u64) {
-        let one = self.hand.find(command.id()).and_then(|inv| self.hand.get(inv));
+        let one = self
+            .hand
+            .find(command.id())
+            .and_then(|inv| self.hand.get(inv));
         if let Some(one) = one.filter(|one| one.heard == heard) {
             one.command = None;
         }
@@ -56,7 +72,9 @@
 
     /// The one place where a command is given.
     pub(super) fn give(&mut self, inv: usize, command: Command) {
-        let Some(one) = self.hand.get(inv) else { return };
+        let Some(one) = self.hand.get(inv) else {
+            return;
+        };
         one.command = Some((command.clone(), false));
         self.commands.push((command, one.heard));
     }
@@ -69,8 +87,15 @@
         }
         let name = "FamilyInfo.FreshStart";
         let fresh = if warm { "false" } else { "true" };
-        if self.settings.insert(name.into(), fresh.into()).is_some_and(|told| told != fresh) {
-            info!("the engine started {}, other than {name} says", if warm { "warm" } else { "cold" });
+        if self
+            .settings
+            .insert(name.into(), fresh.into())
+            .is_some_and(|told| told != fresh)
+        {
+            info!(
+                "the engine started {}, other than {name} says",
+                if warm { "warm" } else { "cold" }
+            );
         }
         if anew {
             return self.start_over(up);
@@ -81,10 +106,16 @@
     /// A run is over.
     pub fn ended(&mut self, id: CallId, end: End, took: f64, result: &[u8]) {
         self.counters.done += 1;
-        let Some(inv) = self.heard(id) else { return debug!("{id} is over, and not in hand") };
+        let Some(inv) = self.heard(id) else {
+            return debug!("{id} is over, and not in hand");
+        };
         match end {
             End::Succeeded => {
-                let missing = self.hand.look(inv).map(|one| one.missing.join(", ")).unwrap_or_default();
+                let missing = self
+                    .hand
+                    .look(inv)
+                    .map(|one| one.missing.join(", "))
+                    .unwrap_or_default();
                 let answer = match missing.is_empty() {
                     true => Answer::Succeeded(result.into()),
                     false => Answer::Partial(result.into(), missing.into()),
@@ -105,7 +136,9 @@
     /// A run waits for a call with this body, of the dependency that it names where that was agreed.
     pub fn wants_call(&mut self, id: CallId, number: u64, named: Option<&str>, body: &[u8]) {
         self.counters.needs += 1;
-        let Some(inv) = self.heard(id) else { return debug!("{id} wants a call, and is not in hand") };
+        let Some(inv) = self.heard(id) else {
+            return debug!("{id} wants a call, and is not in hand");
+        };
         self.drop_call(inv);
         if let Some(one) = self.hand.get(inv) {
             self.calls_again[one.operation] |= one.need.is_some();
@@ -113,7 +146,10 @@
             (one.named, one.wanted) = (named.map(Rc::from), one.wanted + 1);
         }
         self.note_wish();
-        let wanting = Wanting { call: true, again: false };
+        let wanting = Wanting {
+            call: true,
+            again: false,
+        };
         self.decide_on(wanting, |shedder, now| shedder.wants_call(now, inv));
     }
 
@@ -154,7 +190,10 @@
         warn!("the engine refused {} {id}", word.escape_ascii());
         if let (b"RUN", Some(inv)) = (word, self.hand.find(id)) {
             self.answer(inv, Answer::Unknown);
-            let outcome = Outcome { never_ran: true, ..Outcome::default() };
+            let outcome = Outcome {
+                never_ran: true,
+                ..Outcome::default()
+            };
             self.decide(|shedder, now| shedder.ended(now, inv, outcome, 0.0));
         }
     }
@@ -164,8 +203,12 @@
     /// reply names neither, but where runs make one call at most a second FEED finds the run waiting for
     /// it or is refused. Elsewhere the module is asked about that call once more.
     pub fn command_lost(&mut self, command: Command, heard: u64) {
-        let Some(inv) = self.hand.find(command.id()) else { return };
-        let Some(one) = self.hand.get(inv) else { return };
+        let Some(inv) = self.hand.find(command.id()) else {
+            return;
+        };
+        let Some(one) = self.hand.get(inv) else {
+            return;
+        };
         if one.heard != heard {
             return;
         }
@@ -182,15 +225,26 @@
     }
 
     pub(super) fn begin(&mut self, inv: usize) {
-        let Some(one) = self.hand.get(inv) else { return };
+        let Some(one) = self.hand.get(inv) else {
+            return;
+        };
         one.begun = true;
         let (id, operation, body) = (one.id, self.names[one.operation].clone(), one.body.clone());
         self.counters.runs += 1;
-        self.give(inv, Command::Run { id, operation, body });
+        self.give(
+            inv,
+            Command::Run {
+                id,
+                operation,
+                body,
+            },
+        );
     }
 
     pub(super) fn degrade(&mut self, inv: usize) {
-        let Some(one) = self.hand.get(inv) else { return };
+        let Some(one) = self.hand.get(inv) else {
+            return;
+        };
         let Some((need, _)) = one.need else { return };
         let id = one.id;
         self.counters.skips += 1;
--- a/crates/merlinshelf-backend/src/exchange/tests.rs
+++ b/crates/merlinshelf-backend/src/exchange/tests.rs
@@ -42,10 +42,15 @@
 impl Play {
     fn start() -> Play {
         let config = Config::read(EXAMPLE).expect("the example can be read");
-        let exchange = Exchange::new(config.settings, config.seed, 192).expect("settings that are read");
+        let exchange =
+            Exchange::new(config.settings, config.seed, 192).expect("settings that are read");
         let shared = Rc::new(RefCell::new(exchange));
         let door = Door::open(&shared);
-        let mut play = Play { shared, door, trace: String::new() };
+        let mut play = Play {
+            shared,
+            door,
+            trace: String::new(),
+        };
         play.tell("HELLO", |exchange| exchange.engine_up(true, 0.0, false));
         play
     }
@@ -56,12 +61,22 @@
         let _ = writeln!(self.trace, "{what}");
         while let Some((tag, answer)) = self.door.next_answer() {
             let _ = match answer {
-                Answer::Succeeded(result) => writeln!(self.trace, "    {tag} <- {}", result.escape_ascii()),
+                Answer::Succeeded(result) => {
+                    writeln!(self.trace, "    {tag} <- {}", result.escape_ascii())
+                }
                 Answer::Partial(result, missing) => {
-                    writeln!(self.trace, "    {tag} <- {} without {missing}", result.escape_ascii())
+                    writeln!(
+                        self.trace,
+                        "    {tag} <- {} without {missing}",
+                        result.escape_ascii()
+                    )
                 }
                 Answer::Throttled { away, last } => {
-                    writeln!(self.trace, "    {tag} <- throttled, away {:.3}, last {last}", away.abs())
+                    writeln!(
+                        self.trace,
+                        "    {tag} <- throttled, away {:.3}, last {last}",
+                        away.abs()
+                    )
                 }
                 Answer::Errored => writeln!(self.trace, "    {tag} <- errored"),
                 Answer::Unknown => writeln!(self.trace, "    {tag} <- unknown"),
@@ -70,17 +85,37 @@
         let exchange = &mut *self.shared.borrow_mut();
         while let Some((command, _)) = exchange.next_command() {
             let _ = match command {
-                Command::Run { id, operation, body } => {
-                    writeln!(self.trace, "    run {id} {operation} {}", body.escape_ascii())
+                Command::Run {
+                    id,
+                    operation,
+                    body,
+                } => {
+                    writeln!(
+                        self.trace,
+                        "    run {id} {operation} {}",
+                        body.escape_ascii()
+                    )
+                }
+                Command::Feed { id, reply } => {
+                    writeln!(self.trace, "    feed {id} {}", reply.escape_ascii())
                 }
-                Command::Feed { id, reply } => writeln!(self.trace, "    feed {id} {}", reply.escape_ascii()),
                 Command::Skip { id, need } => writeln!(self.trace, "    skip {id} {need}"),
             };
         }
         while let Some(order) = exchange.next_order() {
             let _ = match order {
-                Order::Invoke { id, number, wait, body, .. } => {
-                    writeln!(self.trace, "    call {id}:{number} {wait:.2} s {}", body.escape_ascii())
+                Order::Invoke {
+                    id,
+                    number,
+                    wait,
+                    body,
+                    ..
+                } => {
+                    writeln!(
+                        self.trace,
+                        "    call {id}:{number} {wait:.2} s {}",
+                        body.escape_ascii()
+                    )
                 }
                 Order::GiveUp { id, number } => writeln!(self.trace, "    give up {id}:{number}"),
             };
@@ -88,7 +123,10 @@
     }
 
     fn arrives(&mut self, number: u16, operation: usize) {
-        let reply = Reply { door: self.door.number(), tag: number };
+        let reply = Reply {
+            door: self.door.number(),
+            tag: number,
+        };
         self.tell(&format!("arrives {number}"), |exchange| {
             assert!(exchange.arrived(reply, arrival(number, operation)));
         });
@@ -107,12 +145,22 @@
 async fn an_invocation_goes_through_with_its_call() {
     let mut play = Play::start();
     play.arrives(1, 0);
-    play.tell("NEED 1", |exchange| exchange.wants_call(id(1), 1, None, b"call"));
-    play.tell("ok", |exchange| exchange.call_ended(id(1), 1, Called::Succeeded(Rc::from(*b"reply"))));
-    play.tell("DONE OK", |exchange| exchange.ended(id(1), End::Succeeded, 0.1, b"\0result"));
-    play.tell("DONE again", |exchange| exchange.ended(id(1), End::Succeeded, 0.1, b"other"));
+    play.tell("NEED 1", |exchange| {
+        exchange.wants_call(id(1), 1, None, b"call")
+    });
+    play.tell("ok", |exchange| {
+        exchange.call_ended(id(1), 1, Called::Succeeded(Rc::from(*b"reply")))
+    });
+    play.tell("DONE OK", |exchange| {
+        exchange.ended(id(1), End::Succeeded, 0.1, b"\0result")
+    });
+    play.tell("DONE again", |exchange| {
+        exchange.ended(id(1), End::Succeeded, 0.1, b"other")
+    });
     play.arrives(2, 1);
-    play.tell("DONE ERROR", |exchange| exchange.ended(id(2), End::Errored, 0.1, b""));
+    play.tell("DONE ERROR", |exchange| {
+        exchange.ended(id(2), End::Errored, 0.1, b"")
+    });
     play.arrives(3, 1);
     play.tell("NO RUN", |exchange| exchange.command_refused(b"RUN", id(3)));
     assert_eq!(play.shared.borrow().in_hand(), 0);
@@ -123,11 +171,15 @@
 async fn a_call_that_timed_out_is_given_up_and_its_late_reply_dropped() {
     let mut play = Play::start();
     play.arrives(1, 2);
-    play.tell("NEED 1", |exchange| exchange.wants_call(id(1), 1, None, b"call"));
+    play.tell("NEED 1", |exchange| {
+        exchange.wants_call(id(1), 1, None, b"call")
+    });
     play.wait(800).await;
     let late = Called::Succeeded(Rc::from(*b"late"));
     play.tell("late reply", |exchange| exchange.call_ended(id(1), 1, late));
-    play.tell("NEED 2", |exchange| exchange.wants_call(id(1), 2, None, b"next call"));
+    play.tell("NEED 2", |exchange| {
+        exchange.wants_call(id(1), 2, None, b"next call")
+    });
     let late = Called::Succeeded(Rc::from(*b"late"));
     play.tell("late reply", |exchange| exchange.call_ended(id(1), 1, late));
     assert_eq!(play.shared.borrow().counters.late_replies, 2);
@@ -138,22 +190,47 @@
 async fn lost_commands_are_given_again_only_where_that_is_safe() {
     let mut play = Play::start();
     play.arrives(1, 1);
-    let run = Command::Run { id: id(1), operation: "transcript-search".into(), body: Rc::from(*b"body") };
+    let run = Command::Run {
+        id: id(1),
+        operation: "transcript-search".into(),
+        body: Rc::from(*b"body"),
+    };
     play.tell("RUN lost", |exchange| exchange.command_lost(run.clone(), 0));
-    play.tell("NEED 1", |exchange| exchange.wants_call(id(1), 1, None, b"call"));
+    play.tell("NEED 1", |exchange| {
+        exchange.wants_call(id(1), 1, None, b"call")
+    });
     play.tell("RUN lost before", |exchange| exchange.command_lost(run, 0));
-    play.tell("ok", |exchange| exchange.call_ended(id(1), 1, Called::Succeeded(Rc::from(*b"reply"))));
-    let feed = Command::Feed { id: id(1), reply: Rc::from(*b"reply") };
-    play.tell("FEED lost", |exchange| exchange.command_lost(feed.clone(), 1));
+    play.tell("ok", |exchange| {
+        exchange.call_ended(id(1), 1, Called::Succeeded(Rc::from(*b"reply")))
+    });
+    let feed = Command::Feed {
+        id: id(1),
+        reply: Rc::from(*b"reply"),
+    };
+    play.tell("FEED lost", |exchange| {
+        exchange.command_lost(feed.clone(), 1)
+    });
     // A run that makes a second call could take a second reply for its own: from then on it is asked for anew.
-    play.tell("NEED 2", |exchange| exchange.wants_call(id(1), 2, None, b"next call"));
-    play.tell("FEED lost before", |exchange| exchange.command_lost(feed.clone(), 1));
-    play.tell("ok", |exchange| exchange.call_ended(id(1), 2, Called::Succeeded(Rc::from(*b"reply"))));
+    play.tell("NEED 2", |exchange| {
+        exchange.wants_call(id(1), 2, None, b"next call")
+    });
+    play.tell("FEED lost before", |exchange| {
+        exchange.command_lost(feed.clone(), 1)
+    });
+    play.tell("ok", |exchange| {
+        exchange.call_ended(id(1), 2, Called::Succeeded(Rc::from(*b"reply")))
+    });
     play.tell("FEED lost", |exchange| exchange.command_lost(feed, 2));
     let skip = Command::Skip { id: id(1), need: 2 };
-    play.tell("SKIP lost", |exchange| exchange.command_lost(skip.clone(), 2));
-    play.tell("DONE OK", |exchange| exchange.ended(id(1), End::Succeeded, 0.1, b"result"));
-    play.tell("SKIP lost after the end", |exchange| exchange.command_lost(skip, 2));
+    play.tell("SKIP lost", |exchange| {
+        exchange.command_lost(skip.clone(), 2)
+    });
+    play.tell("DONE OK", |exchange| {
+        exchange.ended(id(1), End::Succeeded, 0.1, b"result")
+    });
+    play.tell("SKIP lost after the end", |exchange| {
+        exchange.command_lost(skip, 2)
+    });
     assert_snapshot!(play.trace);
 }
 
@@ -161,7 +238,9 @@
 async fn another_engine_leaves_nothing_unanswered() {
     let mut play = Play::start();
     (1..=6).for_each(|number| play.arrives(number, 1));
-    play.tell("another HELLO", |exchange| exchange.engine_up(false, 0.1, true));
+    play.tell("another HELLO", |exchange| {
+        exchange.engine_up(false, 0.1, true)
+    });
     assert_eq!(play.shared.borrow().in_hand(), 0);
     play.arrives(7, 1);
     assert_snapshot!(play.trace);
@@ -171,9 +250,13 @@
 async fn a_panic_of_the_module_leaves_nothing_unanswered() {
     let mut play = Play::start();
     play.arrives(1, 1);
-    play.tell("panic", |exchange| exchange.decide(|_, _| panic!("a fault of the module")));
+    play.tell("panic", |exchange| {
+        exchange.decide(|_, _| panic!("a fault of the module"))
+    });
     play.arrives(2, 1);
-    play.tell("DONE OK", |exchange| exchange.ended(id(2), End::Succeeded, 0.1, b"result"));
+    play.tell("DONE OK", |exchange| {
+        exchange.ended(id(2), End::Succeeded, 0.1, b"result")
+    });
     assert_snapshot!(play.trace);
 }
 
@@ -184,10 +267,15 @@
     play.wait(2000).await;
     let exchange = play.shared.borrow();
     let counters = &exchange.counters;
-    assert_eq!(counters.succeeded + counters.throttled + counters.errored, 6);
+    assert_eq!(
+        counters.succeeded + counters.throttled + counters.errored,
+        6
+    );
     drop(exchange);
     // The engine says so later; nothing is answered twice.
-    play.tell("DONE OK", |exchange| exchange.ended(id(1), End::Succeeded, 3.0, b"result"));
+    play.tell("DONE OK", |exchange| {
+        exchange.ended(id(1), End::Succeeded, 3.0, b"result")
+    });
     assert_snapshot!(play.trace);
 }
 
@@ -209,17 +297,35 @@
 #[tokio::test(start_paused = true)]
 async fn what_comes_before_the_engine_or_too_late_is_throttled_at_once() {
     let config = Config::read(EXAMPLE).expect("the example can be read");
-    let exchange = Exchange::new(config.settings, config.seed, 192).expect("settings that are read");
+    let exchange =
+        Exchange::new(config.settings, config.seed, 192).expect("settings that are read");
     let shared = Rc::new(RefCell::new(exchange));
-    let mut play = Play { door: Door::open(&shared), shared, trace: String::new() };
+    let mut play = Play {
+        door: Door::open(&shared),
+        shared,
+        trace: String::new(),
+    };
     play.arrives(1, 0);
     play.tell("HELLO", |exchange| exchange.engine_up(false, 0.0, false));
-    let reply = Reply { door: play.door.number(), tag: 2 };
-    let late = Arrival { stamp_ms: unix_ms() - 2000.0, ..arrival(2, 0) };
-    play.tell("arrives too late", |exchange| assert!(exchange.arrived(reply, late)));
+    let reply = Reply {
+        door: play.door.number(),
+        tag: 2,
+    };
+    let late = Arrival {
+        stamp_ms: unix_ms() - 2000.0,
+        ..arrival(2, 0)
+    };
+    play.tell("arrives too late", |exchange| {
+        assert!(exchange.arrived(reply, late))
+    });
     play.arrives(3, 0);
-    let again = Reply { door: play.door.number(), tag: 4 };
-    play.tell("the same id", |exchange| assert!(!exchange.arrived(again, arrival(3, 0))));
+    let again = Reply {
+        door: play.door.number(),
+        tag: 4,
+    };
+    play.tell("the same id", |exchange| {
+        assert!(!exchange.arrived(again, arrival(3, 0)))
+    });
     assert_snapshot!(play.trace);
 }
 
@@ -232,19 +338,32 @@
     let exchange = play.shared.borrow();
     assert_eq!((held, exchange.counters.unheard), (6, 6));
     // Those that run stay in hand until they end; nobody is answered any more.
-    assert_eq!((exchange.in_hand(), exchange.doors_open()), (exchange.counters.runs as usize, 1));
+    assert_eq!(
+        (exchange.in_hand(), exchange.doors_open()),
+        (exchange.counters.runs as usize, 1)
+    );
 }
 
 #[tokio::test(start_paused = true)]
 async fn gauges_bring_the_beat_forward_and_old_ones_do_not() {
     let play = Play::start();
     let named = play.shared.borrow().named(&[0.5, f64::NAN, 0.25, 7.0, 1.0]);
-    assert_eq!(format!("{named:?}"), r#"{"cpu_busy": 0.5, "mem_used": 0.25, "sockets": 7.0}"#);
-    let gauges = |age: u64| play.shared.borrow_mut().gauges(&[0.5, 1.0], Duration::from_millis(age));
+    assert_eq!(
+        format!("{named:?}"),
+        r#"{"cpu_busy": 0.5, "mem_used": 0.25, "sockets": 7.0}"#
+    );
+    let gauges = |age: u64| {
+        play.shared
+            .borrow_mut()
+            .gauges(&[0.5, 1.0], Duration::from_millis(age))
+    };
     let beat_in = || {
         let wakes = play.shared.borrow().alarms.wakes().clone();
         let now = play.shared.borrow().origin.elapsed();
-        wakes.values().map(|at| at.saturating_sub(now).as_millis()).collect::<Vec<_>>()
+        wakes
+            .values()
+            .map(|at| at.saturating_sub(now).as_millis())
+            .collect::<Vec<_>>()
     };
     play.shared.borrow_mut().ring_alarms();
     advance(Duration::from_millis(4)).await;
@@ -285,14 +404,31 @@
 
 #[test]
 fn a_wall_clock_that_is_stepped_makes_no_odd_times() {
-    let one = Arrival { stamp_ms: 1_000_000.0, ..arrival(1, 0) };
+    let one = Arrival {
+        stamp_ms: 1_000_000.0,
+        ..arrival(1, 0)
+    };
     let at = |unix_ms: f64| {
         let told = told(&one, unix_ms);
         (told.age, told.budget)
     };
     assert_eq!(at(1_000_500.0), (0.5, Some(1.5)));
-    assert_eq!(at(1_002_000.0), (2.0, Some(0.0)), "used up, which is not none");
+    assert_eq!(
+        at(1_002_000.0),
+        (2.0, Some(0.0)),
+        "used up, which is not none"
+    );
     assert_eq!(at(900_000.0), (0.0, Some(2.0)), "stepped back");
     assert_eq!(at(9_000_000.0), (2.0, Some(0.0)), "stepped forward");
-    assert_eq!(told(&Arrival { patience_ms: None, ..one.clone() }, 1_000_500.0).budget, None);
+    assert_eq!(
+        told(
+            &Arrival {
+                patience_ms: None,
+                ..one.clone()
+            },
+            1_000_500.0
+        )
+        .budget,
+        None
+    );
 }
--- a/crates/merlinshelf-backend/src/fault.rs
+++ b/crates/merlinshelf-backend/src/fault.rs
@@ -24,7 +24,9 @@
         let (point, times, how) = (words.next()?, words.next()?, words.next()?);
         Some((point.to_owned(), times.parse().ok()?, how.to_owned()))
     });
-    let Some((point, times, how)) = fault else { return };
+    let Some((point, times, how)) = fault else {
+        return;
+    };
     if point != name || PASSED.fetch_add(1, Ordering::Relaxed) + 1 != *times {
         return;
     }
--- a/crates/merlinshelf-backend/src/host/asked.rs
+++ b/crates/merlinshelf-backend/src/host/asked.rs
@@ -18,7 +18,11 @@
             Asked::Drain(reply) => {
                 let before = self.leaving.is_some();
                 let status = self.told_to_leave();
-                let said = if before { "it was leaving already" } else { "told to leave" };
+                let said = if before {
+                    "it was leaving already"
+                } else {
+                    "told to leave"
+                };
                 let _ = reply.send(json!({
                     "told": !before, "text": said, "stop_ms": self.config.stop.as_millis() as u64, "status": status,
                 }));
@@ -41,10 +45,15 @@
                 if exchange.is_none() && self.operator.policy.is_some() {
                     return; // frozen for a successor: unanswered, which is no refusal
                 }
-                _ = reply.send(exchange.and_then(|exchange| exchange.borrow_mut().policy_heard(*beat)));
+                _ = reply
+                    .send(exchange.and_then(|exchange| exchange.borrow_mut().policy_heard(*beat)));
             }
             Asked::Forget(origin, reply) => {
-                _ = reply.send(self.learning.as_mut().map(|learning| learning.forget(origin.as_deref())));
+                _ = reply.send(
+                    self.learning
+                        .as_mut()
+                        .map(|learning| learning.forget(origin.as_deref())),
+                );
             }
             Asked::Upgrade(progress) => {
                 let lacking = self.lacking();
@@ -86,20 +95,27 @@
         let descriptors = upgrade.descriptors.unwrap_or(self.config.sockets as u64);
         let needed = 2 * open + 16;
         if needed > descriptors {
-            return Some(format!("two processes need {needed} descriptors, and {descriptors} may be used"));
+            return Some(format!(
+                "two processes need {needed} descriptors, and {descriptors} may be used"
+            ));
         }
         let memory_mb = upgrade.memory_mb.unwrap_or(self.config.memory_mb);
         // The second one, its image twice, and what is noted between two beats.
         let needed_mb = (2 * memory_kb + 8 * 1024) / 1024;
         if needed_mb > memory_mb {
-            return Some(format!("two processes need {needed_mb} MB, and {memory_mb} may be used"));
+            return Some(format!(
+                "two processes need {needed_mb} MB, and {memory_mb} may be used"
+            ));
         }
         None
     }
 
     fn status(&self) -> serde_json::Value {
         let (memory_kb, descriptors) = counters::in_use();
-        let exchange = self.instance.as_ref().map(|instance| instance.exchange.borrow());
+        let exchange = self
+            .instance
+            .as_ref()
+            .map(|instance| instance.exchange.borrow());
         let state = match &self.heir {
             Some(heir) if heir.notes() => "watched",
             _ if self.leaving.is_some() => "leaving",
--- a/crates/merlinshelf-backend/src/host/handing.rs
+++ b/crates/merlinshelf-backend/src/host/handing.rs
@@ -39,9 +39,9 @@
             Step::Pass => {
                 let patience = self.operator.upgrade.clone().unwrap_or_default().taken();
                 let passed = match &self.guard {
-                    Some(guard) => {
-                        timeout(patience, guard.pass()).await.unwrap_or_else(|late| Err(late.into()))
-                    }
+                    Some(guard) => timeout(patience, guard.pass())
+                        .await
+                        .unwrap_or_else(|late| Err(late.into())),
                     None => Err(io::Error::other("there is no successor")),
                 };
                 match passed {
@@ -49,7 +49,10 @@
                     Err(error) => self.keeper.not_passed(&error.to_string()),
                 }
             }
-            Step::Yield => info!("the successor {} has everything and is watched", self.successor()),
+            Step::Yield => info!(
+                "the successor {} has everything and is watched",
+                self.successor()
+            ),
             Step::Kill => {
                 if let Some(guard) = &self.guard {
                     warn!("the successor {} is killed", guard.id());
@@ -92,7 +95,9 @@
             heir::Step::Take => {
                 let now = self.now();
                 let taken = self.take_over();
-                let Some(heir) = &mut self.heir else { return Ok(()) };
+                let Some(heir) = &mut self.heir else {
+                    return Ok(());
+                };
                 match taken {
                     Ok(prepared) => {
                         self.prepared = Some(prepared);
@@ -134,7 +139,11 @@
     }
 
     fn start_successor(&mut self) {
-        let named = self.operator.upgrade.as_ref().and_then(|upgrade| upgrade.program.clone());
+        let named = self
+            .operator
+            .upgrade
+            .as_ref()
+            .and_then(|upgrade| upgrade.program.clone());
         let program = named.map_or_else(own_program, Ok);
         match program.and_then(Guard::start) {
             Ok(guard) => {
@@ -155,13 +164,18 @@
         // The accepting task is gone, and with it the other holder.
         let listener = Rc::try_unwrap(listener).map_err(|_| "the listener is still in use")?;
         let guard = self.guard.as_mut().ok_or("there is no successor")?;
-        guard.hold(frozen, listener.into_inner().into()).map_err(|error| error.to_string())
+        guard
+            .hold(frozen, listener.into_inner().into())
+            .map_err(|error| error.to_string())
     }
 
     /// All as it was frozen, with all that the successor noted since.
     pub(super) fn take_back(&mut self) -> io::Result<()> {
         let began = Instant::now();
-        let mut guard = self.guard.take().ok_or_else(|| io::Error::other("there is nothing to take back"))?;
+        let mut guard = self
+            .guard
+            .take()
+            .ok_or_else(|| io::Error::other("there is nothing to take back"))?;
         let (image, passed, learnt) = guard.take()?;
         if let Ok((later, _)) = load(&self.start.config) {
             self.peers = later.peers; // SIGHUP may have come meanwhile
@@ -189,14 +203,20 @@
     pub(super) fn take_over(&mut self) -> io::Result<Prepared> {
         let mut passed = std::mem::take(&mut self.inherited);
         let missing = |what: &str| io::Error::other(format!("{what} did not come"));
-        let image = passed.remove(&Role::Image).ok_or_else(|| missing("the image"))?;
-        let journal = passed.remove(&Role::Journal).ok_or_else(|| missing("the journal"))?;
+        let image = passed
+            .remove(&Role::Image)
+            .ok_or_else(|| missing("the image"))?;
+        let journal = passed
+            .remove(&Role::Journal)
+            .ok_or_else(|| missing("the journal"))?;
         let mut bytes = Vec::new();
         let file = std::fs::File::from(image);
         io::Seek::rewind(&mut &file)?;
         io::Read::read_to_end(&mut &file, &mut bytes)?;
         let mut image = Image::default();
-        image.apply(&bytes).map_err(|why| io::Error::other(why.to_string()))?;
+        image
+            .apply(&bytes)
+            .map_err(|why| io::Error::other(why.to_string()))?;
         let prepared = self.prepare(&image, passed, None, false)?;
         prepared.note(Journal::new(journal), self.passing.0.clone());
         Ok(prepared)
@@ -209,7 +229,9 @@
         learnt: Option<merlinshelf::Learnt>,
         takes_back: bool,
     ) -> io::Result<Prepared> {
-        let listener = passed.remove(&Role::Listener).ok_or_else(|| io::Error::other("no listener came"))?;
+        let listener = passed
+            .remove(&Role::Listener)
+            .ok_or_else(|| io::Error::other("no listener came"))?;
         let listener = std::net::TcpListener::from(listener);
         listener.set_nonblocking(true)?;
         let mut exchange = Exchange::of(&self.config).map_err(io::Error::other)?;
@@ -220,7 +242,13 @@
             // What its successor held may be fenced by now: it holds nothing until its agent says so.
             None => exchange.begin_without_policy(),
         }
-        Prepared::carried(exchange, server::listening(listener)?, image, passed, learnt)
+        Prepared::carried(
+            exchange,
+            server::listening(listener)?,
+            image,
+            passed,
+            learnt,
+        )
     }
 }
 
@@ -228,5 +256,8 @@
 fn own_program() -> io::Result<PathBuf> {
     let path = std::env::current_exe()?;
     let text = path.to_string_lossy();
-    Ok(text.strip_suffix(" (deleted)").map(PathBuf::from).unwrap_or(path))
+    Ok(text
+        .strip_suffix(" (deleted)")
+        .map(PathBuf::from)
+        .unwrap_or(path))
 }
--- a/crates/merlinshelf-backend/src/host/mod.rs
+++ b/crates/merlinshelf-backend/src/host/mod.rs
@@ -63,11 +63,17 @@
 /// # Errors
 /// What can't be used of the files, an address that is taken, or a successor that can't take over.
 pub fn serve(start: &Start) -> Result<i32, String> {
-    let elder = Channel::inherited().transpose().map_err(|error| error.to_string())?;
+    let elder = Channel::inherited()
+        .transpose()
+        .map_err(|error| error.to_string())?;
     fault::point("heir.start");
-    let runtime = Builder::new_current_thread().enable_all().build().map_err(|error| error.to_string())?;
-    let loaded = load(&start.config)
-        .and_then(|(config, exchange)| Ok((config, exchange, Operator::load(start.operator.as_deref())?)));
+    let runtime = Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .map_err(|error| error.to_string())?;
+    let loaded = load(&start.config).and_then(|(config, exchange)| {
+        Ok((config, exchange, Operator::load(start.operator.as_deref())?))
+    });
     let (config, exchange, operator) = match loaded {
         Ok(loaded) => loaded,
         Err(why) => {
@@ -166,7 +172,12 @@
 }
 
 impl Host {
-    fn new(start: Start, config: Config, operator: Operator, elder: Option<OwnedFd>) -> io::Result<Host> {
+    fn new(
+        start: Start,
+        config: Config,
+        operator: Operator,
+        elder: Option<OwnedFd>,
+    ) -> io::Result<Host> {
         let upgrade = operator.upgrade.clone().unwrap_or_default();
         let patience = Patience {
             ready: upgrade.ready(),
@@ -176,11 +187,16 @@
         };
         let elder = elder.map(Channel::new).transpose()?;
         Ok(Host {
-            heir: elder.as_ref().map(|_| Heir::new(upgrade.watched(), VERSION)),
+            heir: elder
+                .as_ref()
+                .map(|_| Heir::new(upgrade.watched(), VERSION)),
             predecessor: elder.as_ref().map(|_| std::os::unix::process::parent_id()),
             start,
             peers: config.peers,
-            learning: operator.learning.clone().map(|of| Learning::new(&config.name, &config.settings, of)),
+            learning: operator
+                .learning
+                .clone()
+                .map(|of| Learning::new(&config.name, &config.settings, of)),
             routing: operator
                 .dependencies
                 .clone()
@@ -217,13 +233,24 @@
             if let Some(settings) = &self.operator.control
                 && control::is_taken(&settings.socket)
             {
-                let taken = format!("control: {}: another process listens there", settings.socket.display());
+                let taken = format!(
+                    "control: {}: another process listens there",
+                    settings.socket.display()
+                );
                 return Err(io::Error::new(io::ErrorKind::AddrInUse, taken));
             }
             let bound = server::Bound::to(self.config.listen)?;
             self.hold_policy(&mut exchange).map_err(io::Error::other)?;
-            let heard_by = self.operator.policy.as_ref().map(|policy| Duration::from_millis(policy.wait_ms));
-            let waiting = Waiting::new(exchange, bound, Instant::now() + heard_by.unwrap_or_default());
+            let heard_by = self
+                .operator
+                .policy
+                .as_ref()
+                .map(|policy| Duration::from_millis(policy.wait_ms));
+            let waiting = Waiting::new(
+                exchange,
+                bound,
+                Instant::now() + heard_by.unwrap_or_default(),
+            );
             match heard_by {
                 Some(_) => self.waiting = Some(waiting),
                 None => self.begin(waiting)?,
@@ -243,7 +270,11 @@
             }
         };
         if let Some(instance) = &self.instance {
-            info!("counters at the end: {} {}", instance.exchange.borrow().counters, counters::usage());
+            info!(
+                "counters at the end: {} {}",
+                instance.exchange.borrow().counters,
+                counters::usage()
+            );
         }
         if let Some(asked) = &self.asked {
             let _ = timeout(LAST_WORD, asked.closed()).await;
@@ -256,10 +287,25 @@
     }
 
     async fn next_event(&mut self) -> Event {
-        let wake = [self.keeper.wake_at(), self.heir.as_ref().and_then(Heir::wake_at)];
+        let wake = [
+            self.keeper.wake_at(),
+            self.heir.as_ref().and_then(Heir::wake_at),
+        ];
         let wake = wake.into_iter().flatten().min().map(|at| self.began + at);
-        let wake = wake.into_iter().chain(self.waiting.as_ref().map(|waiting| waiting.until)).min();
-        let Host { leaving, guard, cut, elder, passing, requests, signals, .. } = self;
+        let wake = wake
+            .into_iter()
+            .chain(self.waiting.as_ref().map(|waiting| waiting.until))
+            .min();
+        let Host {
+            leaving,
+            guard,
+            cut,
+            elder,
+            passing,
+            requests,
+            signals,
+            ..
+        } = self;
         let (guard, elder) = (guard.as_ref(), elder.as_ref());
         select! {
             biased;
@@ -286,7 +332,11 @@
             Event::Reload => self.keeper.reload(),
             Event::Counters => {
                 if let Some(instance) = &self.instance {
-                    info!("counters: {} {}", instance.exchange.borrow().counters, counters::usage());
+                    info!(
+                        "counters: {} {}",
+                        instance.exchange.borrow().counters,
+                        counters::usage()
+                    );
                 }
             }
             Event::Asked(asked) => self.asked_for(asked),
@@ -297,7 +347,8 @@
                 let followed = self.guard.as_mut().map_or(Ok(()), Guard::follow);
                 self.keeper.heard(now, word);
                 if let Err(error) = followed {
-                    self.keeper.cut_off(&format!("its notes can't be read: {error}"));
+                    self.keeper
+                        .cut_off(&format!("its notes can't be read: {error}"));
                 }
             }
             Event::FromSuccessor(Err(error)) => {
@@ -307,13 +358,19 @@
                     None => false,
                 };
                 if !ended {
-                    self.keeper.cut_off(&format!("the channel to the successor ended: {error}"));
+                    self.keeper
+                        .cut_off(&format!("the channel to the successor ended: {error}"));
                 }
             }
             Event::SuccessorEnded => {
                 let status = self.guard.as_mut().and_then(Guard::reap);
                 let served = self.keeper.serves();
-                for word in self.guard.as_mut().map(Guard::last_words).unwrap_or_default() {
+                for word in self
+                    .guard
+                    .as_mut()
+                    .map(Guard::last_words)
+                    .unwrap_or_default()
+                {
                     self.keeper.heard(now, word);
                 }
                 self.keeper.died(status);
@@ -324,7 +381,8 @@
             Event::FromElder(Ok((word, descriptors))) => {
                 if let Word::Pass { roles } = &word {
                     fault::point("heir.pass");
-                    self.inherited.extend(roles.iter().copied().zip(descriptors));
+                    self.inherited
+                        .extend(roles.iter().copied().zip(descriptors));
                 }
                 if let Some(heir) = &mut self.heir {
                     heir.heard(now, word);
@@ -336,10 +394,16 @@
                     heir.alone(now);
                 }
             }
-            Event::ToPass(Passing { role, descriptor, passed }) => {
+            Event::ToPass(Passing {
+                role,
+                descriptor,
+                passed,
+            }) => {
                 if let Some(elder) = &self.elder {
                     // An error is the predecessor's end, which is seen by itself.
-                    let _ = elder.send(&Word::Opened { role }, &[descriptor.as_fd()]).await;
+                    let _ = elder
+                        .send(&Word::Opened { role }, &[descriptor.as_fd()])
+                        .await;
                 }
                 let _ = passed.send(());
             }
@@ -392,13 +456,18 @@
 
     /// The notice to leave, heeded here: by `stop`, a moment of the monotonic clock, the process has to be gone.
     fn leave(&mut self, stop: f64) {
-        let Some(instance) = &self.instance else { return };
+        let Some(instance) = &self.instance else {
+            return;
+        };
         if self.leaving.is_some() {
             return;
         }
         let left = Duration::from_secs_f64((stop - monotonic()).clamp(0.0, 1e6));
         let in_hand = instance.exchange.borrow().in_hand();
-        info!("notice to leave: {in_hand} in hand, {} ms left", left.as_millis());
+        info!(
+            "notice to leave: {in_hand} in hand, {} ms left",
+            left.as_millis()
+        );
         if let Some(learning) = &mut self.learning {
             learning.leave();
         }
@@ -412,10 +481,18 @@
             Err(reason) => return error!("the configuration stays as it was: {reason}"),
         };
         for name in self.config.fixed(&later) {
-            warn!("{name} in the new configuration is another, and stays as it was until the next start");
+            warn!(
+                "{name} in the new configuration is another, and stays as it was until the next start"
+            );
         }
-        let Peers { engine, catalogue, members } = later.peers;
-        info!("configuration read anew: engine {engine}, catalogue {catalogue}, membership {members}");
+        let Peers {
+            engine,
+            catalogue,
+            members,
+        } = later.peers;
+        info!(
+            "configuration read anew: engine {engine}, catalogue {catalogue}, membership {members}"
+        );
         self.peers = later.peers;
         if let Some(instance) = &self.instance {
             instance.move_to(later.peers);
@@ -427,7 +504,10 @@
     fn reload_dependencies(&mut self) {
         let Some(routing) = &self.routing else { return };
         match Operator::load(self.start.operator.as_deref()) {
-            Ok(Operator { dependencies: Some(wanted), .. }) => {
+            Ok(Operator {
+                dependencies: Some(wanted),
+                ..
+            }) => {
                 let count = wanted.dependencies.len();
                 *self.dependencies.borrow_mut() = Some(wanted.clone());
                 routing.borrow_mut().replace(wanted);
@@ -447,8 +527,13 @@
 
     /// Switches the policy for all on, where the operators' file does.
     fn hold_policy(&self, exchange: &mut Exchange) -> Result<(), String> {
-        let Some(policy) = &self.operator.policy else { return Ok(()) };
-        let laid = LaidOver { own: self.dependencies.clone(), routing: self.routing.clone() };
+        let Some(policy) = &self.operator.policy else {
+            return Ok(());
+        };
+        let laid = LaidOver {
+            own: self.dependencies.clone(),
+            routing: self.routing.clone(),
+        };
         exchange.hold_policy(policy, Box::new(laid))
     }
 
@@ -462,7 +547,12 @@
     }
 
     fn set_going(&self, prepared: Prepared) -> Instance {
-        prepared.go(&self.config, self.peers, self.routing.clone(), self.operator.uwsgi)
+        prepared.go(
+            &self.config,
+            self.peers,
+            self.routing.clone(),
+            self.operator.uwsgi,
+        )
     }
 
     /// Learns beside the service, where that is switched on.
