--- a/crates/merlinshelf-backend/src/instance.rs
+++ b/crates/merlinshelf-backend/src/instance.rs
@@ -43,7 +43,10 @@
 }
 
 /// Runs a part for as long as its owner: a panic in it costs that part a fresh start, no more.
-fn keep<F: Future<Output = ()> + 'static>(what: &'static str, part: impl Fn() -> F + 'static) -> Task {
+fn keep<F: Future<Output = ()> + 'static>(
+    what: &'static str,
+    part: impl Fn() -> F + 'static,
+) -> Task {
     Task(spawn_local(async move {
         loop {
             let mut part = Task(spawn_local(part()));
@@ -113,7 +116,9 @@
         exchange.suits(image).map_err(io::Error::other)?;
         let mut prepared = Prepared::fresh(Rc::new(RefCell::new(exchange)), listener);
         let record: Option<records::Link> = image.get(Key::Link);
-        let socket = record.as_ref().and_then(|link| passed.remove(&Role::Link(link.stream?)));
+        let socket = record
+            .as_ref()
+            .and_then(|link| passed.remove(&Role::Link(link.stream?)));
         if let Some(mut record) = record {
             let live = socket.and_then(|socket| {
                 let settled = settle(&socket, &mut record.flow, true)?;
@@ -126,7 +131,8 @@
             match role {
                 Role::Edge(stream) if !image.gone(Key::Edge(stream)) => {
                     // One of which nothing was noted was only just taken in.
-                    let mut record: records::Edge = image.get(Key::Edge(stream)).unwrap_or_default();
+                    let mut record: records::Edge =
+                        image.get(Key::Edge(stream)).unwrap_or_default();
                     let live = settle(&socket, &mut record.flow, false).zip(into_stream(socket));
                     let Some((settled, socket)) = live else {
                         prepared.broken += 1;
@@ -136,7 +142,9 @@
                     prepared.edges.push((socket, door, record, settled));
                 }
                 Role::Line(stream) => {
-                    let Some(mut record) = image.get::<records::Line>(Key::Line(stream)) else { continue };
+                    let Some(mut record) = image.get::<records::Line>(Key::Line(stream)) else {
+                        continue;
+                    };
                     if let Some((settled, socket)) =
                         settle(&socket, &mut record.flow, true).zip(into_stream(socket))
                     {
@@ -146,9 +154,15 @@
                 _ => {}
             }
         }
-        let lines: Vec<records::Line> =
-            prepared.lines.iter().map(|(_, _, record, _)| record.clone()).collect();
-        prepared.exchange.borrow_mut().take_up(image, &lines, learnt);
+        let lines: Vec<records::Line> = prepared
+            .lines
+            .iter()
+            .map(|(_, _, record, _)| record.clone())
+            .collect();
+        prepared
+            .exchange
+            .borrow_mut()
+            .take_up(image, &lines, learnt);
         Ok(prepared)
     }
 
@@ -159,7 +173,11 @@
 
     /// How many connections of edge nodes, calls below and invocations go on.
     pub fn sums(&self) -> (usize, usize, usize) {
-        (self.edges.len(), self.lines.len(), self.exchange.borrow().in_hand())
+        (
+            self.edges.len(),
+            self.lines.len(),
+            self.exchange.borrow().in_hand(),
+        )
     }
 
     /// Sets it going.
@@ -170,9 +188,19 @@
         routing: Option<routing::Shared>,
         uwsgi: bool,
     ) -> Instance {
-        let Prepared { exchange, listener, edges, lines, mut link, link_discards, .. } = self;
+        let Prepared {
+            exchange,
+            listener,
+            edges,
+            lines,
+            mut link,
+            link_discards,
+            ..
+        } = self;
         if let Some(routing) = &routing {
-            exchange.borrow_mut().set_parts(|operation| routing.borrow().parts(operation));
+            exchange
+                .borrow_mut()
+                .set_parts(|operation| routing.borrow().parts(operation));
         }
         let calls_most = client::calls_most(config.sockets);
         let doors_most = server::doors_most(config.sockets, calls_most);
@@ -184,14 +212,23 @@
             }
         }
         if let Some((_, socket)) = &mut link
-            && socket.as_ref().is_some_and(|socket| discard(socket, link_discards).is_err())
+            && socket
+                .as_ref()
+                .is_some_and(|socket| discard(socket, link_discards).is_err())
         {
             *socket = None;
         }
-        let lines = lines.into_iter().filter_map(|(socket, stream, record, settled)| {
-            discard(&socket, settled.discard).ok().map(|()| (socket, stream, record))
-        });
-        let (lines, link) = (Rc::new(RefCell::new(lines.collect())), Rc::new(RefCell::new(link)));
+        let lines = lines
+            .into_iter()
+            .filter_map(|(socket, stream, record, settled)| {
+                discard(&socket, settled.discard)
+                    .ok()
+                    .map(|()| (socket, stream, record))
+            });
+        let (lines, link) = (
+            Rc::new(RefCell::new(lines.collect())),
+            Rc::new(RefCell::new(link)),
+        );
         let close = Rc::new(Notify::new());
         let standing = Rc::downgrade(&listener);
         let accepting = Task(spawn_local(server::accept(listener, server, close.clone())));
@@ -213,8 +250,9 @@
             )
         });
         let (shared, name) = (exchange.clone(), config.name.clone());
-        let reporting =
-            keep("reporting", move || client::members::report(watched.clone(), name.clone(), shared.clone()));
+        let reporting = keep("reporting", move || {
+            client::members::report(watched.clone(), name.clone(), shared.clone())
+        });
         Instance {
             exchange,
             told,
@@ -231,14 +269,23 @@
 impl Instance {
     /// Moves the client side to other far ends.
     pub fn move_to(&self, peers: Peers) {
-        self.told.send_if_modified(|known| std::mem::replace(known, peers) != peers);
+        self.told
+            .send_if_modified(|known| std::mem::replace(known, peers) != peers);
     }
 
     /// The notice to leave, which came a while ago: by `end` the process has to be gone. Ends when all is done.
-    async fn leave(exchange: Shared, close: Rc<Notify>, closed: AbortHandle, stop: Duration, end: Instant) {
+    async fn leave(
+        exchange: Shared,
+        close: Rc<Notify>,
+        closed: AbortHandle,
+        stop: Duration,
+        end: Instant,
+    ) {
         let before = |time: Duration| end.checked_sub(time.min(stop / 4)).unwrap_or(end);
         let left = end.saturating_duration_since(Instant::now());
-        exchange.borrow_mut().leave(before(ANSWER_BEFORE), stop.saturating_sub(left));
+        exchange
+            .borrow_mut()
+            .leave(before(ANSWER_BEFORE), stop.saturating_sub(left));
         exchange.borrow_mut().secure_instance();
         sleep_until(before(REFUSE_BEFORE)).await;
         close.notify_one();
@@ -250,19 +297,34 @@
         };
         if timeout_at(before(END_BEFORE), closed).await.is_err() {
             let open = exchange.borrow().doors_open();
-            warn!("ends with {} in hand and {open} connections open", exchange.borrow().in_hand());
+            warn!(
+                "ends with {} in hand and {open} connections open",
+                exchange.borrow().in_hand()
+            );
         }
     }
 
     /// What `leave` needs.
     pub fn leaving(&self, end: Instant) -> impl Future<Output = ()> + use<> {
         let closed = self.accepting.0.abort_handle();
-        Instance::leave(self.exchange.clone(), self.close.clone(), closed, self.stop, end)
+        Instance::leave(
+            self.exchange.clone(),
+            self.close.clone(),
+            closed,
+            self.stop,
+            end,
+        )
     }
 
     /// Stops everything where it stands and takes it down. The listener stays with the caller.
     pub async fn freeze(self) -> Result<(Frozen, Rc<Listening>), &'static str> {
-        let Instance { exchange, listener, mut accepting, mut handing_in, .. } = self;
+        let Instance {
+            exchange,
+            listener,
+            mut accepting,
+            mut handing_in,
+            ..
+        } = self;
         let listener = listener.upgrade().ok_or("the listener is closed")?;
         accepting.0.abort();
         let _ = (&mut accepting.0).await; // its hold on the listener ends with it
@@ -275,7 +337,9 @@
                 tokio::task::yield_now().await;
             }
         };
-        timeout_at(Instant::now() + FROZEN_WITHIN, all).await.map_err(|_| "a part does not stop")?;
+        timeout_at(Instant::now() + FROZEN_WITHIN, all)
+            .await
+            .map_err(|_| "a part does not stop")?;
         let (image, passed) = exchange.borrow_mut().take_image();
         Ok((Frozen { image, passed }, listener))
     }
@@ -296,7 +360,11 @@
 }
 
 /// Settles what was noted of a connection with what the kernel counted; none where it can't be gone on with.
-fn settle(socket: &OwnedFd, flow: &mut merlinshelf_handover::Flow, opened_here: bool) -> Option<Settled> {
+fn settle(
+    socket: &OwnedFd,
+    flow: &mut merlinshelf_handover::Flow,
+    opened_here: bool,
+) -> Option<Settled> {
     match kernel::counts(socket, opened_here) {
         Ok(counts) => match flow.settle(counts) {
             Ok(settled) => Some(settled),
@@ -314,6 +382,10 @@
 
 fn into_stream(socket: OwnedFd) -> Option<TcpStream> {
     let socket = std::net::TcpStream::from(socket);
-    let stream = socket.set_nonblocking(true).and_then(|()| TcpStream::from_std(socket));
-    stream.map_err(|error| warn!("a connection can't be gone on with: {error}")).ok()
+    let stream = socket
+        .set_nonblocking(true)
+        .and_then(|()| TcpStream::from_std(socket));
+    stream
+        .map_err(|error| warn!("a connection can't be gone on with: {error}"))
+        .ok()
 }
--- a/crates/merlinshelf-backend/src/journal.rs
+++ b/crates/merlinshelf-backend/src/journal.rs
@@ -23,12 +23,17 @@
 
 impl Journal {
     pub fn new(file: OwnedFd) -> Journal {
-        Journal { file: file.into(), staged: Transaction::default() }
+        Journal {
+            file: file.into(),
+            staged: Transaction::default(),
+        }
     }
 
     /// Memory that notes take which nobody has read yet, in bytes.
     pub fn unread(&self) -> u64 {
-        self.file.metadata().map_or(0, |state| std::os::unix::fs::MetadataExt::blocks(&state) * 512)
+        self.file.metadata().map_or(0, |state| {
+            std::os::unix::fs::MetadataExt::blocks(&state) * 512
+        })
     }
 
     pub fn put(&mut self, key: Key, record: &impl Serialize) {
@@ -66,7 +71,12 @@
 
 impl Follower {
     pub fn new(file: OwnedFd) -> Follower {
-        Follower { file: file.into(), read: 0, gulp: vec![0; GULP], come: Vec::new() }
+        Follower {
+            file: file.into(),
+            read: 0,
+            gulp: vec![0; GULP],
+            come: Vec::new(),
+        }
     }
 
     /// Applies all that was noted since the last time, and gives its memory back.
@@ -79,7 +89,9 @@
             }
             self.come.extend(&self.gulp[..count]);
             end += count as u64;
-            let used = image.apply(&self.come).map_err(|why| io::Error::other(why.to_string()))?;
+            let used = image
+                .apply(&self.come)
+                .map_err(|why| io::Error::other(why.to_string()))?;
             self.come.drain(..used);
             self.read += used as u64;
         }
@@ -112,7 +124,10 @@
         let (mut journal, mut image) = (Journal::new(file), Image::default());
         let mut follower = Follower::new(copy.try_clone().expect("a copy"));
         let answers = |count: usize| Door {
-            answers: vec![(1, merlinshelf_handover::records::Answer::Succeeded(vec![7; count].into()))],
+            answers: vec![(
+                1,
+                merlinshelf_handover::records::Answer::Succeeded(vec![7; count].into()),
+            )],
         };
         for round in 0..100_u64 {
             journal.put(Key::Door(round % 7), &answers(20_000));
--- a/crates/merlinshelf-backend/src/learning/folder.rs
+++ b/crates/merlinshelf-backend/src/learning/folder.rs
@@ -40,17 +40,25 @@
     pub fn open(path: PathBuf) -> io::Result<Folder> {
         let (jobs, work) = sync_channel(1);
         let (tell, came) = unbounded_channel();
-        std::thread::Builder::new().name("knowledge".into()).spawn(move || keep(&path, &work, &tell))?;
+        std::thread::Builder::new()
+            .name("knowledge".into())
+            .spawn(move || keep(&path, &work, &tell))?;
         Ok(Folder { jobs, came })
     }
 
     /// False where the saving before is still under way.
     pub fn save(&self, all: Vec<Told>) -> bool {
-        !matches!(self.jobs.try_send(Job::Save(all)), Err(TrySendError::Full(_)))
+        !matches!(
+            self.jobs.try_send(Job::Save(all)),
+            Err(TrySendError::Full(_))
+        )
     }
 
     pub fn anew(&self, all: Vec<Told>) -> bool {
-        !matches!(self.jobs.try_send(Job::Anew(all)), Err(TrySendError::Full(_)))
+        !matches!(
+            self.jobs.try_send(Job::Anew(all)),
+            Err(TrySendError::Full(_))
+        )
     }
 }
 
@@ -63,7 +71,9 @@
             Ok(opened) => opened,
             // Nothing is known of the past; saving is tried all the same.
             Err(error) => {
-                let _ = tell.send(Came::Failed(format!("what was kept can't be read: {error}")));
+                let _ = tell.send(Came::Failed(format!(
+                    "what was kept can't be read: {error}"
+                )));
                 (Store::default(), Found::default())
             }
         };
@@ -85,7 +95,9 @@
                 }
             }
         }
-        let Some((disk, store)) = &mut held else { continue };
+        let Some((disk, store)) = &mut held else {
+            continue;
+        };
         let all = match job {
             Job::Save(all) => all,
             Job::Anew(all) => {
@@ -152,12 +164,19 @@
     /// Another process holds it, or the file system's.
     pub fn lock(folder: &Path) -> io::Result<Disk> {
         std::fs::create_dir_all(folder)?;
-        let lock = OpenOptions::new().create(true).truncate(false).write(true).open(folder.join("lock"))?;
+        let lock = OpenOptions::new()
+            .create(true)
+            .truncate(false)
+            .write(true)
+            .open(folder.join("lock"))?;
         flock(&lock, FlockOperation::NonBlockingLockExclusive).map_err(|error| match error {
             Errno::WOULDBLOCK => io::Error::other("another process holds the folder"),
             error => error.into(),
         })?;
-        Ok(Disk { folder: folder.to_path_buf(), _lock: lock })
+        Ok(Disk {
+            folder: folder.to_path_buf(),
+            _lock: lock,
+        })
     }
 
     fn path(&self, name: &str) -> PathBuf {
@@ -187,7 +206,10 @@
     }
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
-        OpenOptions::new().append(true).open(self.path(name))?.write_all(bytes)
+        OpenOptions::new()
+            .append(true)
+            .open(self.path(name))?
+            .write_all(bytes)
     }
 
     fn sync(&mut self, name: &str) -> io::Result<()> {
--- a/crates/merlinshelf-backend/src/learning/mod.rs
+++ b/crates/merlinshelf-backend/src/learning/mod.rs
@@ -65,14 +65,25 @@
 }
 
 impl Learning {
-    pub fn new(name: &str, settings: &merlinshelf::Settings, operator: operator::Learning) -> Learning {
-        let count = settings.get("Classes.count").and_then(|count| count.parse().ok()).unwrap_or(0);
+    pub fn new(
+        name: &str,
+        settings: &merlinshelf::Settings,
+        operator: operator::Learning,
+    ) -> Learning {
+        let count = settings
+            .get("Classes.count")
+            .and_then(|count| count.parse().ok())
+            .unwrap_or(0);
         let name_of = |place: usize| settings.get(&format!("Classes.{place}.Name")).cloned();
-        let idle_us: Option<u64> =
-            settings.get("FamilyInfo.CallerIdleUs").and_then(|us| us.parse::<f64>().ok()).map(|us| us as u64);
+        let idle_us: Option<u64> = settings
+            .get("FamilyInfo.CallerIdleUs")
+            .and_then(|us| us.parse::<f64>().ok())
+            .map(|us| us as u64);
         Learning {
             name: name.into(),
-            operations: (0..count).map(|place| name_of(place).unwrap_or_default()).collect(),
+            operations: (0..count)
+                .map(|place| name_of(place).unwrap_or_default())
+                .collect(),
             keep_idle: idle_us.map(|us| us / 1_000_000).filter(|idle| *idle > 0),
             settings: operator,
             state: Shared::default(),
@@ -118,7 +129,9 @@
     /// All that is known, for another process.
     pub fn pass_on(&self) -> Vec<u8> {
         let state = self.state.borrow();
-        let Some(learner) = &state.learner else { return Vec::new() };
+        let Some(learner) = &state.learner else {
+            return Vec::new();
+        };
         let at = unix_ms() / 1e3;
         let mut bytes = form::head();
         for told in learner.kept(monotonic()) {
@@ -155,7 +168,9 @@
     /// Forgets what was told by this origin, or by all; how many figures these were.
     pub fn forget(&mut self, origin: Option<&str>) -> usize {
         let mut state = self.state.borrow_mut();
-        let Some(learner) = &mut state.learner else { return 0 };
+        let Some(learner) = &mut state.learner else {
+            return 0;
+        };
         let before = learner.book().figures().count();
         match origin {
             Some(origin) => learner.book_mut().forget(origin),
@@ -170,7 +185,8 @@
 
     fn learner_settings(&self) -> Settings {
         let peers = self.settings.peers.clone();
-        let (address, seeds) = peers.map_or_else(Default::default, |peers| (peers.listen, peers.seeds));
+        let (address, seeds) =
+            peers.map_or_else(Default::default, |peers| (peers.listen, peers.seeds));
         let own_kind = format!("of {}", self.name);
         Settings {
             name: self.name.clone(),
@@ -206,7 +222,8 @@
 impl Study {
     async fn run(mut self) {
         self.begin().await;
-        let mut chance = Pcg64Mcg::seed_from_u64(unix_ms().to_bits() ^ u64::from(std::process::id()));
+        let mut chance =
+            Pcg64Mcg::seed_from_u64(unix_ms().to_bits() ^ u64::from(std::process::id()));
         loop {
             self.look();
             let steps = match &mut self.state.borrow_mut().learner {
@@ -216,15 +233,24 @@
             for Step::Ask { address, question } in steps {
                 let (state, nudge) = (self.state.clone(), self.nudge.clone());
                 let within = Duration::from_secs_f64(self.settings.members.answer_within);
-                spawn_local(async move { peers::ask(address, question, within, state, nudge).await });
+                spawn_local(
+                    async move { peers::ask(address, question, within, state, nudge).await },
+                );
             }
             self.believe();
             self.save();
-            let wake = self.state.borrow().learner.as_ref().and_then(Learner::wake_at);
-            let wake = wake
-                .map(|at| Instant::now() + Duration::from_secs_f64((at - monotonic()).clamp(0.002, 60.0)));
-            let until =
-                wake.map_or(self.looked_at + LOOK_EVERY, |wake| wake.min(self.looked_at + LOOK_EVERY));
+            let wake = self
+                .state
+                .borrow()
+                .learner
+                .as_ref()
+                .and_then(Learner::wake_at);
+            let wake = wake.map(|at| {
+                Instant::now() + Duration::from_secs_f64((at - monotonic()).clamp(0.002, 60.0))
+            });
+            let until = wake.map_or(self.looked_at + LOOK_EVERY, |wake| {
+                wake.min(self.looked_at + LOOK_EVERY)
+            });
             select! {
                 () = sleep_until(until) => {}
                 () = self.nudge.notified() => {}
@@ -273,11 +299,22 @@
 
     fn found(&mut self, found: merlinshelf_knowledge::store::Found) -> Vec<Told> {
         if let Some(flaw) = found.flaw {
-            let aside = if found.set_aside { ", and set aside" } else { "" };
-            warn!("what was kept can't be read whole: {}{aside}", flaw_text(flaw));
+            let aside = if found.set_aside {
+                ", and set aside"
+            } else {
+                ""
+            };
+            warn!(
+                "what was kept can't be read whole: {}{aside}",
+                flaw_text(flaw)
+            );
         }
         let unix = unix_ms() / 1e3;
-        found.kept.into_iter().map(|kept| kept.told_at(unix)).collect()
+        found
+            .kept
+            .into_iter()
+            .map(|kept| kept.told_at(unix))
+            .collect()
     }
 
     fn came(&mut self, came: Option<Came>) {
@@ -298,7 +335,11 @@
                 }
             }
             Some(Came::Failed(why)) => {
-                let before = self.state.borrow_mut().saved.replace((now, Err(why.clone())));
+                let before = self
+                    .state
+                    .borrow_mut()
+                    .saved
+                    .replace((now, Err(why.clone())));
                 if !matches!(before, Some((_, Err(before))) if before == why) {
                     warn!("what is known is not kept: {why}");
                 }
@@ -314,14 +355,17 @@
         }
         self.looked_at = Instant::now();
         let seen = self.exchange.borrow().learnt();
-        if let (Some((clock, learnt)), Some(learner)) = (seen, &mut self.state.borrow_mut().learner) {
+        if let (Some((clock, learnt)), Some(learner)) = (seen, &mut self.state.borrow_mut().learner)
+        {
             learner.see(monotonic(), clock, &learnt);
         }
     }
 
     fn believe(&mut self) {
         if let Some(learner) = &self.state.borrow().learner {
-            self.exchange.borrow_mut().believe(learner.beliefs(monotonic()));
+            self.exchange
+                .borrow_mut()
+                .believe(learner.beliefs(monotonic()));
         }
     }
 
@@ -331,7 +375,9 @@
         if Instant::now() < self.save_at && !state.anew {
             return;
         }
-        let Some(learner) = &state.learner else { return };
+        let Some(learner) = &state.learner else {
+            return;
+        };
         let all = learner.kept(monotonic());
         if state.anew {
             state.anew = !folder.anew(all);
--- a/crates/merlinshelf-backend/src/learning/peers.rs
+++ b/crates/merlinshelf-backend/src/learning/peers.rs
@@ -26,9 +26,17 @@
 const PAUSE: Duration = Duration::from_millis(200);
 
 /// Asks, and takes what is answered in time.
-pub async fn ask(address: String, question: Message, within: Duration, state: Shared, nudge: Rc<Notify>) {
+pub async fn ask(
+    address: String,
+    question: Message,
+    within: Duration,
+    state: Shared,
+    nudge: Rc<Notify>,
+) {
     let talk = async {
-        let stream = Plain.connect(TcpStream::connect(&address).await?, &address).await?;
+        let stream = Plain
+            .connect(TcpStream::connect(&address).await?, &address)
+            .await?;
         let mut bytes: Vec<u8> = Vec::new();
         put_message(&mut bytes, Kind::Ask, &question);
         exchange(stream, &bytes).await
@@ -39,7 +47,9 @@
         Err(_) => return debug!("{address} does not answer in its time"),
     };
     let mut state = state.borrow_mut();
-    let Some(learner) = &mut state.learner else { return };
+    let Some(learner) = &mut state.learner else {
+        return;
+    };
     let first = !learner.lessons().contains_key(&answer.from.name);
     let odd = learner.answered(monotonic(), &answer);
     if !answer.figures.is_empty() {
@@ -61,7 +71,10 @@
     stream.write_all(bytes).await?;
     match read(&mut stream).await? {
         (Kind::Tell, answer) => Ok(answer),
-        (Kind::Ask, _) => Err(io::Error::new(io::ErrorKind::InvalidData, "it asks instead of answering")),
+        (Kind::Ask, _) => Err(io::Error::new(
+            io::ErrorKind::InvalidData,
+            "it asks instead of answering",
+        )),
     }
 }
 
@@ -77,13 +90,17 @@
         come.extend(&gulp[..count]);
         all += count;
         let read = reading.read(&come);
-        let (used, message) = read.map_err(|fault| io::Error::new(io::ErrorKind::InvalidData, fault.0))?;
+        let (used, message) =
+            read.map_err(|fault| io::Error::new(io::ErrorKind::InvalidData, fault.0))?;
         come.drain(..used);
         if let Some(message) = message {
             return Ok(message);
         }
         if all > MESSAGE_MOST {
-            return Err(io::Error::new(io::ErrorKind::InvalidData, "it does not end"));
+            return Err(io::Error::new(
+                io::ErrorKind::InvalidData,
+                "it does not end",
+            ));
         }
     }
 }
@@ -132,7 +149,11 @@
 /// An address that a predecessor has only just left can be listened at.
 fn listen(address: &str) -> io::Result<TcpListener> {
     let address: std::net::SocketAddr = address.parse().map_err(io::Error::other)?;
-    let socket = if address.is_ipv6() { TcpSocket::new_v6() } else { TcpSocket::new_v4() }?;
+    let socket = if address.is_ipv6() {
+        TcpSocket::new_v6()
+    } else {
+        TcpSocket::new_v4()
+    }?;
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
     socket.listen(ASKING_MOST as u32)
@@ -142,14 +163,21 @@
     let mut stream = Plain.accept(stream).await?;
     let (kind, question) = read(&mut stream).await?;
     if kind != Kind::Ask {
-        return Err(io::Error::new(io::ErrorKind::InvalidData, "it answers without being asked"));
+        return Err(io::Error::new(
+            io::ErrorKind::InvalidData,
+            "it answers without being asked",
+        ));
     }
     let mut bytes: Vec<u8> = Vec::new();
     {
         let began = Instant::now();
         let mut state = state.borrow_mut();
-        let Some(learner) = &mut state.learner else { return Ok(()) };
-        let Some(answer) = learner.asked(monotonic(), &question) else { return Ok(()) };
+        let Some(learner) = &mut state.learner else {
+            return Ok(());
+        };
+        let Some(answer) = learner.asked(monotonic(), &question) else {
+            return Ok(());
+        };
         put_message(&mut bytes, Kind::Tell, &answer);
         learner.spent(began.elapsed().as_secs_f64());
     }
--- a/crates/merlinshelf-backend/src/learning/report.rs
+++ b/crates/merlinshelf-backend/src/learning/report.rs
@@ -12,7 +12,9 @@
 
 pub fn status(state: &State) -> Value {
     let now = monotonic();
-    let Some(learner) = &state.learner else { return json!({ "standing": "starting" }) };
+    let Some(learner) = &state.learner else {
+        return json!({ "standing": "starting" });
+    };
     let counting = learner.book().counting(now);
     let taught: Vec<Value> = learner
         .lessons()
@@ -57,7 +59,9 @@
 
 pub fn pages(state: &State) -> Vec<Value> {
     let now = monotonic();
-    let Some(learner) = &state.learner else { return Vec::new() };
+    let Some(learner) = &state.learner else {
+        return Vec::new();
+    };
     let own = learner.book().own();
     let all: Vec<Value> = learner
         .book()
@@ -68,5 +72,7 @@
             line
         })
         .collect();
-    all.chunks(PAGE).map(|page| json!({ "figures": page })).collect()
+    all.chunks(PAGE)
+        .map(|page| json!({ "figures": page }))
+        .collect()
 }
--- a/crates/merlinshelf-backend/src/learning/secure.rs
+++ b/crates/merlinshelf-backend/src/learning/secure.rs
@@ -13,7 +13,11 @@
     /// The end of the one who is asked.
     fn accept(&self, stream: TcpStream) -> impl Future<Output = io::Result<Self::Stream>>;
     /// The end of the one who asks, at this address.
-    fn connect(&self, stream: TcpStream, address: &str) -> impl Future<Output = io::Result<Self::Stream>>;
+    fn connect(
+        &self,
+        stream: TcpStream,
+        address: &str,
+    ) -> impl Future<Output = io::Result<Self::Stream>>;
 }
 
 /// As it comes.
--- a/crates/merlinshelf-backend/src/logger.rs
+++ b/crates/merlinshelf-backend/src/logger.rs
@@ -57,10 +57,20 @@
 
 /// Starts the logger at the level that the environment names, else at this one, else at `info`.
 pub fn start(level: Option<LevelFilter>, format: Format) {
-    let level = std::env::var("MERLINSHELF_LOG").ok().and_then(|name| name.parse().ok()).or(level);
+    let level = std::env::var("MERLINSHELF_LOG")
+        .ok()
+        .and_then(|name| name.parse().ok())
+        .or(level);
     let (lines, waiting) = sync_channel(WAITING_MOST);
-    let logger = Logger { lines, format, lost: AtomicU64::new(0), parts: Mutex::default() };
-    let writer = thread::Builder::new().name("logger".into()).spawn(move || write(&waiting));
+    let logger = Logger {
+        lines,
+        format,
+        lost: AtomicU64::new(0),
+        parts: Mutex::default(),
+    };
+    let writer = thread::Builder::new()
+        .name("logger".into())
+        .spawn(move || write(&waiting));
     if writer.is_ok() && log::set_boxed_logger(Box::new(logger)).is_ok() {
         log::set_max_level(level.unwrap_or(LevelFilter::Info));
         std::panic::set_hook(Box::new(|panic| log::error!("panic: {panic}")));
@@ -92,8 +102,16 @@
 }
 
 fn text(record: &Record, place: &str, seconds: u64, millis: u32, missing: u64) -> String {
-    let gap = if missing > 0 { format!(" ({missing} lines lost before this)") } else { String::new() };
-    format!("{seconds}.{millis:03} {} {place}: {}{gap}\n", record.level(), record.args())
+    let gap = if missing > 0 {
+        format!(" ({missing} lines lost before this)")
+    } else {
+        String::new()
+    };
+    format!(
+        "{seconds}.{millis:03} {} {place}: {}{gap}\n",
+        record.level(),
+        record.args()
+    )
 }
 
 /// One object: time in Unix seconds, level, part, text, lines lost before it, then the key-values.
@@ -106,8 +124,9 @@
         "text": record.args().to_string(),
     });
     if let Some(line) = line.as_object_mut() {
-        let time =
-            format!("{seconds}.{millis:03}").parse::<Number>().map_or(json!(seconds), |time| json!(time));
+        let time = format!("{seconds}.{millis:03}")
+            .parse::<Number>()
+            .map_or(json!(seconds), |time| json!(time));
         line.insert("time".into(), time);
         if missing > 0 {
             line.insert("lost_before".into(), json!(missing));
@@ -121,7 +140,12 @@
 
 impl<'kvs> VisitSource<'kvs> for Fields {
     fn visit_pair(&mut self, key: Key<'kvs>, value: Value<'kvs>) -> Result<(), Error> {
-        let value = match (value.to_u64(), value.to_i64(), value.to_f64(), value.to_bool()) {
+        let value = match (
+            value.to_u64(),
+            value.to_i64(),
+            value.to_f64(),
+            value.to_bool(),
+        ) {
             (Some(number), ..) => json!(number),
             (_, Some(number), ..) => json!(number),
             (_, _, Some(number), _) if number.is_finite() => json!(number),
@@ -142,10 +166,16 @@
         if !self.enabled(record.metadata()) {
             return;
         }
-        let time = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let time = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
         let (seconds, millis) = (time.as_secs(), time.subsec_millis());
         let place = part(record.target());
-        let admitted = if record.level() >= Level::Debug { Some(0) } else { self.admits(place, seconds) };
+        let admitted = if record.level() >= Level::Debug {
+            Some(0)
+        } else {
+            self.admits(place, seconds)
+        };
         let Some(left_out) = admitted else { return };
         let lost = self.lost.swap(0, Ordering::Relaxed);
         let missing = lost + left_out;
@@ -169,15 +199,28 @@
     #[test]
     fn a_flood_of_lines_is_cut_and_counted_by_part() {
         let (lines, format) = (sync_channel(1).0, Format::Text);
-        let logger = Logger { lines, format, lost: AtomicU64::new(0), parts: Mutex::default() };
-        let admitted = (0..100).filter(|_| logger.admits("connection", 7).is_some()).count();
+        let logger = Logger {
+            lines,
+            format,
+            lost: AtomicU64::new(0),
+            parts: Mutex::default(),
+        };
+        let admitted = (0..100)
+            .filter(|_| logger.admits("connection", 7).is_some())
+            .count();
         assert_eq!(admitted, A_SECOND as usize);
-        assert_eq!((logger.admits("engine", 7), logger.admits("connection", 8)), (Some(0), Some(80)));
+        assert_eq!(
+            (logger.admits("engine", 7), logger.admits("connection", 8)),
+            (Some(0), Some(80))
+        );
     }
 
     #[test]
     fn a_line_of_json_has_all_that_the_text_has_and_the_key_values() {
-        let values = [("connections", Value::from(3u64)), ("of", Value::from("n0"))];
+        let values = [
+            ("connections", Value::from(3u64)),
+            ("of", Value::from("n0")),
+        ];
         let record = Record::builder()
             .args(format_args!("3 \"went\" on\n"))
             .level(Level::Warn)
@@ -185,6 +228,9 @@
             .key_values(&values)
             .build();
         insta::assert_snapshot!(json_line(&record, "host", 1_764_576_000, 12, 2), @r#"{"connections":3,"level":"warn","lost_before":2,"of":"n0","part":"host","text":"3 \"went\" on\n","time":1764576000.012}"#);
-        assert_eq!(text(&record, "host", 7, 5, 0), "7.005 WARN host: 3 \"went\" on\n\n");
+        assert_eq!(
+            text(&record, "host", 7, 5, 0),
+            "7.005 WARN host: 3 \"went\" on\n\n"
+        );
     }
 }
--- a/crates/merlinshelf-backend/src/operator.rs
+++ b/crates/merlinshelf-backend/src/operator.rs
@@ -261,17 +261,23 @@
 }
 
 fn holds_together(wanted: &Dependencies, (): &()) -> garde::Result {
-    wanted.check().map_err(|whys| garde::Error::new(whys.join("; ")))
+    wanted
+        .check()
+        .map_err(|whys| garde::Error::new(whys.join("; ")))
 }
 
 fn loopback(text: &str, (): &()) -> garde::Result {
     match text.parse::<SocketAddr>() {
         Ok(address) if address.ip().is_loopback() && address.port() > 0 => Ok(()),
-        Ok(address) if address.port() == 0 => Err(garde::Error::new(format!("{text:?} names no port"))),
+        Ok(address) if address.port() == 0 => {
+            Err(garde::Error::new(format!("{text:?} names no port")))
+        }
         Ok(_) => Err(garde::Error::new(format!(
             "{text:?} is no loopback address; what instances tell each other is not encrypted yet, and only these are allowed"
         ))),
-        Err(_) => Err(garde::Error::new(format!("{text:?} is no address with a port, like 127.0.0.1:7400"))),
+        Err(_) => Err(garde::Error::new(format!(
+            "{text:?} is no address with a port, like 127.0.0.1:7400"
+        ))),
     }
 }
 
@@ -281,7 +287,9 @@
         return Err(garde::Error::new("is empty; name a path"));
     }
     if length > 100 {
-        return Err(garde::Error::new(format!("has {length} bytes; a socket's path has 100 at most")));
+        return Err(garde::Error::new(format!(
+            "has {length} bytes; a socket's path has 100 at most"
+        )));
     }
     Ok(())
 }
@@ -295,7 +303,9 @@
     /// # Errors
     /// What can't be used, with the file, the line, the field and what would be right.
     pub fn load(path: Option<&Path>) -> Result<Operator, String> {
-        let Some(path) = path else { return Ok(Operator::default()) };
+        let Some(path) = path else {
+            return Ok(Operator::default());
+        };
         let mut text = String::new();
         let read = std::fs::File::open(path)
             .and_then(|file| io_read(file, &mut text))
@@ -334,7 +344,11 @@
         let (field, error) = (error.path().to_string(), error.into_inner());
         let why = error.to_string();
         let why = why.rsplit_once(" at ").map_or(why.as_str(), |(why, _)| why);
-        let field = if field == "." { String::new() } else { format!(" {field}:") };
+        let field = if field == "." {
+            String::new()
+        } else {
+            format!(" {field}:")
+        };
         match error.position() {
             Some(at) => format!("{}:{}:{field} {why}", at.line + 1, at.column + 1),
             None => format!("1:{field} {why}"),
@@ -379,7 +393,10 @@
         assert_eq!(learning.peers.expect("peers").seeds.len(), 2);
         assert_eq!(Operator::read("{}"), Ok(Operator::default()));
         // `merlinshelf check --schema > deploy/operator.schema.json` makes it anew.
-        assert_eq!(Operator::schema(), include_str!("../../../deploy/operator.schema.json"));
+        assert_eq!(
+            Operator::schema(),
+            include_str!("../../../deploy/operator.schema.json")
+        );
     }
 
     #[test]
--- a/crates/merlinshelf-backend/src/ring.rs
+++ b/crates/merlinshelf-backend/src/ring.rs
@@ -68,7 +68,11 @@
 
     /// One that goes on where another process left it: what is in it, and how much was moved before.
     pub fn resumed(bytes: Vec<u8>, moved: u64) -> Ring {
-        Ring { bytes: bytes.into(), moved, peeked: 0 }
+        Ring {
+            bytes: bytes.into(),
+            moved,
+            peeked: 0,
+        }
     }
 
     /// Bytes that came in from the socket or went out to it, since the connection stood.
@@ -83,7 +87,8 @@
     /// Takes in what the socket has, up to one gulp, and leaves it in the kernel until `taken_out`: whoever takes
     /// up this connection after a crash finds it there.
     pub fn peek(&mut self, socket: &TcpStream) -> io::Result<Moved> {
-        let look = |gulp: &mut [u8]| Ok(recv(socket, gulp, RecvFlags::DONTWAIT | RecvFlags::PEEK)?.0);
+        let look =
+            |gulp: &mut [u8]| Ok(recv(socket, gulp, RecvFlags::DONTWAIT | RecvFlags::PEEK)?.0);
         let before = self.moved;
         let flow = self.take(|gulp| socket.try_io(Interest::READABLE, || look(gulp)))?;
         self.peeked += (self.moved - before) as usize;
@@ -93,7 +98,8 @@
     /// The same of what the kernel holds at this moment.
     pub fn peek_now(&mut self, socket: &TcpStream) -> io::Result<Moved> {
         let before = self.moved;
-        let flow = self.take(|gulp| Ok(recv(socket, gulp, RecvFlags::DONTWAIT | RecvFlags::PEEK)?.0))?;
+        let flow =
+            self.take(|gulp| Ok(recv(socket, gulp, RecvFlags::DONTWAIT | RecvFlags::PEEK)?.0))?;
         self.peeked += (self.moved - before) as usize;
         Ok(flow)
     }
@@ -123,7 +129,9 @@
                 self.moved += count as u64;
                 Ok(Moved::Some)
             }
-            Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => {
+            Err(error)
+                if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) =>
+            {
                 Ok(Moved::Blocked)
             }
             Err(error) => Err(error),
@@ -137,7 +145,13 @@
 
     /// Hands the socket as much as the kernel takes at this moment.
     pub fn drain_now(&mut self, socket: &TcpStream) -> io::Result<Moved> {
-        self.give(|bytes| Ok(send(socket, bytes, SendFlags::DONTWAIT | SendFlags::NOSIGNAL)?))
+        self.give(|bytes| {
+            Ok(send(
+                socket,
+                bytes,
+                SendFlags::DONTWAIT | SendFlags::NOSIGNAL,
+            )?)
+        })
     }
 
     fn give(&mut self, mut write: impl FnMut(&[u8]) -> io::Result<usize>) -> io::Result<Moved> {
--- a/crates/merlinshelf-backend/src/routing.rs
+++ b/crates/merlinshelf-backend/src/routing.rs
@@ -47,9 +47,10 @@
     }
 
     fn lay(&self, policy: &Policy) {
-        if let (Some(routing), Ok(Some(wanted))) =
-            (&self.routing, policy.dependencies(self.own.borrow().as_ref()))
-        {
+        if let (Some(routing), Ok(Some(wanted))) = (
+            &self.routing,
+            policy.dependencies(self.own.borrow().as_ref()),
+        ) {
             routing.borrow_mut().replace(wanted);
         }
     }
@@ -79,7 +80,11 @@
 
     /// By place, what each call of an operation is called: told to callers where it is missing.
     pub fn parts(&self, operation: &str) -> Vec<Rc<str>> {
-        self.router.parts(operation).into_iter().map(Rc::from).collect()
+        self.router
+            .parts(operation)
+            .into_iter()
+            .map(Rc::from)
+            .collect()
     }
 
     pub fn report(&self) -> Vec<Report> {
@@ -109,7 +114,8 @@
 
     /// Whether that call is the router's to make.
     pub fn knows(&self, wanted: &Wanted) -> bool {
-        self.router.knows(&wanted.operation, wanted.place, wanted.named.as_deref())
+        self.router
+            .knows(&wanted.operation, wanted.place, wanted.named.as_deref())
     }
 
     /// A call is wanted.
@@ -127,11 +133,25 @@
             named: wanted.named.as_deref(),
             wait,
             left: wanted.left,
-            effect: if wanted.idempotent { Effect::Idempotent } else { Effect::NonIdempotent },
+            effect: if wanted.idempotent {
+                Effect::Idempotent
+            } else {
+                Effect::NonIdempotent
+            },
             question,
         };
-        let of = self.router.dependency(ask.operation, ask.place, ask.named).map(str::to_owned);
-        self.lay_budgets(exchange, of.as_deref(), Wanting { call: true, again: false });
+        let of = self
+            .router
+            .dependency(ask.operation, ask.place, ask.named)
+            .map(str::to_owned);
+        self.lay_budgets(
+            exchange,
+            of.as_deref(),
+            Wanting {
+                call: true,
+                again: false,
+            },
+        );
         if let Some(name) = &of {
             let left = self.router.spend(name, Left::ALL);
             let failing = left.is_some_and(|(left, fails)| {
@@ -158,23 +178,29 @@
         let again = ended != Ended::Succeeded;
         let of = self.router.at(attempt).map(str::to_owned);
         if let Some(name) = &of {
-            exchange.borrow_mut().note_budget(name, again.then_some(Kind::Again), Some(!again));
+            exchange
+                .borrow_mut()
+                .note_budget(name, again.then_some(Kind::Again), Some(!again));
         }
         self.lay_budgets(exchange, of.as_deref(), Wanting { call: false, again });
         let (now, chance) = (self.now(), &mut self.chance);
-        self.router.ended(now, attempt, ended, reply, &mut || chance.random());
+        self.router
+            .ended(now, attempt, ended, reply, &mut || chance.random());
         self.follow(exchange, Some(called));
     }
 
     /// Nobody waits for that call any more. False: it is none of these.
     pub fn give_up(&mut self, exchange: &exchange::Shared, key: CallKey) -> bool {
-        let Some(ticket) = self.tickets.remove(&key) else { return false };
+        let Some(ticket) = self.tickets.remove(&key) else {
+            return false;
+        };
         self.calls.remove(&ticket);
         self.lay_budgets(exchange, None, Wanting::default());
         let (now, chance) = (self.now(), &mut self.chance);
         self.router.give_up(now, ticket, &mut || chance.random());
         // An attempt of it that has not been made yet need not be.
-        self.todo.retain(|step| !matches!(step, Step::Attempt { ticket: of, .. } if *of == ticket));
+        self.todo
+            .retain(|step| !matches!(step, Step::Attempt { ticket: of, .. } if *of == ticket));
         self.follow(exchange, None);
         true
     }
@@ -206,9 +232,20 @@
     fn lay_budgets(&mut self, exchange: &exchange::Shared, wanted: Option<&str>, wanting: Wanting) {
         let mut exchange = exchange.borrow_mut();
         for name in exchange.budgeted() {
-            let Some((over, fails)) = self.router.spend(&name, Left::ALL) else { continue };
-            let wanting = if wanted == Some(name.as_str()) { wanting } else { Wanting::default() };
-            self.router.spend(&name, exchange.budget(&name, over, fails, wanting).unwrap_or(Left::ALL));
+            let Some((over, fails)) = self.router.spend(&name, Left::ALL) else {
+                continue;
+            };
+            let wanting = if wanted == Some(name.as_str()) {
+                wanting
+            } else {
+                Wanting::default()
+            };
+            self.router.spend(
+                &name,
+                exchange
+                    .budget(&name, over, fails, wanting)
+                    .unwrap_or(Left::ALL),
+            );
         }
     }
 
@@ -220,16 +257,25 @@
                 self.wake.notify_one();
                 continue;
             };
-            let Some(((id, number), _)) = self.calls.remove(&ticket) else { continue };
+            let Some(((id, number), _)) = self.calls.remove(&ticket) else {
+                continue;
+            };
             self.tickets.remove(&(id, number));
             let end = match (end, called) {
                 (End::Reply { missing: None }, Some(called)) => called.clone(),
-                (End::Reply { missing: Some(missing) }, Some(Called::Succeeded(reply))) => {
-                    Called::Lesser { reply: Some(reply.clone()), missing: missing.into() }
-                }
-                (End::Lesser { bytes, missing }, _) => {
-                    Called::Lesser { reply: bytes.map(Rc::from), missing: missing.into() }
-                }
+                (
+                    End::Reply {
+                        missing: Some(missing),
+                    },
+                    Some(Called::Succeeded(reply)),
+                ) => Called::Lesser {
+                    reply: Some(reply.clone()),
+                    missing: missing.into(),
+                },
+                (End::Lesser { bytes, missing }, _) => Called::Lesser {
+                    reply: bytes.map(Rc::from),
+                    missing: missing.into(),
+                },
                 (End::NeverRan, _) => Called::NeverRan,
                 (End::Failed | End::Reply { .. }, _) => Called::Failed,
             };
--- a/crates/merlinshelf-backend/src/server/assembly.rs
+++ b/crates/merlinshelf-backend/src/server/assembly.rs
@@ -39,7 +39,14 @@
 impl Assembly {
     pub fn begin(&mut self, id: u16, keep: bool, place: Place) {
         let (params, body) = Default::default();
-        let partial = Partial { place, began: Instant::now(), keep, params, params_done: false, body };
+        let partial = Partial {
+            place,
+            began: Instant::now(),
+            keep,
+            params,
+            params_done: false,
+            body,
+        };
         self.0.insert(id, partial);
     }
 
@@ -61,7 +68,9 @@
     }
 
     pub fn params(&mut self, id: u16, bytes: &[u8]) -> Step {
-        let Some(partial) = self.0.get_mut(&id) else { return Step::Astray };
+        let Some(partial) = self.0.get_mut(&id) else {
+            return Step::Astray;
+        };
         if bytes.is_empty() {
             partial.params_done = true;
             return Step::Reading;
@@ -78,7 +87,9 @@
 
     /// Body bytes; none ends the invocation, which is handed out whole.
     pub fn body(&mut self, id: u16, bytes: &[u8]) -> Step {
-        let Some(partial) = self.0.get_mut(&id) else { return Step::Astray };
+        let Some(partial) = self.0.get_mut(&id) else {
+            return Step::Astray;
+        };
         match bytes.len() {
             0 if !partial.params_done => {
                 self.turn_down(id, Bad::new(400, "a body that ends before the parameters"))
@@ -96,7 +107,8 @@
     }
 
     fn turn_down(&mut self, id: u16, bad: Bad) -> Step {
-        self.drop(id).map_or(Step::Astray, |partial| Step::TurnedDown(partial, bad))
+        self.drop(id)
+            .map_or(Step::Astray, |partial| Step::TurnedDown(partial, bad))
     }
 
     /// What is being read, as it passes to another process.
@@ -113,9 +125,25 @@
 
     /// Takes up one that another process was reading; its time to come whole begins anew.
     pub fn resume(&mut self, record: records::Partial, place: Place) {
-        let records::Partial { tag, keep, params, params_done, body } = record;
+        let records::Partial {
+            tag,
+            keep,
+            params,
+            params_done,
+            body,
+        } = record;
         let (params, body) = (params.into_vec(), body.into_vec());
-        self.0.insert(tag, Partial { place, began: Instant::now(), keep, params, params_done, body });
+        self.0.insert(
+            tag,
+            Partial {
+                place,
+                began: Instant::now(),
+                keep,
+                params,
+                params_done,
+                body,
+            },
+        );
     }
 
     pub fn drop(&mut self, id: u16) -> Option<Partial> {
--- a/crates/merlinshelf-backend/src/server/bad.rs
+++ b/crates/merlinshelf-backend/src/server/bad.rs
@@ -9,6 +9,9 @@
 
 impl Bad {
     pub fn new(status: u16, why: impl Into<String>) -> Bad {
-        Bad { status, why: why.into() }
+        Bad {
+            status,
+            why: why.into(),
+        }
     }
 }
--- a/crates/merlinshelf-backend/src/server/codec.rs
+++ b/crates/merlinshelf-backend/src/server/codec.rs
@@ -30,7 +30,11 @@
 impl Codec {
     /// One that heeds uwsgi, too, or not.
     pub fn new(uwsgi: bool) -> Codec {
-        if uwsgi { Codec::Undecided } else { Codec::FastCgi(Records::default()) }
+        if uwsgi {
+            Codec::Undecided
+        } else {
+            Codec::FastCgi(Records::default())
+        }
     }
 
     pub fn next<'a>(&mut self, input: &'a [u8]) -> Result<(usize, Option<Piece<'a>>), Fault> {
@@ -42,10 +46,12 @@
         }
         match self {
             Codec::Undecided => Ok((0, None)),
-            Codec::FastCgi(records) => {
-                records.next(input).map(|(used, piece)| (used, piece.map(Piece::FastCgi)))
-            }
-            Codec::Uwsgi(request) => request.next(input).map(|(used, piece)| (used, piece.map(Piece::Uwsgi))),
+            Codec::FastCgi(records) => records
+                .next(input)
+                .map(|(used, piece)| (used, piece.map(Piece::FastCgi))),
+            Codec::Uwsgi(request) => request
+                .next(input)
+                .map(|(used, piece)| (used, piece.map(Piece::Uwsgi))),
         }
     }
 
--- a/crates/merlinshelf-backend/src/server/connection.rs
+++ b/crates/merlinshelf-backend/src/server/connection.rs
@@ -123,12 +123,21 @@
         (connections_most, uwsgi): (usize, bool),
         record: records::Edge,
     ) -> Connection {
-        let mut connection = Connection::new(socket, exchange, seat, door, (connections_most, uwsgi));
-        let Flow { taken, given, coming, going } = record.flow;
-        (connection.coming, connection.going) = (Ring::resumed(coming, taken), Ring::resumed(going, given));
+        let mut connection =
+            Connection::new(socket, exchange, seat, door, (connections_most, uwsgi));
+        let Flow {
+            taken,
+            given,
+            coming,
+            going,
+        } = record.flow;
+        (connection.coming, connection.going) =
+            (Ring::resumed(coming, taken), Ring::resumed(going, given));
         connection.codec = Codec::resumed((record.front, record.record), uwsgi);
         for partial in record.partials {
-            let place = exchange.borrow().keep_place(partial.params.len() + partial.body.len());
+            let place = exchange
+                .borrow()
+                .keep_place(partial.params.len() + partial.body.len());
             connection.assembly.resume(partial, place);
         }
         connection.open = record.open.into_iter().collect();
@@ -179,7 +188,9 @@
     pub async fn serve(mut self) {
         if !self.resumed {
             // One that a predecessor has opened is known to it.
-            if let Err(error) = pass(&self.exchange, Role::Edge(self.door.stream()), &self.socket).await {
+            if let Err(error) =
+                pass(&self.exchange, Role::Edge(self.door.stream()), &self.socket).await
+            {
                 warn!("a connection can't be passed on and ends: {error}");
                 return;
             }
@@ -204,12 +215,26 @@
                 exchange.stage_gone(&[Key::Edge(stream), Key::Door(stream)]);
                 exchange.secure();
                 // The predecessor's copy would keep it open otherwise.
-                let _ = shutdown(&self.socket, if self.spoilt { Shutdown::Write } else { Shutdown::Both });
+                let _ = shutdown(
+                    &self.socket,
+                    if self.spoilt {
+                        Shutdown::Write
+                    } else {
+                        Shutdown::Both
+                    },
+                );
             }
         }
         match ended {
             Ok(()) if self.spoilt => {
-                let Connection { socket, seat, said, door, coming, .. } = self;
+                let Connection {
+                    socket,
+                    seat,
+                    said,
+                    door,
+                    coming,
+                    ..
+                } = self;
                 drop(door);
                 seat.note(true, said); // it goes by itself, and nobody waits for it in another's place
                 seat.leaves();
@@ -238,12 +263,19 @@
                 return Ok(());
             }
             self.note();
-            let idle_end = self.at_rest().then(|| self.idle_since + self.exchange.borrow().trim_after());
+            let idle_end = self
+                .at_rest()
+                .then(|| self.idle_since + self.exchange.borrow().trim_after());
             let stuck_since = self.stuck_since;
             let taken_by = stuck_since.map(|since| since + TAKES_WITHIN);
-            let ends = idle_end.into_iter().chain(self.whole_by()).chain(self.reads_from).chain(taken_by);
+            let ends = idle_end
+                .into_iter()
+                .chain(self.whole_by())
+                .chain(self.reads_from)
+                .chain(taken_by);
             let end = ends.min();
-            let reads = !self.read_closed && self.going.len() <= UNSENT_MOST && self.reads_from.is_none();
+            let reads =
+                !self.read_closed && self.going.len() <= UNSENT_MOST && self.reads_from.is_none();
             let interest = match (reads, blocked) {
                 (true, true) => Some(Interest::READABLE | Interest::WRITABLE),
                 (true, false) => Some(Interest::READABLE),
@@ -272,7 +304,10 @@
                 && self.drain_by(Ring::drain_now)?
                 && self.stuck_since == stuck_since
             {
-                return Err(io::Error::new(io::ErrorKind::TimedOut, "nobody takes the answers"));
+                return Err(io::Error::new(
+                    io::ErrorKind::TimedOut,
+                    "nobody takes the answers",
+                ));
             }
             if self.whole_by().is_some_and(|by| now >= by) {
                 // After a pause of this process the runtime knows of the time sooner than of what came meanwhile.
@@ -308,20 +343,31 @@
     ) -> io::Result<bool> {
         let before = self.going.len();
         let blocked = drain(&mut self.going, &self.socket)? == Moved::Blocked;
-        let since = self.stuck_since.filter(|_| self.going.len() == before).unwrap_or_else(Instant::now);
+        let since = self
+            .stuck_since
+            .filter(|_| self.going.len() == before)
+            .unwrap_or_else(Instant::now);
         self.stuck_since = blocked.then_some(since);
         Ok(blocked)
     }
 
     /// Tells the table how this connection stands.
     fn note(&self) {
-        self.seat.note(!self.open.is_empty() || !self.going.is_empty(), self.said);
+        self.seat
+            .note(!self.open.is_empty() || !self.going.is_empty(), self.said);
     }
 
     /// When what has begun to come must be whole.
     fn whole_by(&self) -> Option<Instant> {
-        let began = self.assembly.oldest().into_iter().chain(self.unfinished_since).min();
-        began.filter(|_| !self.read_closed).map(|began| began + WHOLE_WITHIN)
+        let began = self
+            .assembly
+            .oldest()
+            .into_iter()
+            .chain(self.unfinished_since)
+            .min();
+        began
+            .filter(|_| !self.read_closed)
+            .map(|began| began + WHOLE_WITHIN)
     }
 
     /// Something has been coming for too long. It is told so, if it can be, and nothing more is read.
@@ -346,7 +392,9 @@
     /// Room for one more, on this connection and among all.
     fn place(&self) -> Option<Place> {
         let open = self.open.len() + self.assembly.len();
-        (open < OPEN_MOST).then(|| self.exchange.borrow().take_place()).flatten()
+        (open < OPEN_MOST)
+            .then(|| self.exchange.borrow().take_place())
+            .flatten()
     }
 
     fn is_stale(&self) -> bool {
@@ -360,7 +408,10 @@
             // What is in the kernel then is there for whoever takes this up; readiness is asked for anew.
             while !self.read_closed && self.going.len() <= UNSENT_MOST && self.read_last_noted()? {}
         } else {
-            while !self.read_closed && self.going.len() <= UNSENT_MOST && self.read_by(Ring::fill_now)? {}
+            while !self.read_closed
+                && self.going.len() <= UNSENT_MOST
+                && self.read_by(Ring::fill_now)?
+            {}
         }
         self.note();
         Ok(())
@@ -388,7 +439,10 @@
         Ok(read)
     }
 
-    fn read_by(&mut self, fill: impl FnOnce(&mut Ring, &TcpStream) -> io::Result<Moved>) -> io::Result<bool> {
+    fn read_by(
+        &mut self,
+        fill: impl FnOnce(&mut Ring, &TcpStream) -> io::Result<Moved>,
+    ) -> io::Result<bool> {
         match fill(&mut self.coming, &self.socket)? {
             Moved::Blocked => return Ok(false),
             Moved::Ended => {
@@ -444,10 +498,16 @@
 
     fn piece(&mut self, piece: Piece) -> Result<(), Fault> {
         match piece {
-            Piece::Begin { id, .. } if id == 0 || self.open.contains_key(&id) || self.assembly.holds(id) => {
+            Piece::Begin { id, .. }
+                if id == 0 || self.open.contains_key(&id) || self.assembly.holds(id) =>
+            {
                 return Err(Fault("a begin with an id that is in use"));
             }
-            Piece::Begin { id, responder: false, .. } => {
+            Piece::Begin {
+                id,
+                responder: false,
+                ..
+            } => {
                 self.faults += 1;
                 fastcgi::end(&mut self.going, id, Status::UnknownRole);
             }
@@ -531,16 +591,24 @@
     /// An invocation was read to its last byte.
     fn complete(&mut self, id: u16, partial: Partial) {
         self.whole(Said::Checks);
-        let Partial { keep, params, body, .. } = partial;
-        let asked =
-            Fields::read(&self.codec, &params).and_then(|fields| fields.asked(&self.exchange.borrow(), body));
+        let Partial {
+            keep, params, body, ..
+        } = partial;
+        let asked = Fields::read(&self.codec, &params)
+            .and_then(|fields| fields.asked(&self.exchange.borrow(), body));
         let bad = match asked {
             Ok(Asked::Check) => return self.check(id, keep),
             Ok(Asked::Invocation(_)) if self.exchange.borrow().is_full() => {
                 return self.overloaded(id);
             }
             Ok(Asked::Invocation(arrival)) => {
-                let (reply, call) = (Reply { door: self.door.number(), tag: id }, arrival.id);
+                let (reply, call) = (
+                    Reply {
+                        door: self.door.number(),
+                        tag: id,
+                    },
+                    arrival.id,
+                );
                 self.whole(Said::Invocations);
                 self.open.insert(id, keep);
                 if self.exchange.borrow_mut().arrived(reply, arrival) {
@@ -570,7 +638,11 @@
     fn check(&mut self, id: u16, keep: bool) {
         let good = self.exchange.borrow().healthy();
         self.exchange.borrow_mut().counters.checks += 1;
-        let (status, body): (_, &[u8]) = if good { (200, b"live\n") } else { (503, b"not now\n") };
+        let (status, body): (_, &[u8]) = if good {
+            (200, b"live\n")
+        } else {
+            (503, b"not now\n")
+        };
         self.write(id, keep, &head(status, ""), body);
     }
 
@@ -578,14 +650,19 @@
         if let Some(partial) = self.assembly.drop(id) {
             self.write(id, partial.keep, &head(499, ""), b"");
         } else if self.open.contains_key(&id) {
-            let reply = Reply { door: self.door.number(), tag: id };
+            let reply = Reply {
+                door: self.door.number(),
+                tag: id,
+            };
             self.exchange.borrow_mut().aborted(reply);
         }
     }
 
     fn take_answers(&mut self) {
         while self.going.len() <= UNSENT_MOST {
-            let Some((id, answer)) = self.door.next_answer() else { break };
+            let Some((id, answer)) = self.door.next_answer() else {
+                break;
+            };
             let keep = self.open.remove(&id).unwrap_or(true);
             match answer {
                 Answer::Succeeded(result) => {
@@ -594,7 +671,12 @@
                 }
                 Answer::Partial(result, missing) => {
                     self.faults = 0;
-                    self.write(id, keep, &head(200, &format!("X-Partial: {missing}\r\n")), &result);
+                    self.write(
+                        id,
+                        keep,
+                        &head(200, &format!("X-Partial: {missing}\r\n")),
+                        &result,
+                    );
                 }
                 Answer::Throttled { away, last } => {
                     let mut advice = String::new();
@@ -607,9 +689,11 @@
                     self.write(id, keep, &head(503, &advice), b"");
                 }
                 Answer::Errored => self.write(id, keep, &head(500, ""), b""),
-                Answer::Unknown => {
-                    self.turn_down(id, keep, Bad::new(404, "the engine knows of no such invocation"))
-                }
+                Answer::Unknown => self.turn_down(
+                    id,
+                    keep,
+                    Bad::new(404, "the engine knows of no such invocation"),
+                ),
             }
         }
     }
--- a/crates/merlinshelf-backend/src/server/mod.rs
+++ b/crates/merlinshelf-backend/src/server/mod.rs
@@ -52,7 +52,11 @@
     /// The address can't be had.
     pub fn to(address: SocketAddr) -> io::Result<Bound> {
         let bind = || {
-            let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
+            let socket = if address.is_ipv4() {
+                TcpSocket::new_v4()
+            } else {
+                TcpSocket::new_v6()
+            }?;
             socket.set_reuseaddr(true)?;
             socket.bind(address)?;
             Ok(Bound { socket, address })
@@ -100,7 +104,10 @@
 
 /// Of the descriptors told, those that are left for edge nodes.
 pub fn doors_most(sockets: usize, calls_most: usize) -> usize {
-    sockets.saturating_sub(KEPT_BACK + calls_most).max(sockets / 2).max(1)
+    sockets
+        .saturating_sub(KEPT_BACK + calls_most)
+        .max(sockets / 2)
+        .max(1)
 }
 
 /// The connections of the edge nodes.
@@ -115,21 +122,34 @@
 
 impl Server {
     pub fn new(exchange: Shared, most: usize, uwsgi: bool) -> Server {
-        Server { exchange, table: Rc::default(), most, uwsgi }
+        Server {
+            exchange,
+            table: Rc::default(),
+            most,
+            uwsgi,
+        }
     }
 
     /// Carries on a connection that another process has served, behind the door that was opened for it.
     pub fn resume(&self, socket: TcpStream, door: Door, record: records::Edge) {
         let seat = self.table.sit();
-        let connection =
-            Connection::resumed(socket, &self.exchange, seat, door, (self.most, self.uwsgi), record);
+        let connection = Connection::resumed(
+            socket,
+            &self.exchange,
+            seat,
+            door,
+            (self.most, self.uwsgi),
+            record,
+        );
         spawn_local(connection.serve());
     }
 
     fn begin(&self, socket: TcpStream) {
         let _ = socket.set_nodelay(true);
         let (seat, door) = (self.table.sit(), Door::open(&self.exchange));
-        spawn_local(Connection::new(socket, &self.exchange, seat, door, (self.most, self.uwsgi)).serve());
+        spawn_local(
+            Connection::new(socket, &self.exchange, seat, door, (self.most, self.uwsgi)).serve(),
+        );
     }
 }
 
@@ -148,7 +168,12 @@
 /// edge node may have written to them already. With a full table the one that has been idle for the longest
 /// makes room for a newcomer, once there is one; only while all have something in hand do newcomers wait.
 pub async fn accept(listener: Rc<Listening>, server: Server, close: Rc<Notify>) {
-    let Server { exchange, table, most, .. } = &server;
+    let Server {
+        exchange,
+        table,
+        most,
+        ..
+    } = &server;
     let most = *most;
     let closed = close.notified();
     pin!(closed);
@@ -191,7 +216,11 @@
                 server.begin(socket);
             }
             // Who stood there has gone again.
-            Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::ConnectionAborted) => {}
+            Err(error)
+                if matches!(
+                    error.kind(),
+                    ErrorKind::WouldBlock | ErrorKind::ConnectionAborted
+                ) => {}
             Err(error) => {
                 // Mostly descriptors have run out.
                 warn!("no connection accepted: {error}");
--- a/crates/merlinshelf-backend/src/server/table.rs
+++ b/crates/merlinshelf-backend/src/server/table.rs
@@ -72,7 +72,10 @@
         let standing = Rc::new(Standing::default());
         standing.idle_since.set(Some(Instant::now()));
         self.places.borrow_mut().push(standing.clone());
-        Seat { table: self.clone(), standing }
+        Seat {
+            table: self.clone(),
+            standing,
+        }
     }
 
     pub fn len(&self) -> usize {
@@ -92,8 +95,10 @@
             return true;
         }
         let now = Instant::now();
-        let least =
-            places.iter().filter_map(|one| Some((one.missed(now)?, one))).min_by_key(|(missed, _)| *missed);
+        let least = places
+            .iter()
+            .filter_map(|one| Some((one.missed(now)?, one)))
+            .min_by_key(|(missed, _)| *missed);
         if let Some((_, one)) = least {
             one.leaves.set(true);
             one.word.notify_one();
@@ -130,7 +135,10 @@
 
 impl Drop for Seat {
     fn drop(&mut self) {
-        self.table.places.borrow_mut().retain(|one| !Rc::ptr_eq(one, &self.standing));
+        self.table
+            .places
+            .borrow_mut()
+            .retain(|one| !Rc::ptr_eq(one, &self.standing));
         self.table.freed.notify_one();
     }
 }
@@ -155,7 +163,11 @@
         newcomer.note(false, Said::Nothing);
         let mut order = Vec::new();
         while table.make_room() {
-            let asked = seats.iter().chain([&newcomer]).position(|seat| seat.leaves()).expect("one is asked");
+            let asked = seats
+                .iter()
+                .chain([&newcomer])
+                .position(|seat| seat.leaves())
+                .expect("one is asked");
             order.push(asked);
             // It stays after all, as something of it is in hand now: then another is asked.
             if let Some(seat) = seats.get(asked) {
--- a/crates/merlinshelf-backend/src/upgrade/channel.rs
+++ b/crates/merlinshelf-backend/src/upgrade/channel.rs
@@ -41,26 +41,37 @@
         let number: RawFd = std::env::var(HANDOVER).ok()?.parse().ok()?;
         // SAFETY: who names the descriptor in this variable has handed it over, and it is taken once, at the start.
         let end = unsafe { OwnedFd::from_raw_fd(number) };
-        Some(fcntl_setfd(&end, FdFlags::CLOEXEC).map(|()| end).map_err(io::Error::from))
+        Some(
+            fcntl_setfd(&end, FdFlags::CLOEXEC)
+                .map(|()| end)
+                .map_err(io::Error::from),
+        )
     }
 
     pub fn new(end: OwnedFd) -> io::Result<Channel> {
         rustix::io::ioctl_fionbio(&end, true)?;
         let interest = Interest::READABLE | Interest::WRITABLE;
         // SAFETY: the descriptor is owned, and stays inside until the registration ends.
-        Ok(Channel(unsafe { AsyncFd::register_with_interest(end, interest) }?))
+        Ok(Channel(unsafe {
+            AsyncFd::register_with_interest(end, interest)
+        }?))
     }
 
     pub async fn send(&self, word: &Word, descriptors: &[BorrowedFd<'_>]) -> io::Result<()> {
         let bytes = rmp_serde::to_vec_named(word).map_err(io::Error::other)?;
-        let sent =
-            timeout(SEND_WITHIN, self.0.async_io(Interest::WRITABLE, |end| once(end, &bytes, descriptors)));
+        let sent = timeout(
+            SEND_WITHIN,
+            self.0
+                .async_io(Interest::WRITABLE, |end| once(end, &bytes, descriptors)),
+        );
         sent.await.unwrap_or_else(|late| Err(late.into()))
     }
 
     /// The next word; an error at the end of the channel.
     pub async fn receive(&self) -> io::Result<(Word, Vec<OwnedFd>)> {
-        self.0.async_io(Interest::READABLE, |end| receive(end.as_fd())).await
+        self.0
+            .async_io(Interest::READABLE, |end| receive(end.as_fd()))
+            .await
     }
 
     /// A word that has come already, if there is one: also from a process that has ended since.
@@ -75,7 +86,12 @@
     if !descriptors.is_empty() && !control.push(SendAncillaryMessage::ScmRights(descriptors)) {
         return Err(io::Error::other("too many descriptors for one word"));
     }
-    sendmsg(end, &[IoSlice::new(bytes)], &mut control, SendFlags::NOSIGNAL)?;
+    sendmsg(
+        end,
+        &[IoSlice::new(bytes)],
+        &mut control,
+        SendFlags::NOSIGNAL,
+    )?;
     Ok(())
 }
 
@@ -83,7 +99,12 @@
     let mut bytes = [0; WORD_MOST];
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(BATCH))];
     let mut control = RecvAncillaryBuffer::new(&mut space);
-    let message = recvmsg(end, &mut [IoSliceMut::new(&mut bytes)], &mut control, RecvFlags::CMSG_CLOEXEC)?;
+    let message = recvmsg(
+        end,
+        &mut [IoSliceMut::new(&mut bytes)],
+        &mut control,
+        RecvFlags::CMSG_CLOEXEC,
+    )?;
     let descriptors = control.drain().flat_map(|part| match part {
         RecvAncillaryMessage::ScmRights(all) => all.collect(),
         _ => Vec::new(),
@@ -110,7 +131,10 @@
         let (mut near, far) = UnixStream::pair().expect("a pair");
         let roles: Vec<Role> = (0..BATCH as u64).map(Role::Edge).collect();
         let word = Word::Pass { roles };
-        theirs.send(&word, &[far.as_fd(); BATCH]).await.expect("it is taken");
+        theirs
+            .send(&word, &[far.as_fd(); BATCH])
+            .await
+            .expect("it is taken");
         theirs.send(&Word::Beat, &[]).await.expect("it is taken");
         drop((theirs, far));
         let (come, descriptors) = ours.receive().await.expect("a word");
@@ -118,8 +142,12 @@
         near.write_all(b"here").expect("it is open");
         let mut text = [0; 4];
         let mut last = UnixStream::from(descriptors.into_iter().next_back().expect("one"));
-        last.read_exact(&mut text).expect("it is the one that was passed");
-        assert_eq!((&text, ours.receive_now().map(|(word, _)| word)), (b"here", Some(Word::Beat)));
+        last.read_exact(&mut text)
+            .expect("it is the one that was passed");
+        assert_eq!(
+            (&text, ours.receive_now().map(|(word, _)| word)),
+            (b"here", Some(Word::Beat))
+        );
         assert!(ours.receive().await.is_err(), "the end of the channel");
     }
 }
--- a/crates/merlinshelf-backend/src/upgrade/guard.rs
+++ b/crates/merlinshelf-backend/src/upgrade/guard.rs
@@ -43,22 +43,38 @@
 impl Guard {
     /// Starts the program with this process's own arguments.
     pub fn start(program: PathBuf) -> io::Result<Guard> {
-        let (file, journal) = (memory_file("merlinshelf-image")?, memory_file("merlinshelf-journal")?);
+        let (file, journal) = (
+            memory_file("merlinshelf-image")?,
+            memory_file("merlinshelf-journal")?,
+        );
         let (channel, theirs) = Channel::pair()?;
         let number = std::os::fd::AsRawFd::as_raw_fd(&theirs).to_string();
         let arguments = std::env::args_os().skip(1);
-        let named =
-            |error: io::Error| io::Error::new(error.kind(), format!("{}: {error}", program.display()));
-        let mut child =
-            Command::new(&program).args(arguments).env(HANDOVER, number).spawn().map_err(named)?;
+        let named = |error: io::Error| {
+            io::Error::new(error.kind(), format!("{}: {error}", program.display()))
+        };
+        let mut child = Command::new(&program)
+            .args(arguments)
+            .env(HANDOVER, number)
+            .spawn()
+            .map_err(named)?;
         let watched = i32::try_from(child.id()).ok().and_then(Pid::from_raw);
-        let watched = watched.ok_or_else(|| io::Error::other("it has no process number")).and_then(|id| {
-            let process = pidfd_open(id, PidfdFlags::empty())?;
-            // SAFETY: the descriptor is owned, and stays inside until the registration ends.
-            Ok(unsafe { AsyncFd::register_with_interest(process, Interest::READABLE) }?)
-        });
+        let watched = watched
+            .ok_or_else(|| io::Error::other("it has no process number"))
+            .and_then(|id| {
+                let process = pidfd_open(id, PidfdFlags::empty())?;
+                // SAFETY: the descriptor is owned, and stays inside until the registration ends.
+                Ok(unsafe { AsyncFd::register_with_interest(process, Interest::READABLE) }?)
+            });
         match watched {
-            Ok(process) => Ok(Guard { child, process, channel, file, journal, held: None }),
+            Ok(process) => Ok(Guard {
+                child,
+                process,
+                channel,
+                file,
+                journal,
+                held: None,
+            }),
             Err(error) => {
                 let _ = child.kill();
                 let _ = child.wait();
@@ -94,26 +110,44 @@
     pub fn hold(&mut self, mut frozen: Frozen, listener: OwnedFd) -> io::Result<()> {
         let bytes = frozen.image.take();
         let mut image = Image::default();
-        let read = image.apply(&bytes).map_err(|why| io::Error::other(why.to_string()));
+        let read = image
+            .apply(&bytes)
+            .map_err(|why| io::Error::other(why.to_string()));
         let instance: Option<records::Instance> = image.get(Key::Instance);
         let mut passed = frozen.passed;
         passed.insert(Role::Listener, listener);
         let learnt = instance.and_then(|instance| instance.learnt);
         let follower = Follower::new(self.journal.try_clone()?);
-        self.held = Some(Held { image, passed, learnt, follower });
+        self.held = Some(Held {
+            image,
+            passed,
+            learnt,
+            follower,
+        });
         read?;
         std::io::Write::write_all(&mut std::fs::File::from(self.file.try_clone()?), &bytes)
     }
 
     /// Hands over copies of everything; how many descriptors these were.
     pub async fn pass(&self) -> io::Result<usize> {
-        let held = self.held.as_ref().ok_or_else(|| io::Error::other("nothing is frozen"))?;
-        let mut all: Vec<(Role, BorrowedFd)> =
-            held.passed.iter().map(|(role, descriptor)| (*role, descriptor.as_fd())).collect();
-        all.extend([(Role::Image, self.file.as_fd()), (Role::Journal, self.journal.as_fd())]);
+        let held = self
+            .held
+            .as_ref()
+            .ok_or_else(|| io::Error::other("nothing is frozen"))?;
+        let mut all: Vec<(Role, BorrowedFd)> = held
+            .passed
+            .iter()
+            .map(|(role, descriptor)| (*role, descriptor.as_fd()))
+            .collect();
+        all.extend([
+            (Role::Image, self.file.as_fd()),
+            (Role::Journal, self.journal.as_fd()),
+        ]);
         for batch in all.chunks(BATCH) {
             let (roles, descriptors): (Vec<Role>, Vec<BorrowedFd>) = batch.iter().copied().unzip();
-            self.channel.send(&Word::Pass { roles }, &descriptors).await?;
+            self.channel
+                .send(&Word::Pass { roles }, &descriptors)
+                .await?;
         }
         Ok(all.len())
     }
@@ -121,13 +155,16 @@
     /// Keeps a copy of what the successor has opened.
     pub fn opened(&mut self, role: Role, descriptors: Vec<OwnedFd>) {
         if let Some(held) = &mut self.held {
-            held.passed.extend(descriptors.into_iter().map(|one| (role, one)));
+            held.passed
+                .extend(descriptors.into_iter().map(|one| (role, one)));
         }
     }
 
     /// Keeps up with what the successor noted; copies of what it has closed are closed.
     pub fn follow(&mut self) -> io::Result<()> {
-        let Some(held) = &mut self.held else { return Ok(()) };
+        let Some(held) = &mut self.held else {
+            return Ok(());
+        };
         held.follower.follow(&mut held.image)?;
         for key in held.image.take_gone() {
             match key {
@@ -168,7 +205,10 @@
     /// Everything as the successor left it, whose process has ended and whose last words were heard: image, descriptors, what was learnt before.
     pub fn take(&mut self) -> io::Result<(Image, Passed, Option<Learnt>)> {
         self.follow()?;
-        let held = self.held.take().ok_or_else(|| io::Error::other("nothing is held"))?;
+        let held = self
+            .held
+            .take()
+            .ok_or_else(|| io::Error::other("nothing is held"))?;
         Ok((held.image, held.passed, held.learnt))
     }
 }
--- a/crates/merlinshelf-backend/src/upgrade/kernel.rs
+++ b/crates/merlinshelf-backend/src/upgrade/kernel.rs
@@ -27,7 +27,14 @@
                 return Err(io::ErrorKind::ConnectionReset.into());
             }
             let ended = ENDED.contains(&state);
-            return Ok(Kernel { received, unread, ended, acknowledged, unacknowledged, opened_here });
+            return Ok(Kernel {
+                received,
+                unread,
+                ended,
+                acknowledged,
+                unacknowledged,
+                opened_here,
+            });
         }
         before = after;
     }
@@ -51,7 +58,9 @@
         return Err(io::Error::last_os_error());
     }
     if (length as usize) < RECEIVED + size_of::<u64>() {
-        return Err(io::Error::other("this kernel counts no bytes of connections"));
+        return Err(io::Error::other(
+            "this kernel counts no bytes of connections",
+        ));
     }
     let number = |at: usize| {
         let mut number = [0; 8];
@@ -80,7 +89,8 @@
     #[test]
     fn bytes_are_counted_on_both_sides_up_to_the_end() {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let mut opened = TcpStream::connect(listener.local_addr().expect("one")).expect("a connection");
+        let mut opened =
+            TcpStream::connect(listener.local_addr().expect("one")).expect("a connection");
         let (mut taken, _) = listener.accept().expect("it");
         let sums = |socket: &TcpStream, here: bool| {
             let of = counts(socket, here).expect("counts");
@@ -91,11 +101,20 @@
         opened.write_all(&[1; 100]).expect("room");
         taken.read_exact(&mut [0; 40]).expect("bytes");
         taken.write_all(&[2; 7]).expect("room");
-        assert_eq!((sums(&opened, true), sums(&taken, false)), ((0, 100), (40, 7)));
+        assert_eq!(
+            (sums(&opened, true), sums(&taken, false)),
+            ((0, 100), (40, 7))
+        );
         opened.shutdown(Shutdown::Write).expect("an end");
         while !counts(&taken, false).expect("counts").ended {}
         assert_eq!(sums(&taken, false), (40, 7));
         taken.read_exact(&mut [0; 60]).expect("bytes");
-        assert_eq!((taken.read(&mut [0; 8]).expect("an end"), sums(&taken, false)), (0, (100, 7)));
+        assert_eq!(
+            (
+                taken.read(&mut [0; 8]).expect("an end"),
+                sums(&taken, false)
+            ),
+            (0, (100, 7))
+        );
     }
 }
--- a/crates/merlinshelf-backend/src/waiting.rs
+++ b/crates/merlinshelf-backend/src/waiting.rs
@@ -21,7 +21,11 @@
 
 impl Waiting {
     pub fn new(exchange: Exchange, bound: Bound, until: Instant) -> Waiting {
-        Waiting { exchange: Rc::new(RefCell::new(exchange)), bound, until }
+        Waiting {
+            exchange: Rc::new(RefCell::new(exchange)),
+            bound,
+            until,
+        }
     }
 
     /// Whether it is known by what to serve, or has been waited for long enough.
--- a/crates/merlinshelf-cli/src/check.rs
+++ b/crates/merlinshelf-cli/src/check.rs
@@ -23,8 +23,9 @@
     let operator = operator.map(|(path, of)| (path, of.map(|_| ())));
     let files = [("config", config), ("operator", operator)];
     let mut failed = false;
-    for (what, path, result) in
-        files.into_iter().filter_map(|(what, file)| file.map(|(path, of)| (what, path, of)))
+    for (what, path, result) in files
+        .into_iter()
+        .filter_map(|(what, file)| file.map(|(path, of)| (what, path, of)))
     {
         failed |= result.is_err();
         if as_json {
@@ -37,12 +38,19 @@
         } else {
             match result {
                 Ok(()) if what == "operator" => {
-                    tell!("{}: can be used; the listener speaks {speaks}", path.display());
+                    tell!(
+                        "{}: can be used; the listener speaks {speaks}",
+                        path.display()
+                    );
                 }
                 Ok(()) => tell!("{}: can be used", path.display()),
                 Err(why) => tell!("{why}"),
             }
         }
     }
-    if failed { ExitCode::from(FAILED) } else { ExitCode::SUCCESS }
+    if failed {
+        ExitCode::from(FAILED)
+    } else {
+        ExitCode::SUCCESS
+    }
 }
--- a/crates/merlinshelf-cli/src/fleet.rs
+++ b/crates/merlinshelf-cli/src/fleet.rs
@@ -188,18 +188,29 @@
             Err(why) => wrong(why),
         },
         Fleet::Start { whom, how } => changed("start", whom, how, json!({})),
-        Fleet::Drain { whom, how, slowest_first, at_once } => {
-            changed("drain", whom, how, json!({ "slowest_first": slowest_first, "at_once": at_once }))
+        Fleet::Drain {
+            whom,
+            how,
+            slowest_first,
+            at_once,
+        } => changed(
+            "drain",
+            whom,
+            how,
+            json!({ "slowest_first": slowest_first, "at_once": at_once }),
+        ),
+        Fleet::Stop { whom, how, within } => {
+            changed("stop", whom, how, json!({ "within_s": within }))
         }
-        Fleet::Stop { whom, how, within } => changed("stop", whom, how, json!({ "within_s": within })),
         Fleet::Restart { whom, how } => changed("restart", whom, how, json!({})),
         Fleet::Upgrade { whom, how, program } => match std::path::absolute(program) {
             Ok(program) => changed("upgrade", whom, how, json!({ "program": program })),
             Err(error) => wrong(&error.to_string()),
         },
-        Fleet::Scale { group, count } => {
-            simple(agent, &json!({ "op": "scale", "group": group, "count": count }))
-        }
+        Fleet::Scale { group, count } => simple(
+            agent,
+            &json!({ "op": "scale", "group": group, "count": count }),
+        ),
         Fleet::Pause => simple(agent, &plain("pause")),
         Fleet::Resume => simple(agent, &plain("resume")),
         Fleet::Abandon => simple(agent, &plain("abandon")),
@@ -268,12 +279,23 @@
         return "no plan".into();
     }
     let text = |name: &str| plan[name].as_str().unwrap_or("").to_owned();
-    format!("plan {} {}: {} of {}, {}", plan["plan"], text("kind"), plan["done"], plan["of"], text("state"))
+    format!(
+        "plan {} {}: {} of {}, {}",
+        plan["plan"],
+        text("kind"),
+        plan["done"],
+        plan["of"],
+        text("state")
+    )
 }
 
 fn targets(plan: &Value) {
     for target in plan["targets"].as_array().into_iter().flatten() {
-        tell!("  {:<16} {}", target["name"].as_str().unwrap_or(""), target["stage"].as_str().unwrap_or(""));
+        tell!(
+            "  {:<16} {}",
+            target["name"].as_str().unwrap_or(""),
+            target["stage"].as_str().unwrap_or("")
+        );
     }
 }
 
@@ -300,25 +322,51 @@
     }
 }
 
-const COLUMNS: [&str; 8] =
-    ["name", "state", "since_s", "process", "in_hand", "served_per_s", "run_ms", "program"];
+const COLUMNS: [&str; 8] = [
+    "name",
+    "state",
+    "since_s",
+    "process",
+    "in_hand",
+    "served_per_s",
+    "run_ms",
+    "program",
+];
 
 fn table(instances: &[Value], sum: &Value) -> String {
     let mut rows = vec![COLUMNS.map(str::to_owned).to_vec()];
-    rows.extend(instances.iter().map(|one| COLUMNS.iter().map(|column| cell(&one[*column])).collect()));
+    rows.extend(
+        instances
+            .iter()
+            .map(|one| COLUMNS.iter().map(|column| cell(&one[*column])).collect()),
+    );
     let wide: Vec<usize> = (0..COLUMNS.len())
-        .map(|place| rows.iter().map(|row| row[place].chars().count()).max().unwrap_or(0))
+        .map(|place| {
+            rows.iter()
+                .map(|row| row[place].chars().count())
+                .max()
+                .unwrap_or(0)
+        })
         .collect();
     let mut text = String::new();
     for row in &rows {
-        let cells: Vec<String> = row.iter().zip(&wide).map(|(cell, wide)| format!("{cell:<wide$}")).collect();
+        let cells: Vec<String> = row
+            .iter()
+            .zip(&wide)
+            .map(|(cell, wide)| format!("{cell:<wide$}"))
+            .collect();
         text += cells.join("  ").trim_end();
         text.push('\n');
     }
     let states = sum["states"].as_object().into_iter().flatten();
-    let states: Vec<String> = states.map(|(state, count)| format!("{count} {state}")).collect();
-    text +=
-        &format!("{}; {}% of the capacity that is wanted serves", states.join(", "), cell(&sum["capacity"]));
+    let states: Vec<String> = states
+        .map(|(state, count)| format!("{count} {state}"))
+        .collect();
+    text += &format!(
+        "{}; {}% of the capacity that is wanted serves",
+        states.join(", "),
+        cell(&sum["capacity"])
+    );
     if !sum["plan"].is_null() {
         text += &format!("\n{}", plan_line(&sum["plan"]));
     }
@@ -331,7 +379,11 @@
         for one in page["others"].as_array().into_iter().flatten() {
             let mut one = one.clone();
             one["agent"] = page["agent"].clone();
-            one["name"] = json!(format!("{}/{}", text_of(&page["agent"]), text_of(&one["name"])));
+            one["name"] = json!(format!(
+                "{}/{}",
+                text_of(&page["agent"]),
+                text_of(&one["name"])
+            ));
             instances.push(one);
         }
         instances.extend(page["instances"].as_array().into_iter().flatten().cloned());
@@ -363,7 +415,11 @@
                     instances.iter().for_each(|one| tell!("{one}"));
                 } else {
                     // The page in place of the one before, where there is a page.
-                    let clear = if io::stdout().is_terminal() { "\x1b[2J\x1b[H" } else { "" };
+                    let clear = if io::stdout().is_terminal() {
+                        "\x1b[2J\x1b[H"
+                    } else {
+                        ""
+                    };
                     tell!("{clear}{}", table(&instances, &sum));
                 }
             }
@@ -385,25 +441,39 @@
             return tell!("{one}");
         }
         for line in one["lines"].as_array().into_iter().flatten() {
-            tell!("{:<12} {}", one["name"].as_str().unwrap_or(""), line.as_str().unwrap_or(""));
+            tell!(
+                "{:<12} {}",
+                one["name"].as_str().unwrap_or(""),
+                line.as_str().unwrap_or("")
+            );
         }
     });
     ended(agent, last, |_| {})
 }
 
 fn history(agent: &Agent, lines: u32) -> ExitCode {
-    let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64();
-    let last = ask(&agent.agent, &json!({ "op": "history", "lines": lines }), WITHIN, |page| {
-        for event in page["events"].as_array().into_iter().flatten() {
-            if agent.json {
-                tell!("{event}");
-            } else {
-                let ago = now - event["at"].as_f64().unwrap_or(now);
-                let (instance, text) =
-                    (event["instance"].as_str().unwrap_or("-"), event["text"].as_str().unwrap_or(""));
-                tell!("{ago:>8.1} s ago  {instance:<16} {text}");
+    let now = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_secs_f64();
+    let last = ask(
+        &agent.agent,
+        &json!({ "op": "history", "lines": lines }),
+        WITHIN,
+        |page| {
+            for event in page["events"].as_array().into_iter().flatten() {
+                if agent.json {
+                    tell!("{event}");
+                } else {
+                    let ago = now - event["at"].as_f64().unwrap_or(now);
+                    let (instance, text) = (
+                        event["instance"].as_str().unwrap_or("-"),
+                        event["text"].as_str().unwrap_or(""),
+                    );
+                    tell!("{ago:>8.1} s ago  {instance:<16} {text}");
+                }
             }
-        }
-    });
+        },
+    );
     ended(agent, last, |_| {})
 }
--- a/crates/merlinshelf-cli/src/knowledge.rs
+++ b/crates/merlinshelf-cli/src/knowledge.rs
@@ -15,8 +15,18 @@
 use crate::FAILED;
 use crate::remote::{WITHIN, failed, text};
 
-const COLUMNS: [&str; 10] =
-    ["kind", "server", "operation", "value", "count", "age_s", "origin", "hops", "standing", "weight"];
+const COLUMNS: [&str; 10] = [
+    "kind",
+    "server",
+    "operation",
+    "value",
+    "count",
+    "age_s",
+    "origin",
+    "hops",
+    "standing",
+    "weight",
+];
 
 /// All figures of a running instance.
 fn figures(socket: &Path) -> io::Result<Vec<Value>> {
@@ -39,9 +49,16 @@
 fn kept(folder: &Path) -> io::Result<Vec<Value>> {
     let found = look(folder)?;
     if let Some(flaw) = found.flaw {
-        eprintln!("merlinshelf: {}: not read whole: {}", folder.display(), flaw_text(flaw));
+        eprintln!(
+            "merlinshelf: {}: not read whole: {}",
+            folder.display(),
+            flaw_text(flaw)
+        );
     }
-    let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64();
+    let unix = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_secs_f64();
     // Of the same figure the last one counts.
     let mut last = BTreeMap::new();
     for kept in found.kept {
@@ -84,19 +101,32 @@
 
 /// One JSON object a line.
 pub fn export(control: Option<&Path>, folder: Option<&Path>) -> ExitCode {
-    print(read(control, folder), |all| all.iter().for_each(|line| tell!("{line}")))
+    print(read(control, folder), |all| {
+        all.iter().for_each(|line| tell!("{line}"))
+    })
 }
 
 /// A line a figure, with age and origin.
 pub fn show(control: Option<&Path>, folder: Option<&Path>) -> ExitCode {
     print(read(control, folder), |all| {
         let mut rows: Vec<Vec<String>> = vec![COLUMNS.map(str::to_owned).to_vec()];
-        rows.extend(all.iter().map(|line| COLUMNS.iter().map(|column| cell(line, column)).collect()));
-        let wide = |place: usize| rows.iter().map(|row| row[place].chars().count()).max().unwrap_or(0);
+        rows.extend(
+            all.iter()
+                .map(|line| COLUMNS.iter().map(|column| cell(line, column)).collect()),
+        );
+        let wide = |place: usize| {
+            rows.iter()
+                .map(|row| row[place].chars().count())
+                .max()
+                .unwrap_or(0)
+        };
         let wide: Vec<usize> = (0..COLUMNS.len()).map(wide).collect();
         for row in &rows {
-            let cells: Vec<String> =
-                row.iter().zip(&wide).map(|(cell, wide)| format!("{cell:<wide$}")).collect();
+            let cells: Vec<String> = row
+                .iter()
+                .zip(&wide)
+                .map(|(cell, wide)| format!("{cell:<wide$}"))
+                .collect();
             tell!("{}", cells.join("  ").trim_end());
         }
     })
@@ -112,12 +142,17 @@
         },
         value => value.to_string(),
     };
-    if column == "origin" && line["own"] == true { format!("{text} (seen)") } else { text }
+    if column == "origin" && line["own"] == true {
+        format!("{text} (seen)")
+    } else {
+        text
+    }
 }
 
 pub fn forget(socket: &Path, origin: Option<&str>, as_json: bool) -> ExitCode {
     let body = origin.map_or_else(|| json!({}), |origin| json!({ "origin": origin }));
-    let answer = Talk::ask(socket, Question::Forget, &body, WITHIN).and_then(|mut talk| talk.hear());
+    let answer =
+        Talk::ask(socket, Question::Forget, &body, WITHIN).and_then(|mut talk| talk.hear());
     match answer {
         Ok((Word::Done, report)) if as_json => tell!("{report}"),
         Ok((Word::Done, report)) => tell!("{} figures are forgotten", report["forgotten"]),
--- a/crates/merlinshelf-cli/src/main.rs
+++ b/crates/merlinshelf-cli/src/main.rs
@@ -77,7 +77,9 @@
         dependencies: bool,
     },
     /// Tell an instance to leave, as SIGTERM does
-    #[command(after_help = "Example:\n  merlinshelf drain --control /run/merlinshelf/n0.control --wait")]
+    #[command(
+        after_help = "Example:\n  merlinshelf drain --control /run/merlinshelf/n0.control --wait"
+    )]
     Drain {
         #[command(flatten)]
         remote: Remote,
@@ -123,7 +125,9 @@
         what: fleet::Fleet,
     },
     /// Print completions for a shell
-    #[command(after_help = "Example:\n  merlinshelf completions bash > /etc/bash_completion.d/merlinshelf")]
+    #[command(
+        after_help = "Example:\n  merlinshelf completions bash > /etc/bash_completion.d/merlinshelf"
+    )]
     Completions { shell: Shell },
 }
 
@@ -187,30 +191,35 @@
 fn main() -> ExitCode {
     let command = Cli::parse().command.unwrap_or_else(|| {
         let named = |name: &str| std::env::var_os(name).map(PathBuf::from);
-        Command::Serve(Files { config: named("PROXY_CONFIG"), operator: named("MERLINSHELF_OPERATOR") })
+        Command::Serve(Files {
+            config: named("PROXY_CONFIG"),
+            operator: named("MERLINSHELF_OPERATOR"),
+        })
     });
     match command {
         Command::Serve(Files { config: None, .. }) => {
             eprintln!("merlinshelf: PROXY_CONFIG names no configuration");
             ExitCode::from(FAILED)
         }
-        Command::Serve(Files { config: Some(config), operator }) => {
-            match serve(&Start { config, operator }) {
-                Ok(status) => ExitCode::from(status.clamp(0, 255) as u8),
-                Err(reason) => {
-                    eprintln!("merlinshelf: {reason}");
-                    ExitCode::from(FAILED)
-                }
+        Command::Serve(Files {
+            config: Some(config),
+            operator,
+        }) => match serve(&Start { config, operator }) {
+            Ok(status) => ExitCode::from(status.clamp(0, 255) as u8),
+            Err(reason) => {
+                eprintln!("merlinshelf: {reason}");
+                ExitCode::from(FAILED)
             }
-        }
+        },
         Command::Check { schema: true, .. } => {
             print!("{}", merlinshelf_backend::operator::Operator::schema());
             ExitCode::SUCCESS
         }
         Command::Check { files, json, .. } => check::check(files.config, files.operator, json),
-        Command::Status { remote, dependencies } => {
-            remote::status(&remote.control, remote.json, dependencies)
-        }
+        Command::Status {
+            remote,
+            dependencies,
+        } => remote::status(&remote.control, remote.json, dependencies),
         Command::Drain { remote, wait } => remote::drain(&remote.control, remote.json, wait),
         Command::Upgrade(remote) => remote::upgrade(&remote.control, remote.json),
         Command::Agent { schema: true, .. } => {
@@ -233,17 +242,22 @@
             }
         }
         Command::Fleet { agent, what } => fleet::run(&agent, &what),
-        Command::Knowledge { what: Knowledge::Show(Known { control, folder }) } => {
-            knowledge::show(control.as_deref(), folder.as_deref())
-        }
-        Command::Knowledge { what: Knowledge::Export(Known { control, folder }) } => {
-            knowledge::export(control.as_deref(), folder.as_deref())
-        }
-        Command::Knowledge { what: Knowledge::Forget { remote, origin } } => {
-            knowledge::forget(&remote.control, origin.as_deref(), remote.json)
-        }
+        Command::Knowledge {
+            what: Knowledge::Show(Known { control, folder }),
+        } => knowledge::show(control.as_deref(), folder.as_deref()),
+        Command::Knowledge {
+            what: Knowledge::Export(Known { control, folder }),
+        } => knowledge::export(control.as_deref(), folder.as_deref()),
+        Command::Knowledge {
+            what: Knowledge::Forget { remote, origin },
+        } => knowledge::forget(&remote.control, origin.as_deref(), remote.json),
         Command::Completions { shell } => {
-            clap_complete::generate(shell, &mut Cli::command(), "merlinshelf", &mut std::io::stdout());
+            clap_complete::generate(
+                shell,
+                &mut Cli::command(),
+                "merlinshelf",
+                &mut std::io::stdout(),
+            );
             ExitCode::SUCCESS
         }
     }
--- a/crates/merlinshelf-cli/src/policy.rs
+++ b/crates/merlinshelf-cli/src/policy.rs
@@ -40,8 +40,10 @@
         document: bool,
     },
     /// Say whether a document is a policy, without asking anybody
-    #[command(after_help = "Example:\n  merlinshelf fleet policy check evening.json5\n  \
-                      merlinshelf fleet policy check --schema > policy.schema.json")]
+    #[command(
+        after_help = "Example:\n  merlinshelf fleet policy check evening.json5\n  \
+                      merlinshelf fleet policy check --schema > policy.schema.json"
+    )]
     Check {
         #[arg(value_name = "FILE", value_hint = ValueHint::FilePath, required_unless_present = "schema")]
         file: Option<PathBuf>,
@@ -97,13 +99,17 @@
         .read_to_string(&mut text)
         .map_err(|error| named(format!(" {error}")))?;
     if text.len() > LENGTH_MOST {
-        return Err(named(format!(" it is longer than the {LENGTH_MOST} bytes that a policy may have")));
+        return Err(named(format!(
+            " it is longer than the {LENGTH_MOST} bytes that a policy may have"
+        )));
     }
     read_as(&text).map_err(named)
 }
 
 fn new_id() -> String {
-    let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    let now = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default();
     format!("{:x}-{:x}", now.as_micros(), std::process::id())
 }
 
@@ -120,7 +126,8 @@
         Policy::Check { schema: true, .. } => {
             tell!(
                 "{}",
-                serde_json::to_string_pretty(&merlinshelf_policy::Policy::schema()).unwrap_or_default()
+                serde_json::to_string_pretty(&merlinshelf_policy::Policy::schema())
+                    .unwrap_or_default()
             );
             ExitCode::SUCCESS
         }
@@ -136,20 +143,35 @@
             }
             ExitCode::SUCCESS
         }
-        Policy::Show { document: true } => {
-            said(agent, &json!({ "op": "policy", "what": "document" }), WITHIN, |said| {
-                serde_json::to_string_pretty(said).unwrap_or_default()
-            })
-        }
-        Policy::Show { .. } => said(agent, &json!({ "op": "policy", "what": "show" }), WITHIN, page),
-        Policy::History => said(agent, &json!({ "op": "policy", "what": "history" }), WITHIN, |sum| {
-            format!("current {}", sum["current"])
-        }),
-        Policy::Remove { name } => {
-            said(agent, &json!({ "op": "policy", "what": "remove", "name": name }), WITHIN, |said| {
-                format!("{} is a member no more", said["removed"].as_str().unwrap_or("it"))
-            })
-        }
+        Policy::Show { document: true } => said(
+            agent,
+            &json!({ "op": "policy", "what": "document" }),
+            WITHIN,
+            |said| serde_json::to_string_pretty(said).unwrap_or_default(),
+        ),
+        Policy::Show { .. } => said(
+            agent,
+            &json!({ "op": "policy", "what": "show" }),
+            WITHIN,
+            page,
+        ),
+        Policy::History => said(
+            agent,
+            &json!({ "op": "policy", "what": "history" }),
+            WITHIN,
+            |sum| format!("current {}", sum["current"]),
+        ),
+        Policy::Remove { name } => said(
+            agent,
+            &json!({ "op": "policy", "what": "remove", "name": name }),
+            WITHIN,
+            |said| {
+                format!(
+                    "{} is a member no more",
+                    said["removed"].as_str().unwrap_or("it")
+                )
+            },
+        ),
         Policy::Outcome { id, wait } => said(
             agent,
             &json!({ "op": "policy", "what": "outcome", "id": id, "wait": wait }),
@@ -157,7 +179,11 @@
             change,
         ),
         Policy::Propose { file, how } => match read(file) {
-            Ok(policy) => propose(agent, json!({ "op": "policy", "what": "propose", "policy": policy }), how),
+            Ok(policy) => propose(
+                agent,
+                json!({ "op": "policy", "what": "propose", "policy": policy }),
+                how,
+            ),
             Err(why) => wrong(agent, &why),
         },
         Policy::Undo { how } => propose(agent, json!({ "op": "policy", "what": "undo" }), how),
@@ -173,16 +199,19 @@
     said(agent, &body, CHANGED_WITHIN, change)
 }
 
-pub fn said(agent: &Agent, body: &Value, within: Duration, shown: impl Fn(&Value) -> String) -> ExitCode {
-    let last =
-        ask(
-            &agent.agent,
-            body,
-            within,
-            |more| {
-                if agent.json { tell!("{more}") } else { tell!("{}", change(more)) }
-            },
-        );
+pub fn said(
+    agent: &Agent,
+    body: &Value,
+    within: Duration,
+    shown: impl Fn(&Value) -> String,
+) -> ExitCode {
+    let last = ask(&agent.agent, body, within, |more| {
+        if agent.json {
+            tell!("{more}")
+        } else {
+            tell!("{}", change(more))
+        }
+    });
     match last {
         Ok((Word::Done, report)) => {
             if agent.json {
@@ -209,12 +238,32 @@
 fn change(of: &Value) -> String {
     let word = |name: &str| of[name].as_str().unwrap_or("").to_owned();
     if of["would_be"].is_u64() {
-        let same = if of["same"] == true { "; it says the same as what holds" } else { "" };
-        return format!("it would be {} in place of {}{same}", of["would_be"], of["in_place_of"]);
+        let same = if of["same"] == true {
+            "; it says the same as what holds"
+        } else {
+            ""
+        };
+        return format!(
+            "it would be {} in place of {}{same}",
+            of["would_be"], of["in_place_of"]
+        );
     }
-    let why = if word("why").is_empty() { String::new() } else { format!(": {}", word("why")) };
-    let note = if word("note").is_empty() { String::new() } else { format!(" ({})", word("note")) };
-    format!("policy {} {}{why}{note}, id {}", of["number"], word("state"), word("id"))
+    let why = if word("why").is_empty() {
+        String::new()
+    } else {
+        format!(": {}", word("why"))
+    };
+    let note = if word("note").is_empty() {
+        String::new()
+    } else {
+        format!(" ({})", word("note"))
+    };
+    format!(
+        "policy {} {}{why}{note}, id {}",
+        of["number"],
+        word("state"),
+        word("id")
+    )
 }
 
 fn page(of: &Value) -> String {
@@ -222,7 +271,11 @@
     let mut page = format!(
         "policy {} holds{}\nagent {} {}, {} leads, members {}\n",
         of["current"],
-        if of["note"] == "" { String::new() } else { format!(" ({})", word(&of["note"])) },
+        if of["note"] == "" {
+            String::new()
+        } else {
+            format!(" ({})", word(&of["note"]))
+        },
         word(&of["agent"]),
         word(&of["council"]),
         word(&of["leader"]),
@@ -250,7 +303,10 @@
     for one in of["instances"].as_array().into_iter().flatten() {
         let acts = match one["acts"].as_u64() {
             Some(0) => "acts on the base policy".to_owned(),
-            Some(number) => format!("acts on {number} for {:.1} s", one["left_s"].as_f64().unwrap_or(0.0)),
+            Some(number) => format!(
+                "acts on {number} for {:.1} s",
+                one["left_s"].as_f64().unwrap_or(0.0)
+            ),
             None => "turns away".to_owned(),
         };
         page += &format!("  {:<16} {acts}\n", word(&one["name"]));
--- a/crates/merlinshelf-cli/src/remote.rs
+++ b/crates/merlinshelf-cli/src/remote.rs
@@ -20,14 +20,18 @@
 
 pub fn failed(socket: &Path, error: &io::Error, as_json: bool) -> ExitCode {
     if as_json {
-        tell!("{}", json!({ "failed": error.to_string(), "control": socket }));
+        tell!(
+            "{}",
+            json!({ "failed": error.to_string(), "control": socket })
+        );
     }
     eprintln!("merlinshelf: {}: {error}", socket.display());
     ExitCode::from(FAILED)
 }
 
 pub fn status(socket: &Path, as_json: bool, dependencies: bool) -> ExitCode {
-    let answer = Talk::ask(socket, Question::Status, &json!({}), WITHIN).and_then(|mut talk| talk.hear());
+    let answer =
+        Talk::ask(socket, Question::Status, &json!({}), WITHIN).and_then(|mut talk| talk.hear());
     match answer {
         Ok((Word::Done, report)) if dependencies => {
             let all = &report["dependencies"];
@@ -65,7 +69,11 @@
             "{}{}: {} open of {:.0}, {} wait, {:.1} attempts left\n  calls {}, attempts {}, succeeded {}, again {}, second calls {} (won {}, lost {}), lesser {}, \
              not made {}, out of time {}\n",
             word(&of["name"]),
-            if of["fails"] == true { " (fails as a whole)" } else { "" },
+            if of["fails"] == true {
+                " (fails as a whole)"
+            } else {
+                ""
+            },
             of["open"],
             number("limit"),
             of["waiting"],
@@ -82,14 +90,18 @@
             of["out_of_time"],
         );
         for server in of["servers"].as_array().into_iter().flatten() {
-            let mean = server["mean_ms"].as_f64().map_or("-".to_owned(), |ms| format!("{ms:.2} ms"));
+            let mean = server["mean_ms"]
+                .as_f64()
+                .map_or("-".to_owned(), |ms| format!("{ms:.2} ms"));
             let failures = 100.0 * server["failures"].as_f64().unwrap_or(0.0);
             page += &format!(
                 "  {:<22} {:<8} {:>3} open of {:<5} {mean:>11} {failures:>5.1}% fail  {}\n",
                 word(&server["address"]),
                 word(&server["state"]),
                 server["open"],
-                server["limit"].as_f64().map_or("-".to_owned(), |limit| limit.to_string()),
+                server["limit"]
+                    .as_f64()
+                    .map_or("-".to_owned(), |limit| limit.to_string()),
                 word(&server["why"]),
             );
         }
@@ -103,7 +115,9 @@
     for (name, value) in report.as_object().into_iter().flatten() {
         match value {
             Value::Object(counters) if name == "counters" => {
-                let counted = counters.iter().filter(|(_, count)| count.as_u64() != Some(0));
+                let counted = counters
+                    .iter()
+                    .filter(|(_, count)| count.as_u64() != Some(0));
                 page.extend(counted.map(|(name, count)| format!("  {name}: {count}\n")));
             }
             Value::String(text) => page += &format!("{name}: {text}\n"),
@@ -115,11 +129,14 @@
 }
 
 pub fn text(report: &Value) -> String {
-    report["text"].as_str().map_or_else(|| report.to_string(), str::to_owned)
+    report["text"]
+        .as_str()
+        .map_or_else(|| report.to_string(), str::to_owned)
 }
 
 pub fn drain(socket: &Path, as_json: bool, wait: bool) -> ExitCode {
-    let answer = Talk::ask(socket, Question::Drain, &json!({}), WITHIN).and_then(|mut talk| talk.hear());
+    let answer =
+        Talk::ask(socket, Question::Drain, &json!({}), WITHIN).and_then(|mut talk| talk.hear());
     let report = match answer {
         Ok((Word::Done, report)) => report,
         Ok((_, report)) => return failed(socket, &io::Error::other(text(&report)), as_json),
@@ -135,7 +152,11 @@
         let until = Instant::now() + most;
         while UnixStream::connect(socket).is_ok() {
             if Instant::now() >= until {
-                return failed(socket, &io::Error::other("it has not left in its time"), as_json);
+                return failed(
+                    socket,
+                    &io::Error::other("it has not left in its time"),
+                    as_json,
+                );
             }
             std::thread::sleep(LOOK_EVERY);
         }
--- a/crates/merlinshelf-cli/tests/dependencies.rs
+++ b/crates/merlinshelf-cli/tests/dependencies.rs
@@ -30,7 +30,10 @@
 async fn rig() -> io::Result<Rig> {
     let mut servers: BTreeMap<&'static str, Vec<Rc<Server>>> = BTreeMap::new();
     for name in ["catalogue", "assets"].repeat(3) {
-        servers.entry(name).or_default().push(Server::start(Duration::from_millis(3)).await?);
+        servers
+            .entry(name)
+            .or_default()
+            .push(Server::start(Duration::from_millis(3)).await?);
     }
     let mut setup = Setup::small(PROGRAM);
     (setup.watched, setup.silent) = (Duration::from_millis(700), Duration::from_millis(2000));
@@ -42,8 +45,16 @@
     servers: &BTreeMap<&'static str, Vec<Rc<Server>>>,
     which: std::ops::Range<usize>,
 ) -> BTreeMap<String, Vec<String>> {
-    let of = |all: &[Rc<Server>]| all[which.clone()].iter().map(|one| one.address.clone()).collect();
-    servers.iter().map(|(name, all)| ((*name).to_owned(), of(all))).collect()
+    let of = |all: &[Rc<Server>]| {
+        all[which.clone()]
+            .iter()
+            .map(|one| one.address.clone())
+            .collect()
+    };
+    servers
+        .iter()
+        .map(|(name, all)| ((*name).to_owned(), of(all)))
+        .collect()
 }
 
 impl Rig {
@@ -56,13 +67,23 @@
     }
 
     fn all_do(&self, name: &str, manners: Manners) {
-        self.servers[name].iter().for_each(|server| server.does(manners));
+        self.servers[name]
+            .iter()
+            .for_each(|server| server.does(manners));
     }
 }
 
 /// Waits until so many more were answered.
 async fn more(playing: &Playing, count: usize) {
-    let answered = || playing.seen.borrow().sent.values().filter(|sent| !sent.answers.is_empty()).count();
+    let answered = || {
+        playing
+            .seen
+            .borrow()
+            .sent
+            .values()
+            .filter(|sent| !sent.answers.is_empty())
+            .count()
+    };
     let (until, wanted) = (Instant::now() + Duration::from_secs(15), answered() + count);
     while answered() < wanted && Instant::now() < until {
         sleep(Duration::from_millis(5)).await;
@@ -70,8 +91,12 @@
 }
 
 fn dependency<'a>(report: &'a Value, name: &str) -> &'a Value {
-    let all = report["dependencies"].as_array().expect("a report of dependencies");
-    all.iter().find(|one| one["name"] == name).expect("that dependency")
+    let all = report["dependencies"]
+        .as_array()
+        .expect("a report of dependencies");
+    all.iter()
+        .find(|one| one["name"] == name)
+        .expect("that dependency")
 }
 
 #[test]
@@ -79,7 +104,14 @@
     play(async {
         let rig = rig().await?;
         let (instance, load, playing) = rig.begin(1).await?;
-        assert!(playing.seen.borrow().sent.values().all(|sent| sent.partial.is_none()));
+        assert!(
+            playing
+                .seen
+                .borrow()
+                .sent
+                .values()
+                .all(|sent| sent.partial.is_none())
+        );
         rig.all_do("catalogue", Manners::Slow(20.0));
         rig.all_do("assets", Manners::Errors);
         more(&playing, 150).await;
@@ -89,19 +121,32 @@
         // Found again within seconds: whole answers come.
         let whole = |playing: &Playing| {
             let seen = playing.seen.borrow();
-            let late = seen.sent.values().filter(|sent| sent.at.elapsed() < Duration::from_millis(500));
-            let answered: Vec<bool> =
-                late.filter(|sent| !sent.answers.is_empty()).map(|sent| sent.partial.is_none()).collect();
+            let late = seen
+                .sent
+                .values()
+                .filter(|sent| sent.at.elapsed() < Duration::from_millis(500));
+            let answered: Vec<bool> = late
+                .filter(|sent| !sent.answers.is_empty())
+                .map(|sent| sent.partial.is_none())
+                .collect();
             answered.len() > 20 && answered.iter().all(|whole| *whole)
         };
         let until = Instant::now() + Duration::from_secs(15);
         while !whole(&playing) {
-            assert!(Instant::now() < until, "it is not whole again: {}", instance.status().await?);
+            assert!(
+                Instant::now() < until,
+                "it is not whole again: {}",
+                instance.status().await?
+            );
             sleep(Duration::from_millis(50)).await;
         }
         let seen = playing.stop().await.take();
         let report = instance.status().await?;
-        let partial = seen.sent.values().filter(|sent| sent.partial.is_some()).count() as u64;
+        let partial = seen
+            .sent
+            .values()
+            .filter(|sent| sent.partial.is_some())
+            .count() as u64;
         assert!(partial > 30, "{partial}");
         assert_eq!(report["counters"]["partial"].as_u64(), Some(partial));
         assert!(
@@ -111,11 +156,18 @@
                 .all(|parts| { ["assets", "catalogue", "catalogue, assets"].contains(&parts) })
         );
         let mut command = tokio::process::Command::new(PROGRAM);
-        command.args(["status", "--dependencies", "--control"]).arg(instance.control());
+        command
+            .args(["status", "--dependencies", "--control"])
+            .arg(instance.control());
         let said = command.output().await?;
         let said = String::from_utf8_lossy(&said.stdout).into_owned();
-        assert!(said.contains("catalogue: ") && said.matches("127.0.0.1:").count() == 6, "{said}");
-        let lesser = dependency(&report, "assets")["lesser"].as_u64().unwrap_or(0);
+        assert!(
+            said.contains("catalogue: ") && said.matches("127.0.0.1:").count() == 6,
+            "{said}"
+        );
+        let lesser = dependency(&report, "assets")["lesser"]
+            .as_u64()
+            .unwrap_or(0);
         assert!(lesser > 0, "{report}");
         let verdict = seen.check(&instance.records.borrow(), load.patience);
         assert!(verdict.is_clean(), "{verdict:?}");
@@ -130,7 +182,9 @@
         let (instance, load, playing) = rig.begin(2).await?;
         // The third of each is new; the first is gone, and gets nothing further.
         instance.depends_on(&section(&addresses(&rig.servers, 1..3)))?;
-        instance.logged("dependencies read anew: 2 of them", 1).await?;
+        instance
+            .logged("dependencies read anew: 2 of them", 1)
+            .await?;
         more(&playing, 30).await;
         let before = rig.servers["catalogue"][0].calls.get();
         more(&playing, 60).await;
@@ -139,18 +193,34 @@
         instance.depends_on(
             &serde_json::json!({ "operations": { "thumbnail": { "calls": [{ "to": "nobody" }] } } }),
         )?;
-        instance.logged("the dependencies stay as they were", 1).await?;
+        instance
+            .logged("the dependencies stay as they were", 1)
+            .await?;
         instance.depends_on(&section(&addresses(&rig.servers, 0..3)))?;
-        instance.logged("dependencies read anew: 2 of them", 2).await?;
+        instance
+            .logged("dependencies read anew: 2 of them", 2)
+            .await?;
         rig.all_do("catalogue", Manners::Slow(10.0));
         more(&playing, 30).await;
-        assert_eq!(round(&instance, &format!("exec '{PROGRAM}' \"$@\"")).await?, "done");
+        assert_eq!(
+            round(&instance, &format!("exec '{PROGRAM}' \"$@\"")).await?,
+            "done"
+        );
         more(&playing, 60).await;
         let seen = playing.stop().await.take();
         let verdict = seen.check(&instance.records.borrow(), load.patience);
-        assert!(verdict.is_clean() && verdict.failed == 0, "{verdict:?}\n{}", instance.log());
+        assert!(
+            verdict.is_clean() && verdict.failed == 0,
+            "{verdict:?}\n{}",
+            instance.log()
+        );
         let report = instance.status().await?;
-        assert_eq!(dependency(&report, "catalogue")["servers"].as_array().map(Vec::len), Some(3));
+        assert_eq!(
+            dependency(&report, "catalogue")["servers"]
+                .as_array()
+                .map(Vec::len),
+            Some(3)
+        );
         instance.leave().await
     });
 }
@@ -167,7 +237,12 @@
         let seen = playing.stop().await.take();
         let verdict = seen.check(&instance.records.borrow(), load.patience);
         assert_eq!(
-            (verdict.lost, verdict.doubled, verdict.run_twice, verdict.wrong_feeds),
+            (
+                verdict.lost,
+                verdict.doubled,
+                verdict.run_twice,
+                verdict.wrong_feeds
+            ),
             (0, 0, 0, 0),
             "{verdict:?}"
         );
@@ -188,7 +263,10 @@
         assert!(verdict.is_clean() && verdict.served > 50, "{verdict:?}");
         assert!(instance.records.borrow().links >= 2);
         let report = instance.status().await?;
-        assert!(dependency(&report, "catalogue")["succeeded"].as_u64() > Some(20), "{report}");
+        assert!(
+            dependency(&report, "catalogue")["succeeded"].as_u64() > Some(20),
+            "{report}"
+        );
         assert_eq!(dependency(&report, "assets")["calls"].as_u64(), Some(0));
         Ok(())
     });
@@ -204,10 +282,17 @@
         rig.servers["assets"][0].does(Manners::Hangs);
         more(&playing, 150).await;
         let seen = playing.stop().await.take();
-        let calls: u64 = rig.servers.values().flatten().map(|server| server.calls.get()).sum();
+        let calls: u64 = rig
+            .servers
+            .values()
+            .flatten()
+            .map(|server| server.calls.get())
+            .sum();
         let report = instance.status().await?;
-        let made: u64 =
-            ["catalogue", "assets"].iter().filter_map(|of| dependency(&report, of)["calls"].as_u64()).sum();
+        let made: u64 = ["catalogue", "assets"]
+            .iter()
+            .filter_map(|of| dependency(&report, of)["calls"].as_u64())
+            .sum();
         // Servers never see more calls than runs have wanted.
         assert!(calls <= made, "{calls} of {made}: {report}");
         assert_eq!(
@@ -216,7 +301,12 @@
         );
         let verdict = seen.check(&instance.records.borrow(), load.patience);
         assert_eq!(
-            (verdict.lost, verdict.doubled, verdict.run_twice, verdict.wrong_feeds),
+            (
+                verdict.lost,
+                verdict.doubled,
+                verdict.run_twice,
+                verdict.wrong_feeds
+            ),
             (0, 0, 0, 0),
             "{verdict:?}"
         );
--- a/crates/merlinshelf-cli/tests/fleet.rs
+++ b/crates/merlinshelf-cli/tests/fleet.rs
@@ -32,12 +32,19 @@
 }
 
 async fn last(rig: &Rig, body: Value) -> io::Result<(Word, Value)> {
-    rig.ask(&body).await?.pop().ok_or_else(|| io::ErrorKind::UnexpectedEof.into())
+    rig.ask(&body)
+        .await?
+        .pop()
+        .ok_or_else(|| io::ErrorKind::UnexpectedEof.into())
 }
 
 async fn names_where(rig: &Rig, what: impl Fn(&Value) -> bool) -> io::Result<Vec<String>> {
     let (all, _) = rig.status().await?;
-    Ok(all.iter().filter(|one| what(one)).map(|one| one["name"].as_str().unwrap_or("").to_owned()).collect())
+    Ok(all
+        .iter()
+        .filter(|one| what(one))
+        .map(|one| one["name"].as_str().unwrap_or("").to_owned())
+        .collect())
 }
 
 #[test]
@@ -48,15 +55,31 @@
         let playing = rig.load(60.0, 3).await?;
         sleep(Duration::from_millis(500)).await;
         let program = copy_of_program(&rig)?;
-        let (word, plan) = last(&rig, json!({ "op": "upgrade", "program": program, "wait": true })).await?;
+        let (word, plan) = last(
+            &rig,
+            json!({ "op": "upgrade", "program": program, "wait": true }),
+        )
+        .await?;
         assert_eq!(word, Word::Done, "{plan}\n{}", rig.history().await?);
-        assert_eq!(names_where(&rig, |one| one["program"] == program.as_str()).await?.len(), 4);
-        let (word, plan) = last(&rig, json!({ "op": "drain", "slowest_first": true, "wait": true })).await?;
+        assert_eq!(
+            names_where(&rig, |one| one["program"] == program.as_str())
+                .await?
+                .len(),
+            4
+        );
+        let (word, plan) = last(
+            &rig,
+            json!({ "op": "drain", "slowest_first": true, "wait": true }),
+        )
+        .await?;
         assert_eq!(word, Word::Done, "{plan}\n{}", rig.history().await?);
         assert_eq!(rig.processes(), Vec::<u32>::new());
         let verdicts = rig.check(playing).await;
         let all = sum(&verdicts);
-        assert!(all.lost + all.doubled + all.spoilt + all.run_twice + all.wrong_feeds == 0, "{all:?}");
+        assert!(
+            all.lost + all.doubled + all.spoilt + all.run_twice + all.wrong_feeds == 0,
+            "{all:?}"
+        );
         assert!(all.served > 100, "{all:?}");
         Ok(())
     });
@@ -67,15 +90,26 @@
     let rig = Rig::start(PROGRAM.as_ref(), number, 2, &change()).await?;
     rig.when("serving", 2).await?;
     let (all, _) = rig.status().await?;
-    let pid =
-        |one: &Value| one["process"].as_u64().and_then(|pid| u32::try_from(pid).ok()).expect("a process");
+    let pid = |one: &Value| {
+        one["process"]
+            .as_u64()
+            .and_then(|pid| u32::try_from(pid).ok())
+            .expect("a process")
+    };
     let old = pid(&all[0]);
     let program = copy_of_program(&rig)?;
-    last(&rig, json!({ "op": "upgrade", "program": program, "names": ["web.0"] })).await?;
+    last(
+        &rig,
+        json!({ "op": "upgrade", "program": program, "names": ["web.0"] }),
+    )
+    .await?;
     // The successor says on the socket that it is watched: it serves, and the old process still waits.
     let control = rig.folder.join("run").join("web.0").join("control");
     loop {
-        let said = Command::new(PROGRAM).args(["status", "--json", "--control"]).arg(&control).output()?;
+        let said = Command::new(PROGRAM)
+            .args(["status", "--json", "--control"])
+            .arg(&control)
+            .output()?;
         let said: Value = serde_json::from_slice(&said.stdout).unwrap_or_default();
         if said["state"] == "watched" {
             return Ok((rig, old, pid(&said)));
@@ -104,26 +138,44 @@
         assert_eq!(plan["state"], "done", "{plan}\n{}", rig.history().await?);
         rig.when("serving", 2).await?;
         let history = rig.history().await?;
-        assert!(history.contains("web.0") && !history.contains("ended by itself"), "{history}");
+        assert!(
+            history.contains("web.0") && !history.contains("ended by itself"),
+            "{history}"
+        );
         Ok(())
     });
 }
 
 #[test]
-fn a_successor_that_is_killed_while_watched_is_taken_back_from_and_the_old_process_is_found_again() {
+fn a_successor_that_is_killed_while_watched_is_taken_back_from_and_the_old_process_is_found_again()
+{
     play(async {
         let (rig, old, new) = in_the_midst_of_an_upgrade(232).await?;
         // The agent knows it by then.
-        while names_where(&rig, |one| one["process"] == new).await?.is_empty() {
+        while names_where(&rig, |one| one["process"] == new)
+            .await?
+            .is_empty()
+        {
             sleep(Duration::from_millis(10)).await;
         }
         signal(new, Signal::KILL);
         let plan = plan_over(&rig).await?;
-        assert!(plan["state"].as_str().is_some_and(|state| state.contains("taken back")), "{plan}");
+        assert!(
+            plan["state"]
+                .as_str()
+                .is_some_and(|state| state.contains("taken back")),
+            "{plan}"
+        );
         rig.when("serving", 2).await?;
-        assert_eq!(names_where(&rig, |one| one["process"] == old).await?, ["web.0"]);
+        assert_eq!(
+            names_where(&rig, |one| one["process"] == old).await?,
+            ["web.0"]
+        );
         let history = rig.history().await?;
-        assert!(!history.contains("not started") && !history.contains("ended by itself"), "{history}");
+        assert!(
+            !history.contains("not started") && !history.contains("ended by itself"),
+            "{history}"
+        );
         Ok(())
     });
 }
@@ -146,16 +198,30 @@
         rig.when("serving", 4).await?;
         let plan = plan_over(&rig).await?;
         assert_eq!(plan["state"], "done", "{plan}\n{}", rig.history().await?);
-        assert_eq!(names_where(&rig, |one| one["program"] == program.as_str()).await?.len(), 4);
+        assert_eq!(
+            names_where(&rig, |one| one["program"] == program.as_str())
+                .await?
+                .len(),
+            4
+        );
         assert_eq!(rig.processes().len(), 4);
         let history = rig.history().await?;
         assert!(history.contains("adopted"), "{history}");
         let all = sum(&rig.check(playing).await);
-        assert!(all.lost + all.doubled + all.run_twice == 0, "{all:?}\n{history}");
+        assert!(
+            all.lost + all.doubled + all.run_twice == 0,
+            "{all:?}\n{history}"
+        );
         // Told to end it leaves them alone; a second agent beside one that lives is refused.
-        let second = Command::new(PROGRAM).arg("agent").arg(rig.folder.join("fleet.json5")).output()?;
+        let second = Command::new(PROGRAM)
+            .arg("agent")
+            .arg(rig.folder.join("fleet.json5"))
+            .output()?;
         let why = String::from_utf8_lossy(&second.stderr).into_owned();
-        assert!(second.status.code() == Some(1) && why.contains("another process holds the folder"), "{why}");
+        assert!(
+            second.status.code() == Some(1) && why.contains("another process holds the folder"),
+            "{why}"
+        );
         assert_eq!(rig.end_agent().await?, Some(0));
         assert_eq!(rig.processes().len(), 4);
         Ok(())
@@ -169,14 +235,19 @@
         rig.when("serving", 4).await?;
         let (all, _) = rig.status().await?;
         let pid = |place: usize| {
-            all[place]["process"].as_u64().and_then(|pid| u32::try_from(pid).ok()).expect("a process")
+            all[place]["process"]
+                .as_u64()
+                .and_then(|pid| u32::try_from(pid).ok())
+                .expect("a process")
         };
         signal(pid(0), Signal::KILL);
         signal(pid(1), Signal::STOP);
         signal(pid(2), Signal::TERM);
         // Killed, it is started again; stopped, it is found out, told, and started again; told by hand, too.
         let text = |history: &str, name: &str, what: &str| {
-            history.lines().any(|line| line.starts_with(name) && line.contains(what))
+            history
+                .lines()
+                .any(|line| line.starts_with(name) && line.contains(what))
         };
         loop {
             let history = rig.history().await?;
@@ -193,7 +264,10 @@
         for place in 0..3 {
             assert_ne!(now[place]["process"], all[place]["process"]);
         }
-        assert_eq!(now[3]["process"], all[3]["process"], "who did nothing is not touched");
+        assert_eq!(
+            now[3]["process"], all[3]["process"],
+            "who did nothing is not touched"
+        );
         Ok(())
     });
 }
@@ -203,7 +277,11 @@
     play(async {
         let rig = Rig::start(PROGRAM.as_ref(), 215, 2, &change()).await?;
         rig.when("serving", 2).await?;
-        last(&rig, json!({ "op": "drain", "names": ["web.0"], "wait": true })).await?;
+        last(
+            &rig,
+            json!({ "op": "drain", "names": ["web.0"], "wait": true }),
+        )
+        .await?;
         let control = rig.folder.join("run").join("web.0").join("control");
         let _ = std::fs::remove_file(&control);
         let foreign = tokio::net::UnixListener::bind(&control)?;
@@ -212,7 +290,10 @@
         while !rig.history().await?.contains(why) {
             sleep(Duration::from_millis(20)).await;
         }
-        assert!(tokio::net::UnixStream::connect(&control).await.is_ok(), "it listens on");
+        assert!(
+            tokio::net::UnixStream::connect(&control).await.is_ok(),
+            "it listens on"
+        );
         // Once it is gone the instance comes back, after a pause.
         drop(foreign);
         std::fs::remove_file(&control)?;
@@ -236,7 +317,9 @@
         let (word, why) = last(&rig, json!({ "op": "apply" })).await?;
         assert!(
             word == Word::Refused
-                && why["text"].as_str().is_some_and(|why| why.contains("groups.api.config")),
+                && why["text"]
+                    .as_str()
+                    .is_some_and(|why| why.contains("groups.api.config")),
             "{why}"
         );
         // And in bytes that are none of a file's.
@@ -259,14 +342,24 @@
         let bad = rig.folder.join("bad");
         std::fs::write(&bad, "#!/bin/sh\nexit 9\n")?;
         std::fs::set_permissions(&bad, std::os::unix::fs::PermissionsExt::from_mode(0o755))?;
-        let (word, plan) = last(&rig, json!({ "op": "upgrade", "program": bad, "wait": true })).await?;
+        let (word, plan) = last(
+            &rig,
+            json!({ "op": "upgrade", "program": bad, "wait": true }),
+        )
+        .await?;
         assert_eq!(word, Word::Failed, "{plan}");
         let state = plan["state"].as_str().unwrap_or("").to_owned();
-        assert!(state.contains("was not upgraded") && state.contains("status 9"), "{state}");
+        assert!(
+            state.contains("was not upgraded") && state.contains("status 9"),
+            "{state}"
+        );
         rig.when("serving", 3).await?;
         let (after, _) = rig.status().await?;
         for (before, after) in before.iter().zip(&after) {
-            assert_eq!((&before["process"], &before["program"]), (&after["process"], &after["program"]));
+            assert_eq!(
+                (&before["process"], &before["program"]),
+                (&after["process"], &after["program"])
+            );
         }
         Ok(())
     });
@@ -280,25 +373,45 @@
         let socket = rig.socket().to_string_lossy().into_owned();
         let run = |arguments: &[&str]| {
             let mut command = tokio::process::Command::new(PROGRAM);
-            command.arg("fleet").arg("--agent").arg(&socket).args(arguments);
+            command
+                .arg("fleet")
+                .arg("--agent")
+                .arg(&socket)
+                .args(arguments);
             async move {
                 let done = command.output().await.expect("it runs");
                 let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
-                (done.status.code().unwrap_or(-1), text(&done.stdout), text(&done.stderr))
+                (
+                    done.status.code().unwrap_or(-1),
+                    text(&done.stdout),
+                    text(&done.stderr),
+                )
             }
         };
         let (code, shown, _) = run(&["status"]).await;
-        assert!(code == 0 && shown.contains("web.2") && shown.contains("3 serving; 100"), "{shown}");
+        assert!(
+            code == 0 && shown.contains("web.2") && shown.contains("3 serving; 100"),
+            "{shown}"
+        );
         let (code, shown, _) = run(&["drain", "web.0", "--dry-run"]).await;
-        assert!(code == 0 && shown.contains("web.0") && shown.contains("to do"), "{shown}");
+        assert!(
+            code == 0 && shown.contains("web.0") && shown.contains("to do"),
+            "{shown}"
+        );
         let (code, _, error) = run(&["drain"]).await;
         assert!(code == 2 && error.contains("name instances"), "{error}");
         let (code, _, error) = run(&["drain", "web.7"]).await;
-        assert!(code == 1 && error.contains("there is no instance web.7"), "{error}");
+        assert!(
+            code == 1 && error.contains("there is no instance web.7"),
+            "{error}"
+        );
         let (code, _, error) = run(&["upgrade", "--all", "--program", "/nowhere/at/all"]).await;
         assert!(code == 1 && error.contains("/nowhere/at/all"), "{error}");
         let (code, shown, error) = run(&["drain", "web.1", "--wait"]).await;
-        assert!(code == 0 && shown.contains("plan 1 drain: 1 of 1, done"), "{shown}{error}");
+        assert!(
+            code == 0 && shown.contains("plan 1 drain: 1 of 1, done"),
+            "{shown}{error}"
+        );
         let (code, ..) = run(&["start", "web.1", "--wait"]).await;
         assert_eq!(code, 0);
         let (code, ..) = run(&["scale", "web", "2"]).await;
@@ -307,14 +420,20 @@
         let (code, shown, _) = run(&["logs", "web.0", "--lines", "50"]).await;
         assert!(code == 0 && shown.contains("the engine is up"), "{shown}");
         let (code, shown, _) = run(&["stop", "--all", "--within", "10", "--wait"]).await;
-        assert!(code == 0 && shown.contains(" stop: ") && shown.contains(", done"), "{shown}");
+        assert!(
+            code == 0 && shown.contains(" stop: ") && shown.contains(", done"),
+            "{shown}"
+        );
         let (code, shown, _) = run(&["history"]).await;
         assert!(
             code == 0 && shown.contains("told to leave") && shown.contains("ended with status 0"),
             "{shown}"
         );
         let (code, shown, _) = run(&["--json", "status"]).await;
-        let lines: Vec<Value> = shown.lines().map(|line| serde_json::from_str(line).expect("JSON")).collect();
+        let lines: Vec<Value> = shown
+            .lines()
+            .map(|line| serde_json::from_str(line).expect("JSON"))
+            .collect();
         assert!(code == 0 && lines[0]["state"] == "absent", "{shown}");
         Ok(())
     });
@@ -322,10 +441,14 @@
 
 #[test]
 fn the_example_can_be_read_and_its_schema_is_the_one_that_is_kept() {
-    let schema = Command::new(PROGRAM).args(["agent", "--schema"]).output().expect("it runs");
+    let schema = Command::new(PROGRAM)
+        .args(["agent", "--schema"])
+        .output()
+        .expect("it runs");
     let kept = include_str!("../../../deploy/fleet.schema.json");
     assert_eq!(String::from_utf8_lossy(&schema.stdout), kept);
-    let folder = std::env::temp_dir().join(format!("merlinshelf-fleet-file-{}", std::process::id()));
+    let folder =
+        std::env::temp_dir().join(format!("merlinshelf-fleet-file-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     let file = folder.join("fleet.json5");
     let example = include_str!("../../../deploy/fleet.json5");
@@ -335,17 +458,31 @@
         .replace("/etc/merlinshelf/web.json", config);
     let check = |text: &str| {
         std::fs::write(&file, text).expect("a file");
-        let done = Command::new(PROGRAM).arg("agent").arg(&file).arg("--check").output().expect("it runs");
-        (done.status.code(), String::from_utf8_lossy(&[done.stdout, done.stderr].concat()).into_owned())
+        let done = Command::new(PROGRAM)
+            .arg("agent")
+            .arg(&file)
+            .arg("--check")
+            .output()
+            .expect("it runs");
+        (
+            done.status.code(),
+            String::from_utf8_lossy(&[done.stdout, done.stderr].concat()).into_owned(),
+        )
     };
     assert_eq!(check(&here).0, Some(0), "{}", check(&here).1);
     let (code, why) = check(&here.replace("count: 12", "count: 300"));
-    assert!(code == Some(1) && why.contains("memory: 19200 MB and 64 MB for second processes"), "{why}");
+    assert!(
+        code == Some(1) && why.contains("memory: 19200 MB and 64 MB for second processes"),
+        "{why}"
+    );
     let (code, why) = check(&here.replace("floor: 0.75", "floor: 1.5"));
     assert!(code == Some(1) && why.contains("change.floor"), "{why}");
     let (code, why) = check(&here.replace("floor: 0.75", "flor: 0.75"));
     assert!(code == Some(1) && why.contains("flor"), "{why}");
     let (code, why) = check(example);
-    assert!(code == Some(1) && why.contains("groups.web.program: /opt/merlinshelf/bin/merlinshelf"), "{why}");
+    assert!(
+        code == Some(1) && why.contains("groups.web.program: /opt/merlinshelf/bin/merlinshelf"),
+        "{why}"
+    );
     let _ = std::fs::remove_dir_all(&folder);
 }
--- a/crates/merlinshelf-cli/tests/handover.rs
+++ b/crates/merlinshelf-cli/tests/handover.rs
@@ -36,7 +36,10 @@
 fn upgradable_to(watched_ms: u64, changes: &[(&str, &str)], fault: &str) -> Upgradable {
     static TAKEN: AtomicUsize = AtomicUsize::new(0);
     let number = TAKEN.fetch_add(1, Ordering::SeqCst);
-    let folder = std::env::temp_dir().join(format!("merlinshelf-{}-handover-{number}", std::process::id()));
+    let folder = std::env::temp_dir().join(format!(
+        "merlinshelf-{}-handover-{number}",
+        std::process::id()
+    ));
     std::fs::create_dir_all(&folder).expect("a folder");
     let text = format!(
         "{{ control: {{ socket: {:?} }}, upgrade: {{ watched_ms: {watched_ms}, silent_ms: 5000, descriptors: 4096, memory_mb: 999 }} }}",
@@ -44,15 +47,23 @@
     );
     let operator = folder.join("operator.json5");
     std::fs::write(&operator, text).expect("a file");
-    let variables =
-        [("MERLINSHELF_OPERATOR", operator.to_str().expect("text")), ("MERLINSHELF_FAULT", fault)];
-    Upgradable { rig: Rig::with(PROGRAM, 1024, changes, &variables), folder }
+    let variables = [
+        ("MERLINSHELF_OPERATOR", operator.to_str().expect("text")),
+        ("MERLINSHELF_FAULT", fault),
+    ];
+    Upgradable {
+        rig: Rig::with(PROGRAM, 1024, changes, &variables),
+        folder,
+    }
 }
 
 impl Upgradable {
     fn tool(&self, words: &[&str]) -> Command {
         let mut command = Command::new(PROGRAM);
-        command.args(words).arg("--control").arg(self.folder.join("control"));
+        command
+            .args(words)
+            .arg("--control")
+            .arg(self.folder.join("control"));
         command
     }
 
@@ -73,21 +84,38 @@
 
     /// Asks for an upgrade and waits until it has come to this stage.
     fn upgrade_to(&self, stage: &str) -> Child {
-        let mut tool = self.tool(&["upgrade", "--json"]).stdout(Stdio::piped()).spawn().expect("a tool");
+        let mut tool = self
+            .tool(&["upgrade", "--json"])
+            .stdout(Stdio::piped())
+            .spawn()
+            .expect("a tool");
         let mut lines = BufReader::new(tool.stdout.as_mut().expect("a pipe")).lines();
         let wanted = format!("\"stage\":\"{stage}\"");
-        assert!(lines.any(|line| line.expect("text").contains(&wanted)), "{}", self.rig.log());
+        assert!(
+            lines.any(|line| line.expect("text").contains(&wanted)),
+            "{}",
+            self.rig.log()
+        );
         tool
     }
 }
 
 #[test]
 fn what_was_begun_goes_on_in_the_successor() {
-    let mut play =
-        upgradable(300, &[("\"Cores\": 2", "\"Cores\": 60"), ("\"CallShare\": 6.25", "\"CallShare\": 60")]);
+    let mut play = upgradable(
+        300,
+        &[
+            ("\"Cores\": 2", "\"Cores\": 60"),
+            ("\"CallShare\": 6.25", "\"CallShare\": 60"),
+        ],
+    );
     let mut engine = play.rig.engine();
-    let (mut half, mut running, mut calling, mut full) =
-        (play.rig.edge(), play.rig.edge(), play.rig.edge(), play.rig.edge());
+    let (mut half, mut running, mut calling, mut full) = (
+        play.rig.edge(),
+        play.rig.edge(),
+        play.rig.edge(),
+        play.rig.edge(),
+    );
     let mut trace = String::new();
     // Half of an invocation, one that runs, one at a call below, and 32 on one connection.
     let bytes = ask(1, "transcript-search", b"first", &[]);
@@ -114,16 +142,29 @@
     }
     let status = play.status();
     assert_ne!(status["process"].as_u64(), before);
-    assert_eq!((status["in_hand"].as_u64(), status["connections"].as_u64()), (Some(34), Some(4)));
+    assert_eq!(
+        (status["in_hand"].as_u64(), status["connections"].as_u64()),
+        (Some(34), Some(4))
+    );
 
     // All goes on where it was, on the same connections and the same link.
     half.send(&bytes[bytes.len() / 2..]);
     let _ = writeln!(trace, "{}", engine.message());
     below.send("ply\r\n");
     let _ = writeln!(trace, "{}", engine.message());
-    engine.send(format!("DONE 2 {} OK 9 3\r\none\r\nDONE 3 {} OK 9 5\r\nthree\r\n", id(1), id(3)));
+    engine.send(format!(
+        "DONE 2 {} OK 9 3\r\none\r\nDONE 3 {} OK 9 5\r\nthree\r\n",
+        id(1),
+        id(3)
+    ));
     engine.send(format!("DONE 4 {} OK 9 3\r\ntwo\r\n", id(2)));
-    let _ = writeln!(trace, "{}\n{}\n{}", half.answer(), running.answer(), calling.answer());
+    let _ = writeln!(
+        trace,
+        "{}\n{}\n{}",
+        half.answer(),
+        running.answer(),
+        calling.answer()
+    );
     for (number, tag) in (5..).zip((100..132).rev()) {
         engine.send(format!("DONE {number} {} OK 9 4\r\nfine\r\n", id(tag)));
     }
@@ -131,13 +172,19 @@
     answers.sort();
     answers.dedup();
     assert!(
-        answers.len() == 32 && answers.iter().all(|answer| answer.ends_with("200 OK||fine")),
+        answers.len() == 32
+            && answers
+                .iter()
+                .all(|answer| answer.ends_with("200 OK||fine")),
         "{answers:?}"
     );
     assert!(play.rig.engine.accept().is_err(), "a new link was made");
     let counters = play.status()["counters"].clone();
-    let _ =
-        writeln!(trace, "{} {} {}", counters["invocations"], counters["succeeded"], counters["engine_links"]);
+    let _ = writeln!(
+        trace,
+        "{} {} {}",
+        counters["invocations"], counters["succeeded"], counters["engine_links"]
+    );
     assert_snapshot!(trace);
 }
 
@@ -159,22 +206,30 @@
     second.send(ask(2, "transcript-search", b"two", &[]));
     let _ = writeln!(trace, "{}", engine.message());
     engine.questions(2);
-    let successor =
-        play.status()["process"].as_u64().and_then(|id| u32::try_from(id).ok()).expect("a process");
+    let successor = play.status()["process"]
+        .as_u64()
+        .and_then(|id| u32::try_from(id).ok())
+        .expect("a process");
     signal(successor, Signal::KILL);
     assert_eq!(tool.wait().expect("an end").code(), Some(1));
     // It goes on over the successor's own link, and nothing is said twice.
     engine.questions(3);
     engine.send(format!("DONE 2 {} OK 9 3\r\ntwo\r\n", id(2)));
     let _ = writeln!(trace, "{}", second.answer());
-    assert_eq!(play.status()["process"].as_u64(), Some(play.rig.child.id().into()));
+    assert_eq!(
+        play.status()["process"].as_u64(),
+        Some(play.rig.child.id().into())
+    );
     // And where that breaks, with the last number that the successor had noted, or a later one.
     first.send(ask(3, "transcript-search", b"three", &[]));
     let _ = writeln!(trace, "{}", engine.message());
     engine.send("WHAT\r\n");
     let mut engine = Peer::accept(&play.rig.engine);
     let _ = writeln!(trace, "{}", engine.message());
-    engine.send(format!("HELLO WARM 9100\r\nDONE 3 {} OK 9 5\r\nthree\r\n", id(3)));
+    engine.send(format!(
+        "HELLO WARM 9100\r\nDONE 3 {} OK 9 5\r\nthree\r\n",
+        id(3)
+    ));
     let _ = writeln!(trace, "{}", first.answer());
     assert_snapshot!(trace);
 }
@@ -195,7 +250,10 @@
     engine.send("WHAT\r\n");
     let mut engine = Peer::accept(&play.rig.engine);
     let _ = writeln!(trace, "{}", engine.message());
-    engine.send(format!("HELLO WARM 9000\r\nDONE 2 {} OK 9 3\r\ntwo\r\n", id(2)));
+    engine.send(format!(
+        "HELLO WARM 9000\r\nDONE 2 {} OK 9 3\r\ntwo\r\n",
+        id(2)
+    ));
     let _ = writeln!(trace, "{}", edge.answer());
     engine.questions(3); // and no second RUN
     assert!(tool.wait().expect("an end").success());
@@ -207,7 +265,9 @@
     let play = upgradable(300, &[("\"sockets\": 1024", "\"sockets\": 64")]);
     let mut engine = play.rig.engine();
     let mut busy: Vec<Peer> = (0..32).map(|_| play.rig.edge()).collect();
-    (1..).zip(&mut busy).for_each(|(tag, edge)| edge.send(ask(tag, "transcript-search", b"", &[])));
+    (1..)
+        .zip(&mut busy)
+        .for_each(|(tag, edge)| edge.send(ask(tag, "transcript-search", b"", &[])));
     let mut waiting = play.rig.edge();
     waiting.send(ask(99, "", b"", &[("SCRIPT_NAME", "/status/live")]));
     let run = engine.message();
@@ -240,7 +300,10 @@
     play.rig.signal("HUP");
     let mut engine = Peer::accept(&new_engine);
     assert_eq!(engine.message(), "ATTACH 0");
-    engine.send(format!("HELLO WARM 9000\r\nDONE 1 {} OK 9 4\r\nfine\r\n", id(1)));
+    engine.send(format!(
+        "HELLO WARM 9000\r\nDONE 1 {} OK 9 4\r\nfine\r\n",
+        id(1)
+    ));
     assert!(edge.answer().ends_with("200 OK||fine"));
     tool.kill().and_then(|()| tool.wait()).expect("its end");
 }
@@ -256,7 +319,10 @@
     let mut tags = Vec::new();
     for _ in 0..sent {
         let answer = slow.answer();
-        assert!(answer.ends_with(&result) || answer.ends_with("ended with status 2"), "{answer:.100}");
+        assert!(
+            answer.ends_with(&result) || answer.ends_with("ended with status 2"),
+            "{answer:.100}"
+        );
         tags.push(answer.split(' ').next().unwrap_or("").to_owned());
     }
     tags.sort();
@@ -267,26 +333,43 @@
 #[test]
 fn the_command_line_says_what_it_did() {
     let run = |words: &[&str]| {
-        Command::new(PROGRAM).args(words).env_remove("PROXY_CONFIG").output().expect("it runs")
+        Command::new(PROGRAM)
+            .args(words)
+            .env_remove("PROXY_CONFIG")
+            .output()
+            .expect("it runs")
     };
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
     // Files.
     let config = concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples/config.json");
     let operator = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/operator.json5");
     let good = run(&["check", "--config", config, "--operator", operator]);
-    assert!(good.status.success() && text(&good.stdout).matches("can be used").count() == 2, "{good:?}");
+    assert!(
+        good.status.success() && text(&good.stdout).matches("can be used").count() == 2,
+        "{good:?}"
+    );
     let bad = run(&["check", "--operator", config, "--json"]);
     assert_eq!(bad.status.code(), Some(1));
-    assert!(text(&bad.stdout).contains("unknown field `name`"), "{}", text(&bad.stdout));
+    assert!(
+        text(&bad.stdout).contains("unknown field `name`"),
+        "{}",
+        text(&bad.stdout)
+    );
     assert_eq!(run(&["check"]).status.code(), Some(2));
     assert_eq!(run(&["dance"]).status.code(), Some(2));
-    assert_eq!(run(&["check", "--schema"]).stdout, include_bytes!("../../../deploy/operator.schema.json"));
+    assert_eq!(
+        run(&["check", "--schema"]).stdout,
+        include_bytes!("../../../deploy/operator.schema.json")
+    );
     assert!(text(&run(&["completions", "bash"]).stdout).contains("complete"));
     assert!(text(&run(&["upgrade", "--help"]).stdout).contains("Example"));
     let alone = run(&[]);
     assert_eq!(
         (alone.status.code(), text(&alone.stderr).as_str()),
-        (Some(1), "merlinshelf: PROXY_CONFIG names no configuration\n")
+        (
+            Some(1),
+            "merlinshelf: PROXY_CONFIG names no configuration\n"
+        )
     );
     // An instance.
     let nobody = run(&["status", "--control", "/nowhere/control", "--json"]);
@@ -294,7 +377,10 @@
     let mut play = upgradable(300, &[("\"stop_ms\": 3200", "\"stop_ms\": 600")]);
     let _engine = play.rig.engine();
     let page = text(&play.told(&["status"]).stdout);
-    assert!(page.contains("state: serving\n") && page.contains("  stats: "), "{page}");
+    assert!(
+        page.contains("state: serving\n") && page.contains("  stats: "),
+        "{page}"
+    );
     // A second one does not take its socket away.
     let operator = play.folder.join("operator.json5");
     let second = Command::new(PROGRAM)
@@ -308,7 +394,10 @@
         "{second:?}"
     );
     let drained = play.told(&["drain", "--wait"]);
-    assert!(drained.status.success() && text(&drained.stdout).ends_with("it has left\n"), "{drained:?}");
+    assert!(
+        drained.status.success() && text(&drained.stdout).ends_with("it has left\n"),
+        "{drained:?}"
+    );
     assert!(play.rig.end().0.success());
 }
 
@@ -318,7 +407,12 @@
     let operator = play.folder.join("operator.json5");
     std::fs::write(&operator, "{ log: { format: 'json' } }").expect("a file");
     let variables = [("MERLINSHELF_OPERATOR", operator.to_str().expect("text"))];
-    let mut rig = Rig::with(PROGRAM, 1024, &[("\"stop_ms\": 3200", "\"stop_ms\": 300")], &variables);
+    let mut rig = Rig::with(
+        PROGRAM,
+        1024,
+        &[("\"stop_ms\": 3200", "\"stop_ms\": 300")],
+        &variables,
+    );
     let _engine = rig.engine();
     rig.signal("TERM");
     let (status, log) = rig.end();
@@ -326,7 +420,13 @@
     for line in log.lines() {
         let line: serde_json::Value =
             serde_json::from_str(line).unwrap_or_else(|why| panic!("{why}: {line}"));
-        assert!(line["time"].is_number() && line["text"].is_string() && line["part"].is_string(), "{line}");
+        assert!(
+            line["time"].is_number() && line["text"].is_string() && line["part"].is_string(),
+            "{line}"
+        );
     }
-    assert!(log.contains("\"text\":\"notice to leave: 0 in hand"), "{log}");
+    assert!(
+        log.contains("\"text\":\"notice to leave: 0 in hand"),
+        "{log}"
+    );
 }
--- a/crates/merlinshelf-cli/tests/learning.rs
+++ b/crates/merlinshelf-cli/tests/learning.rs
@@ -47,9 +47,18 @@
 /// Lets it go on until so many more were answered, and checks everything.
 async fn check(instance: &Instance, load: &Load, playing: Playing) -> Verdict {
     let answered = |playing: &Playing| {
-        playing.seen.borrow().sent.values().filter(|sent| !sent.answers.is_empty()).count()
+        playing
+            .seen
+            .borrow()
+            .sent
+            .values()
+            .filter(|sent| !sent.answers.is_empty())
+            .count()
     };
-    let (until, wanted) = (Instant::now() + Duration::from_secs(10), answered(&playing) + 30);
+    let (until, wanted) = (
+        Instant::now() + Duration::from_secs(10),
+        answered(&playing) + 30,
+    );
     while answered(&playing) < wanted && Instant::now() < until {
         sleep(Duration::from_millis(5)).await;
     }
@@ -59,21 +68,35 @@
 
 fn is_taught_by(status: &Value, name: &str) -> bool {
     let all = status["learning"]["taught_by"].as_array();
-    all.is_some_and(|all| all.iter().any(|one| one["by"].as_str().is_some_and(|by| by.starts_with(name))))
+    all.is_some_and(|all| {
+        all.iter()
+            .any(|one| one["by"].as_str().is_some_and(|by| by.starts_with(name)))
+    })
 }
 
 /// One that serves a load and knows its servers by its own samples.
 async fn experienced(number: u8) -> io::Result<(Instance, Load, Playing)> {
     let instance = Instance::start(&setup(number, &[]), number).await?;
     let (load, playing) = load(&instance, number.into()).await?;
-    instance.says("steady", |status| status["learning"]["standing"] == "steady").await?;
+    instance
+        .says("steady", |status| {
+            status["learning"]["standing"] == "steady"
+        })
+        .await?;
     Ok((instance, load, playing))
 }
 
 fn run(arguments: &[&str]) -> (i32, String, String) {
-    let done = Command::new(PROGRAM).args(arguments).output().expect("it runs");
+    let done = Command::new(PROGRAM)
+        .args(arguments)
+        .output()
+        .expect("it runs");
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
-    (done.status.code().unwrap_or(-1), text(&done.stdout), text(&done.stderr))
+    (
+        done.status.code().unwrap_or(-1),
+        text(&done.stdout),
+        text(&done.stderr),
+    )
 }
 
 #[test]
@@ -81,12 +104,26 @@
     play(async {
         let (teacher, teachers_load, teaching) = experienced(10).await?;
         let pupil = Instance::start(&setup(11, &[10]), 11).await?;
-        pupil.says("taught", |status| is_taught_by(status, "n10")).await?;
+        pupil
+            .says("taught", |status| is_taught_by(status, "n10"))
+            .await?;
         let figures = pupil.figures().await?;
-        let of =
-            |kind: &str| figures.iter().filter(|one| one["kind"] == kind && one["origin"] == "n10").count();
-        assert_eq!((of("run-recent"), of("call-recent"), of("limit")), (3, 1, 1), "{figures:?}");
-        assert!(figures.iter().all(|one| one["hops"].as_u64() >= Some(1) && one["own"] == false));
+        let of = |kind: &str| {
+            figures
+                .iter()
+                .filter(|one| one["kind"] == kind && one["origin"] == "n10")
+                .count()
+        };
+        assert_eq!(
+            (of("run-recent"), of("call-recent"), of("limit")),
+            (3, 1, 1),
+            "{figures:?}"
+        );
+        assert!(
+            figures
+                .iter()
+                .all(|one| one["hops"].as_u64() >= Some(1) && one["own"] == false)
+        );
         // Both serve on, and the teacher's clients are none the worse.
         let (load, playing) = load(&pupil, 7).await?;
         let verdict = check(&pupil, &load, playing).await;
@@ -96,14 +133,37 @@
         // What operators see of it.
         let control = pupil.control().to_string_lossy().into_owned();
         let (code, shown, _) = run(&["knowledge", "show", "--control", &control]);
-        assert!(code == 0 && shown.starts_with("kind ") && shown.contains("n10"), "{shown}");
-        assert!(shown.contains("(seen)"), "its own samples are told apart: {shown}");
+        assert!(
+            code == 0 && shown.starts_with("kind ") && shown.contains("n10"),
+            "{shown}"
+        );
+        assert!(
+            shown.contains("(seen)"),
+            "its own samples are told apart: {shown}"
+        );
         let (code, exported, _) = run(&["knowledge", "export", "--control", &control]);
-        let lines: Vec<Value> =
-            exported.lines().map(|line| serde_json::from_str(line).expect("JSON")).collect();
-        assert!(code == 0 && lines.iter().any(|line| line["origin"] == "n10" && line["age_s"].is_number()));
-        let (code, said, _) = run(&["knowledge", "forget", "--control", &control, "--origin", "n10"]);
-        assert!(code == 0 && said.contains("figures are forgotten") && !said.starts_with('0'), "{said}");
+        let lines: Vec<Value> = exported
+            .lines()
+            .map(|line| serde_json::from_str(line).expect("JSON"))
+            .collect();
+        assert!(
+            code == 0
+                && lines
+                    .iter()
+                    .any(|line| line["origin"] == "n10" && line["age_s"].is_number())
+        );
+        let (code, said, _) = run(&[
+            "knowledge",
+            "forget",
+            "--control",
+            &control,
+            "--origin",
+            "n10",
+        ]);
+        assert!(
+            code == 0 && said.contains("figures are forgotten") && !said.starts_with('0'),
+            "{said}"
+        );
         // The peer tells it again in its time; of the life before nothing else is left.
         let (code, _, error) = run(&["knowledge", "show", "--folder", "/nowhere/at/all"]);
         assert_eq!((code, error.as_str()), (0, ""));
@@ -115,17 +175,33 @@
 fn its_own_past_outlives_a_crash_and_a_file_that_can_not_be_read_costs_nothing_but_the_past() {
     play(async {
         let (mut instance, _, playing) = experienced(20).await?;
-        instance.says("saved", |status| status["learning"]["saved"]["ago_s"].is_number()).await?;
+        instance
+            .says("saved", |status| {
+                status["learning"]["saved"]["ago_s"].is_number()
+            })
+            .await?;
         // A saving from after it was steady.
-        let saved =
-            |status: &Value| status["learning"]["saved"]["ago_s"].as_f64().is_some_and(|ago| ago < 0.1);
+        let saved = |status: &Value| {
+            status["learning"]["saved"]["ago_s"]
+                .as_f64()
+                .is_some_and(|ago| ago < 0.1)
+        };
         instance.says("saved again", saved).await?;
         playing.leave();
         instance.crash().await?;
         instance.logged("from its own past", 1).await?;
-        instance.says("taught by its past", |status| is_taught_by(status, "n20 (its own past)")).await?;
+        instance
+            .says("taught by its past", |status| {
+                is_taught_by(status, "n20 (its own past)")
+            })
+            .await?;
         let figures = instance.figures().await?;
-        assert!(figures.iter().any(|one| one["kind"] == "run-recent" && one["own"] == false), "{figures:?}");
+        assert!(
+            figures
+                .iter()
+                .any(|one| one["kind"] == "run-recent" && one["own"] == false),
+            "{figures:?}"
+        );
         let folder = instance.kept();
         let (code, shown, _) = run(&["knowledge", "show", "--folder", &folder.to_string_lossy()]);
         assert!(code == 0 && shown.contains("run-recent"), "{shown}");
@@ -157,10 +233,16 @@
             }
             let (load, playing) = load(&instance, 100 + times as u64).await?;
             let verdict = check(&instance, &load, playing).await;
-            assert!(verdict.is_clean() && verdict.served > 20, "{spoil}: {verdict:?}");
+            assert!(
+                verdict.is_clean() && verdict.served > 20,
+                "{spoil}: {verdict:?}"
+            );
         }
         let report = instance.status().await?;
-        assert!(report["learning"]["saved"]["failed"].is_string(), "{report}");
+        assert!(
+            report["learning"]["saved"]["failed"].is_string(),
+            "{report}"
+        );
         Ok(())
     });
 }
@@ -184,7 +266,11 @@
                     }
                 }
                 "endless" => while stream.write_all(&[b'x'; 4096]).await.is_ok() {},
-                "closes midway" => _ = stream.write_all(&[head.as_slice(), &figure[..20]].concat()).await,
+                "closes midway" => {
+                    _ = stream
+                        .write_all(&[head.as_slice(), &figure[..20]].concat())
+                        .await
+                }
                 _ => _ = stream.write_all(b"HTTP/1.1 400 Bad Request\r\n\r\n").await,
             }
         });
@@ -194,7 +280,13 @@
 #[test]
 fn teachers_that_trickle_never_end_close_midway_or_keep_silent_delay_neither_start_nor_service() {
     play(async {
-        let manners = ["silent", "trickles", "endless", "closes midway", "speaks something else"];
+        let manners = [
+            "silent",
+            "trickles",
+            "endless",
+            "closes midway",
+            "speaks something else",
+        ];
         let mut places = Vec::new();
         for (place, manner) in manners.into_iter().enumerate() {
             let number = 31 + place as u8;
@@ -204,7 +296,9 @@
         }
         let setup = setup(30, &places);
         let instance = Instance::start(&setup, 30).await?;
-        let up = instance.status().await?["up_ms"].as_u64().unwrap_or(u64::MAX);
+        let up = instance.status().await?["up_ms"]
+            .as_u64()
+            .unwrap_or(u64::MAX);
         assert!(up < 5000, "it serves although nobody teaches it: {up} ms"); // busy machines are slow
         let (load, playing) = load(&instance, 7).await?;
         // Each was asked, and none keeps a connection for long.
@@ -224,7 +318,10 @@
         let listener = TcpListener::bind(peer_address(41)).await?;
         let told = |subject: Subject, value: f64| Told {
             subject,
-            origin: Origin { name: "bad".into(), life: 1 },
+            origin: Origin {
+                name: "bad".into(),
+                life: 1,
+            },
             value,
             count: 24,
             age: 0.0,
@@ -232,25 +329,50 @@
             hops: 1,
             standing: Standing::Steady,
         };
-        let run = |operation: &str| Subject::RunRecent { engine: "lab".into(), operation: operation.into() };
+        let run = |operation: &str| Subject::RunRecent {
+            engine: "lab".into(),
+            operation: operation.into(),
+        };
         let figures = vec![
             // What can't be, and what might be and is not so: runs of minutes, and calls that fail.
             told(run("thumbnail"), f64::NAN),
-            told(Subject::Limit { engine: "lab".into() }, 5e6),
-            Told { age: -3600.0, ..told(run("thumbnail"), 0.01) },
+            told(
+                Subject::Limit {
+                    engine: "lab".into(),
+                },
+                5e6,
+            ),
+            Told {
+                age: -3600.0,
+                ..told(run("thumbnail"), 0.01)
+            },
             told(run("playback-token"), 300.0),
             told(run("transcript-search"), 500.0),
-            told(Subject::CallFailures { dependency: "catalogue".into() }, 1000.0),
+            told(
+                Subject::CallFailures {
+                    dependency: "catalogue".into(),
+                },
+                1000.0,
+            ),
         ];
         spawn_local(worth::teach(listener, peer_address(41), figures));
         let instance = Instance::start(&setup(40, &[41]), 40).await?;
-        instance.says("taught", |status| is_taught_by(status, "bad")).await?;
-        instance.logged("2 figures of bad are not taken: values that can't be", 1).await?;
-        instance.logged("1 figures of bad are not taken: ages that can't be", 1).await?;
+        instance
+            .says("taught", |status| is_taught_by(status, "bad"))
+            .await?;
+        instance
+            .logged("2 figures of bad are not taken: values that can't be", 1)
+            .await?;
+        instance
+            .logged("1 figures of bad are not taken: ages that can't be", 1)
+            .await?;
         let (load, playing) = load(&instance, 7).await?;
         let verdict = check(&instance, &load, playing).await;
         assert!(verdict.is_clean(), "{verdict:?}");
-        assert!(verdict.served * 10 >= verdict.sent * 8, "most is served all the same: {verdict:?}");
+        assert!(
+            verdict.served * 10 >= verdict.sent * 8,
+            "most is served all the same: {verdict:?}"
+        );
         let report = instance.status().await?;
         assert!(
             report["counters"]["calls_succeeded"].as_u64() > Some(0),
@@ -271,7 +393,9 @@
                     let until = Instant::now() + Duration::from_millis(1500);
                     let mut answered = 0;
                     while Instant::now() < until {
-                        let Ok(mut stream) = TcpStream::connect(peer_address(50)).await else { continue };
+                        let Ok(mut stream) = TcpStream::connect(peer_address(50)).await else {
+                            continue;
+                        };
                         let _ = stream.write_all(question).await;
                         let mut answer = Vec::new();
                         let _ = stream.read_to_end(&mut answer).await;
@@ -294,16 +418,23 @@
 }
 
 #[test]
-fn one_told_to_leave_or_upgraded_in_the_midst_of_being_taught_does_as_told_and_keeps_what_it_knows() {
+fn one_told_to_leave_or_upgraded_in_the_midst_of_being_taught_does_as_told_and_keeps_what_it_knows()
+{
     play(async {
         let (teacher, _, teaching) = experienced(60).await?;
         // Its other teacher keeps silent for good.
         let listener = TcpListener::bind(peer_address(62)).await?;
         spawn_local(odd_teacher("silent", listener));
         let mut pupil = Instance::start(&setup(61, &[60, 62]), 61).await?;
-        pupil.says("taught", |status| is_taught_by(status, "n60")).await?;
+        pupil
+            .says("taught", |status| is_taught_by(status, "n60"))
+            .await?;
         let (load, playing) = load(&pupil, 7).await?;
-        pupil.says("steady", |status| status["learning"]["standing"] == "steady").await?;
+        pupil
+            .says("steady", |status| {
+                status["learning"]["standing"] == "steady"
+            })
+            .await?;
         let mut talk = pupil.ask(Question::Upgrade).await?;
         loop {
             match talk.next().await? {
@@ -316,11 +447,23 @@
         }
         // The successor knows it in the same form, and by whom; and that its predecessor's samples were another life's.
         let figures = pupil.figures().await?;
-        assert!(figures.iter().any(|one| one["origin"] == "n60"), "{figures:?}");
-        assert!(figures.iter().any(|one| one["origin"] == "n61" && one["own"] == false), "{figures:?}");
+        assert!(
+            figures.iter().any(|one| one["origin"] == "n60"),
+            "{figures:?}"
+        );
+        assert!(
+            figures
+                .iter()
+                .any(|one| one["origin"] == "n61" && one["own"] == false),
+            "{figures:?}"
+        );
         pupil.logged("teaches at", 2).await?;
         // The folder is the successor's by now.
-        pupil.says("saved", |status| status["learning"]["saved"]["ago_s"].is_number()).await?;
+        pupil
+            .says("saved", |status| {
+                status["learning"]["saved"]["ago_s"].is_number()
+            })
+            .await?;
         let successor = pupil.processes().pop().expect("one");
         signal(successor, Signal::TERM);
         pupil.logged("notice to leave", 1).await?;
@@ -329,7 +472,9 @@
         assert_eq!(pupil.first_ended().await?, Some(0));
         teaching.leave();
         // Who leaves says so, or is not there any more when it is asked.
-        teacher.says("alone", |status| status["learning"]["peers"] == 0).await?;
+        teacher
+            .says("alone", |status| status["learning"]["peers"] == 0)
+            .await?;
         Ok(())
     });
 }
@@ -339,9 +484,19 @@
     let folder = std::env::temp_dir().join(format!("merlinshelf-learning-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     let operator = folder.join("operator.json5");
-    std::fs::write(&operator, "{ learning: { peers: { listen: '192.168.1.5:7400' } } }").expect("a file");
+    std::fs::write(
+        &operator,
+        "{ learning: { peers: { listen: '192.168.1.5:7400' } } }",
+    )
+    .expect("a file");
     let config = concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples/config.json");
-    let (code, _, error) = run(&["serve", "--config", config, "--operator", &operator.to_string_lossy()]);
+    let (code, _, error) = run(&[
+        "serve",
+        "--config",
+        config,
+        "--operator",
+        &operator.to_string_lossy(),
+    ]);
     let _ = std::fs::remove_dir_all(&folder);
     assert!(
         code == 1 && error.contains("learning.peers.listen") && error.contains("not encrypted yet"),
--- a/crates/merlinshelf-cli/tests/serving.rs
+++ b/crates/merlinshelf-cli/tests/serving.rs
@@ -25,21 +25,39 @@
     // The second comes byte by byte, the first is answered after it.
     edge.send(ask(1, "transcript-search", b"\0\xff\r\n", &[]));
     let _ = writeln!(trace, "{}", engine.message());
-    for byte in ask(2, "transcript-search", b"", &[("HTTP_X_REPEAT", "1"), ("HTTP_X_ENTITY", "7f")]) {
+    for byte in ask(
+        2,
+        "transcript-search",
+        b"",
+        &[("HTTP_X_REPEAT", "1"), ("HTTP_X_ENTITY", "7f")],
+    ) {
         edge.send([byte]);
         edge.stream.flush().expect("a stream");
     }
     let _ = writeln!(trace, "{}", engine.message());
     engine.send(format!("DONE 1 {} OK 12 6\r\n\r\n\0é\n\r\n", id(2)));
     let _ = writeln!(trace, "{}", edge.answer());
-    engine.send(format!("NOTE 2 still here\r\nDONE 3 {} ERROR 12 0\r\n\r\n", id(1)));
+    engine.send(format!(
+        "NOTE 2 still here\r\nDONE 3 {} ERROR 12 0\r\n\r\n",
+        id(1)
+    ));
     let _ = writeln!(trace, "{}", edge.answer());
-    let check = ask(3, "", b"", &[("SCRIPT_NAME", "/status/live"), ("REQUEST_METHOD", "GET")]);
+    let check = ask(
+        3,
+        "",
+        b"",
+        &[("SCRIPT_NAME", "/status/live"), ("REQUEST_METHOD", "GET")],
+    );
     edge.send(check);
     let _ = writeln!(trace, "{}", edge.answer());
     // One whose time is used up is turned away at once and told when to come back.
     let stamp = (unix_ms() - 4001).to_string();
-    edge.send(ask(4, "thumbnail", b"", &[("HTTP_X_QUEUE_START", &stamp), ("HTTP_X_REPEAT", "1")]));
+    edge.send(ask(
+        4,
+        "thumbnail",
+        b"",
+        &[("HTTP_X_QUEUE_START", &stamp), ("HTTP_X_REPEAT", "1")],
+    ));
     let _ = writeln!(trace, "{}", edge.answer());
     assert_snapshot!(trace);
 }
@@ -55,9 +73,19 @@
     let cases = [
         ask(2, "transcript-search", b"", &[("HTTP_X_CALL_ID", "")]),
         ask(2, "transcript-search", b"", &[("HTTP_X_CALL_ID", "9b1f")]),
-        ask(2, "transcript-search", b"", &[("HTTP_X_QUEUE_START", "soon")]),
+        ask(
+            2,
+            "transcript-search",
+            b"",
+            &[("HTTP_X_QUEUE_START", "soon")],
+        ),
         ask(2, "transcript-search", b"", &[("HTTP_X_PATIENCE_MS", "")]),
-        ask(2, "transcript-search", b"", &[("HTTP_X_PATIENCE_MS", "1e300")]),
+        ask(
+            2,
+            "transcript-search",
+            b"",
+            &[("HTTP_X_PATIENCE_MS", "1e300")],
+        ),
         ask(2, "transcript-search", b"", &[("HTTP_X_HEAP_KB", "nan")]),
         ask(2, "transcript-search", b"", &[("HTTP_X_IMPORTANCE", "1")]),
         ask(2, "transcript-search", b"", &[("HTTP_X_SOURCE", "-1")]),
@@ -68,8 +96,16 @@
         ask(2, "transcript-search", &long, &[]),
         ask(2, "thumbnails", b"", &[]),
         ask(2, "", b"", &[("SCRIPT_NAME", "/")]),
-        [record(1, 2, &[0, 1, 1, 0, 0, 0, 0, 0], 0), record(5, 2, b"", 0)].concat(),
-        [record(1, 2, &[0, 1, 1, 0, 0, 0, 0, 0], 0), record(4, 2, b"\x05\x05a", 0)].concat(),
+        [
+            record(1, 2, &[0, 1, 1, 0, 0, 0, 0, 0], 0),
+            record(5, 2, b"", 0),
+        ]
+        .concat(),
+        [
+            record(1, 2, &[0, 1, 1, 0, 0, 0, 0, 0], 0),
+            record(4, 2, b"\x05\x05a", 0),
+        ]
+        .concat(),
         [record(4, 2, b"", 0), record(5, 2, b"", 0)].concat(),
         record(1, 2, &[0, 2, 1, 0, 0, 0, 0, 0], 0),
         record(33, 0, b"odd", 0),
@@ -103,7 +139,9 @@
     let rig = Rig::start(PROGRAM, 1024, &[]);
     let (_engine, mut edge) = (rig.engine(), rig.edge());
     // Begun only, so that nothing of them is decided.
-    let begun: Vec<u8> = (1..=33).flat_map(|tag| record(1, tag, &[0, 1, 1, 0, 0, 0, 0, 0], 0)).collect();
+    let begun: Vec<u8> = (1..=33)
+        .flat_map(|tag| record(1, tag, &[0, 1, 1, 0, 0, 0, 0, 0], 0))
+        .collect();
     edge.send(begun);
     assert_eq!(edge.answer(), "33 ended with status 2");
 }
@@ -114,7 +152,10 @@
     let (mut engine, mut edge) = (rig.engine(), rig.edge());
     edge.send(ask(1, "transcript-search", b"first", &[]));
     let mut trace = engine.message() + "\n";
-    engine.send(format!("NOTE 9 ahead\r\nDONE 2 {} OK 12 3\r\none\r\n", id(1)));
+    engine.send(format!(
+        "NOTE 9 ahead\r\nDONE 2 {} OK 12 3\r\none\r\n",
+        id(1)
+    ));
     let _ = writeln!(trace, "{}", edge.answer());
     // The link breaks on a line that can't be read; what comes meanwhile waits, a lost run is given again.
     let mut dry = Duration::ZERO;
@@ -178,7 +219,12 @@
     engine.send(format!("NEED 1 {} 3\r\na\0b\r\n", id(1)));
     let mut below = Peer::accept(&rig.catalogue);
     let called = below.message();
-    let _ = writeln!(trace, "{} ... {}", &called[..23], &called[called.len() - 8..]);
+    let _ = writeln!(
+        trace,
+        "{} ... {}",
+        &called[..23],
+        &called[called.len() - 8..]
+    );
     below.send(format!("{} ok 5\r\n\r\n\0\r\n\r\n", id(1)));
     let _ = writeln!(trace, "{}", engine.message());
     // A connection that breaks under a call proves nothing: the call may be made again, as all are idempotent.
@@ -205,12 +251,22 @@
         assert!(engine.message().starts_with("RUN"));
         engine.send(format!("NEED {} {} 0\r\n\r\n", 2 * number - 1, id(number)));
         let lane = below.get_or_insert_with(|| Peer::accept(&rig.catalogue));
-        assert!(lane.message().starts_with(&format!("invoke {}", id(number))));
+        assert!(
+            lane.message()
+                .starts_with(&format!("invoke {}", id(number)))
+        );
         lane.send(format!("{} {word}\r\n", id(number)));
         let ends = ["calls_never_ran", "calls_failed"][usize::from(number > 2)];
-        rig.counted(ends, u64::from(if number > 2 { number - 2 } else { number }));
+        rig.counted(
+            ends,
+            u64::from(if number > 2 { number - 2 } else { number }),
+        );
         // The run ends by itself, whatever the module does about the call.
-        engine.send(format!("DONE {} {} OK 50 0\r\n\r\n", 2 * number, id(number)));
+        engine.send(format!(
+            "DONE {} {} OK 50 0\r\n\r\n",
+            2 * number,
+            id(number)
+        ));
         assert!(edge.answer().contains("200 OK"));
     }
     // All went over one line. Its far end may close or forget an idle one: a call that met that proves nothing.
@@ -219,11 +275,17 @@
         engine.idle(millis(20));
         assert!(idle.elapsed() < millis(2500), "it stays open");
     }
-    assert!(idle.elapsed() > millis(500), "it is closed too soon to be of use");
+    assert!(
+        idle.elapsed() > millis(500),
+        "it is closed too soon to be of use"
+    );
     rig.signal("TERM");
     let (_, log) = rig.end();
     let counts = log.lines().last().unwrap_or("");
-    assert!(counts.contains(" calls_never_ran=2 calls_failed=2 calls_timed_out=0 "), "{counts}");
+    assert!(
+        counts.contains(" calls_never_ran=2 calls_failed=2 calls_timed_out=0 "),
+        "{counts}"
+    );
 }
 
 #[test]
@@ -242,8 +304,15 @@
         let _ = writeln!(trace, "{} ... {}", &call[..23], &call[call.len() - 5..]);
     }
     let _ = writeln!(trace, "{}", engine.message());
-    assert!(lanes.iter_mut().all(|lane| lane.line().is_none()), "a connection without a reply stays open");
-    assert!(called.elapsed() < millis(1600), "given up after {:?}", called.elapsed());
+    assert!(
+        lanes.iter_mut().all(|lane| lane.line().is_none()),
+        "a connection without a reply stays open"
+    );
+    assert!(
+        called.elapsed() < millis(1600),
+        "given up after {:?}",
+        called.elapsed()
+    );
     // The run goes on to its next call, which is left out at once after three.
     engine.send(format!("NEED 2 {} 3\r\ntwo\r\n", id(1)));
     let _ = writeln!(trace, "{}", engine.message());
@@ -261,21 +330,40 @@
         assert!(engine.message().starts_with("RUN"));
         engine.send(format!("NEED {number} {} 0\r\n\r\n", id(number)));
         let mut line = Peer::accept(&rig.catalogue);
-        assert!(line.message().starts_with(&format!("invoke {}", id(number))));
+        assert!(
+            line.message()
+                .starts_with(&format!("invoke {}", id(number)))
+        );
         line
     };
     let (mut neighbour, mut line, sent) = (calls(1), calls(2), Instant::now());
     line.send("noise");
-    assert_eq!(line.line(), None, "the connection of a spoilt reply stays open");
-    assert!(sent.elapsed() < millis(500), "ended only after {:?}", sent.elapsed());
+    assert_eq!(
+        line.line(),
+        None,
+        "the connection of a spoilt reply stays open"
+    );
+    assert!(
+        sent.elapsed() < millis(500),
+        "ended only after {:?}",
+        sent.elapsed()
+    );
     // Its next try has a connection of its own again.
     let mut again = Peer::accept(&rig.catalogue);
     assert!(again.message().starts_with(&format!("invoke {}", id(2))));
     // A reply under another id ahead and a second copy behind do no harm, and the line is not kept.
-    neighbour.send(format!("{} ok 3\r\nbad\r\n{} ok 4\r\ngood\r\n", id(77), id(1)));
+    neighbour.send(format!(
+        "{} ok 3\r\nbad\r\n{} ok 4\r\ngood\r\n",
+        id(77),
+        id(1)
+    ));
     neighbour.send(format!("{} ok 4\r\ngood\r\n", id(1)));
     assert_eq!(engine.message(), format!("FEED {} 4 good", id(1)));
-    assert_eq!(neighbour.line(), None, "what brought more than its reply is kept");
+    assert_eq!(
+        neighbour.line(),
+        None,
+        "what brought more than its reply is kept"
+    );
 }
 
 #[test]
@@ -291,8 +379,12 @@
     let _ = writeln!(trace, "{}", &below.message()[..23]);
     let before = std::fs::read_to_string(&rig.config).expect("a file");
     // Files that can't be used leave everything as it was.
-    let unusable =
-        ["", "{", &before.replace("members", "numbers"), &before.replace("\"Cores\": 2", "\"Cores\": []")];
+    let unusable = [
+        "",
+        "{",
+        &before.replace("members", "numbers"),
+        &before.replace("\"Cores\": 2", "\"Cores\": []"),
+    ];
     for (times, text) in (1..).zip(unusable) {
         std::fs::write(&rig.config, text).expect("a file");
         rig.signal("HUP");
@@ -305,7 +397,11 @@
     let ((new_engine, at_engine), (new_catalogue, at_catalogue), (new_members, at_members)) =
         (bind(), bind(), bind());
     let mut text = before.replace("\"n0\"", "\"n7\"");
-    for (old, new) in [(&rig.engine, at_engine), (&rig.catalogue, at_catalogue), (&rig.members, at_members)] {
+    for (old, new) in [
+        (&rig.engine, at_engine),
+        (&rig.catalogue, at_catalogue),
+        (&rig.members, at_members),
+    ] {
         text = text.replace(&old.local_addr().expect("one").to_string(), &new);
     }
     std::fs::write(&rig.config, text).expect("a file");
@@ -345,7 +441,11 @@
     let mut reading = rig.edge();
     reading.send(&half[..half.len() / 2]);
     assert_eq!(idle.answer(), "closed");
-    assert!(began.elapsed() > millis(150), "closed after {:?}", began.elapsed());
+    assert!(
+        began.elapsed() > millis(150),
+        "closed after {:?}",
+        began.elapsed()
+    );
     engine.idle(millis(500));
     reading.send(&half[half.len() / 2..]);
     assert!(engine.message().starts_with("RUN"));
@@ -363,7 +463,11 @@
     assert_eq!(first.line().as_deref(), Some("PUT /members/n0 HTTP/1.1"));
     let mut second = Peer::accept(&rig.members);
     assert_eq!(second.line().as_deref(), Some("PUT /members/n0 HTTP/1.1"));
-    assert!(began.elapsed() < millis(1500), "asked again after {:?}", began.elapsed());
+    assert!(
+        began.elapsed() < millis(1500),
+        "asked again after {:?}",
+        began.elapsed()
+    );
 }
 
 #[test]
@@ -376,12 +480,19 @@
     let asked = Instant::now();
     edge.send(ask(65535, "transcript-search", b"", &[]));
     assert!(edge.answer().ends_with(&result));
-    assert!(asked.elapsed() < millis(500), "held up for {:?}", asked.elapsed());
+    assert!(
+        asked.elapsed() < millis(500),
+        "held up for {:?}",
+        asked.elapsed()
+    );
     // Each has its one answer, whole; a few were over the 32 that may be open.
     let mut tags: Vec<String> = Vec::new();
     for _ in 0..sent {
         let answer = slow.answer();
-        assert!(answer.ends_with(&result) || answer.ends_with("ended with status 2"), "{answer:.200}");
+        assert!(
+            answer.ends_with(&result) || answer.ends_with("ended with status 2"),
+            "{answer:.200}"
+        );
         tags.push(answer.split(' ').next().unwrap_or("").into());
     }
     tags.sort();
@@ -389,12 +500,26 @@
     assert_eq!(tags.len(), sent);
     // One that never reads is closed in the end: what is written to it then comes back as a reset.
     let mut dead = rig.edge();
-    dead.stream.set_write_timeout(Some(millis(100))).expect("a time-out");
+    dead.stream
+        .set_write_timeout(Some(millis(100)))
+        .expect("a time-out");
     let stopped = Instant::now();
     for tag in (1..60_000).cycle() {
-        let bytes = ask(tag, "transcript-search", b"", &[("HTTP_X_PATIENCE_MS", "60000")]);
+        let bytes = ask(
+            tag,
+            "transcript-search",
+            b"",
+            &[("HTTP_X_PATIENCE_MS", "60000")],
+        );
         match dead.stream.write_all(&bytes) {
-            Err(error) if matches!(error.kind(), ErrorKind::ConnectionReset | ErrorKind::BrokenPipe) => break,
+            Err(error)
+                if matches!(
+                    error.kind(),
+                    ErrorKind::ConnectionReset | ErrorKind::BrokenPipe
+                ) =>
+            {
+                break;
+            }
             _ => assert!(stopped.elapsed() < millis(20_000), "it is kept for good"),
         }
     }
@@ -404,19 +529,36 @@
 fn a_pause_of_the_process_is_survived() {
     let rig = Rig::start(PROGRAM, 1024, &[]);
     let (mut engine, mut edge) = (rig.engine(), rig.edge());
-    edge.send(ask(1, "transcript-search", b"", &[("HTTP_X_PATIENCE_MS", "300")]));
+    edge.send(ask(
+        1,
+        "transcript-search",
+        b"",
+        &[("HTTP_X_PATIENCE_MS", "300")],
+    ));
     assert!(engine.message().starts_with("RUN"));
     rig.signal("STOP");
-    edge.send(ask(2, "transcript-search", b"", &[("HTTP_X_PATIENCE_MS", "300")]));
+    edge.send(ask(
+        2,
+        "transcript-search",
+        b"",
+        &[("HTTP_X_PATIENCE_MS", "300")],
+    ));
     sleep(millis(500));
     edge.send(ask(3, "transcript-search", b"", &[]));
     rig.signal("CONT");
     // Late ones at once, the other as if nothing had been.
     let mut ends = [edge.answer(), edge.answer()];
     ends.sort();
-    assert!(ends[0].starts_with("1 500") && ends[1].starts_with("2 503"), "{ends:?}");
+    assert!(
+        ends[0].starts_with("1 500") && ends[1].starts_with("2 503"),
+        "{ends:?}"
+    );
     while engine.message() != format!("RUN {} transcript-search 0 ", id(3)) {}
-    engine.send(format!("DONE 1 {} OK 700 4\r\nlate\r\nDONE 2 {} OK 12 4\r\nfine\r\n", id(1), id(3)));
+    engine.send(format!(
+        "DONE 1 {} OK 700 4\r\nlate\r\nDONE 2 {} OK 12 4\r\nfine\r\n",
+        id(1),
+        id(3)
+    ));
     assert!(edge.answer().ends_with("3 200 OK||fine"));
 }
 
@@ -459,16 +601,37 @@
     let (mut edge, sent) = (rig.edge(), Instant::now());
     edge.send([begun(1), record(5, 1, &[b'x'; 3000], 0)].concat());
     assert!(edge.answer().starts_with("1 413"));
-    edge.send([record(1, 2, &[0, 1, 1, 0, 0, 0, 0, 0], 0), record(4, 2, &[b'y'; 5000], 0)].concat());
+    edge.send(
+        [
+            record(1, 2, &[0, 1, 1, 0, 0, 0, 0, 0], 0),
+            record(4, 2, &[b'y'; 5000], 0),
+        ]
+        .concat(),
+    );
     assert!(edge.answer().starts_with("2 400"));
-    assert!(sent.elapsed() < millis(500), "told after {:?}", sent.elapsed());
+    assert!(
+        sent.elapsed() < millis(500),
+        "told after {:?}",
+        sent.elapsed()
+    );
     // What still comes of it is passed over, and the next one is served.
-    edge.send([record(5, 1, &[b'x'; 3000], 0), record(5, 1, b"", 0), record(4, 2, b"", 0)].concat());
+    edge.send(
+        [
+            record(5, 1, &[b'x'; 3000], 0),
+            record(5, 1, b"", 0),
+            record(4, 2, b"", 0),
+        ]
+        .concat(),
+    );
     edge.send(ask(3, "transcript-search", b"", &[]));
     assert!(edge.answer().ends_with("fine"));
     // Up to a bound, after which it is told so by a close.
     let until = Instant::now() + PATIENCE;
-    while edge.stream.write_all(&record(5, 1, &[b'x'; 60_000], 0)).is_ok() {
+    while edge
+        .stream
+        .write_all(&record(5, 1, &[b'x'; 60_000], 0))
+        .is_ok()
+    {
         assert!(Instant::now() < until, "60 MB would be read");
     }
 }
@@ -477,7 +640,8 @@
 fn who_never_comes_to_a_whole_word_is_closed_in_time() {
     let rig = Rig::start(PROGRAM, 1024, &[]);
     let mut engine = rig.engine();
-    let (mut silent, mut half, mut trickle, mut odd) = (rig.edge(), rig.edge(), rig.edge(), rig.edge());
+    let (mut silent, mut half, mut trickle, mut odd) =
+        (rig.edge(), rig.edge(), rig.edge(), rig.edge());
     let (mut known, opened) = (rig.edge(), Instant::now());
     known.send(ask(9, "transcript-search", b"", &[]));
     half.send(begun(1));
@@ -490,12 +654,19 @@
         engine.idle(millis(30));
     }
     assert!(half.answer().starts_with("1 408") && trickle.answer().starts_with("2 408"));
-    for (what, edge) in
-        [("half", &mut half), ("silent", &mut silent), ("trickle", &mut trickle), ("odd", &mut odd)]
-    {
+    for (what, edge) in [
+        ("half", &mut half),
+        ("silent", &mut silent),
+        ("trickle", &mut trickle),
+        ("odd", &mut odd),
+    ] {
         assert_eq!(edge.answer(), "closed", "{what}");
     }
-    assert!(opened.elapsed() < millis(2600), "closed after {:?}", opened.elapsed());
+    assert!(
+        opened.elapsed() < millis(2600),
+        "closed after {:?}",
+        opened.elapsed()
+    );
     // Who waits for an answer, or had one, stays.
     engine.send(format!("DONE 1 {} OK 12 4\r\nfine\r\n", id(9)));
     assert!(known.answer().ends_with("fine"));
@@ -521,7 +692,14 @@
             break;
         }
     }
-    assert_eq!(answers.iter().filter(|answer| answer.starts_with("1 404")).count(), 16, "{answers:?}");
+    assert_eq!(
+        answers
+            .iter()
+            .filter(|answer| answer.starts_with("1 404"))
+            .count(),
+        16,
+        "{answers:?}"
+    );
     assert!(began.elapsed() > millis(300), "it is not slowed down");
     for _ in 0..3 {
         let mut flood = rig.edge();
@@ -533,7 +711,13 @@
     assert!(edge.answer().ends_with("fine"));
     rig.signal("TERM");
     let (_, log) = rig.end();
-    assert!(log.lines().filter(|line| line.contains("turned down")).count() <= 60, "{log}");
+    assert!(
+        log.lines()
+            .filter(|line| line.contains("turned down"))
+            .count()
+            <= 60,
+        "{log}"
+    );
 }
 
 #[test]
@@ -547,7 +731,11 @@
     let (mut edge, asked) = (rig.edge(), Instant::now());
     edge.send(ask(2, "transcript-search", b"", &[]));
     assert!(edge.answer().ends_with("fine"));
-    assert!(asked.elapsed() < millis(1000), "it waited {:?}", asked.elapsed());
+    assert!(
+        asked.elapsed() < millis(1000),
+        "it waited {:?}",
+        asked.elapsed()
+    );
     assert_eq!(silent[0].answer(), "closed");
     // Those that ask for health and stay come and go without holding up each other.
     let mut checked = Vec::new();
@@ -557,9 +745,16 @@
         checked.last_mut().expect("one").send(check);
         assert!(checked.last_mut().expect("one").answer().contains("200 OK"));
     }
-    assert!(asked.elapsed() < millis(4000), "600 checks took {:?}", asked.elapsed());
+    assert!(
+        asked.elapsed() < millis(4000),
+        "600 checks took {:?}",
+        asked.elapsed()
+    );
     known.send(ask(3, "transcript-search", b"", &[]));
-    assert!(known.answer().ends_with("fine"), "one that had been served was closed before the silent ones");
+    assert!(
+        known.answer().ends_with("fine"),
+        "one that had been served was closed before the silent ones"
+    );
 }
 
 #[test]
@@ -586,7 +781,10 @@
     assert!(edge.answer().ends_with("fine"));
     rig.signal("TERM");
     let (status, log) = rig.end();
-    assert!(status.success() && !log.contains("panic") && log.contains("a connection ends"), "{log}");
+    assert!(
+        status.success() && !log.contains("panic") && log.contains("a connection ends"),
+        "{log}"
+    );
 }
 
 #[test]
@@ -601,7 +799,10 @@
         let mut edge = edges.remove(tag.into());
         if edge.stream.write_all(&check).is_ok() {
             let answer = edge.answer();
-            assert!(answer == "closed" || answer.starts_with(&format!("{tag} 200")), "{answer}");
+            assert!(
+                answer == "closed" || answer.starts_with(&format!("{tag} 200")),
+                "{answer}"
+            );
         }
     }
     drop(edges);
@@ -614,13 +815,18 @@
 
 #[test]
 fn who_waits_behind_a_full_table_is_answered_before_the_end() {
-    let changes = [("\"sockets\": 1024", "\"sockets\": 64"), ("\"stop_ms\": 3200", "\"stop_ms\": 1200")];
+    let changes = [
+        ("\"sockets\": 1024", "\"sockets\": 64"),
+        ("\"stop_ms\": 3200", "\"stop_ms\": 1200"),
+    ];
     let mut rig = Rig::start(PROGRAM, 64, &changes);
     let mut engine = rig.engine();
     // Its gauges stay fresh, so that nothing is cut and all 32 have something in hand.
     std::thread::spawn(move || while !engine.message().is_empty() {});
     let mut busy: Vec<Peer> = (0..32).map(|_| rig.edge()).collect();
-    (1..).zip(&mut busy).for_each(|(tag, edge)| edge.send(ask(tag, "transcript-search", b"", &[])));
+    (1..)
+        .zip(&mut busy)
+        .for_each(|(tag, edge)| edge.send(ask(tag, "transcript-search", b"", &[])));
     let mut waiting = rig.edge();
     waiting.send(ask(1, "", b"", &[("SCRIPT_NAME", "/status/live")]));
     // All 32 have been written to by the time the newcomer stands there, so that none may go for it.
@@ -628,7 +834,10 @@
     rig.signal("TERM");
     assert!(waiting.answer().starts_with("1 503"));
     let (status, log) = rig.end();
-    assert!(status.success() && log.contains("notice to leave: 32 in hand"), "{log}");
+    assert!(
+        status.success() && log.contains("notice to leave: 32 in hand"),
+        "{log}"
+    );
 }
 
 #[test]
@@ -636,7 +845,10 @@
     let mut rig = Rig::start(
         PROGRAM,
         1024,
-        &[("3200", "900"), ("\"DrainGraceUs\": 2000000", "\"DrainGraceUs\": 200000")],
+        &[
+            ("3200", "900"),
+            ("\"DrainGraceUs\": 2000000", "\"DrainGraceUs\": 200000"),
+        ],
     );
     let (mut engine, mut edge, mut quiet) = (rig.engine(), rig.edge(), rig.edge());
     let mut trace = String::new();
@@ -648,7 +860,9 @@
     let _ = writeln!(
         trace,
         "{}",
-        members.text().replace(&rig.members.local_addr().expect("one").to_string(), "M")
+        members
+            .text()
+            .replace(&rig.members.local_addr().expect("one").to_string(), "M")
     );
     members.come.clear();
     members.send("HTTP/1.1 204 No Content\r\n\r\n");
@@ -661,17 +875,37 @@
         assert!(members.fill(until));
     }
     let _ = writeln!(trace, "{}", &members.text()[members.come.len() - 15..]);
-    assert!(noticed.elapsed() < millis(300), "told late: {:?}", noticed.elapsed());
+    assert!(
+        noticed.elapsed() < millis(300),
+        "told late: {:?}",
+        noticed.elapsed()
+    );
     edge.send(ask(2, "", b"", &[("SCRIPT_NAME", "/status/live")]));
     let _ = writeln!(trace, "{}", edge.answer());
     engine.idle(millis(400));
     edge.send(ask(3, "transcript-search", b"", &[]));
     let _ = writeln!(trace, "{}", edge.answer());
-    let _ = writeln!(trace, "{}\n{}\n{}", edge.answer(), edge.answer(), quiet.answer());
+    let _ = writeln!(
+        trace,
+        "{}\n{}\n{}",
+        edge.answer(),
+        edge.answer(),
+        quiet.answer()
+    );
     let (status, log) = rig.end();
-    assert!(noticed.elapsed() < millis(900), "ended after {:?}", noticed.elapsed());
+    assert!(
+        noticed.elapsed() < millis(900),
+        "ended after {:?}",
+        noticed.elapsed()
+    );
     let counts = log.lines().filter(|line| line.contains("counters"));
-    let counts = counts.map(|line| line.split("invocations=").nth(1).unwrap_or("").split(" checks").next());
+    let counts = counts.map(|line| {
+        line.split("invocations=")
+            .nth(1)
+            .unwrap_or("")
+            .split(" checks")
+            .next()
+    });
     let _ = writeln!(trace, "{status} {:?}", counts.collect::<Vec<_>>());
     assert_snapshot!(trace);
 }
@@ -684,14 +918,25 @@
     early.send(ask(1, "", b"", &[("SCRIPT_NAME", "/status/live")]));
     assert!(early.answer().contains("200 OK"));
     early.send(ask(2, "transcript-search", b"", &[]));
-    assert!(early.answer().starts_with("2 503"), "nothing runs before the engine is up");
+    assert!(
+        early.answer().starts_with("2 503"),
+        "nothing runs before the engine is up"
+    );
     let mut engine = rig.engine();
     early.send(ask(3, "transcript-search", b"", &[]));
     assert!(engine.message().starts_with("RUN"));
     drop(engine);
     rig.engine = TcpListener::bind("127.0.0.1:0").expect("a port"); // and the engine's too
-    early.send(ask(4, "transcript-search", b"", &[("HTTP_X_PATIENCE_MS", "300")]));
-    assert!(early.answer().starts_with("4 5"), "answered by its due time without a link");
+    early.send(ask(
+        4,
+        "transcript-search",
+        b"",
+        &[("HTTP_X_PATIENCE_MS", "300")],
+    ));
+    assert!(
+        early.answer().starts_with("4 5"),
+        "answered by its due time without a link"
+    );
 }
 
 #[test]
@@ -700,27 +945,48 @@
     let texts: [(&str, &str); 5] = [
         ("\"seed\"", "\"sead\""),
         ("\"Cores\": 2", "\"Cores\": \"two\""),
-        ("\"Effect\": \"read_like\"", "\"Effect\": \"idempotency_key\""),
+        (
+            "\"Effect\": \"read_like\"",
+            "\"Effect\": \"idempotency_key\"",
+        ),
         ("\"Classes\"", "\"Klasses\""),
         ("}", ""),
     ];
     for change in texts {
         let path = configuration(&[change]);
-        let ended = program(PROGRAM, &path, 1024, &[]).wait_with_output().expect("an end");
-        let text = String::from_utf8_lossy(&ended.stderr).replace(&path.display().to_string(), "FILE");
+        let ended = program(PROGRAM, &path, 1024, &[])
+            .wait_with_output()
+            .expect("an end");
+        let text =
+            String::from_utf8_lossy(&ended.stderr).replace(&path.display().to_string(), "FILE");
         let _ = write!(trace, "{} {text}", ended.status);
         std::fs::remove_file(&path).expect("a file");
     }
     // An address that is taken is named too.
     let (_taken, address) = bind();
     let path = configuration(&[("127.0.0.1:6565", &address)]);
-    let ended = program(PROGRAM, &path, 1024, &[]).wait_with_output().expect("an end");
+    let ended = program(PROGRAM, &path, 1024, &[])
+        .wait_with_output()
+        .expect("an end");
     let log = String::from_utf8_lossy(&ended.stderr).replace(&address, "ADDRESS");
-    let named = log.lines().last().unwrap_or("").split(" (os").next().unwrap_or("");
+    let named = log
+        .lines()
+        .last()
+        .unwrap_or("")
+        .split(" (os")
+        .next()
+        .unwrap_or("");
     let _ = writeln!(trace, "{} {named}", ended.status);
     std::fs::remove_file(&path).expect("a file");
     let missing = PathBuf::from("/nowhere/config.json");
-    let ended = program(PROGRAM, &missing, 1024, &[]).wait_with_output().expect("an end");
-    let _ = write!(trace, "{} {}", ended.status, String::from_utf8_lossy(&ended.stderr));
+    let ended = program(PROGRAM, &missing, 1024, &[])
+        .wait_with_output()
+        .expect("an end");
+    let _ = write!(
+        trace,
+        "{} {}",
+        ended.status,
+        String::from_utf8_lossy(&ended.stderr)
+    );
     assert_snapshot!(trace);
 }
