--- a/crates/merlinshelf-cli/tests/shares.rs
+++ b/crates/merlinshelf-cli/tests/shares.rs
@@ -63,9 +63,14 @@
         loop {
             let mut told = 0;
             for host in &self.all.hosts {
-                let said = host.policy("budgets", json!({})).await.map(|(_, said)| said).unwrap_or_default();
+                let said = host
+                    .policy("budgets", json!({}))
+                    .await
+                    .map(|(_, said)| said)
+                    .unwrap_or_default();
                 told += usize::from(said["here"].as_array().is_some_and(|here| {
-                    here.iter().any(|one| one["kind"] == "probes" && one["fares"] == "fails")
+                    here.iter()
+                        .any(|one| one["kind"] == "probes" && one["fares"] == "fails")
                 }));
             }
             if told == self.all.hosts.len() {
@@ -93,7 +98,11 @@
     /// Until calls come as before.
     async fn is_back(&self, from: Instant, rate: usize) -> f64 {
         while self.since(Instant::now() - seconds(1.0)).calls.len() < rate {
-            assert!(from.elapsed() < seconds(15.0), "{:?}", each_second(&self.since(from).calls, from, 15));
+            assert!(
+                from.elapsed() < seconds(15.0),
+                "{:?}",
+                each_second(&self.since(from).calls, from, 15)
+            );
             pause(0.05).await;
         }
         from.elapsed().as_secs_f64()
@@ -102,13 +111,21 @@
     async fn end(self) -> Verdict {
         let verdict = check(&self.all, self.playing).await;
         println!("{verdict:?}");
-        assert_eq!(verdict.lost + verdict.doubled + verdict.spoilt + verdict.wrong_feeds, 0, "{verdict:?}");
+        assert_eq!(
+            verdict.lost + verdict.doubled + verdict.spoilt + verdict.wrong_feeds,
+            0,
+            "{verdict:?}"
+        );
         verdict
     }
 }
 
 fn made(instances: u16) -> Made {
-    Made { instances, budgets: aside(), ..Made::default() }
+    Made {
+        instances,
+        budgets: aside(),
+        ..Made::default()
+    }
 }
 
 /// Case 1.
@@ -125,16 +142,30 @@
         let back = Instant::now();
         pause(1.0).await;
         let first = fleet.since(back);
-        println!("returns {:?}, before {before}", each_second(&first.calls, back, 2));
-        assert!(worst_second(&first.calls) <= FIRST, "{}", worst_second(&first.calls));
+        println!(
+            "returns {:?}, before {before}",
+            each_second(&first.calls, back, 2)
+        );
+        assert!(
+            worst_second(&first.calls) <= FIRST,
+            "{}",
+            worst_second(&first.calls)
+        );
         let took = fleet.is_back(back, before * 8 / 10).await;
         println!("as before after {took:.2} s");
         assert!(took < 7.0, "{took}");
         let mut command = Command::new(PROGRAM);
         let socket = fleet.all.hosts[1].socket();
-        let shown = command.args(["fleet", "--agent"]).arg(socket).args(["budget", "show"]).output()?;
+        let shown = command
+            .args(["fleet", "--agent"])
+            .arg(socket)
+            .args(["budget", "show"])
+            .output()?;
         let shown = String::from_utf8_lossy(&shown.stdout).into_owned();
-        assert!(shown.contains("catalogue probes: 8 a second; 1 set aside for each host"), "{shown}");
+        assert!(
+            shown.contains("catalogue probes: 8 a second; 1 set aside for each host"),
+            "{shown}"
+        );
         let verdict = fleet.end().await;
         assert!(100 * verdict.failed <= verdict.sent, "{verdict:?}");
         Ok(())
@@ -196,7 +227,9 @@
         pause(3.5).await;
         fleet.all.heal();
         pause(0.4).await;
-        fleet.all.set_links((leader + 1) % 3, true, true, Fault::Cut);
+        fleet
+            .all
+            .set_links((leader + 1) % 3, true, true, Fault::Cut);
         pause(3.0).await;
         fleet.all.heal();
         pause(1.0).await;
@@ -220,12 +253,18 @@
         let alone = Instant::now();
         pause(3.0).await;
         let worst = worst_second(&fleet.since(alone).calls);
-        assert!((1..=3).contains(&worst), "{worst} probes in a second where each of 3 hosts has one");
+        assert!(
+            (1..=3).contains(&worst),
+            "{worst} probes in a second where each of 3 hosts has one"
+        );
         fleet.door.does(Manners::Well);
         let back = Instant::now();
         let took = fleet.is_back(back, 20).await;
         let first = Door::of(&fleet.door, back, back + seconds(3.0));
-        println!("returns {:?}, as before after {took:.2} s", each_second(&first.calls, back, 3));
+        println!(
+            "returns {:?}, as before after {took:.2} s",
+            each_second(&first.calls, back, 3)
+        );
         assert!(worst_second(&first.calls) <= FIRST);
         fleet.end().await;
         Ok(())
@@ -248,7 +287,9 @@
         for host in 0..3 {
             for place in [2, 3] {
                 let names = [format!("web.{place}")];
-                fleet.all.hosts[host].ask(&json!({ "op": "stop", "names": names, "within_s": 10 })).await?;
+                fleet.all.hosts[host]
+                    .ask(&json!({ "op": "stop", "names": names, "within_s": 10 }))
+                    .await?;
                 pause(1.0).await;
             }
         }
@@ -259,11 +300,27 @@
             each_second(&seen.opened, from, 9),
             each_second(&seen.calls, from, 9)
         );
-        assert!(worst_second(&seen.opened) <= 60, "{}", worst_second(&seen.opened));
-        assert!(worst_second(&seen.again) <= AGAIN, "{}", worst_second(&seen.again));
-        assert!(fleet.door.most_open.get() <= 16 * 4, "{}", fleet.door.most_open.get());
+        assert!(
+            worst_second(&seen.opened) <= 60,
+            "{}",
+            worst_second(&seen.opened)
+        );
+        assert!(
+            worst_second(&seen.again) <= AGAIN,
+            "{}",
+            worst_second(&seen.again)
+        );
+        assert!(
+            fleet.door.most_open.get() <= 16 * 4,
+            "{}",
+            fleet.door.most_open.get()
+        );
         let verdict = check(&fleet.all, fleet.playing).await;
-        assert_eq!(verdict.lost + verdict.doubled + verdict.spoilt + verdict.run_twice, 0, "{verdict:?}");
+        assert_eq!(
+            verdict.lost + verdict.doubled + verdict.spoilt + verdict.run_twice,
+            0,
+            "{verdict:?}"
+        );
         Ok(())
     });
 }
@@ -276,8 +333,9 @@
         fleet.door.does(Manners::Errors);
         let known = fleet.known().await?;
         for turn in 0..3 {
-            let stood: Vec<u32> =
-                (0..3).flat_map(|host| fleet.all.hosts[host].processes_of(turn % 2)).collect();
+            let stood: Vec<u32> = (0..3)
+                .flat_map(|host| fleet.all.hosts[host].processes_of(turn % 2))
+                .collect();
             stood.iter().for_each(|pid| signal(*pid, Signal::STOP));
             pause(1.6).await;
             stood.iter().for_each(|pid| signal(*pid, Signal::CONT));
@@ -304,19 +362,32 @@
         }
         let killed = Instant::now();
         for host in 0..3 {
-            fleet.all.hosts[host].processes().iter().for_each(|pid| signal(*pid, Signal::KILL));
+            fleet.all.hosts[host]
+                .processes()
+                .iter()
+                .for_each(|pid| signal(*pid, Signal::KILL));
         }
-        fleet.playing.iter().for_each(|(.., playing)| playing.seen.borrow_mut().killed.push(killed));
+        fleet
+            .playing
+            .iter()
+            .for_each(|(.., playing)| playing.seen.borrow_mut().killed.push(killed));
         for host in &mut fleet.all.hosts {
             host.start_agent(&program)?;
         }
         let sits = |show: &Value| show["leader"].is_string() && show["lease"].is_object();
-        fleet.all.when("all sit again", |shows| shows.iter().all(sits)).await?;
+        fleet
+            .all
+            .when("all sit again", |shows| shows.iter().all(sits))
+            .await?;
         pause(4.0).await;
         // Nobody knows anything: it is taken for one that comes back.
         let starting = Door::of(&fleet.door, known, Instant::now()).calls;
         println!("{:?}", each_second(&starting, known, 9));
-        assert!(worst_second(&starting) <= FIRST, "{}", worst_second(&starting));
+        assert!(
+            worst_second(&starting) <= FIRST,
+            "{}",
+            worst_second(&starting)
+        );
         let known = fleet.known().await?;
         pause(2.0).await;
         fleet.probes_hold(known);
@@ -325,7 +396,11 @@
         fleet.is_back(back, 30).await;
         assert!(worst_second(&Door::of(&fleet.door, back, back + seconds(1.0)).calls) <= FIRST);
         let verdict = check(&fleet.all, fleet.playing).await;
-        assert_eq!(verdict.doubled + verdict.spoilt + verdict.run_twice, 0, "{verdict:?}");
+        assert_eq!(
+            verdict.doubled + verdict.spoilt + verdict.run_twice,
+            0,
+            "{verdict:?}"
+        );
         Ok(())
     });
 }
@@ -342,9 +417,21 @@
         let from = Instant::now();
         pause(8.0).await;
         let seen = fleet.since(from);
-        println!("again {:?} of {:?}", each_second(&seen.again, from, 8), each_second(&seen.calls, from, 8));
-        assert!(worst_second(&seen.again) <= 12, "{}", worst_second(&seen.again));
-        assert!(seen.again.len() >= 8 * 3, "{} further attempts were made", seen.again.len());
+        println!(
+            "again {:?} of {:?}",
+            each_second(&seen.again, from, 8),
+            each_second(&seen.calls, from, 8)
+        );
+        assert!(
+            worst_second(&seen.again) <= 12,
+            "{}",
+            worst_second(&seen.again)
+        );
+        assert!(
+            seen.again.len() >= 8 * 3,
+            "{} further attempts were made",
+            seen.again.len()
+        );
         greedy.stop().await;
         fleet.end().await;
         Ok(())
@@ -355,7 +442,16 @@
 #[test]
 fn what_fails_in_one_zone_is_not_taken_to_fail_in_the_others() {
     play(async {
-        let fleet = Fleet::start(46, &Made { zones: true, ..made(3) }, 15.0, &policy(&[])).await?;
+        let fleet = Fleet::start(
+            46,
+            &Made {
+                zones: true,
+                ..made(3)
+            },
+            15.0,
+            &policy(&[]),
+        )
+        .await?;
         fleet.all.ways[1].set(Fault::Cut);
         let fares = |said: &Value| {
             let all = said["budgets"].as_array().into_iter().flatten();
@@ -397,7 +493,8 @@
         let program = fleet.all.hosts[0].folder.join("merlinshelf-2");
         std::fs::copy(PROGRAM, &program)?;
         for host in &fleet.all.hosts {
-            host.ask(&json!({ "op": "upgrade", "program": program })).await?;
+            host.ask(&json!({ "op": "upgrade", "program": program }))
+                .await?;
         }
         for host in &fleet.all.hosts {
             let plan = host.plan_over().await?;
@@ -419,28 +516,47 @@
     play(async {
         let fleet = Fleet::start(54, &made(3), 15.0, &policy(&[("probes", 12)])).await?;
         for (budgets, why) in [
-            (json!({ "catalogue": { "probes": 0 } }), "catalogue.probes: 0 is not from 1 to 1000000"),
+            (
+                json!({ "catalogue": { "probes": 0 } }),
+                "catalogue.probes: 0 is not from 1 to 1000000",
+            ),
             (json!({ "catalogue": { "probes": -1 } }), "no policy"),
-            (json!({ "catalogue": { "first": 5_000_000_000_u64 } }), "no policy"),
-            (json!({ "catalogue": { "again": 2_000_000 } }), "2000000 is not from 1 to 1000000"),
-            (json!({ "catalogue": { "tries": 5 } }), "unknown variant `tries`"),
+            (
+                json!({ "catalogue": { "first": 5_000_000_000_u64 } }),
+                "no policy",
+            ),
+            (
+                json!({ "catalogue": { "again": 2_000_000 } }),
+                "2000000 is not from 1 to 1000000",
+            ),
+            (
+                json!({ "catalogue": { "tries": 5 } }),
+                "unknown variant `tries`",
+            ),
             (
                 json!({ "catalogue": { "probes": 2 } }),
                 "budgets.catalogue.probes: 2 a second are fewer than the 1",
             ),
-            (json!({ "nobody": { "probes": 9 } }), "budgets.nobody.probes: the base policy has none"),
+            (
+                json!({ "nobody": { "probes": 9 } }),
+                "budgets.nobody.probes: the base policy has none",
+            ),
         ] {
             let ask = json!({ "policy": { "budgets": budgets }, "id": why, "wait": true });
             let (word, said) = fleet.all.hosts[1].policy("propose", ask).await?;
             assert!(
-                word == Word::Refused && said["text"].as_str().is_some_and(|text| text.contains(why)),
+                word == Word::Refused
+                    && said["text"].as_str().is_some_and(|text| text.contains(why)),
                 "{said}"
             );
         }
         fleet.door.does(Manners::Errors);
         let known = fleet.known().await?;
         let (word, said) = fleet.all.hosts[2]
-            .policy("propose", json!({ "policy": policy(&[("probes", 4)]), "id": "fewer", "wait": true }))
+            .policy(
+                "propose",
+                json!({ "policy": policy(&[("probes", 4)]), "id": "fewer", "wait": true }),
+            )
             .await?;
         assert_eq!((word, &said["number"]), (Word::Done, &json!(2)), "{said}");
         let held = Instant::now();
--- a/crates/merlinshelf-cli/tests/uwsgi.rs
+++ b/crates/merlinshelf-cli/tests/uwsgi.rs
@@ -22,24 +22,38 @@
 
 fn setup() -> Setup {
     let mut setup = Setup::small(PROGRAM);
-    (setup.watched, setup.silent, setup.uwsgi) =
-        (Duration::from_millis(700), Duration::from_millis(2000), true);
+    (setup.watched, setup.silent, setup.uwsgi) = (
+        Duration::from_millis(700),
+        Duration::from_millis(2000),
+        true,
+    );
     setup
 }
 
 fn load(instance: &Instance, seed: u64) -> Load {
-    Load { front: Front::Both, ..Load::of_all(&instance.address, 8, 150.0, seed) }
+    Load {
+        front: Front::Both,
+        ..Load::of_all(&instance.address, 8, 150.0, seed)
+    }
 }
 
 /// Writes, and reads until the connection ends or says nothing for a while; the status it answered with.
-async fn status_of(address: &str, bytes: &[u8], within: Duration) -> io::Result<(Option<u16>, String)> {
+async fn status_of(
+    address: &str,
+    bytes: &[u8],
+    within: Duration,
+) -> io::Result<(Option<u16>, String)> {
     let mut stream = TcpStream::connect(address).await?;
     let _ = stream.write_all(bytes).await; // it may end before all is written
     let mut out = Vec::new();
     let until = Instant::now() + within;
     let text = loop {
         let mut gulp = [0; 4096];
-        let read = timeout(until.saturating_duration_since(Instant::now()), stream.read(&mut gulp)).await;
+        let read = timeout(
+            until.saturating_duration_since(Instant::now()),
+            stream.read(&mut gulp),
+        )
+        .await;
         let ended = !matches!(read, Ok(Ok(count)) if count > 0);
         if let Ok(Ok(count)) = read {
             out.extend(&gulp[..count]);
@@ -49,7 +63,10 @@
             break text;
         }
     };
-    let after = |mark: &str| text.split_once(mark).and_then(|(_, rest)| rest.get(..3)?.parse().ok());
+    let after = |mark: &str| {
+        text.split_once(mark)
+            .and_then(|(_, rest)| rest.get(..3)?.parse().ok())
+    };
     Ok((after("Status: ").or_else(|| after("HTTP/1.1 ")), text))
 }
 
@@ -63,7 +80,9 @@
 }
 
 async fn counter(instance: &Instance, name: &str) -> io::Result<u64> {
-    Ok(instance.status().await?["counters"][name].as_u64().unwrap_or(0))
+    Ok(instance.status().await?["counters"][name]
+        .as_u64()
+        .unwrap_or(0))
 }
 
 /// Operation, body, changed fields, and the status that it gets.
@@ -77,24 +96,63 @@
         let cases: [Case; 10] = [
             ("thumbnail", b"page".to_vec(), vec![], 200),
             ("nothing", b"page".to_vec(), vec![], 404),
-            ("thumbnail", b"page".to_vec(), vec![("REQUEST_METHOD", "GET")], 405),
-            ("thumbnail", b"page".to_vec(), vec![("SCRIPT_NAME", "/elsewhere")], 404),
-            ("thumbnail", b"page".to_vec(), vec![("HTTP_X_CALL_ID", "short")], 400),
-            ("thumbnail", b"page".to_vec(), vec![("HTTP_X_HEAP_KB", "-1")], 400),
-            ("thumbnail", b"page".to_vec(), vec![("HTTP_X_IMPORTANCE", "NaN")], 400),
-            ("thumbnail", b"page".to_vec(), vec![("HTTP_X_LONG", &long)], 400),
+            (
+                "thumbnail",
+                b"page".to_vec(),
+                vec![("REQUEST_METHOD", "GET")],
+                405,
+            ),
+            (
+                "thumbnail",
+                b"page".to_vec(),
+                vec![("SCRIPT_NAME", "/elsewhere")],
+                404,
+            ),
+            (
+                "thumbnail",
+                b"page".to_vec(),
+                vec![("HTTP_X_CALL_ID", "short")],
+                400,
+            ),
+            (
+                "thumbnail",
+                b"page".to_vec(),
+                vec![("HTTP_X_HEAP_KB", "-1")],
+                400,
+            ),
+            (
+                "thumbnail",
+                b"page".to_vec(),
+                vec![("HTTP_X_IMPORTANCE", "NaN")],
+                400,
+            ),
+            (
+                "thumbnail",
+                b"page".to_vec(),
+                vec![("HTTP_X_LONG", &long)],
+                400,
+            ),
             ("thumbnail", vec![7; 3000], vec![], 413),
-            ("thumbnail", b"".to_vec(), vec![("SCRIPT_NAME", "/status/live")], 200),
+            (
+                "thumbnail",
+                b"".to_vec(),
+                vec![("SCRIPT_NAME", "/status/live")],
+                200,
+            ),
         ];
         for (class, body, changes, status) in &cases {
-            let fronts = [ask(1, class, body, changes), ask_uwsgi(class, body, changes)];
+            let fronts = [
+                ask(1, class, body, changes),
+                ask_uwsgi(class, body, changes),
+            ];
             for (front, bytes) in ["fastcgi", "uwsgi"].into_iter().zip(fronts) {
                 let names = ["bad", "succeeded", "invocations", "checks"];
                 let mut before = Vec::new();
                 for name in names {
                     before.push(counter(&instance, name).await?);
                 }
-                let (said, text) = status_of(&instance.address, &bytes, Duration::from_secs(3)).await?;
+                let (said, text) =
+                    status_of(&instance.address, &bytes, Duration::from_secs(3)).await?;
                 assert_eq!(said, Some(*status), "{front} {class} {changes:?}: {text}");
                 let mut counted = Vec::new();
                 for (name, before) in names.into_iter().zip(before) {
@@ -110,10 +168,17 @@
             }
         }
         // What does not come whole is told so, and ends.
-        let whole = [ask(1, "thumbnail", b"page", &[]), ask_uwsgi("thumbnail", b"page", &[])];
+        let whole = [
+            ask(1, "thumbnail", b"page", &[]),
+            ask_uwsgi("thumbnail", b"page", &[]),
+        ];
         for bytes in whole {
-            let (said, text) =
-                status_of(&instance.address, &bytes[..bytes.len() - 3], Duration::from_secs(3)).await?;
+            let (said, text) = status_of(
+                &instance.address,
+                &bytes[..bytes.len() - 3],
+                Duration::from_secs(3),
+            )
+            .await?;
             assert_eq!(said, Some(408), "{text}");
         }
         Ok(())
@@ -126,16 +191,32 @@
         let instance = Instance::start(&setup(), 12).await?;
         let hello = [&[22, 3, 1, 2, 0, 1, 0, 1, 252, 3, 3][..], &[7; 500]].concat();
         let other_kind = [&[0, 4, 0, 9][..], b"\x01\0a\x01\0b"].concat();
-        for bytes in [b"GET / HTTP/1.1\r\nHost: x\r\n\r\n".to_vec(), hello, other_kind, vec![0, 0, 0, 0]] {
+        for bytes in [
+            b"GET / HTTP/1.1\r\nHost: x\r\n\r\n".to_vec(),
+            hello,
+            other_kind,
+            vec![0, 0, 0, 0],
+        ] {
             let began = Instant::now();
             let (said, text) = status_of(&instance.address, &bytes, Duration::from_secs(3)).await?;
             assert_eq!((said, text.as_str()), (None, ""));
             assert!(began.elapsed() < Duration::from_secs(2), "it hangs");
         }
         instance.logged("a connection ends: ", 4).await?;
-        let plain = Instance::start(&Setup { uwsgi: false, ..setup() }, 13).await?;
-        let (said, text) =
-            status_of(&plain.address, &ask_uwsgi("thumbnail", b"page", &[]), Duration::from_secs(3)).await?;
+        let plain = Instance::start(
+            &Setup {
+                uwsgi: false,
+                ..setup()
+            },
+            13,
+        )
+        .await?;
+        let (said, text) = status_of(
+            &plain.address,
+            &ask_uwsgi("thumbnail", b"page", &[]),
+            Duration::from_secs(3),
+        )
+        .await?;
         assert_eq!((said, text.as_str()), (None, ""));
         Ok(())
     });
@@ -149,7 +230,11 @@
         let playing = load.start().await?;
         sleep(Duration::from_millis(600)).await;
         // One that is half read by then, and comes whole within the grace.
-        let whole = ask_uwsgi("transcript-search", b"words", &[("HTTP_X_CALL_ID", "00000000000000aa")]);
+        let whole = ask_uwsgi(
+            "transcript-search",
+            b"words",
+            &[("HTTP_X_CALL_ID", "00000000000000aa")],
+        );
         let mut half = TcpStream::connect(&instance.address).await?;
         half.write_all(&whole[..40]).await?;
         sleep(Duration::from_millis(50)).await;
@@ -158,11 +243,19 @@
         let (left, answer) = tokio::join!(leaving, rest);
         left?;
         let answer = answer?;
-        assert!(answer.starts_with("HTTP/1.1 200 ") || answer.starts_with("HTTP/1.1 503 "), "{answer}");
+        assert!(
+            answer.starts_with("HTTP/1.1 200 ") || answer.starts_with("HTTP/1.1 503 "),
+            "{answer}"
+        );
         let seen = playing.stop().await.take();
         let verdict = seen.check(&instance.records.borrow(), load.patience);
         assert_eq!(
-            (verdict.lost, verdict.doubled, verdict.run_twice, verdict.spoilt),
+            (
+                verdict.lost,
+                verdict.doubled,
+                verdict.run_twice,
+                verdict.spoilt
+            ),
             (0, 0, 0, 0),
             "{verdict:?}"
         );
@@ -181,7 +274,9 @@
         let good = format!("exec '{PROGRAM}' \"$@\"");
         let crashes = format!("export MERLINSHELF_FAULT=heir.beat:9:abort\n{good}");
         for (number, (program, ended)) in
-            [(&good, "done"), (&crashes, "taken_back"), (&good, "done")].into_iter().enumerate()
+            [(&good, "done"), (&crashes, "taken_back"), (&good, "done")]
+                .into_iter()
+                .enumerate()
         {
             let id = format!("{:016x}", 0xb0 + number);
             let whole = ask_uwsgi("thumbnail", &[b'w'; 200], &[("HTTP_X_CALL_ID", &id)]);
@@ -195,14 +290,29 @@
             let rest = the_rest(half, &whole[cut..], 150);
             let (said, answer) = tokio::join!(said, rest);
             let (said, answer) = (said?, answer?);
-            assert_eq!(said, ended, "after {:?}\n{}", began.elapsed(), instance.log());
-            assert!(answer.starts_with("HTTP/1.1 200 OK\r\n"), "{number}: {answer}\n{}", instance.log());
+            assert_eq!(
+                said,
+                ended,
+                "after {:?}\n{}",
+                began.elapsed(),
+                instance.log()
+            );
+            assert!(
+                answer.starts_with("HTTP/1.1 200 OK\r\n"),
+                "{number}: {answer}\n{}",
+                instance.log()
+            );
         }
         sleep(Duration::from_millis(300)).await;
         let seen = playing.stop().await.take();
         let verdict = seen.check(&instance.records.borrow(), load.patience);
         assert_eq!(
-            (verdict.lost, verdict.doubled, verdict.run_twice, verdict.spoilt),
+            (
+                verdict.lost,
+                verdict.doubled,
+                verdict.run_twice,
+                verdict.spoilt
+            ),
             (0, 0, 0, 0),
             "{verdict:?}"
         );
--- a/crates/merlinshelf-council/src/council.rs
+++ b/crates/merlinshelf-council/src/council.rs
@@ -4,8 +4,8 @@
 
 use protobuf::Message as _;
 use raft::prelude::{
-    ConfChange, ConfChangeType, ConfState, Config, Entry, EntryType, HardState, Message, MessageType,
-    Snapshot,
+    ConfChange, ConfChangeType, ConfState, Config, Entry, EntryType, HardState, Message,
+    MessageType, Snapshot,
 };
 use raft::{ProgressState, RawNode, SnapshotStatus, StateRole};
 use serde::{Deserialize, Serialize};
@@ -136,7 +136,9 @@
         if let Some((id, life)) = council.seat {
             let life = life + 1;
             council.seat = Some((id, life));
-            council.steps.push_back(Step::Keep(vec![Record::Seat { id, life }]));
+            council
+                .steps
+                .push_back(Step::Keep(vec![Record::Seat { id, life }]));
             council.sit(shelf)?;
             council.standing = Standing::Greeting;
             council.greeted();
@@ -147,7 +149,9 @@
 
     /// Makes the node over what is kept; nothing of it shows before this agent sits.
     fn sit(&mut self, shelf: Shelf) -> Result<(), String> {
-        let Some((id, _)) = self.seat else { return Ok(()) };
+        let Some((id, _)) = self.seat else {
+            return Ok(());
+        };
         let spread = 10 + 4 * (id as usize % 8).min(5) + self.chance % 4;
         let config = Config {
             id,
@@ -176,7 +180,8 @@
         let held: Held = rmp_serde::from_slice(snapshot.get_data()).unwrap_or_default();
         self.roll = held.roll;
         self.applied = snapshot.get_metadata().index;
-        self.steps.push_back(Step::Restore(self.applied, held.state.into_vec()));
+        self.steps
+            .push_back(Step::Restore(self.applied, held.state.into_vec()));
     }
 
     pub fn next_step(&mut self) -> Option<Step> {
@@ -197,13 +202,22 @@
 
     /// Whom the majority follows, as far as is known here.
     pub fn leader(&self) -> Option<&str> {
-        let id = self.node.as_ref().map(|node| node.raft.leader_id).filter(|id| *id > 0)?;
-        self.roll.name(id).filter(|_| self.standing == Standing::Sitting)
+        let id = self
+            .node
+            .as_ref()
+            .map(|node| node.raft.leader_id)
+            .filter(|id| *id > 0)?;
+        self.roll
+            .name(id)
+            .filter(|_| self.standing == Standing::Sitting)
     }
 
     /// The term in which this agent leads.
     pub fn leads(&self) -> Option<u64> {
-        let node = self.node.as_ref().filter(|_| self.standing == Standing::Sitting)?;
+        let node = self
+            .node
+            .as_ref()
+            .filter(|_| self.standing == Standing::Sitting)?;
         (node.raft.state == StateRole::Leader).then_some(node.raft.term)
     }
 
@@ -214,13 +228,19 @@
     /// Other agents, those of the file and those of the roll.
     fn others(&self) -> BTreeSet<String> {
         let named = self.roll.members.values().map(|member| &member.name);
-        self.wanted.iter().chain(named).filter(|name| **name != self.name).cloned().collect()
+        self.wanted
+            .iter()
+            .chain(named)
+            .filter(|name| **name != self.name)
+            .cloned()
+            .collect()
     }
 
     fn greet(&mut self) {
         let (ticket, seat) = (self.ticket, self.seat);
         for name in self.others() {
-            self.steps.push_back(Step::Send(name, Word::Hello { ticket, seat }));
+            self.steps
+                .push_back(Step::Send(name, Word::Hello { ticket, seat }));
         }
         self.found();
     }
@@ -255,7 +275,8 @@
             None => State::Empty,
             Some(node) => {
                 let shelf = node.store();
-                let fresh = shelf.hard.vote == 0 && shelf.last() == FOUNDED_AT && node.raft.term <= 1;
+                let fresh =
+                    shelf.hard.vote == 0 && shelf.last() == FOUNDED_AT && node.raft.term <= 1;
                 if fresh { State::Fresh } else { State::Seated }
             }
         }
@@ -265,12 +286,20 @@
     pub fn heard(&mut self, from: &str, word: Word) {
         match word {
             Word::Hello { ticket, seat } => self.hello(from, ticket, seat),
-            Word::Welcome { ticket, state, own, known, seat } if ticket == self.ticket => {
+            Word::Welcome {
+                ticket,
+                state,
+                own,
+                known,
+                seat,
+            } if ticket == self.ticket => {
                 self.welcome(from, state, own, known, seat);
             }
             Word::Welcome { .. } => {}
             Word::Raft(bytes) => {
-                let Ok(message) = Message::parse_from_bytes(&bytes) else { return };
+                let Ok(message) = Message::parse_from_bytes(&bytes) else {
+                    return;
+                };
                 let own = self.seat.is_some_and(|(id, _)| id == message.to);
                 if own && self.standing == Standing::Sitting {
                     self.voices.insert(message.from, from.to_owned());
@@ -293,23 +322,46 @@
                 let met = self.met.get(&id).copied();
                 known = self.seen.get(&id).copied().unwrap_or_default();
                 // The same life lived by another process is one too many.
-                known.life = met.filter(|met| *met != (life, ticket)).map(|(life, _)| life);
+                known.life = met
+                    .filter(|met| *met != (life, ticket))
+                    .map(|(life, _)| life);
                 known.replaced = self.standing == Standing::Sitting
                     && !self.roll.members.contains_key(&id)
                     && self.roll.highest >= id;
-                let sits = self.node.as_ref().filter(|_| self.standing == Standing::Sitting);
-                known.leader = sits.map(|node| node.raft.leader_id).filter(|leader| *leader > 0);
+                let sits = self
+                    .node
+                    .as_ref()
+                    .filter(|_| self.standing == Standing::Sitting);
+                known.leader = sits
+                    .map(|node| node.raft.leader_id)
+                    .filter(|leader| *leader > 0);
                 if met.is_none_or(|(before, _)| life > before) {
                     self.met.insert(id, (life, ticket));
-                    self.steps.push_back(Step::Keep(vec![Record::Met { id, life, ticket }]));
+                    self.steps
+                        .push_back(Step::Keep(vec![Record::Met { id, life, ticket }]));
                 }
             }
-            None if self.state() == State::Seated => _ = self.applying.insert(from.to_owned(), ticket),
+            None if self.state() == State::Seated => {
+                _ = self.applying.insert(from.to_owned(), ticket)
+            }
             None => {}
         }
-        let kept = self.roll.members.iter().find(|(_, of)| of.name == from && of.ticket == ticket);
+        let kept = self
+            .roll
+            .members
+            .iter()
+            .find(|(_, of)| of.name == from && of.ticket == ticket);
         let (state, own, seat) = (self.state(), self.seat(), kept.map(|(id, _)| *id));
-        self.steps.push_back(Step::Send(from.to_owned(), Word::Welcome { ticket, state, own, known, seat }));
+        self.steps.push_back(Step::Send(
+            from.to_owned(),
+            Word::Welcome {
+                ticket,
+                state,
+                own,
+                known,
+                seat,
+            },
+        ));
     }
 
     /// What a member has kept for sure, by what it says: its words come after.
@@ -325,7 +377,14 @@
         (seen.term, seen.index) = (seen.term.max(message.term), seen.index.max(index));
     }
 
-    fn welcome(&mut self, from: &str, state: State, own: Option<u64>, known: Known, seat: Option<u64>) {
+    fn welcome(
+        &mut self,
+        from: &str,
+        state: State,
+        own: Option<u64>,
+        known: Known,
+        seat: Option<u64>,
+    ) {
         match self.standing {
             Standing::Seeking => {
                 if let Some(id) = seat {
@@ -339,11 +398,15 @@
                     }
                     return;
                 }
-                self.welcomed.insert(from.to_owned(), (state, own, known.leader));
+                self.welcomed
+                    .insert(from.to_owned(), (state, own, known.leader));
                 self.found();
             }
             Standing::Greeting => {
-                let later = known.life.zip(self.seat).is_some_and(|(life, (_, own))| life >= own);
+                let later = known
+                    .life
+                    .zip(self.seat)
+                    .is_some_and(|(life, (_, own))| life >= own);
                 let kept = self.node.as_ref().map_or((0, 0), |node| {
                     let shelf = node.store();
                     (shelf.hard.term, shelf.last())
@@ -351,7 +414,8 @@
                 if later || known.replaced || known.term > kept.0 || known.index > kept.1 {
                     return self.give_up();
                 }
-                self.welcomed.insert(from.to_owned(), (state, own, known.leader));
+                self.welcomed
+                    .insert(from.to_owned(), (state, own, known.leader));
                 self.greeted();
             }
             // Only one that was replaced, and never told so, is answered so.
@@ -365,7 +429,10 @@
         (self.seat, self.node, self.standing) = (None, None, Standing::Seeking);
         self.roll = Roll::default();
         // A seat that is kept for the old one was sat in, and has promised things that are forgotten now.
-        self.ticket = self.ticket.wrapping_mul(0x5851_F42D_4C95_7F2D).wrapping_add(0x1405_7B7E_F767_814F);
+        self.ticket = self
+            .ticket
+            .wrapping_mul(0x5851_F42D_4C95_7F2D)
+            .wrapping_add(0x1405_7B7E_F767_814F);
         (self.applied, self.ticks) = (0, 0);
         self.welcomed.clear();
         self.steps.push_back(Step::KeepAnew(self.met_records()));
@@ -375,20 +442,35 @@
     fn greeted(&mut self) {
         // Whoever leads hears what each has kept: where there is one, it must have spoken.
         let spoke = |seat: u64| self.welcomed.values().any(|(_, own, _)| *own == Some(seat));
-        let (own, mut leaders) = (self.seat(), self.welcomed.values().filter_map(|(.., leader)| *leader));
+        let (own, mut leaders) = (
+            self.seat(),
+            self.welcomed.values().filter_map(|(.., leader)| *leader),
+        );
         if leaders.any(|leader| Some(leader) != own && !spoke(leader)) {
             return;
         }
         // Who sits elsewhere by now has no memory of what was said to its former seat.
         let same = |name: &str, own: Option<u64>| own.is_some() && self.roll.seat_of(name) == own;
-        let heard = self.welcomed.iter().filter(|(name, (_, own, _))| same(name, *own)).count();
+        let heard = self
+            .welcomed
+            .iter()
+            .filter(|(name, (_, own, _))| same(name, *own))
+            .count();
         let moved = |name: &str, own: Option<u64>| {
             own.is_some() && self.roll.seat_of(name).is_some_and(|id| Some(id) != own)
         };
-        let elsewhere = self.welcomed.iter().filter(|(name, (_, own, _))| moved(name, *own)).count();
+        let elsewhere = self
+            .welcomed
+            .iter()
+            .filter(|(name, (_, own, _))| moved(name, *own))
+            .count();
         if self.roll.members.is_empty() {
             // It was sent nothing yet that its memory has: whoever sits can say whether it was sent more.
-            let sit = self.welcomed.values().filter(|(_, own, _)| own.is_some()).count();
+            let sit = self
+                .welcomed
+                .values()
+                .filter(|(_, own, _)| own.is_some())
+                .count();
             let led = self.welcomed.values().any(|(.., leader)| leader.is_some());
             if sit + 1 > self.wanted.len() / 2 && led {
                 self.standing = Standing::Sitting;
@@ -407,30 +489,62 @@
 
     /// Founds the council where no other agent remembers one. All of them must have said so.
     fn found(&mut self) {
-        let none = |name: &String| matches!(self.welcomed.get(name), Some((State::Empty | State::Fresh, ..)));
-        let alone = self.wanted.iter().filter(|name| **name != self.name).all(none);
+        let none = |name: &String| {
+            matches!(
+                self.welcomed.get(name),
+                Some((State::Empty | State::Fresh, ..))
+            )
+        };
+        let alone = self
+            .wanted
+            .iter()
+            .filter(|name| **name != self.name)
+            .all(none);
         if self.standing != Standing::Seeking || !alone || !self.wanted.contains(&self.name) {
             return;
         }
         let mut roll = Roll::default();
         for (place, name) in self.wanted.iter().enumerate() {
             roll.highest = place as u64 + 1;
-            roll.members.insert(roll.highest, Member { name: name.clone(), ticket: 0 });
+            roll.members.insert(
+                roll.highest,
+                Member {
+                    name: name.clone(),
+                    ticket: 0,
+                },
+            );
         }
-        let Some(id) = roll.seat_of(&self.name) else { return };
-        let conf = ConfState { voters: roll.members.keys().copied().collect(), ..ConfState::default() };
+        let Some(id) = roll.seat_of(&self.name) else {
+            return;
+        };
+        let conf = ConfState {
+            voters: roll.members.keys().copied().collect(),
+            ..ConfState::default()
+        };
         let mut snapshot = Snapshot::default();
-        let held = Held { roll, state: ByteBuf::new() };
+        let held = Held {
+            roll,
+            state: ByteBuf::new(),
+        };
         snapshot.set_data(rmp_serde::to_vec(&held).unwrap_or_default().into());
         let meta = snapshot.mut_metadata();
         (meta.index, meta.term) = (FOUNDED_AT, 1);
         meta.set_conf_state(conf);
         let mut shelf = Shelf::default();
         shelf.put(snapshot.clone());
-        shelf.hard = HardState { term: 1, vote: 0, commit: FOUNDED_AT, ..HardState::default() };
+        shelf.hard = HardState {
+            term: 1,
+            vote: 0,
+            commit: FOUNDED_AT,
+            ..HardState::default()
+        };
         self.seat = Some((id, 1));
         let mut records = self.met_records();
-        records.extend([Record::Seat { id, life: 1 }, snapshot_record(&snapshot), hard_record(&shelf.hard)]);
+        records.extend([
+            Record::Seat { id, life: 1 },
+            snapshot_record(&snapshot),
+            hard_record(&shelf.hard),
+        ]);
         self.steps.push_back(Step::KeepAnew(records));
         if self.sit(shelf).is_ok() {
             self.standing = Standing::Sitting;
@@ -440,7 +554,11 @@
     /// Puts data into the log; false where this agent does not lead.
     pub fn propose(&mut self, data: Vec<u8>) -> bool {
         let leads = self.leads().is_some();
-        let put = leads && self.node.as_mut().is_some_and(|node| node.propose(Vec::new(), data).is_ok());
+        let put = leads
+            && self
+                .node
+                .as_mut()
+                .is_some_and(|node| node.propose(Vec::new(), data).is_ok());
         self.pump();
         put
     }
@@ -480,12 +598,22 @@
         let (kind, id, context) = match (change, self.applying.iter().next()) {
             (Some(id), _) if Some(id) != own => (ConfChangeType::RemoveNode, id, Vec::new()),
             (None, Some((name, ticket))) => {
-                let member = Member { name: name.clone(), ticket: *ticket };
-                (ConfChangeType::AddNode, roll.highest + 1, rmp_serde::to_vec(&member).unwrap_or_default())
+                let member = Member {
+                    name: name.clone(),
+                    ticket: *ticket,
+                };
+                (
+                    ConfChangeType::AddNode,
+                    roll.highest + 1,
+                    rmp_serde::to_vec(&member).unwrap_or_default(),
+                )
             }
             _ => return,
         };
-        let mut change = ConfChange { node_id: id, ..ConfChange::default() };
+        let mut change = ConfChange {
+            node_id: id,
+            ..ConfChange::default()
+        };
         change.set_change_type(kind);
         change.set_context(context.into());
         let _ = node.propose_conf_change(Vec::new(), change);
@@ -498,22 +626,36 @@
             (progress.state == ProgressState::Snapshot).then_some(*id)
         };
         let waiting: Vec<u64> = node.raft.prs().iter().filter_map(sent).collect();
-        waiting.into_iter().for_each(|id| node.report_snapshot(id, SnapshotStatus::Failure));
+        waiting
+            .into_iter()
+            .for_each(|id| node.report_snapshot(id, SnapshotStatus::Failure));
     }
 
     fn met_records(&self) -> Vec<Record> {
         let all = self.met.iter();
-        all.map(|(id, (life, ticket))| Record::Met { id: *id, life: *life, ticket: *ticket }).collect()
+        all.map(|(id, (life, ticket))| Record::Met {
+            id: *id,
+            life: *life,
+            ticket: *ticket,
+        })
+        .collect()
     }
 
     /// Takes the state of whoever uses the log, as of all that was applied by now, in place of a long log.
     pub fn compact(&mut self, state: Vec<u8>) {
-        let (Some(seat), Some(node)) = (self.seat, &mut self.node) else { return };
+        let (Some(seat), Some(node)) = (self.seat, &mut self.node) else {
+            return;
+        };
         let conf = node.raft.prs().conf().to_conf_state();
         let applied = self.applied;
         let shelf = node.mut_store();
-        let Ok(term) = raft::Storage::term(shelf, applied) else { return };
-        let held = Held { roll: self.roll.clone(), state: ByteBuf::from(state) };
+        let Ok(term) = raft::Storage::term(shelf, applied) else {
+            return;
+        };
+        let held = Held {
+            roll: self.roll.clone(),
+            state: ByteBuf::from(state),
+        };
         let mut snapshot = Snapshot::default();
         snapshot.set_data(rmp_serde::to_vec(&held).unwrap_or_default().into());
         let meta = snapshot.mut_metadata();
@@ -521,7 +663,10 @@
         meta.set_conf_state(conf);
         shelf.put(snapshot);
         self.joined = false;
-        let mut records = vec![Record::Seat { id: seat.0, life: seat.1 }];
+        let mut records = vec![Record::Seat {
+            id: seat.0,
+            life: seat.1,
+        }];
         records.extend(shelf.records());
         records.extend(self.met_records());
         self.steps.push_back(Step::KeepAnew(records));
@@ -529,7 +674,10 @@
 
     /// Whether the log is to be made short, once all steps are carried out.
     pub fn is_long(&self) -> bool {
-        let base = self.node.as_ref().map_or(self.applied, |node| node.store().base());
+        let base = self
+            .node
+            .as_ref()
+            .map_or(self.applied, |node| node.store().base());
         let behind = self.applied.saturating_sub(base);
         self.steps.is_empty() && (behind > ENTRIES_MOST || self.joined && behind > 0)
     }
@@ -544,8 +692,11 @@
         {
             let mut ready = node.ready();
             let at_once = ready.take_messages();
-            let reads: Vec<Vec<u8>> =
-                ready.take_read_states().into_iter().map(|read| read.request_ctx).collect();
+            let reads: Vec<Vec<u8>> = ready
+                .take_read_states()
+                .into_iter()
+                .map(|read| read.request_ctx)
+                .collect();
             let mut records = Vec::new();
             let snapshot = ready.snapshot().clone();
             let restores = snapshot.get_metadata().index > 0;
@@ -573,7 +724,8 @@
             self.apply(committed);
             for read in reads {
                 if let Ok(number) = read.try_into() {
-                    self.steps.push_back(Step::Confirmed(u64::from_le_bytes(number)));
+                    self.steps
+                        .push_back(Step::Confirmed(u64::from_le_bytes(number)));
                 }
             }
             let Some(node) = &mut self.node else { return }; // it is replaced
@@ -593,9 +745,14 @@
     fn send(&mut self, messages: Vec<Message>) {
         for message in messages {
             let voice = || self.voices.get(&message.to).map(String::as_str);
-            let Some(name) = self.roll.name(message.to).or_else(voice) else { continue };
+            let Some(name) = self.roll.name(message.to).or_else(voice) else {
+                continue;
+            };
             let bytes = message.write_to_bytes().unwrap_or_default();
-            self.steps.push_back(Step::Send(name.to_owned(), Word::Raft(ByteBuf::from(bytes))));
+            self.steps.push_back(Step::Send(
+                name.to_owned(),
+                Word::Raft(ByteBuf::from(bytes)),
+            ));
         }
     }
 
@@ -607,11 +764,14 @@
             self.applied = entry.index;
             if entry.get_entry_type() == EntryType::EntryNormal {
                 if !entry.data.is_empty() {
-                    self.steps.push_back(Step::Apply(entry.index, entry.data.to_vec()));
+                    self.steps
+                        .push_back(Step::Apply(entry.index, entry.data.to_vec()));
                 }
                 continue;
             }
-            let Ok(change) = ConfChange::parse_from_bytes(&entry.data) else { continue };
+            let Ok(change) = ConfChange::parse_from_bytes(&entry.data) else {
+                continue;
+            };
             let Some(node) = &mut self.node else { return };
             if let Ok(conf) = node.apply_conf_change(&change) {
                 node.mut_store().conf = conf;
--- a/crates/merlinshelf-council/src/record.rs
+++ b/crates/merlinshelf-council/src/record.rs
@@ -58,11 +58,18 @@
         return Err("it is of another program or of a later form");
     }
     let mut records = Vec::new();
-    let number =
-        |at: usize| bytes.get(at..at + 4).and_then(|four| four.try_into().ok()).map(u32::from_le_bytes);
+    let number = |at: usize| {
+        bytes
+            .get(at..at + 4)
+            .and_then(|four| four.try_into().ok())
+            .map(u32::from_le_bytes)
+    };
     while let (Some(length), Some(sum)) = (number(used), number(used + 4)) {
         let length = length as usize;
-        let Some(record) = bytes.get(used + 8..used + 8 + length).filter(|_| length <= LENGTH_MOST) else {
+        let Some(record) = bytes
+            .get(used + 8..used + 8 + length)
+            .filter(|_| length <= LENGTH_MOST)
+        else {
             break;
         };
         match rmp_serde::from_slice(record) {
--- a/crates/merlinshelf-council/src/shelf.rs
+++ b/crates/merlinshelf-council/src/shelf.rs
@@ -42,8 +42,10 @@
     /// Takes a snapshot in the place of all up to its point.
     pub fn put(&mut self, snapshot: Snapshot) {
         let index = snapshot.get_metadata().index;
-        let keeps =
-            self.term(index).is_ok_and(|term| term == snapshot.get_metadata().term) && index >= self.base();
+        let keeps = self
+            .term(index)
+            .is_ok_and(|term| term == snapshot.get_metadata().term)
+            && index >= self.base();
         let drop = (index.saturating_sub(self.base()) as usize).min(self.entries.len());
         if keeps {
             self.entries.drain(..drop);
@@ -93,7 +95,11 @@
 }
 
 pub fn hard_record(hard: &HardState) -> Record {
-    Record::Hard { term: hard.term, vote: hard.vote, commit: hard.commit }
+    Record::Hard {
+        term: hard.term,
+        vote: hard.vote,
+        commit: hard.commit,
+    }
 }
 
 impl Storage for Shelf {
@@ -128,7 +134,9 @@
             return Err(Error::Store(StorageError::Compacted));
         }
         let entry = self.entries.get((index - self.base() - 1) as usize);
-        entry.map(|entry| entry.term).ok_or(Error::Store(StorageError::Unavailable))
+        entry
+            .map(|entry| entry.term)
+            .ok_or(Error::Store(StorageError::Unavailable))
     }
 
     fn first_index(&self) -> Result<u64> {
--- a/crates/merlinshelf-council/src/words.rs
+++ b/crates/merlinshelf-council/src/words.rs
@@ -67,7 +67,10 @@
 impl Roll {
     /// The seat of an agent.
     pub fn seat_of(&self, name: &str) -> Option<u64> {
-        self.members.iter().find(|(_, member)| member.name == name).map(|(id, _)| *id)
+        self.members
+            .iter()
+            .find(|(_, member)| member.name == name)
+            .map(|(id, _)| *id)
     }
 
     pub fn name(&self, id: u64) -> Option<&str> {
--- a/crates/merlinshelf-council/tests/council.rs
+++ b/crates/merlinshelf-council/tests/council.rs
@@ -61,7 +61,13 @@
             proposed: 0,
         };
         for name in &names {
-            let agent = Agent { council: None, disk: vec![], older: vec![], down_until: 0, state: vec![] };
+            let agent = Agent {
+                council: None,
+                disk: vec![],
+                older: vec![],
+                down_until: 0,
+                state: vec![],
+            };
             world.agents.insert(name.clone(), agent);
             world.begin(name);
         }
@@ -72,7 +78,9 @@
         self.ticket += 1;
         let wanted: BTreeSet<String> = self.names.iter().cloned().collect();
         let chance = self.rng.random_range(0..4);
-        let Some(agent) = self.agents.get_mut(name) else { return };
+        let Some(agent) = self.agents.get_mut(name) else {
+            return;
+        };
         agent.state.clear();
         let council = Council::begin(name, &wanted, self.ticket, chance, &agent.disk);
         agent.council = Some(council.expect("what was kept can be gone on with"));
@@ -82,15 +90,25 @@
     /// All steps; where `dies` is set, it dies while keeping something.
     fn carry_out(&mut self, name: &str, dies: bool) {
         loop {
-            let Some(agent) = self.agents.get_mut(name) else { return };
-            let Some(council) = &mut agent.council else { return };
+            let Some(agent) = self.agents.get_mut(name) else {
+                return;
+            };
+            let Some(council) = &mut agent.council else {
+                return;
+            };
             if council.is_long() {
                 council.compact(serialized(&agent.state));
             }
-            let Some(step) = council.next_step() else { return };
+            let Some(step) = council.next_step() else {
+                return;
+            };
             match step {
                 Step::Keep(records) => {
-                    let count = if dies { self.rng.random_range(0..=records.len()) } else { records.len() };
+                    let count = if dies {
+                        self.rng.random_range(0..=records.len())
+                    } else {
+                        records.len()
+                    };
                     agent.disk.extend(records.into_iter().take(count));
                     if dies {
                         return self.kill(name);
@@ -103,9 +121,11 @@
                     agent.disk = records;
                 }
                 Step::Send(to, word) => {
-                    let delay = 1 + u32::from(self.rng.random_bool(0.1)) * self.rng.random_range(0..20);
+                    let delay =
+                        1 + u32::from(self.rng.random_bool(0.1)) * self.rng.random_range(0..20);
                     if !self.rng.random_bool(0.03) {
-                        self.flying.push((self.tick + delay, name.to_owned(), to, word));
+                        self.flying
+                            .push((self.tick + delay, name.to_owned(), to, word));
                     }
                 }
                 Step::Apply(index, data) => {
@@ -115,15 +135,23 @@
                     agent.state.push((index, data.clone()));
                     let known = self.truth.entry(index).or_insert_with(|| data.clone());
                     if *known != data {
-                        self.broken.push(format!("{name} applies another entry {index}"));
+                        self.broken
+                            .push(format!("{name} applies another entry {index}"));
                     }
                 }
                 Step::Restore(index, state) => {
-                    agent.state =
-                        state.chunks(16).map(|pair| (number(&pair[..8]), pair[8..].to_vec())).collect();
-                    let wrong = agent.state.iter().find(|(index, data)| self.truth.get(index) != Some(data));
-                    if wrong.is_some() || agent.state.last().is_some_and(|(last, _)| *last > index) {
-                        self.broken.push(format!("{name} is restored to what never was"));
+                    agent.state = state
+                        .chunks(16)
+                        .map(|pair| (number(&pair[..8]), pair[8..].to_vec()))
+                        .collect();
+                    let wrong = agent
+                        .state
+                        .iter()
+                        .find(|(index, data)| self.truth.get(index) != Some(data));
+                    if wrong.is_some() || agent.state.last().is_some_and(|(last, _)| *last > index)
+                    {
+                        self.broken
+                            .push(format!("{name} is restored to what never was"));
                     }
                 }
                 Step::Confirmed(_) => {}
@@ -134,7 +162,11 @@
     fn kill(&mut self, name: &str) {
         let down = self.rng.random_range(2..60);
         let (tick, planted) = (self.tick, self.planted);
-        let lost = if planted == Planted::Unsynced { self.rng.random_range(0..6) } else { 0 };
+        let lost = if planted == Planted::Unsynced {
+            self.rng.random_range(0..6)
+        } else {
+            0
+        };
         if let Some(agent) = self.agents.get_mut(name) {
             agent.council = None;
             agent.down_until = tick + down;
@@ -151,8 +183,9 @@
     fn step(&mut self, faults: bool) {
         self.tick += 1;
         let tick = self.tick;
-        let (now, later): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.flying).into_iter().partition(|(at, ..)| *at <= tick);
+        let (now, later): (Vec<_>, Vec<_>) = std::mem::take(&mut self.flying)
+            .into_iter()
+            .partition(|(at, ..)| *at <= tick);
         self.flying = later;
         for (_, from, to, mut word) in now {
             if let (Planted::Trusting, Word::Welcome { known, .. }) = (self.planted, &mut word) {
@@ -161,7 +194,11 @@
             if self.cut.contains(&(from.clone(), to.clone())) {
                 continue;
             }
-            let Some(council) = self.agents.get_mut(&to).and_then(|agent| agent.council.as_mut()) else {
+            let Some(council) = self
+                .agents
+                .get_mut(&to)
+                .and_then(|agent| agent.council.as_mut())
+            else {
                 continue;
             };
             // raft gives up loudly where what it is told can't be: a sign as good as another.
@@ -175,7 +212,9 @@
             self.carry_out(&to, dies);
         }
         for name in self.names.clone() {
-            let Some(agent) = self.agents.get_mut(&name) else { continue };
+            let Some(agent) = self.agents.get_mut(&name) else {
+                continue;
+            };
             match &mut agent.council {
                 None if agent.down_until <= tick => self.begin(&name),
                 None => continue,
@@ -199,7 +238,10 @@
         let name = self.names[self.rng.random_range(0..self.names.len())].clone();
         let other = self.names[self.rng.random_range(0..self.names.len())].clone();
         let sits = |name: &String| {
-            let council = self.agents.get(name).and_then(|agent| agent.council.as_ref());
+            let council = self
+                .agents
+                .get(name)
+                .and_then(|agent| agent.council.as_ref());
             council.is_some_and(|of| *of.standing() == Standing::Sitting && of.leader().is_some())
         };
         if self.returning.as_ref().is_some_and(sits) {
@@ -225,13 +267,21 @@
                     .as_ref()
                     .is_some_and(|of| *of.standing() == Standing::Sitting && of.leader().is_some())
             });
-        let Some(agent) = self.agents.get_mut(&name) else { return };
+        let Some(agent) = self.agents.get_mut(&name) else {
+            return;
+        };
         if self.rng.random_bool(0.01) {
             agent.older = agent.disk.clone();
         }
-        let Some(agent) = self.agents.get_mut(&name) else { return };
+        let Some(agent) = self.agents.get_mut(&name) else {
+            return;
+        };
         if well && self.rng.random_bool(0.1) {
-            agent.disk = if self.rng.random_bool(0.5) { agent.older.clone() } else { Vec::new() };
+            agent.disk = if self.rng.random_bool(0.5) {
+                agent.older.clone()
+            } else {
+                Vec::new()
+            };
             self.kill(&name);
             self.returning = Some(name);
         }
@@ -247,9 +297,14 @@
             let standing: Vec<_> = self
                 .agents
                 .values()
-                .map(|of| of.council.as_ref().map(|of| (of.standing().clone(), of.seat(), of.leads())))
+                .map(|of| {
+                    of.council
+                        .as_ref()
+                        .map(|of| (of.standing().clone(), of.seat(), of.leads()))
+                })
                 .collect();
-            self.broken.push(format!("nothing is decided any more: {standing:?}"));
+            self.broken
+                .push(format!("nothing is decided any more: {standing:?}"));
         }
     }
 }
@@ -259,7 +314,10 @@
 }
 
 fn serialized(state: &[(u64, Vec<u8>)]) -> Vec<u8> {
-    state.iter().flat_map(|(index, data)| [index.to_le_bytes().to_vec(), data.clone()].concat()).collect()
+    state
+        .iter()
+        .flat_map(|(index, data)| [index.to_le_bytes().to_vec(), data.clone()].concat())
+        .collect()
 }
 
 fn play(seed: u64, count: usize, planted: Planted) -> World {
@@ -280,10 +338,18 @@
     for seed in 0..60 {
         for count in [3, 5] {
             let world = play(seed, count, Planted::Nothing);
-            assert!(world.broken.is_empty(), "seed {seed} of {count}: {:?}", world.broken);
+            assert!(
+                world.broken.is_empty(),
+                "seed {seed} of {count}: {:?}",
+                world.broken
+            );
             applied += world.truth.len();
-            let highest =
-                world.agents.values().filter_map(|of| of.council.as_ref()).map(|of| of.roll().highest).max();
+            let highest = world
+                .agents
+                .values()
+                .filter_map(|of| of.council.as_ref())
+                .map(|of| of.roll().highest)
+                .max();
             replaced += highest.unwrap_or(0) - count as u64;
         }
     }
@@ -303,7 +369,14 @@
 #[test]
 fn what_is_torn_at_the_end_was_never_promised_and_what_is_spoilt_before_it_is_told() {
     use merlinshelf_council::recover;
-    let records = [Record::Seat { id: 1, life: 2 }, Record::Hard { term: 3, vote: 1, commit: 1 }];
+    let records = [
+        Record::Seat { id: 1, life: 2 },
+        Record::Hard {
+            term: 3,
+            vote: 1,
+            commit: 1,
+        },
+    ];
     let mut bytes = b"MSC1\x01\0\0\0".to_vec();
     let ends: Vec<usize> = records
         .iter()
@@ -314,7 +387,11 @@
         .collect();
     for cut in 0..bytes.len() {
         let whole = ends.iter().filter(|end| **end <= cut).count();
-        assert_eq!(recover(&bytes[..cut]).map(|(read, _)| read), Ok(records[..whole].to_vec()), "{cut}");
+        assert_eq!(
+            recover(&bytes[..cut]).map(|(read, _)| read),
+            Ok(records[..whole].to_vec()),
+            "{cut}"
+        );
     }
     assert_eq!(recover(&bytes), Ok((records.to_vec(), bytes.len())));
     bytes[18] ^= 1;
--- a/crates/merlinshelf-dependencies/src/attempts.rs
+++ b/crates/merlinshelf-dependencies/src/attempts.rs
@@ -46,7 +46,11 @@
 
 impl Default for Attempts {
     fn default() -> Attempts {
-        Attempts { saved: SAVED_MOST, last: VecDeque::new(), durations: VecDeque::new() }
+        Attempts {
+            saved: SAVED_MOST,
+            last: VecDeque::new(),
+            durations: VecDeque::new(),
+        }
     }
 }
 
@@ -96,7 +100,9 @@
         }
         let mut sorted: Vec<f64> = self.durations.iter().copied().collect();
         sorted.sort_by(f64::total_cmp);
-        sorted.get(((sorted.len() - 1) as f64 * QUICKER).ceil() as usize).copied()
+        sorted
+            .get(((sorted.len() - 1) as f64 * QUICKER).ceil() as usize)
+            .copied()
     }
 
     /// Whether the second call is made now; it is paid for at once.
--- a/crates/merlinshelf-dependencies/src/budget.rs
+++ b/crates/merlinshelf-dependencies/src/budget.rs
@@ -5,7 +5,11 @@
 /// its run, this one first; `lowest` is the least that such a call ever took. None: it can't come in its time, and is not made.
 pub fn allowance(left: f64, to_come: &[f64], lowest: f64) -> Option<f64> {
     let own = to_come.first().copied().unwrap_or(0.0).max(1e-6);
-    let whole: f64 = to_come.iter().map(|part| part.max(0.0)).sum::<f64>().max(own);
+    let whole: f64 = to_come
+        .iter()
+        .map(|part| part.max(0.0))
+        .sum::<f64>()
+        .max(own);
     let share = left * own / whole;
     (left.is_finite() && share > 0.0 && share >= lowest).then_some(share)
 }
--- a/crates/merlinshelf-dependencies/src/limits.rs
+++ b/crates/merlinshelf-dependencies/src/limits.rs
@@ -112,7 +112,10 @@
 impl Waiting {
     /// A call of an operation waits, until this moment at the longest.
     pub fn wait(&mut self, operation: usize, call: u64, until: f64) {
-        self.queues.entry(operation).or_default().push_back((call, until));
+        self.queues
+            .entry(operation)
+            .or_default()
+            .push_back((call, until));
     }
 
     /// Calls whose time to wait is over: they are not made.
@@ -147,7 +150,9 @@
 
     /// A call that waited is wanted no more.
     pub fn forget(&mut self, call: u64) {
-        self.queues.values_mut().for_each(|queue| queue.retain(|(known, _)| *known != call));
+        self.queues
+            .values_mut()
+            .for_each(|queue| queue.retain(|(known, _)| *known != call));
     }
 
     pub fn ended(&mut self, operation: usize) {
--- a/crates/merlinshelf-dependencies/src/partial.rs
+++ b/crates/merlinshelf-dependencies/src/partial.rs
@@ -31,7 +31,9 @@
         Lesser::Nothing => Came::Lesser(None),
         Lesser::Fixed(bytes) => Came::Lesser(Some(bytes.clone())),
         Lesser::Kept { within } => match kept {
-            Some((bytes, age)) if (0.0..=*within).contains(&age) => Came::Lesser(Some(bytes.to_vec())),
+            Some((bytes, age)) if (0.0..=*within).contains(&age) => {
+                Came::Lesser(Some(bytes.to_vec()))
+            }
             _ => Came::Failed,
         },
     }
@@ -59,6 +61,8 @@
 
     /// Expected billed value of the result, of `whole`, where the parts cost so much when left out (0 to 1 each).
     pub fn worth(&self, whole: f64, cost: impl Fn(&str) -> f64) -> f64 {
-        self.0.iter().fold(whole, |worth, part| worth * (1.0 - cost(part).clamp(0.0, 1.0)))
+        self.0.iter().fold(whole, |worth, part| {
+            worth * (1.0 - cost(part).clamp(0.0, 1.0))
+        })
     }
 }
--- a/crates/merlinshelf-dependencies/src/report.rs
+++ b/crates/merlinshelf-dependencies/src/report.rs
@@ -49,7 +49,10 @@
                 state,
                 why,
                 open: server.open,
-                limit: place.limits.get(&server.name).map(|limit| limit.get().floor()),
+                limit: place
+                    .limits
+                    .get(&server.name)
+                    .map(|limit| limit.get().floor()),
                 mean_ms: server.mean().map(|mean| (mean * 1e6).round() / 1e3),
                 failures: (server.failures() * 1e3).round() / 1e3,
             }
@@ -62,7 +65,12 @@
             waiting: place.waiting.len(),
             attempts_left: place.attempts.left(),
             counts: place.counts,
-            servers: place.pool.servers().iter().map(|server| of_server(place, server)).collect(),
+            servers: place
+                .pool
+                .servers()
+                .iter()
+                .map(|server| of_server(place, server))
+                .collect(),
         };
         self.places.iter().map(of).collect()
     }
--- a/crates/merlinshelf-dependencies/src/router.rs
+++ b/crates/merlinshelf-dependencies/src/router.rs
@@ -37,7 +37,10 @@
     /// The reply of the attempt that was reported last. `missing` names the dependency for which another one stood in.
     Reply { missing: Option<String> },
     /// A lesser answer: these bytes, or nothing in its place.
-    Lesser { bytes: Option<Vec<u8>>, missing: String },
+    Lesser {
+        bytes: Option<Vec<u8>>,
+        missing: String,
+    },
     /// It may have had its effect.
     Failed,
     /// Nothing of it was ever run.
@@ -48,7 +51,12 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
     /// Ask this server, telling it that so many seconds are waited; reported by `ended`.
-    Attempt { ticket: u64, attempt: u64, server: String, wait: f64 },
+    Attempt {
+        ticket: u64,
+        attempt: u64,
+        server: String,
+        wait: f64,
+    },
     /// Nobody waits for that attempt any more.
     GiveUp { attempt: u64 },
     /// The call is over.
@@ -149,8 +157,9 @@
 
 fn number_of(name: &str) -> u64 {
     // FNV-1a: the same in every process and version, as ranks must be.
-    name.bytes()
-        .fold(0xCBF2_9CE4_8422_2325, |sum, byte| (sum ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01B3))
+    name.bytes().fold(0xCBF2_9CE4_8422_2325, |sum, byte| {
+        (sum ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01B3)
+    })
 }
 
 impl Router {
@@ -174,7 +183,11 @@
     /// Other lists and settings. What is known of those that stay is kept; calls that are open end where they are.
     pub fn replace(&mut self, now: f64, wanted: Dependencies) {
         for (name, of) in &wanted.dependencies {
-            let numbers: Vec<u64> = of.servers.iter().map(|server| number_of(&server.address)).collect();
+            let numbers: Vec<u64> = of
+                .servers
+                .iter()
+                .map(|server| number_of(&server.address))
+                .collect();
             let mut chosen = subset(self.instance, &numbers, of.subset.unwrap_or(numbers.len()));
             chosen.sort_unstable();
             let of_server = |place: usize| {
@@ -185,7 +198,9 @@
             match self.places.get_mut(name) {
                 Some(place) => {
                     place.pool.replace(now, &list);
-                    place.limits.retain(|name, _| list.iter().any(|(known, ..)| known == name));
+                    place
+                        .limits
+                        .retain(|name, _| list.iter().any(|(known, ..)| known == name));
                     place.wanted = of.clone();
                 }
                 None => {
@@ -207,7 +222,8 @@
                 }
             }
         }
-        self.places.retain(|name, place| wanted.dependencies.contains_key(name) || place.open > 0);
+        self.places
+            .retain(|name, place| wanted.dependencies.contains_key(name) || place.open > 0);
         for name in wanted.operations.keys() {
             let next = self.groups.len();
             self.groups.entry(name.clone()).or_insert(next);
@@ -232,7 +248,11 @@
 
     /// When it wants to be woken though nothing happens.
     pub fn wake_at(&self) -> Option<f64> {
-        let of = |ticket: &Ticket| ticket.hedge_at.map_or(ticket.deadline, |at| at.min(ticket.deadline));
+        let of = |ticket: &Ticket| {
+            ticket
+                .hedge_at
+                .map_or(ticket.deadline, |at| at.min(ticket.deadline))
+        };
         self.tickets.values().map(of).min_by(f64::total_cmp)
     }
 
@@ -247,12 +267,15 @@
 
     /// The dependency that such a call goes to.
     pub fn dependency(&self, operation: &str, place: usize, named: Option<&str>) -> Option<&str> {
-        self.spec(operation, place, named).map(|call| call.to.as_str())
+        self.spec(operation, place, named)
+            .map(|call| call.to.as_str())
     }
 
     /// The dependency that an open attempt is at.
     pub fn at(&self, attempt: u64) -> Option<&str> {
-        self.tickets.get(self.by_attempt.get(&attempt)?).map(|ticket| ticket.dependency.as_str())
+        self.tickets
+            .get(self.by_attempt.get(&attempt)?)
+            .map(|ticket| ticket.dependency.as_str())
     }
 
     /// Whether that call is this one's to make.
@@ -265,7 +288,10 @@
         let number = self.next;
         self.next += 1;
         let Some(spec) = self.spec(ask.operation, ask.place, ask.named).cloned() else {
-            self.steps.push_back(Step::Over { ticket: number, end: End::NeverRan });
+            self.steps.push_back(Step::Over {
+                ticket: number,
+                end: End::NeverRan,
+            });
             return number;
         };
         let allowed = self.allowed(ask, &spec);
@@ -294,27 +320,49 @@
     /// Seconds that a call may take: its part of what is left, and no longer than the module says.
     fn allowed(&self, ask: &Ask, spec: &Call) -> Option<f64> {
         let left = ask.left.unwrap_or(ask.wait);
-        let usual = |call: &Call| self.places.get(&call.to).and_then(Place::usual).unwrap_or(UNMEASURED);
+        let usual = |call: &Call| {
+            self.places
+                .get(&call.to)
+                .and_then(Place::usual)
+                .unwrap_or(UNMEASURED)
+        };
         let share = match spec.share {
             Some(share) => (left > 0.0).then_some(left * share),
             None => {
-                let calls = self.wanted.operations.get(ask.operation).map(|of| of.calls.as_slice());
+                let calls = self
+                    .wanted
+                    .operations
+                    .get(ask.operation)
+                    .map(|of| of.calls.as_slice());
                 let later = calls.unwrap_or_default().iter().skip(ask.place + 1);
                 let parts: Vec<f64> = std::iter::once(spec).chain(later).map(usual).collect();
                 let lowest = self.places.get(&spec.to).map_or(0.0, |place| place.lowest);
                 allowance(left, &parts, lowest)
             }
         };
-        let place = self.places.get(&spec.to).filter(|place| !place.attempts.fails());
-        let slowest = place.map(|place| place.took.iter().copied().fold(0.0, f64::max)).unwrap_or(0.0);
+        let place = self
+            .places
+            .get(&spec.to)
+            .filter(|place| !place.attempts.fails());
+        let slowest = place
+            .map(|place| place.took.iter().copied().fold(0.0, f64::max))
+            .unwrap_or(0.0);
         let has_lesser = !spec.needed || spec.instead != Instead::Nothing;
-        let patience = if has_lesser && slowest > 0.0 { LONGER * slowest } else { f64::INFINITY };
-        share.map(|share| share.min(ask.wait * WITHIN).min(patience)).filter(|share| *share > 0.0)
+        let patience = if has_lesser && slowest > 0.0 {
+            LONGER * slowest
+        } else {
+            f64::INFINITY
+        };
+        share
+            .map(|share| share.min(ask.wait * WITHIN).min(patience))
+            .filter(|share| *share > 0.0)
     }
 
     /// The call's first attempt at the dependency that it is at, or a place among those that wait.
     fn begin(&mut self, now: f64, number: u64, chance: &mut dyn FnMut() -> f64) {
-        let Some(ticket) = self.tickets.get_mut(&number) else { return };
+        let Some(ticket) = self.tickets.get_mut(&number) else {
+            return;
+        };
         let Some(place) = self.places.get_mut(&ticket.dependency) else {
             return self.instead(now, number, chance, true);
         };
@@ -346,28 +394,56 @@
 
     /// Its turn had come, and all servers are full: it waits for the next one.
     fn wait_again(&mut self, number: u64) {
-        let Some(ticket) = self.tickets.get_mut(&number) else { return };
+        let Some(ticket) = self.tickets.get_mut(&number) else {
+            return;
+        };
         if let Some(place) = self.places.get_mut(&ticket.dependency) {
             ticket.waits = true;
             place.waiting.ended(ticket.group);
-            place.waiting.wait(ticket.group, number, ticket.deadline - place.lowest);
+            place
+                .waiting
+                .wait(ticket.group, number, ticket.deadline - place.lowest);
         }
     }
 
     /// One attempt at a server that was not tried yet and has room.
-    fn attempt(&mut self, now: f64, number: u64, beside: bool, chance: &mut dyn FnMut() -> f64) -> Tried {
-        let Some(ticket) = self.tickets.get_mut(&number) else { return Tried::Nobody };
-        let Some(place) = self.places.get_mut(&ticket.dependency) else { return Tried::Nobody };
-        let mut but: Vec<usize> = ticket.tried.iter().filter_map(|name| place.pool.place(name)).collect();
+    fn attempt(
+        &mut self,
+        now: f64,
+        number: u64,
+        beside: bool,
+        chance: &mut dyn FnMut() -> f64,
+    ) -> Tried {
+        let Some(ticket) = self.tickets.get_mut(&number) else {
+            return Tried::Nobody;
+        };
+        let Some(place) = self.places.get_mut(&ticket.dependency) else {
+            return Tried::Nobody;
+        };
+        let mut but: Vec<usize> = ticket
+            .tried
+            .iter()
+            .filter_map(|name| place.pool.place(name))
+            .collect();
         let tried = but.len();
         let limits = &place.limits;
         let full = |server: &Server| {
-            limits.get(&server.name).is_some_and(|limit| !limit.has_room(server.open as usize))
+            limits
+                .get(&server.name)
+                .is_some_and(|limit| !limit.has_room(server.open as usize))
         };
         let servers = place.pool.servers().iter().enumerate();
-        but.extend(servers.filter(|(_, server)| server.open > 0 && full(server)).map(|(at, _)| at));
+        but.extend(
+            servers
+                .filter(|(_, server)| server.open > 0 && full(server))
+                .map(|(at, _)| at),
+        );
         let Some(chosen) = place.pool.pick(now, &but, chance) else {
-            return if but.len() > tried { Tried::Full } else { Tried::Nobody };
+            return if but.len() > tried {
+                Tried::Full
+            } else {
+                Tried::Nobody
+            };
         };
         let server = place.pool.servers()[chosen].name.clone();
         let attempt = self.next;
@@ -383,13 +459,26 @@
         };
         *of = of.saturating_sub(1);
         if !beside {
-            ticket.hedge_at = place.attempts.hedge_after(ticket.effect).map(|after| now + after);
+            ticket.hedge_at = place
+                .attempts
+                .hedge_after(ticket.effect)
+                .map(|after| now + after);
         }
-        ticket.open.push(Open { attempt, server: server.clone(), at: now, beside });
+        ticket.open.push(Open {
+            attempt,
+            server: server.clone(),
+            at: now,
+            beside,
+        });
         ticket.tried.push(server.clone());
         self.by_attempt.insert(attempt, number);
         let wait = (ticket.deadline - now).max(0.001);
-        self.steps.push_back(Step::Attempt { ticket: number, attempt, server, wait });
+        self.steps.push_back(Step::Attempt {
+            ticket: number,
+            attempt,
+            server,
+            wait,
+        });
         Tried::Made
     }
 
@@ -402,11 +491,21 @@
         reply: &[u8],
         chance: &mut dyn FnMut() -> f64,
     ) {
-        let Some(number) = self.by_attempt.get(&attempt).copied() else { return };
+        let Some(number) = self.by_attempt.get(&attempt).copied() else {
+            return;
+        };
         let well = ended == Ended::Succeeded;
-        let outcome = if well { Outcome::Succeeded } else { Outcome::Failed };
-        let Some(one) = self.close(now, number, attempt, outcome, ended) else { return };
-        let Some(ticket) = self.tickets.get_mut(&number) else { return };
+        let outcome = if well {
+            Outcome::Succeeded
+        } else {
+            Outcome::Failed
+        };
+        let Some(one) = self.close(now, number, attempt, outcome, ended) else {
+            return;
+        };
+        let Some(ticket) = self.tickets.get_mut(&number) else {
+            return;
+        };
         ticket.unsure |= ended == Ended::Unknown;
         let place = self.places.get_mut(&ticket.dependency);
         if well {
@@ -431,12 +530,17 @@
         if !ticket.open.is_empty() {
             return; // the other one may still come
         }
-        let in_time =
-            place.as_ref().is_some_and(|place| now + place.usual().unwrap_or(0.0) < ticket.deadline);
-        let pays = |place: &mut Place| place.has_again() && place.attempts.again(ticket.effect, ended);
+        let in_time = place
+            .as_ref()
+            .is_some_and(|place| now + place.usual().unwrap_or(0.0) < ticket.deadline);
+        let pays =
+            |place: &mut Place| place.has_again() && place.attempts.again(ticket.effect, ended);
         let again = in_time && place.is_some_and(pays);
         if again && self.attempt(now, number, false, chance) == Tried::Made {
-            let of = self.tickets.get(&number).map(|ticket| ticket.dependency.clone());
+            let of = self
+                .tickets
+                .get(&number)
+                .map(|ticket| ticket.dependency.clone());
             if let Some(place) = of.and_then(|of| self.places.get_mut(&of)) {
                 place.counts.again += 1;
             }
@@ -447,7 +551,14 @@
     }
 
     /// An attempt is open no longer.
-    fn close(&mut self, now: f64, number: u64, attempt: u64, outcome: Outcome, ended: Ended) -> Option<Open> {
+    fn close(
+        &mut self,
+        now: f64,
+        number: u64,
+        attempt: u64,
+        outcome: Outcome,
+        ended: Ended,
+    ) -> Option<Open> {
         self.by_attempt.remove(&attempt);
         let ticket = self.tickets.get_mut(&number)?;
         let at = ticket.open.iter().position(|one| one.attempt == attempt)?;
@@ -464,9 +575,14 @@
             if ended == Ended::Succeeded {
                 place.trial_at = now;
                 place.limit.ended(took, place.open);
-                let open = place.pool.place(&one.server).map_or(0, |at| place.pool.servers()[at].open);
+                let open = place
+                    .pool
+                    .place(&one.server)
+                    .map_or(0, |at| place.pool.servers()[at].open);
                 let limit = place.limits.entry(one.server.clone());
-                limit.or_insert_with(|| Limit::new(LIMIT_FIRST, LIMIT_MOST)).ended(took, open as usize);
+                limit
+                    .or_insert_with(|| Limit::new(LIMIT_FIRST, LIMIT_MOST))
+                    .ended(took, open as usize);
                 if place.took.len() == TOOK {
                     place.took.pop_front();
                 }
@@ -479,7 +595,9 @@
 
     /// It counts no longer among its operation's calls there.
     fn free(&mut self, number: u64) {
-        let Some(ticket) = self.tickets.get(&number) else { return };
+        let Some(ticket) = self.tickets.get(&number) else {
+            return;
+        };
         if let Some(place) = self.places.get_mut(&ticket.dependency) {
             place.waiting.ended(ticket.group);
         }
@@ -487,17 +605,23 @@
 
     /// The call has left its dependency: whoever waits there may be next.
     fn leave_room(&mut self, now: f64, number: u64, chance: &mut dyn FnMut() -> f64) {
-        let Some(ticket) = self.tickets.get(&number) else { return };
+        let Some(ticket) = self.tickets.get(&number) else {
+            return;
+        };
         let dependency = ticket.dependency.clone();
         self.free(number);
         loop {
-            let Some(place) = self.places.get_mut(&dependency) else { return };
+            let Some(place) = self.places.get_mut(&dependency) else {
+                return;
+            };
             // Where the whole of it fails nobody is kept waiting for a turn that does not come.
             let fails = place.fails() || place.left.first == 0;
             if !fails && !place.limit.has_room(place.open) {
                 return;
             }
-            let Some((_, next)) = place.waiting.take() else { return };
+            let Some((_, next)) = place.waiting.take() else {
+                return;
+            };
             if let Some(ticket) = self.tickets.get_mut(&next) {
                 ticket.waits = false;
                 if fails {
@@ -519,7 +643,9 @@
 
     /// It can't be had here: another dependency, a lesser answer, or its end. `unmade`: nothing was sent this time.
     fn instead(&mut self, now: f64, number: u64, chance: &mut dyn FnMut() -> f64, unmade: bool) {
-        let Some(ticket) = self.tickets.get_mut(&number) else { return };
+        let Some(ticket) = self.tickets.get_mut(&number) else {
+            return;
+        };
         let mut other = None;
         if let Some(place) = self.places.get_mut(&ticket.dependency) {
             place.counts.not_made += u64::from(unmade);
@@ -541,11 +667,20 @@
             Instead::Kept { within_s } => Lesser::Kept { within: *within_s },
         };
         let key = (ticket.spec.to.clone(), ticket.question.clone());
-        let kept = self.kept.get(&key).map(|(bytes, at)| (bytes.as_slice(), now - at));
+        let kept = self
+            .kept
+            .get(&key)
+            .map(|(bytes, at)| (bytes.as_slice(), now - at));
         let end = match instead(&lesser, kept) {
-            Came::Lesser(bytes) => End::Lesser { bytes, missing: ticket.spec.to.clone() },
+            Came::Lesser(bytes) => End::Lesser {
+                bytes,
+                missing: ticket.spec.to.clone(),
+            },
             // Nothing is kept: what is not needed is left out.
-            _ if !ticket.spec.needed => End::Lesser { bytes: None, missing: ticket.spec.to.clone() },
+            _ if !ticket.spec.needed => End::Lesser {
+                bytes: None,
+                missing: ticket.spec.to.clone(),
+            },
             _ if ticket.unsure => End::Failed,
             _ => End::NeverRan,
         };
@@ -555,7 +690,10 @@
             place.counts.lesser += 1;
         }
         self.tickets.remove(&number);
-        self.steps.push_back(Step::Over { ticket: number, end });
+        self.steps.push_back(Step::Over {
+            ticket: number,
+            end,
+        });
     }
 
     /// It is over: what is still open of it is given up.
@@ -563,11 +701,18 @@
         self.give_up_attempts(now, number, Outcome::GivenUp);
         self.leave_room(now, number, chance);
         self.tickets.remove(&number);
-        self.steps.push_back(Step::Over { ticket: number, end });
+        self.steps.push_back(Step::Over {
+            ticket: number,
+            end,
+        });
     }
 
     fn give_up_attempts(&mut self, now: f64, number: u64, outcome: Outcome) {
-        let open = self.tickets.get(&number).map(|ticket| ticket.open.clone()).unwrap_or_default();
+        let open = self
+            .tickets
+            .get(&number)
+            .map(|ticket| ticket.open.clone())
+            .unwrap_or_default();
         for Open { attempt, .. } in open {
             self.close(now, number, attempt, outcome, Ended::Unknown);
             self.steps.push_back(Step::GiveUp { attempt });
@@ -576,7 +721,9 @@
 
     /// Nobody waits for the call any more; nothing further is said of it but which attempts are given up.
     pub fn give_up(&mut self, now: f64, number: u64, chance: &mut dyn FnMut() -> f64) {
-        let Some(ticket) = self.tickets.get(&number) else { return };
+        let Some(ticket) = self.tickets.get(&number) else {
+            return;
+        };
         if ticket.waits {
             if let Some(place) = self.places.get_mut(&ticket.dependency) {
                 place.waiting.forget(number);
@@ -598,7 +745,9 @@
             .map(|(number, _)| *number)
             .collect();
         for number in due {
-            let Some(ticket) = self.tickets.get_mut(&number) else { continue };
+            let Some(ticket) = self.tickets.get_mut(&number) else {
+                continue;
+            };
             if now >= ticket.deadline {
                 let (waited, dependency) = (ticket.waits, ticket.dependency.clone());
                 if let Some(place) = self.places.get_mut(&dependency) {
@@ -618,7 +767,9 @@
             let place = self.places.get_mut(&dependency);
             // Beside a call that is the last one with room no second one is made.
             let may = place.is_some_and(|place| {
-                place.limit.has_room(place.open) && place.has_again() && place.attempts.hedge(effect)
+                place.limit.has_room(place.open)
+                    && place.has_again()
+                    && place.attempts.hedge(effect)
             });
             if may
                 && self.attempt(now, number, true, chance) == Tried::Made
@@ -633,8 +784,12 @@
     pub fn forget_open(&mut self) {
         let numbers: Vec<u64> = self.tickets.keys().copied().collect();
         for number in numbers {
-            let Some(ticket) = self.tickets.remove(&number) else { continue };
-            let Some(place) = self.places.get_mut(&ticket.dependency) else { continue };
+            let Some(ticket) = self.tickets.remove(&number) else {
+                continue;
+            };
+            let Some(place) = self.places.get_mut(&ticket.dependency) else {
+                continue;
+            };
             place.waiting.forget(number);
             if !ticket.waits {
                 place.waiting.ended(ticket.group);
@@ -659,7 +814,8 @@
     /// By operation in the order of its calls, the names of its dependencies: what a result is without when a call is left out.
     pub fn parts(&self, operation: &str) -> Vec<String> {
         let of = self.wanted.operations.get(operation);
-        of.map(|of| of.calls.iter().map(|call| call.to.clone()).collect()).unwrap_or_default()
+        of.map(|of| of.calls.iter().map(|call| call.to.clone()).collect())
+            .unwrap_or_default()
     }
 }
 
--- a/crates/merlinshelf-dependencies/src/servers.rs
+++ b/crates/merlinshelf-dependencies/src/servers.rs
@@ -98,7 +98,9 @@
     fn cost(&self, now: f64, usual: f64) -> f64 {
         // What it showed counts less the longer ago that is: one that was avoided is tried again in its time.
         let old = 0.5_f64.powf((now - self.last).max(0.0) / HALF_OLD);
-        let mean = self.mean().map_or(usual, |mean| usual + (mean - usual) * old);
+        let mean = self
+            .mean()
+            .map_or(usual, |mean| usual + (mean - usual) * old);
         // One that answers its errors at once is not fast for it.
         let took = mean.max(if self.failures() > 0.0 { usual } else { 0.0 });
         let warmth = ((now - self.since) / SLOW_START).clamp(0.1, 1.0);
@@ -125,9 +127,15 @@
     pub fn new(now: f64, list: &[(String, String, f64)], zone: &str, out_most: f64) -> Pool {
         // At the start all are new alike: nobody needs to be spared.
         let since = now - SLOW_START;
-        let servers =
-            list.iter().map(|(name, zone, weight)| Server::new(name, zone, *weight, since)).collect();
-        Pool { servers, zone: zone.to_owned(), out_most: out_most.clamp(0.0, 1.0) }
+        let servers = list
+            .iter()
+            .map(|(name, zone, weight)| Server::new(name, zone, *weight, since))
+            .collect();
+        Pool {
+            servers,
+            zone: zone.to_owned(),
+            out_most: out_most.clamp(0.0, 1.0),
+        }
     }
 
     pub fn servers(&self) -> &[Server] {
@@ -144,7 +152,8 @@
                 Some(place) => before.swap_remove(place),
                 None => Server::new(name, zone, *weight, now),
             };
-            (server.zone, server.weight) = (zone.clone(), if *weight > 0.0 { *weight } else { 1.0 });
+            (server.zone, server.weight) =
+                (zone.clone(), if *weight > 0.0 { *weight } else { 1.0 });
             self.servers.push(server);
         }
     }
@@ -156,14 +165,23 @@
 
     /// Who gets the next call: of few the cheapest, of many the cheaper one of two by chance, of the own zone while that is not much dearer; one that is due
     /// for a trial before all. `but` are servers that this call was made to already. None: there is nobody.
-    pub fn pick(&mut self, now: f64, but: &[usize], chance: &mut dyn FnMut() -> f64) -> Option<usize> {
+    pub fn pick(
+        &mut self,
+        now: f64,
+        but: &[usize],
+        chance: &mut dyn FnMut() -> f64,
+    ) -> Option<usize> {
         let usual = self.usual().unwrap_or(0.01);
         let free = |place: &usize| !but.contains(place);
         for (place, server) in self.servers.iter_mut().enumerate() {
             if let Standing::Out { until, times, .. } = server.standing
                 && now >= until
             {
-                server.standing = Standing::OnTrial { times, well: 0, since: now };
+                server.standing = Standing::OnTrial {
+                    times,
+                    well: 0,
+                    since: now,
+                };
             }
             let on_trial = matches!(server.standing, Standing::OnTrial { .. });
             if on_trial && server.open == 0 && !but.contains(&place) {
@@ -175,18 +193,28 @@
             .filter(free)
             .filter(|place| self.servers[*place].standing == Standing::In)
             .collect();
-        let own: Vec<usize> =
-            usable.iter().copied().filter(|place| self.servers[*place].zone == self.zone).collect();
+        let own: Vec<usize> = usable
+            .iter()
+            .copied()
+            .filter(|place| self.servers[*place].zone == self.zone)
+            .collect();
         let mut best = |places: &[usize]| -> Option<(usize, f64)> {
             // The place to begin with by chance, so that of equals not the first one gets all.
             let from = (chance() * places.len() as f64) as usize;
             let some: Vec<usize> = if places.len() <= FEW {
-                places[from..].iter().chain(&places[..from]).copied().collect()
+                places[from..]
+                    .iter()
+                    .chain(&places[..from])
+                    .copied()
+                    .collect()
             } else {
-                let other = (from + 1 + (chance() * (places.len() - 1) as f64) as usize) % places.len();
+                let other =
+                    (from + 1 + (chance() * (places.len() - 1) as f64) as usize) % places.len();
                 vec![places[from], places[other]]
             };
-            let costs = some.into_iter().map(|place| (place, self.servers[place].cost(now, usual)));
+            let costs = some
+                .into_iter()
+                .map(|place| (place, self.servers[place].cost(now, usual)));
             costs.min_by(|a, b| a.1.total_cmp(&b.1))
         };
         let chosen = match (best(&own), best(&usable)) {
@@ -203,8 +231,13 @@
     /// What a call takes with most servers that are in and mostly do well: errors that come at once are no measure.
     fn usual(&self) -> Option<f64> {
         let means = |well: bool| {
-            let of = self.servers.iter().filter(|one| one.standing == Standing::In);
-            of.filter(|one| !well || one.failures() < 0.5).filter_map(Server::mean).collect()
+            let of = self
+                .servers
+                .iter()
+                .filter(|one| one.standing == Standing::In);
+            of.filter(|one| !well || one.failures() < 0.5)
+                .filter_map(Server::mean)
+                .collect()
         };
         median(means(true)).or_else(|| median(means(false)))
     }
@@ -221,12 +254,24 @@
             .map(|(_, one)| one)
             .collect();
         // Errors that come at once make nobody slow who does well.
-        let usual =
-            median(peers.iter().filter(|one| one.failures() < 0.5).filter_map(|one| one.mean()).collect());
+        let usual = median(
+            peers
+                .iter()
+                .filter(|one| one.failures() < 0.5)
+                .filter_map(|one| one.mean())
+                .collect(),
+        );
         let usual_failures = median(peers.iter().map(|one| one.failures()).collect());
-        let room = self.servers.iter().filter(|one| one.standing != Standing::In).count() as f64 + 1.0
+        let room = self
+            .servers
+            .iter()
+            .filter(|one| one.standing != Standing::In)
+            .count() as f64
+            + 1.0
             <= self.out_most * self.servers.len() as f64;
-        let Some(one) = self.servers.get_mut(place) else { return };
+        let Some(one) = self.servers.get_mut(place) else {
+            return;
+        };
         one.open = one.open.saturating_sub(1);
         let well = outcome == Outcome::Succeeded;
         if outcome == Outcome::GivenUp && usual.is_none_or(|usual| took < usual) {
@@ -235,10 +280,15 @@
         if one.samples.len() == SAMPLES {
             one.samples.pop_front();
         }
-        one.samples.push_back((took, well || outcome == Outcome::GivenUp));
+        one.samples
+            .push_back((took, well || outcome == Outcome::GivenUp));
         one.last = now;
         match one.standing {
-            Standing::OnTrial { times, well: before, since } => {
+            Standing::OnTrial {
+                times,
+                well: before,
+                since,
+            } => {
                 let quick = usual.is_none_or(|usual| took <= SLOWER * usual);
                 one.standing = if !well || !quick {
                     out(now, times + 1, "its trial failed")
@@ -248,17 +298,28 @@
                     one.since = now;
                     Standing::In
                 } else {
-                    Standing::OnTrial { times, well: before + 1, since }
+                    Standing::OnTrial {
+                        times,
+                        well: before + 1,
+                        since,
+                    }
                 };
             }
             Standing::In if room && one.samples.len() >= JUDGED_FROM => {
-                let slow = usual.zip(one.mean()).is_some_and(|(usual, own)| own > SLOWER * usual);
-                let fails = usual_failures.is_some_and(|usual| one.failures() > usual + MORE_FAILURES);
+                let slow = usual
+                    .zip(one.mean())
+                    .is_some_and(|(usual, own)| own > SLOWER * usual);
+                let fails =
+                    usual_failures.is_some_and(|usual| one.failures() > usual + MORE_FAILURES);
                 if fails || slow {
                     one.standing = out(
                         now,
                         1,
-                        if fails { "fails more than its peers" } else { "slower than its peers" },
+                        if fails {
+                            "fails more than its peers"
+                        } else {
+                            "slower than its peers"
+                        },
                     );
                 }
             }
@@ -269,5 +330,9 @@
 
 fn out(now: f64, times: u32, why: &'static str) -> Standing {
     let pause = (PAUSE * 2_f64.powi(times.min(10) as i32 - 1)).min(PAUSE_MOST);
-    Standing::Out { until: now + pause, times, why }
+    Standing::Out {
+        until: now + pause,
+        times,
+        why,
+    }
 }
--- a/crates/merlinshelf-dependencies/src/subset.rs
+++ b/crates/merlinshelf-dependencies/src/subset.rs
@@ -3,8 +3,11 @@
 
 /// Places in the list of servers, the highest ranks first, as many as are wanted or there are.
 pub fn subset(instance: u64, servers: &[u64], count: usize) -> Vec<usize> {
-    let mut ranked: Vec<(u64, usize)> =
-        servers.iter().enumerate().map(|(place, server)| (mixed(instance, *server), place)).collect();
+    let mut ranked: Vec<(u64, usize)> = servers
+        .iter()
+        .enumerate()
+        .map(|(place, server)| (mixed(instance, *server), place))
+        .collect();
     if count > 0 && ranked.len() > count {
         ranked.select_nth_unstable_by(count - 1, |a, b| b.cmp(a));
     }
@@ -20,5 +23,7 @@
         bits = (bits ^ (bits >> 27)).wrapping_mul(0x94D0_49BB_1331_11EB);
         bits ^ (bits >> 31)
     };
-    finish(finish(one.wrapping_add(0x9E37_79B9_7F4A_7C15)) ^ other.wrapping_mul(0x9E37_79B9_7F4A_7C15))
+    finish(
+        finish(one.wrapping_add(0x9E37_79B9_7F4A_7C15)) ^ other.wrapping_mul(0x9E37_79B9_7F4A_7C15),
+    )
 }
--- a/crates/merlinshelf-dependencies/src/wanted.rs
+++ b/crates/merlinshelf-dependencies/src/wanted.rs
@@ -103,7 +103,9 @@
         for (name, of) in &self.dependencies {
             let at = format!("dependencies.{name}");
             if name.is_empty() || name.len() > 64 || name.contains([',', '\r', '\n', ' ']) {
-                whys.push(format!("{at}: no name: up to 64 characters without commas and blanks"));
+                whys.push(format!(
+                    "{at}: no name: up to 64 characters without commas and blanks"
+                ));
             }
             if of.servers.is_empty() {
                 whys.push(format!("{at}.servers: a list of none"));
@@ -116,10 +118,16 @@
                         server.address
                     ));
                 } else if !known.insert(&server.address) {
-                    whys.push(format!("{at}.servers[{place}].address: {} is there twice", server.address));
+                    whys.push(format!(
+                        "{at}.servers[{place}].address: {} is there twice",
+                        server.address
+                    ));
                 }
                 if !(server.weight > 0.0 && server.weight.is_finite()) {
-                    whys.push(format!("{at}.servers[{place}].weight: {} is not above 0", server.weight));
+                    whys.push(format!(
+                        "{at}.servers[{place}].weight: {} is not above 0",
+                        server.weight
+                    ));
                 }
             }
             if !part(of.out_most) {
@@ -134,14 +142,20 @@
                     whys.push(format!("{at}.instead: a circle: {}", circle.join(", ")));
                 }
             }
-            if let Some(other) = of.instead.as_ref().filter(|other| !self.dependencies.contains_key(*other)) {
+            if let Some(other) = of
+                .instead
+                .as_ref()
+                .filter(|other| !self.dependencies.contains_key(*other))
+            {
                 whys.push(format!("{at}.instead: there is no dependency {other}"));
             }
         }
         for (name, of) in &self.operations {
             let mut shares = 0.0;
             if of.at_once {
-                whys.push(format!("operations.{name}.at_once: calls of one run at once are not served yet"));
+                whys.push(format!(
+                    "operations.{name}.at_once: calls of one run at once are not served yet"
+                ));
             }
             for (place, call) in of.calls.iter().enumerate() {
                 let at = format!("operations.{name}.calls[{place}]");
@@ -157,7 +171,9 @@
                 if let Instead::Kept { within_s } = call.instead
                     && !(within_s > 0.0 && within_s.is_finite())
                 {
-                    whys.push(format!("{at}.instead.kept.within_s: {within_s} is not above 0"));
+                    whys.push(format!(
+                        "{at}.instead.kept.within_s: {within_s} is not above 0"
+                    ));
                 }
                 if !part(call.cost) {
                     whys.push(format!("{at}.cost: {} is not from 0 to 1", call.cost));
--- a/crates/merlinshelf-dependencies/tests/dependencies.rs
+++ b/crates/merlinshelf-dependencies/tests/dependencies.rs
@@ -4,8 +4,8 @@
 
 use merlinshelf_dependencies::partial::instead;
 use merlinshelf_dependencies::{
-    Attempts, Came, Dependencies, Effect, Ended, Lesser, Limit, Missing, Outcome, Pool, Standing, Waiting,
-    allowance, subset,
+    Attempts, Came, Dependencies, Effect, Ended, Lesser, Limit, Missing, Outcome, Pool, Standing,
+    Waiting, allowance, subset,
 };
 
 /// A small generator of chance, by seed.
@@ -22,7 +22,13 @@
 
 fn list(count: usize) -> Vec<(String, String, f64)> {
     (0..count)
-        .map(|place| (format!("s{place}"), if place % 2 == 0 { "a" } else { "b" }.to_owned(), 1.0))
+        .map(|place| {
+            (
+                format!("s{place}"),
+                if place % 2 == 0 { "a" } else { "b" }.to_owned(),
+                1.0,
+            )
+        })
         .collect()
 }
 
@@ -97,20 +103,32 @@
     let mut world = World::new(5, "");
     world.play(10.0);
     for place in 0..5 {
-        assert!((0.15..0.25).contains(&world.share(place)), "{:?}", world.got);
+        assert!(
+            (0.15..0.25).contains(&world.share(place)),
+            "{:?}",
+            world.got
+        );
     }
 }
 
 #[test]
 fn a_slow_a_failing_and_a_hanging_server_are_taken_out_and_found_again_within_seconds() {
-    let faults = [(0.100, Outcome::Succeeded), (0.0005, Outcome::Failed), (0.5, Outcome::TimedOut)];
+    let faults = [
+        (0.100, Outcome::Succeeded),
+        (0.0005, Outcome::Failed),
+        (0.5, Outcome::TimedOut),
+    ];
     for fault in faults {
         let mut world = World::new(5, "");
         world.play(3.0);
         world.manners[2] = fault;
         world.play(3.0);
         // Out, or by its cost alone as good as out.
-        assert!(!world.is_in(2) || world.share(2) < 0.1, "{fault:?}: {:?}", world.got);
+        assert!(
+            !world.is_in(2) || world.share(2) < 0.1,
+            "{fault:?}: {:?}",
+            world.got
+        );
         world.play(4.0);
         assert!(world.share(2) < 0.05, "{fault:?}: {:?}", world.got);
         assert!(
@@ -123,7 +141,11 @@
         world.play(10.0);
         assert!(world.is_in(2), "{fault:?}: {:?}", world.pool.servers()[2]);
         world.play(10.0);
-        assert!((0.12..0.28).contains(&world.share(2)), "{fault:?}: {:?}", world.got);
+        assert!(
+            (0.12..0.28).contains(&world.share(2)),
+            "{fault:?}: {:?}",
+            world.got
+        );
     }
 }
 
@@ -133,14 +155,22 @@
     world.play(3.0);
     world.manners = vec![(0.200, Outcome::Succeeded); 6];
     world.play(5.0);
-    assert!((0..6).all(|place| world.is_in(place)), "{:?}", world.pool.servers());
+    assert!(
+        (0..6).all(|place| world.is_in(place)),
+        "{:?}",
+        world.pool.servers()
+    );
     // Five of six fail: half of all may be out at the most, and not the one that does well.
     let mut world = World::new(6, "");
     world.play(3.0);
     (1..6).for_each(|place| world.manners[place] = (0.001, Outcome::Failed));
     world.play(10.0);
     let out = (0..6).filter(|place| !world.is_in(*place)).count();
-    assert!(out <= 3 && world.is_in(0), "{out}: {:?}", world.pool.servers());
+    assert!(
+        out <= 3 && world.is_in(0),
+        "{out}: {:?}",
+        world.pool.servers()
+    );
     // Who is left and well gets most of it, though the others answer faster.
     assert!(world.share(0) > 0.5, "{:?}", world.got);
 }
@@ -186,14 +216,26 @@
     assert_eq!(none.pick(0.0, &[], &mut || chance.next()), None);
     let mut one = Pool::new(0.0, &list(1), "", 0.5);
     for number in 0..100 {
-        let place = one.pick(f64::from(number), &[], &mut || chance.next()).expect("there is one");
+        let place = one
+            .pick(f64::from(number), &[], &mut || chance.next())
+            .expect("there is one");
         one.ended(f64::from(number), place, Outcome::Failed, 0.01);
     }
-    assert_eq!(one.servers()[0].standing, Standing::In, "the last one is never taken out");
-    assert_eq!(one.pick(200.0, &[0], &mut || chance.next()), None, "it was tried already");
+    assert_eq!(
+        one.servers()[0].standing,
+        Standing::In,
+        "the last one is never taken out"
+    );
+    assert_eq!(
+        one.pick(200.0, &[0], &mut || chance.next()),
+        None,
+        "it was tried already"
+    );
     let mut many = Pool::new(0.0, &list(10_000), "", 0.1);
     for _ in 0..200 {
-        let place = many.pick(1.0, &[], &mut || chance.next()).expect("there are many");
+        let place = many
+            .pick(1.0, &[], &mut || chance.next())
+            .expect("there are many");
         many.ended(1.0, place, Outcome::Succeeded, 0.01);
     }
 }
@@ -202,16 +244,23 @@
 fn subsets_are_even_and_hardly_change_when_either_side_does() {
     let servers: Vec<u64> = (0..100).map(|server| server * 7919 + 3).collect();
     let mut load = vec![0_u32; 100];
-    let lists: Vec<Vec<usize>> = (0..300).map(|instance| subset(instance, &servers, 20)).collect();
+    let lists: Vec<Vec<usize>> = (0..300)
+        .map(|instance| subset(instance, &servers, 20))
+        .collect();
     lists.iter().flatten().for_each(|place| load[*place] += 1);
     let most = *load.iter().max().expect("some");
     assert!(most < 85, "largest over mean: {}", f64::from(most) / 60.0);
     assert!(lists.iter().all(|list| list.len() == 20));
     // One server less: each list that held it changes in one place, the others in none.
-    let fewer: Vec<u64> = servers.iter().copied().filter(|server| *server != servers[42]).collect();
+    let fewer: Vec<u64> = servers
+        .iter()
+        .copied()
+        .filter(|server| *server != servers[42])
+        .collect();
     for (instance, list) in lists.iter().enumerate() {
         let later = subset(instance as u64, &fewer, 20);
-        let names = |list: &[usize], of: &[u64]| list.iter().map(|place| of[*place]).collect::<Vec<_>>();
+        let names =
+            |list: &[usize], of: &[u64]| list.iter().map(|place| of[*place]).collect::<Vec<_>>();
         let (before, after) = (names(list, &servers), names(&later, &fewer));
         let kept = before.iter().filter(|name| after.contains(name)).count();
         assert_eq!(kept, if list.contains(&42) { 19 } else { 20 });
@@ -243,7 +292,14 @@
     let mut further = 0;
     for call in 0..2000 {
         let well = call % 20 != 0;
-        attempts.ended(if well { Ended::Succeeded } else { Ended::Unknown }, 0.01);
+        attempts.ended(
+            if well {
+                Ended::Succeeded
+            } else {
+                Ended::Unknown
+            },
+            0.01,
+        );
         if !well && attempts.again(Effect::Idempotent, Ended::Unknown) {
             further += 1;
         }
@@ -275,7 +331,9 @@
     (0..100).for_each(|call| attempts.ended(Ended::Succeeded, 0.01 + 0.0001 * f64::from(call)));
     assert_eq!(attempts.hedge_after(Effect::NonIdempotent), None);
     assert!(!attempts.hedge(Effect::NonIdempotent));
-    let after = attempts.hedge_after(Effect::Idempotent).expect("enough is known");
+    let after = attempts
+        .hedge_after(Effect::Idempotent)
+        .expect("enough is known");
     assert!((0.0190..0.0200).contains(&after), "{after}");
 }
 
@@ -286,7 +344,9 @@
     // Every call is slow from one moment on: each would be hedged, and the budget says no after a few.
     let mut hedged = 0;
     for _ in 0..300 {
-        if attempts.hedge_after(Effect::Idempotent).is_some_and(|after| after < 0.1)
+        if attempts
+            .hedge_after(Effect::Idempotent)
+            .is_some_and(|after| after < 0.1)
             && attempts.hedge(Effect::Idempotent)
         {
             hedged += 1;
@@ -301,7 +361,8 @@
     let (mut now, mut open): (f64, Vec<(f64, f64)>) = (0.0, Vec::new());
     while now < seconds {
         now += 0.001;
-        let (ended, going): (Vec<_>, Vec<_>) = open.into_iter().partition(|(until, _)| *until <= now);
+        let (ended, going): (Vec<_>, Vec<_>) =
+            open.into_iter().partition(|(until, _)| *until <= now);
         open = going;
         // Those that end together were all open when the first of them did.
         let beside = open.len() + ended.len().saturating_sub(1);
@@ -343,8 +404,15 @@
     let mut waiting = Waiting::default();
     (0..50).for_each(|call| waiting.wait(0, call, 1.0));
     (50..53).for_each(|call| waiting.wait(1, call, 1.0));
-    let order: Vec<usize> = (0..8).filter_map(|_| waiting.take()).map(|(operation, _)| operation).collect();
-    assert_eq!(order, [0, 1, 0, 1, 0, 1, 0, 0], "the busy one does not keep out the other");
+    let order: Vec<usize> = (0..8)
+        .filter_map(|_| waiting.take())
+        .map(|(operation, _)| operation)
+        .collect();
+    assert_eq!(
+        order,
+        [0, 1, 0, 1, 0, 1, 0, 0],
+        "the busy one does not keep out the other"
+    );
     waiting.ended(1);
     waiting.wait(1, 60, 5.0);
     assert_eq!(waiting.late(2.0).len(), 45);
@@ -356,9 +424,15 @@
 fn a_part_that_is_missing_is_told_and_costs_what_it_was_said_to() {
     assert_eq!(instead(&Lesser::Needed, Some((b"x", 0.0))), Came::Failed);
     assert_eq!(instead(&Lesser::Nothing, None), Came::Lesser(None));
-    assert_eq!(instead(&Lesser::Fixed(b"-".to_vec()), None), Came::Lesser(Some(b"-".to_vec())));
+    assert_eq!(
+        instead(&Lesser::Fixed(b"-".to_vec()), None),
+        Came::Lesser(Some(b"-".to_vec()))
+    );
     let kept = Lesser::Kept { within: 10.0 };
-    assert_eq!(instead(&kept, Some((b"old", 9.0))), Came::Lesser(Some(b"old".to_vec())));
+    assert_eq!(
+        instead(&kept, Some((b"old", 9.0))),
+        Came::Lesser(Some(b"old".to_vec()))
+    );
     for too_old in [
         Some((b"old".as_slice(), 10.5)),
         Some((b"old".as_slice(), -1.0)),
@@ -369,7 +443,9 @@
     }
     let mut missing = Missing::default();
     assert_eq!((missing.is_partial(), missing.field()), (false, None));
-    ["prices", "stock", "prices"].into_iter().for_each(|name| missing.note(name));
+    ["prices", "stock", "prices"]
+        .into_iter()
+        .for_each(|name| missing.note(name));
     assert_eq!(missing.field().as_deref(), Some("prices, stock"));
     let cost = |part: &str| if part == "prices" { 0.5 } else { 0.2 };
     assert!((missing.worth(10.0, cost) - 4.0).abs() < 1e-9);
--- a/crates/merlinshelf-dependencies/tests/router.rs
+++ b/crates/merlinshelf-dependencies/tests/router.rs
@@ -24,8 +24,9 @@
 
 fn wanted(calls: &str) -> Dependencies {
     let servers = |from: u16| {
-        let all: Vec<String> =
-            (from..from + 5).map(|port| format!("{{address: '127.0.0.1:{port}'}}")).collect();
+        let all: Vec<String> = (from..from + 5)
+            .map(|port| format!("{{address: '127.0.0.1:{port}'}}"))
+            .collect();
         all.join(", ")
     };
     let text = format!(
@@ -69,7 +70,15 @@
 
     fn ask_as(&mut self, left: Option<f64>, effect: Effect, place: usize) -> u64 {
         let chance = &mut self.chance;
-        let ask = Ask { operation: "page", place, named: None, wait: 1.0, left, effect, question: b"q" };
+        let ask = Ask {
+            operation: "page",
+            place,
+            named: None,
+            wait: 1.0,
+            left,
+            effect,
+            question: b"q",
+        };
         let ticket = self.router.ask(self.now, &ask, &mut || chance.next());
         self.steps();
         ticket
@@ -82,7 +91,9 @@
     fn steps(&mut self) {
         while let Some(step) = self.router.next_step() {
             match step {
-                Step::Attempt { attempt, server, .. } => {
+                Step::Attempt {
+                    attempt, server, ..
+                } => {
                     *self.attempts.entry(server.clone()).or_default() += 1;
                     if let Some((took, ended)) = (self.does)(self.now, &server) {
                         self.coming.push((self.now + took, attempt, ended));
@@ -90,7 +101,10 @@
                 }
                 Step::GiveUp { attempt } => self.coming.retain(|(_, known, _)| *known != attempt),
                 Step::Over { ticket, end } => {
-                    assert!(self.ends.insert(ticket, end).is_none(), "{ticket} ended twice");
+                    assert!(
+                        self.ends.insert(ticket, end).is_none(),
+                        "{ticket} ended twice"
+                    );
                 }
             }
         }
@@ -98,7 +112,11 @@
 
     fn until(&mut self, end: f64) {
         loop {
-            let coming = self.coming.iter().map(|(at, ..)| *at).fold(f64::INFINITY, f64::min);
+            let coming = self
+                .coming
+                .iter()
+                .map(|(at, ..)| *at)
+                .fold(f64::INFINITY, f64::min);
             let wake = self.router.wake_at().unwrap_or(f64::INFINITY);
             let next = coming.min(wake);
             if next > end {
@@ -108,9 +126,14 @@
             self.now = next.max(self.now);
             let chance = &mut self.chance;
             if coming <= wake {
-                let place = self.coming.iter().position(|(at, ..)| *at == coming).expect("it is there");
+                let place = self
+                    .coming
+                    .iter()
+                    .position(|(at, ..)| *at == coming)
+                    .expect("it is there");
                 let (_, attempt, ended) = self.coming.swap_remove(place);
-                self.router.ended(self.now, attempt, ended, b"good", &mut || chance.next());
+                self.router
+                    .ended(self.now, attempt, ended, b"good", &mut || chance.next());
             } else {
                 self.router.woken(self.now, &mut || chance.next());
             }
@@ -127,7 +150,8 @@
             self.until(next);
         }
         self.until(end + 2.0);
-        let whole = |ticket: &&u64| matches!(self.ends.get(ticket), Some(End::Reply { missing: None }));
+        let whole =
+            |ticket: &&u64| matches!(self.ends.get(ticket), Some(End::Reply { missing: None }));
         (asked.iter().filter(whole).count(), asked.len())
     }
 
@@ -145,14 +169,19 @@
 fn where_all_goes_well_each_call_is_made_once() {
     let mut world = World::new("{to: 'a'}", well);
     assert_eq!(world.play(200.0, 10.0), (2000, 2000));
-    assert!(world.attempts_in_all() <= 2200, "{}", world.attempts_in_all());
+    assert!(
+        world.attempts_in_all() <= 2200,
+        "{}",
+        world.attempts_in_all()
+    );
     assert_eq!(world.router.open(), 0);
 }
 
 #[test]
 fn one_that_never_answers_costs_few_calls_and_is_out_soon() {
-    let mut world =
-        World::new("{to: 'a'}", |_, server| (server != "127.0.0.1:3").then_some((0.004, Ended::Succeeded)));
+    let mut world = World::new("{to: 'a'}", |_, server| {
+        (server != "127.0.0.1:3").then_some((0.004, Ended::Succeeded))
+    });
     let (whole, all) = world.play(200.0, 20.0);
     assert!(whole * 100 >= all * 99, "{whole} of {all}");
     let of_it = world.attempts["127.0.0.1:3"];
@@ -161,13 +190,22 @@
 
 #[test]
 fn a_dependency_that_fails_as_a_whole_gets_fewer_calls_and_lesser_answers_come_at_once() {
-    let mut world = World::new("{to: 'a', instead: {fixed: 'less'}}", |_, _| Some((0.003, Ended::Unknown)));
+    let mut world = World::new("{to: 'a', instead: {fixed: 'less'}}", |_, _| {
+        Some((0.003, Ended::Unknown))
+    });
     let (whole, all) = world.play(200.0, 10.0);
     assert_eq!(whole, 0);
-    assert!(world.attempts_in_all() as usize * 10 <= all * 11, "{} for {all}", world.attempts_in_all());
+    assert!(
+        world.attempts_in_all() as usize * 10 <= all * 11,
+        "{} for {all}",
+        world.attempts_in_all()
+    );
     // Ten trials a second, once it was found to fail.
     assert!(world.attempts_in_all() < 200, "{}", world.attempts_in_all());
-    let lesser = End::Lesser { bytes: Some(b"less".to_vec()), missing: "a".into() };
+    let lesser = End::Lesser {
+        bytes: Some(b"less".to_vec()),
+        missing: "a".into(),
+    };
     assert!(world.ends.values().all(|end| *end == lesser));
     // It recovers and is found again within seconds.
     world.does = well;
@@ -177,12 +215,17 @@
 
 #[test]
 fn nobody_is_kept_waiting_where_the_whole_of_it_fails() {
-    let mut world = World::new("{to: 'a', instead: {fixed: 'less'}}", |_, _| Some((0.02, Ended::Unknown)));
+    let mut world = World::new("{to: 'a', instead: {fixed: 'less'}}", |_, _| {
+        Some((0.02, Ended::Unknown))
+    });
     // Far more than the limit, so that most wait for a turn.
     let asked: Vec<u64> = (0..400).map(|_| world.ask()).collect();
     assert!(world.router.report()[0].waiting > 300);
     world.until(0.1);
-    let over = asked.iter().filter(|ticket| world.ends.contains_key(ticket)).count();
+    let over = asked
+        .iter()
+        .filter(|ticket| world.ends.contains_key(ticket))
+        .count();
     assert_eq!(over, 400, "they wait though it fails");
 }
 
@@ -196,19 +239,34 @@
         })
     });
     world.play(100.0, 2.0);
-    let stands_in = End::Reply { missing: Some("c".into()) };
-    assert!(world.ends.values().all(|end| *end == stands_in), "{:?}", world.ends.values().next());
+    let stands_in = End::Reply {
+        missing: Some("c".into()),
+    };
+    assert!(
+        world.ends.values().all(|end| *end == stands_in),
+        "{:?}",
+        world.ends.values().next()
+    );
 }
 
 #[test]
 fn a_kept_reply_stands_in_as_long_as_it_is_young_and_what_is_needed_fails_without() {
-    let mut world = World::new("{to: 'a', needed: true, instead: {kept: {within_s: 30}}}", well);
+    let mut world = World::new(
+        "{to: 'a', needed: true, instead: {kept: {within_s: 30}}}",
+        well,
+    );
     world.ask();
     world.until(1.0);
     world.does = |_, _| None;
     let asked = world.ask();
     world.until(3.0);
-    assert_eq!(world.ends[&asked], End::Lesser { bytes: Some(b"good".to_vec()), missing: "a".into() });
+    assert_eq!(
+        world.ends[&asked],
+        End::Lesser {
+            bytes: Some(b"good".to_vec()),
+            missing: "a".into()
+        }
+    );
     world.until(40.0);
     let asked = world.ask();
     world.until(42.0);
@@ -217,15 +275,21 @@
 
 #[test]
 fn what_has_forty_milliseconds_none_or_an_unknown_time_left() {
-    let mut world = World::new("{to: 'a', needed: true}, {to: 'b'}", |_, _| Some((0.025, Ended::Succeeded)));
+    let mut world = World::new("{to: 'a', needed: true}, {to: 'b'}", |_, _| {
+        Some((0.025, Ended::Succeeded))
+    });
     for place in [0, 1].repeat(40) {
         world.ask_as(None, Effect::Idempotent, place);
         world.until(world.now + 0.05);
     }
     let before = world.attempts_in_all();
     // Two calls of 25 ms don't fit into 40: the first one has 20 of these, less than such a call ever took.
-    let none = [Some(0.04), Some(0.0), Some(-1.0)].map(|left| world.ask_as(left, Effect::Idempotent, 0));
-    assert!(none.iter().all(|ticket| world.ends[ticket] == End::NeverRan));
+    let none =
+        [Some(0.04), Some(0.0), Some(-1.0)].map(|left| world.ask_as(left, Effect::Idempotent, 0));
+    assert!(
+        none.iter()
+            .all(|ticket| world.ends[ticket] == End::NeverRan)
+    );
     assert_eq!(world.attempts_in_all(), before);
     // The last one may use all of it.
     let last = world.ask_as(Some(0.04), Effect::Idempotent, 1);
@@ -240,9 +304,16 @@
     });
     let (whole, all) = world.play(100.0, 15.0);
     assert!(whole * 100 >= all * 95, "{whole} of {all}");
-    assert!(world.attempts_in_all() as usize * 100 <= all * 112, "{} for {all}", world.attempts_in_all());
+    assert!(
+        world.attempts_in_all() as usize * 100 <= all * 112,
+        "{} for {all}",
+        world.attempts_in_all()
+    );
     let report = world.router.report();
-    assert!(report[0].servers.iter().all(|server| server.state == "in"), "{report:?}");
+    assert!(
+        report[0].servers.iter().all(|server| server.state == "in"),
+        "{report:?}"
+    );
 }
 
 /// Where there is a lesser answer nobody waits ten times the usual; the slower pace is learnt by trials, and calls are whole again.
@@ -255,7 +326,10 @@
     assert!(whole * 100 >= all * 85, "{whole} of {all}");
     let before = world.ends.len();
     let (whole, all) = world.play(100.0, world.now + 5.0);
-    assert!(world.ends.len() > before && whole * 100 >= all * 98, "{whole} of {all}");
+    assert!(
+        world.ends.len() > before && whole * 100 >= all * 98,
+        "{whole} of {all}"
+    );
 }
 
 #[test]
@@ -266,7 +340,12 @@
     let mut later = wanted("{to: 'a'}");
     later.dependencies.remove("b");
     later.dependencies.remove("c");
-    later.dependencies.get_mut("a").expect("it is there").servers.truncate(2);
+    later
+        .dependencies
+        .get_mut("a")
+        .expect("it is there")
+        .servers
+        .truncate(2);
     world.router.replace(world.now, later);
     world.until(world.now + 1.0);
     assert_eq!(world.ends[&open], End::Reply { missing: None });
@@ -295,30 +374,55 @@
     assert!(whole * 1000 >= all * 999, "{whole} of {all}");
     let report = world.router.report();
     let of = |address: &str| {
-        report[0].servers.iter().find(|server| server.address == address).and_then(|server| server.limit)
+        report[0]
+            .servers
+            .iter()
+            .find(|server| server.address == address)
+            .and_then(|server| server.limit)
     };
     assert!(of("127.0.0.1:2") <= of("127.0.0.1:1"), "{report:?}");
-    assert!(world.attempts["127.0.0.1:2"] < world.attempts["127.0.0.1:1"], "{:?}", world.attempts);
+    assert!(
+        world.attempts["127.0.0.1:2"] < world.attempts["127.0.0.1:1"],
+        "{:?}",
+        world.attempts
+    );
 }
 
 #[test]
 fn fifty_dependencies_are_kept_apart() {
     let mut all = wanted("{to: 'a'}");
     let one = all.dependencies["a"].clone();
-    let calls: Vec<_> = (0..50).map(|number| format!("{{to: 'd{number}'}}")).collect();
-    let parsed: Dependencies =
-        json5::from_str(&format!("{{operations: {{page: {{calls: [{}]}}}}}}", calls.join(", ")))
-            .expect("it can be read");
+    let calls: Vec<_> = (0..50)
+        .map(|number| format!("{{to: 'd{number}'}}"))
+        .collect();
+    let parsed: Dependencies = json5::from_str(&format!(
+        "{{operations: {{page: {{calls: [{}]}}}}}}",
+        calls.join(", ")
+    ))
+    .expect("it can be read");
     all.operations = parsed.operations;
-    all.dependencies = (0..50).map(|number| (format!("d{number}"), one.clone())).collect();
+    all.dependencies = (0..50)
+        .map(|number| (format!("d{number}"), one.clone()))
+        .collect();
     assert_eq!(all.check(), Ok(()));
     let mut world = World::new("{to: 'a'}", well);
     world.router = Router::new(0.0, all, "n1");
-    let asked: Vec<u64> = (0..50).map(|place| world.ask_as(Some(1.0), Effect::Idempotent, place)).collect();
+    let asked: Vec<u64> = (0..50)
+        .map(|place| world.ask_as(Some(1.0), Effect::Idempotent, place))
+        .collect();
     world.until(1.0);
-    assert!(asked.iter().all(|ticket| world.ends[ticket] == End::Reply { missing: None }));
+    assert!(
+        asked
+            .iter()
+            .all(|ticket| world.ends[ticket] == End::Reply { missing: None })
+    );
     let report = world.router.report();
-    assert!(report.len() == 50 && report.iter().all(|of| of.counts.succeeded == 1 && of.open == 0));
+    assert!(
+        report.len() == 50
+            && report
+                .iter()
+                .all(|of| of.counts.succeeded == 1 && of.open == 0)
+    );
 }
 
 #[derive(Clone, Debug)]
@@ -434,7 +538,12 @@
 #[test]
 fn what_a_fleet_has_left_bounds_calls_and_what_it_found_counts() {
     let mut world = World::new("{to: 'a'}", |_, _| Some((0.005, Ended::Refused)));
-    let left = |first, again, probes| Left { first, again, probes, ..Left::ALL };
+    let left = |first, again, probes| Left {
+        first,
+        again,
+        probes,
+        ..Left::ALL
+    };
     world.router.spend("a", left(3, 1, 0));
     // Three first calls are made, one of them again, and then nothing more.
     for _ in 0..5 {
@@ -443,7 +552,16 @@
         world.until(soon);
     }
     assert_eq!(world.attempts_in_all(), 4);
-    let (over, fails) = world.router.spend("a", Left { closed: true, ..left(9, 9, 2) }).expect("it is there");
+    let (over, fails) = world
+        .router
+        .spend(
+            "a",
+            Left {
+                closed: true,
+                ..left(9, 9, 2)
+            },
+        )
+        .expect("it is there");
     assert_eq!((over, fails), (left(0, 0, 0), false));
     // It fails for all: probes alone, one at a time.
     for _ in 0..9 {
@@ -454,7 +572,16 @@
     assert_eq!(world.attempts_in_all(), 6);
     // It is back for all: what failed here counts no more.
     world.does = well;
-    let (over, _) = world.router.spend("a", Left { opens: true, ..Left::ALL }).expect("it is there");
+    let (over, _) = world
+        .router
+        .spend(
+            "a",
+            Left {
+                opens: true,
+                ..Left::ALL
+            },
+        )
+        .expect("it is there");
     assert_eq!((over.probes, over.closed), (0, true));
     let (whole, asked) = world.play(50.0, world.now + 0.5);
     assert_eq!(whole, asked);
--- a/crates/merlinshelf-fleet/src/fit.rs
+++ b/crates/merlinshelf-fleet/src/fit.rs
@@ -42,7 +42,10 @@
         }
         for number in 0..group.count {
             let Some(address) = address(&group.listen, number) else {
-                whys.push(format!("{name}: {} has no port for number {number}", group.listen));
+                whys.push(format!(
+                    "{name}: {} has no port for number {number}",
+                    group.listen
+                ));
                 break;
             };
             let own = crate::wanted::instance_name(name, number);
@@ -55,11 +58,16 @@
     if let Some(council) = &wanted.council
         && !council.agents.contains_key(&council.name)
     {
-        whys.push(format!("council.agents: {} itself is not among them", council.name));
+        whys.push(format!(
+            "council.agents: {} itself is not among them",
+            council.name
+        ));
     }
     let second = u64::from(wanted.change.out_at_once);
-    let (memory_all, descriptors_all) =
-        (memory + second * largest_memory, descriptors + second * largest_descriptors);
+    let (memory_all, descriptors_all) = (
+        memory + second * largest_memory,
+        descriptors + second * largest_descriptors,
+    );
     let host = &wanted.host;
     if memory_all > host.memory_mb {
         whys.push(format!(
@@ -78,5 +86,9 @@
             host.descriptors
         ));
     }
-    if whys.is_empty() { Ok(()) } else { Err(Misfit(whys)) }
+    if whys.is_empty() {
+        Ok(())
+    } else {
+        Err(Misfit(whys))
+    }
 }
--- a/crates/merlinshelf-fleet/src/fleet/advance.rs
+++ b/crates/merlinshelf-fleet/src/fleet/advance.rs
@@ -25,7 +25,12 @@
 
     /// What an instance counts: what it serves, or for as long as nothing is known of that, its group's figure.
     pub(super) fn weight(&self, now: f64, one: &Instance) -> f64 {
-        let by_file = |one: &Instance| self.wanted.groups.get(&one.group).map_or(1.0, |group| group.weight);
+        let by_file = |one: &Instance| {
+            self.wanted
+                .groups
+                .get(&one.group)
+                .map_or(1.0, |group| group.weight)
+        };
         // By what is served only where all that serve are known by it: else the two measures would be mixed.
         let serving = || self.instances.values().filter(|one| one.state.serves());
         let known = serving().all(|one| one.rate(now, RATE_OVER) > 0.0) && serving().count() > 0;
@@ -41,12 +46,18 @@
             .filter(|other| other.group == one.group)
             .map(|other| other.rate(now, RATE_OVER))
             .collect();
-        if like.is_empty() { by_file(one) } else { like.iter().sum::<f64>() / like.len() as f64 }
+        if like.is_empty() {
+            by_file(one)
+        } else {
+            like.iter().sum::<f64>() / like.len() as f64
+        }
     }
 
     /// Whether one more may be out by a change; else what is waited for.
     pub(super) fn may_take_out(&self, now: f64, name: &str) -> Result<(), String> {
-        let Some(one) = self.instances.get(name) else { return Ok(()) };
+        let Some(one) = self.instances.get(name) else {
+            return Ok(());
+        };
         if !one.state.serves() {
             return Ok(());
         }
@@ -61,7 +72,11 @@
             .filter(|one| self.is_wanted(one) && !one.state.serves())
             .map(|one| one.name.as_str())
             .collect();
-        let down = if down.is_empty() { NOBODY_DOWN.into() } else { format!("down: {}", down.join(", ")) };
+        let down = if down.is_empty() {
+            NOBODY_DOWN.into()
+        } else {
+            format!("down: {}", down.join(", "))
+        };
         Err(format!(
             "without {name} {:.0}% of all capacity would serve, under the floor of {:.0}%; {down}",
             100.0 * left / whole.max(1e-9),
@@ -70,7 +85,9 @@
     }
 
     pub(super) fn advance(&mut self, now: f64) {
-        let Some(mut plan) = self.plan.take() else { return };
+        let Some(mut plan) = self.plan.take() else {
+            return;
+        };
         if !plan.state.is_over() {
             let before = plan.clone();
             match plan.kind.clone() {
@@ -101,12 +118,16 @@
                 Stage::Todo => {
                     one.down = false;
                     one.crashes.forgive();
-                    target.stage = Stage::Under { program: one.program.clone() };
+                    target.stage = Stage::Under {
+                        program: one.program.clone(),
+                    };
                     self.changed = true;
                     waits.push(target.name.clone());
                 }
                 Stage::Under { .. } if one.state == State::Serving => {
-                    target.stage = Stage::Done { program: one.program.clone() };
+                    target.stage = Stage::Done {
+                        program: one.program.clone(),
+                    };
                 }
                 Stage::Under { .. } => waits.push(target.name.clone()),
                 _ => {}
@@ -121,7 +142,9 @@
         for place in 0..plan.targets.len() {
             let name = plan.targets[place].name.clone();
             let Some(one) = self.instances.get_mut(&name) else {
-                plan.targets[place].stage = Stage::Done { program: String::new() };
+                plan.targets[place].stage = Stage::Done {
+                    program: String::new(),
+                };
                 continue;
             };
             let (up, program) = (one.state.is_up(), one.program.clone());
@@ -177,11 +200,16 @@
                 Stage::Looking { program, from } if now >= from + looked => {
                     let (sent, served) = one.served(from, now);
                     let share = served as f64 / sent.max(1) as f64;
-                    let worse = before.filter(|_| sent >= TOLD_FROM).map(|before| (before, before - share));
+                    let worse = before
+                        .filter(|_| sent >= TOLD_FROM)
+                        .map(|before| (before, before - share));
                     match worse {
-                        Some((before, worse)) if worse > self.wanted.change.worse && !going_back => {
-                            let text =
-                                format!("{name} serves {share:.3} of what it is sent, {before:.3} before");
+                        Some((before, worse))
+                            if worse > self.wanted.change.worse && !going_back =>
+                        {
+                            let text = format!(
+                                "{name} serves {share:.3} of what it is sent, {before:.3} before"
+                            );
                             plan.targets[place].stage = Stage::Done { program };
                             plan.state = PlanState::GoingBack(text);
                         }
@@ -201,7 +229,11 @@
         };
         let mut out = match &why_back {
             // What failed on its way counts for nothing here: it is to be put back itself.
-            Some(_) => plan.targets.iter().filter(|target| target.stage == Stage::Back).count(),
+            Some(_) => plan
+                .targets
+                .iter()
+                .filter(|target| target.stage == Stage::Back)
+                .count(),
             None => plan.out(),
         };
         for place in 0..plan.targets.len() {
@@ -213,7 +245,9 @@
                 (Stage::Todo, None) => program.clone(),
                 // Put back, the last one first would be as good; none is left behind.
                 (
-                    Stage::Done { program } | Stage::Looking { program, .. } | Stage::Under { program },
+                    Stage::Done { program }
+                    | Stage::Looking { program, .. }
+                    | Stage::Under { program },
                     Some(_),
                 ) if matches!(plan.kind, Kind::Upgrade { .. }) => Some(program.clone()),
                 (Stage::Todo, Some(_)) => {
@@ -233,7 +267,11 @@
                     // What nobody's return can change is not waited for.
                     let never = waits.is_empty() && why.ends_with(NOBODY_DOWN);
                     if !back {
-                        plan.state = if never { PlanState::Stopped(why) } else { PlanState::Waiting(why) };
+                        plan.state = if never {
+                            PlanState::Stopped(why)
+                        } else {
+                            PlanState::Waiting(why)
+                        };
                     }
                     return;
                 }
@@ -257,16 +295,29 @@
         back: bool,
     ) -> Result<bool, String> {
         let looked = self.wanted.change.looked_ms as f64 / 1e3;
-        let Some(state) = self.instances.get(name).map(|one| one.state) else { return Ok(false) };
+        let Some(state) = self.instances.get(name).map(|one| one.state) else {
+            return Ok(false);
+        };
         let upgrade = to.is_some();
         let cold = state == State::Warming && !back;
-        if cold || matches!(state, State::Starting | State::Adopted | State::Upgrading | State::Lost) {
-            return if back { Ok(true) } else { Err(format!("{name} is {}", state.name())) };
+        if cold
+            || matches!(
+                state,
+                State::Starting | State::Adopted | State::Upgrading | State::Lost
+            )
+        {
+            return if back {
+                Ok(true)
+            } else {
+                Err(format!("{name} is {}", state.name()))
+            };
         }
         if state.serves() && !upgrade {
             self.may_take_out(now, name)?;
         }
-        let Some(one) = self.instances.get_mut(name) else { return Ok(false) };
+        let Some(one) = self.instances.get_mut(name) else {
+            return Ok(false);
+        };
         let before = one.program.clone();
         if to.as_ref() == Some(&before) && one.runs_its_program() && !back {
             plan.targets[place].stage = Stage::Left("it runs this program already".into());
@@ -285,13 +336,20 @@
             };
             return Ok(false);
         }
-        plan.targets[place].stage = if back { Stage::Back } else { Stage::Under { program: before } };
+        plan.targets[place].stage = if back {
+            Stage::Back
+        } else {
+            Stage::Under { program: before }
+        };
         match to {
             Some(program) => {
                 one.program = program.clone();
                 one.turn(now, State::Upgrading);
                 one.asked_upgrade = true;
-                self.steps.push_back(Step::Upgrade { name: name.to_owned(), program });
+                self.steps.push_back(Step::Upgrade {
+                    name: name.to_owned(),
+                    program,
+                });
             }
             None => self.tell_to_leave(now, name, None),
         }
@@ -304,7 +362,10 @@
     if matches!(plan.state, PlanState::Paused | PlanState::GoingBack(_)) {
         return;
     }
-    let todo = plan.targets.iter().any(|target| target.stage == Stage::Todo);
+    let todo = plan
+        .targets
+        .iter()
+        .any(|target| target.stage == Stage::Todo);
     plan.state = if waits.is_empty() && !todo {
         PlanState::Done
     } else {
--- a/crates/merlinshelf-fleet/src/fleet/commands.rs
+++ b/crates/merlinshelf-fleet/src/fleet/commands.rs
@@ -12,16 +12,32 @@
     /// # Errors
     /// Names, groups or labels that nobody has.
     pub fn select(&self, selector: &Selector) -> Result<Vec<String>, Refusal> {
-        let Selector { names, groups, labels } = selector;
-        if let Some(name) = names.iter().find(|name| !self.instances.contains_key(*name)) {
+        let Selector {
+            names,
+            groups,
+            labels,
+        } = selector;
+        if let Some(name) = names
+            .iter()
+            .find(|name| !self.instances.contains_key(*name))
+        {
             return Err(Refusal(format!("there is no instance {name}")));
         }
-        if let Some(group) = groups.iter().find(|group| !self.wanted.groups.contains_key(*group)) {
+        if let Some(group) = groups
+            .iter()
+            .find(|group| !self.wanted.groups.contains_key(*group))
+        {
             return Err(Refusal(format!("there is no group {group}")));
         }
         let labelled = |one: &Instance| {
-            let of = self.wanted.groups.get(&one.group).map(|group| &group.labels);
-            labels.iter().all(|(key, value)| of.is_some_and(|of| of.get(key) == Some(value)))
+            let of = self
+                .wanted
+                .groups
+                .get(&one.group)
+                .map(|group| &group.labels);
+            labels
+                .iter()
+                .all(|(key, value)| of.is_some_and(|of| of.get(key) == Some(value)))
         };
         let meant = |one: &&Instance| {
             (names.is_empty() || names.contains(&one.name))
@@ -44,13 +60,19 @@
         if let Some(plan) = self.plan.as_ref().filter(|plan| !plan.state.is_over()) {
             let (done, all) = plan.progress();
             let kind = plan.kind.name();
-            return Err(Refusal(format!("plan {} ({kind}, {done} of {all}) is under way", plan.number)));
+            return Err(Refusal(format!(
+                "plan {} ({kind}, {done} of {all}) is under way",
+                plan.number
+            )));
         }
         let mut names = self.select(selector)?;
         let count = names.len() as u32;
         let (kind, at_once) = match command {
             Command::Start => (Kind::Start, count),
-            Command::Drain { slowest_first, at_once } => {
+            Command::Drain {
+                slowest_first,
+                at_once,
+            } => {
                 if *slowest_first {
                     let slow = |name: &String| {
                         let report = self.instances.get(name).and_then(|one| one.report.as_ref());
@@ -60,11 +82,19 @@
                 }
                 (Kind::Drain { within: None }, at_once.unwrap_or(count))
             }
-            Command::Stop { within } => (Kind::Drain { within: Some(*within) }, count),
+            Command::Stop { within } => (
+                Kind::Drain {
+                    within: Some(*within),
+                },
+                count,
+            ),
             Command::Restart => (Kind::Restart, self.wanted.change.out_at_once),
-            Command::Upgrade { program } => {
-                (Kind::Upgrade { program: program.clone() }, self.wanted.change.out_at_once)
-            }
+            Command::Upgrade { program } => (
+                Kind::Upgrade {
+                    program: program.clone(),
+                },
+                self.wanted.change.out_at_once,
+            ),
         };
         Ok(Plan::new(self.plans + 1, kind, names, at_once))
     }
@@ -73,11 +103,23 @@
     ///
     /// # Errors
     /// Why it can't be begun.
-    pub fn command(&mut self, now: f64, selector: &Selector, command: &Command) -> Result<u64, Refusal> {
+    pub fn command(
+        &mut self,
+        now: f64,
+        selector: &Selector,
+        command: &Command,
+    ) -> Result<u64, Refusal> {
         let plan = self.plan_for(selector, command)?;
         let number = plan.number;
         self.plans = number;
-        self.note(None, format!("plan {number}: {} of {} instances", plan.kind.name(), plan.targets.len()));
+        self.note(
+            None,
+            format!(
+                "plan {number}: {} of {} instances",
+                plan.kind.name(),
+                plan.targets.len()
+            ),
+        );
         self.plan = Some(plan);
         self.advance(now);
         Ok(number)
--- a/crates/merlinshelf-fleet/src/fleet/mod.rs
+++ b/crates/merlinshelf-fleet/src/fleet/mod.rs
@@ -50,10 +50,17 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
     Start,
-    Drain { slowest_first: bool, at_once: Option<u32> },
-    Stop { within: f64 },
+    Drain {
+        slowest_first: bool,
+        at_once: Option<u32>,
+    },
+    Stop {
+        within: f64,
+    },
     Restart,
-    Upgrade { program: String },
+    Upgrade {
+        program: String,
+    },
 }
 
 /// Why something was not begun.
@@ -100,11 +107,19 @@
         fleet.make_instances(now);
         for (name, kept) in record.instances {
             let group = name.rsplit_once('.').map(|(group, _)| group.to_owned());
-            let Some(number) = name.rsplit_once('.').and_then(|(_, number)| number.parse().ok()) else {
+            let Some(number) = name
+                .rsplit_once('.')
+                .and_then(|(_, number)| number.parse().ok())
+            else {
                 continue;
             };
             let one = fleet.instances.entry(name.clone()).or_insert_with(|| {
-                Instance::new(name, group.unwrap_or_default(), number, kept.program.clone())
+                Instance::new(
+                    name,
+                    group.unwrap_or_default(),
+                    number,
+                    kept.program.clone(),
+                )
             });
             (one.down, one.told) = (kept.down, kept.told);
             one.crashes.in_a_row = kept.crashes_in_a_row;
@@ -148,7 +163,11 @@
             crashes_in_a_row: one.crashes.in_a_row,
         };
         Some(Record {
-            instances: self.instances.values().map(|one| (one.name.clone(), kept(one))).collect(),
+            instances: self
+                .instances
+                .values()
+                .map(|one| (one.name.clone(), kept(one)))
+                .collect(),
             counts: self.counts.clone(),
             programs: self.programs.clone(),
             plan: self.plan.clone(),
@@ -195,9 +214,19 @@
 
     /// A new agent found the process of an earlier one's instance, by all that it is known by.
     pub fn found(&mut self, now: f64, name: &str, identity: Identity) {
-        let Some(one) = self.instances.get_mut(name) else { return };
+        let Some(one) = self.instances.get_mut(name) else {
+            return;
+        };
         let told = one.told;
-        one.begin(now, identity, if told { State::Draining } else { State::Adopted });
+        one.begin(
+            now,
+            identity,
+            if told {
+                State::Draining
+            } else {
+                State::Adopted
+            },
+        );
         one.told = told;
         if told {
             one.kill_at = Some(now + self.stop_within + STOP_MARGIN);
@@ -206,14 +235,18 @@
     }
 
     pub fn started(&mut self, now: f64, name: &str, identity: Identity) {
-        let Some(one) = self.instances.get_mut(name) else { return };
+        let Some(one) = self.instances.get_mut(name) else {
+            return;
+        };
         let text = format!("started as process {}", identity.pid);
         one.begin(now, identity, State::Starting);
         self.note(Some(name), text);
     }
 
     pub fn not_started(&mut self, now: f64, name: &str, why: &str, chance: f64) {
-        let Some(one) = self.instances.get_mut(name) else { return };
+        let Some(one) = self.instances.get_mut(name) else {
+            return;
+        };
         one.gone(now, State::Failed);
         one.crashes.crashed(now, 0.0, &self.wanted.restarts, chance);
         self.note(Some(name), format!("not started: {why}"));
@@ -222,13 +255,20 @@
 
     /// Its process is gone, with this status where it is known. `lost` is what it had in hand when it was last heard of.
     pub fn ended(&mut self, now: f64, name: &str, status: Option<i32>, chance: f64) {
-        let Some(one) = self.instances.get_mut(name) else { return };
+        let Some(one) = self.instances.get_mut(name) else {
+            return;
+        };
         if !one.state.is_up() {
             return;
         }
-        let how = status
-            .map_or_else(|| "by a signal or unseen".to_owned(), |status| format!("with status {status}"));
-        let (state, in_hand) = (one.state, one.report.as_ref().map_or(0, |report| report.in_hand));
+        let how = status.map_or_else(
+            || "by a signal or unseen".to_owned(),
+            |status| format!("with status {status}"),
+        );
+        let (state, in_hand) = (
+            one.state,
+            one.report.as_ref().map_or(0, |report| report.in_hand),
+        );
         let asked_for = one.told || state.leaves();
         let killed = one.killed;
         let up = now - one.up_since;
@@ -237,7 +277,9 @@
         } else if asked_for {
             format!("ended {how}")
         } else {
-            format!("ended by itself {how} after {up:.1} s; {in_hand} were in hand when it was last heard of")
+            format!(
+                "ended by itself {how} after {up:.1} s; {in_hand} were in hand when it was last heard of"
+            )
         };
         if asked_for && !killed {
             one.gone(now, State::Absent);
@@ -257,14 +299,24 @@
     /// It answered.
     pub fn reported(&mut self, now: f64, name: &str, report: Report) {
         let warm = self.wanted.change.warm_ms as f64 / 1e3;
-        let Some(one) = self.instances.get_mut(name) else { return };
-        let own = one.identity.as_ref().is_some_and(|known| *known == report.identity);
-        let successor = one.identity.as_ref().is_some_and(|known| report.predecessor == Some(known.pid));
+        let Some(one) = self.instances.get_mut(name) else {
+            return;
+        };
+        let own = one
+            .identity
+            .as_ref()
+            .is_some_and(|known| *known == report.identity);
+        let successor = one
+            .identity
+            .as_ref()
+            .is_some_and(|known| report.predecessor == Some(known.pid));
         if !own && !successor {
             // Whoever it is, it is nobody to signal.
             if one.state != State::Lost {
-                let text =
-                    format!("process {} answers in its place, and is not touched", report.identity.pid);
+                let text = format!(
+                    "process {} answers in its place, and is not touched",
+                    report.identity.pid
+                );
                 one.turn(now, State::Lost);
                 self.note(Some(name), text);
             }
@@ -281,13 +333,20 @@
             (State::Draining, _) if one.told => State::Draining,
             (State::Upgrading, _) if one.asked_upgrade => State::Upgrading,
             // By whomever it was begun: by an earlier agent, or by hand.
-            (_, "starting" | "readying" | "freezing" | "passing" | "taking" | "watching" | "watched") => {
-                State::Upgrading
-            }
+            (
+                _,
+                "starting" | "readying" | "freezing" | "passing" | "taking" | "watching"
+                | "watched",
+            ) => State::Upgrading,
             (State::Absent | State::Failed, _) => was,
             _ if is_warm => State::Serving,
             // One that serves and whose health fails for a moment still does.
-            (State::Serving, _) if one.report.as_ref().is_some_and(|of| of.healthy != Some(true)) => {
+            (State::Serving, _)
+                if one
+                    .report
+                    .as_ref()
+                    .is_some_and(|of| of.healthy != Some(true)) =>
+            {
                 State::Warming
             }
             (State::Serving, _) => State::Serving,
@@ -307,7 +366,9 @@
 
     /// It has handed over to the program that was asked for.
     pub fn upgraded(&mut self, now: f64, name: &str) {
-        let Some(one) = self.instances.get_mut(name) else { return };
+        let Some(one) = self.instances.get_mut(name) else {
+            return;
+        };
         one.asked_upgrade = false;
         if one.state == State::Upgrading {
             one.turn(now, State::Warming);
@@ -318,7 +379,9 @@
 
     /// It has not, and serves on as before.
     pub fn not_upgraded(&mut self, now: f64, name: &str, why: &str) {
-        let Some(one) = self.instances.get_mut(name) else { return };
+        let Some(one) = self.instances.get_mut(name) else {
+            return;
+        };
         one.asked_upgrade = false;
         if one.state == State::Upgrading {
             one.turn(now, State::Warming);
@@ -344,7 +407,9 @@
         if plan.state.is_over() || !matches!(plan.kind, Kind::Restart | Kind::Upgrade { .. }) {
             return;
         }
-        let Some(target) = plan.targets.iter_mut().find(|target| target.name == name) else { return };
+        let Some(target) = plan.targets.iter_mut().find(|target| target.name == name) else {
+            return;
+        };
         let upgrade = matches!(plan.kind, Kind::Upgrade { .. });
         // One that was done with crashes after a while: for as long as others are to follow that is the plan's, too.
         let hit = match target.stage {
@@ -355,7 +420,10 @@
         if !hit {
             return;
         }
-        let down = self.instances.get(name).is_some_and(|one| !one.state.is_up());
+        let down = self
+            .instances
+            .get(name)
+            .is_some_and(|one| !one.state.is_up());
         let before = match &target.stage {
             Stage::Under { program } | Stage::Looking { program, .. } | Stage::Done { program } => {
                 Some(program.clone())
--- a/crates/merlinshelf-fleet/src/history.rs
+++ b/crates/merlinshelf-fleet/src/history.rs
@@ -30,7 +30,12 @@
             self.events.pop_front();
         }
         let (number, instance) = (self.number, instance.map(str::to_owned));
-        self.events.push_back(Event { number, at, instance, text: text.into() });
+        self.events.push_back(Event {
+            number,
+            at,
+            instance,
+            text: text.into(),
+        });
     }
 
     pub fn events(&self) -> impl DoubleEndedIterator<Item = &Event> {
--- a/crates/merlinshelf-fleet/src/instance.rs
+++ b/crates/merlinshelf-fleet/src/instance.rs
@@ -158,7 +158,12 @@
     pub fn begin(&mut self, now: f64, identity: Identity, state: State) {
         self.identity = Some(identity);
         (self.up_since, self.heard, self.told, self.kill_at) = (now, now, false, None);
-        (self.report, self.healthy_since, self.killed, self.asked_upgrade) = (None, None, false, false);
+        (
+            self.report,
+            self.healthy_since,
+            self.killed,
+            self.asked_upgrade,
+        ) = (None, None, false, false);
         self.looks.clear();
         self.turn(now, state);
     }
@@ -181,13 +186,18 @@
             self.healthy_since = None;
         }
         // Sums that went back are another process's.
-        if self.looks.back().is_some_and(|(_, invocations, _)| report.invocations < *invocations) {
+        if self
+            .looks
+            .back()
+            .is_some_and(|(_, invocations, _)| report.invocations < *invocations)
+        {
             self.looks.clear();
         }
         if self.looks.len() == LOOKS {
             self.looks.pop_front();
         }
-        self.looks.push_back((now, report.invocations, report.succeeded));
+        self.looks
+            .push_back((now, report.invocations, report.succeeded));
         self.identity = Some(report.identity.clone());
         self.report = Some(report);
     }
@@ -206,7 +216,11 @@
 
     /// What it was sent and what it served, between two moments.
     pub fn served(&self, from: f64, until: f64) -> (u64, u64) {
-        let within = || self.looks.iter().filter(|(at, ..)| (from..=until).contains(at));
+        let within = || {
+            self.looks
+                .iter()
+                .filter(|(at, ..)| (from..=until).contains(at))
+        };
         match (within().next(), within().next_back()) {
             (Some((_, sent, served)), Some((_, sent_then, served_then))) => {
                 (sent_then - sent, served_then - served)
--- a/crates/merlinshelf-fleet/src/plan.rs
+++ b/crates/merlinshelf-fleet/src/plan.rs
@@ -103,9 +103,19 @@
 
 impl Plan {
     pub fn new(number: u64, kind: Kind, names: Vec<String>, at_once: u32) -> Plan {
-        let target = |name| Target { name, stage: Stage::Todo, before: None };
+        let target = |name| Target {
+            name,
+            stage: Stage::Todo,
+            before: None,
+        };
         let targets = names.into_iter().map(target).collect();
-        Plan { number, kind, targets, state: PlanState::Running, at_once: at_once.max(1) }
+        Plan {
+            number,
+            kind,
+            targets,
+            state: PlanState::Running,
+            at_once: at_once.max(1),
+        }
     }
 
     /// Targets that are out: under way, or being put back.
--- a/crates/merlinshelf-fleet/src/wanted.rs
+++ b/crates/merlinshelf-fleet/src/wanted.rs
@@ -103,7 +103,9 @@
 }
 
 fn all_loopback(agents: &BTreeMap<String, String>, (): &()) -> garde::Result {
-    agents.values().try_for_each(|address| loopback(address, &()))
+    agents
+        .values()
+        .try_for_each(|address| loopback(address, &()))
 }
 
 /// Room for instances; nothing starts that does not fit.
@@ -121,7 +123,11 @@
 
 impl Default for Host {
     fn default() -> Host {
-        Host { memory_mb: 16 * 1024, cores: 64.0, descriptors: 65_536 }
+        Host {
+            memory_mb: 16 * 1024,
+            cores: 64.0,
+            descriptors: 65_536,
+        }
     }
 }
 
@@ -185,7 +191,13 @@
 
 impl Default for Restarts {
     fn default() -> Restarts {
-        Restarts { pause_ms: 500, pause_most_ms: 60_000, steady_ms: 60_000, at_once: 4, hangs_ms: 3_000 }
+        Restarts {
+            pause_ms: 500,
+            pause_most_ms: 60_000,
+            steady_ms: 60_000,
+            at_once: 4,
+            hangs_ms: 3_000,
+        }
     }
 }
 
@@ -253,7 +265,9 @@
 fn address(text: &str, (): &()) -> garde::Result {
     match text.parse::<std::net::SocketAddr>() {
         Ok(address) if address.port() > 0 => Ok(()),
-        _ => Err(garde::Error::new(format!("{text:?} is no address with a port, like 127.0.0.1:6565"))),
+        _ => Err(garde::Error::new(format!(
+            "{text:?} is no address with a port, like 127.0.0.1:6565"
+        ))),
     }
 }
 
--- a/crates/merlinshelf-fleet/tests/fleet.rs
+++ b/crates/merlinshelf-fleet/tests/fleet.rs
@@ -119,7 +119,10 @@
         match step {
             Step::Start { name, program } => {
                 let process = self.process(&program, None);
-                let identity = Identity { pid: process.pid, started: 1 };
+                let identity = Identity {
+                    pid: process.pid,
+                    started: 1,
+                };
                 self.processes.insert(name.clone(), process);
                 self.fleet.started(now, &name, identity);
             }
@@ -152,7 +155,9 @@
         let now = self.now;
         let names: Vec<String> = self.processes.keys().cloned().collect();
         for name in names {
-            let Some(one) = self.processes.get_mut(&name) else { continue };
+            let Some(one) = self.processes.get_mut(&name) else {
+                continue;
+            };
             if one.gone_at.is_some_and(|at| now >= at) {
                 let status = if one.told > 0 { Some(0) } else { None };
                 self.processes.remove(&name);
@@ -175,7 +180,14 @@
                 } else {
                     let (pid, sent, served) = (one.pid, one.sent, one.served);
                     let successor = self.process(&program, Some(pid));
-                    self.processes.insert(name.clone(), Process { sent, served, ..successor });
+                    self.processes.insert(
+                        name.clone(),
+                        Process {
+                            sent,
+                            served,
+                            ..successor
+                        },
+                    );
                     self.report(&name);
                     if !self.dead {
                         self.fleet.upgraded(now, &name);
@@ -197,12 +209,22 @@
     }
 
     fn report(&mut self, name: &str) {
-        let Some(one) = self.processes.get(name).filter(|_| !self.dead) else { return };
-        let healthy = one.told == 0 && self.now >= one.began + 0.3 && self.shares.contains_key(&one.program);
+        let Some(one) = self.processes.get(name).filter(|_| !self.dead) else {
+            return;
+        };
+        let healthy =
+            one.told == 0 && self.now >= one.began + 0.3 && self.shares.contains_key(&one.program);
         let report = Report {
-            identity: Identity { pid: one.pid, started: 1 },
+            identity: Identity {
+                pid: one.pid,
+                started: 1,
+            },
             predecessor: one.predecessor,
-            state: if one.told > 0 { "leaving".into() } else { "serving".into() },
+            state: if one.told > 0 {
+                "leaving".into()
+            } else {
+                "serving".into()
+            },
             healthy: Some(healthy),
             in_hand: 3,
             invocations: one.sent as u64,
@@ -224,14 +246,22 @@
     fn when(&mut self, most: f64, what: impl Fn(&World) -> bool) -> f64 {
         let from = self.now;
         while !what(self) {
-            assert!(self.now < from + most, "never: {:?}\n{}", self.fleet.plan(), self.events());
+            assert!(
+                self.now < from + most,
+                "never: {:?}\n{}",
+                self.fleet.plan(),
+                self.events()
+            );
             self.tick();
         }
         self.now - from
     }
 
     fn serving(&self) -> usize {
-        self.fleet.instances().filter(|one| one.state.serves()).count()
+        self.fleet
+            .instances()
+            .filter(|one| one.state.serves())
+            .count()
     }
 
     fn plan(&self) -> &PlanState {
@@ -239,14 +269,26 @@
     }
 
     fn programs(&self) -> Vec<&str> {
-        self.processes.values().map(|one| one.program.as_str()).collect()
+        self.processes
+            .values()
+            .map(|one| one.program.as_str())
+            .collect()
     }
 
     fn events(&self) -> String {
         let line = |event: &merlinshelf_fleet::history::Event| {
-            format!("{} {}", event.instance.as_deref().unwrap_or("-"), event.text)
+            format!(
+                "{} {}",
+                event.instance.as_deref().unwrap_or("-"),
+                event.text
+            )
         };
-        self.fleet.history.events().map(line).collect::<Vec<_>>().join("\n")
+        self.fleet
+            .history
+            .events()
+            .map(line)
+            .collect::<Vec<_>>()
+            .join("\n")
     }
 
     /// The agent dies and another one begins with what it kept, finding the processes that are still there.
@@ -255,7 +297,13 @@
         self.dead = true;
         self.until(away);
         self.dead = false;
-        let mut fleet = Fleet::new(self.now, 1e9, self.fleet.wanted().clone(), record.clone(), 3.0);
+        let mut fleet = Fleet::new(
+            self.now,
+            1e9,
+            self.fleet.wanted().clone(),
+            record.clone(),
+            3.0,
+        );
         for (name, kept) in record.instances {
             let there = self.processes.get(&name);
             // By its process, or by the one that took over from it and answers on its socket.
@@ -265,7 +313,14 @@
                     .is_some_and(|known| known.pid == one.pid || one.predecessor == Some(known.pid))
             });
             if let Some(one) = same {
-                fleet.found(self.now, &name, Identity { pid: one.pid, started: 1 });
+                fleet.found(
+                    self.now,
+                    &name,
+                    Identity {
+                        pid: one.pid,
+                        started: 1,
+                    },
+                );
             }
         }
         self.fleet = fleet;
@@ -283,7 +338,9 @@
 }
 
 fn upgrade() -> Command {
-    Command::Upgrade { program: "/v2".into() }
+    Command::Upgrade {
+        program: "/v2".into(),
+    }
 }
 
 #[test]
@@ -293,20 +350,28 @@
     assert_eq!(world.processes.len(), 4, "as many starts at once as may be");
     world.when(60.0, |world| world.serving() == 20);
     // Warm, not just up.
-    assert!(
-        world.fleet.instances().all(|one| one.healthy_since.is_some_and(|since| world.now >= since + 1.0))
-    );
+    assert!(world.fleet.instances().all(|one| {
+        one.healthy_since
+            .is_some_and(|since| world.now >= since + 1.0)
+    }));
 }
 
 #[test]
 fn a_rolling_upgrade_reaches_all_and_is_never_under_the_floor() {
     let mut world = up(20);
-    world.fleet.command(world.now, &all(), &upgrade()).expect("it begins");
+    world
+        .fleet
+        .command(world.now, &all(), &upgrade())
+        .expect("it begins");
     let mut least = 20;
     while !world.plan().is_over() {
         world.tick();
         least = least.min(world.serving());
-        let upgrading = world.fleet.instances().filter(|one| one.state == State::Upgrading).count();
+        let upgrading = world
+            .fleet
+            .instances()
+            .filter(|one| one.state == State::Upgrading)
+            .count();
         assert!(upgrading <= 2, "{upgrading}");
     }
     assert_eq!(world.plan(), &PlanState::Done, "{}", world.events());
@@ -319,15 +384,30 @@
     let mut world = up(12);
     world.shares.insert("/v2".into(), 0.9);
     world.until(5.0);
-    world.fleet.command(world.now, &all(), &upgrade()).expect("it begins");
+    world
+        .fleet
+        .command(world.now, &all(), &upgrade())
+        .expect("it begins");
     let mut most = 0;
     while !world.plan().is_over() {
         world.tick();
-        most = most.max(world.programs().iter().filter(|program| **program == "/v2").count());
+        most = most.max(
+            world
+                .programs()
+                .iter()
+                .filter(|program| **program == "/v2")
+                .count(),
+        );
     }
-    let PlanState::Stopped(why) = world.plan() else { panic!("{:?}", world.plan()) };
+    let PlanState::Stopped(why) = world.plan() else {
+        panic!("{:?}", world.plan())
+    };
     assert!(why.contains("serves 0.9") && why.contains("0.99"), "{why}");
-    assert!(world.programs().iter().all(|program| *program == "/v1"), "{:?}", world.programs());
+    assert!(
+        world.programs().iter().all(|program| *program == "/v1"),
+        "{:?}",
+        world.programs()
+    );
     assert!(most <= 4, "few were changed before it was seen: {most}");
 }
 
@@ -341,7 +421,11 @@
     );
     world.crash_after.clear();
     world.when(60.0, |world| world.serving() == count);
-    assert!(world.programs().iter().all(|program| *program == "/v1"), "{:?}", world.programs());
+    assert!(
+        world.programs().iter().all(|program| *program == "/v1"),
+        "{:?}",
+        world.programs()
+    );
 }
 
 #[test]
@@ -349,12 +433,18 @@
     // It crashes after a second.
     let mut world = up(8);
     world.crash_after.insert("/v2".into(), 1.5);
-    world.fleet.command(world.now, &all(), &upgrade()).expect("it begins");
+    world
+        .fleet
+        .command(world.now, &all(), &upgrade())
+        .expect("it begins");
     crashes_and_is_put_back(&mut world, 8);
     // It never gets warm: it hangs about, is found out, and the old one comes back in its place.
     let mut world = up(8);
     world.shares.remove("/v2");
-    world.fleet.command(world.now, &all(), &upgrade()).expect("it begins");
+    world
+        .fleet
+        .command(world.now, &all(), &upgrade())
+        .expect("it begins");
     let least = std::cell::Cell::new(8);
     world.when(100.0, |world| {
         least.set(least.get().min(world.serving()));
@@ -367,16 +457,26 @@
         world.plan()
     );
     world.when(60.0, |world| world.serving() == 8);
-    assert!(world.programs().iter().all(|program| *program == "/v1"), "{:?}", world.programs());
+    assert!(
+        world.programs().iter().all(|program| *program == "/v1"),
+        "{:?}",
+        world.programs()
+    );
     // It crashes after a while, when others are under way already.
     let mut world = up(12);
     world.crash_after.insert("/v2".into(), 9.0);
-    world.fleet.command(world.now, &all(), &upgrade()).expect("it begins");
+    world
+        .fleet
+        .command(world.now, &all(), &upgrade())
+        .expect("it begins");
     crashes_and_is_put_back(&mut world, 12);
     // It does not take over at all.
     let mut world = up(8);
     world.upgrades_fail = true;
-    world.fleet.command(world.now, &all(), &upgrade()).expect("it begins");
+    world
+        .fleet
+        .command(world.now, &all(), &upgrade())
+        .expect("it begins");
     world.when(60.0, |world| world.plan().is_over());
     assert!(
         matches!(world.plan(), PlanState::Stopped(why) if why.contains("taken back")),
@@ -398,16 +498,33 @@
         (one.told, one.gone_at) = (1, Some(world.now + 2.0));
     }
     // Some by the agent, on behalf of an earlier command.
-    let some = Selector { names: (7..10).map(|number| format!("web.{number}")).collect(), ..all() };
+    let some = Selector {
+        names: (7..10).map(|number| format!("web.{number}")).collect(),
+        ..all()
+    };
     world
         .fleet
-        .command(world.now, &some, &Command::Drain { slowest_first: false, at_once: None })
+        .command(
+            world.now,
+            &some,
+            &Command::Drain {
+                slowest_first: false,
+                at_once: None,
+            },
+        )
         .expect("it begins");
     world.until(0.5);
     world.fleet.abandon().expect("it is under way");
     world
         .fleet
-        .command(world.now, &all(), &Command::Drain { slowest_first: true, at_once: None })
+        .command(
+            world.now,
+            &all(),
+            &Command::Drain {
+                slowest_first: true,
+                at_once: None,
+            },
+        )
         .expect("it begins");
     world.when(30.0, |world| world.plan().is_over());
     assert_eq!(
@@ -419,19 +536,36 @@
     // What was drained stays down until it is started.
     world.until(10.0);
     assert_eq!(world.processes.len(), 0);
-    world.fleet.command(world.now, &all(), &Command::Start).expect("it begins");
+    world
+        .fleet
+        .command(world.now, &all(), &Command::Start)
+        .expect("it begins");
     world.when(60.0, |world| world.serving() == 20);
 }
 
 #[test]
 fn the_slowest_leave_first_when_asked_so() {
     let mut world = up(6);
-    let drain = Command::Drain { slowest_first: true, at_once: Some(1) };
-    let slowest = world.processes.iter().max_by_key(|(_, one)| one.pid).map(|(name, _)| name.clone());
-    world.fleet.command(world.now, &all(), &drain).expect("it begins");
+    let drain = Command::Drain {
+        slowest_first: true,
+        at_once: Some(1),
+    };
+    let slowest = world
+        .processes
+        .iter()
+        .max_by_key(|(_, one)| one.pid)
+        .map(|(name, _)| name.clone());
+    world
+        .fleet
+        .command(world.now, &all(), &drain)
+        .expect("it begins");
     world.tick();
-    let leaving: Vec<&str> =
-        world.fleet.instances().filter(|one| one.state.leaves()).map(|one| one.name.as_str()).collect();
+    let leaving: Vec<&str> = world
+        .fleet
+        .instances()
+        .filter(|one| one.state.leaves())
+        .map(|one| one.name.as_str())
+        .collect();
     assert_eq!(leaving, [slowest.expect("one")]);
 }
 
@@ -439,12 +573,24 @@
 fn the_agents_death_at_any_moment_of_a_rolling_upgrade_loses_nothing_of_the_plan() {
     for death in 0..24 {
         let mut world = up(12);
-        world.fleet.command(world.now, &all(), &upgrade()).expect("it begins");
+        world
+            .fleet
+            .command(world.now, &all(), &upgrade())
+            .expect("it begins");
         world.until(0.05 + 0.37 * f64::from(death));
         world.another_agent(if death % 2 == 0 { 0.2 } else { 1.4 });
         world.when(120.0, |world| world.plan().is_over());
-        assert_eq!(world.plan(), &PlanState::Done, "{death}: {}", world.events());
-        assert!(world.programs().iter().all(|program| *program == "/v2"), "{death}: {:?}", world.programs());
+        assert_eq!(
+            world.plan(),
+            &PlanState::Done,
+            "{death}: {}",
+            world.events()
+        );
+        assert!(
+            world.programs().iter().all(|program| *program == "/v2"),
+            "{death}: {:?}",
+            world.programs()
+        );
         assert_eq!(world.told_most, 0, "{death}: nobody was told to leave");
         assert_eq!(world.serving(), 12);
     }
@@ -454,25 +600,59 @@
 fn one_that_hangs_is_told_by_signal_then_killed_and_started_again() {
     let mut world = up(4);
     world.processes.get_mut("web.2").expect("it runs").stopped = true;
-    world.when(10.0, |world| world.fleet.get("web.2").is_some_and(|one| one.state == State::Lost));
-    let told =
-        world.trace.iter().position(|line| line.contains("Terminate")).expect("first by what can be done");
-    world.when(20.0, |world| world.trace.iter().any(|line| line.contains("Kill")));
-    assert!(world.trace.iter().position(|line| line.contains("Kill")).expect("then") > told);
+    world.when(10.0, |world| {
+        world
+            .fleet
+            .get("web.2")
+            .is_some_and(|one| one.state == State::Lost)
+    });
+    let told = world
+        .trace
+        .iter()
+        .position(|line| line.contains("Terminate"))
+        .expect("first by what can be done");
+    world.when(20.0, |world| {
+        world.trace.iter().any(|line| line.contains("Kill"))
+    });
+    assert!(
+        world
+            .trace
+            .iter()
+            .position(|line| line.contains("Kill"))
+            .expect("then")
+            > told
+    );
     world.when(20.0, |world| world.serving() == 4);
-    assert!(world.events().contains("hangs: no answer for"), "{}", world.events());
+    assert!(
+        world.events().contains("hangs: no answer for"),
+        "{}",
+        world.events()
+    );
 }
 
 #[test]
 fn a_foreign_process_in_its_place_is_not_touched() {
     let mut world = up(3);
-    let report =
-        Report { identity: Identity { pid: 4711, started: 9 }, state: "serving".into(), ..Report::default() };
+    let report = Report {
+        identity: Identity {
+            pid: 4711,
+            started: 9,
+        },
+        state: "serving".into(),
+        ..Report::default()
+    };
     let before = world.trace.len();
     world.fleet.reported(world.now, "web.1", report);
-    assert_eq!(world.fleet.get("web.1").map(|one| one.state), Some(State::Lost));
+    assert_eq!(
+        world.fleet.get("web.1").map(|one| one.state),
+        Some(State::Lost)
+    );
     assert_eq!(world.trace.len(), before);
-    assert!(world.events().contains("process 4711 answers in its place, and is not touched"));
+    assert!(
+        world
+            .events()
+            .contains("process 4711 answers in its place, and is not touched")
+    );
 }
 
 #[test]
@@ -480,7 +660,11 @@
     let mut world = World::new(wanted(12));
     world.crash_after.insert("/v1".into(), 0.2);
     world.until(30.0);
-    let starts = world.trace.iter().filter(|line| line.contains("Start")).count();
+    let starts = world
+        .trace
+        .iter()
+        .filter(|line| line.contains("Start"))
+        .count();
     // Doubling pauses from half a second: six or seven tries in half a minute each, not a hundred.
     assert!((12 * 4..=12 * 8).contains(&starts), "{starts}");
     world.crash_after.clear();
@@ -495,9 +679,14 @@
         world.processes.get_mut(name).expect("it runs").gone_at = Some(world.now);
     }
     world.until(1.0);
-    world.fleet.command(world.now, &all(), &Command::Restart).expect("it begins");
+    world
+        .fleet
+        .command(world.now, &all(), &Command::Restart)
+        .expect("it begins");
     world.until(2.0);
-    let PlanState::Waiting(what) = world.plan() else { panic!("{:?}", world.plan()) };
+    let PlanState::Waiting(what) = world.plan() else {
+        panic!("{:?}", world.plan())
+    };
     assert!(
         what.contains("under the floor of 75%") && what.contains("web.3") && what.contains("web.6"),
         "{what}"
@@ -505,18 +694,29 @@
     assert!(!world.trace.iter().any(|line| line.contains("Drain")));
     world.crash_after.clear();
     world.when(200.0, |world| world.plan().is_over());
-    assert_eq!((world.plan(), world.serving()), (&PlanState::Done, 8), "{}", world.events());
+    assert_eq!(
+        (world.plan(), world.serving()),
+        (&PlanState::Done, 8),
+        "{}",
+        world.events()
+    );
 }
 
 #[test]
 fn a_stop_that_is_too_short_says_what_was_killed_with_how_much_in_hand() {
     let mut world = up(3);
     world.drain_takes = 30.0;
-    world.fleet.command(world.now, &all(), &Command::Stop { within: 0.5 }).expect("it begins");
+    world
+        .fleet
+        .command(world.now, &all(), &Command::Stop { within: 0.5 })
+        .expect("it begins");
     let took = world.when(10.0, |world| world.plan().is_over());
     assert!((0.4..1.5).contains(&took), "{took}");
     assert_eq!(
-        world.events().matches("killed; 3 were in hand when it was last heard of").count(),
+        world
+            .events()
+            .matches("killed; 3 were in hand when it was last heard of")
+            .count(),
         3,
         "{}",
         world.events()
@@ -526,22 +726,47 @@
 #[test]
 fn a_plan_is_paused_goes_on_is_abandoned_and_only_one_is_under_way() {
     let mut world = up(10);
-    world.fleet.command(world.now, &all(), &upgrade()).expect("it begins");
-    let second = world.fleet.command(world.now, &all(), &Command::Restart).expect_err("one at a time");
-    assert!(second.0.contains("plan 1 (upgrade, 0 of 10) is under way"), "{}", second.0);
+    world
+        .fleet
+        .command(world.now, &all(), &upgrade())
+        .expect("it begins");
+    let second = world
+        .fleet
+        .command(world.now, &all(), &Command::Restart)
+        .expect_err("one at a time");
+    assert!(
+        second.0.contains("plan 1 (upgrade, 0 of 10) is under way"),
+        "{}",
+        second.0
+    );
     world.until(1.0);
     world.fleet.pause().expect("it runs");
     world.until(20.0);
-    let under = world.programs().iter().filter(|program| **program == "/v2").count();
-    assert_eq!((under, world.plan()), (2, &PlanState::Paused), "what was under way came to its end");
+    let under = world
+        .programs()
+        .iter()
+        .filter(|program| **program == "/v2")
+        .count();
+    assert_eq!(
+        (under, world.plan()),
+        (2, &PlanState::Paused),
+        "what was under way came to its end"
+    );
     world.fleet.resume(world.now).expect("it is paused");
     world.until(4.0);
     world.fleet.abandon().expect("it runs");
-    let changed = world.programs().iter().filter(|program| **program == "/v2").count();
+    let changed = world
+        .programs()
+        .iter()
+        .filter(|program| **program == "/v2")
+        .count();
     world.until(20.0);
     assert!((3..10).contains(&changed) && world.serving() == 10);
     // It can be begun anew, and those that run it already are left.
-    world.fleet.command(world.now, &all(), &upgrade()).expect("it begins");
+    world
+        .fleet
+        .command(world.now, &all(), &upgrade())
+        .expect("it begins");
     world.when(120.0, |world| world.plan().is_over());
     assert_eq!(world.plan(), &PlanState::Done);
 }
@@ -554,44 +779,83 @@
     assert!(world.fleet.instances().all(|one| one.number < 4) && world.told_most == 1);
     world.fleet.scale(world.now, "web", 9).expect("it fits");
     world.when(60.0, |world| world.serving() == 9);
-    let why = world.fleet.scale(world.now, "web", 400).expect_err("no room").0;
+    let why = world
+        .fleet
+        .scale(world.now, "web", 400)
+        .expect_err("no room")
+        .0;
     insta::assert_snapshot!(why);
     let mut two = wanted(10);
     two.groups.insert("api".into(), group(3, 7005));
-    insta::assert_snapshot!(fit::check(&two).expect_err("two on one address").to_string());
+    insta::assert_snapshot!(
+        fit::check(&two)
+            .expect_err("two on one address")
+            .to_string()
+    );
 }
 
 #[test]
 fn selectors_mean_names_groups_and_labels_and_say_what_nobody_has() {
     let mut two = wanted(2);
-    two.groups.insert("api".into(), Group { labels: BTreeMap::new(), ..group(2, 7100) });
+    two.groups.insert(
+        "api".into(),
+        Group {
+            labels: BTreeMap::new(),
+            ..group(2, 7100)
+        },
+    );
     let fleet = Fleet::new(0.0, 0.0, two, Record::default(), 3.0);
     let of = |selector: Selector| fleet.select(&selector);
     assert_eq!(of(all()).map(|all| all.len()), Ok(4));
     assert_eq!(
-        of(Selector { groups: vec!["api".into()], ..all() }),
+        of(Selector {
+            groups: vec!["api".into()],
+            ..all()
+        }),
         Ok(vec!["api.0".into(), "api.1".into()])
     );
     let front = vec![("tier".to_owned(), "front".to_owned())];
-    assert_eq!(of(Selector { labels: front, ..all() }), Ok(vec!["web.0".into(), "web.1".into()]));
+    assert_eq!(
+        of(Selector {
+            labels: front,
+            ..all()
+        }),
+        Ok(vec!["web.0".into(), "web.1".into()])
+    );
     assert!(
-        of(Selector { names: vec!["web.9".into()], ..all() })
-            .is_err_and(|why| why.0 == "there is no instance web.9")
+        of(Selector {
+            names: vec!["web.9".into()],
+            ..all()
+        })
+        .is_err_and(|why| why.0 == "there is no instance web.9")
+    );
+    assert!(
+        of(Selector {
+            groups: vec!["x".into()],
+            ..all()
+        })
+        .is_err()
     );
-    assert!(of(Selector { groups: vec!["x".into()], ..all() }).is_err());
 }
 
 #[test]
 fn five_thousand_instances_are_planned_in_virtual_time() {
     let mut big = wanted(5000);
-    big.host = Host { memory_mb: 1 << 30, cores: 1e6, descriptors: 1 << 40 };
+    big.host = Host {
+        memory_mb: 1 << 30,
+        cores: 1e6,
+        descriptors: 1 << 40,
+    };
     big.groups.get_mut("web").expect("it is there").listen = "127.0.0.1:1000".into();
     big.restarts.at_once = 500;
     big.change.out_at_once = 500;
     big.change.looked_ms = 500;
     let mut world = World::new(big);
     world.when(60.0, |world| world.serving() == 5000);
-    world.fleet.command(world.now, &all(), &upgrade()).expect("it begins");
+    world
+        .fleet
+        .command(world.now, &all(), &upgrade())
+        .expect("it begins");
     world.when(90.0, |world| world.plan().is_over());
     assert_eq!(world.plan(), &PlanState::Done);
 }
--- a/crates/merlinshelf-handover/src/flow.rs
+++ b/crates/merlinshelf-handover/src/flow.rs
@@ -60,14 +60,16 @@
     /// Settles what a process that died may have done after its last note: it noted what it saw before it took it out
     /// of the kernel, and what it was about to write before it wrote.
     pub fn settle(&mut self, kernel: Kernel) -> Result<Settled, Torn> {
-        let handed_out = kernel.received.saturating_sub(kernel.unread + u64::from(kernel.ended));
+        let handed_out = kernel
+            .received
+            .saturating_sub(kernel.unread + u64::from(kernel.ended));
         let discard = match self.taken.checked_sub(handed_out) {
             None => return Err(Torn::Lost(handed_out - self.taken)),
             Some(ahead) if ahead > kernel.unread => return Err(Torn::Ahead(ahead - kernel.unread)),
             Some(ahead) => ahead as usize,
         };
-        let given =
-            (kernel.acknowledged + kernel.unacknowledged).saturating_sub(u64::from(kernel.opened_here));
+        let given = (kernel.acknowledged + kernel.unacknowledged)
+            .saturating_sub(u64::from(kernel.opened_here));
         let more = match given.checked_sub(self.given) {
             None => return Err(Torn::Behind(self.given - given)),
             Some(more) if more > self.going.len() as u64 => {
@@ -77,6 +79,9 @@
         };
         self.going.drain(..more);
         self.given = given;
-        Ok(Settled { discard, given: more })
+        Ok(Settled {
+            discard,
+            given: more,
+        })
     }
 }
--- a/crates/merlinshelf-handover/src/heir.rs
+++ b/crates/merlinshelf-handover/src/heir.rs
@@ -66,8 +66,16 @@
 
 impl Heir {
     pub fn new(watched: Duration, program: &str) -> Heir {
-        let hello = Word::Hello { forms: FORMS.to_vec(), program: program.to_owned() };
-        Heir { watched, state: State::Greeting, leaves: false, steps: VecDeque::from([Step::Say(hello)]) }
+        let hello = Word::Hello {
+            forms: FORMS.to_vec(),
+            program: program.to_owned(),
+        };
+        Heir {
+            watched,
+            state: State::Greeting,
+            leaves: false,
+            steps: VecDeque::from([Step::Say(hello)]),
+        }
     }
 
     pub fn next_step(&mut self) -> Option<Step> {
@@ -95,8 +103,12 @@
     pub fn refuse(&mut self, why: &str) {
         if !self.owns() {
             self.state = State::Ended;
-            self.steps.push_back(Step::Say(Word::Refuse { why: why.to_owned() }));
-            self.steps.push_back(Step::End { why: why.to_owned() });
+            self.steps.push_back(Step::Say(Word::Refuse {
+                why: why.to_owned(),
+            }));
+            self.steps.push_back(Step::End {
+                why: why.to_owned(),
+            });
         }
     }
 
@@ -161,7 +173,9 @@
             State::Taking { .. } => self.state = State::Taking { alone: true },
             State::Greeting | State::Receiving { .. } => {
                 self.state = State::Ended;
-                self.steps.push_back(Step::End { why: "the old process is gone".into() });
+                self.steps.push_back(Step::End {
+                    why: "the old process is gone".into(),
+                });
             }
         }
     }
@@ -179,7 +193,12 @@
     }
 
     pub fn woken(&mut self, now: Duration) {
-        if let State::Watched { since, beat, steady } = &mut self.state {
+        if let State::Watched {
+            since,
+            beat,
+            steady,
+        } = &mut self.state
+        {
             if now < *beat + BEAT {
                 return;
             }
@@ -206,7 +225,11 @@
     }
 
     fn serve(&mut self, now: Duration) {
-        self.state = State::Watched { since: now, beat: now, steady: false };
+        self.state = State::Watched {
+            since: now,
+            beat: now,
+            steady: false,
+        };
         self.steps.push_back(Step::Serve);
     }
 
--- a/crates/merlinshelf-handover/src/image.rs
+++ b/crates/merlinshelf-handover/src/image.rs
@@ -137,7 +137,9 @@
             if length > TRANSACTION_MOST {
                 return Err(Unreadable("a transaction of an impossible length"));
             }
-            let Some(entries) = rest.get(..length) else { break };
+            let Some(entries) = rest.get(..length) else {
+                break;
+            };
             self.entries(entries)?;
             used += HEAD + length;
         }
@@ -156,7 +158,10 @@
             let (key, length) = (Key::read(head[0], name), number(&head[17..]));
             let record = match length {
                 GONE => None,
-                length => Some(rest.get(..length as usize).ok_or(Unreadable("a record that is cut short"))?),
+                length => Some(
+                    rest.get(..length as usize)
+                        .ok_or(Unreadable("a record that is cut short"))?,
+                ),
             };
             entries = &rest[record.map_or(0, <[u8]>::len)..];
             changes.extend(key.map(|key| (key, record.map(<[u8]>::to_vec))));
@@ -178,13 +183,20 @@
 
     /// What is there, in the order of kinds and names.
     pub fn keys(&self) -> impl Iterator<Item = Key> + '_ {
-        self.records.iter().filter(|(_, record)| record.is_some()).map(|(key, _)| *key)
+        self.records
+            .iter()
+            .filter(|(_, record)| record.is_some())
+            .map(|(key, _)| *key)
     }
 
     /// Takes out the keys that are gone: what they stood for is known to be closed.
     pub fn take_gone(&mut self) -> Vec<Key> {
-        let gone: Vec<Key> =
-            self.records.iter().filter(|(_, record)| record.is_none()).map(|(key, _)| *key).collect();
+        let gone: Vec<Key> = self
+            .records
+            .iter()
+            .filter(|(_, record)| record.is_none())
+            .map(|(key, _)| *key)
+            .collect();
         for key in &gone {
             self.records.remove(key);
         }
@@ -198,5 +210,8 @@
 }
 
 fn number(bytes: &[u8]) -> u32 {
-    bytes.iter().take(4).fold(0, |number, byte| number << 8 | u32::from(*byte))
+    bytes
+        .iter()
+        .take(4)
+        .fold(0, |number, byte| number << 8 | u32::from(*byte))
 }
--- a/crates/merlinshelf-handover/src/keeper.rs
+++ b/crates/merlinshelf-handover/src/keeper.rs
@@ -86,7 +86,10 @@
 impl Progress {
     /// Whether nothing more follows.
     pub fn is_last(&self) -> bool {
-        !matches!(self, Progress::Starting | Progress::Ready | Progress::TookOver)
+        !matches!(
+            self,
+            Progress::Starting | Progress::Ready | Progress::TookOver
+        )
     }
 }
 
@@ -148,7 +151,13 @@
 
 impl Keeper {
     pub fn new(patience: Patience) -> Keeper {
-        Keeper { patience, state: State::Serving, leave: None, reload: false, steps: VecDeque::new() }
+        Keeper {
+            patience,
+            state: State::Serving,
+            leave: None,
+            reload: false,
+            steps: VecDeque::new(),
+        }
     }
 
     /// The next thing to do, if there is one.
@@ -187,7 +196,12 @@
     pub fn serves(&self) -> bool {
         matches!(
             self.state,
-            State::Serving | State::Starting { .. } | State::Killing { held: Held::Service, .. }
+            State::Serving
+                | State::Starting { .. }
+                | State::Killing {
+                    held: Held::Service,
+                    ..
+                }
         )
     }
 
@@ -222,7 +236,10 @@
         if let Some(why) = refusal {
             return self.tell(Progress::Refused(why));
         }
-        self.state = State::Starting { greeted: false, until: now + self.patience.ready };
+        self.state = State::Starting {
+            greeted: false,
+            until: now + self.patience.ready,
+        };
         self.tell(Progress::Starting);
         self.steps.push_back(Step::Start);
     }
@@ -238,22 +255,33 @@
     /// The successor said something.
     pub fn heard(&mut self, now: Duration, word: Word) {
         match (&mut self.state, word) {
-            (State::Starting { greeted, until: _ }, Word::Hello { forms, program }) if !*greeted => {
+            (State::Starting { greeted, until: _ }, Word::Hello { forms, program })
+                if !*greeted =>
+            {
                 match form(&forms) {
                     Some(form) => {
                         *greeted = true;
                         self.steps.push_back(Step::Say(Word::Form { form }));
                     }
-                    None => self.fail(format!("{program} speaks only forms {forms:?}"), Held::Service),
+                    None => self.fail(
+                        format!("{program} speaks only forms {forms:?}"),
+                        Held::Service,
+                    ),
                 }
             }
             (State::Starting { greeted: true, .. }, Word::Ready) => {
-                self.state = State::Freezing { until: now + self.patience.taken };
+                self.state = State::Freezing {
+                    until: now + self.patience.taken,
+                };
                 self.tell(Progress::Ready);
                 self.steps.push_back(Step::Freeze);
             }
             (State::Taking { .. }, Word::Taken) => {
-                self.state = State::Watching { heard: now, since: now, leaves: None };
+                self.state = State::Watching {
+                    heard: now,
+                    since: now,
+                    leaves: None,
+                };
                 self.steps.extend([Step::Yield, Step::Say(Word::Go)]);
                 self.tell(Progress::TookOver);
                 if let Some(stop) = self.leave {
@@ -344,7 +372,9 @@
                 self.tell(Progress::GivenUp(ended));
             }
             // It was told to leave, and did as it was told.
-            State::Watching { leaves: Some(_), .. } if status == Some(0) => {
+            State::Watching {
+                leaves: Some(_), ..
+            } if status == Some(0) => {
                 self.state = State::Ended;
                 self.tell(Progress::Done);
                 self.steps.push_back(Step::EndAs { status: 0 });
@@ -391,7 +421,10 @@
                 self.fail("the notice to leave came".into(), Held::Frozen);
             }
             State::Watching { .. } => self.pass_on_leave(stop),
-            State::Killing { held: Held::Service, .. } => self.steps.push_back(Step::LeaveNow { stop }),
+            State::Killing {
+                held: Held::Service,
+                ..
+            } => self.steps.push_back(Step::LeaveNow { stop }),
             State::Killing { .. } | State::Ended => {}
         }
     }
@@ -406,13 +439,19 @@
     /// SIGHUP came to this process.
     pub fn reload(&mut self) {
         match &self.state {
-            State::Serving | State::Starting { .. } | State::Killing { held: Held::Service, .. } => {
+            State::Serving
+            | State::Starting { .. }
+            | State::Killing {
+                held: Held::Service,
+                ..
+            } => {
                 self.steps.push_back(Step::ReloadNow);
             }
             State::Watching { .. } => self.steps.push_back(Step::Say(Word::Reload)),
-            State::Freezing { .. } | State::Passing { .. } | State::Taking { .. } | State::Killing { .. } => {
-                self.reload = true
-            }
+            State::Freezing { .. }
+            | State::Passing { .. }
+            | State::Taking { .. }
+            | State::Killing { .. } => self.reload = true,
             State::Ended => {}
         }
     }
@@ -425,10 +464,16 @@
         }
         match &self.state {
             State::Starting { .. } => {
-                self.fail("the successor does not get ready in its time".into(), Held::Service);
+                self.fail(
+                    "the successor does not get ready in its time".into(),
+                    Held::Service,
+                );
             }
             State::Freezing { .. } | State::Passing { .. } | State::Taking { .. } => {
-                self.fail("the successor does not take over in its time".into(), Held::Frozen);
+                self.fail(
+                    "the successor does not take over in its time".into(),
+                    Held::Frozen,
+                );
             }
             State::Watching { heard, .. } => {
                 let why = if now >= *heard + self.patience.silent {
@@ -445,7 +490,9 @@
     /// Long enough for a successor that leaves meanwhile; one that is only slow to say `Steady` is no good either.
     fn watched_most(&self) -> Duration {
         match &self.state {
-            State::Watching { leaves: Some(_), .. } => Duration::from_secs(24 * 3600),
+            State::Watching {
+                leaves: Some(_), ..
+            } => Duration::from_secs(24 * 3600),
             _ => self.patience.watched * 2 + self.patience.silent,
         }
     }
--- a/crates/merlinshelf-handover/src/words.rs
+++ b/crates/merlinshelf-handover/src/words.rs
@@ -8,7 +8,11 @@
 
 /// The form to use with one who speaks these, if there is one.
 pub fn form(theirs: &[u32]) -> Option<u32> {
-    FORMS.iter().copied().filter(|form| theirs.contains(form)).max()
+    FORMS
+        .iter()
+        .copied()
+        .filter(|form| theirs.contains(form))
+        .max()
 }
 
 /// What a descriptor is that comes with a word.
