--- a/crates/merlinshelf-handover/tests/handover.rs
+++ b/crates/merlinshelf-handover/tests/handover.rs
@@ -11,7 +11,12 @@
     Duration::from_millis(count)
 }
 
-const PATIENCE: Patience = Patience { ready: ms(1000), taken: ms(200), watched: ms(500), silent: ms(300) };
+const PATIENCE: Patience = Patience {
+    ready: ms(1000),
+    taken: ms(200),
+    watched: ms(500),
+    silent: ms(300),
+};
 
 fn steps(keeper: &mut Keeper) -> String {
     let mut line = keeper.name().to_owned();
@@ -22,7 +27,10 @@
 }
 
 fn hello(forms: &[u32]) -> Word {
-    Word::Hello { forms: forms.to_vec(), program: "next".into() }
+    Word::Hello {
+        forms: forms.to_vec(),
+        program: "next".into(),
+    }
 }
 
 /// A keeper whose successor has taken over 30 ms after it was asked for.
@@ -42,7 +50,10 @@
 fn an_upgrade_that_goes_well() {
     let mut keeper = Keeper::new(PATIENCE);
     let mut trace = String::new();
-    keeper.upgrade(ms(0), Some("two processes need 900 descriptors, and 384 may be used".into()));
+    keeper.upgrade(
+        ms(0),
+        Some("two processes need 900 descriptors, and 384 may be used".into()),
+    );
     trace += &steps(&mut keeper);
     keeper.upgrade(ms(0), None);
     trace += &steps(&mut keeper);
@@ -79,14 +90,26 @@
         let _ = write!(trace, "{what}: {}", steps(&mut keeper));
         keeper.died(Some(3));
         let _ = write!(trace, "  then {}", steps(&mut keeper));
-        assert!(keeper.serves() && keeper.owns() && !keeper.is_busy(), "{what}");
+        assert!(
+            keeper.serves() && keeper.owns() && !keeper.is_busy(),
+            "{what}"
+        );
     };
-    play("can't be executed", &|keeper| keeper.not_started("no such file"));
+    play("can't be executed", &|keeper| {
+        keeper.not_started("no such file")
+    });
     play("ends at once", &|_| {});
-    play("speaks no form of ours", &|keeper| keeper.heard(ms(5), hello(&[2, 3])));
+    play("speaks no form of ours", &|keeper| {
+        keeper.heard(ms(5), hello(&[2, 3]))
+    });
     play("refuses its configuration", &|keeper| {
         keeper.heard(ms(5), hello(&[1]));
-        keeper.heard(ms(6), Word::Refuse { why: "no listen".into() });
+        keeper.heard(
+            ms(6),
+            Word::Refuse {
+                why: "no listen".into(),
+            },
+        );
     });
     play("hangs while it gets ready", &|keeper| {
         keeper.woken(ms(999));
@@ -107,7 +130,9 @@
         steps(keeper);
         keeper.not_passed("too many open files");
     });
-    play("says it has taken what was never passed", &|keeper| keeper.heard(ms(5), Word::Taken));
+    play("says it has taken what was never passed", &|keeper| {
+        keeper.heard(ms(5), Word::Taken)
+    });
     assert_snapshot!(trace);
 }
 
@@ -117,7 +142,10 @@
     let mut play = |what: &str, status: Option<i32>, happens: &dyn Fn(&mut Keeper)| {
         let mut keeper = watching();
         happens(&mut keeper);
-        assert!(!keeper.owns(), "{what}: nothing is touched before its end is seen");
+        assert!(
+            !keeper.owns(),
+            "{what}: nothing is touched before its end is seen"
+        );
         let _ = write!(trace, "{what}: {}", steps(&mut keeper));
         keeper.died(status);
         let _ = write!(trace, "  then {}", steps(&mut keeper));
@@ -136,13 +164,19 @@
             keeper.woken(ms(at));
         }
     });
-    play("cuts the channel", None, &|keeper| keeper.cut_off("it closed the channel"));
-    play("is killed, and the notice to leave comes", None, &|keeper| {
-        keeper.cut_off("it closed the channel");
-        keeper.leave(70.0);
-        keeper.leave(80.0);
-        keeper.reload();
+    play("cuts the channel", None, &|keeper| {
+        keeper.cut_off("it closed the channel")
     });
+    play(
+        "is killed, and the notice to leave comes",
+        None,
+        &|keeper| {
+            keeper.cut_off("it closed the channel");
+            keeper.leave(70.0);
+            keeper.leave(80.0);
+            keeper.reload();
+        },
+    );
     assert_snapshot!(trace);
 }
 
@@ -201,17 +235,31 @@
         let happens: [&dyn Fn(&mut Heir); 4] = [
             &|heir| heir.heard(ms(1), Word::Form { form: 1 }),
             &|heir| {
-                heir.heard(ms(2), Word::Pass { roles: vec![Role::Image] });
+                heir.heard(
+                    ms(2),
+                    Word::Pass {
+                        roles: vec![Role::Image],
+                    },
+                );
                 heir.heard(ms(3), Word::Passed { count: 1 });
             },
             &|heir| heir.taken(ms(4)),
             &|heir| heir.heard(ms(5), Word::Go),
         ];
-        happens.iter().take(left_at).for_each(|happens| happens(&mut heir));
+        happens
+            .iter()
+            .take(left_at)
+            .for_each(|happens| happens(&mut heir));
         heir.alone(ms(6));
         let _ = write!(trace, "alone after {left_at}{}", said(&mut heir));
         heir.taken(ms(7)); // counts only where it was about to take
-        let _ = write!(trace, "  owns {}, notes {}{}", heir.owns(), heir.notes(), said(&mut heir));
+        let _ = write!(
+            trace,
+            "  owns {}, notes {}{}",
+            heir.owns(),
+            heir.notes(),
+            said(&mut heir)
+        );
     }
     let mut heir = Heir::new(ms(500), "next");
     heir.heard(ms(1), Word::Form { form: 1 });
--- a/crates/merlinshelf-handover/tests/walks.rs
+++ b/crates/merlinshelf-handover/tests/walks.rs
@@ -14,7 +14,12 @@
     Duration::from_millis(count)
 }
 
-const PATIENCE: Patience = Patience { ready: ms(1000), taken: ms(200), watched: ms(500), silent: ms(300) };
+const PATIENCE: Patience = Patience {
+    ready: ms(1000),
+    taken: ms(200),
+    watched: ms(500),
+    silent: ms(300),
+};
 
 #[derive(Clone, Debug)]
 enum Happens {
@@ -69,7 +74,11 @@
 
 impl World {
     fn new() -> World {
-        World { old: Some(Keeper::new(PATIENCE)), old_serves: true, ..World::default() }
+        World {
+            old: Some(Keeper::new(PATIENCE)),
+            old_serves: true,
+            ..World::default()
+        }
     }
 
     fn end_heir(&mut self, status: Option<i32>) {
@@ -83,7 +92,9 @@
     fn keeper_steps(&mut self) {
         while let Some(step) = self.old.as_mut().and_then(Keeper::next_step) {
             let _ = writeln!(self.trace, "{:?} old {step:?}", self.now);
-            let (now, Some(old)) = (self.now, &mut self.old) else { return };
+            let (now, Some(old)) = (self.now, &mut self.old) else {
+                return;
+            };
             match step {
                 Step::Start => {
                     self.heir = Some(Heir::new(PATIENCE.watched, "next"));
@@ -100,7 +111,11 @@
                 Step::Pass => old.passed(0),
                 Step::Kill => self.end_heir(None),
                 Step::Resume | Step::TakeBack => {
-                    assert!(self.heir.is_none(), "taken up before its end was seen\n{}", self.trace);
+                    assert!(
+                        self.heir.is_none(),
+                        "taken up before its end was seen\n{}",
+                        self.trace
+                    );
                     assert!(!self.old_serves, "taken up twice\n{}", self.trace);
                     self.old_serves = true;
                 }
@@ -108,10 +123,18 @@
                     assert!(self.old_serves, "leaves without serving\n{}", self.trace);
                     self.left = true;
                 }
-                Step::ReloadNow => assert!(self.old_serves, "reads anew without serving\n{}", self.trace),
+                Step::ReloadNow => assert!(
+                    self.old_serves,
+                    "reads anew without serving\n{}",
+                    self.trace
+                ),
                 Step::End | Step::EndAs { .. } => {
                     assert!(!self.old_serves, "ends while it serves\n{}", self.trace);
-                    assert!(self.heir.is_some() || self.left, "ends with nobody there\n{}", self.trace);
+                    assert!(
+                        self.heir.is_some() || self.left,
+                        "ends with nobody there\n{}",
+                        self.trace
+                    );
                     self.old = None;
                 }
                 Step::Yield | Step::Tell(_) => {}
@@ -126,7 +149,9 @@
             let Some(heir) = &mut self.heir else { return };
             match step {
                 heir::Step::Say(word) => self.to_old.push_back(word),
-                heir::Step::Take if std::mem::take(&mut self.taking_fails) => heir.not_taken("torn"),
+                heir::Step::Take if std::mem::take(&mut self.taking_fails) => {
+                    heir.not_taken("torn")
+                }
                 heir::Step::Take => heir.taken(now),
                 heir::Step::Serve => {
                     assert!(!self.old_serves, "both serve\n{}", self.trace);
@@ -134,7 +159,11 @@
                 }
                 heir::Step::Leave { .. } => self.left = true,
                 heir::Step::End { .. } => {
-                    assert!(!self.heir_serves, "ends with everything in hand\n{}", self.trace);
+                    assert!(
+                        !self.heir_serves,
+                        "ends with everything in hand\n{}",
+                        self.trace
+                    );
                     self.end_heir(Some(1));
                 }
                 heir::Step::Free | heir::Step::Reload => {}
@@ -174,11 +203,18 @@
                 old.woken(now);
             }
             self.keeper_steps();
-            if (self.hangs || self.to_heir.is_empty()) && self.to_old.is_empty() && self.ended.is_none() {
+            if (self.hangs || self.to_heir.is_empty())
+                && self.to_old.is_empty()
+                && self.ended.is_none()
+            {
                 break;
             }
         }
-        assert!(!(self.old_serves && self.heir_serves), "both serve\n{}", self.trace);
+        assert!(
+            !(self.old_serves && self.heir_serves),
+            "both serve\n{}",
+            self.trace
+        );
         let alive = self.old.is_some() || self.heir.is_some();
         // A successor that hangs is found by its silence, which has its own time.
         if self.old_serves || self.heir_serves || !alive || self.left {
@@ -186,7 +222,11 @@
         } else {
             let since = *self.idle_since.get_or_insert(self.now);
             let most = PATIENCE.taken + ms(240); // two turns of the walk's longest
-            assert!(self.now - since <= most, "nobody serves since {since:?}\n{}", self.trace);
+            assert!(
+                self.now - since <= most,
+                "nobody serves since {since:?}\n{}",
+                self.trace
+            );
         }
     }
 
@@ -323,7 +363,14 @@
     }
     let mut transaction = Transaction::default();
     let key = Key::Invocation(*b"0123456789abcdef");
-    transaction.put(key, &Later { operation: 2, colour: "red".into(), calls: 1 });
+    transaction.put(
+        key,
+        &Later {
+            operation: 2,
+            colour: "red".into(),
+            calls: 1,
+        },
+    );
     let mut bytes = transaction.take();
     // And an entry of a kind that nobody knows yet.
     bytes.extend([99; 17]);
@@ -335,5 +382,12 @@
     assert_eq!(image.apply(&bytes), Ok(bytes.len()));
     assert_eq!(image.keys().collect::<Vec<_>>(), [key]);
     let known: Invocation = image.get(key).expect("a record");
-    assert_eq!(known, Invocation { operation: 2, calls: 1, ..Invocation::default() });
+    assert_eq!(
+        known,
+        Invocation {
+            operation: 2,
+            calls: 1,
+            ..Invocation::default()
+        }
+    );
 }
--- a/crates/merlinshelf-knowledge/src/book.rs
+++ b/crates/merlinshelf-knowledge/src/book.rs
@@ -52,7 +52,11 @@
 
 impl Book {
     pub fn new(own: Origin) -> Book {
-        Book { own, number: 0, figures: BTreeMap::new() }
+        Book {
+            own,
+            number: 0,
+            figures: BTreeMap::new(),
+        }
     }
 
     pub fn own(&self) -> &Origin {
@@ -61,8 +65,19 @@
 
     /// Something was seen here, a while ago. The same value of as many samples as before is the look before: where nothing
     /// happens a figure grows old.
-    pub fn see(&mut self, now: f64, subject: Subject, value: f64, count: u32, age: f64, standing: Standing) {
-        let known = self.figures.get(&subject).and_then(|all| all.get(&self.own));
+    pub fn see(
+        &mut self,
+        now: f64,
+        subject: Subject,
+        value: f64,
+        count: u32,
+        age: f64,
+        standing: Standing,
+    ) {
+        let known = self
+            .figures
+            .get(&subject)
+            .and_then(|all| all.get(&self.own));
         // What can't be is a fault of a clock or of a sum, and is not told to others either.
         let same = known.is_some_and(|known| known.value == value && known.count == count);
         if same || !subject.can_be(value) {
@@ -70,7 +85,14 @@
         }
         let now = now - age.max(0.0);
         self.number += 1;
-        let figure = Figure { value, count, seen: now, number: self.number, hops: 0, standing };
+        let figure = Figure {
+            value,
+            count,
+            seen: now,
+            number: self.number,
+            hops: 0,
+            standing,
+        };
         let own = self.own.clone();
         self.put(now, subject, own, figure);
     }
@@ -79,15 +101,34 @@
     /// gets no younger and no surer by that.
     pub fn hear(&mut self, now: f64, told: Told) -> Result<(), Unbelievable> {
         told.check(&self.own)?;
-        let Told { subject, origin, value, count, age, number, hops, standing } = told;
-        let mut figure = Figure { value, count, seen: now - age, number, hops, standing };
+        let Told {
+            subject,
+            origin,
+            value,
+            count,
+            age,
+            number,
+            hops,
+            standing,
+        } = told;
+        let mut figure = Figure {
+            value,
+            count,
+            seen: now - age,
+            number,
+            hops,
+            standing,
+        };
         if let Some(known) = self.figures.get(&subject).and_then(|all| all.get(&origin)) {
             if known.number > number {
                 return Ok(());
             }
             if known.number == number {
-                figure =
-                    Figure { seen: known.seen.min(figure.seen), hops: known.hops.min(hops), ..known.clone() };
+                figure = Figure {
+                    seen: known.seen.min(figure.seen),
+                    hops: known.hops.min(hops),
+                    ..known.clone()
+                };
             }
         }
         self.put(now, subject, origin, figure);
@@ -104,7 +145,8 @@
         while all.len() > ORIGINS_MOST {
             let own = &self.own;
             let others = all.iter().filter(|(origin, _)| *origin != own);
-            let weighed = others.map(|(origin, figure)| (weight(now, &subject, figure), origin.clone()));
+            let weighed =
+                others.map(|(origin, figure)| (weight(now, &subject, figure), origin.clone()));
             match weighed.min_by(|a, b| a.0.total_cmp(&b.0)) {
                 Some((_, least)) => all.remove(&least),
                 None => break,
@@ -113,9 +155,15 @@
     }
 
     fn forget_oldest(&mut self) {
-        let newest =
-            |all: &BTreeMap<Origin, Figure>| all.values().map(|figure| figure.seen).fold(f64::MIN, f64::max);
-        let oldest = self.figures.iter().min_by(|a, b| newest(a.1).total_cmp(&newest(b.1)));
+        let newest = |all: &BTreeMap<Origin, Figure>| {
+            all.values()
+                .map(|figure| figure.seen)
+                .fold(f64::MIN, f64::max)
+        };
+        let oldest = self
+            .figures
+            .iter()
+            .min_by(|a, b| newest(a.1).total_cmp(&newest(b.1)));
         if let Some(subject) = oldest.map(|(subject, _)| subject.clone()) {
             self.figures.remove(&subject);
         }
@@ -127,7 +175,14 @@
         let mut all = self.all(now);
         if all.len() > most {
             let counts = |told: &Told| {
-                let Told { subject, count, age, hops, standing, .. } = told;
+                let Told {
+                    subject,
+                    count,
+                    age,
+                    hops,
+                    standing,
+                    ..
+                } = told;
                 counts_for(subject, *count, *age, *hops, *standing)
                     + f64::from(u8::from(told.origin == self.own))
             };
@@ -165,8 +220,9 @@
     pub fn believe(&self, now: f64, subject: &Subject) -> Option<Belief> {
         let all = self.figures.get(subject)?;
         let others = all.iter().filter(|(origin, _)| **origin != self.own);
-        let mut weighed: Vec<(f64, f64, &Origin)> =
-            others.map(|(origin, figure)| (figure.value, weight(now, subject, figure), origin)).collect();
+        let mut weighed: Vec<(f64, f64, &Origin)> = others
+            .map(|(origin, figure)| (figure.value, weight(now, subject, figure), origin))
+            .collect();
         weighed.retain(|(_, weight, _)| *weight > COUNTS_FROM);
         weighed.sort_by(|a, b| a.0.total_cmp(&b.0));
         let whole: f64 = weighed.iter().map(|(_, weight, _)| weight).sum();
@@ -177,7 +233,10 @@
         });
         let value = value?.0;
         // As sure as the surest: many echoes of a guess are still a guess.
-        let surest = weighed.iter().map(|(_, weight, _)| *weight).fold(0.0, f64::max);
+        let surest = weighed
+            .iter()
+            .map(|(_, weight, _)| *weight)
+            .fold(0.0, f64::max);
         weighed.sort_by(|a, b| b.1.total_cmp(&a.1));
         Some(Belief {
             value,
@@ -207,20 +266,30 @@
     /// Forgets all that others have seen.
     pub fn forget_others(&mut self) {
         let own = self.own.clone();
-        self.figures.values_mut().for_each(|all| all.retain(|origin, _| *origin == own));
+        self.figures
+            .values_mut()
+            .for_each(|all| all.retain(|origin, _| *origin == own));
         self.figures.retain(|_, all| !all.is_empty());
     }
 
     /// Forgets all that this origin has seen, in whatever life.
     pub fn forget(&mut self, name: &str) {
-        self.figures.values_mut().for_each(|all| all.retain(|origin, _| origin.name != name));
+        self.figures
+            .values_mut()
+            .for_each(|all| all.retain(|origin, _| origin.name != name));
         self.figures.retain(|_, all| !all.is_empty());
     }
 }
 
 /// How much a figure counts, 0 to 1: by its samples, its age, its way and its teacher's standing.
 pub fn weight(now: f64, subject: &Subject, figure: &Figure) -> f64 {
-    counts_for(subject, figure.count, (now - figure.seen).max(0.0), figure.hops, figure.standing)
+    counts_for(
+        subject,
+        figure.count,
+        (now - figure.seen).max(0.0),
+        figure.hops,
+        figure.standing,
+    )
 }
 
 /// The same of a figure with so many samples, so old, over so many others.
--- a/crates/merlinshelf-knowledge/src/fact.rs
+++ b/crates/merlinshelf-knowledge/src/fact.rs
@@ -87,7 +87,9 @@
             Subject::RunLowest { .. } | Subject::CallLowest { .. } => 600.0,
             Subject::RunRecent { .. } | Subject::Limit { .. } => 60.0,
             Subject::CallersAgain | Subject::CallersBack => 60.0,
-            Subject::CallRecent { .. } | Subject::CallLimit { .. } | Subject::RunBelow { .. } => 20.0,
+            Subject::CallRecent { .. } | Subject::CallLimit { .. } | Subject::RunBelow { .. } => {
+                20.0
+            }
             // Longer than the second in which it is seen: to believe it in vain costs one trial, not to believe it an outage.
             Subject::CallFailures { .. } => 10.0,
         }
@@ -115,7 +117,10 @@
             Subject::RunLowest { engine, operation } | Subject::RunRecent { engine, operation } => {
                 (Some(engine), Some(operation))
             }
-            Subject::RunBelow { dependency, operation } => (Some(dependency), Some(operation)),
+            Subject::RunBelow {
+                dependency,
+                operation,
+            } => (Some(dependency), Some(operation)),
             Subject::Limit { engine } => (Some(engine), None),
             Subject::CallLowest { dependency }
             | Subject::CallRecent { dependency }
@@ -130,14 +135,31 @@
         let engine = || server.map(str::to_owned);
         let (dependency, called) = (engine, || operation.map(str::to_owned));
         let subject = match kind {
-            "run-lowest" => Subject::RunLowest { engine: engine()?, operation: called()? },
-            "run-recent" => Subject::RunRecent { engine: engine()?, operation: called()? },
+            "run-lowest" => Subject::RunLowest {
+                engine: engine()?,
+                operation: called()?,
+            },
+            "run-recent" => Subject::RunRecent {
+                engine: engine()?,
+                operation: called()?,
+            },
             "limit" => Subject::Limit { engine: engine()? },
-            "call-lowest" => Subject::CallLowest { dependency: dependency()? },
-            "call-recent" => Subject::CallRecent { dependency: dependency()? },
-            "call-limit" => Subject::CallLimit { dependency: dependency()? },
-            "call-failures" => Subject::CallFailures { dependency: dependency()? },
-            "run-below" => Subject::RunBelow { dependency: dependency()?, operation: called()? },
+            "call-lowest" => Subject::CallLowest {
+                dependency: dependency()?,
+            },
+            "call-recent" => Subject::CallRecent {
+                dependency: dependency()?,
+            },
+            "call-limit" => Subject::CallLimit {
+                dependency: dependency()?,
+            },
+            "call-failures" => Subject::CallFailures {
+                dependency: dependency()?,
+            },
+            "run-below" => Subject::RunBelow {
+                dependency: dependency()?,
+                operation: called()?,
+            },
             "callers-again" => Subject::CallersAgain,
             "callers-back" => Subject::CallersBack,
             _ => return None,
@@ -170,7 +192,12 @@
     }
 
     pub fn of(name: &str) -> Option<Standing> {
-        let all = [Standing::Steady, Standing::Recovering, Standing::JustTaught, Standing::Leaving];
+        let all = [
+            Standing::Steady,
+            Standing::Recovering,
+            Standing::JustTaught,
+            Standing::Leaving,
+        ];
         all.into_iter().find(|one| one.name() == name)
     }
 
@@ -253,7 +280,10 @@
         } else if self.origin == *own {
             Err(Unbelievable::Echo)
         } else if !name(&self.origin.name)
-            || ![self.subject.names().0, self.subject.names().1].into_iter().flatten().all(name)
+            || ![self.subject.names().0, self.subject.names().1]
+                .into_iter()
+                .flatten()
+                .all(name)
         {
             Err(Unbelievable::Name)
         } else {
--- a/crates/merlinshelf-knowledge/src/learner.rs
+++ b/crates/merlinshelf-knowledge/src/learner.rs
@@ -92,9 +92,18 @@
 impl Learner {
     /// `life` tells this life from others of the same name: later ones have higher numbers.
     pub fn new(now: f64, life: u64, settings: Settings) -> Learner {
-        let own = Origin { name: settings.name.clone(), life };
-        let members =
-            Members::new(now, &settings.name, &settings.address, life, &settings.seeds, settings.members);
+        let own = Origin {
+            name: settings.name.clone(),
+            life,
+        };
+        let members = Members::new(
+            now,
+            &settings.name,
+            &settings.address,
+            life,
+            &settings.seeds,
+            settings.members,
+        );
         Learner {
             began: now,
             book: Book::new(own),
@@ -143,7 +152,8 @@
     }
 
     fn in_hurry(&self, now: f64) -> bool {
-        let taught_by_all = self.lessons.len() >= HURRY_UNTIL.min(self.members.count_alive().max(1));
+        let taught_by_all =
+            self.lessons.len() >= HURRY_UNTIL.min(self.members.count_alive().max(1));
         now < self.began + HURRY_FOR && !taught_by_all && !self.leaves
     }
 
@@ -160,7 +170,14 @@
             Standing::Steady
         };
         for seen in self.settings.scope.seen(clock, learnt) {
-            self.book.see(now, seen.subject, seen.value, seen.count, seen.age, self.standing);
+            self.book.see(
+                now,
+                seen.subject,
+                seen.value,
+                seen.count,
+                seen.age,
+                self.standing,
+            );
         }
     }
 
@@ -208,7 +225,8 @@
 
     /// Somebody asks; the answer, or nothing where teaching has taken its share. News are answered at all times.
     pub fn asked(&mut self, now: f64, question: &Message) -> Option<Message> {
-        self.saved = (self.saved + (now - self.saved_at).max(0.0) * self.settings.share).min(SAVED_MOST);
+        self.saved =
+            (self.saved + (now - self.saved_at).max(0.0) * self.settings.share).min(SAVED_MOST);
         self.saved_at = now;
         if self.saved < 0.0 {
             self.turned_away += 1;
@@ -217,9 +235,19 @@
         self.messages += 1;
         let news = &question.news[..question.news.len().min(NEWS_MOST)];
         let news = self.members.asked(now, &question.from, news);
-        let figures = if question.wants { self.book.tell(now, FIGURES_MOST) } else { Vec::new() };
+        let figures = if question.wants {
+            self.book.tell(now, FIGURES_MOST)
+        } else {
+            Vec::new()
+        };
         let from = self.members.own().clone();
-        Some(Message { from, standing: self.standing, wants: false, news, figures })
+        Some(Message {
+            from,
+            standing: self.standing,
+            wants: false,
+            news,
+            figures,
+        })
     }
 
     /// What answering took on the cores.
@@ -243,7 +271,8 @@
             }
         }
         if taken > 0 || !odd.is_empty() {
-            if !self.lessons.contains_key(&answer.from.name) && self.lessons.len() >= TEACHERS_MOST {
+            if !self.lessons.contains_key(&answer.from.name) && self.lessons.len() >= TEACHERS_MOST
+            {
                 let oldest = self.lessons.iter().min_by(|a, b| a.1.at.total_cmp(&b.1.at));
                 if let Some(name) = oldest.map(|(name, _)| name.clone()) {
                     self.lessons.remove(&name);
@@ -284,7 +313,10 @@
             taken += usize::from(self.book.hear(now, told).is_ok());
         }
         if taken > 0 {
-            let lessons = self.lessons.entry(format!("{} (its own past)", self.settings.name)).or_default();
+            let lessons = self
+                .lessons
+                .entry(format!("{} (its own past)", self.settings.name))
+                .or_default();
             lessons.at = now;
             lessons.times += 1;
             lessons.taken += taken as u64;
--- a/crates/merlinshelf-knowledge/src/lesson.rs
+++ b/crates/merlinshelf-knowledge/src/lesson.rs
@@ -43,7 +43,10 @@
     }
 
     fn below(&self, operation: &str) -> Subject {
-        Subject::RunBelow { dependency: self.dependency.clone(), operation: operation.to_owned() }
+        Subject::RunBelow {
+            dependency: self.dependency.clone(),
+            operation: operation.to_owned(),
+        }
     }
 
     /// The figures of what was learnt, as of `now` on the module's clock.
@@ -51,39 +54,102 @@
         let mut all = Vec::new();
         let mut add = |subject: Subject, value: f64, count: usize, age: f64| {
             if count > 0 {
-                all.push(Seen { subject, value, count: count as u32, age: age.max(0.0) });
+                all.push(Seen {
+                    subject,
+                    value,
+                    count: count as u32,
+                    age: age.max(0.0),
+                });
             }
         };
         let ran = now - learnt.progress;
         for (name, of) in self.operations.iter().zip(&learnt.operations) {
             let (took, cost) = (of.runs.iter().sum::<f64>(), of.costs.iter().sum::<f64>());
-            add(self.run(true, name), took / cost.max(1e-9), of.runs.len(), ran);
+            add(
+                self.run(true, name),
+                took / cost.max(1e-9),
+                of.runs.len(),
+                ran,
+            );
             add(self.run(false, name), of.lowest, of.runs.len(), ran);
             if of.below.iter().any(|below| *below > 0.0) {
                 add(self.below(name), mean(&of.below), of.below.len(), ran);
             }
         }
         let runs = learnt.operations.iter().map(|of| of.runs.len()).sum();
-        add(Subject::Limit { engine: self.engine.clone() }, learnt.limit, runs, ran);
+        add(
+            Subject::Limit {
+                engine: self.engine.clone(),
+            },
+            learnt.limit,
+            runs,
+            ran,
+        );
         let dependency = || self.dependency.clone();
         let called = learnt.calls.back().map_or(5.0, |(_, end)| now - end);
         let calls = learnt.call_times.len();
-        add(Subject::CallRecent { dependency: dependency() }, mean(&learnt.call_times), calls, called);
+        add(
+            Subject::CallRecent {
+                dependency: dependency(),
+            },
+            mean(&learnt.call_times),
+            calls,
+            called,
+        );
         // Of fewer the module has not taken its lowest yet.
         if learnt.call_lowest > 0.0 && calls >= 8 {
-            add(Subject::CallLowest { dependency: dependency() }, learnt.call_lowest, calls, called);
-            add(Subject::CallLimit { dependency: dependency() }, learnt.call_limit, calls, called);
+            add(
+                Subject::CallLowest {
+                    dependency: dependency(),
+                },
+                learnt.call_lowest,
+                calls,
+                called,
+            );
+            add(
+                Subject::CallLimit {
+                    dependency: dependency(),
+                },
+                learnt.call_limit,
+                calls,
+                called,
+            );
         }
         let failures = learnt.call_failures;
         if failures > 0 || calls > 0 {
-            let age = if failures > 0 { now - learnt.call_failed_at } else { called };
+            let age = if failures > 0 {
+                now - learnt.call_failed_at
+            } else {
+                called
+            };
             let count = calls.max(failures as usize).min(24);
-            add(Subject::CallFailures { dependency: dependency() }, f64::from(failures), count, age);
+            add(
+                Subject::CallFailures {
+                    dependency: dependency(),
+                },
+                f64::from(failures),
+                count,
+                age,
+            );
         }
-        add(Subject::CallersAgain, mean(&learnt.agains), learnt.agains.len(), ran);
+        add(
+            Subject::CallersAgain,
+            mean(&learnt.agains),
+            learnt.agains.len(),
+            ran,
+        );
         if let Some(idle) = self.keep_idle {
-            let back = learnt.gaps.iter().filter(|gap| **gap <= idle as f64).count() as f64;
-            add(Subject::CallersBack, back / learnt.gaps.len().max(1) as f64, learnt.gaps.len(), ran);
+            let back = learnt
+                .gaps
+                .iter()
+                .filter(|gap| **gap <= idle as f64)
+                .count() as f64;
+            add(
+                Subject::CallersBack,
+                back / learnt.gaps.len().max(1) as f64,
+                learnt.gaps.len(),
+                ran,
+            );
         }
         all
     }
@@ -91,20 +157,34 @@
     /// What is believed of these on the word of others.
     pub fn beliefs(&self, now: f64, book: &Book) -> Beliefs {
         let of = |subject: Subject| {
-            book.believe(now, &subject).map(|it| Believed { value: it.value, weight: it.weight })
+            book.believe(now, &subject).map(|it| Believed {
+                value: it.value,
+                weight: it.weight,
+            })
         };
         let each = |subject: &dyn Fn(&str) -> Subject| -> Vec<Option<Believed>> {
-            self.operations.iter().map(|name| of(subject(name))).collect()
+            self.operations
+                .iter()
+                .map(|name| of(subject(name)))
+                .collect()
         };
         let dependency = || self.dependency.clone();
         Beliefs {
             runs: each(&|name| self.run(true, name)),
             lowest: each(&|name| self.run(false, name)),
             below: each(&|name| self.below(name)),
-            limit: of(Subject::Limit { engine: self.engine.clone() }),
-            call_lowest: of(Subject::CallLowest { dependency: dependency() }),
-            call_limit: of(Subject::CallLimit { dependency: dependency() }),
-            call_failures: of(Subject::CallFailures { dependency: dependency() }),
+            limit: of(Subject::Limit {
+                engine: self.engine.clone(),
+            }),
+            call_lowest: of(Subject::CallLowest {
+                dependency: dependency(),
+            }),
+            call_limit: of(Subject::CallLimit {
+                dependency: dependency(),
+            }),
+            call_failures: of(Subject::CallFailures {
+                dependency: dependency(),
+            }),
             again: of(Subject::CallersAgain),
             back: of(Subject::CallersBack),
         }
--- a/crates/merlinshelf-knowledge/src/log.rs
+++ b/crates/merlinshelf-knowledge/src/log.rs
@@ -130,6 +130,9 @@
     /// back since makes it no younger than it was.
     pub fn told_at(self, unix: f64) -> Told {
         let since = (unix - self.at).max(0.0);
-        Told { age: self.told.age + since, ..self.told }
+        Told {
+            age: self.told.age + since,
+            ..self.told
+        }
     }
 }
--- a/crates/merlinshelf-knowledge/src/members.rs
+++ b/crates/merlinshelf-knowledge/src/members.rs
@@ -98,7 +98,11 @@
 /// A moment as a number that is ordered alike.
 fn ordered(moment: f64) -> u64 {
     let bits = moment.to_bits();
-    if bits >> 63 == 0 { bits | 1 << 63 } else { !bits }
+    if bits >> 63 == 0 {
+        bits | 1 << 63
+    } else {
+        !bits
+    }
 }
 
 impl Peers {
@@ -163,8 +167,18 @@
         seeds: &[String],
         settings: Settings,
     ) -> Members {
-        let own = News { name: name.into(), address: address.into(), life, turn: 0, state: State::Alive };
-        let seeds = seeds.iter().filter(|seed| *seed != address).cloned().collect();
+        let own = News {
+            name: name.into(),
+            address: address.into(),
+            life,
+            turn: 0,
+            state: State::Alive,
+        };
+        let seeds = seeds
+            .iter()
+            .filter(|seed| *seed != address)
+            .cloned()
+            .collect();
         Members {
             own,
             own_told: 0,
@@ -184,12 +198,19 @@
 
     /// When it wants to be woken though nothing happens.
     pub fn wake_at(&self) -> f64 {
-        self.asked.iter().map(|(_, until)| *until).fold(self.ask_at, f64::min)
+        self.asked
+            .iter()
+            .map(|(_, until)| *until)
+            .fold(self.ask_at, f64::min)
     }
 
     /// Peers that can be asked, by name and address.
     pub fn alive(&self) -> impl Iterator<Item = (&str, &str)> {
-        let alive = self.peers.all.iter().filter(|(_, peer)| peer.state == State::Alive);
+        let alive = self
+            .peers
+            .all
+            .iter()
+            .filter(|(_, peer)| peer.state == State::Alive);
         alive.map(|(name, peer)| (&**name, peer.address.as_str()))
     }
 
@@ -218,11 +239,19 @@
     /// A moment that it asked for has come. `chance` is a number from 0 to under 1, another at each call.
     /// One in a hurry asks several at once and again soon.
     pub fn woken(&mut self, now: f64, hurry: bool, chance: &mut dyn FnMut() -> f64) {
-        let late: Vec<Arc<str>> =
-            self.asked.extract_if(.., |(_, until)| now >= *until).map(|(name, _)| name).collect();
+        let late: Vec<Arc<str>> = self
+            .asked
+            .extract_if(.., |(_, until)| now >= *until)
+            .map(|(name, _)| name)
+            .collect();
         late.iter().for_each(|name| self.silent(now, name));
         while let Some((name, peer)) = self.peers.due(now) {
-            let gone = Peer { state: State::Gone, since: now, told: 0, ..peer.clone() };
+            let gone = Peer {
+                state: State::Gone,
+                since: now,
+                told: 0,
+                ..peer.clone()
+            };
             let after = (peer.state == State::Suspect).then_some(gone);
             self.peers.put(&name, after, &self.settings);
         }
@@ -242,7 +271,9 @@
             self.new_round(chance);
         }
         while let Some(name) = self.round.pop_front() {
-            let Some(address) = self.address_of(&name) else { continue };
+            let Some(address) = self.address_of(&name) else {
+                continue;
+            };
             if self.asked.iter().any(|(asked, _)| *asked == name) {
                 continue;
             }
@@ -256,10 +287,18 @@
     /// All that may be there, in an order by chance; seeds too, by their address, as long as nobody is known there: so
     /// that parts that lost sight of each other find together again.
     fn new_round(&mut self, chance: &mut dyn FnMut() -> f64) {
-        let may = self.peers.all.iter().filter(|(_, peer)| peer.state <= State::Suspect);
+        let may = self
+            .peers
+            .all
+            .iter()
+            .filter(|(_, peer)| peer.state <= State::Suspect);
         let mut names: Vec<Arc<str>> = may.map(|(name, _)| name.clone()).collect();
         let unknown = self.seeds.iter().filter(|seed| {
-            !self.peers.all.values().any(|peer| peer.address == **seed && peer.state <= State::Suspect)
+            !self
+                .peers
+                .all
+                .values()
+                .any(|peer| peer.address == **seed && peer.state <= State::Suspect)
         });
         names.extend(unknown.map(|seed| format!("@{seed}").into()));
         for place in (1..names.len()).rev() {
@@ -272,7 +311,11 @@
         if let Some(seed) = name.strip_prefix('@') {
             return Some(seed.to_owned());
         }
-        self.peers.all.get(name).filter(|peer| peer.state <= State::Suspect).map(|peer| peer.address.clone())
+        self.peers
+            .all
+            .get(name)
+            .filter(|peer| peer.state <= State::Suspect)
+            .map(|peer| peer.address.clone())
     }
 
     /// Somebody asked, and told this of itself and of others; the news to answer with.
@@ -285,16 +328,26 @@
     /// Who was asked has answered, with this of itself and of others.
     pub fn answered(&mut self, now: f64, from: &News, news: &[News]) {
         self.asked.retain(|(name, _)| {
-            **name != *from.name && name.strip_prefix('@').is_none_or(|seed| seed != from.address)
+            **name != *from.name
+                && name
+                    .strip_prefix('@')
+                    .is_none_or(|seed| seed != from.address)
         });
         self.heard(now, from);
         news.iter().for_each(|news| self.heard(now, news));
     }
 
     fn silent(&mut self, now: f64, name: &str) {
-        let Some((name, peer)) = self.peers.all.get_key_value(name) else { return };
+        let Some((name, peer)) = self.peers.all.get_key_value(name) else {
+            return;
+        };
         if peer.state == State::Alive {
-            let suspect = Peer { state: State::Suspect, since: now, told: 0, ..peer.clone() };
+            let suspect = Peer {
+                state: State::Suspect,
+                since: now,
+                told: 0,
+                ..peer.clone()
+            };
             self.peers.put(&name.clone(), Some(suspect), &self.settings);
         }
     }
@@ -302,8 +355,9 @@
     fn heard(&mut self, now: f64, news: &News) {
         if news.name == self.own.name {
             // Somebody thinks worse of this life than it is: it says otherwise, with a higher turn.
-            let worse =
-                news.state > self.own.state && news.life == self.own.life && news.turn >= self.own.turn;
+            let worse = news.state > self.own.state
+                && news.life == self.own.life
+                && news.turn >= self.own.turn;
             if worse {
                 (self.own.turn, self.own_told) = (news.turn.saturating_add(1), 0);
             }
@@ -318,14 +372,29 @@
         }
         let known = self.peers.all.get_key_value(news.name.as_str());
         let newer = match known {
-            Some((_, known)) => (news.life, news.turn, news.state) > (known.life, known.turn, known.state),
+            Some((_, known)) => {
+                (news.life, news.turn, news.state) > (known.life, known.turn, known.state)
+            }
             // Of one that was never here nobody needs to know that it is gone.
             None => news.state <= State::Suspect && self.peers.all.len() < self.settings.peers_most,
         };
         if newer {
             let name = known.map_or_else(|| news.name.as_str().into(), |(name, _)| name.clone());
-            let News { address, life, turn, state, .. } = news.clone();
-            let heard = Peer { address, life, turn, state, since: now, told: 0 };
+            let News {
+                address,
+                life,
+                turn,
+                state,
+                ..
+            } = news.clone();
+            let heard = Peer {
+                address,
+                life,
+                turn,
+                state,
+                since: now,
+                told: 0,
+            };
             self.peers.put(&name, Some(heard), &self.settings);
         }
     }
@@ -338,12 +407,20 @@
     /// The news that were told least, of those that were not told often enough.
     fn news(&mut self) -> Vec<News> {
         let enough = TOLD_EACH * (usize::BITS - self.peers.all.len().leading_zeros() + 1);
-        let least = self.peers.told.iter().take_while(|(told, _)| *told < enough);
-        let names: Vec<Arc<str>> =
-            least.take(self.settings.news_most).map(|(_, name)| name.clone()).collect();
+        let least = self
+            .peers
+            .told
+            .iter()
+            .take_while(|(told, _)| *told < enough);
+        let names: Vec<Arc<str>> = least
+            .take(self.settings.news_most)
+            .map(|(_, name)| name.clone())
+            .collect();
         let mut news = Vec::new();
         for name in names {
-            let Some(peer) = self.peers.all.get(&name).cloned() else { continue };
+            let Some(peer) = self.peers.all.get(&name).cloned() else {
+                continue;
+            };
             news.push(News {
                 name: name.to_string(),
                 address: peer.address.clone(),
@@ -351,7 +428,14 @@
                 turn: peer.turn,
                 state: peer.state,
             });
-            self.peers.put(&name, Some(Peer { told: peer.told + 1, ..peer }), &self.settings);
+            self.peers.put(
+                &name,
+                Some(Peer {
+                    told: peer.told + 1,
+                    ..peer
+                }),
+                &self.settings,
+            );
         }
         news
     }
--- a/crates/merlinshelf-knowledge/src/store.rs
+++ b/crates/merlinshelf-knowledge/src/store.rs
@@ -87,13 +87,21 @@
     /// # Errors
     /// The file system's: then nothing is known of the past, and saving is tried all the same.
     pub fn open(files: &mut dyn Files) -> io::Result<(Store, Found)> {
-        let Some(bytes) = files.read(FILE)? else { return Ok((Store::default(), Found::default())) };
+        let Some(bytes) = files.read(FILE)? else {
+            return Ok((Store::default(), Found::default()));
+        };
         let recovered = if bytes.len() > LENGTH_MOST {
-            log::Recovered { flaw: Some(Flaw::Foreign), ..log::Recovered::default() }
+            log::Recovered {
+                flaw: Some(Flaw::Foreign),
+                ..log::Recovered::default()
+            }
         } else {
             log::recover(&bytes)
         };
-        let mut found = Found { flaw: recovered.flaw, ..Found::default() };
+        let mut found = Found {
+            flaw: recovered.flaw,
+            ..Found::default()
+        };
         for record in recovered.records {
             match record {
                 Record::Figure(kept) => found.kept.push(kept),
@@ -101,12 +109,21 @@
             }
         }
         found.set_aside = match found.flaw {
-            Some(Flaw::Foreign) => files.rename(FILE, ASIDE).and_then(|()| files.sync_folder()).is_ok(),
+            Some(Flaw::Foreign) => files
+                .rename(FILE, ASIDE)
+                .and_then(|()| files.sync_folder())
+                .is_ok(),
             // What can be read of it counts until the next saving has taken its place: a copy is set aside.
             Some(Flaw::Garbled) => copy(files, &bytes).is_ok(),
             Some(Flaw::Torn) | None => false,
         };
-        Ok((Store { life: found.life, ..Store::default() }, found))
+        Ok((
+            Store {
+                life: found.life,
+                ..Store::default()
+            },
+            found,
+        ))
     }
 
     /// Begins a life: its number is above all that were begun and, by the wall clock, above those that were lost.
@@ -123,7 +140,12 @@
     pub fn save(&mut self, files: &mut dyn Files, unix: f64, all: &[Told]) -> io::Result<()> {
         let key = |told: &Told| (told.subject.clone(), told.origin.clone());
         let state = |told: &Told| (told.number, told.hops);
-        let record = |told: &Told| log::record(&Record::Figure(Kept { at: unix, told: told.clone() }));
+        let record = |told: &Told| {
+            log::record(&Record::Figure(Kept {
+                at: unix,
+                told: told.clone(),
+            }))
+        };
         // Whatever fails from here on, the file is not known to be whole.
         let written = self.written.take();
         if let Some(mut known) = written {
--- a/crates/merlinshelf-knowledge/tests/knowledge.rs
+++ b/crates/merlinshelf-knowledge/tests/knowledge.rs
@@ -10,11 +10,16 @@
 use proptest::test_runner::RngSeed;
 
 fn origin(name: &str) -> Origin {
-    Origin { name: name.into(), life: 1 }
+    Origin {
+        name: name.into(),
+        life: 1,
+    }
 }
 
 fn calls() -> Subject {
-    Subject::CallRecent { dependency: "catalogue".into() }
+    Subject::CallRecent {
+        dependency: "catalogue".into(),
+    }
 }
 
 fn told(name: &str, value: f64, age: f64) -> Told {
@@ -36,20 +41,61 @@
     let steady = told("a", 0.010, 0.0);
     let plays = [
         ("fresh, of 24 samples", steady.clone()),
-        ("20 s old", Told { age: 20.0, ..steady.clone() }),
-        ("two minutes old", Told { age: 120.0, ..steady.clone() }),
-        ("of two samples", Told { count: 2, ..steady.clone() }),
-        ("passed on once", Told { hops: 2, ..steady.clone() }),
-        ("from one that is just recovering", Told { standing: Standing::Recovering, ..steady.clone() }),
-        ("from one that was just taught", Told { standing: Standing::JustTaught, ..steady.clone() }),
+        (
+            "20 s old",
+            Told {
+                age: 20.0,
+                ..steady.clone()
+            },
+        ),
+        (
+            "two minutes old",
+            Told {
+                age: 120.0,
+                ..steady.clone()
+            },
+        ),
+        (
+            "of two samples",
+            Told {
+                count: 2,
+                ..steady.clone()
+            },
+        ),
+        (
+            "passed on once",
+            Told {
+                hops: 2,
+                ..steady.clone()
+            },
+        ),
+        (
+            "from one that is just recovering",
+            Told {
+                standing: Standing::Recovering,
+                ..steady.clone()
+            },
+        ),
+        (
+            "from one that was just taught",
+            Told {
+                standing: Standing::JustTaught,
+                ..steady.clone()
+            },
+        ),
     ];
     for (what, told) in plays {
         let mut book = Book::new(origin("me"));
         book.hear(100.0, told).expect("it can be true");
         let belief = book.believe(100.0, &calls());
         let line = belief.map(|of| {
-            let shares = [0, 1, 3, 10].map(|own| format!("{:.2}", of.share(own))).join(" ");
-            format!("weight {:.3}, beside 0, 1, 3 and 10 own samples {shares}", of.weight)
+            let shares = [0, 1, 3, 10]
+                .map(|own| format!("{:.2}", of.share(own)))
+                .join(" ");
+            format!(
+                "weight {:.3}, beside 0, 1, 3 and 10 own samples {shares}",
+                of.weight
+            )
         });
         let _ = writeln!(trace, "{what}: {}", line.as_deref().unwrap_or("nothing"));
     }
@@ -60,23 +106,105 @@
 fn what_can_not_be_true_is_not_taken() {
     let good = told("a", 0.01, 1.0);
     let cases = [
-        (Told { value: f64::NAN, ..good.clone() }, Unbelievable::Value),
-        (Told { value: 0.0, ..good.clone() }, Unbelievable::Value),
-        (Told { value: f64::INFINITY, ..good.clone() }, Unbelievable::Value),
         (
-            Told { subject: Subject::Limit { engine: "e".into() }, value: 3e6, ..good.clone() },
+            Told {
+                value: f64::NAN,
+                ..good.clone()
+            },
+            Unbelievable::Value,
+        ),
+        (
+            Told {
+                value: 0.0,
+                ..good.clone()
+            },
             Unbelievable::Value,
         ),
-        (Told { age: -3600.0, ..good.clone() }, Unbelievable::Age),
-        (Told { age: f64::NAN, ..good.clone() }, Unbelievable::Age),
-        (Told { age: 1e9, ..good.clone() }, Unbelievable::Age),
-        (Told { count: 0, ..good.clone() }, Unbelievable::Count),
-        (Told { count: u32::MAX, ..good.clone() }, Unbelievable::Count),
-        (Told { hops: 0, ..good.clone() }, Unbelievable::Hops),
-        (Told { hops: HOPS_MOST + 1, ..good.clone() }, Unbelievable::Hops),
-        (Told { origin: origin("me"), ..good.clone() }, Unbelievable::Echo),
-        (Told { origin: origin(""), ..good.clone() }, Unbelievable::Name),
-        (Told { origin: origin(&"x".repeat(65)), ..good }, Unbelievable::Name),
+        (
+            Told {
+                value: f64::INFINITY,
+                ..good.clone()
+            },
+            Unbelievable::Value,
+        ),
+        (
+            Told {
+                subject: Subject::Limit { engine: "e".into() },
+                value: 3e6,
+                ..good.clone()
+            },
+            Unbelievable::Value,
+        ),
+        (
+            Told {
+                age: -3600.0,
+                ..good.clone()
+            },
+            Unbelievable::Age,
+        ),
+        (
+            Told {
+                age: f64::NAN,
+                ..good.clone()
+            },
+            Unbelievable::Age,
+        ),
+        (
+            Told {
+                age: 1e9,
+                ..good.clone()
+            },
+            Unbelievable::Age,
+        ),
+        (
+            Told {
+                count: 0,
+                ..good.clone()
+            },
+            Unbelievable::Count,
+        ),
+        (
+            Told {
+                count: u32::MAX,
+                ..good.clone()
+            },
+            Unbelievable::Count,
+        ),
+        (
+            Told {
+                hops: 0,
+                ..good.clone()
+            },
+            Unbelievable::Hops,
+        ),
+        (
+            Told {
+                hops: HOPS_MOST + 1,
+                ..good.clone()
+            },
+            Unbelievable::Hops,
+        ),
+        (
+            Told {
+                origin: origin("me"),
+                ..good.clone()
+            },
+            Unbelievable::Echo,
+        ),
+        (
+            Told {
+                origin: origin(""),
+                ..good.clone()
+            },
+            Unbelievable::Name,
+        ),
+        (
+            Told {
+                origin: origin(&"x".repeat(65)),
+                ..good
+            },
+            Unbelievable::Name,
+        ),
     ];
     for (told, why) in cases {
         let mut book = Book::new(origin("me"));
@@ -89,7 +217,11 @@
 fn one_liar_among_three_moves_nothing_past_what_an_honest_one_says() {
     for lie in [1e-5, 0.001, 0.5, 599.0] {
         let mut book = Book::new(origin("me"));
-        for told in [told("a", 0.010, 2.0), told("b", 0.012, 4.0), told("liar", lie, 0.0)] {
+        for told in [
+            told("a", 0.010, 2.0),
+            told("b", 0.012, 4.0),
+            told("liar", lie, 0.0),
+        ] {
             book.hear(50.0, told).expect("it might be true");
         }
         let belief = book.believe(50.0, &calls()).expect("three told");
@@ -97,10 +229,14 @@
     }
     // Alone it is believed, and loses against a few own samples.
     let mut book = Book::new(origin("me"));
-    book.hear(50.0, told("liar", 0.5, 0.0)).expect("it might be true");
+    book.hear(50.0, told("liar", 0.5, 0.0))
+        .expect("it might be true");
     let belief = book.believe(50.0, &calls()).expect("one told");
     let beside = [0, 1, 3, 10, 24].map(|own| belief.beside(0.010, own));
-    assert!(beside.windows(2).all(|two| two[1] < two[0]) && beside[4] < 0.06, "{beside:?}");
+    assert!(
+        beside.windows(2).all(|two| two[1] < two[0]) && beside[4] < 0.06,
+        "{beside:?}"
+    );
 }
 
 /// Instances that tell each other all they may, in any order.
@@ -112,7 +248,11 @@
 }
 
 fn talks() -> impl Strategy<Value = Vec<Talk>> {
-    let one = (0usize..5, 0usize..5, 0.0f64..3.0).prop_map(|(from, to, passes)| Talk { from, to, passes });
+    let one = (0usize..5, 0usize..5, 0.0f64..3.0).prop_map(|(from, to, passes)| Talk {
+        from,
+        to,
+        passes,
+    });
     proptest::collection::vec(one, 1..60)
 }
 
@@ -199,8 +339,14 @@
     assert_eq!(recover(b"SQLite format 3\0").flaw, Some(Flaw::Foreign));
     assert_eq!(recover(b"MSK1\x03\0\0\0").flaw, Some(Flaw::Foreign));
     assert_eq!(recover(b"MSK1\x01\0\0\0").flaw, None);
-    assert_eq!((recover(b"").flaw, recover(b"MS").flaw), (None, Some(Flaw::Torn)));
-    let kept = Kept { at: 1000.0, told: told("a", 0.01, 7.0) };
+    assert_eq!(
+        (recover(b"").flaw, recover(b"MS").flaw),
+        (None, Some(Flaw::Torn))
+    );
+    let kept = Kept {
+        at: 1000.0,
+        told: told("a", 0.01, 7.0),
+    };
     assert_eq!(kept.clone().told_at(1030.0).age, 37.0);
     assert_eq!(kept.told_at(400.0).age, 7.0);
 }
--- a/crates/merlinshelf-knowledge/tests/learner.rs
+++ b/crates/merlinshelf-knowledge/tests/learner.rs
@@ -114,7 +114,10 @@
     let of = pupil.beliefs(200.0);
     assert!(of.runs[1].expect("it is told of").weight < 0.3 * full);
     let failures = of.call_failures.expect("it is told of");
-    assert!(failures.value == 9.0 && failures.weight > 0.9 * full, "{failures:?}");
+    assert!(
+        failures.value == 9.0 && failures.weight > 0.9 * full,
+        "{failures:?}"
+    );
     // Taken back a moment ago.
     let mut back = steady(199.0, "d", 1.0);
     back.taken_back(199.5);
@@ -126,14 +129,21 @@
     middle.see(200.0, 200.0, &learnt(1, 200.0, 1.0, 0));
     assert_eq!(middle.standing(), Standing::JustTaught);
     let second_hand = weight_of_long(&mut middle);
-    assert!(second_hand < 0.55 * full && second_hand > 0.4 * full, "{second_hand} of {full}");
+    assert!(
+        second_hand < 0.55 * full && second_hand > 0.4 * full,
+        "{second_hand} of {full}"
+    );
     // One that leaves knows as much as before.
     let mut leaving = steady(200.0, "f", 1.0);
     leaving.leave();
     assert!(weight_of_long(&mut leaving) > 0.9 * full);
     let mut pupil = learner(200.0, "pupil", &[]);
     ask(200.0, &mut pupil, &mut leaving);
-    assert_eq!(pupil.members().state_of("f"), None, "one that has left is nobody to ask");
+    assert_eq!(
+        pupil.members().state_of("f"),
+        None,
+        "one that has left is nobody to ask"
+    );
 }
 
 #[test]
@@ -146,8 +156,14 @@
     assert!((1.0..=1.2).contains(&long.value), "{long:?}");
     // Word of what can't be.
     let told = |value: f64, age: f64, origin: &str, hops: u8| Told {
-        subject: Subject::RunLowest { engine: "e".into(), operation: "short".into() },
-        origin: Origin { name: origin.into(), life: 1 },
+        subject: Subject::RunLowest {
+            engine: "e".into(),
+            operation: "short".into(),
+        },
+        origin: Origin {
+            name: origin.into(),
+            life: 1,
+        },
         value,
         count: 24,
         age,
@@ -165,17 +181,33 @@
     let mut liar = learner(300.0, "x", &[]);
     liar.see(300.0, 300.0, &learnt(24, 300.0, 1.0, 0));
     let from = liar.members().own().clone();
-    let answer = Message { from, standing: Standing::Steady, wants: false, news: Vec::new(), figures };
+    let answer = Message {
+        from,
+        standing: Standing::Steady,
+        wants: false,
+        news: Vec::new(),
+        figures,
+    };
     let odd = pupil.answered(300.0, &answer);
     assert_eq!(
         odd.into_iter().collect::<Vec<_>>(),
-        [(Unbelievable::Value, 2), (Unbelievable::Age, 1), (Unbelievable::Hops, 1)]
+        [
+            (Unbelievable::Value, 2),
+            (Unbelievable::Age, 1),
+            (Unbelievable::Hops, 1)
+        ]
     );
     // Who tells another one's figures as if over one hop is put right.
-    let answer = Message { figures: vec![told(0.01, 0.0, "z", 1)], ..answer };
+    let answer = Message {
+        figures: vec![told(0.01, 0.0, "z", 1)],
+        ..answer
+    };
     pupil.answered(300.0, &answer);
-    let z =
-        pupil.book().figures().find(|(_, origin, _)| origin.name == "z").map(|(_, _, figure)| figure.hops);
+    let z = pupil
+        .book()
+        .figures()
+        .find(|(_, origin, _)| origin.name == "z")
+        .map(|(_, _, figure)| figure.hops);
     assert_eq!(z, Some(2));
 }
 
@@ -193,7 +225,10 @@
         };
         let answer = teacher.asked(now + 20.0, &question).expect("an answer");
         assert!(pupil.answered(10_020.0, &answer).is_empty());
-        let long = pupil.book().figures().find(|(subject, ..)| subject.kind() == "run-recent");
+        let long = pupil
+            .book()
+            .figures()
+            .find(|(subject, ..)| subject.kind() == "run-recent");
         assert_eq!(long.map(|(_, _, figure)| figure.seen), Some(10_000.0));
     }
 }
@@ -202,7 +237,11 @@
 fn a_message_of_any_size_is_bounded_and_a_flood_of_questions_takes_no_more_than_the_share() {
     let mut teacher = steady(400.0, "teacher", 1.0);
     for peer in 0..40 {
-        ask(400.0, &mut teacher, &mut steady(400.0, &format!("peer-{peer}"), 1.0));
+        ask(
+            400.0,
+            &mut teacher,
+            &mut steady(400.0, &format!("peer-{peer}"), 1.0),
+        );
     }
     let question = |name: &str| Message {
         from: learner(400.0, name, &[]).members().own().clone(),
@@ -214,8 +253,16 @@
     let answer = teacher.asked(400.0, &question("asker")).expect("an answer");
     assert_eq!(answer.figures.len(), FIGURES_MOST);
     // What it has seen itself goes first.
-    let own = answer.figures.iter().filter(|told| told.origin.name == "teacher").count();
-    let known = teacher.book().figures().filter(|(_, origin, _)| origin.name == "teacher").count();
+    let own = answer
+        .figures
+        .iter()
+        .filter(|told| told.origin.name == "teacher")
+        .count();
+    let known = teacher
+        .book()
+        .figures()
+        .filter(|(_, origin, _)| origin.name == "teacher")
+        .count();
     assert_eq!(own, known);
     // A thousand questions a second that take a millisecond each: a hundredth of the time is theirs, and what was saved up.
     let mut answered = 0;
@@ -237,15 +284,29 @@
     let (mut now, mut asked) = (0.0, Vec::new());
     while now < 6.0 {
         let steps = one.woken(now, &mut || 0.5);
-        asked.extend(steps.into_iter().map(|Step::Ask { address, .. }| (now, address)));
+        asked.extend(
+            steps
+                .into_iter()
+                .map(|Step::Ask { address, .. }| (now, address)),
+        );
         now += 0.01;
     }
     // Nobody answers: at most three are waited for at once, each for half a second, and after three seconds one a second.
     let early = asked.iter().filter(|(at, _)| *at < 3.0).count();
     let late = asked.iter().filter(|(at, _)| *at >= 3.5).count();
-    assert!((6..=21).contains(&early) && (2..=3).contains(&late), "{early} {late}");
+    assert!(
+        (6..=21).contains(&early) && (2..=3).contains(&late),
+        "{early} {late}"
+    );
     // Alone it asks nobody and never wakes for it.
-    let mut alone = Learner::new(0.0, 1, Settings { address: String::new(), ..settings("me", &seeds) });
+    let mut alone = Learner::new(
+        0.0,
+        1,
+        Settings {
+            address: String::new(),
+            ..settings("me", &seeds)
+        },
+    );
     assert_eq!(alone.wake_at(), None);
     assert!(alone.woken(5.0, &mut || 0.5).is_empty());
 }
@@ -254,15 +315,32 @@
 fn its_own_past_is_a_teacher_like_others_that_grows_old() {
     let before = steady(500.0, "me", 1.0);
     let kept = before.kept(500.0);
-    assert!(kept.iter().all(|told| told.hops == 1 && told.origin.name == "me"));
+    assert!(
+        kept.iter()
+            .all(|told| told.hops == 1 && told.origin.name == "me")
+    );
     // The next life, on the same machine: half a minute of it went by.
     let mut after = Learner::new(530.0, 2, settings("me", &[]));
-    let kept: Vec<Told> = kept.into_iter().map(|told| Told { age: told.age + 30.0, ..told }).collect();
+    let kept: Vec<Told> = kept
+        .into_iter()
+        .map(|told| Told {
+            age: told.age + 30.0,
+            ..told
+        })
+        .collect();
     let count = kept.len();
     assert_eq!(after.remember(530.0, kept.clone()), count);
     let long = after.beliefs(530.0).runs[1].expect("it knows");
-    assert!(long.value == 1.0 && (0.4..0.6).contains(&long.weight), "{long:?}");
-    assert!(after.lessons().keys().any(|name| name.contains("its own past")));
+    assert!(
+        long.value == 1.0 && (0.4..0.6).contains(&long.weight),
+        "{long:?}"
+    );
+    assert!(
+        after
+            .lessons()
+            .keys()
+            .any(|name| name.contains("its own past"))
+    );
     // The world has changed: what it sees itself is told to others, not what it remembers of that.
     after.see(531.0, 531.0, &learnt(24, 531.0, 2.0, 0));
     let mut pupil = learner(531.0, "pupil", &[]);
@@ -280,7 +358,11 @@
     ask(600.0, &mut one, &mut steady(600.0, "a", 1.0));
     ask(600.0, &mut one, &mut steady(600.0, "b", 1.0));
     let origins = |one: &Learner| {
-        let mut all: Vec<String> = one.book().figures().map(|(_, origin, _)| origin.name.clone()).collect();
+        let mut all: Vec<String> = one
+            .book()
+            .figures()
+            .map(|(_, origin, _)| origin.name.clone())
+            .collect();
         all.sort();
         all.dedup();
         all
@@ -295,12 +377,17 @@
 
 #[test]
 fn a_leaving_one_says_so_to_whom_it_asks() {
-    let (mut one, mut other) = (learner(0.0, "one", &["other"]), learner(0.0, "other", &["one"]));
+    let (mut one, mut other) = (
+        learner(0.0, "one", &["other"]),
+        learner(0.0, "other", &["one"]),
+    );
     ask(0.0, &mut other, &mut one);
     assert_eq!(other.members().state_of("one"), Some(State::Alive));
     one.leave();
     let steps = one.woken(1.0, &mut || 0.5);
-    let Some(Step::Ask { question, .. }) = steps.into_iter().next() else { panic!("it asks") };
+    let Some(Step::Ask { question, .. }) = steps.into_iter().next() else {
+        panic!("it asks")
+    };
     other.asked(1.0, &question);
     assert_eq!(other.members().state_of("one"), Some(State::Left));
 }
--- a/crates/merlinshelf-knowledge/tests/members.rs
+++ b/crates/merlinshelf-knowledge/tests/members.rs
@@ -22,8 +22,17 @@
 #[derive(Clone, Debug, PartialEq)]
 enum What {
     Wake(usize),
-    Question { from: usize, to: usize, own: News, news: Vec<News> },
-    Answer { to: usize, own: News, news: Vec<News> },
+    Question {
+        from: usize,
+        to: usize,
+        own: News,
+        news: Vec<News>,
+    },
+    Answer {
+        to: usize,
+        own: News,
+        news: Vec<News>,
+    },
 }
 
 /// All instances and the network between them. Times are in microseconds in the queue.
@@ -45,7 +54,14 @@
         let settings = Settings::default();
         let members = (0..count)
             .map(|number| {
-                Some(Members::new(0.0, &format!("n{number}"), &number.to_string(), 1, &seeds, settings))
+                Some(Members::new(
+                    0.0,
+                    &format!("n{number}"),
+                    &number.to_string(),
+                    1,
+                    &seeds,
+                    settings,
+                ))
             })
             .collect();
         let mut world = World {
@@ -63,7 +79,8 @@
     }
 
     fn at(&mut self, at: f64, what: What) {
-        self.queue.push(Reverse(((at * 1e6) as u64, self.what.len() as u64)));
+        self.queue
+            .push(Reverse(((at * 1e6) as u64, self.what.len() as u64)));
         self.what.push(what);
     }
 
@@ -88,7 +105,9 @@
             match what {
                 What::Wake(number) => {
                     let chance = &mut self.chance;
-                    let Some(Some(one)) = self.members.get_mut(number) else { continue };
+                    let Some(Some(one)) = self.members.get_mut(number) else {
+                        continue;
+                    };
                     one.woken(now, false, &mut || chance.next());
                     let (mut asks, own, wake) = (Vec::new(), one.own().clone(), one.wake_at());
                     while let Some(Step::Ask { address, news }) = one.next_step() {
@@ -101,16 +120,37 @@
                             number,
                             to,
                             count,
-                            What::Question { from: number, to, own: own.clone(), news },
+                            What::Question {
+                                from: number,
+                                to,
+                                own: own.clone(),
+                                news,
+                            },
                         );
                     }
                     self.at(wake.max(now + 1e-4), What::Wake(number));
                 }
-                What::Question { from, to, own, news } => {
-                    let Some(one) = &mut self.members[to] else { continue };
+                What::Question {
+                    from,
+                    to,
+                    own,
+                    news,
+                } => {
+                    let Some(one) = &mut self.members[to] else {
+                        continue;
+                    };
                     let news = one.asked(now, &own, &news);
                     let (own, count) = (one.own().clone(), news.len());
-                    self.send(to, from, count, What::Answer { to: from, own, news });
+                    self.send(
+                        to,
+                        from,
+                        count,
+                        What::Answer {
+                            to: from,
+                            own,
+                            news,
+                        },
+                    );
                 }
                 What::Answer { to, own, news } => {
                     if let Some(one) = &mut self.members[to] {
@@ -141,7 +181,9 @@
     let mut costs = Vec::new();
     for count in [16, 120] {
         let mut world = World::new(count, 7);
-        let met = world.when(120.0, |one| one.alive().count() == count - 1).expect("all meet");
+        let met = world
+            .when(120.0, |one| one.alive().count() == count - 1)
+            .expect("all meet");
         let (from, before) = (world.now, world.messages);
         world.until(from + 20.0);
         costs.push((world.messages - before) as f64 / 20.0 / count as f64);
@@ -151,63 +193,123 @@
         let (dead, left) = (format!("n{}", count / 2), format!("n{}", count / 3));
         let began = world.now;
         let knows = |name: String, state: State| {
-            move |one: &Members| one.own().name == name || one.state_of(&name).is_none_or(|of| of >= state)
+            move |one: &Members| {
+                one.own().name == name || one.state_of(&name).is_none_or(|of| of >= state)
+            }
         };
-        let told = world.when(60.0, knows(left, State::Left)).expect("all know that it left") - began;
-        world.when(60.0, knows(dead, State::Gone)).expect("all know that it is gone");
+        let told = world
+            .when(60.0, knows(left, State::Left))
+            .expect("all know that it left")
+            - began;
+        world
+            .when(60.0, knows(dead, State::Gone))
+            .expect("all know that it is gone");
         let gone = world.now - began;
-        assert!(met < 60.0 && told < 20.0 && gone < 40.0, "{count}: met {met}, told {told}, gone {gone}");
+        assert!(
+            met < 60.0 && told < 20.0 && gone < 40.0,
+            "{count}: met {met}, told {told}, gone {gone}"
+        );
         // Nobody else was lost over it.
-        assert!(world.members.iter().flatten().all(|one| one.alive().count() >= count - 3));
+        assert!(
+            world
+                .members
+                .iter()
+                .flatten()
+                .all(|one| one.alive().count() >= count - 3)
+        );
     }
     // A question and an answer a second each, whatever the size.
-    assert!(costs[0] < 2.5 && costs[1] < 2.5 && (costs[0] - costs[1]).abs() < 0.3, "{costs:?}");
+    assert!(
+        costs[0] < 2.5 && costs[1] < 2.5 && (costs[0] - costs[1]).abs() < 0.3,
+        "{costs:?}"
+    );
 }
 
 #[test]
 fn a_parted_network_heals() {
     let count = 40;
     let mut world = World::new(count, 11);
-    world.when(60.0, |one| one.alive().count() == count - 1).expect("all meet");
+    world
+        .when(60.0, |one| one.alive().count() == count - 1)
+        .expect("all meet");
     // The seeds are all on one side.
     (20..count).for_each(|number| world.part[number] = 1);
     world.until(world.now + 90.0);
-    assert!(world.members.iter().flatten().all(|one| one.alive().count() == 19), "each side knows its own");
+    assert!(
+        world
+            .members
+            .iter()
+            .flatten()
+            .all(|one| one.alive().count() == 19),
+        "each side knows its own"
+    );
     world.part.fill(0);
-    world.when(60.0, |one| one.alive().count() == count - 1).expect("all meet again");
+    world
+        .when(60.0, |one| one.alive().count() == count - 1)
+        .expect("all meet again");
 }
 
 #[test]
 fn one_that_answers_nobody_is_gone_for_all_and_one_that_was_only_slow_says_otherwise() {
     let count = 30;
     let mut world = World::new(count, 13);
-    world.when(60.0, |one| one.alive().count() == count - 1).expect("all meet");
+    world
+        .when(60.0, |one| one.alive().count() == count - 1)
+        .expect("all meet");
     // It hears and says nothing for a while that is shorter than the suspicion.
     world.part[9] = 1;
     world.until(world.now + 3.0);
     world.part[9] = 0;
     world.until(world.now + 20.0);
-    assert!(world.members.iter().flatten().all(|one| one.alive().count() == count - 1), "it is back for all");
+    assert!(
+        world
+            .members
+            .iter()
+            .flatten()
+            .all(|one| one.alive().count() == count - 1),
+        "it is back for all"
+    );
     world.part[9] = 1;
-    let others =
-        |one: &Members| one.own().name == "n9" || one.state_of("n9").is_none_or(|of| of == State::Gone);
+    let others = |one: &Members| {
+        one.own().name == "n9" || one.state_of("n9").is_none_or(|of| of == State::Gone)
+    };
     world.when(60.0, others).expect("it is gone for all");
     // Another life of it under the same name is another one.
     world.part[9] = 0;
     let seeds = ["0".to_owned()];
-    world.members[9] = Some(Members::new(world.now, "n9", "9", 2, &seeds, Settings::default()));
-    world.when(60.0, |one| one.alive().count() == count - 1).expect("it is back in its next life");
+    world.members[9] = Some(Members::new(
+        world.now,
+        "n9",
+        "9",
+        2,
+        &seeds,
+        Settings::default(),
+    ));
+    world
+        .when(60.0, |one| one.alive().count() == count - 1)
+        .expect("it is back in its next life");
 }
 
 #[test]
 fn a_table_is_bounded_and_what_is_no_name_is_passed_over() {
-    let settings = Settings { peers_most: 50, ..Settings::default() };
+    let settings = Settings {
+        peers_most: 50,
+        ..Settings::default()
+    };
     let mut one = Members::new(0.0, "me", "0", 1, &[], settings);
-    let news =
-        |name: &str| News { name: name.into(), address: "1".into(), life: 1, turn: 0, state: State::Alive };
+    let news = |name: &str| News {
+        name: name.into(),
+        address: "1".into(),
+        life: 1,
+        turn: 0,
+        state: State::Alive,
+    };
     for number in 0..1000 {
-        let answer =
-            one.asked(1.0, &news(&format!("n{number}")), &[news(""), news("@x"), news(&"y".repeat(65))]);
+        let answer = one.asked(
+            1.0,
+            &news(&format!("n{number}")),
+            &[news(""), news("@x"), news(&"y".repeat(65))],
+        );
         assert!(answer.len() <= settings.news_most);
     }
     assert_eq!(one.len(), 50);
--- a/crates/merlinshelf-lab/src/budgets.rs
+++ b/crates/merlinshelf-lab/src/budgets.rs
@@ -26,7 +26,9 @@
 /// A policy with the budgets of the trials, and figures of some other ones in their place.
 pub fn policy(other: &[(&str, usize)]) -> Value {
     let mut budgets = json!({ "again": AGAIN, "probes": PROBES, "first": FIRST, "opened": OPENED });
-    other.iter().for_each(|(kind, calls)| budgets[*kind] = json!(calls));
+    other
+        .iter()
+        .for_each(|(kind, calls)| budgets[*kind] = json!(calls));
     json!({ "note": "budgets", "budgets": { "catalogue": budgets } })
 }
 
@@ -75,7 +77,13 @@
                 }
             }
         }
-        door.opened = server.opened.borrow().iter().copied().filter(within).collect();
+        door.opened = server
+            .opened
+            .borrow()
+            .iter()
+            .copied()
+            .filter(within)
+            .collect();
         door
     }
 }
--- a/crates/merlinshelf-lab/src/demo.rs
+++ b/crates/merlinshelf-lab/src/demo.rs
@@ -12,8 +12,15 @@
 /// Plays it and shows what was answered. False where a rule broke.
 pub async fn run(setup: &Setup) -> io::Result<bool> {
     let mut instance = Instance::start(setup, 2).await?;
-    println!("the program serves at {}, process {}", instance.address, instance.status().await?["process"]);
-    let load = Load { body: 60, ..Load::of_all(&instance.address, 20, 300.0, 1) };
+    println!(
+        "the program serves at {}, process {}",
+        instance.address,
+        instance.status().await?["process"]
+    );
+    let load = Load {
+        body: 60,
+        ..Load::of_all(&instance.address, 20, 300.0, 1)
+    };
     let playing = load.start().await?;
     println!("20 connections send {} invocations a second", load.rate);
     sleep(Duration::from_secs(1)).await;
@@ -27,10 +34,15 @@
         }
     };
     let status = instance.status().await?;
-    println!("  process {} serves now, {} connections", status["process"], status["connections"]);
+    println!(
+        "  process {} serves now, {} connections",
+        status["process"], status["connections"]
+    );
     sleep(Duration::from_secs(1)).await;
     let seen = playing.stop().await;
-    let verdict = seen.borrow().check(&instance.records.borrow(), load.patience);
+    let verdict = seen
+        .borrow()
+        .check(&instance.records.borrow(), load.patience);
     instance.leave().await?;
     let _ = instance.first_ended().await;
     println!(
--- a/crates/merlinshelf-lab/src/disk.rs
+++ b/crates/merlinshelf-lab/src/disk.rs
@@ -81,7 +81,8 @@
             // What is behind the synced part is there up to some byte; of that a byte may be another.
             let more = content.now.len().saturating_sub(content.kept.len());
             let more = self.rng.random_range(0..=more);
-            let mut bytes = content.now[..content.kept.len().min(content.now.len()) + more].to_vec();
+            let mut bytes =
+                content.now[..content.kept.len().min(content.now.len()) + more].to_vec();
             if more > 0 && self.rng.random_bool(0.3) {
                 let place = bytes.len() - 1 - self.rng.random_range(0..more);
                 bytes[place] ^= 1 << self.rng.random_range(0..8);
@@ -93,7 +94,10 @@
 
     /// Puts a file there as if it had always been.
     pub fn put(&mut self, name: &str, bytes: &[u8]) {
-        self.contents.push(Content { kept: bytes.to_vec(), now: bytes.to_vec() });
+        self.contents.push(Content {
+            kept: bytes.to_vec(),
+            now: bytes.to_vec(),
+        });
         self.names.insert(name.into(), self.contents.len() - 1);
         self.kept_names.insert(name.into(), self.contents.len() - 1);
     }
@@ -143,7 +147,10 @@
         if !self.step(false)? {
             return Err(crashed());
         }
-        Ok(self.names.get(name).map(|number| self.contents[*number].now.clone()))
+        Ok(self
+            .names
+            .get(name)
+            .map(|number| self.contents[*number].now.clone()))
     }
 
     fn create(&mut self, name: &str) -> io::Result<()> {
@@ -159,7 +166,11 @@
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
         let whole = self.step(true)?;
-        let mut most = if whole { bytes.len() } else { self.rng.random_range(0..=bytes.len()) };
+        let mut most = if whole {
+            bytes.len()
+        } else {
+            self.rng.random_range(0..=bytes.len())
+        };
         if let Some(Trouble::Full(left)) = &mut self.trouble {
             most = most.min(*left);
             *left -= most;
--- a/crates/merlinshelf-lab/src/fleet.rs
+++ b/crates/merlinshelf-lab/src/fleet.rs
@@ -38,7 +38,11 @@
 ///
 /// # Errors
 /// It does not answer.
-pub async fn ask_agent(socket: &Path, body: &Value, patience: Duration) -> io::Result<Vec<(Word, Value)>> {
+pub async fn ask_agent(
+    socket: &Path,
+    body: &Value,
+    patience: Duration,
+) -> io::Result<Vec<(Word, Value)>> {
     let mut talk = Talk::ask(socket, Question::Fleet, body, patience).await?;
     let mut all = Vec::new();
     loop {
@@ -69,7 +73,8 @@
     /// # Errors
     /// What can't be started.
     pub async fn start(program: &Path, number: u8, count: u16, change: &Value) -> io::Result<Rig> {
-        let folder = std::env::temp_dir().join(format!("merlinshelf-fleet-{}-{number}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("merlinshelf-fleet-{}-{number}", std::process::id()));
         let _ = std::fs::remove_dir_all(&folder);
         std::fs::create_dir_all(&folder)?;
         let manner = Setup::small(program).manner;
@@ -104,7 +109,14 @@
             } },
         });
         std::fs::write(folder.join("fleet.json5"), wanted.to_string())?;
-        let mut rig = Rig { folder, program: program.into(), agent: None, number, count, records };
+        let mut rig = Rig {
+            folder,
+            program: program.into(),
+            agent: None,
+            number,
+            count,
+            records,
+        };
         rig.agent()?;
         Ok(rig)
     }
@@ -114,11 +126,16 @@
     /// # Errors
     /// The program can't be started.
     pub fn agent(&mut self) -> io::Result<()> {
-        let log =
-            std::fs::OpenOptions::new().create(true).append(true).open(self.folder.join("agent.log"))?;
+        let log = std::fs::OpenOptions::new()
+            .create(true)
+            .append(true)
+            .open(self.folder.join("agent.log"))?;
         let mut command = Command::new(&self.program);
         command.arg("agent").arg(self.folder.join("fleet.json5"));
-        command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log);
+        command
+            .stdin(Stdio::null())
+            .stdout(Stdio::null())
+            .stderr(log);
         self.agent = Some(command.spawn()?);
         Ok(())
     }
@@ -139,7 +156,9 @@
     /// # Errors
     /// It does not end.
     pub async fn end_agent(&mut self) -> io::Result<Option<i32>> {
-        let Some(mut agent) = self.agent.take() else { return Ok(None) };
+        let Some(mut agent) = self.agent.take() else {
+            return Ok(None);
+        };
         if let Some(id) = agent.id() {
             signal(id, Signal::TERM);
         }
@@ -188,7 +207,9 @@
             }
             if Instant::now() >= until {
                 let log = self.log();
-                return Err(io::Error::other(format!("never {count} {state}: {found:?}\n{log}")));
+                return Err(io::Error::other(format!(
+                    "never {count} {state}: {found:?}\n{log}"
+                )));
             }
             sleep(Duration::from_millis(20)).await;
         }
@@ -200,9 +221,15 @@
     /// The agent does not answer.
     pub async fn history(&self) -> io::Result<String> {
         let said = self.ask(&json!({ "op": "history", "lines": 1000 })).await?;
-        let events = said.iter().flat_map(|(_, page)| page["events"].as_array().cloned().unwrap_or_default());
+        let events = said
+            .iter()
+            .flat_map(|(_, page)| page["events"].as_array().cloned().unwrap_or_default());
         let line = |event: Value| {
-            format!("{} {}", event["instance"].as_str().unwrap_or("-"), event["text"].as_str().unwrap_or(""))
+            format!(
+                "{} {}",
+                event["instance"].as_str().unwrap_or("-"),
+                event["text"].as_str().unwrap_or("")
+            )
         };
         Ok(events.map(line).collect::<Vec<_>>().join("\n"))
     }
@@ -224,7 +251,12 @@
     pub async fn load(&self, rate: f64, seed: u64) -> io::Result<Vec<(Load, Playing)>> {
         let mut all = Vec::new();
         for place in 0..self.count {
-            let load = Load::of_all(&self.address(place), 6, rate, seed * 1000 + u64::from(place));
+            let load = Load::of_all(
+                &self.address(place),
+                6,
+                rate,
+                seed * 1000 + u64::from(place),
+            );
             let playing = load.start().await?;
             all.push((load, playing));
         }
@@ -234,7 +266,9 @@
     /// Stops sending, and holds everything against what came back and what ran, by instance.
     pub async fn check(&self, playing: Vec<(Load, Playing)>) -> Vec<Verdict> {
         // All stop at once, then each is waited for.
-        playing.iter().for_each(|(_, playing)| playing.seen.borrow_mut().stop());
+        playing
+            .iter()
+            .for_each(|(_, playing)| playing.seen.borrow_mut().stop());
         let mut verdicts = Vec::new();
         for ((load, playing), records) in playing.into_iter().zip(&self.records) {
             let seen = playing.stop().await;
--- a/crates/merlinshelf-lab/src/installation.rs
+++ b/crates/merlinshelf-lab/src/installation.rs
@@ -39,8 +39,9 @@
 /// A policy that lets this sign in and no other.
 pub fn policy_of(sign: usize) -> Value {
     let closed = (0..SIGNS.len()).filter(|other| *other != sign);
-    let operations: BTreeMap<&str, Value> =
-        closed.map(|other| (SIGNS[other], json!({ "admit": false }))).collect();
+    let operations: BTreeMap<&str, Value> = closed
+        .map(|other| (SIGNS[other], json!({ "admit": false })))
+        .collect();
     json!({ "note": SIGNS[sign], "operations": operations })
 }
 
@@ -131,7 +132,10 @@
 
     /// The control socket of one instance.
     pub fn control(&self, place: u16) -> PathBuf {
-        self.folder.join("run").join(format!("web.{place}")).join("control")
+        self.folder
+            .join("run")
+            .join(format!("web.{place}"))
+            .join("control")
     }
 
     /// Where the agent keeps its part of the log.
@@ -148,8 +152,10 @@
     /// # Errors
     /// The program can't be started.
     pub fn start_agent(&mut self, program: &Path) -> io::Result<()> {
-        let log =
-            std::fs::OpenOptions::new().create(true).append(true).open(self.folder.join("agent.log"))?;
+        let log = std::fs::OpenOptions::new()
+            .create(true)
+            .append(true)
+            .open(self.folder.join("agent.log"))?;
         let mut command = Command::new(program);
         command.arg("agent").arg(self.folder.join("fleet.json5"));
         if let Some(rate) = self.clock_rate {
@@ -158,13 +164,21 @@
         if let Some(fault) = &self.fault {
             command.env("MERLINSHELF_FAULT", fault);
         }
-        self.agent = Some(command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log).spawn()?);
+        self.agent = Some(
+            command
+                .stdin(Stdio::null())
+                .stdout(Stdio::null())
+                .stderr(log)
+                .spawn()?,
+        );
         Ok(())
     }
 
     /// Whether the agent that was started here is no more.
     pub fn agent_ended(&mut self) -> bool {
-        self.agent.as_mut().is_none_or(|agent| !matches!(agent.try_wait(), Ok(None)))
+        self.agent
+            .as_mut()
+            .is_none_or(|agent| !matches!(agent.try_wait(), Ok(None)))
     }
 
     /// Kills the agent, without a word.
@@ -182,7 +196,11 @@
 
     /// Processes of one instance.
     pub fn processes_of(&self, place: u16) -> Vec<u32> {
-        let own = self.folder.join("run").join(format!("web.{place}")).join("config.json");
+        let own = self
+            .folder
+            .join("run")
+            .join(format!("web.{place}"))
+            .join("config.json");
         processes_where(|word| Path::new(word) == own)
     }
 
@@ -200,8 +218,12 @@
     /// It does not answer.
     pub async fn plan_over(&self) -> io::Result<Value> {
         loop {
-            let plan =
-                self.ask(&json!({ "op": "plan" })).await?.pop().map(|(_, plan)| plan).unwrap_or_default();
+            let plan = self
+                .ask(&json!({ "op": "plan" }))
+                .await?
+                .pop()
+                .map(|(_, plan)| plan)
+                .unwrap_or_default();
             if plan["over"] == true {
                 return Ok(plan);
             }
@@ -218,7 +240,10 @@
         for (name, value) in more.as_object().into_iter().flatten() {
             body[name] = value.clone();
         }
-        self.ask(&body).await?.pop().ok_or_else(|| io::ErrorKind::UnexpectedEof.into())
+        self.ask(&body)
+            .await?
+            .pop()
+            .ok_or_else(|| io::ErrorKind::UnexpectedEof.into())
     }
 }
 
@@ -233,12 +258,16 @@
         let mut hosts = Vec::new();
         let mut links = BTreeMap::new();
         let with_budgets = !made.budgets.is_null();
-        let door =
-            if with_budgets { Some(Server::with_room(made.below.0, made.below.1).await?) } else { None };
+        let door = if with_budgets {
+            Some(Server::with_room(made.below.0, made.below.1).await?)
+        } else {
+            None
+        };
         let mut ways = Vec::new();
         for (place, name) in names.iter().enumerate() {
             let own = number + place as u8;
-            let folder = std::env::temp_dir().join(format!("merlinshelf-hosts-{}-{own}", std::process::id()));
+            let folder = std::env::temp_dir()
+                .join(format!("merlinshelf-hosts-{}-{own}", std::process::id()));
             let _ = std::fs::remove_dir_all(&folder);
             std::fs::create_dir_all(&folder)?;
             let bind = || TcpListener::bind("127.0.0.1:0");
@@ -252,7 +281,8 @@
             }
             config["members"] = json!(members.local_addr()?.to_string());
             let info = &mut config["settings"]["FamilyInfo"];
-            (info["Cores"], info["HeapKb"], info["CallShare"]) = (json!(8), json!(152_880.0), json!(32));
+            (info["Cores"], info["HeapKb"], info["CallShare"]) =
+                (json!(8), json!(152_880.0), json!(32));
             info["ClassCalls"] = json!([true, false, true, false, false, false]);
             info["ClassSkipWorth"] = json!([0.3, 0.0, 0.5, 0.0, 0.0, 0.0]);
             if made.needed {
@@ -288,8 +318,10 @@
                     agents.insert(to, at);
                 }
             }
-            let closed: BTreeMap<&str, Value> =
-                SIGNS.iter().map(|sign| (*sign, json!({ "admit": false }))).collect();
+            let closed: BTreeMap<&str, Value> = SIGNS
+                .iter()
+                .map(|sign| (*sign, json!({ "admit": false })))
+                .collect();
             let mut wanted = json!({
                 "folder": "run",
                 "host": { "memory_mb": 1 << 20, "cores": 1000, "descriptors": 1 << 20 },
@@ -311,7 +343,9 @@
                 wanted["council"]["zone"] = json!(format!("z{place}"));
             }
             if !made.council {
-                wanted.as_object_mut().map(|wanted| wanted.remove("council"));
+                wanted
+                    .as_object_mut()
+                    .map(|wanted| wanted.remove("council"));
                 let path = folder.join("config.json");
                 std::fs::write(&path, with_sign(&std::fs::read_to_string(&path)?, 0)?)?;
             }
@@ -326,17 +360,29 @@
                 fault: None,
             });
         }
-        let mut all = Installation { program: program.into(), made: made.clone(), hosts, links, door, ways };
+        let mut all = Installation {
+            program: program.into(),
+            made: made.clone(),
+            hosts,
+            links,
+            door,
+            ways,
+        };
         for host in &mut all.hosts {
             host.start_agent(program)?;
         }
         if !made.council {
             let serving = |said: &[(Word, Value)]| {
-                said.last().and_then(|(_, sum)| sum["states"]["serving"].as_u64())
+                said.last()
+                    .and_then(|(_, sum)| sum["states"]["serving"].as_u64())
                     == Some(made.instances.into())
             };
             for host in &all.hosts {
-                while !host.ask(&json!({ "op": "status" })).await.is_ok_and(|said| serving(&said)) {
+                while !host
+                    .ask(&json!({ "op": "status" }))
+                    .await
+                    .is_ok_and(|said| serving(&said))
+                {
                     sleep(Duration::from_millis(50)).await;
                 }
             }
@@ -358,8 +404,14 @@
     pub async fn shows(&self) -> Vec<Value> {
         let mut shows = Vec::new();
         for host in &self.hosts {
-            let said = tokio::time::timeout(Duration::from_secs(2), host.policy("show", json!({}))).await;
-            shows.push(said.ok().and_then(Result::ok).map(|(_, show)| show).unwrap_or_default());
+            let said =
+                tokio::time::timeout(Duration::from_secs(2), host.policy("show", json!({}))).await;
+            shows.push(
+                said.ok()
+                    .and_then(Result::ok)
+                    .map(|(_, show)| show)
+                    .unwrap_or_default(),
+            );
         }
         shows
     }
@@ -447,7 +499,11 @@
 /// It is no configuration.
 pub fn with_sign(config: &str, sign: usize) -> io::Result<String> {
     let mut config: Value = serde_json::from_str(config)?;
-    for class in config["settings"]["Classes"].as_array_mut().into_iter().flatten() {
+    for class in config["settings"]["Classes"]
+        .as_array_mut()
+        .into_iter()
+        .flatten()
+    {
         if let Some(of) = SIGNS.iter().position(|name| class["Name"] == *name) {
             class["AimUs"] = json!(if of == sign { 2_000_000 } else { 0 });
         }
@@ -489,21 +545,26 @@
     let first = |place: usize| {
         let (from, sign) = (held[place].proposed, held[place].sign);
         let until = held.get(place + 3).map(|later| later.proposed);
-        evidence
-            .iter()
-            .find(|(sent, at, of)| *of == sign && *at >= from && until.is_none_or(|until| *sent < until))
+        evidence.iter().find(|(sent, at, of)| {
+            *of == sign && *at >= from && until.is_none_or(|until| *sent < until)
+        })
     };
-    let firsts: Vec<Option<Instant>> =
-        (0..held.len()).map(|place| first(place).map(|(_, at, _)| *at)).collect();
+    let firsts: Vec<Option<Instant>> = (0..held.len())
+        .map(|place| first(place).map(|(_, at, _)| *at))
+        .collect();
     let (mut order, mut halves) = (0, 0);
     for (sent, at, sign) in evidence {
         // The change by which this may have been admitted: the last one with its sign that was proposed by then.
-        let by =
-            (0..held.len()).rev().find(|place| held[*place].sign == *sign && held[*place].proposed <= *at);
+        let by = (0..held.len())
+            .rev()
+            .find(|place| held[*place].sign == *sign && held[*place].proposed <= *at);
         match by {
             None => halves += 1,
             Some(place) => {
-                let over = firsts[place + 1..].iter().flatten().any(|shown| sent > shown);
+                let over = firsts[place + 1..]
+                    .iter()
+                    .flatten()
+                    .any(|shown| sent > shown);
                 order += u64::from(over);
             }
         }
@@ -513,7 +574,9 @@
 
 /// Stops sending, and holds everything against what came back and what ran.
 pub async fn check(all: &Installation, playing: Vec<(usize, u16, Load, Playing)>) -> Verdict {
-    playing.iter().for_each(|(.., playing)| playing.seen.borrow_mut().stop());
+    playing
+        .iter()
+        .for_each(|(.., playing)| playing.seen.borrow_mut().stop());
     let mut verdicts = Vec::new();
     for (host, place, load, playing) in playing {
         let seen = playing.stop().await;
--- a/crates/merlinshelf-lab/src/instance.rs
+++ b/crates/merlinshelf-lab/src/instance.rs
@@ -70,7 +70,14 @@
             descriptors: 4096,
             both_mb: 1024,
             effect: "read_like".into(),
-            manner: Manner { work, cores: 8.0, calling, parts: Vec::new(), below, says: false },
+            manner: Manner {
+                work,
+                cores: 8.0,
+                calling,
+                parts: Vec::new(),
+                below,
+                says: false,
+            },
             name: "n0".into(),
             learning: None,
             dependencies: None,
@@ -139,7 +146,8 @@
 impl Instance {
     /// Starts stand-ins and the program between them, and waits until it serves.
     pub async fn start(setup: &Setup, number: u8) -> io::Result<Instance> {
-        let folder = std::env::temp_dir().join(format!("merlinshelf-lab-{}-{number}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("merlinshelf-lab-{}-{number}", std::process::id()));
         std::fs::create_dir_all(&folder)?;
         let records: Shared = Rc::new(RefCell::new(Records::default()));
         let bind = || TcpListener::bind("127.0.0.1:0");
@@ -154,11 +162,16 @@
         }
         config["name"] = json!(setup.name);
         config["members"] = json!(members.local_addr()?.to_string());
-        config["limits"] = json!({ "cores": 1.0, "memory_mb": setup.memory_mb, "sockets": setup.sockets });
+        config["limits"] =
+            json!({ "cores": 1.0, "memory_mb": setup.memory_mb, "sockets": setup.sockets });
         config["settings"]["FamilyInfo"]["Cores"] = json!(setup.cores);
         config["settings"]["FamilyInfo"]["HeapKb"] = json!(19110.0 * f64::from(setup.cores));
         config["settings"]["FamilyInfo"]["CallShare"] = json!(4 * setup.cores);
-        for class in config["settings"]["Classes"].as_array_mut().into_iter().flatten() {
+        for class in config["settings"]["Classes"]
+            .as_array_mut()
+            .into_iter()
+            .flatten()
+        {
             class["Effect"] = json!(setup.effect);
         }
         config["stop_ms"] = json!(setup.stop.as_millis() as u64);
@@ -184,7 +197,8 @@
         }
         if setup.policy {
             let figures = json!({ "again": 1, "probes": 1, "first": 1, "opened": 1 });
-            operator["policy"] = json!({ "wait_ms": 0, "base": { "budgets": { "catalogue": figures } } });
+            operator["policy"] =
+                json!({ "wait_ms": 0, "base": { "budgets": { "catalogue": figures } } });
         }
         if setup.uwsgi {
             operator["uwsgi"] = json!(true);
@@ -200,8 +214,19 @@
         let log = Rc::<RefCell<Vec<Value>>>::default();
         let child = launch(&setup.program, &folder, &log)?;
         let setup = setup.clone();
-        let instance = Instance { address, setup, records, folder, control, child, log };
-        instance.successor_is(&format!("exec '{}' \"$@\"", instance.setup.program.display()))?;
+        let instance = Instance {
+            address,
+            setup,
+            records,
+            folder,
+            control,
+            child,
+            log,
+        };
+        instance.successor_is(&format!(
+            "exec '{}' \"$@\"",
+            instance.setup.program.display()
+        ))?;
         instance.logged("the engine is up", 1).await?;
         Ok(instance)
     }
@@ -209,7 +234,10 @@
     /// What the successor's program is from here on, as lines of a shell.
     pub fn successor_is(&self, lines: &str) -> io::Result<()> {
         use std::os::unix::fs::PermissionsExt;
-        let (path, beside) = (self.folder.join("successor"), self.folder.join("successor.new"));
+        let (path, beside) = (
+            self.folder.join("successor"),
+            self.folder.join("successor.new"),
+        );
         std::fs::write(&beside, format!("#!/bin/sh\n{lines}\n"))?;
         std::fs::set_permissions(&beside, std::fs::Permissions::from_mode(0o755))?;
         std::fs::rename(beside, path)
@@ -225,7 +253,10 @@
         while self.lines_with(text) < times {
             if Instant::now() >= until {
                 let log: Vec<String> = self.log.borrow().iter().map(Value::to_string).collect();
-                return Err(io::Error::other(format!("the log does not say {text:?}:\n{}", log.join("\n"))));
+                return Err(io::Error::other(format!(
+                    "the log does not say {text:?}:\n{}",
+                    log.join("\n")
+                )));
             }
             sleep(Duration::from_millis(2)).await;
         }
@@ -234,17 +265,31 @@
 
     pub fn lines_with(&self, text: &str) -> usize {
         let log = self.log.borrow();
-        log.iter().filter(|line| line["text"].as_str().is_some_and(|line| line.contains(text))).count()
+        log.iter()
+            .filter(|line| {
+                line["text"]
+                    .as_str()
+                    .is_some_and(|line| line.contains(text))
+            })
+            .count()
     }
 
     /// The values of a key in the log's lines, in order.
     pub fn values(&self, key: &str) -> Vec<u64> {
-        self.log.borrow().iter().filter_map(|line| line[key].as_u64()).collect()
+        self.log
+            .borrow()
+            .iter()
+            .filter_map(|line| line[key].as_u64())
+            .collect()
     }
 
     /// The whole log, a line each.
     pub fn log(&self) -> String {
-        self.log.borrow().iter().map(|line| line.to_string() + "\n").collect()
+        self.log
+            .borrow()
+            .iter()
+            .map(|line| line.to_string() + "\n")
+            .collect()
     }
 
     /// Names other dependencies in the operators' file, and tells the one that serves by SIGHUP.
@@ -264,7 +309,10 @@
 
     /// All processes that were ever started here, the last one last.
     pub fn processes(&self) -> Vec<u32> {
-        let successors = self.values("successor").into_iter().filter_map(|id| u32::try_from(id).ok());
+        let successors = self
+            .values("successor")
+            .into_iter()
+            .filter_map(|id| u32::try_from(id).ok());
         self.child.id().into_iter().chain(successors).collect()
     }
 
@@ -287,11 +335,18 @@
 
     /// Time on the cores of the process that was started first, of all its threads.
     pub fn cpu(&self) -> io::Result<Duration> {
-        let id = self.child.id().ok_or_else(|| io::Error::other("it has ended"))?;
+        let id = self
+            .child
+            .id()
+            .ok_or_else(|| io::Error::other("it has ended"))?;
         let mut sum = 0;
         for thread in std::fs::read_dir(format!("/proc/{id}/task"))? {
             let text = std::fs::read_to_string(thread?.path().join("schedstat"))?;
-            sum += text.split(' ').next().and_then(|nanos| nanos.parse::<u64>().ok()).unwrap_or(0);
+            sum += text
+                .split(' ')
+                .next()
+                .and_then(|nanos| nanos.parse::<u64>().ok())
+                .unwrap_or(0);
         }
         Ok(Duration::from_nanos(sum))
     }
@@ -301,9 +356,18 @@
         let mut sums = (0, 0);
         for id in self.processes() {
             let status = std::fs::read_to_string(format!("/proc/{id}/status")).unwrap_or_default();
-            let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).unwrap_or("");
-            sums.0 += line.trim().split(' ').next().and_then(|kb| kb.parse::<u64>().ok()).unwrap_or(0);
-            sums.1 += std::fs::read_dir(format!("/proc/{id}/fd")).map_or(0, |all| all.count() as u64);
+            let line = status
+                .lines()
+                .find_map(|line| line.strip_prefix("VmRSS:"))
+                .unwrap_or("");
+            sums.0 += line
+                .trim()
+                .split(' ')
+                .next()
+                .and_then(|kb| kb.parse::<u64>().ok())
+                .unwrap_or(0);
+            sums.1 +=
+                std::fs::read_dir(format!("/proc/{id}/fd")).map_or(0, |all| all.count() as u64);
         }
         sums
     }
@@ -311,13 +375,17 @@
     /// Most memory of the process that was started first, in KB.
     pub fn memory_most_kb(&self) -> Option<u64> {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()?)).ok()?;
-        let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:"))?;
+        let line = status
+            .lines()
+            .find_map(|line| line.strip_prefix("VmHWM:"))?;
         line.trim().split(' ').next()?.parse().ok()
     }
 
     /// Ends all processes, without asking.
     pub async fn end(&mut self) {
-        self.processes().into_iter().for_each(|process| signal(process, Signal::KILL));
+        self.processes()
+            .into_iter()
+            .for_each(|process| signal(process, Signal::KILL));
         let _ = self.child.wait().await;
     }
 
@@ -357,7 +425,10 @@
                 return Ok(report);
             }
             if Instant::now() >= until {
-                return Err(io::Error::other(format!("never {what}: {report}\n{}", self.log())));
+                return Err(io::Error::other(format!(
+                    "never {what}: {report}\n{}",
+                    self.log()
+                )));
             }
             sleep(Duration::from_millis(10)).await;
         }
@@ -399,10 +470,18 @@
 fn launch(program: &Path, folder: &Path, log: &Rc<RefCell<Vec<Value>>>) -> io::Result<Child> {
     let (config, operator) = (folder.join("config.json"), folder.join("operator.json5"));
     let mut command = Command::new(program);
-    command.arg("serve").arg("--config").arg(&config).arg("--operator").arg(&operator);
+    command
+        .arg("serve")
+        .arg("--config")
+        .arg(&config)
+        .arg("--operator")
+        .arg(&operator);
     // Versions before the command line know this variable only.
     command.env("PROXY_CONFIG", &config);
-    command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped());
+    command
+        .stdin(Stdio::null())
+        .stdout(Stdio::null())
+        .stderr(Stdio::piped());
     let mut child = command.spawn()?;
     if let Some(pipe) = child.stderr.take() {
         let log = log.clone();
--- a/crates/merlinshelf-lab/src/link.rs
+++ b/crates/merlinshelf-lab/src/link.rs
@@ -65,7 +65,12 @@
                 spawn_local(passed_on(from, to.clone(), watched.clone()));
             }
         });
-        Ok(ControlLink { path, real, manner, accepting: accepting.abort_handle() })
+        Ok(ControlLink {
+            path,
+            real,
+            manner,
+            accepting: accepting.abort_handle(),
+        })
     }
 
     pub fn set(&self, manner: Manner) {
@@ -74,16 +79,30 @@
 }
 
 /// One connection of a control link.
-async fn passed_on(mut from: UnixStream, to: PathBuf, mut manner: watch::Receiver<Manner>) -> io::Result<()> {
+async fn passed_on(
+    mut from: UnixStream,
+    to: PathBuf,
+    mut manner: watch::Receiver<Manner>,
+) -> io::Result<()> {
     // Half open: it was let in, and nothing of what it says goes on.
-    let now = manner.wait_for(|manner| *manner != Manner::Held).await.map(|manner| *manner);
+    let now = manner
+        .wait_for(|manner| *manner != Manner::Held)
+        .await
+        .map(|manner| *manner);
     let mut to = UnixStream::connect(to).await?;
     if now.is_ok_and(|now| now == Manner::Older) {
         let mut word = [0; ASK.len()];
         from.read_exact(&mut word).await?;
-        to.write_all(if word == *ASK { b"ask 1 policies " } else { &word }).await?;
+        to.write_all(if word == *ASK {
+            b"ask 1 policies "
+        } else {
+            &word
+        })
+        .await?;
     }
-    tokio::io::copy_bidirectional(&mut from, &mut to).await.map(|_| ())
+    tokio::io::copy_bidirectional(&mut from, &mut to)
+        .await
+        .map(|_| ())
 }
 
 /// How a question about policies begins.
@@ -138,10 +157,15 @@
 }
 
 async fn pass(from: TcpStream, to: String, mut fault: watch::Receiver<Fault>) {
-    let Ok(to) = TcpStream::connect(to).await else { return };
+    let Ok(to) = TcpStream::connect(to).await else {
+        return;
+    };
     let _ = (from.set_nodelay(true), to.set_nodelay(true));
     let ((from_in, from_out), (to_in, to_out)) = (from.into_split(), to.into_split());
-    let (one, other) = (copy(from_in, to_out, fault.clone()), copy(to_in, from_out, fault.clone()));
+    let (one, other) = (
+        copy(from_in, to_out, fault.clone()),
+        copy(to_in, from_out, fault.clone()),
+    );
     select! {
         _ = one => {}
         _ = other => {}
--- a/crates/merlinshelf-lab/src/load.rs
+++ b/crates/merlinshelf-lab/src/load.rs
@@ -116,14 +116,17 @@
 
 impl Verdict {
     pub fn is_clean(&self) -> bool {
-        self.lost + self.doubled + self.spoilt + self.run_twice + self.wrong_feeds + self.broken == 0
+        self.lost + self.doubled + self.spoilt + self.run_twice + self.wrong_feeds + self.broken
+            == 0
     }
 }
 
 impl Load {
     /// The load of the trials: all operations of the example alike, two thirds of which call below.
     pub fn of_all(address: &str, connections: usize, rate: f64, seed: u64) -> Load {
-        let operations = ["thumbnail", "transcript-search", "playback-token"].map(str::to_owned).to_vec();
+        let operations = ["thumbnail", "transcript-search", "playback-token"]
+            .map(str::to_owned)
+            .to_vec();
         let (address, patience) = (address.to_owned(), Duration::from_secs(4));
         Load {
             address,
@@ -146,7 +149,13 @@
             let stream = TcpStream::connect(&self.address).await?;
             let (sender, going) = unbounded_channel();
             let open: Open = Rc::default();
-            spawn_local(keep(stream, self.address.clone(), going, seen.clone(), open.clone()));
+            spawn_local(keep(
+                stream,
+                self.address.clone(),
+                going,
+                seen.clone(),
+                open.clone(),
+            ));
             writers.push((sender, open));
         }
         let (load, shared) = (self.clone(), seen.clone());
@@ -168,8 +177,11 @@
                     break again;
                 }
                 // Further tries come whenever answers do.
-                let soon =
-                    if self.tries > 1 { at.min(Instant::now() + Duration::from_millis(5)) } else { at };
+                let soon = if self.tries > 1 {
+                    at.min(Instant::now() + Duration::from_millis(5))
+                } else {
+                    at
+                };
                 sleep_until(soon).await;
             };
             if seen.borrow().closing {
@@ -184,7 +196,9 @@
             let (operation, tries, wish) = again.unwrap_or_else(|| (drawn.clone(), 0, id.clone()));
             let operation = &operation;
             if self.tries > 1 && tries == 0 {
-                seen.borrow_mut().wished.insert(id.clone(), (Instant::now(), None));
+                seen.borrow_mut()
+                    .wished
+                    .insert(id.clone(), (Instant::now(), None));
             }
             let body: Vec<u8> = (0..self.body).map(|_| rng.random()).collect();
             let uwsgi = match self.front {
@@ -201,20 +215,31 @@
                     ("HTTP_X_IMPORTANCE", &rank),
                 ];
                 let bytes = ask_uwsgi(operation, &body, &changes);
-                seen.borrow_mut().sent.insert(id.clone(), Sent::now(operation, body));
+                seen.borrow_mut()
+                    .sent
+                    .insert(id.clone(), Sent::now(operation, body));
                 asking.set(asking.get() + 1);
-                let (address, seen, asking, most) =
-                    (self.address.clone(), seen.clone(), asking.clone(), self.patience);
+                let (address, seen, asking, most) = (
+                    self.address.clone(),
+                    seen.clone(),
+                    asking.clone(),
+                    self.patience,
+                );
                 spawn_local(async move {
-                    let asked =
-                        tokio::time::timeout(most + Duration::from_millis(500), by_uwsgi(&address, &bytes))
-                            .await;
-                    seen.borrow_mut().by_uwsgi(&id, asked.unwrap_or(Came::Nothing));
+                    let asked = tokio::time::timeout(
+                        most + Duration::from_millis(500),
+                        by_uwsgi(&address, &bytes),
+                    )
+                    .await;
+                    seen.borrow_mut()
+                        .by_uwsgi(&id, asked.unwrap_or(Came::Nothing));
                     asking.set(asking.get() - 1);
                 });
                 continue;
             }
-            let Some(tag) = (1..=32).find(|tag| !open.borrow().contains_key(tag)) else { continue };
+            let Some(tag) = (1..=32).find(|tag| !open.borrow().contains_key(tag)) else {
+                continue;
+            };
             let patience = self.patience.as_millis().to_string();
             let rank = format!("{:.4}", rng.random::<f64>().min(0.999));
             let bytes = ask(
@@ -230,13 +255,19 @@
             );
             open.borrow_mut().insert(tag, id.clone());
             let left = self.tries.saturating_sub(tries + 1);
-            let sent = Sent { tries: tries + 1, left, wish, ..Sent::now(operation, body) };
+            let sent = Sent {
+                tries: tries + 1,
+                left,
+                wish,
+                ..Sent::now(operation, body)
+            };
             seen.borrow_mut().sent.insert(id, sent);
             let _ = writer.send((tag, bytes));
         }
         // Whatever is open must be answered by its patience.
         let until = Instant::now() + self.patience + Duration::from_secs(1);
-        let waits = || asking.get() > 0 || writers.iter().any(|(_, open)| !open.borrow().is_empty());
+        let waits =
+            || asking.get() > 0 || writers.iter().any(|(_, open)| !open.borrow().is_empty());
         while Instant::now() < until && waits() {
             sleep_until(Instant::now() + Duration::from_millis(5)).await;
         }
@@ -284,7 +315,8 @@
     loop {
         let _ = stream.set_nodelay(true);
         let (input, mut output) = stream.into_split();
-        let again: Vec<(u16, Vec<u8>)> = kept.drain().map(|(tag, (_, bytes))| (tag, bytes)).collect();
+        let again: Vec<(u16, Vec<u8>)> =
+            kept.drain().map(|(tag, (_, bytes))| (tag, bytes)).collect();
         for (tag, bytes) in again {
             kept.insert(tag, (Instant::now(), bytes.clone()));
             let _ = output.write_all(&bytes).await; // its end is seen below
@@ -365,7 +397,10 @@
         let mut content = Vec::new();
         let read = async {
             input.read_exact(&mut head).await?;
-            content.resize(usize::from(u16::from_be_bytes([head[4], head[5]])) + usize::from(head[6]), 0);
+            content.resize(
+                usize::from(u16::from_be_bytes([head[4], head[5]])) + usize::from(head[6]),
+                0,
+            );
             input.read_exact(&mut content).await
         };
         if read.await.is_err() {
@@ -377,7 +412,11 @@
             6 => outs.entry(tag).or_default().extend(&content[..length]),
             3 => {
                 let out = outs.remove(&tag).unwrap_or_default();
-                let status = if content.get(4) == Some(&0) { status_of(&out) } else { 503 };
+                let status = if content.get(4) == Some(&0) {
+                    status_of(&out)
+                } else {
+                    503
+                };
                 let mut seen = seen.borrow_mut();
                 let Some(id) = open.borrow_mut().remove(&tag) else {
                     seen.astray += 1;
@@ -388,10 +427,14 @@
                 }
                 if let Some(sent) = seen.sent.get_mut(&id) {
                     sent.answered(&id, status, &out);
-                    let (wish, again) =
-                        (sent.wish.clone(), (sent.operation.clone(), sent.tries, sent.wish.clone()));
+                    let (wish, again) = (
+                        sent.wish.clone(),
+                        (sent.operation.clone(), sent.tries, sent.wish.clone()),
+                    );
                     if status == 200 {
-                        seen.wished.entry(wish).and_modify(|(_, served)| *served = Some(Instant::now()));
+                        seen.wished
+                            .entry(wish)
+                            .and_modify(|(_, served)| *served = Some(Instant::now()));
                     } else if sent.left > 0 {
                         seen.again.push_back(again);
                     }
@@ -413,7 +456,9 @@
 
 /// One invocation on a connection of its own, to its end.
 async fn by_uwsgi(address: &str, bytes: &[u8]) -> Came {
-    let Ok(mut stream) = TcpStream::connect(address).await else { return Came::Nobody };
+    let Ok(mut stream) = TcpStream::connect(address).await else {
+        return Came::Nobody;
+    };
     let _ = stream.set_nodelay(true);
     if stream.write_all(bytes).await.is_err() {
         return Came::Nothing;
@@ -424,9 +469,14 @@
     }
     let text = String::from_utf8_lossy(&out[..out.len().min(1024)]).into_owned();
     let field = |name: &str| text.lines().find_map(|line| line.strip_prefix(name));
-    let status = text.strip_prefix("HTTP/1.1 ").and_then(|rest| rest.get(..3)?.parse().ok());
+    let status = text
+        .strip_prefix("HTTP/1.1 ")
+        .and_then(|rest| rest.get(..3)?.parse().ok());
     let length = field("Content-Length: ").and_then(|length| length.parse::<usize>().ok());
-    let body = out.windows(4).position(|four| four == b"\r\n\r\n").map(|at| out.len() - at - 4);
+    let body = out
+        .windows(4)
+        .position(|four| four == b"\r\n\r\n")
+        .map(|at| out.len() - at - 4);
     match status {
         Some(status) if body.is_some() && body == length => Came::Answer(status, out),
         _ => Came::Nothing,
@@ -452,24 +502,34 @@
     /// An answer has come: head and body.
     fn answered(&mut self, id: &str, status: u16, out: &[u8]) {
         let sent = self;
-        let body = out.windows(4).position(|four| four == b"\r\n\r\n").map(|at| &out[at + 4..]);
+        let body = out
+            .windows(4)
+            .position(|four| four == b"\r\n\r\n")
+            .map(|at| &out[at + 4..]);
         let made = result_of(id, &sent.body);
         sent.spoilt |= status == 200 && !body.is_some_and(|body| body.starts_with(&made));
         sent.poorer |= body.is_some_and(|body| body.ends_with(b", poorer"));
         let text = String::from_utf8_lossy(&out[..out.len().min(1024)]).into_owned();
-        sent.partial = text.lines().find_map(|line| line.strip_prefix("X-Partial: ")).map(str::to_owned);
+        sent.partial = text
+            .lines()
+            .find_map(|line| line.strip_prefix("X-Partial: "))
+            .map(str::to_owned);
         sent.answers.push((Instant::now(), status));
     }
 }
 
 fn status_of(out: &[u8]) -> u16 {
     let text = String::from_utf8_lossy(&out[..out.len().min(20)]).into_owned();
-    text.strip_prefix("Status: ").and_then(|rest| rest.get(..3)?.parse().ok()).unwrap_or(0)
+    text.strip_prefix("Status: ")
+        .and_then(|rest| rest.get(..3)?.parse().ok())
+        .unwrap_or(0)
 }
 
 impl Seen {
     fn by_uwsgi(&mut self, id: &str, came: Came) {
-        let Some(sent) = self.sent.get_mut(id) else { return };
+        let Some(sent) = self.sent.get_mut(id) else {
+            return;
+        };
         match came {
             Came::Nobody => sent.answers.push((Instant::now(), NOBODY)),
             Came::Nothing => {}
@@ -484,7 +544,10 @@
 
     /// Holds all that was sent against what came back and what ran.
     pub fn check(&self, records: &Records, patience: Duration) -> Verdict {
-        let mut verdict = Verdict { broken: self.broken, ..Verdict::default() };
+        let mut verdict = Verdict {
+            broken: self.broken,
+            ..Verdict::default()
+        };
         verdict.wrong_feeds = records.wrong_feeds.into();
         verdict.doubled += self.astray;
         for (id, sent) in &self.sent {
@@ -493,10 +556,13 @@
             verdict.spoilt += u64::from(sent.spoilt);
             let twice = records.runs.get(id).is_some_and(|runs| *runs > 1);
             verdict.run_twice += u64::from(twice && !self.crossed_a_kill(sent));
-            verdict.called_twice += u64::from(records.calls.get(id).is_some_and(|calls| *calls > 1));
+            verdict.called_twice +=
+                u64::from(records.calls.get(id).is_some_and(|calls| *calls > 1));
             match sent.answers.first() {
                 // The rules on sockets give 50 ms more.
-                Some((at, _)) if *at > sent.at + patience + Duration::from_millis(50) => verdict.lost += 1,
+                Some((at, _)) if *at > sent.at + patience + Duration::from_millis(50) => {
+                    verdict.lost += 1
+                }
                 None if self.held_by_killed(sent, patience) => verdict.held_by_killed += 1,
                 None => verdict.lost += 1,
                 Some((_, 200)) => verdict.served += 1,
@@ -509,13 +575,17 @@
 
     /// Whether an instance was killed while it may have held this: sent before that, or crossing it.
     fn held_by_killed(&self, sent: &Sent, patience: Duration) -> bool {
-        self.killed.iter().any(|at| sent.at <= *at + CROSSED && *at <= sent.at + patience)
+        self.killed
+            .iter()
+            .any(|at| sent.at <= *at + CROSSED && *at <= sent.at + patience)
     }
 
     /// Whether its edge node may have sent it again because an instance was killed outright just then: what ran of it before is
     /// known to nobody.
     fn crossed_a_kill(&self, sent: &Sent) -> bool {
-        self.killed.iter().any(|at| sent.at <= *at + CROSSED && *at <= sent.at + CROSSED)
+        self.killed
+            .iter()
+            .any(|at| sent.at <= *at + CROSSED && *at <= sent.at + CROSSED)
     }
 
     /// How long served answers took that were asked for or came in this time, in microseconds.
--- a/crates/merlinshelf-lab/src/main.rs
+++ b/crates/merlinshelf-lab/src/main.rs
@@ -37,7 +37,9 @@
     #[command(after_help = "Example:\n  merlinshelf-lab stand-ins examples/config.json")]
     StandIns { config: PathBuf },
     /// Send invocations to the address of a configuration and print the answers
-    #[command(after_help = "Example:\n  merlinshelf-lab ask examples/config.json thumbnail page-7 3")]
+    #[command(
+        after_help = "Example:\n  merlinshelf-lab ask examples/config.json thumbnail page-7 3"
+    )]
     Ask {
         config: PathBuf,
         operation: String,
@@ -76,7 +78,9 @@
         program: Option<PathBuf>,
     },
     /// Rolling upgrades, restarts and drains of many instances under load, with kills of the agent
-    #[command(after_help = "Example:\n  merlinshelf-lab trial fleet --seed 18 --seeds 20 --instances 20")]
+    #[command(
+        after_help = "Example:\n  merlinshelf-lab trial fleet --seed 18 --seeds 20 --instances 20"
+    )]
     Fleet {
         #[arg(long, default_value_t = 1)]
         seed: u64,
@@ -165,7 +169,9 @@
         program: Option<PathBuf>,
     },
     /// What being taught is worth, what bad teachers cost, what it costs a fleet, and what crashes leave
-    #[command(after_help = "Example:\n  merlinshelf-lab trial learning --seed 17 --seeds 20 --at-once 4")]
+    #[command(
+        after_help = "Example:\n  merlinshelf-lab trial learning --seed 17 --seeds 20 --at-once 4"
+    )]
     Learning {
         #[arg(long, default_value_t = 1)]
         seed: u64,
@@ -281,34 +287,114 @@
         }
         Command::StandIns { config } => {
             let manner = Setup::small("").manner;
-            let manner = Manner { work: Duration::from_millis(60), cores: 2.0, says: true, ..manner };
-            local.block_on(&runtime, standing::serve(&config, manner)).map(|()| true)
-        }
-        Command::Ask { config, operation, body, many } => {
-            standing::ask(&config, &operation, &body, many).map(|()| true)
+            let manner = Manner {
+                work: Duration::from_millis(60),
+                cores: 2.0,
+                says: true,
+                ..manner
+            };
+            local
+                .block_on(&runtime, standing::serve(&config, manner))
+                .map(|()| true)
         }
-        Command::Trial { trial: Trial::Cost { against, seed, pairs, rate, seconds, policy, program } } => {
+        Command::Ask {
+            config,
+            operation,
+            body,
+            many,
+        } => standing::ask(&config, &operation, &body, many).map(|()| true),
+        Command::Trial {
+            trial:
+                Trial::Cost {
+                    against,
+                    seed,
+                    pairs,
+                    rate,
+                    seconds,
+                    policy,
+                    program,
+                },
+        } => {
             let setup = setup(found(program)?, 64, Duration::from_millis(800));
             let counted = Duration::from_secs(seconds);
-            let plan = trial::cost::Plan { seed, pairs, rate, against, counted, setup, policy };
-            local.block_on(&runtime, trial::cost::run(&plan)).map(|(_, clean)| clean)
+            let plan = trial::cost::Plan {
+                seed,
+                pairs,
+                rate,
+                against,
+                counted,
+                setup,
+                policy,
+            };
+            local
+                .block_on(&runtime, trial::cost::run(&plan))
+                .map(|(_, clean)| clean)
         }
-        Command::Trial { trial: Trial::Uwsgi { seed, seeds, rate, program } } => {
+        Command::Trial {
+            trial:
+                Trial::Uwsgi {
+                    seed,
+                    seeds,
+                    rate,
+                    program,
+                },
+        } => {
             let program = std::fs::canonicalize(found(program)?)?;
-            let plan = trial::uwsgi::Plan { seed, seeds, rate, program };
-            local.block_on(&runtime, trial::uwsgi::run(&plan)).map(|(_, clean)| clean)
+            let plan = trial::uwsgi::Plan {
+                seed,
+                seeds,
+                rate,
+                program,
+            };
+            local
+                .block_on(&runtime, trial::uwsgi::run(&plan))
+                .map(|(_, clean)| clean)
         }
-        Command::Trial { trial: Trial::Dependencies { seed, rate, at_once, faults, program } } => {
+        Command::Trial {
+            trial:
+                Trial::Dependencies {
+                    seed,
+                    rate,
+                    at_once,
+                    faults,
+                    program,
+                },
+        } => {
             let program = std::fs::canonicalize(found(program)?)?;
-            let plan = trial::dependencies::Plan { seed, rate, at_once, faults, program };
+            let plan = trial::dependencies::Plan {
+                seed,
+                rate,
+                at_once,
+                faults,
+                program,
+            };
             trial::dependencies::run(&plan).map(|(_, clean)| clean)
         }
         Command::Trial {
-            trial: Trial::Fleet { seed, seeds, instances, rate, kills, kill_instances, program },
+            trial:
+                Trial::Fleet {
+                    seed,
+                    seeds,
+                    instances,
+                    rate,
+                    kills,
+                    kill_instances,
+                    program,
+                },
         } => {
             let program = std::fs::canonicalize(found(program)?)?;
-            let plan = trial::fleet::Plan { seed, seeds, instances, rate, kills, kill_instances, program };
-            local.block_on(&runtime, trial::fleet::run(&plan)).map(|(_, clean)| clean)
+            let plan = trial::fleet::Plan {
+                seed,
+                seeds,
+                instances,
+                rate,
+                kills,
+                kill_instances,
+                program,
+            };
+            local
+                .block_on(&runtime, trial::fleet::run(&plan))
+                .map(|(_, clean)| clean)
         }
         Command::Trial {
             trial:
@@ -340,44 +426,127 @@
                 council,
                 ..Default::default()
             };
-            let plan = trial::policy::Plan { seed, seeds, rounds, made, rate, program, only };
+            let plan = trial::policy::Plan {
+                seed,
+                seeds,
+                rounds,
+                made,
+                rate,
+                program,
+                only,
+            };
             if by_restart {
-                local.block_on(&runtime, trial::policy::by_restart(&plan)).map(|_| true)
+                local
+                    .block_on(&runtime, trial::policy::by_restart(&plan))
+                    .map(|_| true)
             } else if switch {
-                local.block_on(&runtime, trial::policy_switch::run(&plan)).map(|(_, holds)| holds)
+                local
+                    .block_on(&runtime, trial::policy_switch::run(&plan))
+                    .map(|(_, holds)| holds)
             } else {
-                local.block_on(&runtime, trial::policy::run(&plan)).map(|(_, clean)| clean)
+                local
+                    .block_on(&runtime, trial::policy::run(&plan))
+                    .map(|(_, clean)| clean)
             }
         }
         Command::Trial {
-            trial: Trial::Shares { seed, seeds, instances, rate, against, only, sizes, loops, program },
+            trial:
+                Trial::Shares {
+                    seed,
+                    seeds,
+                    instances,
+                    rate,
+                    against,
+                    only,
+                    sizes,
+                    loops,
+                    program,
+                },
         } => {
             if sizes {
                 return Ok(trial::shares_size::run(seed).1);
             }
             let program = std::fs::canonicalize(found(program)?)?;
-            let plan = trial::shares::Plan { seed, seeds, instances, rate, program, against, only };
+            let plan = trial::shares::Plan {
+                seed,
+                seeds,
+                instances,
+                rate,
+                program,
+                against,
+                only,
+            };
             if loops {
-                return local.block_on(&runtime, trial::shares_loop::run(&plan)).map(|(_, clean)| clean);
+                return local
+                    .block_on(&runtime, trial::shares_loop::run(&plan))
+                    .map(|(_, clean)| clean);
             }
-            local.block_on(&runtime, trial::shares::run(&plan)).map(|(_, clean)| clean)
+            local
+                .block_on(&runtime, trial::shares::run(&plan))
+                .map(|(_, clean)| clean)
         }
         Command::Trial {
-            trial: Trial::Learning { seed, seeds, at_once, fleets, costs, crashes, program },
+            trial:
+                Trial::Learning {
+                    seed,
+                    seeds,
+                    at_once,
+                    fleets,
+                    costs,
+                    crashes,
+                    program,
+                },
         } => {
             let program = found(program)?;
-            let plan = trial::learning::Plan { seed, seeds, at_once, program, fleets, costs, crashes };
+            let plan = trial::learning::Plan {
+                seed,
+                seeds,
+                at_once,
+                program,
+                fleets,
+                costs,
+                crashes,
+            };
             trial::learning::run(&plan).map(|(_, holds)| holds)
         }
-        Command::Trial { trial: Trial::Restart { against, seed, rate, seconds, program } } => {
-            let (setup, looked) =
-                (setup(found(program)?, 64, Duration::from_millis(800)), Duration::from_secs(seconds));
-            let plan = trial::restart::Plan { seed, rate, against, looked, setup };
-            local.block_on(&runtime, trial::restart::run(&plan)).map(|(_, clean)| clean)
+        Command::Trial {
+            trial:
+                Trial::Restart {
+                    against,
+                    seed,
+                    rate,
+                    seconds,
+                    program,
+                },
+        } => {
+            let (setup, looked) = (
+                setup(found(program)?, 64, Duration::from_millis(800)),
+                Duration::from_secs(seconds),
+            );
+            let plan = trial::restart::Plan {
+                seed,
+                rate,
+                against,
+                looked,
+                setup,
+            };
+            local
+                .block_on(&runtime, trial::restart::run(&plan))
+                .map(|(_, clean)| clean)
         }
         Command::Trial {
             trial:
-                Trial::Upgrade { seed, rounds, fail, no_hangs, rate, connections, watched_ms, json, program },
+                Trial::Upgrade {
+                    seed,
+                    rounds,
+                    fail,
+                    no_hangs,
+                    rate,
+                    connections,
+                    watched_ms,
+                    json,
+                    program,
+                },
         } => {
             let setup = setup(found(program)?, 64, Duration::from_millis(watched_ms));
             let plan = trial::upgrade::Plan {
@@ -416,8 +585,17 @@
     let program = own.with_file_name("merlinshelf");
     if let Some(cargo) = std::env::var_os("CARGO") {
         let mut build = Process::new(cargo);
-        build.args(["build", "--quiet", "--locked", "--package", "merlinshelf-cli"]);
-        if own.parent().is_some_and(|folder| folder.ends_with("release")) {
+        build.args([
+            "build",
+            "--quiet",
+            "--locked",
+            "--package",
+            "merlinshelf-cli",
+        ]);
+        if own
+            .parent()
+            .is_some_and(|folder| folder.ends_with("release"))
+        {
             build.arg("--release");
         }
         if !build.status()?.success() {
--- a/crates/merlinshelf-lab/src/play.rs
+++ b/crates/merlinshelf-lab/src/play.rs
@@ -14,9 +14,15 @@
 /// # Panics
 /// It does not end in time, or can't be played.
 pub fn play_within<T>(time: Duration, what: impl Future<Output = io::Result<T>>) -> T {
-    let runtime = Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime = Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("a runtime");
     let bounded = async { timeout(time, what).await };
-    LocalSet::new().block_on(&runtime, bounded).expect("it ends in time").expect("it can be played")
+    LocalSet::new()
+        .block_on(&runtime, bounded)
+        .expect("it ends in time")
+        .expect("it can be played")
 }
 
 /// Two installations at a time: each is a dozen processes and more that mostly wait, and what is timed is theirs.
--- a/crates/merlinshelf-lab/src/script/engine.rs
+++ b/crates/merlinshelf-lab/src/script/engine.rs
@@ -19,7 +19,11 @@
             if run.is_empty() {
                 return;
             }
-            let done = format!("DONE {number} {} OK 1 {}\r\n{result}\r\n", &run[4..20], result.len());
+            let done = format!(
+                "DONE {number} {} OK 1 {}\r\n{result}\r\n",
+                &run[4..20],
+                result.len()
+            );
             engine.send(done);
             count.store(number, Ordering::SeqCst);
         }
@@ -41,7 +45,12 @@
     while !stalled(sent) {
         for _ in 0..32 {
             sent += 1;
-            slow.send(ask(sent as u16, "transcript-search", b"", &[("HTTP_X_PATIENCE_MS", "60000")]));
+            slow.send(ask(
+                sent as u16,
+                "transcript-search",
+                b"",
+                &[("HTTP_X_PATIENCE_MS", "60000")],
+            ));
         }
         assert!(sent < 32 * 200, "it reads on and on");
     }
--- a/crates/merlinshelf-lab/src/script/peer.rs
+++ b/crates/merlinshelf-lab/src/script/peer.rs
@@ -15,8 +15,13 @@
 
 impl Peer {
     pub fn new(stream: TcpStream) -> Peer {
-        stream.set_read_timeout(Some(millis(20))).expect("a time-out");
-        Peer { stream, come: Vec::new() }
+        stream
+            .set_read_timeout(Some(millis(20)))
+            .expect("a time-out");
+        Peer {
+            stream,
+            come: Vec::new(),
+        }
     }
 
     pub fn accept(listener: &TcpListener) -> Peer {
@@ -35,7 +40,9 @@
     }
 
     pub fn send(&mut self, bytes: impl AsRef<[u8]>) {
-        self.stream.write_all(bytes.as_ref()).expect("a far end that reads");
+        self.stream
+            .write_all(bytes.as_ref())
+            .expect("a far end that reads");
     }
 
     /// More bytes; false at the end of the stream.
@@ -48,8 +55,14 @@
                     self.come.extend(&gulp[..count]);
                     return true;
                 }
-                Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
-                    assert!(Instant::now() < until, "nothing more came after {:?}", self.text());
+                Err(error)
+                    if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) =>
+                {
+                    assert!(
+                        Instant::now() < until,
+                        "nothing more came after {:?}",
+                        self.text()
+                    );
                 }
                 Err(error) if error.kind() == ErrorKind::ConnectionReset => return false,
                 Err(error) => panic!("{error}"),
@@ -106,7 +119,9 @@
     pub fn questions(&mut self, count: usize) {
         for _ in 0..count {
             let line = self.line().unwrap_or_default();
-            let tag = line.strip_prefix("STAT ").unwrap_or_else(|| panic!("{line:?} is no question"));
+            let tag = line
+                .strip_prefix("STAT ")
+                .unwrap_or_else(|| panic!("{line:?} is no question"));
             self.send(format!("STATS {tag} 0.5 1 0.1 3\r\n"));
         }
     }
@@ -115,7 +130,9 @@
     pub fn idle(&mut self, time: Duration) -> Vec<String> {
         let (until, mut seen) = (Instant::now() + time, Vec::new());
         while Instant::now() < until {
-            self.stream.set_read_timeout(Some(millis(5))).expect("a time-out");
+            self.stream
+                .set_read_timeout(Some(millis(5)))
+                .expect("a time-out");
             let mut peeked = [0; 1];
             if self.stream.peek(&mut peeked).is_ok_and(|count| count > 0) || !self.come.is_empty() {
                 match self.line() {
@@ -133,10 +150,17 @@
     pub fn answer(&mut self) -> String {
         let mut out = Vec::new();
         loop {
-            let Some(head) = self.take(8) else { return "closed".into() };
+            let Some(head) = self.take(8) else {
+                return "closed".into();
+            };
             let (length, padding) = (u16::from_be_bytes([head[4], head[5]]), head[6]);
-            let content = self.take(usize::from(length) + usize::from(padding)).expect("a whole record");
-            let (content, tag) = (&content[..length.into()], u16::from_be_bytes([head[2], head[3]]));
+            let content = self
+                .take(usize::from(length) + usize::from(padding))
+                .expect("a whole record");
+            let (content, tag) = (
+                &content[..length.into()],
+                u16::from_be_bytes([head[2], head[3]]),
+            );
             match head[1] {
                 6 => out.extend(content),
                 3 if content[4] == 0 => {
--- a/crates/merlinshelf-lab/src/script/rig.rs
+++ b/crates/merlinshelf-lab/src/script/rig.rs
@@ -55,24 +55,45 @@
 /// An address that nobody else has: a port that was free a moment ago may be anybody's by now.
 pub fn free_address() -> String {
     static TAKEN: AtomicUsize = AtomicUsize::new(1);
-    let ([.., high, low], number) = (std::process::id().to_be_bytes(), TAKEN.fetch_add(1, Ordering::SeqCst));
+    let ([.., high, low], number) = (
+        std::process::id().to_be_bytes(),
+        TAKEN.fetch_add(1, Ordering::SeqCst),
+    );
     format!("127.{}.{low}.{number}:6565", 1 + high % 250)
 }
 
 /// Starts the program in a process group of its own, with further variables.
-pub fn program(path: &str, config: &PathBuf, descriptors: usize, variables: &[(&str, &str)]) -> Child {
+pub fn program(
+    path: &str,
+    config: &PathBuf,
+    descriptors: usize,
+    variables: &[(&str, &str)],
+) -> Child {
     let start = format!("ulimit -n {descriptors}; exec {path}");
     let mut command = Command::new("/bin/sh");
-    let command = command.args(["-c", &start]).env("PROXY_CONFIG", config).envs(variables.iter().copied());
-    let command = command.process_group(0).stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped());
+    let command = command
+        .args(["-c", &start])
+        .env("PROXY_CONFIG", config)
+        .envs(variables.iter().copied());
+    let command = command
+        .process_group(0)
+        .stdin(Stdio::null())
+        .stdout(Stdio::null())
+        .stderr(Stdio::piped());
     command.spawn().expect("a shell")
 }
 
 /// Writes the example's configuration with some texts replaced.
 pub fn configuration(changes: &[(&str, &str)]) -> PathBuf {
-    let text = changes.iter().fold(EXAMPLE.to_owned(), |text, (from, to)| text.replace(from, to));
+    let text = changes.iter().fold(EXAMPLE.to_owned(), |text, (from, to)| {
+        text.replace(from, to)
+    });
     static WRITTEN: AtomicUsize = AtomicUsize::new(0);
-    let unique = format!("{}-{}", std::process::id(), WRITTEN.fetch_add(1, Ordering::SeqCst));
+    let unique = format!(
+        "{}-{}",
+        std::process::id(),
+        WRITTEN.fetch_add(1, Ordering::SeqCst)
+    );
     let path = std::env::temp_dir().join(format!("merlinshelf-{unique}.json"));
     std::fs::write(&path, text).expect("a file");
     path
@@ -84,7 +105,12 @@
     }
 
     /// The same with further variables for the program.
-    pub fn with(path: &str, descriptors: usize, changes: &[(&str, &str)], variables: &[(&str, &str)]) -> Rig {
+    pub fn with(
+        path: &str,
+        descriptors: usize,
+        changes: &[(&str, &str)],
+        variables: &[(&str, &str)],
+    ) -> Rig {
         let ((engine, at_engine), (catalogue, at_catalogue)) = (bind(), bind());
         let ((members, at_members), address) = (bind(), free_address());
         let addresses = [
@@ -95,14 +121,26 @@
         ];
         let config = configuration(&[&addresses, changes].concat());
         let mut child = program(path, &config, descriptors, variables);
-        let (log, pipe) = (Arc::<Mutex<String>>::default(), child.stderr.take().expect("a pipe"));
+        let (log, pipe) = (
+            Arc::<Mutex<String>>::default(),
+            child.stderr.take().expect("a pipe"),
+        );
         let into = log.clone();
         let reader = Some(std::thread::spawn(move || {
             for line in BufReader::new(pipe).lines().map_while(Result::ok) {
                 into.lock().expect("a log").extend([line.as_str(), "\n"]);
             }
         }));
-        Rig { child, log, reader, address, config, engine, catalogue, members }
+        Rig {
+            child,
+            log,
+            reader,
+            address,
+            config,
+            engine,
+            catalogue,
+            members,
+        }
     }
 
     pub fn log(&self) -> String {
@@ -113,7 +151,10 @@
     pub fn logged(&self, text: &str, times: usize) {
         let until = Instant::now() + PATIENCE;
         while self.log().matches(text).count() < times {
-            assert!(Instant::now() < until, "the log does not say {text:?} {times} times");
+            assert!(
+                Instant::now() < until,
+                "the log does not say {text:?} {times} times"
+            );
             sleep(millis(2));
         }
     }
@@ -122,7 +163,12 @@
     pub fn counted(&self, name: &str, figure: u64) {
         let until = Instant::now() + PATIENCE;
         let wanted = format!(" {name}={figure} ");
-        while !self.log().lines().last().is_some_and(|line| line.contains(&wanted)) {
+        while !self
+            .log()
+            .lines()
+            .last()
+            .is_some_and(|line| line.contains(&wanted))
+        {
             assert!(Instant::now() < until, "{name} does not come to {figure}");
             let before = self.log().matches("counters: ").count();
             self.signal("USR1");
@@ -152,7 +198,9 @@
 
     pub fn signal(&self, name: &str) {
         let id = self.child.id().to_string();
-        let sent = Command::new("/bin/sh").args(["-c", &format!("kill -{name} {id}")]).status();
+        let sent = Command::new("/bin/sh")
+            .args(["-c", &format!("kill -{name} {id}")])
+            .status();
         assert!(sent.is_ok_and(|status| status.success()));
     }
 
--- a/crates/merlinshelf-lab/src/stand_in/catalogue.rs
+++ b/crates/merlinshelf-lab/src/stand_in/catalogue.rs
@@ -33,11 +33,18 @@
             if self.manner.says {
                 println!("catalogue: {id} waits {wait} ms");
             }
-            *self.records.borrow_mut().calls.entry(id.clone()).or_default() += 1;
+            *self
+                .records
+                .borrow_mut()
+                .calls
+                .entry(id.clone())
+                .or_default() += 1;
             sleep(self.manner.below).await;
             let reply = reply_to(&id, &body);
             let head = format!("{id} ok {}\r\n", reply.len());
-            output.write_all(&[head.as_bytes(), &reply, b"\r\n"].concat()).await?;
+            output
+                .write_all(&[head.as_bytes(), &reply, b"\r\n"].concat())
+                .await?;
         }
         Ok(())
     }
--- a/crates/merlinshelf-lab/src/stand_in/dependency.rs
+++ b/crates/merlinshelf-lab/src/stand_in/dependency.rs
@@ -139,13 +139,17 @@
                     if manners == Manners::Errors
                         || manners == Manners::HalfErrors && self.calls.get().is_multiple_of(2) =>
                 {
-                    output.write_all(format!("{id} internal\r\n").as_bytes()).await?;
+                    output
+                        .write_all(format!("{id} internal\r\n").as_bytes())
+                        .await?;
                     continue;
                 }
                 Manners::Hangs => std::future::pending().await,
                 Manners::Breaks if self.calls.get().is_multiple_of(2) => return Ok(()),
                 Manners::Slow(times) => times,
-                Manners::SlowFor(word, times) if String::from_utf8_lossy(&body).contains(word) => times,
+                Manners::SlowFor(word, times) if String::from_utf8_lossy(&body).contains(word) => {
+                    times
+                }
                 _ => 1.0,
             };
             let _here = Here::enter(self);
@@ -154,7 +158,9 @@
             drop(room);
             let reply = reply_to(&id, &body);
             let head = format!("{id} ok {}\r\n", reply.len());
-            output.write_all(&[head.as_bytes(), &reply, b"\r\n"].concat()).await?;
+            output
+                .write_all(&[head.as_bytes(), &reply, b"\r\n"].concat())
+                .await?;
         }
         Ok(())
     }
@@ -166,7 +172,9 @@
 impl Here<'_> {
     fn enter(server: &Server) -> Here<'_> {
         server.now_open.set(server.now_open.get() + 1);
-        server.most_open.set(server.most_open.get().max(server.now_open.get()));
+        server
+            .most_open
+            .set(server.most_open.get().max(server.now_open.get()));
         Here(server)
     }
 }
--- a/crates/merlinshelf-lab/src/stand_in/engine.rs
+++ b/crates/merlinshelf-lab/src/stand_in/engine.rs
@@ -53,7 +53,12 @@
 impl Engine {
     /// Serves links for as long as its task lives.
     pub fn start(listener: TcpListener, manner: Manner, records: Shared) -> Rc<Engine> {
-        let engine = Rc::new(Engine { manner, records, born: Instant::now(), state: RefCell::default() });
+        let engine = Rc::new(Engine {
+            manner,
+            records,
+            born: Instant::now(),
+            state: RefCell::default(),
+        });
         let shared = engine.clone();
         spawn_local(async move {
             while let Ok((link, _)) = listener.accept().await {
@@ -90,7 +95,9 @@
             while let Some(line) = lines.line().await? {
                 let words: Vec<&str> = line.split(' ').collect();
                 match words[..] {
-                    ["ATTACH", last] => self.attach(last.parse().map_err(io::Error::other)?, false, &sender),
+                    ["ATTACH", last] => {
+                        self.attach(last.parse().map_err(io::Error::other)?, false, &sender)
+                    }
                     ["ATTACH", last, "NAMES/1"] if !self.manner.parts.is_empty() => {
                         self.attach(last.parse().map_err(io::Error::other)?, true, &sender);
                     }
@@ -134,24 +141,48 @@
             return;
         }
         self.say(&format!("run {operation} {id}"));
-        *self.records.borrow_mut().runs.entry(id.to_owned()).or_default() += 1;
+        *self
+            .records
+            .borrow_mut()
+            .runs
+            .entry(id.to_owned())
+            .or_default() += 1;
         let parts = self.manner.parts.iter().find(|(of, _)| of == operation);
-        let parts: VecDeque<String> = parts.map(|(_, parts)| parts.clone().into()).unwrap_or_default();
-        let calls = !parts.is_empty() || self.manner.calling.iter().any(|calling| calling == operation);
-        let run = Run { body, call: None, operation: operation.to_owned(), parts, came: Vec::new() };
+        let parts: VecDeque<String> = parts
+            .map(|(_, parts)| parts.clone().into())
+            .unwrap_or_default();
+        let calls = !parts.is_empty()
+            || self
+                .manner
+                .calling
+                .iter()
+                .any(|calling| calling == operation);
+        let run = Run {
+            body,
+            call: None,
+            operation: operation.to_owned(),
+            parts,
+            came: Vec::new(),
+        };
         state.runs.insert(id.to_owned(), run);
         state.busy += 1;
         let (engine, id) = (self.clone(), id.to_owned());
         spawn_local(async move {
             sleep(engine.manner.work).await;
-            if calls { engine.need(&id) } else { engine.done(&id, b"") }
+            if calls {
+                engine.need(&id)
+            } else {
+                engine.done(&id, b"")
+            }
         });
     }
 
     fn need(&self, id: &str) {
         let mut state = self.state.borrow_mut();
         let (number, names) = (state.number + 1, state.names);
-        let Some(run) = state.runs.get_mut(id) else { return };
+        let Some(run) = state.runs.get_mut(id) else {
+            return;
+        };
         let first = run.call.is_none();
         let part = run.parts.pop_front();
         let body = match &part {
@@ -161,15 +192,25 @@
         let body = body.into_bytes();
         run.call = Some((number, body.clone()));
         state.busy -= usize::from(first);
-        let name = part.filter(|_| names).map(|part| format!("{part} ")).unwrap_or_default();
+        let name = part
+            .filter(|_| names)
+            .map(|part| format!("{part} "))
+            .unwrap_or_default();
         state.notice(|number| {
-            [format!("NEED {number} {id} {name}{}\r\n", body.len()).as_bytes(), &body, b"\r\n"].concat()
+            [
+                format!("NEED {number} {id} {name}{}\r\n", body.len()).as_bytes(),
+                &body,
+                b"\r\n",
+            ]
+            .concat()
         });
     }
 
     fn done(&self, id: &str, more: &[u8]) {
         let mut state = self.state.borrow_mut();
-        let Some(run) = state.runs.remove(id) else { return };
+        let Some(run) = state.runs.remove(id) else {
+            return;
+        };
         if run.call.is_none() {
             state.busy -= 1;
         }
@@ -182,7 +223,12 @@
     }
 
     fn feed(&self, id: &str, reply: &[u8]) {
-        let awaited = self.state.borrow().runs.get(id).and_then(|run| run.call.clone());
+        let awaited = self
+            .state
+            .borrow()
+            .runs
+            .get(id)
+            .and_then(|run| run.call.clone());
         match awaited {
             Some((_, body)) if reply == reply_to(id, &body) => self.came(id, b", fed"),
             // Lesser answers, of runs with parts alone.
@@ -194,7 +240,12 @@
     }
 
     fn skip(&self, id: &str, number: &str) {
-        let awaited = self.state.borrow().runs.get(id).and_then(|run| run.call.as_ref().map(|(of, _)| *of));
+        let awaited = self
+            .state
+            .borrow()
+            .runs
+            .get(id)
+            .and_then(|run| run.call.as_ref().map(|(of, _)| *of));
         if awaited.is_some_and(|awaited| awaited.to_string() == number) {
             self.came(id, b", poorer");
         }
@@ -205,7 +256,11 @@
         let more = match self.state.borrow_mut().runs.get_mut(id) {
             Some(run) => {
                 run.came.extend(word);
-                if run.parts.is_empty() { Some(std::mem::take(&mut run.came)) } else { None }
+                if run.parts.is_empty() {
+                    Some(std::mem::take(&mut run.came))
+                } else {
+                    None
+                }
             }
             None => return,
         };
--- a/crates/merlinshelf-lab/src/stand_in/forward.rs
+++ b/crates/merlinshelf-lab/src/stand_in/forward.rs
@@ -31,7 +31,11 @@
 impl Forward {
     /// Takes calls for as long as its task lives.
     pub fn start(listener: TcpListener, way: Way, servers: BTreeMap<String, Vec<String>>) {
-        let forward = Rc::new(Forward { way, servers, next: Cell::default() });
+        let forward = Rc::new(Forward {
+            way,
+            servers,
+            next: Cell::default(),
+        });
         super::serve(listener, move |stream| {
             let forward = forward.clone();
             async move { forward.attend(stream).await }
@@ -42,7 +46,13 @@
         stream.set_nodelay(true)?;
         let (input, mut output) = stream.into_split();
         let mut lines = Lines::new(input);
-        while let Some(Call { id, wait, body, line }) = lines.call().await? {
+        while let Some(Call {
+            id,
+            wait,
+            body,
+            line,
+        }) = lines.call().await?
+        {
             let wait = Duration::from_millis(wait.parse().map_err(io::Error::other)?);
             let mut gave_up = [0; 1];
             let answer = select! {
@@ -80,7 +90,9 @@
 async fn once(server: &str, line: &str, body: &[u8]) -> io::Result<Vec<u8>> {
     let mut stream = TcpStream::connect(server).await?;
     stream.set_nodelay(true)?;
-    stream.write_all(&[line.as_bytes(), b"\r\n", body, b"\r\n"].concat()).await?;
+    stream
+        .write_all(&[line.as_bytes(), b"\r\n", body, b"\r\n"].concat())
+        .await?;
     let mut lines = Lines::new(stream);
     let head = lines.line().await?.ok_or(io::ErrorKind::UnexpectedEof)?;
     let [_, "ok", length] = head.split(' ').collect::<Vec<_>>()[..] else {
--- a/crates/merlinshelf-lab/src/stand_in/lines.rs
+++ b/crates/merlinshelf-lab/src/stand_in/lines.rs
@@ -44,12 +44,19 @@
 
     /// The next call with its body; none at the end of the stream.
     pub async fn call(&mut self) -> io::Result<Option<Call>> {
-        let Some(line) = self.line().await? else { return Ok(None) };
+        let Some(line) = self.line().await? else {
+            return Ok(None);
+        };
         let ["invoke", id, wait, length] = line.split(' ').collect::<Vec<_>>()[..] else {
             return Err(io::Error::other(format!("no call: {line}")));
         };
         let body = self.body(length).await?;
-        Ok(Some(Call { id: id.to_owned(), wait: wait.to_owned(), body, line }))
+        Ok(Some(Call {
+            id: id.to_owned(),
+            wait: wait.to_owned(),
+            body,
+            line,
+        }))
     }
 
     /// So many bytes with nothing behind them.
--- a/crates/merlinshelf-lab/src/stand_in/members.rs
+++ b/crates/merlinshelf-lab/src/stand_in/members.rs
@@ -20,7 +20,10 @@
 impl Members {
     /// Takes reports for as long as its task lives.
     pub fn start(listener: TcpListener, says: bool) -> Rc<Members> {
-        let members = Rc::new(Members { says, ..Members::default() });
+        let members = Rc::new(Members {
+            says,
+            ..Members::default()
+        });
         let shared = members.clone();
         super::serve(listener, move |stream| {
             let members = shared.clone();
--- a/crates/merlinshelf-lab/src/standing.rs
+++ b/crates/merlinshelf-lab/src/standing.rs
@@ -13,7 +13,8 @@
 const OPEN_MOST: u16 = 32;
 
 fn read(path: &Path) -> io::Result<Value> {
-    let named = |error: io::Error| io::Error::new(error.kind(), format!("{}: {error}", path.display()));
+    let named =
+        |error: io::Error| io::Error::new(error.kind(), format!("{}: {error}", path.display()));
     let text = std::fs::read_to_string(path).map_err(named)?;
     serde_json::from_str(&text).map_err(|error| named(error.into()))
 }
@@ -25,10 +26,20 @@
 
 /// The operations that make calls, by the settings.
 pub fn calling(config: &Value) -> Vec<String> {
-    let calls = config["settings"]["FamilyInfo"]["ClassCalls"].as_array().into_iter().flatten();
-    let names = config["settings"]["Classes"].as_array().into_iter().flatten();
-    let calling = names.zip(calls).filter(|(_, calls)| calls.as_bool() == Some(true));
-    calling.filter_map(|(class, _)| class["Name"].as_str().map(str::to_owned)).collect()
+    let calls = config["settings"]["FamilyInfo"]["ClassCalls"]
+        .as_array()
+        .into_iter()
+        .flatten();
+    let names = config["settings"]["Classes"]
+        .as_array()
+        .into_iter()
+        .flatten();
+    let calling = names
+        .zip(calls)
+        .filter(|(_, calls)| calls.as_bool() == Some(true));
+    calling
+        .filter_map(|(class, _)| class["Name"].as_str().map(str::to_owned))
+        .collect()
 }
 
 /// Plays engine, catalogue and membership service until it is ended.
@@ -37,15 +48,18 @@
     let bind = async |name: &str| {
         let at = address(&config, name)?;
         let listener = TcpListener::bind(&at).await;
-        let listener =
-            listener.map_err(|error| io::Error::new(error.kind(), format!("{name} at {at}: {error}")))?;
+        let listener = listener
+            .map_err(|error| io::Error::new(error.kind(), format!("{name} at {at}: {error}")))?;
         println!("{name} at {at}");
         io::Result::Ok(listener)
     };
     manner.calling = calling(&config);
     let records = Shared::default();
-    let (engine, catalogue, members) =
-        (bind("engine").await?, bind("backend").await?, bind("members").await?);
+    let (engine, catalogue, members) = (
+        bind("engine").await?,
+        bind("backend").await?,
+        bind("members").await?,
+    );
     Engine::start(engine, manner.clone(), records.clone());
     Catalogue::start(catalogue, manner, records);
     Members::start(members, true);
@@ -59,20 +73,33 @@
     for tag in 1..=many {
         let id = format!(
             "{:016x}",
-            (unix_ms() as u64).wrapping_mul(0x9E37_79B9_7F4A_7C15).wrapping_add(tag.into())
+            (unix_ms() as u64)
+                .wrapping_mul(0x9E37_79B9_7F4A_7C15)
+                .wrapping_add(tag.into())
         );
-        stream.write_all(&invocation(tag, operation, body.as_bytes(), &[("HTTP_X_CALL_ID", &id)]))?;
+        stream.write_all(&invocation(
+            tag,
+            operation,
+            body.as_bytes(),
+            &[("HTTP_X_CALL_ID", &id)],
+        ))?;
     }
     let mut open = many;
     while open > 0 {
         let mut head = [0; 8];
         stream.read_exact(&mut head)?;
-        let (tag, length) = (u16::from_be_bytes([head[2], head[3]]), u16::from_be_bytes([head[4], head[5]]));
+        let (tag, length) = (
+            u16::from_be_bytes([head[2], head[3]]),
+            u16::from_be_bytes([head[4], head[5]]),
+        );
         let mut content = vec![0; usize::from(length) + usize::from(head[6])];
         stream.read_exact(&mut content)?;
         match head[1] {
             6 if length > 0 => {
-                println!("answer {tag}:\n{}\n", String::from_utf8_lossy(&content[..length.into()]));
+                println!(
+                    "answer {tag}:\n{}\n",
+                    String::from_utf8_lossy(&content[..length.into()])
+                );
             }
             3 => {
                 if content.get(4) == Some(&2) {
--- a/crates/merlinshelf-lab/src/trial/cost.rs
+++ b/crates/merlinshelf-lab/src/trial/cost.rs
@@ -31,9 +31,17 @@
 /// Holds the instance's lease on a policy and gives it its shares, as its agent and whoever leads do: four beats a second.
 async fn beat(control: PathBuf) {
     let (mut life, mut asked) = (0, 0.0);
-    let figures = [(Kind::Again, 1000), (Kind::Probes, 8), (Kind::First, 4000), (Kind::Opened, 4000)];
+    let figures = [
+        (Kind::Again, 1000),
+        (Kind::Probes, 8),
+        (Kind::First, 4000),
+        (Kind::Opened, 4000),
+    ];
     let budgets = Budgets::from([(CATALOGUE.to_owned(), figures.into_iter().collect())]);
-    let lease = Lease { lease_s: 2.0, drift: 0.02 };
+    let lease = Lease {
+        lease_s: 2.0,
+        drift: 0.02,
+    };
     let (mut bank, mut house) = (Bank::elected(lease, 1), House::new(1, lease, ""));
     bank.bound(&budgets, &Budgets::new(), 1);
     house.bound(0.0, &budgets);
@@ -44,18 +52,32 @@
         house.given(now, &given);
         let beat = Beat {
             life,
-            offer: Some((1, Policy { call_share: Some(4.0), budgets: budgets.clone(), ..Policy::default() })),
+            offer: Some((
+                1,
+                Policy {
+                    call_share: Some(4.0),
+                    budgets: budgets.clone(),
+                    ..Policy::default()
+                },
+            )),
             fence: 0,
-            grant: Some(Grant { number: 1, asked, for_s: 2.0 }),
+            grant: Some(Grant {
+                number: 1,
+                asked,
+                for_s: 2.0,
+            }),
             given: house.answers(now, "i"),
         };
         let body = serde_json::to_value(&beat).unwrap_or_default();
-        if let Ok(mut talk) = Talk::ask(&control, Question::Policy, &body, Duration::from_secs(1)).await
+        if let Ok(mut talk) =
+            Talk::ask(&control, Question::Policy, &body, Duration::from_secs(1)).await
             && let Ok((_, said)) = talk.next().await
             && let Ok(said) = serde_json::from_value::<Said>(said)
         {
             (life, asked) = (said.life, said.asked);
-            said.wishes.into_iter().for_each(|wishes| _ = house.asked(now, "i", wishes));
+            said.wishes
+                .into_iter()
+                .for_each(|wishes| _ = house.asked(now, "i", wishes));
         }
         sleep(Duration::from_millis(250)).await;
     }
@@ -64,7 +86,11 @@
 /// One play: microseconds on the cores an invocation, and the most memory in KB.
 async fn play(plan: &Plan, program: &Path, seed: u64) -> io::Result<(f64, u64)> {
     let policy = plan.policy && program == plan.setup.program;
-    let setup = Setup { program: program.into(), policy, ..plan.setup.clone() };
+    let setup = Setup {
+        program: program.into(),
+        policy,
+        ..plan.setup.clone()
+    };
     let mut instance = Instance::start(&setup, 3).await?;
     let beating = policy.then(|| spawn_local(beat(instance.control.clone())));
     let load = Load::of_all(&instance.address, 100, plan.rate, seed);
@@ -80,7 +106,10 @@
         beating.abort();
     }
     instance.end().await;
-    Ok(((after - before).as_secs_f64() * 1e6 / (now - sent).max(1) as f64, memory))
+    Ok((
+        (after - before).as_secs_f64() * 1e6 / (now - sent).max(1) as f64,
+        memory,
+    ))
 }
 
 /// Plays pairs in turn, first one first, then the other first.
@@ -110,10 +139,16 @@
     let median = |values: &mut Vec<f64>| {
         values.sort_by(f64::total_cmp);
         let (low, high) = (values.len().saturating_sub(1) / 2, values.len() / 2);
-        values.get(low).zip(values.get(high)).map_or(f64::NAN, |(low, high)| (low + high) / 2.0)
+        values
+            .get(low)
+            .zip(values.get(high))
+            .map_or(f64::NAN, |(low, high)| (low + high) / 2.0)
     };
-    let (least, most) =
-        ratios.iter().fold((f64::MAX, 0.0_f64), |(least, most), &one| (least.min(one), most.max(one)));
+    let (least, most) = ratios
+        .iter()
+        .fold((f64::MAX, 0.0_f64), |(least, most), &one| {
+            (least.min(one), most.max(one))
+        });
     let line = json!({
         "trial": "cost", "seed": plan.seed, "pairs": plan.pairs, "rate": plan.rate,
         "ratio": median(&mut ratios), "ratio_least": least, "ratio_most": most,
--- a/crates/merlinshelf-lab/src/trial/dependencies/many.rs
+++ b/crates/merlinshelf-lab/src/trial/dependencies/many.rs
@@ -50,18 +50,24 @@
 
 impl World {
     fn at(&mut self, at: f64, what: What) {
-        self.queue.push(Reverse(((at * 1e6) as u64, self.what.len())));
+        self.queue
+            .push(Reverse(((at * 1e6) as u64, self.what.len())));
         self.what.push(what);
     }
 
     fn steps(&mut self, instance: usize) {
         while let Some(step) = self.routers[instance].next_step() {
-            if let Step::Attempt { attempt, server, .. } = step {
+            if let Step::Attempt {
+                attempt, server, ..
+            } = step
+            {
                 let place = self.places[&server];
                 self.calls[place] += 1;
                 // The place that is free first; exponential durations, as the calls of many kinds are.
                 let free = &mut self.free[place];
-                let first = (0..free.len()).min_by(|a, b| free[*a].total_cmp(&free[*b])).unwrap_or(0);
+                let first = (0..free.len())
+                    .min_by(|a, b| free[*a].total_cmp(&free[*b]))
+                    .unwrap_or(0);
                 let took = -(self.rng.random::<f64>().max(1e-9)).ln() * TAKES * self.slow[place];
                 let end = free[first].max(self.now) + took;
                 free[first] = end;
@@ -123,8 +129,11 @@
 /// Steady load, then one server becomes ten times as slow.
 pub fn play(instances: usize, servers: usize, seed: u64) -> Many {
     let address = |place: usize| format!("127.0.{}.{}:5432", place / 250, 1 + place % 250);
-    let list =
-        (0..servers).map(|place| ServerOf { address: address(place), zone: String::new(), weight: 1.0 });
+    let list = (0..servers).map(|place| ServerOf {
+        address: address(place),
+        zone: String::new(),
+        weight: 1.0,
+    });
     let text = format!(
         "{{\"dependencies\":{{\"a\":{{\"servers\":[],\"subset\":{SUBSET}}}}},\"operations\":{{\"page\":{{\"calls\":[{{\"to\":\"a\"}}]}}}}}}"
     );
@@ -132,7 +141,8 @@
     if let Some(of) = wanted.dependencies.get_mut("a") {
         of.servers = list.collect();
     }
-    let routers = (0..instances).map(|number| Router::new(0.0, wanted.clone(), &format!("n{number}")));
+    let routers =
+        (0..instances).map(|number| Router::new(0.0, wanted.clone(), &format!("n{number}")));
     let mut world = World {
         now: 0.0,
         routers: routers.collect(),
@@ -155,7 +165,11 @@
     while world.now < 15.0 {
         world.until(world.now + 0.5);
         limits.extend(
-            world.routers.iter().step_by(10).filter_map(|router| Some(router.report().first()?.limit)),
+            world
+                .routers
+                .iter()
+                .step_by(10)
+                .filter_map(|router| Some(router.report().first()?.limit)),
         );
     }
     let mean = world.calls.iter().sum::<u64>() as f64 / servers as f64;
@@ -166,8 +180,11 @@
         .map(|router| router.report().first().map_or(0, |of| of.servers.len()))
         .sum::<usize>();
     let mean_limit = limits.iter().sum::<f64>() / limits.len().max(1) as f64;
-    let square =
-        limits.iter().map(|limit| (limit - mean_limit).powi(2)).sum::<f64>() / limits.len().max(1) as f64;
+    let square = limits
+        .iter()
+        .map(|limit| (limit - mean_limit).powi(2))
+        .sum::<f64>()
+        / limits.len().max(1) as f64;
     // The first server becomes slow.
     let usual = world.calls[0] as f64 / 10.0;
     world.slow[0] = 10.0;
--- a/crates/merlinshelf-lab/src/trial/dependencies/mod.rs
+++ b/crates/merlinshelf-lab/src/trial/dependencies/mod.rs
@@ -36,22 +36,32 @@
         let local = LocalSet::new();
         loop {
             let job = jobs.lock().ok().and_then(|mut jobs| jobs.next());
-            let Some((fault, how)) = job else { return Ok(()) };
-            let played = local.block_on(&runtime, play::play(plan, &FAULTS[fault], how, 60 + worker))?;
+            let Some((fault, how)) = job else {
+                return Ok(());
+            };
+            let played =
+                local.block_on(&runtime, play::play(plan, &FAULTS[fault], how, 60 + worker))?;
             if let Ok(mut found) = found.lock() {
                 found.insert((fault, how), played);
             }
         }
     };
     std::thread::scope(|scope| {
-        let workers: Vec<_> =
-            (0..plan.at_once.max(1)).map(|worker| scope.spawn(move || work(worker))).collect();
+        let workers: Vec<_> = (0..plan.at_once.max(1))
+            .map(|worker| scope.spawn(move || work(worker)))
+            .collect();
         let ended = workers.into_iter();
         ended
-            .map(|worker| worker.join().unwrap_or_else(|_| Err(io::Error::other("a play panicked"))))
+            .map(|worker| {
+                worker
+                    .join()
+                    .unwrap_or_else(|_| Err(io::Error::other("a play panicked")))
+            })
             .collect::<io::Result<Vec<()>>>()
     })?;
-    found.into_inner().map_err(|_| io::Error::other("a play panicked"))
+    found
+        .into_inner()
+        .map_err(|_| io::Error::other("a play panicked"))
 }
 
 /// Plays everything; the last line, and whether the rules held.
@@ -62,10 +72,18 @@
     let all: Vec<usize> = match plan.faults.is_empty() {
         true => (0..FAULTS.len()).collect(),
         false => std::iter::once(0)
-            .chain(plan.faults.iter().copied().filter(|one| (1..FAULTS.len()).contains(one)))
+            .chain(
+                plan.faults
+                    .iter()
+                    .copied()
+                    .filter(|one| (1..FAULTS.len()).contains(one)),
+            )
             .collect(),
     };
-    let jobs = all.iter().flat_map(|fault| How::ALL.map(|how| (*fault, how))).collect();
+    let jobs = all
+        .iter()
+        .flat_map(|fault| How::ALL.map(|how| (*fault, how)))
+        .collect();
     let found = plays(plan, jobs)?;
     println!(
         "{:<44} {:>8} {:>8} {:>8} {:>9} {:>9}",
@@ -87,10 +105,14 @@
             FAULTS[fault].name,
             one.attempts,
             one.partial_told,
-            if one.partial_told == one.partial_seen { "" } else { " not as clients saw" }
+            if one.partial_told == one.partial_seen {
+                ""
+            } else {
+                " not as clients saw"
+            }
         );
-        clean &=
-            How::ALL.iter().all(|how| of(*how).broken_rules == 0) && one.partial_told == one.partial_seen;
+        clean &= How::ALL.iter().all(|how| of(*how).broken_rules == 0)
+            && one.partial_told == one.partial_seen;
         if fault > 0 {
             above += usize::from(routed >= before && routed >= round);
             if FAULTS[fault].whole {
@@ -117,5 +139,8 @@
         "reaction_s": many.reaction_s, "swing": many.swing, "rules": clean,
     });
     println!("{line}");
-    Ok((line, clean && (first_case.is_nan() || first_case >= 0.85) && worst_attempts <= 1.1))
+    Ok((
+        line,
+        clean && (first_case.is_nan() || first_case >= 0.85) && worst_attempts <= 1.1,
+    ))
 }
--- a/crates/merlinshelf-lab/src/trial/dependencies/play.rs
+++ b/crates/merlinshelf-lab/src/trial/dependencies/play.rs
@@ -27,10 +27,17 @@
 
 /// The first one is no fault. What happens to one server happens to the first, which the version before calls.
 pub const FAULTS: [Fault; 11] = [
-    Fault { name: "none", parts: &[], whole: false },
+    Fault {
+        name: "none",
+        parts: &[],
+        whole: false,
+    },
     Fault {
         name: "1 catalogue 8 times as slow, assets fail",
-        parts: &[("catalogue", ALL, Manners::Slow(8.0)), ("assets", ALL, Manners::Errors)],
+        parts: &[
+            ("catalogue", ALL, Manners::Slow(8.0)),
+            ("assets", ALL, Manners::Errors),
+        ],
         whole: true,
     },
     Fault {
@@ -58,8 +65,16 @@
         parts: &[("catalogue", ALL, Manners::Slow(8.0))],
         whole: false,
     },
-    Fault { name: "7 assets fail", parts: &[("assets", ALL, Manners::Errors)], whole: true },
-    Fault { name: "8 assets never answer", parts: &[("assets", ALL, Manners::Hangs)], whole: true },
+    Fault {
+        name: "7 assets fail",
+        parts: &[("assets", ALL, Manners::Errors)],
+        whole: true,
+    },
+    Fault {
+        name: "8 assets never answer",
+        parts: &[("assets", ALL, Manners::Hangs)],
+        whole: true,
+    },
     Fault {
         name: "9 one of five 60 times as slow for one",
         parts: &[("catalogue", &[0], Manners::SlowFor("thumbnail", 60.0))],
@@ -104,15 +119,24 @@
 const UNDER: Duration = Duration::from_millis(5000);
 const CALL_TAKES: Duration = Duration::from_millis(5);
 /// Billed value and objective of the operations, as in the example, and what of the value each part costs where it is missing.
-const WORTH: [(&str, f64, f64); 3] =
-    [("thumbnail", 1.0, 1.7), ("transcript-search", 2.0, 2.3), ("playback-token", 3.0, 1.0)];
-const COSTS: [(&str, &str, f64); 3] =
-    [("thumbnail", "catalogue", 0.4), ("thumbnail", "assets", 0.2), ("playback-token", "assets", 0.1)];
+const WORTH: [(&str, f64, f64); 3] = [
+    ("thumbnail", 1.0, 1.7),
+    ("transcript-search", 2.0, 2.3),
+    ("playback-token", 3.0, 1.0),
+];
+const COSTS: [(&str, &str, f64); 3] = [
+    ("thumbnail", "catalogue", 0.4),
+    ("thumbnail", "assets", 0.2),
+    ("playback-token", "assets", 0.1),
+];
 
 /// What the operators say of the two.
 pub fn section(servers: &BTreeMap<String, Vec<String>>) -> Value {
     let list = |name: &str| -> Vec<Value> {
-        servers[name].iter().map(|address| json!({ "address": address })).collect()
+        servers[name]
+            .iter()
+            .map(|address| json!({ "address": address }))
+            .collect()
     };
     let call = |of: &str, to: &str, instead: Value| {
         let cost = COSTS
@@ -136,20 +160,32 @@
 
 pub fn parts() -> Vec<(String, Vec<String>)> {
     let both = || vec!["catalogue".to_owned(), "assets".to_owned()];
-    vec![("thumbnail".into(), both()), ("playback-token".into(), both())]
+    vec![
+        ("thumbnail".into(), both()),
+        ("playback-token".into(), both()),
+    ]
 }
 
 /// What an answer is worth: all of it in its objective, less what its missing parts cost.
 fn worth(sent: &Sent, poorer_parts: bool) -> (f64, f64) {
-    let (_, whole, objective) =
-        WORTH.iter().find(|(name, ..)| *name == sent.operation).copied().unwrap_or(("", 0.0, 0.0));
+    let (_, whole, objective) = WORTH
+        .iter()
+        .find(|(name, ..)| *name == sent.operation)
+        .copied()
+        .unwrap_or(("", 0.0, 0.0));
     let served = sent
         .answers
         .first()
         .is_some_and(|(at, status)| *status == 200 && (*at - sent.at).as_secs_f64() <= objective);
     let mut got = if served { whole } else { 0.0 };
-    for (_, part, cost) in COSTS.iter().filter(|(operation, ..)| *operation == sent.operation) {
-        let named = sent.partial.as_ref().is_some_and(|parts| parts.split(", ").any(|one| one == *part));
+    for (_, part, cost) in COSTS
+        .iter()
+        .filter(|(operation, ..)| *operation == sent.operation)
+    {
+        let named = sent
+            .partial
+            .as_ref()
+            .is_some_and(|parts| parts.split(", ").any(|one| one == *part));
         // Without names one does not know which is missing: the cheaper one is taken, in favour of the plain ways.
         let unnamed = poorer_parts && sent.poorer && *part == "assets";
         if named || unnamed {
@@ -169,13 +205,21 @@
     let mut all: BTreeMap<&str, Vec<Rc<Server>>> = BTreeMap::new();
     for name in ["catalogue", "assets"] {
         for _ in 0..5 {
-            all.entry(name).or_default().push(Server::start(CALL_TAKES).await?);
+            all.entry(name)
+                .or_default()
+                .push(Server::start(CALL_TAKES).await?);
         }
     }
     let addresses: BTreeMap<String, Vec<String>> = all
         .iter()
         .map(|(name, servers)| {
-            ((*name).to_owned(), servers.iter().map(|server| server.address.clone()).collect())
+            (
+                (*name).to_owned(),
+                servers
+                    .iter()
+                    .map(|server| server.address.clone())
+                    .collect(),
+            )
         })
         .collect();
     let mut setup = Setup::small(&plan.program);
@@ -187,7 +231,10 @@
             setup.catalogue = Some(listener.local_addr()?.to_string());
             let way = match how {
                 How::Before => Way::First,
-                _ => Way::Round { each: Duration::from_millis(250), tries: 3 },
+                _ => Way::Round {
+                    each: Duration::from_millis(250),
+                    tries: 3,
+                },
             };
             Forward::start(listener, way, addresses);
         }
@@ -197,34 +244,51 @@
     let playing = load.start().await?;
     sleep(BEFORE).await;
     let failing = || {
-        fault.parts.iter().flat_map(|(name, which, _)| which.iter().map(|place| all[name][*place].clone()))
+        fault
+            .parts
+            .iter()
+            .flat_map(|(name, which, _)| which.iter().map(|place| all[name][*place].clone()))
     };
     let failing: Vec<Rc<Server>> = failing().collect();
     for (name, which, does) in fault.parts {
         which.iter().for_each(|place| all[name][*place].does(*does));
     }
     let began = Instant::now();
-    let (at_fault, whole_before) =
-        (calls(&failing), calls(&all.values().flatten().cloned().collect::<Vec<_>>()));
+    let (at_fault, whole_before) = (
+        calls(&failing),
+        calls(&all.values().flatten().cloned().collect::<Vec<_>>()),
+    );
     sleep(UNDER).await;
     let until = Instant::now();
     let (under, whole_under) = (
         calls(&failing) - at_fault,
         calls(&all.values().flatten().cloned().collect::<Vec<_>>()) - whole_before,
     );
-    all.values().flatten().for_each(|server| server.does(Manners::Well));
+    all.values()
+        .flatten()
+        .for_each(|server| server.does(Manners::Well));
     let seen = playing.stop().await;
     let report = instance.status().await?;
-    let verdict = seen.borrow().check(&instance.records.borrow(), load.patience);
+    let verdict = seen
+        .borrow()
+        .check(&instance.records.borrow(), load.patience);
     instance.end().await;
     let seen: &Seen = &seen.borrow();
     let (mut got, mut asked, mut wanted) = (0.0, 0.0, 0_u64);
-    for sent in seen.sent.values().filter(|sent| sent.at >= began && sent.at < until) {
+    for sent in seen
+        .sent
+        .values()
+        .filter(|sent| sent.at >= began && sent.at < until)
+    {
         let (value, whole) = worth(sent, how != How::Routed);
         (got, asked) = (got + value, asked + whole);
         wanted += 2 * u64::from(sent.operation != "transcript-search");
     }
-    let partial_seen = seen.sent.values().filter(|sent| sent.partial.is_some()).count() as u64;
+    let partial_seen = seen
+        .sent
+        .values()
+        .filter(|sent| sent.partial.is_some())
+        .count() as u64;
     let per_s = |calls: u64, time: Duration| calls as f64 / time.as_secs_f64();
     Ok(Played {
         share: got / f64::max(asked, 1e-9),
--- a/crates/merlinshelf-lab/src/trial/fleet.rs
+++ b/crates/merlinshelf-lab/src/trial/fleet.rs
@@ -40,9 +40,17 @@
     let mut sums = (0, 0);
     for (_, playing) in playing {
         let seen = playing.seen.borrow();
-        for sent in seen.sent.values().filter(|sent| sent.at >= from && sent.at < until) {
+        for sent in seen
+            .sent
+            .values()
+            .filter(|sent| sent.at >= from && sent.at < until)
+        {
             sums.1 += 1;
-            sums.0 += u64::from(sent.answers.first().is_some_and(|(_, status)| *status == 200));
+            sums.0 += u64::from(
+                sent.answers
+                    .first()
+                    .is_some_and(|(_, status)| *status == 200),
+            );
         }
     }
     sums
@@ -63,7 +71,10 @@
             return Ok(plan);
         }
         if Instant::now() >= until {
-            return Err(io::Error::other(format!("the plan does not end\n{}", rig.log())));
+            return Err(io::Error::other(format!(
+                "the plan does not end\n{}",
+                rig.log()
+            )));
         }
         sleep(Duration::from_millis(50)).await;
     }
@@ -91,7 +102,8 @@
     let began = Instant::now();
     let copy = rig.folder.join("merlinshelf-2");
     std::fs::copy(&plan.program, &copy)?;
-    rig.ask(&json!({ "op": "upgrade", "program": copy })).await?;
+    rig.ask(&json!({ "op": "upgrade", "program": copy }))
+        .await?;
     for _ in 0..plan.kills {
         sleep(Duration::from_millis(rng.random_range(200..1800))).await;
         rig.kill_agent().await;
@@ -109,12 +121,16 @@
         // looks after it starts it again.
         println!("seed {seed}: the plan is {}; started again", ended["state"]);
         rig.when("serving", plan.instances.into()).await?;
-        rig.ask(&json!({ "op": "upgrade", "program": copy })).await?;
+        rig.ask(&json!({ "op": "upgrade", "program": copy }))
+            .await?;
         ended = over(&rig).await?;
     }
     if ended["state"] != "done" {
         let history = rig.history().await?;
-        return Err(io::Error::other(format!("seed {seed}: the upgrade is {}\n{history}", ended["state"])));
+        return Err(io::Error::other(format!(
+            "seed {seed}: the upgrade is {}\n{history}",
+            ended["state"]
+        )));
     }
     let upgraded = Instant::now();
     // The plain way: drain and start, one after the other.
@@ -124,16 +140,23 @@
     // All leave; half of them were told by hand already.
     let (all, _) = rig.status().await?;
     for one in all.iter().step_by(2) {
-        if let Some(pid) = one["process"].as_u64().and_then(|pid| u32::try_from(pid).ok()) {
+        if let Some(pid) = one["process"]
+            .as_u64()
+            .and_then(|pid| u32::try_from(pid).ok())
+        {
             signal(pid, Signal::TERM);
         }
     }
-    rig.ask(&json!({ "op": "drain", "slowest_first": true })).await?;
+    rig.ask(&json!({ "op": "drain", "slowest_first": true }))
+        .await?;
     over(&rig).await?;
     if !rig.processes().is_empty() {
         return Err(io::Error::other(format!("seed {seed}: some have not left")));
     }
-    let (before, during) = (served(&playing, steady, began), served(&playing, began, upgraded));
+    let (before, during) = (
+        served(&playing, steady, began),
+        served(&playing, began, upgraded),
+    );
     let plain = served(&playing, upgraded, restarted);
     let verdict = sum(&rig.check(playing).await);
     Ok(Played {
@@ -150,8 +173,13 @@
 async fn kill_one(rig: &Rig, playing: &[(Load, Playing)], place: u16) -> io::Result<()> {
     let (all, _) = rig.status().await?;
     let name = format!("web.{place}");
-    let process = all.iter().find(|one| one["name"] == name.as_str()).and_then(|one| one["process"].as_u64());
-    let Some(process) = process.and_then(|process| u32::try_from(process).ok()) else { return Ok(()) };
+    let process = all
+        .iter()
+        .find(|one| one["name"] == name.as_str())
+        .and_then(|one| one["process"].as_u64());
+    let Some(process) = process.and_then(|process| u32::try_from(process).ok()) else {
+        return Ok(());
+    };
     let address = rig.address(place);
     if let Some((_, playing)) = playing.iter().find(|(load, _)| load.address == address) {
         playing.seen.borrow_mut().killed.push(Instant::now());
@@ -165,17 +193,32 @@
 async fn cost(plan: &Plan, count: u16, number: u8) -> io::Result<(f64, u64, f64)> {
     let rig = Rig::start(&plan.program, number, count, &change()).await?;
     rig.when("serving", count.into()).await?;
-    let id = rig.agent_id().ok_or_else(|| io::Error::other("the agent is gone"))?;
+    let id = rig
+        .agent_id()
+        .ok_or_else(|| io::Error::other("the agent is gone"))?;
     let cpu = || -> io::Result<f64> {
         let text = std::fs::read_to_string(format!("/proc/{id}/schedstat"))?;
-        Ok(text.split(' ').next().and_then(|nanos| nanos.parse::<f64>().ok()).unwrap_or(0.0) / 1e9)
+        Ok(text
+            .split(' ')
+            .next()
+            .and_then(|nanos| nanos.parse::<f64>().ok())
+            .unwrap_or(0.0)
+            / 1e9)
     };
     let (from, before) = (Instant::now(), cpu()?);
     sleep(Duration::from_secs(4)).await;
     let share = (cpu()? - before) / from.elapsed().as_secs_f64();
     let status = std::fs::read_to_string(format!("/proc/{id}/status"))?;
-    let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).unwrap_or("");
-    let memory = line.trim().split(' ').next().and_then(|kb| kb.parse().ok()).unwrap_or(0);
+    let line = status
+        .lines()
+        .find_map(|line| line.strip_prefix("VmRSS:"))
+        .unwrap_or("");
+    let memory = line
+        .trim()
+        .split(' ')
+        .next()
+        .and_then(|kb| kb.parse().ok())
+        .unwrap_or(0);
     let mut times = Vec::new();
     for _ in 0..9 {
         let from = Instant::now();
@@ -195,7 +238,14 @@
     for (number, seed) in (100_u8..230).cycle().zip(plan.seed..plan.seed + plan.seeds) {
         // Stand-ins of the seed before still listen: each has addresses of its own.
         let played = play(plan, seed, number).await?;
-        let Played { verdict, before, during, took, plain, stopped } = played;
+        let Played {
+            verdict,
+            before,
+            during,
+            took,
+            plain,
+            stopped,
+        } = played;
         plans_stopped += stopped;
         println!(
             "seed {seed}: {} sent, {} lost, {} held by a killed one, {} doubled, {} run twice; served {during:.4} in {took:.1} s of upgrade, {before:.4} \
@@ -206,7 +256,8 @@
         plains.push(plain / before.max(1e-9));
         all = sum(&[all, verdict]);
     }
-    let [ratio, plain] = [&mut ratios, &mut plains].map(|values| median(values).unwrap_or(f64::NAN));
+    let [ratio, plain] =
+        [&mut ratios, &mut plains].map(|values| median(values).unwrap_or(f64::NAN));
     let mut costs = Vec::new();
     for (number, count) in [(240, 20), (241, 200)] {
         let (share, memory_kb, status_ms) = cost(plan, count, number).await?;
@@ -224,5 +275,8 @@
         "served_in_upgrade": ratio, "served_by_restart": plain, "agent": costs,
     });
     println!("{line}");
-    Ok((line, all.lost + all.doubled + all.run_twice + all.spoilt == 0 && ratio >= 0.98))
+    Ok((
+        line,
+        all.lost + all.doubled + all.run_twice + all.spoilt == 0 && ratio >= 0.98,
+    ))
 }
--- a/crates/merlinshelf-lab/src/trial/learning/cost.rs
+++ b/crates/merlinshelf-lab/src/trial/learning/cost.rs
@@ -58,9 +58,17 @@
     sleep(Duration::from_millis(700)).await;
     let answered: Rc<Cell<u32>> = Rc::default();
     let asking = (case == Case::Asked).then(|| spawn_local(ask(answered.clone())));
-    let (from, before, sent) = (Instant::now(), instance.cpu()?, playing.seen.borrow().sent.len());
+    let (from, before, sent) = (
+        Instant::now(),
+        instance.cpu()?,
+        playing.seen.borrow().sent.len(),
+    );
     sleep(TIME).await;
-    let (until, after, now) = (Instant::now(), instance.cpu()?, playing.seen.borrow().sent.len());
+    let (until, after, now) = (
+        Instant::now(),
+        instance.cpu()?,
+        playing.seen.borrow().sent.len(),
+    );
     if let Some(asking) = asking {
         asking.abort();
     }
@@ -79,8 +87,12 @@
         sleep(Duration::from_secs(1) / QUESTIONS).await;
         let answered = answered.clone();
         spawn_local(async move {
-            let Ok(mut stream) = TcpStream::connect(peer_address(NUMBER)).await else { return };
-            let _ = stream.write_all(b"ask 1 pupil 1 0 alive 127.0.0.1:1 steady 1 0 0\r\n").await;
+            let Ok(mut stream) = TcpStream::connect(peer_address(NUMBER)).await else {
+                return;
+            };
+            let _ = stream
+                .write_all(b"ask 1 pupil 1 0 alive 127.0.0.1:1 steady 1 0 0\r\n")
+                .await;
             let mut answer = Vec::new();
             let _ = stream.read_to_end(&mut answer).await;
             answered.set(answered.get() + u32::from(answer.starts_with(b"tell 1 ")));
--- a/crates/merlinshelf-lab/src/trial/learning/crashes.rs
+++ b/crates/merlinshelf-lab/src/trial/learning/crashes.rs
@@ -41,7 +41,10 @@
         };
         let told = Told {
             subject,
-            origin: Origin { name: "n0".into(), life: 1 },
+            origin: Origin {
+                name: "n0".into(),
+                life: 1,
+            },
             value: rng.random_range(0.001..1.0),
             count: rng.random_range(1..24),
             age: rng.random_range(0.0..30.0),
@@ -57,13 +60,22 @@
 
 /// Savings until the end or the crash.
 fn live(disk: &mut Disk, store: &mut Store, past: &mut Past, rng: &mut Pcg64Mcg, clock: &mut f64) {
-    let mut number = past.ever.values().flatten().map(|told| told.number).max().unwrap_or(0);
+    let mut number = past
+        .ever
+        .values()
+        .flatten()
+        .map(|told| told.number)
+        .max()
+        .unwrap_or(0);
     let mut all: Vec<Told> = past.certain.iter().map(|(_, told)| told.clone()).collect();
     for _ in 0..6 {
         *clock += 5.0;
         all = figures(rng, &mut number, &all);
         for told in &all {
-            let ever = past.ever.entry((told.subject.clone(), told.number)).or_default();
+            let ever = past
+                .ever
+                .entry((told.subject.clone(), told.number))
+                .or_default();
             if !ever.contains(told) {
                 ever.push(told.clone());
             }
@@ -80,15 +92,18 @@
 fn right(found: &Found, past: &Past) -> bool {
     let mut last: BTreeMap<&Subject, &Kept> = BTreeMap::new();
     for kept in &found.kept {
-        let known = past.ever.get(&(kept.told.subject.clone(), kept.told.number));
+        let known = past
+            .ever
+            .get(&(kept.told.subject.clone(), kept.told.number));
         if !known.is_some_and(|known| known.contains(&kept.told)) {
             return false;
         }
         last.insert(&kept.told.subject, kept);
     }
-    past.certain
-        .iter()
-        .all(|(_, told)| last.get(&told.subject).is_some_and(|of| of.told.number >= told.number))
+    past.certain.iter().all(|(_, told)| {
+        last.get(&told.subject)
+            .is_some_and(|of| of.told.number >= told.number)
+    })
 }
 
 /// Crashes at each operation of a first life and, after that, of a second one.
@@ -96,7 +111,8 @@
     let mut crashes = Crashes::default();
     for first in 0..most {
         for second in 0..most {
-            let mut rng = Pcg64Mcg::seed_from_u64(seed ^ u64::from(first) << 32 ^ u64::from(second) << 8);
+            let mut rng =
+                Pcg64Mcg::seed_from_u64(seed ^ u64::from(first) << 32 ^ u64::from(second) << 8);
             let mut disk = Disk::new(Pcg64Mcg::seed_from_u64(rng.random()));
             let (mut past, mut clock) = (Past::default(), 1e9);
             for crash in [Some(first), Some(second), None] {
--- a/crates/merlinshelf-lab/src/trial/learning/fleet.rs
+++ b/crates/merlinshelf-lab/src/trial/learning/fleet.rs
@@ -23,8 +23,15 @@
 
 enum What {
     Wake(usize),
-    Question { from: usize, to: usize, message: Box<Message> },
-    Answer { to: usize, message: Box<Message> },
+    Question {
+        from: usize,
+        to: usize,
+        message: Box<Message>,
+    },
+    Answer {
+        to: usize,
+        message: Box<Message>,
+    },
 }
 
 /// Learners and the network between them; moments in seconds.
@@ -89,7 +96,8 @@
 
 impl World {
     pub fn new(count: usize, seed: u64) -> World {
-        let learners = (0..count).map(|number| Some(Learner::new(0.0, 1, settings(number, &[0, 1, 2]))));
+        let learners =
+            (0..count).map(|number| Some(Learner::new(0.0, 1, settings(number, &[0, 1, 2]))));
         let mut world = World {
             now: 0.0,
             learners: learners.collect(),
@@ -146,10 +154,17 @@
                 Some(What::Wake(number)) => self.wake(number),
                 Some(What::Question { from, to, message }) => {
                     let now = self.now;
-                    let Some(one) = &mut self.learners[to] else { continue };
-                    let Some(answer) = one.asked(now, &message) else { continue };
+                    let Some(one) = &mut self.learners[to] else {
+                        continue;
+                    };
+                    let Some(answer) = one.asked(now, &message) else {
+                        continue;
+                    };
                     one.spent(2e-5);
-                    let what = What::Answer { to: from, message: Box::new(answer.clone()) };
+                    let what = What::Answer {
+                        to: from,
+                        message: Box::new(answer.clone()),
+                    };
                     self.send(to, from, Kind::Tell, &answer, what);
                 }
                 Some(What::Answer { to, message }) => {
@@ -167,12 +182,18 @@
     fn wake(&mut self, number: usize) {
         let (now, rng) = (self.now, &mut self.rng);
         // One that is gone may come back.
-        let Some(one) = &mut self.learners[number] else { return self.at(now + 1.0, What::Wake(number)) };
+        let Some(one) = &mut self.learners[number] else {
+            return self.at(now + 1.0, What::Wake(number));
+        };
         let steps = one.woken(now, &mut || rng.random());
         let wake = one.wake_at().unwrap_or(now + 1.0);
         for Step::Ask { address, question } in steps {
             let Ok(to) = address.parse() else { continue };
-            let what = What::Question { from: number, to, message: Box::new(question.clone()) };
+            let what = What::Question {
+                from: number,
+                to,
+                message: Box::new(question.clone()),
+            };
             self.send(number, to, Kind::Ask, &question, what);
         }
         self.at(wake.max(now + 1e-4), What::Wake(number));
@@ -181,7 +202,10 @@
     /// All see what a steady module has learnt.
     pub fn all_see(&mut self, runs: usize, speed: f64) {
         let (now, learnt) = (self.now, learnt(runs, self.now, speed));
-        self.learners.iter_mut().flatten().for_each(|one| one.see(now, now, &learnt));
+        self.learners
+            .iter_mut()
+            .flatten()
+            .for_each(|one| one.see(now, now, &learnt));
     }
 
     /// Goes on until all that live say so, at most so long; when that was.
@@ -200,8 +224,15 @@
 
 fn memory_kb() -> f64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
-    let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).unwrap_or("");
-    line.trim().split(' ').next().and_then(|kb| kb.parse().ok()).unwrap_or(0.0)
+    let line = status
+        .lines()
+        .find_map(|line| line.strip_prefix("VmRSS:"))
+        .unwrap_or("");
+    line.trim()
+        .split(' ')
+        .next()
+        .and_then(|kb| kb.parse().ok())
+        .unwrap_or(0.0)
 }
 
 /// All start at once, meet, go on for a while, and one dies.
@@ -225,7 +256,11 @@
     let dead = count / 2;
     world.learners[dead] = None;
     let (began, name) = (world.now, format!("n{dead}"));
-    let knows = |one: &Learner| one.members().state_of(&name).is_none_or(|state| state >= State::Left);
+    let knows = |one: &Learner| {
+        one.members()
+            .state_of(&name)
+            .is_none_or(|state| state >= State::Left)
+    };
     let known = world.when(300.0, knows).unwrap_or(f64::INFINITY) - began;
     Fleet {
         messages: messages as f64 / seconds,
