--- a/crates/merlinshelf-lab/src/trial/learning/mod.rs
+++ b/crates/merlinshelf-lab/src/trial/learning/mod.rs
@@ -44,9 +44,12 @@
 /// All plays of all seeds, some at one time.
 fn plays(plan: &Plan) -> io::Result<BTreeMap<Job, Steps>> {
     let outage = |seed: u64| worth::ALL.map(|teacher| (true, seed, teacher));
-    let none = |seed: u64| [Teacher::Nobody, Teacher::Wrong, Teacher::Lying].map(|of| (false, seed, of));
+    let none =
+        |seed: u64| [Teacher::Nobody, Teacher::Wrong, Teacher::Lying].map(|of| (false, seed, of));
     let seeds = plan.seed..plan.seed + plan.seeds;
-    let jobs: Vec<Job> = seeds.flat_map(|seed| outage(seed).into_iter().chain(none(seed))).collect();
+    let jobs: Vec<Job> = seeds
+        .flat_map(|seed| outage(seed).into_iter().chain(none(seed)))
+        .collect();
     let jobs = Mutex::new(jobs.into_iter());
     let found: Mutex<BTreeMap<Job, Steps>> = Mutex::default();
     let work = |worker: u8| -> io::Result<()> {
@@ -54,7 +57,9 @@
         let local = LocalSet::new();
         loop {
             let job = jobs.lock().ok().and_then(|mut jobs| jobs.next());
-            let Some((outage, seed, teacher)) = job else { return Ok(()) };
+            let Some((outage, seed, teacher)) = job else {
+                return Ok(());
+            };
             let play = worth::play(outage, &plan.program, seed, teacher, 2 + 2 * worker);
             let steps = local.block_on(&runtime, play)?;
             if let Ok(mut found) = found.lock() {
@@ -63,12 +68,18 @@
         }
     };
     std::thread::scope(|scope| {
-        let workers: Vec<_> = (0..plan.at_once).map(|worker| scope.spawn(move || work(worker))).collect();
-        workers
-            .into_iter()
-            .try_for_each(|worker| worker.join().unwrap_or_else(|_| Err(io::Error::other("a play panicked"))))
+        let workers: Vec<_> = (0..plan.at_once)
+            .map(|worker| scope.spawn(move || work(worker)))
+            .collect();
+        workers.into_iter().try_for_each(|worker| {
+            worker
+                .join()
+                .unwrap_or_else(|_| Err(io::Error::other("a play panicked")))
+        })
     })?;
-    found.into_inner().map_err(|_| io::Error::other("a play panicked"))
+    found
+        .into_inner()
+        .map_err(|_| io::Error::other("a play panicked"))
 }
 
 /// Median costs with learning off, on, and asked by many, played in turn.
@@ -90,7 +101,11 @@
         return Ok(Value::Null);
     }
     let [off, on, asked] = found.map(|(mut us, mut p99, mut answered)| {
-        (spread(&mut us).0, spread(&mut p99).0, spread(&mut answered).0)
+        (
+            spread(&mut us).0,
+            spread(&mut p99).0,
+            spread(&mut answered).0,
+        )
     });
     println!(
         "learning on: {:.3} of the time on the cores without it, 99th latency {:.3}; asked {:.0} times a second: {:.3} and {:.3}",
@@ -114,7 +129,12 @@
     let found = plays(plan)?;
     if std::env::var_os("MERLINSHELF_LAB_STEPS").is_some() {
         found.iter().for_each(|((outage, seed, of), steps)| {
-            println!("{seed} {} {}: {}", if *outage { "outage" } else { "none" }, of.name(), steps.text());
+            println!(
+                "{seed} {} {}: {}",
+                if *outage { "outage" } else { "none" },
+                of.name(),
+                steps.text()
+            );
         });
     }
     let mut settled = BTreeMap::new();
@@ -126,9 +146,10 @@
         let (mut times, mut shares, mut ratios) = (Vec::new(), Vec::new(), Vec::new());
         for seed in plan.seed..plan.seed + plan.seeds {
             // What a steady one comes to under the same load is what all are held against.
-            if let (Some(steady), Some(steps)) =
-                (found.get(&(true, seed, Teacher::Steady)), found.get(&(true, seed, teacher)))
-            {
+            if let (Some(steady), Some(steps)) = (
+                found.get(&(true, seed, Teacher::Steady)),
+                found.get(&(true, seed, teacher)),
+            ) {
                 let settled = |steps: &Steps| steps.settled(steady.steady()).as_secs_f64();
                 times.push(settled(steps));
                 // Of the same seed, so that what the load does to all counts for none.
@@ -146,7 +167,11 @@
         );
         settled.insert(teacher, (median, ratio));
     }
-    let of = |teacher: Teacher| settled.get(&teacher).map_or(f64::NAN, |(median, _)| *median);
+    let of = |teacher: Teacher| {
+        settled
+            .get(&teacher)
+            .map_or(f64::NAN, |(median, _)| *median)
+    };
     let cold = of(Teacher::Nobody);
     let taught = of(Teacher::Steady).max(of(Teacher::OwnFile));
     let bad = || settled.iter().filter(|(teacher, _)| teacher.is_bad());
@@ -155,12 +180,18 @@
     // Told of an outage where there is none: the first second, against a cold one's.
     let first = |teacher: Teacher| {
         let seeds = plan.seed..plan.seed + plan.seeds;
-        let mut shares: Vec<f64> =
-            seeds.filter_map(|seed| found.get(&(false, seed, teacher)).map(Steps::first)).collect();
+        let mut shares: Vec<f64> = seeds
+            .filter_map(|seed| found.get(&(false, seed, teacher)).map(Steps::first))
+            .collect();
         spread(&mut shares).0
     };
-    let (calm, lied) = (first(Teacher::Nobody), first(Teacher::Lying).min(first(Teacher::Wrong)));
-    println!("without an outage: first second {calm:.3} cold, {lied:.3} told of one by bad teachers");
+    let (calm, lied) = (
+        first(Teacher::Nobody),
+        first(Teacher::Lying).min(first(Teacher::Wrong)),
+    );
+    println!(
+        "without an outage: first second {calm:.3} cold, {lied:.3} told of one by bad teachers"
+    );
     let costs = costs(plan)?;
     let mut fleets = Vec::new();
     for &count in &plan.fleets {
@@ -176,13 +207,17 @@
         }));
     }
     let crashes = crashes::play(plan.seed, plan.crashes);
-    println!("{} crashes, {} stores read back, {} wrong", crashes.crashes, crashes.read_back, crashes.wrong);
+    println!(
+        "{} crashes, {} stores read back, {} wrong",
+        crashes.crashes, crashes.read_back, crashes.wrong
+    );
     let line = json!({
         "trial": "learning", "seed": plan.seed, "seeds": plan.seeds, "cold_s": cold, "taught_s": taught,
         "worst_bad_teacher": worst, "worst_bad_teacher_against_cold": worst_ratio, "calm_first_second": calm, "calm_first_second_lied_to": lied, "teacher": costs, "fleets": fleets, "crashes": crashes.crashes,
         "stores_read_back": crashes.read_back, "stores_wrong": crashes.wrong,
     });
     println!("{line}");
-    let holds = crashes.wrong == 0 && taught <= 0.5 * cold && worst_ratio <= 1.05 && lied >= 0.95 * calm;
+    let holds =
+        crashes.wrong == 0 && taught <= 0.5 * cold && worst_ratio <= 1.05 && lied >= 0.95 * calm;
     Ok((line, holds))
 }
--- a/crates/merlinshelf-lab/src/trial/learning/worth.rs
+++ b/crates/merlinshelf-lab/src/trial/learning/worth.rs
@@ -60,7 +60,10 @@
 
     /// Whether it teaches what does not hold.
     pub fn is_bad(self) -> bool {
-        matches!(self, Teacher::Recovering | Teacher::Stale | Teacher::Wrong | Teacher::Lying)
+        matches!(
+            self,
+            Teacher::Recovering | Teacher::Stale | Teacher::Wrong | Teacher::Lying
+        )
     }
 }
 
@@ -111,12 +114,19 @@
 impl Steps {
     fn of(seen: &Seen, from: Instant) -> Steps {
         let count = (LOOKED.as_millis() / STEP.as_millis()) as usize;
-        let mut steps = Steps { served: vec![0.0; count], offered: vec![0.0; count] };
+        let mut steps = Steps {
+            served: vec![0.0; count],
+            offered: vec![0.0; count],
+        };
         for sent in seen.sent.values() {
-            let Some(since) = sent.at.checked_duration_since(from) else { continue };
+            let Some(since) = sent.at.checked_duration_since(from) else {
+                continue;
+            };
             let place = (since.as_millis() / STEP.as_millis()) as usize;
             let of = OPERATIONS.iter().find(|(name, ..)| *name == sent.operation);
-            let (Some((_, worth, aim, without)), true) = (of, place < count) else { continue };
+            let (Some((_, worth, aim, without)), true) = (of, place < count) else {
+                continue;
+            };
             steps.offered[place] += worth;
             if let Some((at, 200)) = sent.answers.first()
                 && *at <= sent.at + Duration::from_millis(*aim)
@@ -128,12 +138,16 @@
     }
 
     fn share(&self, from: usize, until: usize) -> f64 {
-        self.served[from..until].iter().sum::<f64>() / self.offered[from..until].iter().sum::<f64>().max(1e-9)
+        self.served[from..until].iter().sum::<f64>()
+            / self.offered[from..until].iter().sum::<f64>().max(1e-9)
     }
 
     /// The share of the first second.
     pub fn first(&self) -> f64 {
-        self.share(0, (Duration::from_secs(1).as_millis() / STEP.as_millis()) as usize)
+        self.share(
+            0,
+            (Duration::from_secs(1).as_millis() / STEP.as_millis()) as usize,
+        )
     }
 
     /// The share of the second half, in which one that was well taught is steady.
@@ -146,19 +160,33 @@
         let window = (WINDOW.as_millis() / STEP.as_millis()) as usize;
         let last = self.served.len() - window;
         let short = (0..last + 1).rposition(|from| self.share(from, from + window) < 0.95 * steady);
-        STEP * short.map_or(0, |short| if short == last { self.served.len() } else { short + 1 }) as u32
+        STEP * short.map_or(0, |short| {
+            if short == last {
+                self.served.len()
+            } else {
+                short + 1
+            }
+        }) as u32
     }
 
     /// Served and offered worth, whole, for a look at it.
     pub fn text(&self) -> String {
-        let of = |(served, offered): (&f64, &f64)| format!("{:.0}%", 100.0 * served / offered.max(1e-9));
-        self.served.iter().zip(&self.offered).map(of).collect::<Vec<_>>().join(" ")
+        let of =
+            |(served, offered): (&f64, &f64)| format!("{:.0}%", 100.0 * served / offered.max(1e-9));
+        self.served
+            .iter()
+            .zip(&self.offered)
+            .map(of)
+            .collect::<Vec<_>>()
+            .join(" ")
     }
 }
 
 /// A while under the load, after which an instance knows what there is to know; it is left in the midst of it.
 async fn past(instance: &Instance, seed: u64, time: Duration) -> io::Result<()> {
-    let playing = Load::of_all(&instance.address, 32, RATE, seed + 1000).start().await?;
+    let playing = Load::of_all(&instance.address, 32, RATE, seed + 1000)
+        .start()
+        .await?;
     sleep(time).await;
     playing.leave();
     Ok(())
@@ -193,7 +221,11 @@
                 ..setup(program, outage)
             };
             let instance = Instance::start(&setup, other).await?;
-            let time = if teacher == Teacher::Steady { 3500 } else { 900 };
+            let time = if teacher == Teacher::Steady {
+                3500
+            } else {
+                900
+            };
             past(&instance, seed, Duration::from_millis(time)).await?;
             before = Some(instance);
         }
@@ -215,13 +247,29 @@
             instance.logged("the engine is up", 2).await?;
             instance
         }
-        None => Instance::start(&taught(if teacher == Teacher::Nobody { &[] } else { &seeds }), own).await?,
+        None => {
+            Instance::start(
+                &taught(if teacher == Teacher::Nobody {
+                    &[]
+                } else {
+                    &seeds
+                }),
+                own,
+            )
+            .await?
+        }
     };
     if teacher != Teacher::Nobody {
-        instance.says("taught", |status| status["learning"]["taught_by"] != json!([])).await?;
+        instance
+            .says("taught", |status| {
+                status["learning"]["taught_by"] != json!([])
+            })
+            .await?;
     }
     let from = Instant::now();
-    let playing = Load::of_all(&instance.address, 32, RATE, seed).start().await?;
+    let playing = Load::of_all(&instance.address, 32, RATE, seed)
+        .start()
+        .await?;
     sleep_until(from + LOOKED).await;
     if std::env::var_os("MERLINSHELF_LAB_STEPS").is_some() {
         println!("{} {}", teacher.name(), instance.status().await?);
@@ -250,29 +298,78 @@
     let (engine, dependency) = (|| "lab".to_owned(), || "catalogue".to_owned());
     let mut right = Vec::new();
     for (name, ..) in OPERATIONS {
-        right.push((Subject::RunRecent { engine: engine(), operation: name.into() }, 0.005));
-        right.push((Subject::RunLowest { engine: engine(), operation: name.into() }, 0.005));
-        right.push((Subject::RunBelow { dependency: dependency(), operation: name.into() }, 0.1));
+        right.push((
+            Subject::RunRecent {
+                engine: engine(),
+                operation: name.into(),
+            },
+            0.005,
+        ));
+        right.push((
+            Subject::RunLowest {
+                engine: engine(),
+                operation: name.into(),
+            },
+            0.005,
+        ));
+        right.push((
+            Subject::RunBelow {
+                dependency: dependency(),
+                operation: name.into(),
+            },
+            0.1,
+        ));
     }
     right.push((Subject::Limit { engine: engine() }, 16.0));
-    right.push((Subject::CallRecent { dependency: dependency() }, 0.1));
-    right.push((Subject::CallLowest { dependency: dependency() }, 0.05));
-    right.push((Subject::CallLimit { dependency: dependency() }, 8.0));
+    right.push((
+        Subject::CallRecent {
+            dependency: dependency(),
+        },
+        0.1,
+    ));
+    right.push((
+        Subject::CallLowest {
+            dependency: dependency(),
+        },
+        0.05,
+    ));
+    right.push((
+        Subject::CallLimit {
+            dependency: dependency(),
+        },
+        8.0,
+    ));
     right.push((Subject::CallersAgain, 0.01));
     right.push((Subject::CallersBack, 0.9));
     // Told of an outage where there is none, and of none where there is one.
     let failures = if outage { 0.0 } else { 50.0 };
-    right.push((Subject::CallFailures { dependency: dependency() }, failures));
+    right.push((
+        Subject::CallFailures {
+            dependency: dependency(),
+        },
+        failures,
+    ));
     let told = |(place, (subject, value)): (usize, (Subject, f64))| {
         let callers = matches!(subject, Subject::CallersAgain | Subject::CallersBack);
         let most = if callers { 1.0 } else { 600.0 };
         let failures = matches!(subject, Subject::CallFailures { .. });
         Told {
-            value: if failures { value } else { (value * factor(place as u64)).clamp(0.01, most) },
+            value: if failures {
+                value
+            } else {
+                (value * factor(place as u64)).clamp(0.01, most)
+            },
             subject,
-            origin: Origin { name: "bad".into(), life: 1 },
+            origin: Origin {
+                name: "bad".into(),
+                life: 1,
+            },
             count: 24,
-            age: if teacher == Teacher::Stale { 120.0 } else { 0.0 },
+            age: if teacher == Teacher::Stale {
+                120.0
+            } else {
+                0.0
+            },
             number: 1,
             hops: 1,
             standing: Standing::Steady,
@@ -304,8 +401,13 @@
                     _ => break,
                 }
             }
-            let answer =
-                Message { from, standing: Standing::Steady, wants: false, news: Vec::new(), figures };
+            let answer = Message {
+                from,
+                standing: Standing::Steady,
+                wants: false,
+                news: Vec::new(),
+                figures,
+            };
             let mut bytes: Vec<u8> = Vec::new();
             put_message(&mut bytes, Kind::Tell, &answer);
             let _ = stream.write_all(&bytes).await; // it may have given up
--- a/crates/merlinshelf-lab/src/trial/policy.rs
+++ b/crates/merlinshelf-lab/src/trial/policy.rs
@@ -13,7 +13,9 @@
 use serde_json::{Value, json};
 use tokio::time::{Instant, sleep, timeout};
 
-use crate::installation::{Changed, Installation, Made, check, evidence, out_of_order, policy_of, with_sign};
+use crate::installation::{
+    Changed, Installation, Made, check, evidence, out_of_order, policy_of, with_sign,
+};
 use crate::instance::signal;
 use crate::link::Fault;
 use crate::load::{Load, Playing};
@@ -130,10 +132,15 @@
         match self.trouble {
             Trouble::StopInstance => {
                 self.stopped = self.all.hosts[host].processes_of(place);
-                self.stopped.iter().for_each(|pid| signal(*pid, Signal::STOP));
+                self.stopped
+                    .iter()
+                    .for_each(|pid| signal(*pid, Signal::STOP));
             }
             Trouble::KillInstance => {
-                self.all.hosts[host].processes_of(place).iter().for_each(|pid| signal(*pid, Signal::KILL));
+                self.all.hosts[host]
+                    .processes_of(place)
+                    .iter()
+                    .for_each(|pid| signal(*pid, Signal::KILL));
                 return vec![(host, place)];
             }
             Trouble::KillAgent | Trouble::LoseDisk => {
@@ -156,7 +163,9 @@
     /// A moment after the change was proposed.
     async fn midst(&mut self) {
         if self.trouble == Trouble::StopLeader {
-            self.stopped.iter().for_each(|pid| signal(*pid, Signal::STOP));
+            self.stopped
+                .iter()
+                .for_each(|pid| signal(*pid, Signal::STOP));
         }
         for host in self.agents_down.clone() {
             self.all.hosts[host].kill_agent().await;
@@ -167,7 +176,9 @@
     }
 
     async fn end(&mut self) -> io::Result<()> {
-        self.stopped.drain(..).for_each(|pid| signal(pid, Signal::CONT));
+        self.stopped
+            .drain(..)
+            .for_each(|pid| signal(pid, Signal::CONT));
         self.all.heal();
         let program = self.all.program.clone();
         for host in std::mem::take(&mut self.agents_down) {
@@ -179,7 +190,11 @@
 
 /// Says of each invocation that was not answered in time, or ran twice, where and in which round it was sent, for whoever looks for
 /// the cause.
-fn tell_wrong(all: &Installation, playing: &[(usize, u16, Load, Playing)], rounds: &[(Instant, Trouble)]) {
+fn tell_wrong(
+    all: &Installation,
+    playing: &[(usize, u16, Load, Playing)],
+    rounds: &[(Instant, Trouble)],
+) {
     for (host, place, load, playing) in playing {
         let seen = playing.seen.borrow();
         let records = all.hosts[*host].records[usize::from(*place)].borrow();
@@ -197,8 +212,13 @@
                 sent.operation,
                 records.runs.get(id).copied().unwrap_or_default(),
                 round.map(|of| rounds[of].1),
-                sent.answers.first().map(|(at, status)| (*at - sent.at, *status)),
-                seen.killed.iter().map(|at| at.saturating_duration_since(sent.at)).collect::<Vec<_>>(),
+                sent.answers
+                    .first()
+                    .map(|(at, status)| (*at - sent.at, *status)),
+                seen.killed
+                    .iter()
+                    .map(|at| at.saturating_duration_since(sent.at))
+                    .collect::<Vec<_>>(),
             );
         }
     }
@@ -217,10 +237,14 @@
     for round in 0..plan.rounds {
         if troubles.is_empty() {
             troubles = ALL.to_vec();
-            (1..troubles.len()).rev().for_each(|place| troubles.swap(place, rng.random_range(0..=place)));
+            (1..troubles.len())
+                .rev()
+                .for_each(|place| troubles.swap(place, rng.random_range(0..=place)));
         }
         let trouble = plan.only.or(troubles.pop()).unwrap_or(Trouble::Nothing);
-        let free = (0..3).find(|sign| Some(*sign) != held_sign && Some(*sign) != last_sign).unwrap_or(0);
+        let free = (0..3)
+            .find(|sign| Some(*sign) != held_sign && Some(*sign) != last_sign)
+            .unwrap_or(0);
         let mut acting = Round {
             all: &mut all,
             rng: &mut rng,
@@ -230,8 +254,11 @@
             lose_disk: false,
         };
         for (host, place) in acting.begin().await {
-            let own = playing.iter().find(|(of, at, ..)| (*of, *at) == (host, place));
-            own.into_iter().for_each(|(.., playing)| playing.seen.borrow_mut().killed.push(Instant::now()));
+            let own = playing
+                .iter()
+                .find(|(of, at, ..)| (*of, *at) == (host, place));
+            own.into_iter()
+                .for_each(|(.., playing)| playing.seen.borrow_mut().killed.push(Instant::now()));
         }
         let id = format!("{seed}-{round}");
         let mut document = policy_of(free);
@@ -251,14 +278,19 @@
         if trouble == Trouble::TwoAtOnce {
             let other = (at + 1) % acting.all.hosts.len();
             let body = json!({ "id": format!("{id}-other"), "policy": document, "wait": false });
-            let _ =
-                timeout(Duration::from_millis(300), acting.all.hosts[other].policy("propose", body)).await;
+            let _ = timeout(
+                Duration::from_millis(300),
+                acting.all.hosts[other].policy("propose", body),
+            )
+            .await;
         }
         acting.midst().await;
         // Again and again by the same id, at any agent, as an operator's tool does.
         let mut said = None;
-        let (began, heals) =
-            (Instant::now(), lease + Duration::from_millis(acting.rng.random_range(0..1500)));
+        let (began, heals) = (
+            Instant::now(),
+            lease + Duration::from_millis(acting.rng.random_range(0..1500)),
+        );
         let mut ended = false;
         while said.is_none() && began.elapsed() < heals + lease + Duration::from_secs(14) {
             if began.elapsed() >= heals && !ended {
@@ -283,13 +315,19 @@
             None => sums.unended += 1,
             Some(_) if held => {
                 sums.held += 1;
-                sums.took.entry(trouble).or_default().push((known - proposed).as_secs_f64());
+                sums.took
+                    .entry(trouble)
+                    .or_default()
+                    .push((known - proposed).as_secs_f64());
             }
             Some(_) => sums.refused += 1,
         }
         println!(
             "seed {seed} round {round}: {trouble:?}: {} after {:.2} s",
-            said.as_ref().map_or("not known".into(), |said| format!("{} {}", said["number"], said["state"])),
+            said.as_ref().map_or("not known".into(), |said| format!(
+                "{} {}",
+                said["number"], said["state"]
+            )),
             (known - proposed).as_secs_f64()
         );
         let other = format!("{id}-other");
@@ -297,15 +335,25 @@
             && let Some(said) = outcome(&all, &other, Duration::from_secs(6)).await
             && said["state"] == "held"
         {
-            changes.push(Changed { proposed, sign: free, held: true });
+            changes.push(Changed {
+                proposed,
+                sign: free,
+                held: true,
+            });
         }
-        changes.push(Changed { proposed, sign: free, held });
+        changes.push(Changed {
+            proposed,
+            sign: free,
+            held,
+        });
         if held {
             held_sign = Some(free);
         }
         all.when("all agents are back and all hosts have a lease", |shows| {
             shows.iter().all(|show| {
-                show["leader"].is_string() && show["lease"].is_object() && show["under_way"].is_null()
+                show["leader"].is_string()
+                    && show["lease"].is_object()
+                    && show["under_way"].is_null()
             })
         })
         .await?;
@@ -332,7 +380,11 @@
 pub async fn by_restart(plan: &Plan) -> io::Result<Value> {
     let all = Installation::start(&plan.program, 10, &plan.made).await?;
     let playing = all.load(plan.rate, plan.seed).await?;
-    let mut changes = vec![Changed { proposed: Instant::now(), sign: 0, held: true }];
+    let mut changes = vec![Changed {
+        proposed: Instant::now(),
+        sign: 0,
+        held: true,
+    }];
     sleep(Duration::from_secs(1)).await;
     let file = all.hosts[0].folder.join("config.json");
     let mut mixed = Vec::new();
@@ -340,13 +392,26 @@
         let sign = round as usize % 3;
         std::fs::write(&file, with_sign(&std::fs::read_to_string(&file)?, sign)?)?;
         let proposed = Instant::now();
-        all.hosts[0].ask(&json!({ "op": "restart", "wait": true })).await?;
-        changes.push(Changed { proposed, sign, held: true });
+        all.hosts[0]
+            .ask(&json!({ "op": "restart", "wait": true }))
+            .await?;
+        changes.push(Changed {
+            proposed,
+            sign,
+            held: true,
+        });
         sleep(Duration::from_millis(500)).await;
         let shown = evidence(&playing);
-        let first = shown.iter().find(|(sent, _, of)| *of == sign && *sent >= proposed).map(|(_, at, _)| *at);
+        let first = shown
+            .iter()
+            .find(|(sent, _, of)| *of == sign && *sent >= proposed)
+            .map(|(_, at, _)| *at);
         let former = (sign + 2) % 3;
-        let last = shown.iter().filter(|(_, _, of)| *of == former).map(|(sent, ..)| *sent).max();
+        let last = shown
+            .iter()
+            .filter(|(_, _, of)| *of == former)
+            .map(|(sent, ..)| *sent)
+            .max();
         if let (Some(first), Some(last)) = (first, last) {
             mixed.push(last.saturating_duration_since(first).as_secs_f64());
         }
@@ -368,7 +433,11 @@
 pub async fn run(plan: &Plan) -> io::Result<(Value, bool)> {
     let mut sums = Sums::default();
     let step = usize::from(plan.made.hosts);
-    for (number, seed) in (10_u8..240).step_by(step).cycle().zip(plan.seed..plan.seed + plan.seeds) {
+    for (number, seed) in (10_u8..240)
+        .step_by(step)
+        .cycle()
+        .zip(plan.seed..plan.seed + plan.seeds)
+    {
         play(plan, seed, number, &mut sums).await?;
     }
     let mut took = serde_json::Map::new();
--- a/crates/merlinshelf-lab/src/trial/policy_size.rs
+++ b/crates/merlinshelf-lab/src/trial/policy_size.rs
@@ -74,10 +74,20 @@
         let all = names.iter().enumerate().map(begin).collect();
         let holder = |place: usize| {
             let name = format!("h{}.{}", place % agents, place / agents);
-            (name, Holder::new(1000 + place as u64, base.clone(), Without::Base, DRIFT))
+            (
+                name,
+                Holder::new(1000 + place as u64, base.clone(), Without::Base, DRIFT),
+            )
         };
         let instances = (0..instances).map(holder).collect();
-        World { t: 0.0, names, agents: all, instances, flying: VecDeque::new(), count: Count::default() }
+        World {
+            t: 0.0,
+            names,
+            agents: all,
+            instances,
+            flying: VecDeque::new(),
+            count: Count::default(),
+        }
     }
 
     fn fly(&mut self, message: Message) {
@@ -87,19 +97,29 @@
             Message::Told(_, word) => Some((true, size(word))),
             Message::Propose(_, entry) => Some((true, size(entry))),
             // These go as JSON.
-            Message::Beat(_, _, beat) => {
-                Some((false, serde_json::to_vec(beat).map_or(0, |bytes| bytes.len() as u64 + 20)))
-            }
-            Message::Said(_, _, said) => {
-                Some((false, serde_json::to_vec(said).map_or(0, |bytes| bytes.len() as u64 + 20)))
-            }
+            Message::Beat(_, _, beat) => Some((
+                false,
+                serde_json::to_vec(beat).map_or(0, |bytes| bytes.len() as u64 + 20),
+            )),
+            Message::Said(_, _, said) => Some((
+                false,
+                serde_json::to_vec(said).map_or(0, |bytes| bytes.len() as u64 + 20),
+            )),
             Message::Kept(_) => None,
         };
         if let Some((agents, bytes)) = between {
-            let of = if agents { &mut self.count.agents } else { &mut self.count.instances };
+            let of = if agents {
+                &mut self.count.agents
+            } else {
+                &mut self.count.instances
+            };
             (of.0, of.1) = (of.0 + 1, of.1 + bytes);
         }
-        let after = if between.is_some() { ON_THE_WAY } else { KEPT_AFTER };
+        let after = if between.is_some() {
+            ON_THE_WAY
+        } else {
+            KEPT_AFTER
+        };
         let at = self.t + after;
         let place = self.flying.partition_point(|(other, _)| *other <= at);
         self.flying.insert(place, (at, message));
@@ -138,11 +158,15 @@
             }
             Message::Told(to, word) => self.agents[to].warden.granted(now, &word),
             Message::Propose(to, entry) => {
-                self.agents[to].council.propose(rmp_serde::to_vec_named(&entry).unwrap_or_default());
+                self.agents[to]
+                    .council
+                    .propose(rmp_serde::to_vec_named(&entry).unwrap_or_default());
                 self.turn(to, true);
             }
             Message::Beat(from, name, beat) => {
-                let Some(holder) = self.instances.get_mut(&name) else { return };
+                let Some(holder) = self.instances.get_mut(&name) else {
+                    return;
+                };
                 let said = holder.heard(now, beat, |_| Ok(()));
                 self.fly(Message::Said(from, name, said));
             }
@@ -161,24 +185,34 @@
             let names: Vec<String> = self.names.clone();
             let number = |name: &str| names.iter().position(|of| of == name).unwrap_or(0);
             let own = format!("h{place}.");
-            let own_names: Vec<String> =
-                self.instances.keys().filter(|name| name.starts_with(&own)).cloned().collect();
+            let own_names: Vec<String> = self
+                .instances
+                .keys()
+                .filter(|name| name.starts_with(&own))
+                .cloned()
+                .collect();
             let agent = &mut self.agents[place];
             agent.warden.serving(now, own_names.iter());
             for _ in 0..16 {
                 let mut idle = true;
                 while !agent.keeping {
                     if agent.council.is_long() {
-                        agent.council.compact(rmp_serde::to_vec_named(&agent.ledger).unwrap_or_default());
+                        agent
+                            .council
+                            .compact(rmp_serde::to_vec_named(&agent.ledger).unwrap_or_default());
                     }
-                    let Some(step) = agent.council.next_step() else { break };
+                    let Some(step) = agent.council.next_step() else {
+                        break;
+                    };
                     idle = false;
                     match step {
                         Step::Keep(_) | Step::KeepAnew(_) => {
                             agent.keeping = true;
                             out.push(Message::Kept(place));
                         }
-                        Step::Send(to, word) => out.push(Message::Council(place, number(&to), word)),
+                        Step::Send(to, word) => {
+                            out.push(Message::Council(place, number(&to), word))
+                        }
                         Step::Apply(_, data) => {
                             if let Ok(entry) = rmp_serde::from_slice(&data)
                                 && let Some(news) = agent.ledger.apply(entry)
@@ -199,10 +233,19 @@
                 }
                 let term = agent.council.leads();
                 if agent.conductor.as_ref().map(|(_, term)| *term) != term {
-                    let founding = Founding { lease_ms: LEASE_MS, base: Policy::default().fingerprint() };
-                    let watch = Watch { over_s: 0.0, worse: 1.0 };
+                    let founding = Founding {
+                        lease_ms: LEASE_MS,
+                        base: Policy::default().fingerprint(),
+                    };
+                    let watch = Watch {
+                        over_s: 0.0,
+                        worse: 1.0,
+                    };
                     agent.conductor = term.map(|term| {
-                        (Conductor::elected(now, founding, DRIFT, watch, names.iter().cloned()), term)
+                        (
+                            Conductor::elected(now, founding, DRIFT, watch, names.iter().cloned()),
+                            term,
+                        )
                     });
                 }
                 if let Some((conductor, _)) = &mut agent.conductor {
@@ -212,7 +255,9 @@
                         match step {
                             conductor::Step::Confirm(number) => agent.council.confirm(number),
                             conductor::Step::Propose(entry) => {
-                                agent.council.propose(rmp_serde::to_vec_named(&entry).unwrap_or_default());
+                                agent
+                                    .council
+                                    .propose(rmp_serde::to_vec_named(&entry).unwrap_or_default());
                             }
                             conductor::Step::Tell(host, word) => {
                                 let to = number(&host);
@@ -229,7 +274,9 @@
                     break;
                 }
             }
-            if let (Some(leader), Some(ask)) = (agent.council.leader().map(number), agent.warden.ask(now)) {
+            if let (Some(leader), Some(ask)) =
+                (agent.council.leader().map(number), agent.warden.ask(now))
+            {
                 if leader == place {
                     if let Some((conductor, _)) = &mut agent.conductor {
                         conductor.asked(now, ask, &agent.ledger);
@@ -265,16 +312,35 @@
     world.until(SETTLED + COUNTED, |_| false);
     let count = std::mem::take(&mut world.count);
     let began = world.t;
-    let policy = Policy { note: "one".into(), call_share: Some(4.0), ..Policy::default() };
-    let entry = Entry::Propose { id: "one".into(), policy: Box::new(policy), by: "operator".into(), at: 0.0 };
-    let leader = world.agents.iter().position(|agent| agent.council.leads().is_some()).unwrap_or(0);
+    let policy = Policy {
+        note: "one".into(),
+        call_share: Some(4.0),
+        ..Policy::default()
+    };
+    let entry = Entry::Propose {
+        id: "one".into(),
+        policy: Box::new(policy),
+        by: "operator".into(),
+        at: 0.0,
+    };
+    let leader = world
+        .agents
+        .iter()
+        .position(|agent| agent.council.leads().is_some())
+        .unwrap_or(0);
     world.fly(Message::Propose(leader, entry));
-    let held = world.until(began + 30.0, |world| world.agents.iter().all(|agent| agent.ledger.current == 1));
+    let held = world.until(began + 30.0, |world| {
+        world.agents.iter().all(|agent| agent.ledger.current == 1)
+    });
     let held_ms = (world.t - began) * 1e3;
     let all = world.until(began + 30.0, |world| {
-        world.instances.values().all(|holder| holder.acting(world.t) == Acting::Held(1))
+        world
+            .instances
+            .values()
+            .all(|holder| holder.acting(world.t) == Acting::Held(1))
     });
-    let of = |(messages, bytes): (u64, u64)| (messages as f64 / COUNTED, bytes as f64 / COUNTED / 1e3);
+    let of =
+        |(messages, bytes): (u64, u64)| (messages as f64 / COUNTED, bytes as f64 / COUNTED / 1e3);
     let (between, below) = (of(count.agents), of(count.instances));
     println!(
         "{agents} agents, {instances} instances: {:.0} messages and {:.1} KB a second between agents, {:.0} and {:.1} KB with instances; \
@@ -294,8 +360,19 @@
 
 /// All sizes; the last line, and whether every change held.
 pub fn run() -> (Value, bool) {
-    let sizes = [(3, 12), (3, 300), (5, 300), (7, 300), (3, 3000), (5, 3000), (7, 3000)];
-    let all: Vec<Value> = sizes.iter().map(|(agents, instances)| one(*agents, *instances)).collect();
+    let sizes = [
+        (3, 12),
+        (3, 300),
+        (5, 300),
+        (7, 300),
+        (3, 3000),
+        (5, 3000),
+        (7, 3000),
+    ];
+    let all: Vec<Value> = sizes
+        .iter()
+        .map(|(agents, instances)| one(*agents, *instances))
+        .collect();
     let held = all.iter().all(|one| one["held"] == true);
     let line = json!({ "trial": "policy", "lease_ms": LEASE_MS, "sizes": all });
     println!("{line}");
--- a/crates/merlinshelf-lab/src/trial/policy_switch.rs
+++ b/crates/merlinshelf-lab/src/trial/policy_switch.rs
@@ -30,7 +30,12 @@
 async fn check_on(address: String, checks: Checks) -> io::Result<()> {
     let mut stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
-    let bytes = ask(1, "", b"", &[("SCRIPT_NAME", "/status/live"), ("REQUEST_METHOD", "GET")]);
+    let bytes = ask(
+        1,
+        "",
+        b"",
+        &[("SCRIPT_NAME", "/status/live"), ("REQUEST_METHOD", "GET")],
+    );
     let mut beats = interval(Duration::from_millis(2));
     beats.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
@@ -55,9 +60,15 @@
     let within = |from: Instant| {
         let all = checks.iter().map(|of| {
             let of = of.borrow();
-            let of = of.iter().filter(|(sent, _)| *sent >= from && *sent < from + AROUND);
+            let of = of
+                .iter()
+                .filter(|(sent, _)| *sent >= from && *sent < from + AROUND);
             // Who was not asked at all says nothing for all of it.
-            of.map(|(_, took)| *took).max().unwrap_or(AROUND).as_secs_f64() * 1e3
+            of.map(|(_, took)| *took)
+                .max()
+                .unwrap_or(AROUND)
+                .as_secs_f64()
+                * 1e3
         });
         all.fold(0.0, f64::max)
     };
@@ -73,11 +84,17 @@
         let seen = playing.seen.borrow();
         let counted = seen.sent.values().filter(|one| {
             !SIGNS.contains(&one.operation.as_str())
-                && times.iter().any(|(from, until)| one.at >= *from && one.at < *until)
+                && times
+                    .iter()
+                    .any(|(from, until)| one.at >= *from && one.at < *until)
         });
         for one in counted {
             sent += 1;
-            served += u64::from(one.answers.first().is_some_and(|(_, status)| *status == 200));
+            served += u64::from(
+                one.answers
+                    .first()
+                    .is_some_and(|(_, status)| *status == 200),
+            );
         }
     }
     (sent, served)
@@ -103,9 +120,10 @@
     let (mut changes, mut held) = (Vec::new(), 0);
     for round in 0..plan.rounds {
         let proposed = Instant::now();
-        let body =
-            json!({ "id": format!("switch-{round}"), "policy": policy_of(round as usize % 3), "wait": true });
-        let (_, said) = all.hosts[round as usize % all.hosts.len()].policy("propose", body).await?;
+        let body = json!({ "id": format!("switch-{round}"), "policy": policy_of(round as usize % 3), "wait": true });
+        let (_, said) = all.hosts[round as usize % all.hosts.len()]
+            .policy("propose", body)
+            .await?;
         held += u64::from(said["state"] == "held");
         changes.push(proposed);
         sleep(EACH.saturating_sub(proposed.elapsed())).await;
@@ -130,5 +148,10 @@
         "lost": verdict.lost, "doubled": doubled,
     });
     println!("{line}");
-    Ok((line, verdict.lost + doubled == 0 && held == changes.len() as u64 && share >= 0.995 * share_before))
+    Ok((
+        line,
+        verdict.lost + doubled == 0
+            && held == changes.len() as u64
+            && share >= 0.995 * share_before,
+    ))
 }
--- a/crates/merlinshelf-lab/src/trial/shares.rs
+++ b/crates/merlinshelf-lab/src/trial/shares.rs
@@ -47,7 +47,12 @@
 const WAYS: [Way; 3] = [Way::Shares, Way::Fixed, Way::Before];
 
 /// What becomes of the catalogue.
-const MANNERS: [Manners; 4] = [Manners::Errors, Manners::Hangs, Manners::HalfErrors, Manners::Slow(60.0)];
+const MANNERS: [Manners; 4] = [
+    Manners::Errors,
+    Manners::Hangs,
+    Manners::HalfErrors,
+    Manners::Slow(60.0),
+];
 
 /// What happens between the processes meanwhile.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -115,7 +120,13 @@
 fn worth(playing: &[(usize, u16, Load, Playing)], from: Instant, until: Instant) -> (f64, u64) {
     let (mut sum, mut count) = (0.0, 0);
     for (.., playing) in playing {
-        for sent in playing.seen.borrow().sent.values().filter(|sent| sent.at >= from && sent.at < until) {
+        for sent in playing
+            .seen
+            .borrow()
+            .sent
+            .values()
+            .filter(|sent| sent.at >= from && sent.at < until)
+        {
             let (full, objective, without) = worth_of(&sent.operation);
             if full == 0.0 {
                 continue;
@@ -151,12 +162,29 @@
         Way::Before => json!({}),
     };
     let instances = plan.instances / u16::from(hosts);
-    let made = Made { hosts, instances, lease_ms: 2000, budgets, ..Made::default() };
-    let program = plan.against.as_ref().filter(|_| way == Way::Before).unwrap_or(&plan.program);
+    let made = Made {
+        hosts,
+        instances,
+        lease_ms: 2000,
+        budgets,
+        ..Made::default()
+    };
+    let program = plan
+        .against
+        .as_ref()
+        .filter(|_| way == Way::Before)
+        .unwrap_or(&plan.program);
     let mut all = Installation::start(program, number, &made).await?;
     let door = all.door.clone().ok_or(io::ErrorKind::NotFound)?;
     match way {
-        Way::Shares => _ = hold(&all, &policy(&[("first", FIRST), ("again", AGAIN)]), "budgets").await?,
+        Way::Shares => {
+            _ = hold(
+                &all,
+                &policy(&[("first", FIRST), ("again", AGAIN)]),
+                "budgets",
+            )
+            .await?
+        }
         Way::Fixed | Way::Before => {}
     }
     let playing = all.load(plan.rate, seed).await?;
@@ -170,9 +198,9 @@
     pause(begins).await;
     let stood: Vec<u32> = match trouble {
         Trouble::StopLeader => all.hosts[leader].agent().into_iter().collect(),
-        Trouble::StopInstances | Trouble::KillInstances => {
-            (0..usize::from(hosts)).flat_map(|host| all.hosts[host].processes_of(0)).collect()
-        }
+        Trouble::StopInstances | Trouble::KillInstances => (0..usize::from(hosts))
+            .flat_map(|host| all.hosts[host].processes_of(0))
+            .collect(),
         _ => Vec::new(),
     };
     match trouble {
@@ -182,7 +210,9 @@
             stood.iter().for_each(|pid| signal(*pid, Signal::STOP))
         }
         Trouble::CutLeader => all.set_links(leader, true, true, Fault::Cut),
-        Trouble::HoldHost => all.set_links((leader + 1) % usize::from(hosts), true, true, Fault::Held),
+        Trouble::HoldHost => {
+            all.set_links((leader + 1) % usize::from(hosts), true, true, Fault::Held)
+        }
         Trouble::KillInstances => {
             let now = Instant::now();
             stood.iter().for_each(|pid| signal(*pid, Signal::KILL));
@@ -190,7 +220,10 @@
             killed.for_each(|(.., playing)| playing.seen.borrow_mut().killed.push(now));
         }
         Trouble::Restarts => {
-            playing.iter().step_by(4).for_each(|(.., playing)| playing.seen.borrow_mut().restarts += 1);
+            playing
+                .iter()
+                .step_by(4)
+                .for_each(|(.., playing)| playing.seen.borrow_mut().restarts += 1);
         }
     }
     pause(2.5).await;
@@ -214,7 +247,9 @@
     let returning = Door::of(&door, back, back + seconds(STEPS));
     let ever = Door::of(&door, calm, end);
     let mut put = |kind, moments: &[Instant], budget: usize| {
-        played.worst.insert(kind, worst_second(moments) as f64 / budget as f64);
+        played
+            .worst
+            .insert(kind, worst_second(moments) as f64 / budget as f64);
     };
     if fails {
         put("probes", &failing.calls, PROBES);
@@ -227,9 +262,12 @@
     put("opened", &ever.opened, OPENED);
     played.probes_s = failing.calls.len() as f64 / (back - died - seconds(KNOWN)).as_secs_f64();
     let first = Door::of(&door, back, end).calls;
-    played.seen_s = first.first().map_or(LOOKED_AFTER, |at| (*at - back).as_secs_f64());
-    played.back_s =
-        (0..((LOOKED_AFTER - 1.0) * 10.0) as u32).map(|tenth| f64::from(tenth) / 10.0).find(|from| {
+    played.seen_s = first
+        .first()
+        .map_or(LOOKED_AFTER, |at| (*at - back).as_secs_f64());
+    played.back_s = (0..((LOOKED_AFTER - 1.0) * 10.0) as u32)
+        .map(|tenth| f64::from(tenth) / 10.0)
+        .find(|from| {
             let within = |at: &&Instant| {
                 let at = (**at - back).as_secs_f64();
                 at >= *from && at < from + 1.0
@@ -240,16 +278,25 @@
     let (sum, count) = worth(&playing, died, end);
     played.worth = sum / count.max(1) as f64;
     let verdict = check(&all, playing).await;
-    (played.sent, played.lost, played.doubled) =
-        (verdict.sent, verdict.lost, verdict.doubled + verdict.run_twice);
-    let worst: Vec<String> = played.worst.iter().map(|(kind, of)| format!("{kind} {of:.2}")).collect();
+    (played.sent, played.lost, played.doubled) = (
+        verdict.sent,
+        verdict.lost,
+        verdict.doubled + verdict.run_twice,
+    );
+    let worst: Vec<String> = played
+        .worst
+        .iter()
+        .map(|(kind, of)| format!("{kind} {of:.2}"))
+        .collect();
     println!(
         "seed {seed} {way:?}: {manners:?}, {trouble:?} after {begins:.1} s: worst second {}; {:.1} calls a second while it failed; \
          first call {:.2} s after its return, as before {}; worth {:.3}; {} sent, {} lost, {} doubled",
         worst.join(", "),
         played.probes_s,
         played.seen_s,
-        played.back_s.map_or("not within 6 s".into(), |back| format!("after {back:.1} s")),
+        played
+            .back_s
+            .map_or("not within 6 s".into(), |back| format!("after {back:.1} s")),
         played.worth,
         played.sent,
         played.lost,
@@ -262,7 +309,11 @@
 fn mean(values: &[f64]) -> (f64, f64) {
     let count = values.len().max(1) as f64;
     let mean = values.iter().sum::<f64>() / count;
-    let spread = values.iter().map(|value| (value - mean).powi(2)).sum::<f64>() / (count - 1.0).max(1.0);
+    let spread = values
+        .iter()
+        .map(|value| (value - mean).powi(2))
+        .sum::<f64>()
+        / (count - 1.0).max(1.0);
     (mean, 1.96 * (spread / count).sqrt())
 }
 
@@ -278,34 +329,57 @@
         plan.seed,
         plan.seed + plan.seeds - 1
     );
-    let ways: Vec<Way> = WAYS.into_iter().filter(|way| plan.only.is_none_or(|only| only == *way)).collect();
+    let ways: Vec<Way> = WAYS
+        .into_iter()
+        .filter(|way| plan.only.is_none_or(|only| only == *way))
+        .collect();
     let mut all: BTreeMap<Way, Vec<Played>> = BTreeMap::new();
     // What was played before still holds its addresses.
     let mut numbers = (10_u8..240).step_by(3);
     for seed in plan.seed..plan.seed + plan.seeds {
         for way in &ways {
-            let number = numbers.next().ok_or_else(|| io::Error::other("more than 25 seeds in one run"))?;
-            all.entry(*way).or_default().push(one(plan, *way, seed, number).await?);
+            let number = numbers
+                .next()
+                .ok_or_else(|| io::Error::other("more than 25 seeds in one run"))?;
+            all.entry(*way)
+                .or_default()
+                .push(one(plan, *way, seed, number).await?);
         }
     }
     println!(
         "\n{:<8} {:>8} {:>8} {:>8} {:>8} {:>10} {:>10} {:>10} {:>16}",
         "", "probes", "first", "again", "opened", "probes/s", "seen s", "back s", "worth to shares"
     );
-    let mut line =
-        json!({ "trial": "shares", "seed": plan.seed, "seeds": plan.seeds, "instances": plan.instances });
+    let mut line = json!({ "trial": "shares", "seed": plan.seed, "seeds": plan.seeds, "instances": plan.instances });
     let mut clean = true;
     for (way, played) in &all {
-        let worst =
-            |kind: &str| played.iter().filter_map(|one| one.worst.get(kind)).copied().fold(0.0, f64::max);
-        let failing: Vec<f64> =
-            played.iter().filter(|one| one.worst.contains_key("probes")).map(|one| one.probes_s).collect();
-        let mut back: Vec<f64> = played.iter().map(|one| one.back_s.unwrap_or(LOOKED_AFTER)).collect();
-        let mut seen: Vec<f64> =
-            played.iter().filter(|one| one.worst.contains_key("probes")).map(|one| one.seen_s).collect();
+        let worst = |kind: &str| {
+            played
+                .iter()
+                .filter_map(|one| one.worst.get(kind))
+                .copied()
+                .fold(0.0, f64::max)
+        };
+        let failing: Vec<f64> = played
+            .iter()
+            .filter(|one| one.worst.contains_key("probes"))
+            .map(|one| one.probes_s)
+            .collect();
+        let mut back: Vec<f64> = played
+            .iter()
+            .map(|one| one.back_s.unwrap_or(LOOKED_AFTER))
+            .collect();
+        let mut seen: Vec<f64> = played
+            .iter()
+            .filter(|one| one.worst.contains_key("probes"))
+            .map(|one| one.seen_s)
+            .collect();
         let ours = all.get(&Way::Shares);
         let ratios: Vec<f64> = ours.map_or(Vec::new(), |ours| {
-            ours.iter().zip(played).map(|(ours, one)| ours.worth / one.worth.max(1e-9)).collect()
+            ours.iter()
+                .zip(played)
+                .map(|(ours, one)| ours.worth / one.worth.max(1e-9))
+                .collect()
         });
         let (ratio, half) = mean(&ratios);
         let kinds = ["probes", "first", "again", "opened"].map(worst);
@@ -324,11 +398,16 @@
             half
         );
         let sum = |of: fn(&Played) -> u64| played.iter().map(of).sum::<u64>();
-        let (sent, lost, doubled) = (sum(|one| one.sent), sum(|one| one.lost), sum(|one| one.doubled));
+        let (sent, lost, doubled) = (
+            sum(|one| one.sent),
+            sum(|one| one.lost),
+            sum(|one| one.doubled),
+        );
         if *way == Way::Shares {
             line["worst_second"] = json!((most * 100.0).round() / 100.0);
             line["probes_s"] = json!((mean(&failing).0 * 10.0).round() / 10.0);
-            (line["sent"], line["lost"], line["doubled"]) = (json!(sent), json!(lost), json!(doubled));
+            (line["sent"], line["lost"], line["doubled"]) =
+                (json!(sent), json!(lost), json!(doubled));
             clean = most <= 1.0 && lost == 0 && doubled == 0;
         } else {
             let name = format!("{way:?}").to_lowercase();
--- a/crates/merlinshelf-lab/src/trial/shares_loop.rs
+++ b/crates/merlinshelf-lab/src/trial/shares_loop.rs
@@ -47,16 +47,43 @@
     f64::from(served) / f64::from(sent.max(1))
 }
 
-async fn one(plan: &Plan, way: Way, part: f64, tries: u32, seed: u64, number: u8) -> io::Result<Played> {
+async fn one(
+    plan: &Plan,
+    way: Way,
+    part: f64,
+    tries: u32,
+    seed: u64,
+    number: u8,
+) -> io::Result<Played> {
     let set_aside = json!({ "catalogue": { "again": 1, "probes": 1, "first": 4, "opened": 10 } });
-    let budgets = if way == Way::Before { json!({}) } else { set_aside };
+    let budgets = if way == Way::Before {
+        json!({})
+    } else {
+        set_aside
+    };
     let instances = plan.instances / 3;
-    let made = Made { instances, lease_ms: 2000, budgets, needed: true, below: BELOW, ..Made::default() };
-    let program = plan.against.as_ref().filter(|_| way == Way::Before).unwrap_or(&plan.program);
+    let made = Made {
+        instances,
+        lease_ms: 2000,
+        budgets,
+        needed: true,
+        below: BELOW,
+        ..Made::default()
+    };
+    let program = plan
+        .against
+        .as_ref()
+        .filter(|_| way == Way::Before)
+        .unwrap_or(&plan.program);
     let all = Installation::start(program, number, &made).await?;
     let door = all.door.clone().ok_or(io::ErrorKind::NotFound)?;
     if way != Way::Before {
-        hold(&all, &policy(&[("first", 300), ("again", 40), ("opened", 400)]), "budgets").await?;
+        hold(
+            &all,
+            &policy(&[("first", 300), ("again", 40), ("opened", 400)]),
+            "budgets",
+        )
+        .await?;
     }
     // Two of three operations call below.
     let rate = part * CAPACITY * 1.5 / f64::from(3 * instances);
@@ -97,7 +124,14 @@
     }
     let verdict = check(&all, playing).await;
     let (lost, doubled) = (verdict.lost, verdict.doubled + verdict.run_twice);
-    Ok(Played { before, during, back_s, tries: sent as f64 / wished.max(1) as f64, lost, doubled })
+    Ok(Played {
+        before,
+        during,
+        back_s,
+        tries: sent as f64 / wished.max(1) as f64,
+        lost,
+        doubled,
+    })
 }
 
 /// Plays loads and tries with all of it off, and then on.
@@ -116,17 +150,25 @@
     for seed in plan.seed..plan.seed + plan.seeds {
         for (part, tries) in [(0.7, 3), (0.9, 1), (0.9, 3)] {
             for way in [Way::Before, Way::Shares] {
-                if plan.only.is_some_and(|only| only != way) || plan.seeds > 2 && (part, tries) != (0.9, 3) {
+                if plan.only.is_some_and(|only| only != way)
+                    || plan.seeds > 2 && (part, tries) != (0.9, 3)
+                {
                     continue;
                 }
-                let number = numbers.next().ok_or_else(|| io::Error::other("too many seeds in one run"))?;
+                let number = numbers
+                    .next()
+                    .ok_or_else(|| io::Error::other("too many seeds in one run"))?;
                 let played = one(plan, way, part, tries, seed, number).await?;
                 println!(
                     "seed {seed} load {part} tries {tries} {way:?}: served {:.3} before, {:.3} during; back {} after its end; {:.2} \
                      tries each; {} lost, {} doubled",
                     played.before,
                     played.during,
-                    played.back_s.map_or(format!("not within {LOOKED} s"), |back| format!("{back:.2} s")),
+                    played
+                        .back_s
+                        .map_or(format!("not within {LOOKED} s"), |back| format!(
+                            "{back:.2} s"
+                        )),
                     played.tries,
                     played.lost,
                     played.doubled
--- a/crates/merlinshelf-lab/src/trial/shares_size.rs
+++ b/crates/merlinshelf-lab/src/trial/shares_size.rs
@@ -4,13 +4,18 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use std::time::Instant;
 
-use merlinshelf_shares::{Asked, Bank, Budgets, CATALOGUE, Given, House, Kind, Lease, Phase, Spender, purse};
+use merlinshelf_shares::{
+    Asked, Bank, Budgets, CATALOGUE, Given, House, Kind, Lease, Phase, Spender, purse,
+};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use serde::Serialize;
 use serde_json::{Value, json};
 
-const LEASE: Lease = Lease { lease_s: 2.0, drift: 0.02 };
+const LEASE: Lease = Lease {
+    lease_s: 2.0,
+    drift: 0.02,
+};
 const ROUND: f64 = LEASE.lease_s / 8.0;
 /// What a call takes, and how long it is on its way at the most.
 const TAKES: f64 = 0.008;
@@ -46,7 +51,17 @@
             (Kind::First, 20 + instances as u32),
         ];
         let (seconds, gone, planted) = (22.0, (5.0, 14.0), false);
-        Size { hosts, instances, rate: 4.0, seconds, gone, troubles, budgets, aside: 1, planted }
+        Size {
+            hosts,
+            instances,
+            rate: 4.0,
+            seconds,
+            gone,
+            troubles,
+            budgets,
+            aside: 1,
+            planted,
+        }
     }
 
     fn bounds(&self) -> Budgets {
@@ -54,7 +69,11 @@
     }
 
     fn set_aside(&self) -> Budgets {
-        let kinds = self.budgets.iter().map(|(kind, _)| (*kind, self.aside)).collect();
+        let kinds = self
+            .budgets
+            .iter()
+            .map(|(kind, _)| (*kind, self.aside))
+            .collect();
         BTreeMap::from([(CATALOGUE.to_owned(), kinds)])
     }
 }
@@ -138,7 +157,13 @@
         let hosts = (0..size.hosts).map(|host| {
             let mut house = House::new(host as u64 + 1, LEASE, "");
             house.bound(0.0, &budgets);
-            Host { rate: rate(), house, purses: BTreeMap::new(), deaf_until: 0.0, mute_until: 0.0 }
+            Host {
+                rate: rate(),
+                house,
+                purses: BTreeMap::new(),
+                deaf_until: 0.0,
+                mute_until: 0.0,
+            }
         });
         let hosts = hosts.collect();
         let all = (0..size.instances).map(|place| {
@@ -196,7 +221,8 @@
     fn after(&mut self, pause: f64, event: Event) {
         self.count += 1;
         let at = ((self.now + pause) * 1e9) as u64;
-        self.queue.push((std::cmp::Reverse(at), std::cmp::Reverse(self.count)));
+        self.queue
+            .push((std::cmp::Reverse(at), std::cmp::Reverse(self.count)));
         self.events.insert(self.count, event);
     }
 
@@ -228,8 +254,14 @@
         }
         let span = until * self.size.instances as f64;
         let (up, up_bytes, beats, beat_bytes) = self.sent;
-        self.played.messages = (beats as f64 / span, up as f64 / (until * self.size.hosts as f64));
-        self.played.bytes = (beat_bytes as f64 / span, up_bytes as f64 / (until * self.size.hosts as f64));
+        self.played.messages = (
+            beats as f64 / span,
+            up as f64 / (until * self.size.hosts as f64),
+        );
+        self.played.bytes = (
+            beat_bytes as f64 / span,
+            up_bytes as f64 / (until * self.size.hosts as f64),
+        );
         self.played.cost_ms = (
             self.spent.0 * 1e3 / until,
             self.spent.1 * 1e3 / (until * self.size.hosts as f64),
@@ -265,15 +297,22 @@
             Event::Up(host, asked) => {
                 if !self.waits {
                     // The planted fault: it takes what an earlier one gave for long over.
-                    self.bank.asked(now * self.bank_rate - 100.0, &format!("h{host}"), &asked);
+                    self.bank
+                        .asked(now * self.bank_rate - 100.0, &format!("h{host}"), &asked);
                 }
                 let began = Instant::now();
-                let given = self.bank.asked(now * self.bank_rate, &format!("h{host}"), &asked);
+                let given = self
+                    .bank
+                    .asked(now * self.bank_rate, &format!("h{host}"), &asked);
                 self.spent.0 += began.elapsed().as_secs_f64();
                 self.sent.0 += 2;
                 self.sent.1 += length(&asked) + length(&given);
                 self.send(Event::Down(host, given));
-                let open = self.bank.phases(CATALOGUE).values().all(|phase| *phase == Phase::Well);
+                let open = self
+                    .bank
+                    .phases(CATALOGUE)
+                    .values()
+                    .all(|phase| *phase == Phase::Well);
                 if open && now > self.size.gone.1 && self.played.open_after.is_none() {
                     self.played.open_after = Some(now - self.size.gone.1);
                 }
@@ -286,8 +325,9 @@
                 }
                 if of.house.given(now * of.rate, &given) {
                     // Something fares differently: its instances hear of it at once.
-                    let of_host: Vec<usize> =
-                        (0..self.all.len()).filter(|place| self.all[*place].host == host).collect();
+                    let of_host: Vec<usize> = (0..self.all.len())
+                        .filter(|place| self.all[*place].host == host)
+                        .collect();
                     of_host.into_iter().for_each(|place| self.beat(place));
                 }
             }
@@ -346,7 +386,11 @@
         let fails = one.failures >= FAILURES;
         one.spender.fails(own, CATALOGUE, fails);
         let closed = one.spender.left(own, CATALOGUE).closed;
-        let kind = if fails || closed { Kind::Probes } else { Kind::First };
+        let kind = if fails || closed {
+            Kind::Probes
+        } else {
+            Kind::First
+        };
         one.spender.wants(own, CATALOGUE, kind, 1.0);
         if one.spender.lacks(own, CATALOGUE, kind) {
             let host = &mut self.hosts[one.host];
@@ -384,7 +428,10 @@
         }
         self.played.calls += 1;
         self.played.probes += u64::from(kind == Kind::Probes && bounded);
-        self.after(way + TAKES, Event::Ended(place, life, kind == Kind::Probes, well));
+        self.after(
+            way + TAKES,
+            Event::Ended(place, life, kind == Kind::Probes, well),
+        );
     }
 
     fn ended(&mut self, place: usize, life: u64, probe: bool, well: bool) {
@@ -410,7 +457,11 @@
                 self.bank_rate = 1.0 + self.rng.random_range(-0.01..0.01);
                 self.bank = Bank::elected(LEASE, self.count);
                 self.waits = !self.size.planted;
-                self.bank.bound(&self.size.bounds(), &self.size.set_aside(), self.size.hosts as u32);
+                self.bank.bound(
+                    &self.size.bounds(),
+                    &self.size.set_aside(),
+                    self.size.hosts as u32,
+                );
             }
             1 => self.all[place].stands_until = now + self.rng.random_range(0.2..4.0),
             2 => {
@@ -460,13 +511,22 @@
         "leader ms"
     );
     let (mut rows, mut clean) = (Vec::new(), true);
-    for (hosts, instances, troubles) in
-        [(3, 30, 0), (3, 300, 0), (30, 3000, 0), (3, 30, 60), (3, 300, 60), (30, 3000, 60)]
-    {
+    for (hosts, instances, troubles) in [
+        (3, 30, 0),
+        (3, 300, 0),
+        (30, 3000, 0),
+        (3, 30, 60),
+        (3, 300, 60),
+        (30, 3000, 60),
+    ] {
         let size = Size::of(hosts, instances, troubles);
         let played = play(&size, seed);
         let worst = |kind: Kind| {
-            let budget = size.budgets.iter().find(|(of, _)| *of == kind).map_or(1, |(_, calls)| *calls);
+            let budget = size
+                .budgets
+                .iter()
+                .find(|(of, _)| *of == kind)
+                .map_or(1, |(_, calls)| *calls);
             played.worst.get(&kind).copied().unwrap_or(0) as f64 / f64::from(budget)
         };
         clean &= worst(Kind::Probes) <= 1.0 && worst(Kind::First) <= 1.0;
--- a/crates/merlinshelf-lab/src/trial/upgrade.rs
+++ b/crates/merlinshelf-lab/src/trial/upgrade.rs
@@ -67,7 +67,10 @@
         match self {
             Fate::CanNotBeExecuted => "exec /nowhere/merlinshelf \"$@\"".into(),
             Fate::RefusesItsConfiguration => {
-                format!("exec '{}' serve --config /nowhere/config.json", setup.program.display())
+                format!(
+                    "exec '{}' serve --config /nowhere/config.json",
+                    setup.program.display()
+                )
             }
             Fate::ExitsAtOnce => "exit 3".into(),
             Fate::HangsAtOnce => "exec sleep 1000".into(),
@@ -98,9 +101,19 @@
     let mut rounds = Vec::new();
     let (mut memory, mut descriptors) = (0, 0);
     for number in 0..plan.rounds {
-        let fate = Fate::draw(&mut rng, plan.fail, plan.hangs, plan.setup.watched.as_millis() as u64);
+        let fate = Fate::draw(
+            &mut rng,
+            plan.fail,
+            plan.hangs,
+            plan.setup.watched.as_millis() as u64,
+        );
         let round = upgrade(&instance, &plan.setup, fate).await?;
-        println!("round {:>3}  {:<28} {}", number + 1, format!("{fate:?}"), round.ended);
+        println!(
+            "round {:>3}  {:<28} {}",
+            number + 1,
+            format!("{fate:?}"),
+            round.ended
+        );
         rounds.push(round);
         let (kb, open) = rounds.last().map_or((0, 0), |round: &Round| round.together);
         (memory, descriptors) = (memory.max(kb), descriptors.max(open));
@@ -112,7 +125,8 @@
     let verdict = seen.check(&instance.records.borrow(), load.patience);
     let ordinary = {
         let mut all = histogram();
-        let mut from = rounds.first().map_or(Instant::now(), |round| round.from) - Duration::from_secs(1);
+        let mut from =
+            rounds.first().map_or(Instant::now(), |round| round.from) - Duration::from_secs(1);
         for round in &rounds {
             all += seen.latencies(from, round.from - Duration::from_millis(20));
             from = round.until + Duration::from_millis(100);
@@ -120,12 +134,21 @@
         all
     };
     for round in &mut rounds {
-        let worst = seen.latencies(round.from, round.until + Duration::from_millis(20)).max();
+        let worst = seen
+            .latencies(round.from, round.until + Duration::from_millis(20))
+            .max();
         round.stall = Duration::from_micros(worst.saturating_sub(ordinary.value_at_quantile(0.5)));
     }
     instance.leave().await?;
     let _ = instance.first_ended().await;
-    Ok(report(plan, &rounds, verdict, &ordinary, (&before, &after), (memory, descriptors)))
+    Ok(report(
+        plan,
+        &rounds,
+        verdict,
+        &ordinary,
+        (&before, &after),
+        (memory, descriptors),
+    ))
 }
 
 /// Asks for an upgrade to a successor whose program is these lines of a shell, and says how it ended.
@@ -173,7 +196,14 @@
             }
         }
     }
-    Ok(Round { fate, ended, from, until: Instant::now(), stall: Duration::ZERO, together })
+    Ok(Round {
+        fate,
+        ended,
+        from,
+        until: Instant::now(),
+        stall: Duration::ZERO,
+        together,
+    })
 }
 
 impl Instance {
@@ -209,9 +239,12 @@
 ) -> (Value, bool) {
     let stalls = |which: &dyn Fn(&Round) -> bool| {
         let mut all = histogram();
-        rounds.iter().filter(|round| which(round)).for_each(|round| {
-            all.saturating_record((round.stall.as_micros() as u64).max(1));
-        });
+        rounds
+            .iter()
+            .filter(|round| which(round))
+            .for_each(|round| {
+                all.saturating_record((round.stall.as_micros() as u64).max(1));
+            });
         all
     };
     let millis = |micros: u64| (micros as f64 / 100.0).round() / 10.0;
@@ -219,14 +252,34 @@
     let kinds: [(&str, Histogram<u64>); 4] = [
         ("done", stalls(&|round| round.ended == "done")),
         ("given_up", stalls(&|round| round.ended == "given_up")),
-        ("taken_back", stalls(&|round| round.ended == "taken_back" && !hung(round))),
+        (
+            "taken_back",
+            stalls(&|round| round.ended == "taken_back" && !hung(round)),
+        ),
         // Nobody serves from the hang until it is found: that takes `silent_ms`.
-        ("after a hang", stalls(&|round| round.ended == "taken_back" && hung(round))),
+        (
+            "after a hang",
+            stalls(&|round| round.ended == "taken_back" && hung(round)),
+        ),
     ];
-    println!("\n{:<12} {:>7} {:>12} {:>12} {:>12}", "upgrades", "count", "stall p50", "p99", "worst");
+    println!(
+        "\n{:<12} {:>7} {:>12} {:>12} {:>12}",
+        "upgrades", "count", "stall p50", "p99", "worst"
+    );
     for (name, of) in &kinds {
-        let figures = [of.value_at_quantile(0.5), of.value_at_quantile(0.99), of.max()].map(millis);
-        println!("{name:<12} {:>7} {:>9} ms {:>9} ms {:>9} ms", of.len(), figures[0], figures[1], figures[2]);
+        let figures = [
+            of.value_at_quantile(0.5),
+            of.value_at_quantile(0.99),
+            of.max(),
+        ]
+        .map(millis);
+        println!(
+            "{name:<12} {:>7} {:>9} ms {:>9} ms {:>9} ms",
+            of.len(),
+            figures[0],
+            figures[1],
+            figures[2]
+        );
     }
     println!(
         "ordinary latency: median {} ms, p99 {} ms\n{verdict:?}",
@@ -249,7 +302,10 @@
             "p99_ms": millis(of.value_at_quantile(0.99)), "worst_ms": millis(of.max()),
         })
     };
-    let failed = rounds.iter().filter(|round| round.fate != Fate::Succeeds).count();
+    let failed = rounds
+        .iter()
+        .filter(|round| round.fate != Fate::Succeeds)
+        .count();
     let line = json!({
         "trial": "upgrade", "seed": plan.seed, "rounds": rounds.len(), "failed": failed, "unexpected": unexpected,
         "lost": verdict.lost, "doubled": verdict.doubled, "spoilt": verdict.spoilt, "run_twice": verdict.run_twice,
--- a/crates/merlinshelf-lab/src/trial/uwsgi.rs
+++ b/crates/merlinshelf-lab/src/trial/uwsgi.rs
@@ -21,8 +21,11 @@
     pub program: PathBuf,
 }
 
-const FRONTS: [(Front, &str); 3] =
-    [(Front::FastCgi, "fastcgi"), (Front::Uwsgi, "uwsgi"), (Front::Both, "both")];
+const FRONTS: [(Front, &str); 3] = [
+    (Front::FastCgi, "fastcgi"),
+    (Front::Uwsgi, "uwsgi"),
+    (Front::Both, "both"),
+];
 const PLAYS: Duration = Duration::from_secs(5);
 /// A run's time on one of two cores.
 const WORK: Duration = Duration::from_millis(10);
@@ -40,9 +43,17 @@
 
 async fn play(plan: &Plan, seed: u64, front: Front, number: u8) -> io::Result<Played> {
     let mut setup = Setup::small(&plan.program);
-    (setup.uwsgi, setup.manner.work, setup.cores, setup.manner.cores) = (true, WORK, 2, 2.0);
+    (
+        setup.uwsgi,
+        setup.manner.work,
+        setup.cores,
+        setup.manner.cores,
+    ) = (true, WORK, 2, 2.0);
     let mut instance = Instance::start(&setup, number).await?;
-    let load = Load { front, ..Load::of_all(&instance.address, 24, plan.rate, seed) };
+    let load = Load {
+        front,
+        ..Load::of_all(&instance.address, 24, plan.rate, seed)
+    };
     let before = instance.cpu()?;
     let playing = load.start().await?;
     sleep(PLAYS).await;
@@ -65,7 +76,12 @@
         }
     }
     let lost = verdict.lost + verdict.run_twice + verdict.spoilt + verdict.wrong_feeds;
-    Ok(Played { sums, lost, doubled: verdict.doubled, us: cpu.as_secs_f64() * 1e6 / until.max(1) as f64 })
+    Ok(Played {
+        sums,
+        lost,
+        doubled: verdict.doubled,
+        us: cpu.as_secs_f64() * 1e6 / until.max(1) as f64,
+    })
 }
 
 /// Mean and half of a 95% interval by Student's t, for few plays.
@@ -73,9 +89,23 @@
     const T: [f64; 10] = [12.71, 4.30, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26, 2.23];
     let count = values.len() as f64;
     let mean = values.iter().sum::<f64>() / count.max(1.0);
-    let square = values.iter().map(|value| (value - mean).powi(2)).sum::<f64>() / (count - 1.0).max(1.0);
-    let t = T.get(values.len().saturating_sub(2)).copied().unwrap_or(2.0);
-    (mean, if values.len() < 2 { f64::NAN } else { t * (square / count).sqrt() })
+    let square = values
+        .iter()
+        .map(|value| (value - mean).powi(2))
+        .sum::<f64>()
+        / (count - 1.0).max(1.0);
+    let t = T
+        .get(values.len().saturating_sub(2))
+        .copied()
+        .unwrap_or(2.0);
+    (
+        mean,
+        if values.len() < 2 {
+            f64::NAN
+        } else {
+            t * (square / count).sqrt()
+        },
+    )
 }
 
 /// Plays all; the last line, and whether nothing was lost or doubled.
@@ -100,7 +130,10 @@
             }
         }
     }
-    println!("{:<10} {:<20} {:>17} {:>17} {:>17}", "front", "operation", "served", "throttled", "errored");
+    println!(
+        "{:<10} {:<20} {:>17} {:>17} {:>17}",
+        "front", "operation", "served", "throttled", "errored"
+    );
     let mut rows = Vec::new();
     for ((front, operation), values) in &shares {
         let [served, throttled, errored] = [0, 1, 2].map(|which| mean(&values[which]));
@@ -118,12 +151,19 @@
     }
     // Paired by seed, so that what the load does to all counts for none.
     let mut apart = Vec::new();
-    for ((front, operation), values) in shares.iter().filter(|((front, _), _)| *front != "fastcgi") {
+    for ((front, operation), values) in shares.iter().filter(|((front, _), _)| *front != "fastcgi")
+    {
         let base = &shares[&("fastcgi", operation.clone())];
-        let differences: Vec<f64> = values[0].iter().zip(&base[0]).map(|(one, other)| one - other).collect();
+        let differences: Vec<f64> = values[0]
+            .iter()
+            .zip(&base[0])
+            .map(|(one, other)| one - other)
+            .collect();
         let (mean, half) = mean(&differences);
         println!("{front:<10} {operation:<20} served less fastcgi's: {mean:+.3} +- {half:.3}");
-        apart.push(json!({ "front": front, "operation": operation, "apart": mean, "apart_95": half }));
+        apart.push(
+            json!({ "front": front, "operation": operation, "apart": mean, "apart_95": half }),
+        );
     }
     let of = |name: &str| mean(&costs[name]).0;
     println!(
--- a/crates/merlinshelf-lab/src/wire.rs
+++ b/crates/merlinshelf-lab/src/wire.rs
@@ -4,11 +4,19 @@
 
 pub fn record(kind: u8, tag: u16, content: &[u8], padding: u8) -> Vec<u8> {
     let ([high, low], length) = (tag.to_be_bytes(), (content.len() as u16).to_be_bytes());
-    [&[1, kind, high, low, length[0], length[1], padding, 0], content, &vec![0; padding.into()]].concat()
+    [
+        &[1, kind, high, low, length[0], length[1], padding, 0],
+        content,
+        &vec![0; padding.into()],
+    ]
+    .concat()
 }
 
 pub fn unix_ms() -> u128 {
-    SystemTime::now().duration_since(UNIX_EPOCH).expect("a clock").as_millis()
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .expect("a clock")
+        .as_millis()
 }
 
 /// The fields of an invocation, with some of them changed; an empty one is left out.
@@ -29,17 +37,21 @@
         fields.push((name, value));
     }
     let all = fields.into_iter().filter(|(_, value)| !value.is_empty());
-    all.map(|(name, value)| (name.to_owned(), value.to_owned())).collect()
+    all.map(|(name, value)| (name.to_owned(), value.to_owned()))
+        .collect()
 }
 
 /// One invocation as a front end that speaks uwsgi writes it.
 pub fn ask_uwsgi(class: &str, body: &[u8], changes: &[(&str, &str)]) -> Vec<u8> {
     let length = body.len().to_string();
-    let all: Vec<(&str, &str)> =
-        std::iter::once(("CONTENT_LENGTH", length.as_str())).chain(changes.iter().copied()).collect();
+    let all: Vec<(&str, &str)> = std::iter::once(("CONTENT_LENGTH", length.as_str()))
+        .chain(changes.iter().copied())
+        .collect();
     let fields = fields(&id(1), class, &all);
-    let fields: Vec<(&str, &str)> =
-        fields.iter().map(|(name, value)| (name.as_str(), value.as_str())).collect();
+    let fields: Vec<(&str, &str)> = fields
+        .iter()
+        .map(|(name, value)| (name.as_str(), value.as_str()))
+        .collect();
     let mut bytes: Vec<u8> = Vec::new();
     merlinshelf_protocol::uwsgi::request(&mut bytes, &fields);
     bytes.extend(body);
--- a/crates/merlinshelf-lab/tests/fleet.rs
+++ b/crates/merlinshelf-lab/tests/fleet.rs
@@ -12,7 +12,11 @@
     world.until(6.0);
     for one in world.learners.iter().flatten() {
         let of = one.beliefs(world.now);
-        assert!(of.runs.iter().flatten().all(|of| of.weight < 0.06), "{:?}", of.runs);
+        assert!(
+            of.runs.iter().flatten().all(|of| of.weight < 0.06),
+            "{:?}",
+            of.runs
+        );
         assert_ne!(one.standing(), Standing::Steady);
     }
     // They met over it, at two messages a second each and a few at the start.
@@ -22,7 +26,9 @@
 #[test]
 fn half_that_restarts_together_is_taught_by_the_other_half_within_a_second() {
     let mut world = World::new(40, 5);
-    world.when(60.0, |one| one.members().alive().count() == 39).expect("all meet");
+    world
+        .when(60.0, |one| one.members().alive().count() == 39)
+        .expect("all meet");
     world.until(20.0);
     world.all_see(24, 1.0);
     for number in 20..40 {
@@ -32,42 +38,72 @@
     let now = world.now;
     for one in world.learners[20..].iter().flatten() {
         let of = one.beliefs(now);
-        assert!(of.runs.iter().all(|of| of.is_some_and(|of| of.weight > 0.3)), "{:?}", of.runs);
+        assert!(
+            of.runs
+                .iter()
+                .all(|of| of.is_some_and(|of| of.weight > 0.3)),
+            "{:?}",
+            of.runs
+        );
         assert!((of.runs[3].expect("it is told of").value - 0.04).abs() < 1e-9);
     }
     // Who was there before is known in its new life, and who has not restarted lost nothing.
-    world.when(60.0, |one| one.members().alive().count() == 39).expect("all meet again");
+    world
+        .when(60.0, |one| one.members().alive().count() == 39)
+        .expect("all meet again");
 }
 
 #[test]
 fn a_parted_network_with_two_histories_heals_and_the_fresh_outlives_the_stale() {
     let mut world = World::new(30, 7);
-    world.when(60.0, |one| one.members().alive().count() == 29).expect("all meet");
+    world
+        .when(60.0, |one| one.members().alive().count() == 29)
+        .expect("all meet");
     world.all_see(24, 1.0);
     (15..30).for_each(|number| world.part[number] = 1);
     world.until(world.now + 90.0);
-    assert!(world.learners[..15].iter().flatten().all(|one| one.members().alive().count() == 14));
+    assert!(
+        world.learners[..15]
+            .iter()
+            .flatten()
+            .all(|one| one.members().alive().count() == 14)
+    );
     // On one side the servers are twice as slow by now; the other has seen nothing new.
     let (now, slow) = (world.now, learnt(23, world.now, 2.0));
-    world.learners[..15].iter_mut().flatten().for_each(|one| one.see(now, now, &slow));
+    world.learners[..15]
+        .iter_mut()
+        .flatten()
+        .for_each(|one| one.see(now, now, &slow));
     world.part.fill(0);
-    world.when(60.0, |one| one.members().alive().count() == 29).expect("all meet again");
+    world
+        .when(60.0, |one| one.members().alive().count() == 29)
+        .expect("all meet again");
     world.begin(29, 2);
     world.until(world.now + 3.0);
     let now = world.now;
-    let of = world.learners[29].as_ref().expect("it lives").beliefs(now).runs[3].expect("it is told of");
+    let of = world.learners[29]
+        .as_ref()
+        .expect("it lives")
+        .beliefs(now)
+        .runs[3]
+        .expect("it is told of");
     assert!((of.value - 0.08).abs() < 1e-9, "{of:?}");
 }
 
 #[test]
 fn of_three_hundred_one_that_answers_nobody_is_gone_for_all_and_costs_nobody_more() {
     let mut world = World::new(300, 11);
-    world.when(120.0, |one| one.members().alive().count() == 299).expect("all meet");
+    world
+        .when(120.0, |one| one.members().alive().count() == 299)
+        .expect("all meet");
     let (from, before) = (world.now, world.messages);
     world.part[150] = 1;
     let gone = |one: &merlinshelf_knowledge::Learner| {
         one.members().own().name == "n150"
-            || one.members().state_of("n150").is_none_or(|state| state >= State::Left)
+            || one
+                .members()
+                .state_of("n150")
+                .is_none_or(|state| state >= State::Left)
     };
     world.when(60.0, gone).expect("all know");
     let each = (world.messages - before) as f64 / (world.now - from) / 300.0;
--- a/crates/merlinshelf-lab/tests/shares.rs
+++ b/crates/merlinshelf-lab/tests/shares.rs
@@ -5,8 +5,15 @@
 use merlinshelf_shares::Kind;
 
 fn size(instances: usize, probes: u32, first: u32) -> Size {
-    let budgets = [(Kind::Again, 24), (Kind::Probes, probes), (Kind::First, first)];
-    Size { budgets, ..Size::of(3, instances, 60) }
+    let budgets = [
+        (Kind::Again, 24),
+        (Kind::Probes, probes),
+        (Kind::First, first),
+    ];
+    Size {
+        budgets,
+        ..Size::of(3, instances, 60)
+    }
 }
 
 /// The worst seconds of probes and of first calls.
@@ -22,8 +29,14 @@
         let size = size(instances, probes, first);
         for seed in 0..3 {
             let (probed, called) = worst(&size, seed);
-            assert!(probed <= probes as usize, "seed {seed}: {probed} probes in a second, of {probes}");
-            assert!(called <= first as usize, "seed {seed}: {called} first calls in a second, of {first}");
+            assert!(
+                probed <= probes as usize,
+                "seed {seed}: {probed} probes in a second, of {probes}"
+            );
+            assert!(
+                called <= first as usize,
+                "seed {seed}: {called} first calls in a second, of {first}"
+            );
         }
     }
 }
@@ -31,16 +44,31 @@
 #[test]
 fn a_keeper_that_does_not_wait_for_the_leases_of_an_earlier_one_is_found() {
     // Many changes of whoever leads, and wishes for more than there is.
-    let size = Size { planted: true, troubles: 150, rate: 12.0, ..size(24, 24, 24) };
-    assert!((0..20).any(|seed| matches!(worst(&size, seed), (probes, first) if probes > 24 || first > 24)));
+    let size = Size {
+        planted: true,
+        troubles: 150,
+        rate: 12.0,
+        ..size(24, 24, 24)
+    };
+    assert!(
+        (0..20)
+            .any(|seed| matches!(worst(&size, seed), (probes, first) if probes > 24 || first > 24))
+    );
 }
 
 #[test]
 fn the_same_seed_is_the_same_play_and_all_is_open_soon_after_its_return() {
     let size = Size::of(3, 60, 0);
     let (one, other) = (play(&size, 4), play(&size, 4));
-    assert_eq!((one.calls, one.probes, &one.worst), (other.calls, other.probes, &other.worst));
-    assert!(one.open_after.is_some_and(|after| after < 5.0), "{:?}", one.open_after);
+    assert_eq!(
+        (one.calls, one.probes, &one.worst),
+        (other.calls, other.probes, &other.worst)
+    );
+    assert!(
+        one.open_after.is_some_and(|after| after < 5.0),
+        "{:?}",
+        one.open_after
+    );
     // Probes a second while it is gone: some, and no more than a few.
     assert!((5..=8 * 9).contains(&one.probes), "{}", one.probes);
 }
--- a/crates/merlinshelf-lab/tests/store.rs
+++ b/crates/merlinshelf-lab/tests/store.rs
@@ -14,8 +14,14 @@
 
 fn told(operation: &str, number: u64) -> Told {
     Told {
-        subject: Subject::RunRecent { engine: "e".into(), operation: operation.into() },
-        origin: Origin { name: "n0".into(), life: 1 },
+        subject: Subject::RunRecent {
+            engine: "e".into(),
+            operation: operation.into(),
+        },
+        origin: Origin {
+            name: "n0".into(),
+            life: 1,
+        },
         value: 0.01,
         count: 24,
         age: 1.0,
@@ -46,12 +52,25 @@
     store.begin(5);
     let mut longest = 0;
     for number in 0..3000 {
-        store.save(&mut disk, 100.0 + number as f64, &[told("a", 1), told("b", number)]).expect("it is kept");
+        store
+            .save(
+                &mut disk,
+                100.0 + number as f64,
+                &[told("a", 1), told("b", number)],
+            )
+            .expect("it is kept");
         let before = disk.operations;
-        store.save(&mut disk, 100.0, &[told("a", 1), told("b", number)]).expect("nothing is new");
-        assert_eq!(disk.operations, before, "what is kept already is not written again");
+        store
+            .save(&mut disk, 100.0, &[told("a", 1), told("b", number)])
+            .expect("nothing is new");
+        assert_eq!(
+            disk.operations, before,
+            "what is kept already is not written again"
+        );
         longest = longest.max(
-            merlinshelf_knowledge::Files::read(&mut disk, FILE).expect("it reads").map_or(0, |of| of.len()),
+            merlinshelf_knowledge::Files::read(&mut disk, FILE)
+                .expect("it reads")
+                .map_or(0, |of| of.len()),
         );
     }
     assert!(longest < 80 * 1024, "{longest}");
@@ -61,20 +80,33 @@
 
 #[test]
 fn a_foreign_a_later_and_an_endless_file_are_set_aside_and_told() {
-    for bytes in [b"SQLite format 3\0".to_vec(), b"MSK1\x03\0\0\0later".to_vec(), vec![7; LENGTH_MOST + 1]] {
+    for bytes in [
+        b"SQLite format 3\0".to_vec(),
+        b"MSK1\x03\0\0\0later".to_vec(),
+        vec![7; LENGTH_MOST + 1],
+    ] {
         let mut disk = disk();
         disk.put(FILE, &bytes);
         let (mut store, found) = Store::open(&mut disk).expect("it can be read");
-        assert_eq!((found.flaw, found.set_aside, found.kept.len()), (Some(Flaw::Foreign), true, 0));
+        assert_eq!(
+            (found.flaw, found.set_aside, found.kept.len()),
+            (Some(Flaw::Foreign), true, 0)
+        );
         assert!(disk.has(ASIDE) && !disk.has(FILE));
-        store.save(&mut disk, 1.0, &[told("a", 1)]).expect("a new one is made");
+        store
+            .save(&mut disk, 1.0, &[told("a", 1)])
+            .expect("a new one is made");
         assert_eq!(read(&mut disk), [told("a", 1)]);
     }
 }
 
 #[test]
 fn the_form_before_is_read_and_a_garbled_record_costs_what_follows_it() {
-    let bytes = rmp_serde::to_vec_named(&Kept { at: 9.0, told: told("a", 4) }).expect("a record");
+    let bytes = rmp_serde::to_vec_named(&Kept {
+        at: 9.0,
+        told: told("a", 4),
+    })
+    .expect("a record");
     let mut file = b"MSK1\x01\0\0\0".to_vec();
     file.extend((bytes.len() as u32).to_le_bytes());
     file.extend(crc32fast::hash(&bytes).to_le_bytes());
@@ -85,35 +117,51 @@
     // Written by this version, it is of this form.
     let (mut store, _) = Store::open(&mut disk).expect("it can be read");
     let life = store.begin(12);
-    store.save(&mut disk, 10.0, &[told("a", 4), told("b", 5)]).expect("it is kept");
+    store
+        .save(&mut disk, 10.0, &[told("a", 4), told("b", 5)])
+        .expect("it is kept");
     let (mut again, found) = Store::open(&mut disk).expect("it can be read");
     assert_eq!((found.life, found.kept.len()), (life, 2));
     // The clock went back: the next life is a later one all the same.
     assert_eq!(again.begin(3), life + 1);
-    let mut whole =
-        merlinshelf_knowledge::Files::read(&mut disk, FILE).expect("it reads").expect("it is there");
+    let mut whole = merlinshelf_knowledge::Files::read(&mut disk, FILE)
+        .expect("it reads")
+        .expect("it is there");
     let last = whole.len() - 3;
     whole[last] ^= 1;
     disk.put(FILE, &whole);
     let (_, found) = Store::open(&mut disk).expect("it can be read");
-    assert_eq!((found.flaw, found.kept.len(), found.set_aside), (Some(Flaw::Garbled), 1, true));
-    assert!(disk.has(FILE), "what can be read stays until it is replaced");
+    assert_eq!(
+        (found.flaw, found.kept.len(), found.set_aside),
+        (Some(Flaw::Garbled), 1, true)
+    );
+    assert!(
+        disk.has(FILE),
+        "what can be read stays until it is replaced"
+    );
 }
 
 #[test]
 fn a_full_or_read_only_folder_costs_the_saving_and_nothing_that_was_kept() {
     let mut disk = disk();
     let (mut store, _) = Store::open(&mut disk).expect("it is empty");
-    store.save(&mut disk, 1.0, &[told("a", 1)]).expect("it is kept");
+    store
+        .save(&mut disk, 1.0, &[told("a", 1)])
+        .expect("it is kept");
     for trouble in [Trouble::Full(10), Trouble::Full(0), Trouble::ReadOnly] {
         disk.trouble = Some(trouble);
         assert!(store.save(&mut disk, 2.0, &[told("a", 2)]).is_err());
         assert!(store.save(&mut disk, 2.5, &[told("a", 3)]).is_err());
         disk.trouble = None;
         let found = Store::open(&mut disk).expect("it can be read").1;
-        assert!(found.kept.iter().any(|kept| kept.told == told("a", 1)), "{trouble:?}: {found:?}");
+        assert!(
+            found.kept.iter().any(|kept| kept.told == told("a", 1)),
+            "{trouble:?}: {found:?}"
+        );
     }
-    store.save(&mut disk, 3.0, &[told("a", 4)]).expect("it is kept again");
+    store
+        .save(&mut disk, 3.0, &[told("a", 4)])
+        .expect("it is kept again");
     assert_eq!(read(&mut disk), [told("a", 4)]);
     disk.trouble = Some(Trouble::Unreadable);
     assert!(Store::open(&mut disk).is_err());
--- a/crates/merlinshelf-policy/src/conductor.rs
+++ b/crates/merlinshelf-policy/src/conductor.rs
@@ -112,8 +112,14 @@
     pub fn asked(&mut self, now: f64, ask: HostAsk, ledger: &Ledger) {
         let host = self.hosts.entry(ask.host).or_default();
         (host.fenced, host.prepared, host.service) = (ask.fenced, ask.prepared, ask.service);
-        host.asked =
-            Some((HostWord { life: ask.life, token: ask.token, ..HostWord::default() }, self.confirm));
+        host.asked = Some((
+            HostWord {
+                life: ask.life,
+                token: ask.token,
+                ..HostWord::default()
+            },
+            self.confirm,
+        ));
         self.woken(now, ledger);
     }
 
@@ -131,7 +137,9 @@
     /// Something was decided, or time has gone on.
     pub fn woken(&mut self, now: f64, ledger: &Ledger) {
         if self.hosts.values().any(|host| host.asked.is_some())
-            && self.confirming.is_none_or(|(_, since)| now >= since + AGAIN_AFTER)
+            && self
+                .confirming
+                .is_none_or(|(_, since)| now >= since + AGAIN_AFTER)
         {
             self.steps.push_back(Step::Confirm(self.confirm));
             self.confirming = Some((self.confirm, now));
@@ -161,7 +169,10 @@
 
     /// Once, and again where it was lost on its way into the log.
     fn propose(&mut self, now: f64, entry: Entry) {
-        let under_way = self.proposed.as_ref().is_some_and(|(of, at)| *of == entry && now < at + AGAIN_AFTER);
+        let under_way = self
+            .proposed
+            .as_ref()
+            .is_some_and(|(of, at)| *of == entry && now < at + AGAIN_AFTER);
         if !under_way {
             self.proposed = Some((entry.clone(), now));
             self.steps.push_back(Step::Propose(entry));
@@ -174,12 +185,30 @@
             _ => self.judged.insert((number, now)).1,
         };
         let judged = |host: &Host| host.prepared.as_ref().is_some_and(|of| of.number == number);
-        let unfit = self.hosts.values().filter(|host| judged(host)).filter_map(|host| host.prepared.as_ref());
+        let unfit = self
+            .hosts
+            .values()
+            .filter(|host| judged(host))
+            .filter_map(|host| host.prepared.as_ref());
         let why: Vec<(String, String)> = unfit.flat_map(|of| of.unfit.clone()).collect();
         if !why.is_empty() {
-            self.propose(now, Entry::Decide { number, hold: false, why });
+            self.propose(
+                now,
+                Entry::Decide {
+                    number,
+                    hold: false,
+                    why,
+                },
+            );
         } else if self.hosts.values().all(judged) || now >= since + PREPARED_WITHIN {
-            self.propose(now, Entry::Decide { number, hold: true, why });
+            self.propose(
+                now,
+                Entry::Decide {
+                    number,
+                    hold: true,
+                    why,
+                },
+            );
         }
     }
 
@@ -193,7 +222,10 @@
 
     /// Leases for all who asked before a majority confirmed, on what holds; on nothing while all are fenced.
     fn grant(&mut self, now: f64, ledger: &Ledger) {
-        let fencing = ledger.change.as_ref().filter(|change| change.stage == Stage::Fencing);
+        let fencing = ledger
+            .change
+            .as_ref()
+            .filter(|change| change.stage == Stage::Fencing);
         let granted = match fencing {
             Some(change) if change.number != self.opened => return,
             Some(change) => change.number,
@@ -203,14 +235,19 @@
         for (name, host) in &mut self.hosts {
             if let Some(word) = host.confirmed.take() {
                 host.until = until;
-                self.steps.push_back(Step::Tell(name.clone(), HostWord { granted, ..word }));
+                self.steps
+                    .push_back(Step::Tell(name.clone(), HostWord { granted, ..word }));
             }
         }
     }
 
     /// Looks at the service of all, and brings the former policy back where the last change made it worse.
     fn look(&mut self, now: f64, ledger: &Ledger) {
-        if self.looks.back().is_some_and(|(at, ..)| now < at + LOOK_EVERY) {
+        if self
+            .looks
+            .back()
+            .is_some_and(|(at, ..)| now < at + LOOK_EVERY)
+        {
             return;
         }
         let sum = |of: fn(&Host) -> u64| self.hosts.values().map(of).sum::<u64>();
@@ -219,15 +256,21 @@
             self.looks.pop_front();
         }
         self.looks.push_back(look);
-        let Some((number, since, before)) = self.watched.filter(|_| self.watch.over_s > 0.0) else { return };
+        let Some((number, since, before)) = self.watched.filter(|_| self.watch.over_s > 0.0) else {
+            return;
+        };
         if now < since + self.watch.over_s {
             return;
         }
         self.watched = None;
-        let last =
-            ledger.ended.iter().rev().find(|ended| ended.number == number && ended.verdict == Verdict::Held);
+        let last = ledger
+            .ended
+            .iter()
+            .rev()
+            .find(|ended| ended.number == number && ended.verdict == Verdict::Held);
         let brought_back = last.is_none_or(|ended| ended.by == WATCH);
-        let (Some(after), Some((_, former)), false) = (self.share(since, now), &ledger.former, brought_back)
+        let (Some(after), Some((_, former)), false) =
+            (self.share(since, now), &ledger.former, brought_back)
         else {
             return;
         };
@@ -235,14 +278,25 @@
             let mut policy = former.clone();
             policy.note = format!("back from {number}: served {after:.3}, before it {before:.3}");
             let (id, by) = (format!("back-from-{number}"), WATCH.to_owned());
-            self.propose(now, Entry::Propose { id, policy: Box::new(policy), by, at: 0.0 });
+            self.propose(
+                now,
+                Entry::Propose {
+                    id,
+                    policy: Box::new(policy),
+                    by,
+                    at: 0.0,
+                },
+            );
         }
     }
 
     /// The succeeded share of what came between two moments; none where that was too little to tell.
     fn share(&self, from: f64, until: f64) -> Option<f64> {
-        let within: Vec<_> =
-            self.looks.iter().filter(|(at, ..)| *at >= from - 1e-9 && *at <= until + 1e-9).collect();
+        let within: Vec<_> = self
+            .looks
+            .iter()
+            .filter(|(at, ..)| *at >= from - 1e-9 && *at <= until + 1e-9)
+            .collect();
         let (first, last) = (within.first()?, within.last()?);
         let (came, succeeded) = (last.1.checked_sub(first.1)?, last.2.checked_sub(first.2)?);
         (came >= ENOUGH).then(|| succeeded as f64 / came as f64)
--- a/crates/merlinshelf-policy/src/document.rs
+++ b/crates/merlinshelf-policy/src/document.rs
@@ -83,17 +83,28 @@
 }
 
 fn part(value: &f64, (): &()) -> garde::Result {
-    if (0.0..=1.0).contains(value) { Ok(()) } else { no(format!("{value} is not from 0 to 1")) }
+    if (0.0..=1.0).contains(value) {
+        Ok(())
+    } else {
+        no(format!("{value} is not from 0 to 1"))
+    }
 }
 
 fn above_nothing(value: &f64, (): &()) -> garde::Result {
-    if value.is_finite() && *value > 0.0 { Ok(()) } else { no(format!("{value} is no number above 0")) }
+    if value.is_finite() && *value > 0.0 {
+        Ok(())
+    } else {
+        no(format!("{value} is no number above 0"))
+    }
 }
 
 fn of_budgets(_: &mut schemars::SchemaGenerator) -> schemars::Schema {
-    let figure = schemars::json_schema!({ "type": "integer", "minimum": 1, "maximum": kinds::MOST });
-    let figures: serde_json::Map<String, serde_json::Value> =
-        Kind::ALL.iter().map(|kind| (kind.name().to_owned(), figure.clone().into())).collect();
+    let figure =
+        schemars::json_schema!({ "type": "integer", "minimum": 1, "maximum": kinds::MOST });
+    let figures: serde_json::Map<String, serde_json::Value> = Kind::ALL
+        .iter()
+        .map(|kind| (kind.name().to_owned(), figure.clone().into()))
+        .collect();
     schemars::json_schema!({
         "type": "object",
         "maxProperties": 64,
@@ -106,7 +117,11 @@
 }
 
 fn not_under_nothing(value: &f64, (): &()) -> garde::Result {
-    if value.is_finite() && *value >= 0.0 { Ok(()) } else { no(format!("{value} is no number from 0 on")) }
+    if value.is_finite() && *value >= 0.0 {
+        Ok(())
+    } else {
+        no(format!("{value} is no number from 0 on"))
+    }
 }
 
 fn shares(shares: &BTreeMap<String, f64>, (): &()) -> garde::Result {
@@ -116,7 +131,11 @@
         }
     }
     let sum: f64 = shares.values().sum();
-    if sum > 1.0 + 1e-9 { no(format!("shares are {sum:.3} together, over 1")) } else { Ok(()) }
+    if sum > 1.0 + 1e-9 {
+        no(format!("shares are {sum:.3} together, over 1"))
+    } else {
+        Ok(())
+    }
 }
 
 fn shares_of_time(shares: &BTreeMap<String, f64>, (): &()) -> garde::Result {
@@ -129,9 +148,18 @@
 
 /// The last word of the names under `list.N.Name` with this name, or the number itself.
 fn place(settings: &Settings, list: &str, name: &str) -> Option<usize> {
-    let count = settings.get(&format!("{list}.count")).and_then(|text| text.parse().ok()).unwrap_or(0);
-    let named = |place: &usize| settings.get(&format!("{list}.{place}.Name")).is_some_and(|own| own == name);
-    (0..count).find(named).or_else(|| name.parse().ok().filter(|place| *place < count))
+    let count = settings
+        .get(&format!("{list}.count"))
+        .and_then(|text| text.parse().ok())
+        .unwrap_or(0);
+    let named = |place: &usize| {
+        settings
+            .get(&format!("{list}.{place}.Name"))
+            .is_some_and(|own| own == name)
+    };
+    (0..count)
+        .find(named)
+        .or_else(|| name.parse().ok().filter(|place| *place < count))
 }
 
 impl Policy {
@@ -147,7 +175,9 @@
     pub fn settings(&self, base: &Settings) -> Result<Settings, String> {
         let (mut settings, mut whys) = (base.clone(), Vec::new());
         for (name, of) in &self.operations {
-            let Some(place) = place(base, "Classes", name).filter(|_| name.parse::<usize>().is_err()) else {
+            let Some(place) =
+                place(base, "Classes", name).filter(|_| name.parse::<usize>().is_err())
+            else {
                 whys.push(format!("operations.{name}: there is no such operation"));
                 continue;
             };
@@ -162,15 +192,23 @@
             // An objective of nothing is met by nothing: the module turns it away (docs/design.md).
             set("AimUs", (of.admit == Some(false)).then_some(0.0));
         }
-        let count: usize = base.get("Tenants.count").and_then(|text| text.parse().ok()).unwrap_or(0);
+        let count: usize = base
+            .get("Tenants.count")
+            .and_then(|text| text.parse().ok())
+            .unwrap_or(0);
         let quota = |place: usize| -> f64 {
-            base.get(&format!("Tenants.{place}.QuotaPerS")).and_then(|text| text.parse().ok()).unwrap_or(0.0)
+            base.get(&format!("Tenants.{place}.QuotaPerS"))
+                .and_then(|text| text.parse().ok())
+                .unwrap_or(0.0)
         };
         let all: f64 = (0..count).map(quota).sum();
         for (name, share) in &self.tenants {
             match place(base, "Tenants", name) {
                 Some(place) => {
-                    settings.insert(format!("Tenants.{place}.QuotaPerS"), (share * all).to_string());
+                    settings.insert(
+                        format!("Tenants.{place}.QuotaPerS"),
+                        (share * all).to_string(),
+                    );
                 }
                 None => whys.push(format!("tenants.{name}: there is no such tenant")),
             }
@@ -178,14 +216,21 @@
         if let Some(share) = self.call_share {
             settings.insert("FamilyInfo.CallShare".into(), share.to_string());
         }
-        if whys.is_empty() { Ok(settings) } else { Err(whys.join("; ")) }
+        if whys.is_empty() {
+            Ok(settings)
+        } else {
+            Err(whys.join("; "))
+        }
     }
 
     /// What the operators' file says of dependencies, under it.
     ///
     /// # Errors
     /// Everything that it names and that file does not have, and what then does not hold together.
-    pub fn dependencies(&self, base: Option<&Dependencies>) -> Result<Option<Dependencies>, String> {
+    pub fn dependencies(
+        &self,
+        base: Option<&Dependencies>,
+    ) -> Result<Option<Dependencies>, String> {
         let (mut all, mut whys) = (base.cloned().unwrap_or_default(), Vec::new());
         for (name, of) in &self.dependencies {
             let Some(own) = all.dependencies.get_mut(name) else {
@@ -195,18 +240,30 @@
             own.out_most = of.out_most.unwrap_or(own.out_most);
             own.subset = of.subset.or(own.subset);
         }
-        for name in self.budgets.keys().filter(|name| ![CATALOGUE, CALLERS].contains(&name.as_str())) {
+        for name in self
+            .budgets
+            .keys()
+            .filter(|name| ![CATALOGUE, CALLERS].contains(&name.as_str()))
+        {
             if !all.dependencies.contains_key(name) {
                 whys.push(format!("budgets.{name}: there is no such dependency"));
             }
         }
         for (operation, of) in &self.operations {
             for (name, share) in &of.calls {
-                let calls = all.operations.get_mut(operation).map(|own| own.calls.as_mut_slice());
-                let mut meant =
-                    calls.unwrap_or_default().iter_mut().filter(|call| call.to == *name).peekable();
+                let calls = all
+                    .operations
+                    .get_mut(operation)
+                    .map(|own| own.calls.as_mut_slice());
+                let mut meant = calls
+                    .unwrap_or_default()
+                    .iter_mut()
+                    .filter(|call| call.to == *name)
+                    .peekable();
                 if meant.peek().is_none() {
-                    whys.push(format!("operations.{operation}.calls.{name}: it makes no such call"));
+                    whys.push(format!(
+                        "operations.{operation}.calls.{name}: it makes no such call"
+                    ));
                 }
                 meant.for_each(|call| call.share = Some(*share));
             }
@@ -216,13 +273,24 @@
         {
             whys = more;
         }
-        if whys.is_empty() { Ok(base.map(|_| all)) } else { Err(whys.join("; ")) }
+        if whys.is_empty() {
+            Ok(base.map(|_| all))
+        } else {
+            Err(whys.join("; "))
+        }
     }
 
     /// A number for what it says, to tell documents apart; its note does not count.
     pub fn fingerprint(&self) -> u64 {
         let mut text = String::new();
-        let Policy { note: _, operations, tenants, call_share, dependencies, budgets } = self;
+        let Policy {
+            note: _,
+            operations,
+            tenants,
+            call_share,
+            dependencies,
+            budgets,
+        } = self;
         text += &format!("{operations:?}{tenants:?}{call_share:?}{dependencies:?}");
         if !budgets.is_empty() {
             text += &format!("{budgets:?}"); // else as of programs that know none
--- a/crates/merlinshelf-policy/src/holder.rs
+++ b/crates/merlinshelf-policy/src/holder.rs
@@ -82,7 +82,11 @@
     /// taking back, when the successor may long have given its lease up.
     pub fn pass(&mut self, life: u64) -> Passed {
         self.life = life;
-        Passed { lease: self.lease.take(), fenced: self.fenced, known: self.known.clone() }
+        Passed {
+            lease: self.lease.take(),
+            fenced: self.fenced,
+            known: self.known.clone(),
+        }
     }
 
     /// Goes on with what a predecessor passed.
@@ -132,7 +136,12 @@
     }
 
     /// A beat of its agent, and what is said to it. `fits` is whether it can use a document.
-    pub fn heard(&mut self, now: f64, beat: Beat, fits: impl FnOnce(&Policy) -> Result<(), String>) -> Said {
+    pub fn heard(
+        &mut self,
+        now: f64,
+        beat: Beat,
+        fits: impl FnOnce(&Policy) -> Result<(), String>,
+    ) -> Said {
         if beat.life == self.life {
             if let Some((number, policy)) = beat.offer
                 && self.known.get(&number) != Some(&policy)
@@ -143,7 +152,9 @@
                         self.unfit = self.unfit.take().filter(|(of, _)| *of != number);
                         let keep = self.lease.map(|lease| lease.number);
                         while self.known.len() > KNOWN_MOST {
-                            let Some(oldest) = self.known.keys().copied().find(|of| Some(*of) != keep) else {
+                            let Some(oldest) =
+                                self.known.keys().copied().find(|of| Some(*of) != keep)
+                            else {
                                 break;
                             };
                             self.known.remove(&oldest);
@@ -159,10 +170,14 @@
                 let known = grant.number > 0 && self.known.contains_key(&grant.number);
                 if grant.number > self.fenced && known && grant.asked <= now {
                     self.fence(grant.number - 1);
-                    let longer =
-                        self.lease.is_none_or(|lease| lease.number < grant.number || lease.until < until);
+                    let longer = self
+                        .lease
+                        .is_none_or(|lease| lease.number < grant.number || lease.until < until);
                     if longer && until > now {
-                        self.lease = Some(Lease { number: grant.number, until });
+                        self.lease = Some(Lease {
+                            number: grant.number,
+                            until,
+                        });
                         self.began = true;
                     }
                 }
--- a/crates/merlinshelf-policy/src/ledger.rs
+++ b/crates/merlinshelf-policy/src/ledger.rs
@@ -24,9 +24,18 @@
     /// Only the first one counts.
     Found(Founding),
     /// A change. `id` is whoever asks' own; one that is known already is the same change. `at` is Unix time, for reports.
-    Propose { id: String, policy: Box<Policy>, by: String, at: f64 },
+    Propose {
+        id: String,
+        policy: Box<Policy>,
+        by: String,
+        at: f64,
+    },
     /// The first one of a change counts.
-    Decide { number: u64, hold: bool, why: Vec<(String, String)> },
+    Decide {
+        number: u64,
+        hold: bool,
+        why: Vec<(String, String)>,
+    },
     /// Leases on it may be out.
     Open { number: u64 },
 }
@@ -114,18 +123,35 @@
                 if let Some(other) = &self.change {
                     let why = format!("change {} is under way", other.number);
                     let verdict = Verdict::Refused(vec![(by.clone(), why)]);
-                    self.end(Ended { number, id, note: policy.note, by, at, verdict });
+                    self.end(Ended {
+                        number,
+                        id,
+                        note: policy.note,
+                        by,
+                        at,
+                        verdict,
+                    });
                     return Some(News::Decided(number, false));
                 }
-                self.change = Some(Change { number, id, policy: *policy, by, at, stage: Stage::Preparing });
+                self.change = Some(Change {
+                    number,
+                    id,
+                    policy: *policy,
+                    by,
+                    at,
+                    stage: Stage::Preparing,
+                });
                 Some(News::Proposed(number))
             }
             Entry::Decide { number, hold, why } => {
-                let change = self
-                    .change
-                    .take_if(|change| change.number == number && change.stage == Stage::Preparing)?;
+                let change = self.change.take_if(|change| {
+                    change.number == number && change.stage == Stage::Preparing
+                })?;
                 if hold {
-                    self.change = Some(Change { stage: Stage::Fencing, ..change });
+                    self.change = Some(Change {
+                        stage: Stage::Fencing,
+                        ..change
+                    });
                 } else {
                     self.over(change, Verdict::Refused(why));
                 }
@@ -144,8 +170,22 @@
     }
 
     fn over(&mut self, change: Change, verdict: Verdict) {
-        let Change { number, id, policy, by, at, .. } = change;
-        self.end(Ended { number, id, note: policy.note, by, at, verdict });
+        let Change {
+            number,
+            id,
+            policy,
+            by,
+            at,
+            ..
+        } = change;
+        self.end(Ended {
+            number,
+            id,
+            note: policy.note,
+            by,
+            at,
+            verdict,
+        });
     }
 
     fn end(&mut self, ended: Ended) {
@@ -167,20 +207,31 @@
 
     /// Nothing up to this number may be acted on any more.
     pub fn fence(&self) -> u64 {
-        let fencing = self.change.as_ref().filter(|change| change.stage == Stage::Fencing);
-        fencing.map_or(self.current, |change| change.number).saturating_sub(1)
+        let fencing = self
+            .change
+            .as_ref()
+            .filter(|change| change.stage == Stage::Fencing);
+        fencing
+            .map_or(self.current, |change| change.number)
+            .saturating_sub(1)
     }
 
     /// The document with this number, where leases on it may be out or come to be.
     pub fn document(&self, number: u64) -> Option<&Policy> {
-        let change =
-            self.change.as_ref().filter(|change| change.number == number).map(|change| &change.policy);
+        let change = self
+            .change
+            .as_ref()
+            .filter(|change| change.number == number)
+            .map(|change| &change.policy);
         change.or_else(|| (self.current == number && number > 0).then_some(&self.policy))
     }
 
     /// What instances should have: the document that is being changed to, else the one that holds.
     pub fn offer(&self) -> Option<(u64, &Policy)> {
-        let change = self.change.as_ref().map(|change| (change.number, &change.policy));
+        let change = self
+            .change
+            .as_ref()
+            .map(|change| (change.number, &change.policy));
         change.or_else(|| (self.current > 0).then_some((self.current, &self.policy)))
     }
 }
--- a/crates/merlinshelf-policy/src/warden.rs
+++ b/crates/merlinshelf-policy/src/warden.rs
@@ -88,12 +88,19 @@
         }
         let (fence, before) = (ledger.fence(), self.fence);
         self.fence = self.fence.max(fence);
-        self.lease = self.lease.filter(|(number, _)| *number == 0 || *number > self.fence);
+        self.lease = self
+            .lease
+            .filter(|(number, _)| *number == 0 || *number > self.fence);
         let change = ledger.change.as_ref();
         let numbers = [Some(ledger.current), change.map(|change| change.number)];
-        let known = numbers.into_iter().flatten().filter_map(|of| Some((of, ledger.document(of)?.clone())));
+        let known = numbers
+            .into_iter()
+            .flatten()
+            .filter_map(|of| Some((of, ledger.document(of)?.clone())));
         let known: Vec<(u64, Policy)> = known.collect();
-        let judged = change.filter(|change| change.stage == Stage::Preparing).map(|change| change.number);
+        let judged = change
+            .filter(|change| change.stage == Stage::Preparing)
+            .map(|change| change.number);
         let same = self.judged.map(|(number, _)| number) == judged;
         if !same {
             self.judged = judged.map(|number| (number, now));
@@ -133,18 +140,32 @@
         let due = |one: &Seen| !one.waits && (one.urgent || now >= one.beat_at + every);
         let (name, one) = self.instances.iter_mut().find(|(_, one)| due(one))?;
         (one.beat_at, one.waits, one.urgent) = (now, true, false);
-        let mut beat = Beat { fence: self.fence, ..Beat::default() };
+        let mut beat = Beat {
+            fence: self.fence,
+            ..Beat::default()
+        };
         if let Some(said) = one.said.as_ref().filter(|said| said.base == self.base) {
             beat.life = said.life;
             let lease = self.lease.filter(|(_, until)| now < *until);
             let granted = lease.map(|(number, _)| number);
             let lacks = |number: &u64| !said.knows.contains(number);
             let refused = |number: &u64| said.unfit.as_ref().is_some_and(|(of, _)| of == number);
-            let first = self.documents.iter().find(|(number, _)| Some(*number) == granted && lacks(number));
-            let other = self.documents.iter().rev().find(|(number, _)| lacks(number) && !refused(number));
+            let first = self
+                .documents
+                .iter()
+                .find(|(number, _)| Some(*number) == granted && lacks(number));
+            let other = self
+                .documents
+                .iter()
+                .rev()
+                .find(|(number, _)| lacks(number) && !refused(number));
             beat.offer = first.or(other).cloned();
             if let Some((number, until)) = lease {
-                beat.grant = Some(Grant { number, asked: said.asked, for_s: until - now });
+                beat.grant = Some(Grant {
+                    number,
+                    asked: said.asked,
+                    for_s: until - now,
+                });
                 if number > 0 {
                     // Whoever was granted this number holds nothing below it: that was given back before, by all.
                     let until = over_by(now, until - now, self.drift);
@@ -158,14 +179,23 @@
 
     /// An instance's answer to its beat.
     pub fn said(&mut self, _now: f64, name: &str, said: Said) {
-        let Some(one) = self.instances.get_mut(name) else { return };
+        let Some(one) = self.instances.get_mut(name) else {
+            return;
+        };
         (one.waits, one.refuses) = (false, None);
         let granted = self.lease.map(|(number, _)| number).unwrap_or(0);
-        let other_life = one.said.as_ref().is_none_or(|before| before.life != said.life);
+        let other_life = one
+            .said
+            .as_ref()
+            .is_none_or(|before| before.life != said.life);
         let behind = said.acts != Some(granted) && self.lease.is_some();
         // A new process, or one that has not got what holds: told at once, but not without end.
-        one.urgent |=
-            other_life || behind && one.said.as_ref().is_none_or(|before| before.knows != said.knows);
+        one.urgent |= other_life
+            || behind
+                && one
+                    .said
+                    .as_ref()
+                    .is_none_or(|before| before.knows != said.knows);
         one.said = Some(said);
     }
 
@@ -184,32 +214,52 @@
 
     /// There is something that all instances should hear now.
     pub fn beat_soon(&mut self) {
-        self.instances.values_mut().for_each(|one| one.urgent = true);
+        self.instances
+            .values_mut()
+            .for_each(|one| one.urgent = true);
     }
 
     /// Everything up to this number is acted on by nobody here any more.
     pub fn fenced(&self, now: f64) -> u64 {
         let held = |one: &Seen| {
-            let acked = one.said.as_ref().is_some_and(|said| said.fenced >= self.fence);
-            !acked && one.may.is_some_and(|(number, until)| number <= self.fence && now < until)
+            let acked = one
+                .said
+                .as_ref()
+                .is_some_and(|said| said.fenced >= self.fence);
+            !acked
+                && one
+                    .may
+                    .is_some_and(|(number, until)| number <= self.fence && now < until)
         };
         // An agent before this one may have had an instance that this one has not found: its lease is over by then.
         let lease = self.lease_s.unwrap_or(0.0);
-        let young = self.began.is_none_or(|began| now < over_by(began, lease, self.drift));
-        if young || self.instances.values().any(held) { self.told.0.min(self.fence) } else { self.fence }
+        let young = self
+            .began
+            .is_none_or(|began| now < over_by(began, lease, self.drift));
+        if young || self.instances.values().any(held) {
+            self.told.0.min(self.fence)
+        } else {
+            self.fence
+        }
     }
 
     /// What the instances say to the document that is judged, once all have or are late.
     pub fn prepared(&self, now: f64) -> Option<Prepared> {
         let (number, since) = self.judged?;
-        let mut prepared = Prepared { number, ..Prepared::default() };
+        let mut prepared = Prepared {
+            number,
+            ..Prepared::default()
+        };
         let mut waits = false;
         for (name, one) in &self.instances {
             let said = one.said.as_ref();
-            let unfit =
-                said.and_then(|said| said.unfit.clone()).filter(|(of, _)| *of == number).map(|(_, why)| why);
-            let other =
-                said.filter(|said| said.base != self.base).map(|_| "its base policy is another".to_owned());
+            let unfit = said
+                .and_then(|said| said.unfit.clone())
+                .filter(|(of, _)| *of == number)
+                .map(|(_, why)| why);
+            let other = said
+                .filter(|said| said.base != self.base)
+                .map(|_| "its base policy is another".to_owned());
             if let Some(why) = unfit.or(other).or(one.refuses.clone()) {
                 prepared.unfit.push((name.clone(), why));
             } else if said.is_some_and(|said| said.knows.contains(&number)) {
@@ -227,9 +277,14 @@
     pub fn ask(&mut self, now: f64) -> Option<HostAsk> {
         let lease_s = self.lease_s?;
         let told = (self.fenced(now), self.prepared(now));
-        let lacks =
-            self.lease.is_none_or(|(number, until)| now >= until || number <= self.fence && self.fence > 0);
-        let every = if lacks { lease_s / RENEWALS / 2.0 } else { lease_s / RENEWALS };
+        let lacks = self
+            .lease
+            .is_none_or(|(number, until)| now >= until || number <= self.fence && self.fence > 0);
+        let every = if lacks {
+            lease_s / RENEWALS / 2.0
+        } else {
+            lease_s / RENEWALS
+        };
         if told == self.told && now < self.asked_at + every {
             return None;
         }
@@ -253,19 +308,40 @@
 
     /// A lease of the one that leads; counted from when it was asked for.
     pub fn granted(&mut self, now: f64, word: &HostWord) {
-        let (Some(lease_s), HostWord { life, token, granted: number, .. }) = (self.lease_s, word) else {
+        let (
+            Some(lease_s),
+            HostWord {
+                life,
+                token,
+                granted: number,
+                ..
+            },
+        ) = (self.lease_s, word)
+        else {
             return;
         };
-        let asked = self.asks.iter().find(|(of, _)| of == token && *life == self.life);
+        let asked = self
+            .asks
+            .iter()
+            .find(|(of, _)| of == token && *life == self.life);
         let Some((_, asked)) = asked else { return };
         let until = asked + lease_s * (1.0 - self.drift);
         let known = *number == 0 || self.documents.iter().any(|(of, _)| of == number);
-        let fits = if *number == 0 { self.fence == 0 } else { *number > self.fence };
-        let later = self.lease.is_none_or(|(of, before)| *number > of || *number == of && until > before);
+        let fits = if *number == 0 {
+            self.fence == 0
+        } else {
+            *number > self.fence
+        };
+        let later = self
+            .lease
+            .is_none_or(|(of, before)| *number > of || *number == of && until > before);
         if !(known && fits && later && now < until) {
             return;
         }
-        if self.lease.is_none_or(|(of, before)| of != *number || now >= before) {
+        if self
+            .lease
+            .is_none_or(|(of, before)| of != *number || now >= before)
+        {
             self.beat_soon();
         }
         self.lease = Some((*number, until));
@@ -273,7 +349,9 @@
 
     /// This host's lease, on what and for how long still; for reports.
     pub fn lease(&self, now: f64) -> Option<(u64, f64)> {
-        self.lease.filter(|(_, until)| now < *until).map(|(number, until)| (number, until - now))
+        self.lease
+            .filter(|(_, until)| now < *until)
+            .map(|(number, until)| (number, until - now))
     }
 
     /// What an instance last said; for reports.
--- a/crates/merlinshelf-policy/tests/model.rs
+++ b/crates/merlinshelf-policy/tests/model.rs
@@ -14,7 +14,10 @@
 const TICK: f64 = 0.01;
 const LEASE: f64 = 2.0;
 const DRIFT: f64 = 0.03;
-const WATCH: Watch = Watch { over_s: 0.0, worse: 1.0 };
+const WATCH: Watch = Watch {
+    over_s: 0.0,
+    worse: 1.0,
+};
 
 /// What is planted, to show that it is found.
 #[derive(Clone, Copy, PartialEq)]
@@ -86,14 +89,20 @@
 }
 
 fn policy(number: u64) -> Policy {
-    Policy { note: format!("the {number}th"), call_share: Some(1.0 + number as f64), ..Policy::default() }
+    Policy {
+        note: format!("the {number}th"),
+        call_share: Some(1.0 + number as f64),
+        ..Policy::default()
+    }
 }
 
 impl World {
     fn new(seed: u64, planted: Planted, agents: usize, each: usize) -> World {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let mut clock =
-            || Clock { rate: 1.0 + rng.random_range(-0.01..0.01), offset: rng.random_range(0.0..1e6) };
+        let mut clock = || Clock {
+            rate: 1.0 + rng.random_range(-0.01..0.01),
+            offset: rng.random_range(0.0..1e6),
+        };
         let all = (0..agents).map(|place| Agent {
             clock: clock(),
             up: true,
@@ -113,8 +122,15 @@
         for place in 0..agents * each {
             let name = format!("a{}.{}", place / each, place % each);
             let holder = Holder::new(1000 + place as u64, Policy::default(), Without::Base, DRIFT);
-            instances
-                .insert(name, Instance { clock: clock(), holder, stopped: false, acted: BTreeSet::new() });
+            instances.insert(
+                name,
+                Instance {
+                    clock: clock(),
+                    holder,
+                    stopped: false,
+                    acted: BTreeSet::new(),
+                },
+            );
         }
         let mut world = World {
             rng: Pcg64Mcg::seed_from_u64(seed ^ 0x5eed),
@@ -138,7 +154,10 @@
     }
 
     fn founding() -> Founding {
-        Founding { lease_ms: (LEASE * 1e3) as u64, base: Policy::default().fingerprint() }
+        Founding {
+            lease_ms: (LEASE * 1e3) as u64,
+            base: Policy::default().fingerprint(),
+        }
     }
 
     /// Another one leads. Who led before goes on believing that it does.
@@ -181,7 +200,8 @@
     fn step(&mut self, faults: bool) {
         self.t += TICK;
         let due = |one: &(f64, Message)| one.0 <= self.t;
-        let (now, later): (Vec<_>, Vec<_>) = std::mem::take(&mut self.flying).into_iter().partition(due);
+        let (now, later): (Vec<_>, Vec<_>) =
+            std::mem::take(&mut self.flying).into_iter().partition(due);
         self.flying = later;
         for (_, message) in now {
             self.arrive(message, faults);
@@ -198,10 +218,14 @@
     fn arrive(&mut self, message: Message, faults: bool) {
         match message {
             Message::Beat(place, name, mut beat) => {
-                let Some(one) = self.instances.get_mut(&name) else { return };
+                let Some(one) = self.instances.get_mut(&name) else {
+                    return;
+                };
                 if one.stopped {
                     // It lies in the socket until it goes on.
-                    return self.flying.push((self.t + TICK, Message::Beat(place, name, beat)));
+                    return self
+                        .flying
+                        .push((self.t + TICK, Message::Beat(place, name, beat)));
                 }
                 let now = one.clock.at(self.t);
                 if let (Planted::FromArrival, Some(grant)) = (self.planted, &mut beat.grant) {
@@ -244,7 +268,10 @@
         let agent = &mut self.agents[place];
         let now = agent.clock.at(self.t);
         let own = format!("a{place}.");
-        agent.warden.serving(now, self.instances.keys().filter(|name| name.starts_with(&own)));
+        agent.warden.serving(
+            now,
+            self.instances.keys().filter(|name| name.starts_with(&own)),
+        );
         let mut out = Vec::new();
         while let Some((name, beat)) = agent.warden.next_beat(now) {
             out.push(Message::Beat(place, name, beat));
@@ -254,13 +281,18 @@
             && (!cut || leads_alone)
         {
             // To whom it believes to lead: now and then that is one who does not any more.
-            let stale =
-                (0..self.agents.len()).find(|of| *of != leader && self.agents[*of].conductor.is_some());
-            let to = stale.filter(|_| self.rng.random_bool(0.3)).unwrap_or(leader);
+            let stale = (0..self.agents.len())
+                .find(|of| *of != leader && self.agents[*of].conductor.is_some());
+            let to = stale
+                .filter(|_| self.rng.random_bool(0.3))
+                .unwrap_or(leader);
             let to = if leads_alone { place } else { to };
             out.push(Message::Ask(to, ask));
         }
-        let (mut steps, term) = (Vec::new(), self.agents[place].conductor.as_ref().map(|(_, term)| *term));
+        let (mut steps, term) = (
+            Vec::new(),
+            self.agents[place].conductor.as_ref().map(|(_, term)| *term),
+        );
         let agent = &mut self.agents[place];
         if let Some((conductor, _)) = &mut agent.conductor {
             conductor.woken(now, &agent.ledger);
@@ -295,9 +327,15 @@
         }
         // In one process out of many a waiting beat that was lost is given up.
         if self.rng.random_bool(0.02) {
-            let names: Vec<String> =
-                self.instances.keys().filter(|name| name.starts_with(&own)).cloned().collect();
-            names.iter().for_each(|name| self.agents[place].warden.silent(name, None));
+            let names: Vec<String> = self
+                .instances
+                .keys()
+                .filter(|name| name.starts_with(&own))
+                .cloned()
+                .collect();
+            names
+                .iter()
+                .for_each(|name| self.agents[place].warden.silent(name, None));
         }
     }
 
@@ -316,7 +354,10 @@
         }
         let place = self.rng.random_range(0..agents);
         // One that died is mostly back within its instances' leases.
-        if self.rng.random_bool(if self.agents[place].up { 0.004 } else { 0.06 }) {
+        if self
+            .rng
+            .random_bool(if self.agents[place].up { 0.004 } else { 0.06 })
+        {
             self.life += 1;
             let agent = &mut self.agents[place];
             if agent.up {
@@ -324,8 +365,12 @@
                 agent.conductor = None;
             } else {
                 agent.up = true;
-                agent.warden =
-                    Warden::new(&format!("a{place}"), self.life, Policy::default().fingerprint(), DRIFT);
+                agent.warden = Warden::new(
+                    &format!("a{place}"),
+                    self.life,
+                    Policy::default().fingerprint(),
+                    DRIFT,
+                );
                 if self.planted == Planted::Forgetful {
                     // As if it and its instances had begun long ago.
                     let own = format!("a{place}.");
@@ -376,32 +421,58 @@
             if one.stopped {
                 continue;
             }
-            let Acting::Held(number) = one.holder.acting(one.clock.at(self.t)) else { continue };
+            let Acting::Held(number) = one.holder.acting(one.clock.at(self.t)) else {
+                continue;
+            };
             one.acted.insert(number);
             if number < before {
-                self.broken
-                    .push(format!("{:.2} {name} acts on {number} after {before} was acted on", self.t));
+                self.broken.push(format!(
+                    "{:.2} {name} acts on {number} after {before} was acted on",
+                    self.t
+                ));
             }
             self.highest = self.highest.max(number);
-            let refused =
-                truth.ended.iter().any(|of| of.number == number && matches!(of.verdict, Verdict::Refused(_)));
+            let refused = truth
+                .ended
+                .iter()
+                .any(|of| of.number == number && matches!(of.verdict, Verdict::Refused(_)));
             let decided = number <= truth.fence() + 1 && number <= truth.last;
             if refused || !decided {
-                self.broken.push(format!("{:.2} {name} acts on {number}, which is not decided", self.t));
+                self.broken.push(format!(
+                    "{:.2} {name} acts on {number}, which is not decided",
+                    self.t
+                ));
             }
         }
         let state: Vec<String> = self
             .instances
             .values()
-            .map(|one| format!("{:?}{}", one.holder.acting(one.clock.at(self.t)), u8::from(one.stopped)))
+            .map(|one| {
+                format!(
+                    "{:?}{}",
+                    one.holder.acting(one.clock.at(self.t)),
+                    u8::from(one.stopped)
+                )
+            })
             .collect();
         let agents: Vec<String> = self
             .agents
             .iter()
-            .map(|of| format!("{}{}{}", u8::from(of.up), u8::from(of.cut), u8::from(of.conductor.is_some())))
+            .map(|of| {
+                format!(
+                    "{}{}{}",
+                    u8::from(of.up),
+                    u8::from(of.cut),
+                    u8::from(of.conductor.is_some())
+                )
+            })
             .collect();
         let stage = truth.change.map(|change| format!("{:?}", change.stage));
-        self.states.insert(format!("{} {stage:?} {}", state.join(","), agents.join(",")));
+        self.states.insert(format!(
+            "{} {stage:?} {}",
+            state.join(","),
+            agents.join(",")
+        ));
     }
 
     /// All is well again: whatever is under way ends in time, and then one more change.
@@ -412,13 +483,21 @@
             if !agent.up {
                 self.life += 1;
                 agent.up = true;
-                agent.warden =
-                    Warden::new(&format!("a{place}"), self.life, Policy::default().fingerprint(), DRIFT);
+                agent.warden = Warden::new(
+                    &format!("a{place}"),
+                    self.life,
+                    Policy::default().fingerprint(),
+                    DRIFT,
+                );
                 agent.warden.decided(agent.clock.at(self.t), &agent.ledger);
             }
         }
-        self.instances.values_mut().for_each(|one| one.stopped = false);
-        self.agents.iter_mut().for_each(|agent| agent.conductor = None);
+        self.instances
+            .values_mut()
+            .for_each(|one| one.stopped = false);
+        self.agents
+            .iter_mut()
+            .for_each(|agent| agent.conductor = None);
         self.elect(0);
         for round in 0..2 {
             let began = self.t;
@@ -426,11 +505,15 @@
                 self.step(false);
             }
             if self.pending() {
-                self.broken.push(format!("a change does not end: {:?}", self.agents[0].ledger.change));
+                self.broken.push(format!(
+                    "a change does not end: {:?}",
+                    self.agents[0].ledger.change
+                ));
             }
             self.worst_end = self.worst_end.max(self.t - began);
             if self.t - began > LEASE * (1.0 + DRIFT) + 2.0 {
-                self.broken.push(format!("a change ended after {:.2} s", self.t - began));
+                self.broken
+                    .push(format!("a change ended after {:.2} s", self.t - began));
             }
             if round == 0 {
                 self.propose();
@@ -443,13 +526,16 @@
         let current = self.agents[0].ledger.current;
         let all = |one: &Instance| one.holder.acting(one.clock.at(self.t)) == Acting::Held(current);
         if current == 0 || !self.instances.values().all(all) {
-            self.broken.push(format!("not all act on {current} in the end"));
+            self.broken
+                .push(format!("not all act on {current} in the end"));
         }
     }
 
     fn pending(&self) -> bool {
         let mut truth = Ledger::default();
-        self.log.iter().for_each(|entry| _ = truth.apply(entry.clone()));
+        self.log
+            .iter()
+            .for_each(|entry| _ = truth.apply(entry.clone()));
         truth.founding.is_none() || truth.change.is_some()
     }
 }
@@ -471,13 +557,28 @@
     let (mut changes, mut states, mut held, mut worst) = (0, BTreeSet::new(), 0, 0.0_f64);
     for seed in 0..40 {
         let world = play(seed, Planted::Nothing);
-        assert!(world.broken.is_empty(), "seed {seed}: {:#?}", &world.broken[..world.broken.len().min(5)]);
+        assert!(
+            world.broken.is_empty(),
+            "seed {seed}: {:#?}",
+            &world.broken[..world.broken.len().min(5)]
+        );
         (changes, worst) = (changes + world.proposed, worst.max(world.worst_end));
-        held += world.instances.values().map(|one| one.acted.len()).sum::<usize>();
+        held += world
+            .instances
+            .values()
+            .map(|one| one.acted.len())
+            .sum::<usize>();
         states.extend(world.states);
     }
-    println!("{changes} changes, {} states, longest end {worst:.2} s", states.len());
-    assert!(changes > 500 && held > 500 && states.len() > 5_000, "{changes} {held} {}", states.len());
+    println!(
+        "{changes} changes, {} states, longest end {worst:.2} s",
+        states.len()
+    );
+    assert!(
+        changes > 500 && held > 500 && states.len() > 5_000,
+        "{changes} {held} {}",
+        states.len()
+    );
 }
 
 fn found(planted: Planted) -> Option<(u64, String)> {
@@ -506,24 +607,58 @@
 #[test]
 fn whoever_asks_twice_has_made_one_change_and_the_second_of_two_is_refused() {
     let mut ledger = Ledger::default();
-    let propose =
-        |id: &str| Entry::Propose { id: id.into(), policy: Box::new(policy(1)), by: "a".into(), at: 0.0 };
-    assert_eq!(ledger.apply(propose("early")), None, "nothing is proposed before it is founded");
-    assert!(matches!(ledger.apply(Entry::Found(World::founding())), Some(News::Founded(_))));
+    let propose = |id: &str| Entry::Propose {
+        id: id.into(),
+        policy: Box::new(policy(1)),
+        by: "a".into(),
+        at: 0.0,
+    };
+    assert_eq!(
+        ledger.apply(propose("early")),
+        None,
+        "nothing is proposed before it is founded"
+    );
+    assert!(matches!(
+        ledger.apply(Entry::Found(World::founding())),
+        Some(News::Founded(_))
+    ));
     assert_eq!(ledger.apply(Entry::Found(Founding::default())), None);
     assert_eq!(ledger.apply(propose("one")), Some(News::Proposed(1)));
     assert_eq!(ledger.apply(propose("one")), None);
     assert_eq!(ledger.apply(propose("two")), Some(News::Decided(2, false)));
     assert_eq!(ledger.fence(), 0);
     assert_eq!(
-        ledger.apply(Entry::Decide { number: 1, hold: true, why: vec![] }),
+        ledger.apply(Entry::Decide {
+            number: 1,
+            hold: true,
+            why: vec![]
+        }),
         Some(News::Decided(1, true))
     );
-    assert_eq!(ledger.apply(Entry::Decide { number: 1, hold: false, why: vec![] }), None, "the first counts");
+    assert_eq!(
+        ledger.apply(Entry::Decide {
+            number: 1,
+            hold: false,
+            why: vec![]
+        }),
+        None,
+        "the first counts"
+    );
     assert_eq!(ledger.apply(Entry::Open { number: 1 }), Some(News::Held(1)));
-    assert_eq!((ledger.current, ledger.fence(), ledger.apply(Entry::Open { number: 1 })), (1, 0, None));
+    assert_eq!(
+        (
+            ledger.current,
+            ledger.fence(),
+            ledger.apply(Entry::Open { number: 1 })
+        ),
+        (1, 0, None)
+    );
     assert_eq!(ledger.outcome("two").map(|of| of.number), Some(2));
     assert_eq!(ledger.apply(propose("three")), Some(News::Proposed(3)));
-    ledger.apply(Entry::Decide { number: 3, hold: true, why: vec![] });
+    ledger.apply(Entry::Decide {
+        number: 3,
+        hold: true,
+        why: vec![],
+    });
     assert_eq!(ledger.fence(), 2);
 }
--- a/crates/merlinshelf-policy/tests/parts.rs
+++ b/crates/merlinshelf-policy/tests/parts.rs
@@ -8,7 +8,9 @@
 
 fn read(text: &str) -> Result<Policy, String> {
     let policy: Policy = json5::from_str(text).map_err(|error| error.to_string())?;
-    policy.validate().map_err(|report| report.to_string().trim().to_owned())?;
+    policy
+        .validate()
+        .map_err(|report| report.to_string().trim().to_owned())?;
     Ok(policy)
 }
 
@@ -24,7 +26,9 @@
         ("Tenants.1.QuotaPerS", "10"),
         ("FamilyInfo.CallShare", "6.25"),
     ];
-    all.iter().map(|(name, value)| ((*name).to_owned(), (*value).to_owned())).collect()
+    all.iter()
+        .map(|(name, value)| ((*name).to_owned(), (*value).to_owned()))
+        .collect()
 }
 
 #[test]
@@ -32,9 +36,15 @@
     let text =
         "{note: 'evening', operations: {page: {aim_ms: 700, worth: 2, late: 0.25}, search: {admit: false}},
         tenants: {town: 0.5, '1': 0.25}, call_share: 4}";
-    let under = read(text).and_then(|policy| policy.settings(&settings())).expect("it fits");
-    let changed = under.iter().filter(|(name, value)| settings().get(*name) != Some(value));
-    let lines: Vec<String> = changed.map(|(name, value)| format!("{name}={value}")).collect();
+    let under = read(text)
+        .and_then(|policy| policy.settings(&settings()))
+        .expect("it fits");
+    let changed = under
+        .iter()
+        .filter(|(name, value)| settings().get(*name) != Some(value));
+    let lines: Vec<String> = changed
+        .map(|(name, value)| format!("{name}={value}"))
+        .collect();
     insta::assert_snapshot!(lines.join("\n"));
     assert_eq!(Policy::default().settings(&settings()), Ok(settings()));
 }
@@ -54,7 +64,9 @@
         "{call_share: 0}",
         "{dependencies: {catalogue: {subset: 0}}}",
     ];
-    let mut lines: Vec<String> = wrong.map(|text| read(text).err().unwrap_or("it is taken".into())).to_vec();
+    let mut lines: Vec<String> = wrong
+        .map(|text| read(text).err().unwrap_or("it is taken".into()))
+        .to_vec();
     let unfit = [
         "{operations: {pages: {worth: 1}, '0': {worth: 1}}, tenants: {village: 0.1, '7': 0.1}}",
         "{dependencies: {catalogue: {out_most: 0.1}}, operations: {page: {calls: {catalogue: 0.5}}}}",
@@ -74,14 +86,28 @@
           operations: {page: {calls: [{to: 'a', share: 0.3}, {to: 'a', share: 0.6}]}}}",
     )
     .expect("it can be read");
-    let policy = read("{dependencies: {a: {out_most: 0.2}}, operations: {page: {calls: {a: 0.4}}}}");
-    let under =
-        policy.and_then(|policy| policy.dependencies(Some(&own))).expect("it fits").expect("there are some");
-    let shares: Vec<_> = under.operations["page"].calls.iter().map(|call| call.share).collect();
-    assert_eq!((under.dependencies["a"].out_most, shares), (0.2, vec![Some(0.4), Some(0.4)]));
+    let policy =
+        read("{dependencies: {a: {out_most: 0.2}}, operations: {page: {calls: {a: 0.4}}}}");
+    let under = policy
+        .and_then(|policy| policy.dependencies(Some(&own)))
+        .expect("it fits")
+        .expect("there are some");
+    let shares: Vec<_> = under.operations["page"]
+        .calls
+        .iter()
+        .map(|call| call.share)
+        .collect();
+    assert_eq!(
+        (under.dependencies["a"].out_most, shares),
+        (0.2, vec![Some(0.4), Some(0.4)])
+    );
     // Together they would be over the whole of the caller's time.
     let policy = read("{operations: {page: {calls: {a: 0.6}}}}");
-    assert!(policy.and_then(|policy| policy.dependencies(Some(&own))).is_err());
+    assert!(
+        policy
+            .and_then(|policy| policy.dependencies(Some(&own)))
+            .is_err()
+    );
 }
 
 /// One beat after the other, with what the instance acts on after each.
@@ -89,35 +115,78 @@
 fn an_instance_acts_on_a_lease_and_on_nothing_that_lay_somewhere_in_between() {
     let mut holder = Holder::new(7, Policy::default(), Without::Base, 0.01);
     let mut lines = Vec::new();
-    let policy = |number: u64| Policy { call_share: Some(number as f64), ..Policy::default() };
+    let policy = |number: u64| Policy {
+        call_share: Some(number as f64),
+        ..Policy::default()
+    };
     let beat = |life, offer: Option<u64>, fence, grant: Option<(u64, f64)>| Beat {
         life,
         offer: offer.map(|number| (number, policy(number))),
         fence,
-        grant: grant.map(|(number, asked)| Grant { number, asked, for_s: 2.0 }),
+        grant: grant.map(|(number, asked)| Grant {
+            number,
+            asked,
+            for_s: 2.0,
+        }),
         given: None,
     };
     let script = [
         ("of nobody", 0.0, beat(0, Some(1), 0, Some((1, 0.0)))),
-        ("a grant without its document", 0.1, beat(7, None, 0, Some((1, 0.0)))),
-        ("with its document", 0.2, beat(7, Some(1), 0, Some((1, 0.1)))),
+        (
+            "a grant without its document",
+            0.1,
+            beat(7, None, 0, Some((1, 0.0))),
+        ),
+        (
+            "with its document",
+            0.2,
+            beat(7, Some(1), 0, Some((1, 0.1))),
+        ),
         ("renewed", 1.0, beat(7, None, 0, Some((1, 0.9)))),
-        ("an older grant that comes late", 1.1, beat(7, None, 0, Some((1, 0.2)))),
+        (
+            "an older grant that comes late",
+            1.1,
+            beat(7, None, 0, Some((1, 0.2))),
+        ),
         ("for another life", 1.2, beat(8, None, 1, None)),
         ("over", 2.9, beat(0, None, 0, None)),
-        ("renewed after a pause", 3.0, beat(7, Some(2), 0, Some((1, 2.9)))),
+        (
+            "renewed after a pause",
+            3.0,
+            beat(7, Some(2), 0, Some((1, 2.9))),
+        ),
         ("fenced", 3.1, beat(7, None, 1, None)),
-        ("an old grant after the fence", 3.2, beat(7, None, 0, Some((1, 3.1)))),
+        (
+            "an old grant after the fence",
+            3.2,
+            beat(7, None, 0, Some((1, 3.1))),
+        ),
         ("the next one", 3.3, beat(7, None, 0, Some((2, 3.2)))),
         ("one that does not fit", 3.4, beat(7, Some(3), 0, None)),
-        ("a grant of what does not fit", 3.5, beat(7, None, 0, Some((3, 3.4)))),
-        ("read minutes later", 300.0, beat(7, None, 0, Some((2, 3.5)))),
-        ("asked in the future", 300.1, beat(7, None, 0, Some((2, 400.0)))),
+        (
+            "a grant of what does not fit",
+            3.5,
+            beat(7, None, 0, Some((3, 3.4))),
+        ),
+        (
+            "read minutes later",
+            300.0,
+            beat(7, None, 0, Some((2, 3.5))),
+        ),
+        (
+            "asked in the future",
+            300.1,
+            beat(7, None, 0, Some((2, 400.0))),
+        ),
     ];
     for (what, now, beat) in script {
         let fits = |policy: &Policy| {
             let fits = policy.call_share.is_some_and(|share| share < 3.0);
-            if fits { Ok(()) } else { Err("no room".to_owned()) }
+            if fits {
+                Ok(())
+            } else {
+                Err("no room".to_owned())
+            }
         };
         let said = holder.heard(now, beat, fits);
         lines.push(format!(
@@ -136,8 +205,17 @@
 fn a_successor_goes_on_with_the_lease_and_who_takes_back_holds_none() {
     let mut old = Holder::new(7, Policy::default(), Without::TurnAway, 0.01);
     assert_eq!((old.acting(0.0), old.began()), (Acting::Away, false));
-    let grant = Grant { number: 1, asked: 0.0, for_s: 2.0 };
-    let beat = Beat { life: 7, offer: Some((1, Policy::default())), grant: Some(grant), ..Beat::default() };
+    let grant = Grant {
+        number: 1,
+        asked: 0.0,
+        for_s: 2.0,
+    };
+    let beat = Beat {
+        life: 7,
+        offer: Some((1, Policy::default())),
+        grant: Some(grant),
+        ..Beat::default()
+    };
     old.heard(0.1, beat, |_| Ok(()));
     assert_eq!((old.acting(0.2), old.began()), (Acting::Held(1), true));
     let passed = old.pass(8);
@@ -148,10 +226,23 @@
     );
     let mut new = Holder::new(9, Policy::default(), Without::TurnAway, 0.01);
     new.take(passed);
-    assert_eq!((new.acting(0.3), new.acting(2.0)), (Acting::Held(1), Acting::Away));
+    assert_eq!(
+        (new.acting(0.3), new.acting(2.0)),
+        (Acting::Held(1), Acting::Away)
+    );
     // What was on its way to the old one is nothing for either.
-    let late = Beat { life: 7, grant: Some(Grant { asked: 1.0, ..grant }), ..Beat::default() };
-    assert_eq!(new.heard(1.9, late.clone(), |_| Ok(())).left_s, new.said(1.9).left_s);
+    let late = Beat {
+        life: 7,
+        grant: Some(Grant {
+            asked: 1.0,
+            ..grant
+        }),
+        ..Beat::default()
+    };
+    assert_eq!(
+        new.heard(1.9, late.clone(), |_| Ok(())).left_s,
+        new.said(1.9).left_s
+    );
     old.heard(1.9, late, |_| Ok(()));
     assert_eq!(old.acting(1.9), Acting::Away);
 }
@@ -162,25 +253,53 @@
     use merlinshelf_policy::{Entry, Founding, Ledger, Warden};
     let (agreed, own) = (Policy::default().fingerprint(), 7);
     let mut ledger = Ledger::default();
-    ledger.apply(Entry::Found(Founding { lease_ms: 2000, base: agreed }));
+    ledger.apply(Entry::Found(Founding {
+        lease_ms: 2000,
+        base: agreed,
+    }));
     let mut warden = Warden::new("h", 1, own, 0.01);
     warden.decided(0.0, &ledger);
     let names = ["web.0".to_owned(), "web.1".to_owned()];
     warden.serving(0.0, names.iter());
     let token = warden.ask(0.1).expect("it asks").token;
-    warden.granted(0.1, &HostWord { life: 1, token, ..HostWord::default() });
+    warden.granted(
+        0.1,
+        &HostWord {
+            life: 1,
+            token,
+            ..HostWord::default()
+        },
+    );
     let mut granted = std::collections::BTreeSet::new();
     for _ in 0..6 {
-        let Some((name, beat)) = warden.next_beat(0.2) else { break };
+        let Some((name, beat)) = warden.next_beat(0.2) else {
+            break;
+        };
         if beat.grant.is_some() {
             granted.insert(name.clone());
         }
         let base = if name == "web.0" { agreed } else { own };
-        warden.said(0.2, &name, Said { life: 5, base, ..Said::default() });
+        warden.said(
+            0.2,
+            &name,
+            Said {
+                life: 5,
+                base,
+                ..Said::default()
+            },
+        );
     }
     assert_eq!(granted.into_iter().collect::<Vec<_>>(), ["web.0"]);
-    ledger.apply(Entry::Propose { id: "a".into(), policy: Box::default(), by: "b".into(), at: 0.0 });
+    ledger.apply(Entry::Propose {
+        id: "a".into(),
+        policy: Box::default(),
+        by: "b".into(),
+        at: 0.0,
+    });
     warden.decided(0.4, &ledger);
     let prepared = warden.prepared(0.5).expect("one refuses");
-    assert_eq!(prepared.unfit, [("web.1".to_owned(), "its base policy is another".to_owned())]);
+    assert_eq!(
+        prepared.unfit,
+        [("web.1".to_owned(), "its base policy is another".to_owned())]
+    );
 }
--- a/crates/merlinshelf-protocol/src/catalogue.rs
+++ b/crates/merlinshelf-protocol/src/catalogue.rs
@@ -6,7 +6,8 @@
 use winnow::{ModalResult, Parser};
 
 use crate::{
-    BODY_MOST, Buffer, Bytes, CallId, Fault, Front, LINE_MOST, body, call_id, front, line, put, within,
+    BODY_MOST, Buffer, Bytes, CallId, Fault, Front, LINE_MOST, body, call_id, front, line, put,
+    within,
 };
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -24,7 +25,12 @@
 
 /// Reads one reply off the front: whose it is and what it says, and its length.
 pub fn reply(input: &[u8]) -> Front<(CallId, Reply<'_>)> {
-    front(input, LINE_MOST + BODY_MOST, Fault("unreadable reply"), whole)
+    front(
+        input,
+        LINE_MOST + BODY_MOST,
+        Fault("unreadable reply"),
+        whole,
+    )
 }
 
 /// The longest line of a reply is far shorter: an id, a word and a length.
@@ -59,5 +65,9 @@
 }
 
 pub fn invoke(out: &mut impl Buffer, id: CallId, wait_ms: u64, body: &[u8]) {
-    put(out, format_args!("invoke {id} {wait_ms} {}\r\n", body.len()), Some(body));
+    put(
+        out,
+        format_args!("invoke {id} {wait_ms} {}\r\n", body.len()),
+        Some(body),
+    );
 }
--- a/crates/merlinshelf-protocol/src/control.rs
+++ b/crates/merlinshelf-protocol/src/control.rs
@@ -8,7 +8,9 @@
 use winnow::combinator::{alt, preceded, terminated};
 use winnow::{ModalResult, Parser};
 
-use crate::{BODY_MOST, Buffer, Bytes, Fault, Front, LINE_MOST, body_up_to, front, line, put, within};
+use crate::{
+    BODY_MOST, Buffer, Bytes, Fault, Front, LINE_MOST, body_up_to, front, line, put, within,
+};
 
 /// The form that is spoken here.
 pub const FORM: u32 = 1;
@@ -83,7 +85,13 @@
         "policy".value(Question::Policy),
         "council".value(Question::Council),
     ));
-    message(input, "ask ", words, BODY_MOST, Fault("unreadable question"))
+    message(
+        input,
+        "ask ",
+        words,
+        BODY_MOST,
+        Fault("unreadable question"),
+    )
 }
 
 /// Reads a question that one agent sends another off the front; its body may hold a part of their log.
@@ -129,9 +137,17 @@
 }
 
 pub fn ask(out: &mut impl Buffer, question: Question, body: &[u8]) {
-    put(out, format_args!("ask {FORM} {} {}\r\n", question.name(), body.len()), Some(body));
+    put(
+        out,
+        format_args!("ask {FORM} {} {}\r\n", question.name(), body.len()),
+        Some(body),
+    );
 }
 
 pub fn say(out: &mut impl Buffer, word: Word, body: &[u8]) {
-    put(out, format_args!("say {FORM} {} {}\r\n", word.name(), body.len()), Some(body));
+    put(
+        out,
+        format_args!("say {FORM} {} {}\r\n", word.name(), body.len()),
+        Some(body),
+    );
 }
--- a/crates/merlinshelf-protocol/src/engine.rs
+++ b/crates/merlinshelf-protocol/src/engine.rs
@@ -7,7 +7,8 @@
 use winnow::{ModalResult, Parser};
 
 use crate::{
-    BODY_MOST, Buffer, Bytes, CallId, Fault, Front, LINE_MOST, body, call_id, front, line, put, within,
+    BODY_MOST, Buffer, Bytes, CallId, Fault, Front, LINE_MOST, body, call_id, front, line, put,
+    within,
 };
 
 /// The word by which it is offered in `ATTACH` and agreed in `HELLO` that a `NEED` may name its dependency, with the form's number.
@@ -72,7 +73,12 @@
 
 /// Reads one notice off the front: the notice and its length, or nothing until more has come.
 pub fn notice(input: &[u8]) -> Front<Notice<'_>> {
-    front(input, LINE_MOST + BODY_MOST, Fault("unreadable notice"), whole)
+    front(
+        input,
+        LINE_MOST + BODY_MOST,
+        Fault("unreadable notice"),
+        whole,
+    )
 }
 
 fn whole<'i>(input: &mut Bytes<'i>) -> ModalResult<Notice<'i>> {
@@ -102,13 +108,16 @@
 }
 
 fn millis(input: &mut &[u8]) -> ModalResult<f64> {
-    float.verify(|time: &f64| time.is_finite() && *time >= 0.0).parse_next(input)
+    float
+        .verify(|time: &f64| time.is_finite() && *time >= 0.0)
+        .parse_next(input)
 }
 
 fn hello<'i>(input: &mut &'i [u8]) -> ModalResult<(Notice<'i>, Option<usize>)> {
     let state = alt(("WARM".value(true), "COLD".value(false)));
     let names = opt(preceded(" ", NAMES)).map(|names| names.is_some());
-    let (warm, up_ms, names) = preceded("HELLO ", (word(state), millis, names)).parse_next(input)?;
+    let (warm, up_ms, names) =
+        preceded("HELLO ", (word(state), millis, names)).parse_next(input)?;
     Ok((Notice::Hello { warm, up_ms, names }, None))
 }
 
@@ -119,18 +128,48 @@
         "STOPPED".value(End::Stopped),
         "MOOT".value(End::Moot),
     ));
-    let fields = (word(dec_uint), word(call_id), word(end), word(millis), dec_uint);
+    let fields = (
+        word(dec_uint),
+        word(call_id),
+        word(end),
+        word(millis),
+        dec_uint,
+    );
     let (number, id, end, took_ms, length) = preceded("DONE ", fields).parse_next(input)?;
-    Ok((Notice::Done { number, id, end, took_ms, result: b"" }, Some(length)))
+    Ok((
+        Notice::Done {
+            number,
+            id,
+            end,
+            took_ms,
+            result: b"",
+        },
+        Some(length),
+    ))
 }
 
 fn need<'i>(input: &mut &'i [u8]) -> ModalResult<(Notice<'i>, Option<usize>)> {
     // A name begins with no digit, so that none passes for a length.
-    let name =
-        (take_while(1, AsChar::is_alpha), take_while(0..NAME_MOST, |byte: u8| byte.is_ascii_graphic()));
-    let fields = (word(dec_uint), word(call_id), opt(word(name.take())), dec_uint);
+    let name = (
+        take_while(1, AsChar::is_alpha),
+        take_while(0..NAME_MOST, |byte: u8| byte.is_ascii_graphic()),
+    );
+    let fields = (
+        word(dec_uint),
+        word(call_id),
+        opt(word(name.take())),
+        dec_uint,
+    );
     let (number, id, named, length) = preceded("NEED ", fields).parse_next(input)?;
-    Ok((Notice::Need { number, id, named, body: b"" }, Some(length)))
+    Ok((
+        Notice::Need {
+            number,
+            id,
+            named,
+            body: b"",
+        },
+        Some(length),
+    ))
 }
 
 fn stats<'i>(input: &mut &'i [u8]) -> ModalResult<(Notice<'i>, Option<usize>)> {
@@ -140,12 +179,20 @@
 }
 
 fn no<'i>(input: &mut &'i [u8]) -> ModalResult<(Notice<'i>, Option<usize>)> {
-    preceded("NO ", rest).map(|what| (Notice::No { what }, None)).parse_next(input)
+    preceded("NO ", rest)
+        .map(|what| (Notice::No { what }, None))
+        .parse_next(input)
 }
 
 fn note<'i>(input: &mut &'i [u8]) -> ModalResult<(Notice<'i>, Option<usize>)> {
     let (number, text) = preceded("NOTE ", (dec_uint, rest)).parse_next(input)?;
-    Ok((Notice::Note { number, text: text.trim_ascii_start() }, None))
+    Ok((
+        Notice::Note {
+            number,
+            text: text.trim_ascii_start(),
+        },
+        None,
+    ))
 }
 
 /// Of a `NO`: the command that was not carried out, and the id it named.
@@ -157,17 +204,29 @@
 /// `names` offers that calls may name their dependency; an engine of the plain protocol closes a link that begins so.
 pub fn attach(out: &mut impl Buffer, last: u64, names: bool) {
     match names {
-        true => put(out, format_args!("ATTACH {last} {}\r\n", NAMES.escape_ascii()), None),
+        true => put(
+            out,
+            format_args!("ATTACH {last} {}\r\n", NAMES.escape_ascii()),
+            None,
+        ),
         false => put(out, format_args!("ATTACH {last}\r\n"), None),
     }
 }
 
 pub fn run(out: &mut impl Buffer, id: CallId, operation: &str, body: &[u8]) {
-    put(out, format_args!("RUN {id} {operation} {}\r\n", body.len()), Some(body));
+    put(
+        out,
+        format_args!("RUN {id} {operation} {}\r\n", body.len()),
+        Some(body),
+    );
 }
 
 pub fn feed(out: &mut impl Buffer, id: CallId, reply: &[u8]) {
-    put(out, format_args!("FEED {id} {}\r\n", reply.len()), Some(reply));
+    put(
+        out,
+        format_args!("FEED {id} {}\r\n", reply.len()),
+        Some(reply),
+    );
 }
 
 /// Go on without the call that notice `need` asked for.
--- a/crates/merlinshelf-protocol/src/fastcgi.rs
+++ b/crates/merlinshelf-protocol/src/fastcgi.rs
@@ -35,12 +35,28 @@
 /// What records bring, piece by piece. An empty `Params` or `Stdin` ends its stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Piece<'a> {
-    Begin { id: u16, responder: bool, keep: bool },
-    Abort { id: u16 },
-    Params { id: u16, bytes: &'a [u8] },
-    Stdin { id: u16, bytes: &'a [u8] },
-    GetValues { names: &'a [u8] },
-    Unknown { kind: u8 },
+    Begin {
+        id: u16,
+        responder: bool,
+        keep: bool,
+    },
+    Abort {
+        id: u16,
+    },
+    Params {
+        id: u16,
+        bytes: &'a [u8],
+    },
+    Stdin {
+        id: u16,
+        bytes: &'a [u8],
+    },
+    GetValues {
+        names: &'a [u8],
+    },
+    Unknown {
+        kind: u8,
+    },
 }
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -83,7 +99,9 @@
         if self.content > 0 {
             return Ok(self.content(input));
         }
-        let Some((mut head, rest)) = input.split_at_checked(HEADER) else { return Ok((0, None)) };
+        let Some((mut head, rest)) = input.split_at_checked(HEADER) else {
+            return Ok((0, None));
+        };
         let read = header(&mut head).map_err(|_| Fault("no FastCGI 1.0 record"))?;
         let (length, padding) = (usize::from(read.content), usize::from(read.padding));
         // What must be seen whole: short ones, so that little is ever kept back.
@@ -106,7 +124,11 @@
                 GET_VALUES => Piece::GetValues { names: content },
                 _ => {
                     let responder = content[..2] == [0, 1];
-                    Piece::Begin { id, responder, keep: content[2] & 1 == 1 }
+                    Piece::Begin {
+                        id,
+                        responder,
+                        keep: content[2] & 1 == 1,
+                    }
                 }
             };
             return Ok((HEADER + length, Some(piece)));
@@ -131,7 +153,15 @@
 
     /// One that goes on from where another stood.
     pub fn resumed((kind, id, content, padding): (u8, u16, usize, usize)) -> Records {
-        Records { header: Header { kind, id, ..Header::default() }, content, padding }
+        Records {
+            header: Header {
+                kind,
+                id,
+                ..Header::default()
+            },
+            content,
+            padding,
+        }
     }
 
     /// Whether the current record has not come to its end.
@@ -155,7 +185,9 @@
 
 fn length(input: &mut &[u8]) -> ModalResult<usize> {
     if input.first().is_some_and(|first| first & 0x80 != 0) {
-        return be_u32.map(|long| (long & 0x7fff_ffff) as usize).parse_next(input);
+        return be_u32
+            .map(|long| (long & 0x7fff_ffff) as usize)
+            .parse_next(input);
     }
     u8.map(usize::from).parse_next(input)
 }
@@ -170,7 +202,9 @@
 
 /// The name-value pairs of a whole stream.
 pub fn pairs(bytes: &[u8]) -> Result<Vec<Pair<'_>>, Fault> {
-    repeat(0.., pair).parse(bytes).map_err(|_| Fault("name-value pairs that do not fit"))
+    repeat(0.., pair)
+        .parse(bytes)
+        .map_err(|_| Fault("name-value pairs that do not fit"))
 }
 
 fn record(out: &mut impl Buffer, kind: u8, id: u16, content: &[u8]) {
@@ -184,7 +218,9 @@
 /// One whole answer: head and body on STDOUT, its end, and the end of the invocation.
 pub fn answer(out: &mut impl Buffer, id: u16, head: &str, body: &[u8]) {
     let whole = [head.as_bytes(), body].concat();
-    whole.chunks(CONTENT_MOST).for_each(|part| record(out, STDOUT, id, part));
+    whole
+        .chunks(CONTENT_MOST)
+        .for_each(|part| record(out, STDOUT, id, part));
     record(out, STDOUT, id, b"");
     end(out, id, Status::Complete);
 }
--- a/crates/merlinshelf-protocol/src/lib.rs
+++ b/crates/merlinshelf-protocol/src/lib.rs
@@ -94,7 +94,9 @@
     let ended = come.windows(2).any(|two| two == b"\r\n");
     // A CR that came last may be half of the end; anything else that does not print is in no line.
     let odd = |byte: &u8| !matches!(byte, b' '..=b'~' | b'\t' | 0x80..);
-    if !ended && (come.len() > LINE_MOST || come.strip_suffix(b"\r").unwrap_or(come).iter().any(odd)) {
+    if !ended
+        && (come.len() > LINE_MOST || come.strip_suffix(b"\r").unwrap_or(come).iter().any(odd))
+    {
         return Err(ErrMode::Cut(ContextError::new()));
     }
     terminated(take_until(0..=LINE_MOST, "\r\n"), "\r\n").parse_next(input)
@@ -105,7 +107,9 @@
     text: &'i [u8],
     mut words: impl Parser<&'i [u8], T, ErrMode<ContextError>>,
 ) -> ModalResult<T> {
-    words.parse(text).map_err(|error| ErrMode::Cut(error.into_inner()))
+    words
+        .parse(text)
+        .map_err(|error| ErrMode::Cut(error.into_inner()))
 }
 
 /// The bytes that a line's last word announced, and their CR LF.
@@ -114,7 +118,10 @@
 }
 
 /// The same, with another bound.
-fn body_up_to<'i>(length: usize, most: usize) -> impl FnMut(&mut Bytes<'i>) -> ModalResult<&'i [u8]> {
+fn body_up_to<'i>(
+    length: usize,
+    most: usize,
+) -> impl FnMut(&mut Bytes<'i>) -> ModalResult<&'i [u8]> {
     move |input| {
         if length > most {
             return Err(ErrMode::Cut(ContextError::new()));
--- a/crates/merlinshelf-protocol/src/members.rs
+++ b/crates/merlinshelf-protocol/src/members.rs
@@ -11,7 +11,11 @@
 const HEADERS_MOST: usize = 64;
 
 pub fn report(out: &mut impl Buffer, host: &str, name: &str, up: bool) {
-    let body = if up { r#"{"phase":"UP"}"# } else { r#"{"phase":"OUT"}"# };
+    let body = if up {
+        r#"{"phase":"UP"}"#
+    } else {
+        r#"{"phase":"OUT"}"#
+    };
     let length = body.len();
     let head = format_args!(
         "PUT /members/{name} HTTP/1.1\r\nHost: {host}\r\nContent-Type: application/json\r\n\
@@ -29,7 +33,12 @@
 
 /// Reads one answer off the front, its body passed over.
 pub fn answer(input: &[u8]) -> Front<Answer> {
-    front(input, HEADERS_MOST * LINE_MOST + BODY_MOST, Fault("unreadable answer"), whole)
+    front(
+        input,
+        HEADERS_MOST * LINE_MOST + BODY_MOST,
+        Fault("unreadable answer"),
+        whole,
+    )
 }
 
 fn whole(input: &mut Bytes) -> ModalResult<Answer> {
@@ -50,7 +59,9 @@
     if chunked {
         keep = false; // the rest of it is left unread with the connection
     } else if status != 204 && status >= 200 {
-        take(length.unwrap_or(0).min(BODY_MOST)).void().parse_next(input)?;
+        take(length.unwrap_or(0).min(BODY_MOST))
+            .void()
+            .parse_next(input)?;
         keep &= length.is_some_and(|length| length <= BODY_MOST);
     }
     Ok(Answer { status, keep })
@@ -71,7 +82,10 @@
 }
 
 fn header(input: &mut &[u8]) -> ModalResult<Header> {
-    let length = preceded((Caseless("content-length:"), space0), terminated(dec_uint, space0));
+    let length = preceded(
+        (Caseless("content-length:"), space0),
+        terminated(dec_uint, space0),
+    );
     let chunked = (Caseless("transfer-encoding:"), rest);
     let close = (Caseless("connection:"), space0, Caseless("close"), space0);
     alt((
--- a/crates/merlinshelf-protocol/src/teaching.rs
+++ b/crates/merlinshelf-protocol/src/teaching.rs
@@ -32,7 +32,11 @@
 const ESCAPED: &AsciiSet = &CONTROLS.add(b' ').add(b'%');
 
 fn name(text: &str) -> String {
-    if text == "-" { "%2D".into() } else { utf8_percent_encode(text, ESCAPED).to_string() }
+    if text == "-" {
+        "%2D".into()
+    } else {
+        utf8_percent_encode(text, ESCAPED).to_string()
+    }
 }
 
 fn name_or_none(text: Option<&str>) -> Cow<'static, str> {
@@ -40,16 +44,29 @@
 }
 
 /// Names of states, as they stand on the wire.
-const STATES: [(&str, State); 4] =
-    [("alive", State::Alive), ("suspect", State::Suspect), ("left", State::Left), ("gone", State::Gone)];
+const STATES: [(&str, State); 4] = [
+    ("alive", State::Alive),
+    ("suspect", State::Suspect),
+    ("left", State::Left),
+    ("gone", State::Gone),
+];
 
 fn state_name(state: State) -> &'static str {
-    STATES.iter().find(|(_, one)| *one == state).map_or("gone", |(name, _)| name)
+    STATES
+        .iter()
+        .find(|(_, one)| *one == state)
+        .map_or("gone", |(name, _)| name)
 }
 
 /// Writes a message.
 pub fn put_message(out: &mut impl Buffer, kind: Kind, message: &Message) {
-    let Message { from, standing, wants, news, figures } = message;
+    let Message {
+        from,
+        standing,
+        wants,
+        news,
+        figures,
+    } = message;
     let word = if kind == Kind::Ask { "ask" } else { "tell" };
     put(
         out,
@@ -67,8 +84,21 @@
     }
     for told in figures {
         let (server, operation) = told.subject.names();
-        let of = (told.subject.kind(), name_or_none(server), name_or_none(operation));
-        let Told { origin, value, count, age, number, hops, standing, .. } = told;
+        let of = (
+            told.subject.kind(),
+            name_or_none(server),
+            name_or_none(operation),
+        );
+        let Told {
+            origin,
+            value,
+            count,
+            age,
+            number,
+            hops,
+            standing,
+            ..
+        } = told;
         let (by, life, standing) = (name(&origin.name), origin.life, standing.name());
         put(
             out,
@@ -88,7 +118,11 @@
         one.life,
         one.turn,
         state_name(one.state),
-        if one.address.is_empty() { "-".into() } else { name(&one.address) }
+        if one.address.is_empty() {
+            "-".into()
+        } else {
+            name(&one.address)
+        }
     )
 }
 
@@ -123,14 +157,21 @@
                     }
                     None => return Ok((used, None)),
                 },
-                Some((_, message, _, figures)) if message.figures.len() < *figures => match figure(rest)? {
-                    Some((told, count)) => {
-                        message.figures.push(told);
-                        count
+                Some((_, message, _, figures)) if message.figures.len() < *figures => {
+                    match figure(rest)? {
+                        Some((told, count)) => {
+                            message.figures.push(told);
+                            count
+                        }
+                        None => return Ok((used, None)),
                     }
-                    None => return Ok((used, None)),
-                },
-                Some(_) => return Ok((used, self.begun.take().map(|(kind, message, ..)| (kind, message)))),
+                }
+                Some(_) => {
+                    return Ok((
+                        used,
+                        self.begun.take().map(|(kind, message, ..)| (kind, message)),
+                    ));
+                }
             };
             used += count;
         }
@@ -165,9 +206,25 @@
                 counts,
             ),
         )?;
-        Ok((kind, Message { from, standing, wants, news: Vec::new(), figures: Vec::new() }, news, figures))
+        Ok((
+            kind,
+            Message {
+                from,
+                standing,
+                wants,
+                news: Vec::new(),
+                figures: Vec::new(),
+            },
+            news,
+            figures,
+        ))
     };
-    front(input, LINE_MOST + 2, Fault("unreadable message of a peer"), whole)
+    front(
+        input,
+        LINE_MOST + 2,
+        Fault("unreadable message of a peer"),
+        whole,
+    )
 }
 
 fn peer(input: &[u8]) -> Front<News> {
@@ -175,26 +232,73 @@
         let text = line(input)?;
         within(text, preceded("peer ", peer_fields))
     };
-    front(input, LINE_MOST + 2, Fault("unreadable news of a peer"), whole)
+    front(
+        input,
+        LINE_MOST + 2,
+        Fault("unreadable news of a peer"),
+        whole,
+    )
 }
 
 fn figure(input: &[u8]) -> Front<Told> {
     let whole = |input: &mut Bytes| -> ModalResult<Told> {
         let text = line(input)?;
-        let subject =
-            (word, " ", name_field, " ", name_field).verify_map(|(kind, _, server, _, operation)| {
+        let subject = (word, " ", name_field, " ", name_field).verify_map(
+            |(kind, _, server, _, operation)| {
                 let kind = std::str::from_utf8(kind).ok()?;
                 Subject::of(kind, server.as_deref(), operation.as_deref())
-            });
-        let origin = (name_field.verify_map(|name| name), " ", dec_uint::<_, u64, _>)
+            },
+        );
+        let origin = (
+            name_field.verify_map(|name| name),
+            " ",
+            dec_uint::<_, u64, _>,
+        )
             .map(|(name, _, life)| Origin { name, life });
-        let numbers = (float::<_, f64, _>, " ", dec_uint::<_, u32, _>, " ", float::<_, f64, _>);
-        let rest = (dec_uint::<_, u64, _>, " ", dec_uint::<_, u8, _>, " ", standing);
-        let (_, subject, _, origin, _, (value, _, count, _, age), _, (number, _, hops, _, standing)) =
-            within(text, ("figure ", subject, " ", origin, " ", numbers, " ", rest))?;
-        Ok(Told { subject, origin, value, count, age, number, hops, standing })
+        let numbers = (
+            float::<_, f64, _>,
+            " ",
+            dec_uint::<_, u32, _>,
+            " ",
+            float::<_, f64, _>,
+        );
+        let rest = (
+            dec_uint::<_, u64, _>,
+            " ",
+            dec_uint::<_, u8, _>,
+            " ",
+            standing,
+        );
+        let (
+            _,
+            subject,
+            _,
+            origin,
+            _,
+            (value, _, count, _, age),
+            _,
+            (number, _, hops, _, standing),
+        ) = within(
+            text,
+            ("figure ", subject, " ", origin, " ", numbers, " ", rest),
+        )?;
+        Ok(Told {
+            subject,
+            origin,
+            value,
+            count,
+            age,
+            number,
+            hops,
+            standing,
+        })
     };
-    front(input, LINE_MOST + 2, Fault("unreadable figure of a peer"), whole)
+    front(
+        input,
+        LINE_MOST + 2,
+        Fault("unreadable figure of a peer"),
+        whole,
+    )
 }
 
 fn word<'i>(input: &mut &'i [u8]) -> ModalResult<&'i [u8]> {
@@ -205,14 +309,20 @@
 fn name_field(input: &mut &[u8]) -> ModalResult<Option<String>> {
     word.verify_map(|text: &[u8]| match text {
         b"-" => Some(None),
-        text => percent_decode(text).decode_utf8().ok().map(|text| Some(text.into_owned())),
+        text => percent_decode(text)
+            .decode_utf8()
+            .ok()
+            .map(|text| Some(text.into_owned())),
     })
     .parse_next(input)
 }
 
 fn peer_fields(input: &mut &[u8]) -> ModalResult<News> {
     let state = word.verify_map(|text: &[u8]| {
-        STATES.iter().find(|(name, _)| name.as_bytes() == text).map(|(_, state)| *state)
+        STATES
+            .iter()
+            .find(|(name, _)| name.as_bytes() == text)
+            .map(|(_, state)| *state)
     });
     let whole = (
         name_field.verify_map(|name| name),
@@ -237,5 +347,6 @@
 }
 
 fn standing(input: &mut &[u8]) -> ModalResult<Standing> {
-    word.verify_map(|text: &[u8]| Standing::of(std::str::from_utf8(text).ok()?)).parse_next(input)
+    word.verify_map(|text: &[u8]| Standing::of(std::str::from_utf8(text).ok()?))
+        .parse_next(input)
 }
--- a/crates/merlinshelf-protocol/src/uwsgi.rs
+++ b/crates/merlinshelf-protocol/src/uwsgi.rs
@@ -63,33 +63,67 @@
         }
         match self.0 {
             State::Head => {
-                let Some((head, _)) = input.split_at_checked(HEAD) else { return Ok((0, None)) };
+                let Some((head, _)) = input.split_at_checked(HEAD) else {
+                    return Ok((0, None));
+                };
                 if (head[0], head[3]) != (0, 0) {
                     return Err(Fault("a uwsgi packet of another kind"));
                 }
                 let size = usize::from(u16::from_le_bytes([head[1], head[2]]));
-                self.0 = if size > VARS_MOST { State::Long(size) } else { State::Vars(size) };
+                self.0 = if size > VARS_MOST {
+                    State::Long(size)
+                } else {
+                    State::Vars(size)
+                };
                 if size == 0 {
                     return Err(Fault("a uwsgi packet without variables"));
                 }
                 Ok((HEAD, Some(Piece::Begin)))
             }
             State::Vars(size) => {
-                let Some((bytes, _)) = input.split_at_checked(size) else { return Ok((0, None)) };
+                let Some((bytes, _)) = input.split_at_checked(size) else {
+                    return Ok((0, None));
+                };
                 // What can't be read announces nothing, and is turned down with the variables.
-                let body = pairs(bytes).ok().and_then(|pairs| announced(&pairs)).unwrap_or(0);
-                self.0 = if body > 0 { State::Body(body) } else { State::Over };
+                let body = pairs(bytes)
+                    .ok()
+                    .and_then(|pairs| announced(&pairs))
+                    .unwrap_or(0);
+                self.0 = if body > 0 {
+                    State::Body(body)
+                } else {
+                    State::Over
+                };
                 Ok((size, Some(Piece::Vars { bytes, body })))
             }
             State::Long(left) => {
                 let used = left.min(input.len());
-                self.0 = if used < left { State::Long(left - used) } else { State::Over };
-                Ok((used, Some(Piece::Part { bytes: &input[..used] })))
+                self.0 = if used < left {
+                    State::Long(left - used)
+                } else {
+                    State::Over
+                };
+                Ok((
+                    used,
+                    Some(Piece::Part {
+                        bytes: &input[..used],
+                    }),
+                ))
             }
             State::Body(left) => {
                 let used = left.min(input.len());
-                self.0 = if used < left { State::Body(left - used) } else { State::Over };
-                Ok((used, Some(Piece::Body { bytes: &input[..used], last: used == left })))
+                self.0 = if used < left {
+                    State::Body(left - used)
+                } else {
+                    State::Over
+                };
+                Ok((
+                    used,
+                    Some(Piece::Body {
+                        bytes: &input[..used],
+                        last: used == left,
+                    }),
+                ))
             }
             State::Over => Ok((input.len(), None)),
         }
@@ -142,7 +176,9 @@
 /// # Errors
 /// They do not fit into it.
 pub fn pairs(bytes: &[u8]) -> Result<Vec<Pair<'_>>, Fault> {
-    repeat(0.., pair).parse(bytes).map_err(|_| Fault("name-value pairs that do not fit"))
+    repeat(0.., pair)
+        .parse(bytes)
+        .map_err(|_| Fault("name-value pairs that do not fit"))
 }
 
 /// One whole answer: a CGI head becomes that of an HTTP response, whose end is told by its length and by the connection's.
@@ -151,14 +187,23 @@
     out.extend(b"HTTP/1.1 ");
     let (status, fields) = head.split_once("\r\n").unwrap_or((head, "\r\n"));
     out.extend(status.as_bytes());
-    out.extend(format!("\r\nContent-Length: {}\r\nConnection: close\r\n", body.len()).as_bytes());
+    out.extend(
+        format!(
+            "\r\nContent-Length: {}\r\nConnection: close\r\n",
+            body.len()
+        )
+        .as_bytes(),
+    );
     out.extend(fields.as_bytes());
     out.extend(body);
 }
 
 /// The packet of a request, as a front end writes it; the body follows.
 pub fn request(out: &mut impl Buffer, vars: &[(&str, &str)]) {
-    let size: usize = vars.iter().map(|(name, value)| 4 + name.len() + value.len()).sum();
+    let size: usize = vars
+        .iter()
+        .map(|(name, value)| 4 + name.len() + value.len())
+        .sum();
     out.extend(&[0]);
     out.extend(&(size as u16).to_le_bytes());
     out.extend(&[0]);
--- a/crates/merlinshelf-protocol/tests/control.rs
+++ b/crates/merlinshelf-protocol/tests/control.rs
@@ -12,23 +12,38 @@
     }
     let length = bytes.len();
     bytes.extend(b"ask");
-    assert_eq!(question(&bytes), Ok(Some(((1, Question::Upgrade, b"{\"a\":1}".as_slice()), length))));
-    for (said, text) in
-        [(Word::More, "more"), (Word::Done, "done"), (Word::Failed, "failed"), (Word::Refused, "refused")]
-    {
+    assert_eq!(
+        question(&bytes),
+        Ok(Some((
+            (1, Question::Upgrade, b"{\"a\":1}".as_slice()),
+            length
+        )))
+    );
+    for (said, text) in [
+        (Word::More, "more"),
+        (Word::Done, "done"),
+        (Word::Failed, "failed"),
+        (Word::Refused, "refused"),
+    ] {
         let mut bytes: Vec<u8> = Vec::new();
         say(&mut bytes, said, b"\r\n");
         assert_eq!(bytes, format!("say 1 {text} 2\r\n\r\n\r\n").as_bytes());
         for cut in 0..bytes.len() {
             assert_eq!(word(&bytes[..cut]), Ok(None), "{text} cut at {cut}");
         }
-        assert_eq!(word(&bytes), Ok(Some(((1, said, b"\r\n".as_slice()), bytes.len()))));
+        assert_eq!(
+            word(&bytes),
+            Ok(Some(((1, said, b"\r\n".as_slice()), bytes.len())))
+        );
     }
 }
 
 #[test]
 fn another_form_is_told_and_what_is_no_word_is_a_fault_at_once() {
-    assert_eq!(question(b"ask 7 status 0\r\n\r\n"), Ok(Some(((7, Question::Status, b"".as_slice()), 18))));
+    assert_eq!(
+        question(b"ask 7 status 0\r\n\r\n"),
+        Ok(Some(((7, Question::Status, b"".as_slice()), 18)))
+    );
     let faults: [&[u8]; 8] = [
         b"ask 1 dance 0\r\n\r\n",
         b"ask 1 status\r\n",
--- a/crates/merlinshelf-protocol/tests/teaching.rs
+++ b/crates/merlinshelf-protocol/tests/teaching.rs
@@ -19,7 +19,10 @@
 fn told(subject: Subject, value: f64) -> Told {
     Told {
         subject,
-        origin: Origin { name: "n 1/ü%".into(), life: 9 },
+        origin: Origin {
+            name: "n 1/ü%".into(),
+            life: 9,
+        },
         value,
         count: 24,
         age: 0.25,
@@ -32,18 +35,65 @@
 fn message() -> Message {
     let (server, operation) = ("cx 42".to_owned(), "-".to_owned());
     let figures = vec![
-        told(Subject::RunLowest { engine: server.clone(), operation: operation.clone() }, 0.0123),
-        told(Subject::RunRecent { engine: server.clone(), operation: operation.clone() }, 1e-5),
-        told(Subject::Limit { engine: server.clone() }, 12.0),
-        told(Subject::CallLowest { dependency: server.clone() }, 1.0 / 3.0),
-        told(Subject::CallRecent { dependency: server.clone() }, 2.0),
-        told(Subject::CallLimit { dependency: server.clone() }, 3.0),
-        told(Subject::CallFailures { dependency: server.clone() }, 0.0),
-        told(Subject::RunBelow { dependency: server, operation }, 600.0),
+        told(
+            Subject::RunLowest {
+                engine: server.clone(),
+                operation: operation.clone(),
+            },
+            0.0123,
+        ),
+        told(
+            Subject::RunRecent {
+                engine: server.clone(),
+                operation: operation.clone(),
+            },
+            1e-5,
+        ),
+        told(
+            Subject::Limit {
+                engine: server.clone(),
+            },
+            12.0,
+        ),
+        told(
+            Subject::CallLowest {
+                dependency: server.clone(),
+            },
+            1.0 / 3.0,
+        ),
+        told(
+            Subject::CallRecent {
+                dependency: server.clone(),
+            },
+            2.0,
+        ),
+        told(
+            Subject::CallLimit {
+                dependency: server.clone(),
+            },
+            3.0,
+        ),
+        told(
+            Subject::CallFailures {
+                dependency: server.clone(),
+            },
+            0.0,
+        ),
+        told(
+            Subject::RunBelow {
+                dependency: server,
+                operation,
+            },
+            600.0,
+        ),
         told(Subject::CallersAgain, 0.15),
         told(Subject::CallersBack, 1.0),
     ];
-    let nowhere = News { address: String::new(), state: State::Gone, ..peer("n3") };
+    let nowhere = News {
+        address: String::new(),
+        state: State::Gone,
+        ..peer("n3")
+    };
     Message {
         from: peer("n0"),
         standing: Standing::Recovering,
@@ -61,16 +111,27 @@
 
 #[test]
 fn a_message_comes_back_as_it_was_in_pieces_of_any_size() {
-    insta::assert_snapshot!(String::from_utf8_lossy(&bytes(Kind::Ask, &message())).replace('\r', ""));
+    insta::assert_snapshot!(
+        String::from_utf8_lossy(&bytes(Kind::Ask, &message())).replace('\r', "")
+    );
     let mut rng = Pcg64Mcg::seed_from_u64(5);
     for (kind, message) in [
         (Kind::Ask, message()),
         (Kind::Tell, message()),
-        (Kind::Ask, Message { news: Vec::new(), figures: Vec::new(), wants: false, ..message() }),
+        (
+            Kind::Ask,
+            Message {
+                news: Vec::new(),
+                figures: Vec::new(),
+                wants: false,
+                ..message()
+            },
+        ),
     ] {
         let whole = bytes(kind, &message);
         for most in [1, 7, 100, whole.len()] {
-            let (mut reading, mut come, mut rest) = (Reading::default(), Vec::new(), whole.as_slice());
+            let (mut reading, mut come, mut rest) =
+                (Reading::default(), Vec::new(), whole.as_slice());
             let read = loop {
                 let count = rng.random_range(1..=most).min(rest.len());
                 assert!(count > 0, "it never ends");
@@ -82,7 +143,10 @@
                     break read;
                 }
             };
-            assert_eq!((read, rest.len(), come.len()), ((kind, message.clone()), 0, 0));
+            assert_eq!(
+                (read, rest.len(), come.len()),
+                ((kind, message.clone()), 0, 0)
+            );
         }
     }
 }
@@ -90,7 +154,10 @@
 #[test]
 fn the_longest_message_is_within_the_bound_and_what_says_it_has_more_is_a_fault() {
     let long = "x".repeat(64);
-    let subject = Subject::RunRecent { engine: long.clone(), operation: long.clone() };
+    let subject = Subject::RunRecent {
+        engine: long.clone(),
+        operation: long.clone(),
+    };
     let message = Message {
         news: vec![peer(&long); NEWS_MOST],
         figures: vec![told(subject, 1.0 / 3.0); FIGURES_MOST],
@@ -103,8 +170,14 @@
         Some((Kind::Tell, message.clone()))
     );
     for more in [
-        Message { news: vec![peer("a"); NEWS_MOST + 1], ..message.clone() },
-        Message { figures: vec![told(Subject::CallersBack, 0.5); FIGURES_MOST + 1], ..message },
+        Message {
+            news: vec![peer("a"); NEWS_MOST + 1],
+            ..message.clone()
+        },
+        Message {
+            figures: vec![told(Subject::CallersBack, 0.5); FIGURES_MOST + 1],
+            ..message
+        },
     ] {
         assert!(Reading::default().read(&bytes(Kind::Tell, &more)).is_err());
     }
@@ -127,7 +200,11 @@
         vec![b'a'; 2000],
     ];
     for text in texts {
-        assert!(Reading::default().read(&text).is_err(), "{}", text.escape_ascii());
+        assert!(
+            Reading::default().read(&text).is_err(),
+            "{}",
+            text.escape_ascii()
+        );
     }
     // A byte changed anywhere gives a fault, another message or the wait for more, and never anything else.
     let mut rng = Pcg64Mcg::seed_from_u64(9);
--- a/crates/merlinshelf-protocol/tests/uwsgi.rs
+++ b/crates/merlinshelf-protocol/tests/uwsgi.rs
@@ -5,7 +5,14 @@
 
 fn whole(body: &[u8], length: &str) -> Vec<u8> {
     let mut bytes: Vec<u8> = Vec::new();
-    uwsgi::request(&mut bytes, &[("REQUEST_METHOD", "POST"), ("CONTENT_LENGTH", length), ("EMPTY", "")]);
+    uwsgi::request(
+        &mut bytes,
+        &[
+            ("REQUEST_METHOD", "POST"),
+            ("CONTENT_LENGTH", length),
+            ("EMPTY", ""),
+        ],
+    );
     bytes.extend(body);
     bytes
 }
@@ -52,7 +59,14 @@
     let once = read(&bytes, bytes.len()).expect("it can be read");
     assert_eq!((once.1.as_slice(), once.2, once.3), (&b"four"[..], true, 8));
     let pairs = uwsgi::pairs(&once.0).expect("they fit");
-    assert_eq!(pairs, [(&b"REQUEST_METHOD"[..], &b"POST"[..]), (b"CONTENT_LENGTH", b"4"), (b"EMPTY", b"")]);
+    assert_eq!(
+        pairs,
+        [
+            (&b"REQUEST_METHOD"[..], &b"POST"[..]),
+            (b"CONTENT_LENGTH", b"4"),
+            (b"EMPTY", b"")
+        ]
+    );
     for part in 1..bytes.len() {
         assert_eq!(read(&bytes, part).as_ref(), Ok(&once), "in parts of {part}");
     }
@@ -60,10 +74,15 @@
 
 #[test]
 fn what_is_no_request_or_announces_nothing() {
-    for (bytes, why) in
-        [(&[5, 0, 0, 0][..], "another kind"), (&[0, 9, 0, 1], "another kind"), (&[0; 4], "without variables")]
-    {
-        assert!(read(bytes, 1).is_err_and(|fault| fault.contains(why)), "{bytes:?}");
+    for (bytes, why) in [
+        (&[5, 0, 0, 0][..], "another kind"),
+        (&[0, 9, 0, 1], "another kind"),
+        (&[0; 4], "without variables"),
+    ] {
+        assert!(
+            read(bytes, 1).is_err_and(|fault| fault.contains(why)),
+            "{bytes:?}"
+        );
     }
     // A length that is none is the variables' fault, and nothing is waited for.
     for length in ["", "-1", "1e3", "99999999999999999999999"] {
@@ -84,7 +103,11 @@
 #[test]
 fn an_answer_is_that_of_http_with_its_length() {
     let mut out: Vec<u8> = Vec::new();
-    uwsgi::answer(&mut out, "Status: 503 Service Unavailable\r\nX-Come-Back-Ms: 40\r\n\r\n", b"abc");
+    uwsgi::answer(
+        &mut out,
+        "Status: 503 Service Unavailable\r\nX-Come-Back-Ms: 40\r\n\r\n",
+        b"abc",
+    );
     let text = String::from_utf8(out).expect("text");
     assert_eq!(
         text,
--- a/crates/merlinshelf-protocol/tests/wire.rs
+++ b/crates/merlinshelf-protocol/tests/wire.rs
@@ -55,7 +55,9 @@
                         (Piece::Stdin { id, bytes }, _) if !bytes.is_empty() => {
                             seen.push(format!("stdin {id} {}+", bytes.escape_ascii()));
                         }
-                        (Piece::GetValues { names }, _) => seen.push(format!("values {}", names.len())),
+                        (Piece::GetValues { names }, _) => {
+                            seen.push(format!("values {}", names.len()))
+                        }
                         (piece, _) => seen.push(format!("{piece:?}")),
                     }
                 }
@@ -81,15 +83,24 @@
 #[test]
 fn what_is_no_fastcgi_is_a_fault() {
     let long = record(9, 0, &[0; 2000], 0);
-    let trace =
-        [&b"GET / HTTP/1.1\r\n"[..], &record(1, 1, b"short", 0), &long].map(|bytes| pieces(bytes, 16));
+    let trace = [
+        &b"GET / HTTP/1.1\r\n"[..],
+        &record(1, 1, b"short", 0),
+        &long,
+    ]
+    .map(|bytes| pieces(bytes, 16));
     assert_snapshot!(format!("{trace:#?}"));
 }
 
 #[test]
 fn names_and_values_have_short_and_long_lengths() {
     let long = vec![b'x'; 300];
-    let bytes = [b"\x01\x80\x00\x01\x2cA".as_slice(), &long, b"\x80\x00\x00\x02\x00BB"].concat();
+    let bytes = [
+        b"\x01\x80\x00\x01\x2cA".as_slice(),
+        &long,
+        b"\x80\x00\x00\x02\x00BB",
+    ]
+    .concat();
     let pairs = fastcgi::pairs(&bytes).expect("pairs that fit");
     assert_eq!(pairs, [(&b"A"[..], &long[..]), (b"BB", b"")]);
     for cut in 1..bytes.len() {
@@ -106,14 +117,21 @@
     fastcgi::end(&mut out, 3, fastcgi::Status::Overloaded);
     fastcgi::unknown(&mut out, 77);
     fastcgi::values(&mut out, b"\x01\0A\x01\0B", &[("B", "32".into())]).expect("names that fit");
-    assert_snapshot!(out.chunks(8).map(|row| format!("{}\n", row.escape_ascii())).collect::<String>());
+    assert_snapshot!(
+        out.chunks(8)
+            .map(|row| format!("{}\n", row.escape_ascii()))
+            .collect::<String>()
+    );
     // More than one record holds: cut, and all there.
     let body: Vec<u8> = (0..70_000u32).map(|n| n as u8).collect();
     let mut out = Vec::new();
     fastcgi::answer(&mut out, 1, "", &body);
     let first = usize::from(u16::from_be_bytes([out[4], out[5]]));
     let second = usize::from(u16::from_be_bytes([out[first + 12], out[first + 13]]));
-    assert_eq!([&out[8..8 + first], &out[first + 16..first + 16 + second]].concat(), body);
+    assert_eq!(
+        [&out[8..8 + first], &out[first + 16..first + 16 + second]].concat(),
+        body
+    );
 }
 
 /// Reads messages one after the other, and sees to it that no part of one passes for a whole.
@@ -167,23 +185,35 @@
 #[test]
 fn replies_from_below_are_read() {
     let id = "9b1f03aa5c7e2d41";
-    let bytes =
-        format!("{id} ok 4\r\n\r\n\r\n\r\n{id} overload\r\n{id} internal\r\n{id} deadline\r\n{id} stale\r\n");
+    let bytes = format!(
+        "{id} ok 4\r\n\r\n\r\n\r\n{id} overload\r\n{id} internal\r\n{id} deadline\r\n{id} stale\r\n"
+    );
     let read = |bytes: &[u8]| {
         catalogue::reply(bytes).map(|read| read.map(|(reply, used)| (format!("{reply:?}"), used)))
     };
-    let bad = [format!("{id} maybe\r\n"), "x\r\n".into(), format!("{id} ok 2\r\nabc\r\n")];
+    let bad = [
+        format!("{id} maybe\r\n"),
+        "x\r\n".into(),
+        format!("{id} ok 2\r\nabc\r\n"),
+    ];
     let bad = bad.map(|bytes| messages(bytes.as_bytes(), read)).concat();
     assert_snapshot!(messages(bytes.as_bytes(), read) + &bad);
     // What can't become a reply is not waited for, however little has come.
-    for begun in ["noise", &format!("{id} ok 3000000000\r\n"), &format!("{id} ok {}", "1".repeat(60))] {
+    for begun in [
+        "noise",
+        &format!("{id} ok 3000000000\r\n"),
+        &format!("{id} ok {}", "1".repeat(60)),
+    ] {
         assert!(read(begun.as_bytes()).is_err(), "{begun} is waited for");
     }
 }
 
 #[test]
 fn commands_and_calls_are_written() {
-    let (mut out, id) = (Vec::new(), CallId::read(b"9b1f03aa5c7e2d41").expect("an id"));
+    let (mut out, id) = (
+        Vec::new(),
+        CallId::read(b"9b1f03aa5c7e2d41").expect("an id"),
+    );
     engine::attach(&mut out, 7, false);
     engine::run(&mut out, id, "thumbnail", b"\0\r\n");
     engine::feed(&mut out, id, b"");
@@ -192,7 +222,12 @@
     catalogue::invoke(&mut out, id, 250, b"body");
     members::report(&mut out, "127.0.0.1:8761", "n3", false);
     assert_snapshot!(out.escape_ascii().to_string().replace("\\n", "\\n\n"));
-    let bad = [&b"9b1f03aa5c7e2d4"[..], b"9b1f03aa5c7e2d411", b"9b1f03aa5c7e2d4g"].map(CallId::read);
+    let bad = [
+        &b"9b1f03aa5c7e2d4"[..],
+        b"9b1f03aa5c7e2d411",
+        b"9b1f03aa5c7e2d4g",
+    ]
+    .map(CallId::read);
     assert_eq!(bad, [None; 3]);
 }
 
@@ -204,7 +239,8 @@
     let long = "n".repeat(65);
     let bytes = "HELLO WARM 5 NAMES/1\r\nHELLO COLD 5\r\nNEED 2 9b1f03aa5c7e2d41 thumbs-2 3\r\nabc\r\nNEED 3 9b1f03aa5c7e2d41 0\r\n\r\n";
     let read = |bytes: &[u8]| {
-        engine::notice(bytes).map(|front| front.map(|(notice, count)| (format!("{notice:?}"), count)))
+        engine::notice(bytes)
+            .map(|front| front.map(|(notice, count)| (format!("{notice:?}"), count)))
     };
     assert_snapshot!(messages(bytes.as_bytes(), read));
     for bad in [
@@ -213,13 +249,17 @@
         &format!("NEED 2 9b1f03aa5c7e2d41 {long} 3"),
         "NEED 2 9b1f03aa5c7e2d41 a b 3",
     ] {
-        assert!(engine::notice(format!("{bad}\r\nabc\r\n").as_bytes()).is_err(), "{bad}");
+        assert!(
+            engine::notice(format!("{bad}\r\nabc\r\n").as_bytes()).is_err(),
+            "{bad}"
+        );
     }
 }
 
 #[test]
 fn answers_of_the_membership_service_are_read() {
-    let bytes = b"HTTP/1.1 204 No Content\r\n\r\nHTTP/1.1 503 Busy\r\ncontent-LENGTH: 3 \r\n\r\nnow\
+    let bytes =
+        b"HTTP/1.1 204 No Content\r\n\r\nHTTP/1.1 503 Busy\r\ncontent-LENGTH: 3 \r\n\r\nnow\
         HTTP/1.1 204 \r\nConnection: close\r\nX: y\r\n\r\nHTTP/1.0 200 OK\r\n\r\n\
         HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nHTTP/2 200\r\n";
     assert_snapshot!(messages(bytes, members::answer));
@@ -247,7 +287,11 @@
                     _ => bytes.insert(place, b"\r\n 9\xff\0"[rng.random_range(0..6)]),
                 }
             }
-            faults += usize::from(pieces(&bytes, 64).iter().any(|line| line.starts_with("fault")));
+            faults += usize::from(
+                pieces(&bytes, 64)
+                    .iter()
+                    .any(|line| line.starts_with("fault")),
+            );
             let _ = fastcgi::pairs(&bytes);
             let _ = engine::refused(&bytes);
             faults += usize::from(notices_end(&bytes));
@@ -257,5 +301,7 @@
 }
 
 fn notices_end(bytes: &[u8]) -> bool {
-    engine::notice(bytes).is_err() | catalogue::reply(bytes).is_err() | members::answer(bytes).is_err()
+    engine::notice(bytes).is_err()
+        | catalogue::reply(bytes).is_err()
+        | members::answer(bytes).is_err()
 }
