--- a/crates/merlinshelf-shares/src/bank.rs
+++ b/crates/merlinshelf-shares/src/bank.rs
@@ -50,8 +50,11 @@
         }
         (self.budgets, self.aside, self.hosts) = (budgets.clone(), aside.clone(), hosts);
         // One that is bounded no more and then again: what was given in between may be spent, as if by an earlier one.
-        self.keepers
-            .retain(|(name, kind), _| budgets.get(name).is_some_and(|kinds| kinds.contains_key(kind)));
+        self.keepers.retain(|(name, kind), _| {
+            budgets
+                .get(name)
+                .is_some_and(|kinds| kinds.contains_key(kind))
+        });
         self.fares.retain(|(name, _), _| budgets.contains_key(name));
     }
 
@@ -63,10 +66,20 @@
 
     /// A host asks; the answer goes out once it is sure that this one still leads.
     pub fn asked(&mut self, now: f64, host: &str, asked: &Asked) -> Given {
-        for (name, of) in asked.places.iter().filter(|(name, _)| self.budgets.contains_key(*name)) {
+        for (name, of) in asked
+            .places
+            .iter()
+            .filter(|(name, _)| self.budgets.contains_key(*name))
+        {
             let of_zone = (name.clone(), asked.zone.clone());
-            let (lease, most) = (self.lease.lease_s, budget_of(&self.budgets, name, Kind::First));
-            let fares = self.fares.entry(of_zone).or_insert_with(|| Recovery::new(now, lease, most));
+            let (lease, most) = (
+                self.lease.lease_s,
+                budget_of(&self.budgets, name, Kind::First),
+            );
+            let fares = self
+                .fares
+                .entry(of_zone)
+                .or_insert_with(|| Recovery::new(now, lease, most));
             if let Some(phase) = of.phase {
                 fares.was(now, phase, most);
             }
@@ -75,10 +88,19 @@
         self.advance(now);
         let mut places = BTreeMap::new();
         for (name, of) in &asked.places {
-            let Some(kinds) = self.budgets.get(name).cloned() else { continue };
-            let phase = self.fares.get(&(name.clone(), asked.zone.clone())).map(Recovery::phase);
+            let Some(kinds) = self.budgets.get(name).cloned() else {
+                continue;
+            };
+            let phase = self
+                .fares
+                .get(&(name.clone(), asked.zone.clone()))
+                .map(Recovery::phase);
             let mut shares = BTreeMap::new();
-            for (kind, claim) in of.claims.iter().filter(|(kind, _)| kinds.contains_key(kind)) {
+            for (kind, claim) in of
+                .claims
+                .iter()
+                .filter(|(kind, _)| kinds.contains_key(kind))
+            {
                 let spent = self.spent.entry((name.clone(), *kind)).or_default();
                 spent.push_back((now, claim.spent));
                 while spent.front().is_some_and(|(at, _)| *at < now - SPENT_OVER) {
@@ -96,7 +118,11 @@
             }
             places.insert(name.clone(), PlaceGiven { phase, shares });
         }
-        Given { life: asked.life, token: asked.token, places }
+        Given {
+            life: asked.life,
+            token: asked.token,
+            places,
+        }
     }
 
     /// Calls a second that are shared out of a kind now.
@@ -105,7 +131,11 @@
         if kind != Kind::First {
             return shared;
         }
-        let steps = self.fares.iter().filter(|((of, _), _)| of == name).map(|(_, fares)| fares.step());
+        let steps = self
+            .fares
+            .iter()
+            .filter(|((of, _), _)| of == name)
+            .map(|(_, fares)| fares.step());
         shared.min(steps.fold(0, u32::saturating_add))
     }
 
@@ -118,13 +148,21 @@
     /// By zone, how a dependency fares; for reports.
     pub fn phases(&self, name: &str) -> BTreeMap<String, Phase> {
         let of = self.fares.iter().filter(|((of, _), _)| of == name);
-        of.map(|((_, zone), fares)| (zone.clone(), fares.phase())).collect()
+        of.map(|((_, zone), fares)| (zone.clone(), fares.phase()))
+            .collect()
     }
 
     /// What of a kind was spent a second lately, of shares alone; for reports.
     pub fn spent(&self, now: f64, name: &str, kind: Kind) -> f64 {
-        let spent = self.spent.get(&(name.to_owned(), kind)).into_iter().flatten();
-        let sum: u32 = spent.filter(|(at, _)| *at > now - SPENT_OVER).map(|(_, calls)| calls).sum();
+        let spent = self
+            .spent
+            .get(&(name.to_owned(), kind))
+            .into_iter()
+            .flatten();
+        let sum: u32 = spent
+            .filter(|(at, _)| *at > now - SPENT_OVER)
+            .map(|(_, calls)| calls)
+            .sum();
         f64::from(sum) / SPENT_OVER
     }
 
@@ -141,6 +179,9 @@
     /// What is shared out of a kind now, and what of it each host may be spending; for reports.
     pub fn given(&self, now: f64, name: &str, kind: Kind) -> (u32, BTreeMap<String, u32>) {
         let keeper = self.keepers.get(&(name.to_owned(), kind));
-        (self.budget(name, kind), keeper.map(|keeper| keeper.parts(now)).unwrap_or_default())
+        (
+            self.budget(name, kind),
+            keeper.map(|keeper| keeper.parts(now)).unwrap_or_default(),
+        )
     }
 }
--- a/crates/merlinshelf-shares/src/holder.rs
+++ b/crates/merlinshelf-shares/src/holder.rs
@@ -54,7 +54,11 @@
     /// Calls a second that may be made now, and until when; none where that ends with nothing that was given.
     pub fn may(&self, now: f64) -> (u32, Option<f64>) {
         let (_, calls, until) = self.share;
-        if now < until && calls > 0 { (calls, Some(until)) } else { (0, None) }
+        if now < until && calls > 0 {
+            (calls, Some(until))
+        } else {
+            (0, None)
+        }
     }
 
     /// Calls that may be made at this very moment.
@@ -92,19 +96,36 @@
     pub fn claim(&mut self, now: f64) -> Claim {
         let wanted = self.wanted.max(self.spent);
         self.lately.push_back((now, wanted));
-        while self.lately.front().is_some_and(|(at, _)| *at <= now - self.lease.window()) {
+        while self
+            .lately
+            .front()
+            .is_some_and(|(at, _)| *at <= now - self.lease.window())
+        {
             self.lately.pop_front();
         }
         let rate: u32 = self.lately.iter().map(|(_, wanted)| wanted).sum();
         // Twice the root by which wishes stray from their mean: with the mean alone a third found nothing left.
         let rate = f64::from(rate) + 2.0 * f64::from(rate).sqrt();
         let refused = self.wanted > self.spent;
-        self.need = rate.max(self.need / 2.0).max(if refused { 1.0 } else { 0.0 });
-        let worth = if refused { self.worth / f64::from(self.wanted) } else { 0.0 };
+        self.need = rate
+            .max(self.need / 2.0)
+            .max(if refused { 1.0 } else { 0.0 });
+        let worth = if refused {
+            self.worth / f64::from(self.wanted)
+        } else {
+            0.0
+        };
         let spent = self.spent;
         (self.wanted, self.spent, self.worth) = (0, 0, 0.0);
-        let need = if self.need < 0.05 { 0 } else { self.need.ceil() as u32 };
-        Claim { spent, ..self.claim_for(now, need, worth, 0) }
+        let need = if self.need < 0.05 {
+            0
+        } else {
+            self.need.ceil() as u32
+        };
+        Claim {
+            spent,
+            ..self.claim_for(now, need, worth, 0)
+        }
     }
 
     /// The same where others' needs are added up, as a host does for its instances. `held`: the most that they may be spending.
@@ -117,14 +138,31 @@
         if self.asks.len() > ASKS_MOST {
             self.asks.pop_front();
         }
-        Claim { life: self.life, token: self.token, need, worth, heard: self.settled, spent: 0 }
+        Claim {
+            life: self.life,
+            token: self.token,
+            need,
+            worth,
+            heard: self.settled,
+            spent: 0,
+        }
     }
 
     /// A share has come, however late. One that answers an asking before another answer's says nothing any more.
     pub fn granted(&mut self, share: &Share) {
-        let asked = self.asks.iter().find(|(token, _)| *token == share.token).map(|(_, at)| *at);
-        let Some(asked) = asked.filter(|_| share.life == self.life) else { return };
+        let asked = self
+            .asks
+            .iter()
+            .find(|(token, _)| *token == share.token)
+            .map(|(_, at)| *at);
+        let Some(asked) = asked.filter(|_| share.life == self.life) else {
+            return;
+        };
         self.asks.retain(|(token, _)| *token > share.token);
-        self.share = ((share.keeper, share.number), share.calls, asked + self.lease.held_for(share.for_s));
+        self.share = (
+            (share.keeper, share.number),
+            share.calls,
+            asked + self.lease.held_for(share.for_s),
+        );
     }
 }
--- a/crates/merlinshelf-shares/src/house.rs
+++ b/crates/merlinshelf-shares/src/house.rs
@@ -54,10 +54,9 @@
             let place = self.places.entry(name.clone()).or_default();
             place.kinds.retain(|kind, _| kinds.contains_key(kind));
             for kind in kinds.keys() {
-                place
-                    .kinds
-                    .entry(*kind)
-                    .or_insert_with(|| (Holder::new(life, lease), Keeper::first(now, lease, 0, life)));
+                place.kinds.entry(*kind).or_insert_with(|| {
+                    (Holder::new(life, lease), Keeper::first(now, lease, 0, life))
+                });
             }
         }
     }
@@ -92,14 +91,20 @@
             let phase = phase_at(place.phase, now);
             let mut shares = BTreeMap::new();
             for (kind, claim) in &of.claims {
-                let Some((holder, keeper)) = place.kinds.get_mut(kind) else { continue };
+                let Some((holder, keeper)) = place.kinds.get_mut(kind) else {
+                    continue;
+                };
                 let (may, until) = holder.may(now);
                 keeper.set_budget(may);
                 shares.insert(*kind, keeper.claimed(now, instance, claim, until));
             }
             Some((name.clone(), PlaceGiven { phase, shares }))
         });
-        Some(Given { life: asked.life, token: asked.token, places: places.collect() })
+        Some(Given {
+            life: asked.life,
+            token: asked.token,
+            places: places.collect(),
+        })
     }
 
     /// A round: what is asked of whoever leads.
@@ -109,30 +114,61 @@
             place.sights.retain(|_, (at, _)| now <= *at + lately);
             let mut sight = Sight::default();
             place.sights.values().for_each(|(_, of)| sight.add(of));
-            (sight.good, sight.bad) = (std::mem::take(&mut place.good), std::mem::take(&mut place.bad));
+            (sight.good, sight.bad) = (
+                std::mem::take(&mut place.good),
+                std::mem::take(&mut place.bad),
+            );
             let phase = place.phase.map(|(phase, _)| phase);
             let spent = std::mem::take(&mut place.spent);
             let claims = place.kinds.iter_mut().map(|(kind, (holder, keeper))| {
-                let ((need, worth), spent) = (keeper.needs(), spent.get(kind).copied().unwrap_or(0));
-                (*kind, Claim { spent, ..holder.claim_for(now, need, worth, keeper.held(now)) })
+                let ((need, worth), spent) =
+                    (keeper.needs(), spent.get(kind).copied().unwrap_or(0));
+                (
+                    *kind,
+                    Claim {
+                        spent,
+                        ..holder.claim_for(now, need, worth, keeper.held(now))
+                    },
+                )
             });
             let claims = claims.collect();
-            (name.clone(), PlaceAsked { sight, phase, claims })
+            (
+                name.clone(),
+                PlaceAsked {
+                    sight,
+                    phase,
+                    claims,
+                },
+            )
         });
         let places = places.collect();
-        Asked { life: self.life, token: self.rounds.begin(now), zone: self.zone.clone(), places }
+        Asked {
+            life: self.life,
+            token: self.rounds.begin(now),
+            zone: self.zone.clone(),
+            places,
+        }
     }
 
     /// The answer of whoever leads, however late. Whether instances should hear of it at once: something fares differently.
     pub fn given(&mut self, now: f64, given: &Given) -> bool {
-        let asked = if given.life == self.life { self.rounds.answered(given.token) } else { None };
+        let asked = if given.life == self.life {
+            self.rounds.answered(given.token)
+        } else {
+            None
+        };
         let Some(asked) = asked else { return false };
         let mut news = false;
         let until = asked + self.lease.held_for(self.lease.lease_s);
         for (name, of) in &given.places {
-            let Some(place) = self.places.get_mut(name) else { continue };
+            let Some(place) = self.places.get_mut(name) else {
+                continue;
+            };
             if let Some(phase) = of.phase.filter(|_| now < until) {
-                news |= place.phase.replace((phase, until)).is_none_or(|(before, _)| before != phase);
+                news |= place
+                    .phase
+                    .replace((phase, until))
+                    .is_none_or(|(before, _)| before != phase);
             }
             for (kind, share) in &of.shares {
                 if let Some((holder, _)) = place.kinds.get_mut(kind) {
@@ -150,7 +186,9 @@
 
     /// Whether something does not fare well, as far as it is known: words of it are worth more than usual.
     pub fn is_busy(&self, now: f64) -> bool {
-        self.places.values().any(|place| phase_at(place.phase, now).is_some_and(|phase| phase != Phase::Well))
+        self.places
+            .values()
+            .any(|place| phase_at(place.phase, now).is_some_and(|phase| phase != Phase::Well))
     }
 
     /// What is held of a kind, calls a second, and what of it each instance may be spending; for reports.
--- a/crates/merlinshelf-shares/src/keeper.rs
+++ b/crates/merlinshelf-shares/src/keeper.rs
@@ -32,7 +32,12 @@
 
     /// The most that it may be spending.
     fn may(&self, now: f64) -> u32 {
-        self.given.iter().filter(|given| given.over > now).map(|given| given.calls).max().unwrap_or(0)
+        self.given
+            .iter()
+            .filter(|given| given.over > now)
+            .map(|given| given.calls)
+            .max()
+            .unwrap_or(0)
     }
 }
 
@@ -71,7 +76,11 @@
 
     /// One that nobody was before, or whose forerunner shared out of another budget.
     pub fn first(now: f64, lease: Lease, budget: u32, id: u64) -> Keeper {
-        Keeper { from: now, holds_back: false, ..Keeper::taking_over(now, lease, budget, id) }
+        Keeper {
+            from: now,
+            holds_back: false,
+            ..Keeper::taking_over(now, lease, budget, id)
+        }
     }
 
     /// What may be shared out from here on. Less takes hold as shares run out.
@@ -103,54 +112,104 @@
 
     /// What all of them need, and the mean worth of what they refused: what a host asks for.
     pub fn needs(&self) -> (u32, f64) {
-        let need = self.parts.values().fold(0_u32, |sum, part| sum.saturating_add(part.need));
-        let refusing: Vec<f64> =
-            self.parts.values().map(|part| part.worth).filter(|worth| *worth > 0.0).collect();
-        (need, refusing.iter().sum::<f64>() / refusing.len().max(1) as f64)
+        let need = self
+            .parts
+            .values()
+            .fold(0_u32, |sum, part| sum.saturating_add(part.need));
+        let refusing: Vec<f64> = self
+            .parts
+            .values()
+            .map(|part| part.worth)
+            .filter(|worth| *worth > 0.0)
+            .collect();
+        (
+            need,
+            refusing.iter().sum::<f64>() / refusing.len().max(1) as f64,
+        )
     }
 
     /// A holder claims its share, and gets what it may spend. `until`: when what is shared out here ends itself.
     pub fn claimed(&mut self, now: f64, who: &str, claim: &Claim, until: Option<f64>) -> Share {
         let silent = self.lease.over_by(0.0);
-        self.parts.retain(|_, part| part.may(now) > 0 || now < part.heard_at + silent);
+        self.parts
+            .retain(|_, part| part.may(now) > 0 || now < part.heard_at + silent);
         let own: Who = (who.to_owned(), claim.life);
         // A life that another one of the same holder came after needs nothing more.
-        self.parts.iter_mut().filter(|((name, _), _)| name == who).for_each(|(_, part)| part.need = 0);
+        self.parts
+            .iter_mut()
+            .filter(|((name, _), _)| name == who)
+            .for_each(|(_, part)| part.need = 0);
         let part = self.parts.entry(own.clone()).or_default();
         (part.need, part.worth, part.heard_at) = (claim.need, claim.worth, now);
         // What came before the share that it goes by is spent no more, and shows for a while.
         let shows = now + self.lease.window() * (1.0 + self.lease.drift);
-        let heard = if claim.heard.0 == self.id { claim.heard.1 } else { 0 };
+        let heard = if claim.heard.0 == self.id {
+            claim.heard.1
+        } else {
+            0
+        };
         for given in part.given.iter_mut().filter(|given| given.number < heard) {
             given.over = given.over.min(shows);
         }
         part.given.retain(|given| given.over > now);
-        let others: u32 = self.parts.iter().filter(|(of, _)| **of != own).map(|(_, of)| of.may(now)).sum();
-        let free = if now < self.from { 0 } else { self.budget.saturating_sub(others) };
+        let others: u32 = self
+            .parts
+            .iter()
+            .filter(|(of, _)| **of != own)
+            .map(|(_, of)| of.may(now))
+            .sum();
+        let free = if now < self.from {
+            0
+        } else {
+            self.budget.saturating_sub(others)
+        };
         let calls = self.target(now, &own).min(free);
         self.number += 1;
         let number = self.number;
-        let left = until.map_or(self.lease.lease_s, |until| (until - now).clamp(0.0, self.lease.lease_s));
+        let left = until.map_or(self.lease.lease_s, |until| {
+            (until - now).clamp(0.0, self.lease.lease_s)
+        });
         if let Some(part) = self.parts.get_mut(&own) {
             if calls > 0 && part.may(now) == 0 {
                 part.turn_at = Some(now);
             }
-            let over = Lease { lease_s: left, ..self.lease }.over_by(now);
-            part.given.push(Given { number, calls, over });
+            let over = Lease {
+                lease_s: left,
+                ..self.lease
+            }
+            .over_by(now);
+            part.given.push(Given {
+                number,
+                calls,
+                over,
+            });
+        }
+        Share {
+            life: claim.life,
+            token: claim.token,
+            keeper: self.id,
+            number,
+            calls,
+            for_s: left,
         }
-        Share { life: claim.life, token: claim.token, keeper: self.id, number, calls, for_s: left }
     }
 
     /// What a holder is to have of the whole budget, by all needs that are known: an even part first, then by worth. What nobody
     /// needs is spread over all, so that a need which comes all at once finds something: else the first second of each found nothing.
     fn target(&self, now: f64, who: &Who) -> u32 {
-        let needing: Vec<(&Who, &Part)> = self.parts.iter().filter(|(_, part)| part.need > 0).collect();
+        let needing: Vec<(&Who, &Part)> = self
+            .parts
+            .iter()
+            .filter(|(_, part)| part.need > 0)
+            .collect();
         if needing.len() as u64 > u64::from(self.budget) {
             return u32::from(self.on_turn(now, needing).any(|name| name == who));
         }
         let even = self.budget / (needing.len() as u32).max(1);
-        let mut parts: Vec<(&Who, &Part, u32)> =
-            needing.iter().map(|(name, part)| (*name, *part, part.need.min(even))).collect();
+        let mut parts: Vec<(&Who, &Part, u32)> = needing
+            .iter()
+            .map(|(name, part)| (*name, *part, part.need.min(even)))
+            .collect();
         let mut left = self.budget - parts.iter().map(|(.., calls)| calls).sum::<u32>();
         // What is left goes by worth, to those that want more: in proportion first, what does not divide one by one.
         while left > 0 {
@@ -160,7 +219,10 @@
                 .map(|(_, part, _)| part.weight())
                 .sum();
             let (of, before) = (f64::from(left), left);
-            for (_, part, calls) in parts.iter_mut().filter(|(_, part, calls)| *calls < part.need) {
+            for (_, part, calls) in parts
+                .iter_mut()
+                .filter(|(_, part, calls)| *calls < part.need)
+            {
                 let more = (of * part.weight() / short) as u32;
                 let more = more.min(part.need - *calls).min(left);
                 (*calls, left) = (*calls + more, left - more);
@@ -168,7 +230,9 @@
             if left < before {
                 continue;
             }
-            let short = parts.iter_mut().filter(|(_, part, calls)| *calls < part.need);
+            let short = parts
+                .iter_mut()
+                .filter(|(_, part, calls)| *calls < part.need);
             let most = short.max_by(|one, other| {
                 let by = |of: &(&Who, &Part, u32)| of.1.weight() / f64::from(of.2 + 1);
                 by(one).total_cmp(&by(other))
@@ -176,19 +240,32 @@
             let Some((.., calls)) = most else { break };
             (*calls, left) = (*calls + 1, left - 1);
         }
-        let spare = if self.holds_back { left / 2 } else { left } / (self.parts.len() as u32).max(1);
-        spare + parts.iter().find(|(name, ..)| *name == who).map_or(0, |(.., calls)| *calls)
+        let spare =
+            if self.holds_back { left / 2 } else { left } / (self.parts.len() as u32).max(1);
+        spare
+            + parts
+                .iter()
+                .find(|(name, ..)| *name == who)
+                .map_or(0, |(.., calls)| *calls)
     }
 
     /// Whose turn it is, where more need something than there are calls: who is within a turn of one lease, then who waits longest.
-    fn on_turn<'a>(&self, now: f64, mut needing: Vec<(&'a Who, &'a Part)>) -> impl Iterator<Item = &'a Who> {
-        let within =
-            |part: &Part| part.may(now) > 0 && part.turn_at.is_some_and(|at| now < at + self.lease.lease_s);
+    fn on_turn<'a>(
+        &self,
+        now: f64,
+        mut needing: Vec<(&'a Who, &'a Part)>,
+    ) -> impl Iterator<Item = &'a Who> {
+        let within = |part: &Part| {
+            part.may(now) > 0 && part.turn_at.is_some_and(|at| now < at + self.lease.lease_s)
+        };
         needing.sort_by(|(_, one), (_, other)| {
             let by = |part: &Part| (!within(part), part.turn_at.unwrap_or(f64::NEG_INFINITY));
             let (one, other) = (by(one), by(other));
             one.0.cmp(&other.0).then(one.1.total_cmp(&other.1))
         });
-        needing.into_iter().take(self.budget as usize).map(|(name, _)| name)
+        needing
+            .into_iter()
+            .take(self.budget as usize)
+            .map(|(name, _)| name)
     }
 }
--- a/crates/merlinshelf-shares/src/kinds.rs
+++ b/crates/merlinshelf-shares/src/kinds.rs
@@ -6,7 +6,9 @@
 use serde::{Deserialize, Serialize};
 
 /// What is spent beyond ordinary first calls.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, JsonSchema)]
+#[derive(
+    Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, JsonSchema,
+)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
     /// Further attempts, and second calls beside a first one.
@@ -56,7 +58,10 @@
     for (name, kinds) in budgets {
         for (kind, calls) in kinds {
             if name == CALLERS && *kind != Kind::Opened {
-                return Err(format!("{name}.{}: of callers only what is opened has a budget", kind.name()));
+                return Err(format!(
+                    "{name}.{}: of callers only what is opened has a budget",
+                    kind.name()
+                ));
             }
             if !(1..=MOST).contains(calls) {
                 return Err(format!(
@@ -94,5 +99,9 @@
             }
         }
     }
-    if whys.is_empty() { Ok(()) } else { Err(whys.join("; ")) }
+    if whys.is_empty() {
+        Ok(())
+    } else {
+        Err(whys.join("; "))
+    }
 }
--- a/crates/merlinshelf-shares/src/purse.rs
+++ b/crates/merlinshelf-shares/src/purse.rs
@@ -11,13 +11,19 @@
 pub fn draw(bytes: &[u8], now: f64, calls: u32, drift: f64) -> Result<Vec<u8>, Option<Vec<u8>>> {
     let window = (1.0 + WAY) * (1.0 + drift);
     let (whole, rest) = bytes.as_chunks::<EACH>();
-    let moments: Vec<f64> = whole.iter().map(|bytes| f64::from_le_bytes(*bytes)).collect();
+    let moments: Vec<f64> = whole
+        .iter()
+        .map(|bytes| f64::from_le_bytes(*bytes))
+        .collect();
     if !rest.is_empty() || moments.iter().any(|at| !at.is_finite()) {
         let spent = vec![now; calls as usize];
         return Err(Some(write(&spent)));
     }
     // Later than now is from before the machine's last start.
-    let mut lately: Vec<f64> = moments.into_iter().filter(|at| *at <= now && *at > now - window).collect();
+    let mut lately: Vec<f64> = moments
+        .into_iter()
+        .filter(|at| *at <= now && *at > now - window)
+        .collect();
     if lately.len() >= calls as usize {
         return Err(None);
     }
--- a/crates/merlinshelf-shares/src/recovery.rs
+++ b/crates/merlinshelf-shares/src/recovery.rs
@@ -20,7 +20,8 @@
 
 /// What was told, as long as it holds: with the time until which it does.
 pub(crate) fn phase_at(told: Option<(Phase, f64)>, now: f64) -> Option<Phase> {
-    told.filter(|(_, until)| now < *until).map(|(phase, _)| phase)
+    told.filter(|(_, until)| now < *until)
+        .map(|(phase, _)| phase)
 }
 
 /// What is seen of a dependency.
@@ -90,7 +91,11 @@
         Recovery {
             lately,
             hosts: BTreeMap::new(),
-            phase: if most.is_some() { Phase::Returns } else { Phase::Well },
+            phase: if most.is_some() {
+                Phase::Returns
+            } else {
+                Phase::Well
+            },
             known: false,
             step: most.map_or(1, first_step),
             stepped_at: now,
@@ -106,7 +111,11 @@
 
     /// First calls a second that all of this zone together may make while it returns.
     pub fn step(&self) -> u32 {
-        if self.phase == Phase::Returns { self.step } else { 0 }
+        if self.phase == Phase::Returns {
+            self.step
+        } else {
+            0
+        }
     }
 
     /// What a host was told last by whoever led before: gone on with, as long as nothing else is known.
@@ -118,17 +127,23 @@
 
     /// A host says what its instances see.
     pub fn heard(&mut self, now: f64, host: &str, sight: Sight) {
-        self.seen = (self.seen.0.saturating_add(sight.good), self.seen.1.saturating_add(sight.bad));
+        self.seen = (
+            self.seen.0.saturating_add(sight.good),
+            self.seen.1.saturating_add(sight.bad),
+        );
         self.hosts.insert(host.to_owned(), (now, sight));
         self.hosts.retain(|_, (at, _)| now <= *at + self.lately);
     }
 
     /// Goes on with what is known by now; `most` is the budget of first calls, none where they are not bounded.
     pub fn advance(&mut self, now: f64, most: Option<u32>) {
-        let all = self.hosts.values().fold(Sight::default(), |mut sum, (_, sight)| {
-            sum.add(sight);
-            sum
-        });
+        let all = self
+            .hosts
+            .values()
+            .fold(Sight::default(), |mut sum, (_, sight)| {
+                sum.add(sight);
+                sum
+            });
         let (good, bad) = self.seen;
         let part = f64::from(good) / f64::from((good + bad).max(1));
         match self.phase {
@@ -157,7 +172,11 @@
                 let seen = good + bad > 0;
                 let unseen = if seen { 0 } else { self.unseen + 1 };
                 let so = self.halved_at.is_some_and(|before| part <= before + BETTER);
-                let further = if seen { part >= GOOD || so && part >= FAILING } else { unseen >= UNSEEN };
+                let further = if seen {
+                    part >= GOOD || so && part >= FAILING
+                } else {
+                    unseen >= UNSEEN
+                };
                 let most = most.unwrap_or(0);
                 if further && self.step >= most {
                     self.turn(now, Phase::Well, 1);
@@ -169,7 +188,11 @@
                     if seen {
                         self.halved_at = Some(part);
                     }
-                    self.turn(now, Phase::Returns, if seen { self.step / 2 } else { self.step }.max(1));
+                    self.turn(
+                        now,
+                        Phase::Returns,
+                        if seen { self.step / 2 } else { self.step }.max(1),
+                    );
                     self.unseen = unseen;
                 }
             }
@@ -184,7 +207,9 @@
         }
         if phase == Phase::Returns {
             // Who has not called it since it failed says that it fails until it does.
-            self.hosts.values_mut().for_each(|(_, sight)| sight.failing = 0);
+            self.hosts
+                .values_mut()
+                .for_each(|(_, sight)| sight.failing = 0);
         }
     }
 }
--- a/crates/merlinshelf-shares/src/spender.rs
+++ b/crates/merlinshelf-shares/src/spender.rs
@@ -30,8 +30,13 @@
 
 impl Left {
     /// Nothing is bounded.
-    pub const ALL: Left =
-        Left { closed: false, opens: false, again: u32::MAX, probes: u32::MAX, first: u32::MAX };
+    pub const ALL: Left = Left {
+        closed: false,
+        opens: false,
+        again: u32::MAX,
+        probes: u32::MAX,
+        first: u32::MAX,
+    };
 }
 
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
@@ -66,7 +71,12 @@
 impl Spender {
     /// One that holds nothing. `life` is a number that no other process of the instance has.
     pub fn new(life: u64, lease: Lease) -> Spender {
-        Spender { life, lease, rounds: Rounds::default(), places: BTreeMap::new() }
+        Spender {
+            life,
+            lease,
+            rounds: Rounds::default(),
+            places: BTreeMap::new(),
+        }
     }
 
     /// What is bounded from here on, by the policy that is acted on. What is held of what stays is kept.
@@ -74,11 +84,16 @@
         self.places.retain(|name, _| budgets.contains_key(name));
         for (name, kinds) in budgets {
             // Of one that is new here nothing is known: it is taken for one that comes back.
-            let place =
-                self.places.entry(name.clone()).or_insert_with(|| Place { new: true, ..Place::default() });
+            let place = self.places.entry(name.clone()).or_insert_with(|| Place {
+                new: true,
+                ..Place::default()
+            });
             place.holders.retain(|kind, _| kinds.contains_key(kind));
             for kind in kinds.keys() {
-                place.holders.entry(*kind).or_insert_with(|| Holder::new(self.life, self.lease));
+                place
+                    .holders
+                    .entry(*kind)
+                    .or_insert_with(|| Holder::new(self.life, self.lease));
             }
         }
     }
@@ -87,11 +102,19 @@
     pub fn pass(&mut self, life: u64) -> Spender {
         let left = std::mem::replace(self, Spender::new(life, self.lease));
         let of = |place: &Place| Place {
-            holders: place.holders.keys().map(|kind| (*kind, Holder::new(life, left.lease))).collect(),
+            holders: place
+                .holders
+                .keys()
+                .map(|kind| (*kind, Holder::new(life, left.lease)))
+                .collect(),
             drawn: BTreeMap::new(),
             ..place.clone()
         };
-        self.places = left.places.iter().map(|(name, place)| (name.clone(), of(place))).collect();
+        self.places = left
+            .places
+            .iter()
+            .map(|(name, place)| (name.clone(), of(place)))
+            .collect();
         left
     }
 
@@ -102,7 +125,9 @@
 
     /// What may be spent now.
     pub fn left(&mut self, now: f64, name: &str) -> Left {
-        let Some(place) = self.places.get_mut(name) else { return Left::ALL };
+        let Some(place) = self.places.get_mut(name) else {
+            return Left::ALL;
+        };
         if std::mem::take(&mut place.new) {
             place.alone_until = now + ALONE_S;
         }
@@ -117,13 +142,19 @@
                 _ if now < place.probes_from => 0,
                 _ => place.left(now, Kind::Probes),
             },
-            first: if first { place.left(now, Kind::First) } else { u32::MAX },
+            first: if first {
+                place.left(now, Kind::First)
+            } else {
+                u32::MAX
+            },
         }
     }
 
     /// Connections that may be opened now.
     pub fn may_open(&mut self, now: f64, name: &str) -> u32 {
-        self.places.get_mut(name).map_or(u32::MAX, |place| place.left(now, Kind::Opened))
+        self.places
+            .get_mut(name)
+            .map_or(u32::MAX, |place| place.left(now, Kind::Opened))
     }
 
     /// Whether a call of this kind is bounded now.
@@ -150,7 +181,9 @@
 
     /// So many were made, of those that were left. What is not bounded is not counted.
     pub fn spent(&mut self, now: f64, name: &str, kind: Kind, calls: u32) {
-        let Some(place) = self.places.get_mut(name) else { return };
+        let Some(place) = self.places.get_mut(name) else {
+            return;
+        };
         let drawn = u32::from(calls > 0 && place.drawn.remove(&kind).is_some());
         if let Some(holder) = place.holders.get_mut(&kind) {
             holder.spent(now, calls - drawn);
@@ -160,7 +193,10 @@
     /// Whether one is to be drawn from what the host has set aside, for a call that is wanted now.
     pub fn lacks(&mut self, now: f64, name: &str, kind: Kind) -> bool {
         self.is_bounded(now, name, kind)
-            && self.places.get_mut(name).is_some_and(|place| place.left(now, kind) == 0)
+            && self
+                .places
+                .get_mut(name)
+                .is_some_and(|place| place.left(now, kind) == 0)
     }
 
     /// One was drawn.
@@ -203,7 +239,9 @@
 
     /// Dependencies and kinds that are bounded.
     pub fn kinds(&self) -> impl Iterator<Item = (&String, Kind)> {
-        self.places.iter().flat_map(|(name, place)| place.holders.keys().map(move |kind| (name, *kind)))
+        self.places
+            .iter()
+            .flat_map(|(name, place)| place.holders.keys().map(move |kind| (name, *kind)))
     }
 
     /// A round: what is asked of the host.
@@ -218,11 +256,27 @@
                 bad: std::mem::take(&mut place.bad),
             };
             let phase = place.phase.map(|(phase, _)| phase);
-            let claims = place.holders.iter_mut().map(|(kind, holder)| (*kind, holder.claim(now))).collect();
-            (name.clone(), PlaceAsked { sight, phase, claims })
+            let claims = place
+                .holders
+                .iter_mut()
+                .map(|(kind, holder)| (*kind, holder.claim(now)))
+                .collect();
+            (
+                name.clone(),
+                PlaceAsked {
+                    sight,
+                    phase,
+                    claims,
+                },
+            )
         });
         let places = places.collect();
-        Asked { life: self.life, token: self.rounds.begin(now), zone: String::new(), places }
+        Asked {
+            life: self.life,
+            token: self.rounds.begin(now),
+            zone: String::new(),
+            places,
+        }
     }
 
     /// The host's answer, however late.
@@ -230,10 +284,14 @@
         if given.life != self.life {
             return;
         }
-        let Some(asked) = self.rounds.answered(given.token) else { return };
+        let Some(asked) = self.rounds.answered(given.token) else {
+            return;
+        };
         let until = asked + self.lease.held_for(self.lease.lease_s);
         for (name, of) in &given.places {
-            let Some(place) = self.places.get_mut(name) else { continue };
+            let Some(place) = self.places.get_mut(name) else {
+                continue;
+            };
             if let Some(phase) = of.phase.filter(|_| now < until) {
                 let before = place.phase.replace((phase, until)).map(|(phase, _)| phase);
                 place.opens |= before == Some(Phase::Fails) && phase != Phase::Fails;
@@ -242,7 +300,9 @@
                 }
             }
             for (kind, share) in &of.shares {
-                let Some(holder) = place.holders.get_mut(kind) else { continue };
+                let Some(holder) = place.holders.get_mut(kind) else {
+                    continue;
+                };
                 let before = holder.may(now).0;
                 holder.granted(share);
                 if *kind == Kind::Probes && before == 0 && holder.may(now).0 > 0 {
@@ -273,7 +333,9 @@
     }
 
     fn left(&mut self, now: f64, kind: Kind) -> u32 {
-        let Some(holder) = self.holders.get_mut(&kind) else { return u32::MAX };
+        let Some(holder) = self.holders.get_mut(&kind) else {
+            return u32::MAX;
+        };
         let drawn = self.drawn.get(&kind).is_some_and(|until| now < *until);
         if !drawn {
             self.drawn.remove(&kind);
--- a/crates/merlinshelf-shares/src/words.rs
+++ b/crates/merlinshelf-shares/src/words.rs
@@ -103,7 +103,11 @@
 
     /// When the round was begun that this answers; each and all before it are answered once.
     pub fn answered(&mut self, token: u64) -> Option<f64> {
-        let at = self.open.iter().find(|(of, _)| *of == token).map(|(_, at)| *at)?;
+        let at = self
+            .open
+            .iter()
+            .find(|(of, _)| *of == token)
+            .map(|(_, at)| *at)?;
         self.open.retain(|(of, _)| *of > token);
         Some(at)
     }
--- a/crates/merlinshelf-shares/tests/model.rs
+++ b/crates/merlinshelf-shares/tests/model.rs
@@ -9,7 +9,10 @@
 
 const HOSTS: usize = 3;
 const EACH: usize = 4;
-const LEASE: Lease = Lease { lease_s: 2.0, drift: 0.02 };
+const LEASE: Lease = Lease {
+    lease_s: 2.0,
+    drift: 0.02,
+};
 const ROUND: f64 = 0.125;
 
 /// What is wrong on purpose.
@@ -75,7 +78,14 @@
             holder: Holder::new(host as u64 + 1, LEASE),
             keeper: Keeper::first(0.0, LEASE, 0, 1),
             instances: (0..EACH)
-                .map(|place| (rate(), Holder::new((host * EACH + place) as u64 + 1, LEASE), 0.0, 1.0))
+                .map(|place| {
+                    (
+                        rate(),
+                        Holder::new((host * EACH + place) as u64 + 1, LEASE),
+                        0.0,
+                        1.0,
+                    )
+                })
                 .collect(),
             cut: (0.0, 0.0),
         });
@@ -170,7 +180,9 @@
                 if self.planted == Planted::HeardAtOnce {
                     claim.heard = (self.keeper.id(), u64::MAX);
                 }
-                let share = self.keeper.claimed(now * self.keeper_rate, &format!("h{host}"), &claim, None);
+                let share =
+                    self.keeper
+                        .claimed(now * self.keeper_rate, &format!("h{host}"), &claim, None);
                 self.send(Event::Down(host, share));
             }
             Event::Down(host, share) => {
@@ -265,7 +277,9 @@
 }
 
 fn everybody() -> Vec<(usize, usize)> {
-    (0..HOSTS).flat_map(|host| (0..EACH).map(move |place| (host, place))).collect()
+    (0..HOSTS)
+        .flat_map(|host| (0..EACH).map(move |place| (host, place)))
+        .collect()
 }
 
 /// A minute with all that may happen: the worst second against the budget, and how much was made.
@@ -275,8 +289,15 @@
     for part in 0..6 {
         let from = f64::from(part) * 10.0;
         let all = everybody();
-        let greedy: Vec<_> = all.iter().copied().filter(|_| play.rng.random_bool(0.4)).collect();
-        let modest: Vec<_> = all.into_iter().filter(|one| !greedy.contains(one)).collect();
+        let greedy: Vec<_> = all
+            .iter()
+            .copied()
+            .filter(|_| play.rng.random_bool(0.4))
+            .collect();
+        let modest: Vec<_> = all
+            .into_iter()
+            .filter(|one| !greedy.contains(one))
+            .collect();
         play.wishes(from, from + 10.0, 150.0, &greedy);
         play.wishes(from, from + 10.0, 0.3, &modest);
     }
@@ -302,7 +323,11 @@
             }
             _ => {
                 let most = budget;
-                Event::Budget(if play.rng.random_bool(0.5) { most } else { most / 2 })
+                Event::Budget(if play.rng.random_bool(0.5) {
+                    most
+                } else {
+                    most / 2
+                })
             }
         };
         play.after(at, event);
@@ -317,7 +342,10 @@
     for budget in [40, 7, 3, 2] {
         for seed in 0..20 {
             let (worst, made, of) = a_minute(seed, Planted::Nothing, budget);
-            assert!(worst <= budget as usize, "seed {seed}: {worst} in a second, of {budget}");
+            assert!(
+                worst <= budget as usize,
+                "seed {seed}: {worst} in a second, of {budget}"
+            );
             assert!(made > 0, "seed {seed}: nothing is spent of {budget}");
             steps += of;
         }
@@ -343,7 +371,11 @@
             play.run(14.0);
             worst = worst.max(play.worst_second());
         }
-        assert_eq!(worst > 40, planted == Planted::HeardAtOnce, "{planted:?}: {worst}");
+        assert_eq!(
+            worst > 40,
+            planted == Planted::HeardAtOnce,
+            "{planted:?}: {worst}"
+        );
     }
 }
 
@@ -354,7 +386,11 @@
     play.wishes(5.0, 20.0, 200.0, &[(1, 2)]);
     play.run(20.0);
     let within = |from: f64, until: f64| {
-        play.arrived.iter().filter(|at| **at >= from && **at < until).count() as f64 / (until - from)
+        play.arrived
+            .iter()
+            .filter(|at| **at >= from && **at < until)
+            .count() as f64
+            / (until - from)
     };
     assert!(within(8.0, 20.0) >= 0.9 * 40.0, "{}", within(8.0, 20.0));
 }
@@ -393,7 +429,10 @@
                 break;
             }
         }
-        assert!(given_at > 3.0, "the first one's is counted until then: {given_at}");
+        assert!(
+            given_at > 3.0,
+            "the first one's is counted until then: {given_at}"
+        );
         if counts_from_arrival {
             lies.for_s += given_at; // the planted fault
         }
--- a/crates/merlinshelf-shares/tests/parts.rs
+++ b/crates/merlinshelf-shares/tests/parts.rs
@@ -7,10 +7,18 @@
     Bank, Budgets, CATALOGUE, House, Kind, Lease, Phase, Recovery, Sight, Spender, purse,
 };
 
-const LEASE: Lease = Lease { lease_s: 2.0, drift: 0.02 };
+const LEASE: Lease = Lease {
+    lease_s: 2.0,
+    drift: 0.02,
+};
 
 fn sight(instances: u32, failing: u32, good: u32, bad: u32) -> Sight {
-    Sight { instances, failing, good, bad }
+    Sight {
+        instances,
+        failing,
+        good,
+        bad,
+    }
 }
 
 fn budgets(kinds: &[(Kind, u32)]) -> Budgets {
@@ -56,7 +64,11 @@
         }
         fares.heard(now, "one", sight);
         fares.advance(now, most);
-        lines.push(format!("{now:>4} {what}: {:?} {}", fares.phase(), fares.step()));
+        lines.push(format!(
+            "{now:>4} {what}: {:?} {}",
+            fares.phase(),
+            fares.step()
+        ));
     }
     insta::assert_snapshot!(lines.join("\n"));
 }
@@ -68,7 +80,10 @@
         fares.advance(f64::from(*tick) * 0.1, Some(16));
         fares.phase() == Phase::Well
     });
-    assert!(opened.is_some_and(|tick| (20..80).contains(&tick)), "{opened:?}");
+    assert!(
+        opened.is_some_and(|tick| (20..80).contains(&tick)),
+        "{opened:?}"
+    );
 }
 
 #[test]
@@ -84,11 +99,16 @@
             Err(next) => bytes = next.unwrap_or(bytes),
         }
     }
-    assert!(drawn.windows(4).all(|four| four[3] - four[0] > 1.05), "{drawn:?}");
+    assert!(
+        drawn.windows(4).all(|four| four[3] - four[0] > 1.05),
+        "{drawn:?}"
+    );
     assert!(drawn.len() >= 12, "{drawn:?}");
     let torn = purse::draw(&bytes[..bytes.len() - 3], 105.0, 3, 0.02).expect_err("torn");
     let torn = torn.expect("counted as spent");
-    assert!(purse::draw(&torn, 105.5, 3, 0.02).is_err() && purse::draw(&torn, 106.1, 3, 0.02).is_ok());
+    assert!(
+        purse::draw(&torn, 105.5, 3, 0.02).is_err() && purse::draw(&torn, 106.1, 3, 0.02).is_ok()
+    );
     // Later than now: from before the machine's last start.
     assert!(purse::draw(&1e9_f64.to_le_bytes(), 5.0, 1, 0.02).is_ok());
     assert!(purse::draw(&f64::NAN.to_le_bytes(), 5.0, 1, 0.02).is_err());
@@ -110,7 +130,12 @@
         house.bound(0.0, all);
         let mut spender = Spender::new(7, LEASE);
         spender.bound(all);
-        Three { bank, house, spender, now: 0.0 }
+        Three {
+            bank,
+            house,
+            spender,
+            now: 0.0,
+        }
     }
 
     fn round(&mut self) {
@@ -128,13 +153,23 @@
 #[test]
 fn an_instance_is_bounded_until_it_is_known_how_the_dependency_fares() {
     let all = budgets(&[(Kind::First, 16), (Kind::Probes, 3), (Kind::Again, 5)]);
-    let mut three = Three::new(&all, &budgets(&[(Kind::First, 1), (Kind::Probes, 1), (Kind::Again, 1)]));
+    let mut three = Three::new(
+        &all,
+        &budgets(&[(Kind::First, 1), (Kind::Probes, 1), (Kind::Again, 1)]),
+    );
     let left = three.spender.left(0.0, CATALOGUE);
-    assert_eq!((left.first, left.probes, left.again, left.closed), (0, 0, 0, false));
+    assert_eq!(
+        (left.first, left.probes, left.again, left.closed),
+        (0, 0, 0, false)
+    );
     assert!(three.spender.lacks(0.0, CATALOGUE, Kind::First));
     three.spender.drew(0.0, CATALOGUE, Kind::First);
     assert_eq!(three.spender.left(0.01, CATALOGUE).first, 1);
-    assert_eq!(three.spender.left(0.03, CATALOGUE).first, 0, "what was drawn is made at once or not at all");
+    assert_eq!(
+        three.spender.left(0.03, CATALOGUE).first,
+        0,
+        "what was drawn is made at once or not at all"
+    );
     // Nobody else calls it: it is opened in steps, and then first calls are not bounded.
     (0..40).for_each(|_| three.round());
     assert_eq!(three.spender.phase(three.now, CATALOGUE), Some(Phase::Well));
@@ -155,7 +190,8 @@
     // The probe went well: it is said once that what failed here counts no more.
     (0..2).for_each(|_| three.round());
     assert!(
-        three.spender.left(three.now, CATALOGUE).opens && !three.spender.left(three.now, CATALOGUE).opens
+        three.spender.left(three.now, CATALOGUE).opens
+            && !three.spender.left(three.now, CATALOGUE).opens
     );
     // Nobody says anything any more: a share is over after its lease.
     assert_eq!(three.spender.left(three.now + 2.1, CATALOGUE).probes, 0);
@@ -174,17 +210,30 @@
     three.spender.spent(three.now, CATALOGUE, Kind::Again, 4);
     let mut successor = three.spender.pass(8);
     assert_eq!(three.spender.left(three.now, CATALOGUE).again, 0);
-    assert_eq!(successor.left(three.now, CATALOGUE).again, before - 4, "what was spent counts on");
+    assert_eq!(
+        successor.left(three.now, CATALOGUE).again,
+        before - 4,
+        "what was spent counts on"
+    );
 }
 
 #[test]
 fn figures_that_can_not_be_are_named() {
     assert_eq!(check(&budgets(&[(Kind::Probes, 5)])), Ok(()));
-    let figures =
-        [0, 1_000_001].map(|calls| check(&budgets(&[(Kind::First, calls)])).expect_err("it can't be"));
-    let none =
-        check_against(&budgets(&[(Kind::Again, 5)]), &Budgets::new(), None).expect_err("not in the base");
-    let fewer = check_against(&budgets(&[(Kind::Again, 5)]), &budgets(&[(Kind::Again, 2)]), Some(3));
-    let lines = [figures[0].clone(), figures[1].clone(), none, fewer.expect_err("too few")];
+    let figures = [0, 1_000_001]
+        .map(|calls| check(&budgets(&[(Kind::First, calls)])).expect_err("it can't be"));
+    let none = check_against(&budgets(&[(Kind::Again, 5)]), &Budgets::new(), None)
+        .expect_err("not in the base");
+    let fewer = check_against(
+        &budgets(&[(Kind::Again, 5)]),
+        &budgets(&[(Kind::Again, 2)]),
+        Some(3),
+    );
+    let lines = [
+        figures[0].clone(),
+        figures[1].clone(),
+        none,
+        fewer.expect_err("too few"),
+    ];
     insta::assert_snapshot!(lines.join("\n"));
 }
--- a/crates/merlinshelf/src/lib.rs
+++ b/crates/merlinshelf/src/lib.rs
@@ -209,6 +209,10 @@
 /// Nothing is bounded.
 impl Default for Spend {
     fn default() -> Spend {
-        Spend { left: [u32::MAX; 3], closed: false, opens: false }
+        Spend {
+            left: [u32::MAX; 3],
+            closed: false,
+            opens: false,
+        }
     }
 }
--- a/crates/merlinshelf/src/shedder.rs
+++ b/crates/merlinshelf/src/shedder.rs
@@ -12,7 +12,8 @@
 use rand_pcg::Pcg32;
 
 use crate::{
-    Beliefs, Believed, Decided, Inv, Invocation, Learnt, LearntOfOperation, Outcome, Settings, Spend, Stage,
+    Beliefs, Believed, Decided, Inv, Invocation, Learnt, LearntOfOperation, Outcome, Settings,
+    Spend, Stage,
 };
 
 #[cfg(test)]
@@ -42,25 +43,81 @@
 const BEAT: f64 = 0.01; // between looks at the clock: well under any slack, 100 cheap timers a second
 const MARGIN: f64 = 0.02; // two beats before what is due
 
-type Rule = (&'static str, fn(&Shedder) -> Option<usize>, fn(&mut Shedder, usize));
+type Rule = (
+    &'static str,
+    fn(&Shedder) -> Option<usize>,
+    fn(&mut Shedder, usize),
+);
 
 /// All that is decided, in order of precedence.
 const RULES: &[Rule] = &[
-    ("answer what falls due", Shedder::falls_due, Shedder::give_up),
-    ("stop work that nobody waits for", Shedder::unwanted_run, Shedder::stop),
+    (
+        "answer what falls due",
+        Shedder::falls_due,
+        Shedder::give_up,
+    ),
+    (
+        "stop work that nobody waits for",
+        Shedder::unwanted_run,
+        Shedder::stop,
+    ),
     ("keep within memory", Shedder::over_memory, Shedder::give_up),
-    ("join repeats", |s| s.first(|it| it.stage == Stage::Read && it.told.repeats), Shedder::join),
-    ("turn away after the grace", Shedder::after_grace, Shedder::throttle),
-    ("raise the limit while cores idle", Shedder::cores_idle, Shedder::raise),
-    ("cut by group over the limit", Shedder::over_limit, Shedder::throttle),
-    ("turn away what comes too late", Shedder::too_late, Shedder::throttle),
+    (
+        "join repeats",
+        |s| s.first(|it| it.stage == Stage::Read && it.told.repeats),
+        Shedder::join,
+    ),
+    (
+        "turn away after the grace",
+        Shedder::after_grace,
+        Shedder::throttle,
+    ),
+    (
+        "raise the limit while cores idle",
+        Shedder::cores_idle,
+        Shedder::raise,
+    ),
+    (
+        "cut by group over the limit",
+        Shedder::over_limit,
+        Shedder::throttle,
+    ),
+    (
+        "turn away what comes too late",
+        Shedder::too_late,
+        Shedder::throttle,
+    ),
     ("hold the rest", Shedder::newly_read, Shedder::hold),
-    ("drop held work past its objective", Shedder::hopeless, Shedder::throttle),
-    ("give up calls that lead nowhere", Shedder::call_is_lost, Shedder::give_up),
-    ("leave out calls that come too late", Shedder::call_to_skip, Shedder::degrade),
-    ("call below within the share", Shedder::call_to_make, Shedder::call),
-    ("start the best while cores are free", Shedder::startable, Shedder::begin),
-    ("tell checks and callers", Shedder::word_is_old, Shedder::tell),
+    (
+        "drop held work past its objective",
+        Shedder::hopeless,
+        Shedder::throttle,
+    ),
+    (
+        "give up calls that lead nowhere",
+        Shedder::call_is_lost,
+        Shedder::give_up,
+    ),
+    (
+        "leave out calls that come too late",
+        Shedder::call_to_skip,
+        Shedder::degrade,
+    ),
+    (
+        "call below within the share",
+        Shedder::call_to_make,
+        Shedder::call,
+    ),
+    (
+        "start the best while cores are free",
+        Shedder::startable,
+        Shedder::begin,
+    ),
+    (
+        "tell checks and callers",
+        Shedder::word_is_old,
+        Shedder::tell,
+    ),
 ];
 
 #[derive(Default)]
@@ -86,7 +143,7 @@
     progress: f64,
     entries: VecDeque<(f64, usize)>,
     calls: VecDeque<(f64, f64)>, // start and end of the last ones, of abandoned ones with their stay below
-    call_times: VecDeque<f64>,   // durations; then their lowest mean, and calls until it is taken anew
+    call_times: VecDeque<f64>, // durations; then their lowest mean, and calls until it is taken anew
     call_lowest: f64,
     call_probe: u32,
     call_limit: f64,
@@ -98,8 +155,8 @@
     level_at: f64,
     told: Option<(bool, Option<f64>, f64)>, // health, level, idle time of connections
     callers: BTreeMap<u64, f64>,            // when each came last
-    asked: VecDeque<(f64, f64)>,            // when the last arrivals came, and their expected time on a core
-    gaps: VecDeque<f64>,                    // after how long the callers of the last arrivals had come back
+    asked: VecDeque<(f64, f64)>, // when the last arrivals came, and their expected time on a core
+    gaps: VecDeque<f64>,         // after how long the callers of the last arrivals had come back
     agains: VecDeque<f64>, // whether the last arrivals were further tries, unmarked: the last decided refused
     beliefs: Beliefs,      // on the word of others: nothing on the ordinary path
     spend: Spend,          // what a fleet's budgets leave: all of it on the ordinary path
@@ -119,7 +176,8 @@
 
 /// What others' word counts beside so many own samples: as three at the most, nothing beside eight.
 fn told(own: usize, word: Option<Believed>) -> (f64, f64) {
-    word.filter(|_| own < 8).map_or((0.0, 0.0), |it| (it.value, 3.0 * it.weight.clamp(0.0, 1.0)))
+    word.filter(|_| own < 8)
+        .map_or((0.0, 0.0), |it| (it.value, 3.0 * it.weight.clamp(0.0, 1.0)))
 }
 
 fn mean_beside(samples: &VecDeque<f64>, word: Option<Believed>) -> f64 {
@@ -131,27 +189,52 @@
 impl Shedder {
     /// A new instance. Fails on a setting that it uses and cannot read, naming it.
     pub fn start(now: f64, seed: u64, settings: Settings) -> Result<(Self, Decided), String> {
-        let numeric = ["Us", "Kb", ".Worth", "eWorth", "Cores", "CallShare", "Factor", "Multiple", "count"];
+        let numeric = [
+            "Us",
+            "Kb",
+            ".Worth",
+            "eWorth",
+            "Cores",
+            "CallShare",
+            "Factor",
+            "Multiple",
+            "count",
+        ];
         let also = ["Total", "PerS", "Capacity", "Stretch", "Servers"];
         let number = |name: &str| numeric.iter().chain(&also).any(|end| name.ends_with(end));
         let unread = |text: &str| text.parse::<f64>().map_or(true, |value| !value.is_finite());
         let mut out = Decided::default();
         // What is no known word is named, and taken for the strictest: it runs once, and nothing is halted.
-        let words =
-            [(".Effect", "read_like idempotency_key non_idempotent"), (".Halt", "silent discard freeze")];
+        let words = [
+            (".Effect", "read_like idempotency_key non_idempotent"),
+            (".Halt", "silent discard freeze"),
+        ];
         for (name, text) in &settings {
             if number(name) && unread(text) {
                 return Err(format!("setting {name}={text:?} is no number"));
             }
-            let known = words.iter().find(|(end, _)| name.ends_with(end)).map_or("", |(_, known)| known);
+            let known = words
+                .iter()
+                .find(|(end, _)| name.ends_with(end))
+                .map_or("", |(_, known)| known);
             if !known.is_empty() && known.split(' ').all(|word| word != text) {
-                out.notes.push(format!("setting {name}={text:?} is none of: {known}"));
+                out.notes
+                    .push(format!("setting {name}={text:?} is none of: {known}"));
             }
         }
-        let mut new =
-            Shedder { settings, now, out, salt: seed, born: now, busy_at: now, ..Shedder::default() };
+        let mut new = Shedder {
+            settings,
+            now,
+            out,
+            salt: seed,
+            born: now,
+            busy_at: now,
+            ..Shedder::default()
+        };
         new.rng = Some(Pcg32::seed_from_u64(seed));
-        new.ops = (0..new.num("Classes.count", 0.0).max(1.0) as usize).map(|op| new.operation(op)).collect();
+        new.ops = (0..new.num("Classes.count", 0.0).max(1.0) as usize)
+            .map(|op| new.operation(op))
+            .collect();
         if let Some(op) = new.ops.iter().position(|op| op.tokened && op.window <= 0.0) {
             return Err(format!(
                 "setting Classes.{op}.MemorySpanUs is missing or 0, but its effect needs it"
@@ -226,8 +309,10 @@
             (op.lowest, op.until_probe) = (of.lowest, of.until_probe);
         }
         (self.born, self.leave_at, self.progress) = (learnt.born, learnt.leave_at, learnt.progress);
-        (self.limit, self.busy, self.busy_at) = (learnt.limit.max(self.cores()), learnt.busy, learnt.busy_at);
-        (self.others, self.arrivals, self.callers) = (learnt.others, learnt.arrivals, learnt.callers);
+        (self.limit, self.busy, self.busy_at) =
+            (learnt.limit.max(self.cores()), learnt.busy, learnt.busy_at);
+        (self.others, self.arrivals, self.callers) =
+            (learnt.others, learnt.arrivals, learnt.callers);
         (self.gaps, self.agains, self.calls) = (learnt.gaps, learnt.agains, learnt.calls);
         (self.call_times, self.call_lowest) = (learnt.call_times, learnt.call_lowest);
         (self.call_probe, self.call_limit) = (learnt.call_probe, learnt.call_limit);
@@ -237,20 +322,28 @@
     /// Takes what is believed on the word of others, as often as it changes. Limits start from it and move by
     /// one's own samples alone; durations count beside the first few of these (`told`).
     pub fn believe(&mut self, beliefs: Beliefs) {
-        let towards = |from: f64, word: Believed| from + (word.value - from) * word.weight.clamp(0.0, 1.0);
+        let towards =
+            |from: f64, word: Believed| from + (word.value - from) * word.weight.clamp(0.0, 1.0);
         if self.call_times.is_empty() && self.call_failures == 0 {
             let share = self.num("FamilyInfo.CallShare", f64::INFINITY);
             if let Some(word) = beliefs.call_limit.filter(|_| share.is_finite()) {
-                self.call_limit = towards(0.4 * share, word).clamp((0.25 * share).min(1.0), 0.4 * share);
+                self.call_limit =
+                    towards(0.4 * share, word).clamp((0.25 * share).min(1.0), 0.4 * share);
             }
             if let Some(word) = beliefs.call_lowest {
                 (self.call_lowest, self.call_probe) = (word.value, 24); // then taken anew from own ones
             }
-            if beliefs.call_failures.is_some_and(|word| word.value >= 5.0 && word.weight > 0.2) {
+            if beliefs
+                .call_failures
+                .is_some_and(|word| word.value >= 5.0 && word.weight > 0.2)
+            {
                 (self.call_failures, self.call_failed_at) = (5, self.now - 0.5); // one trial, at once
             }
         }
-        if let Some(word) = beliefs.limit.filter(|_| self.ops.iter().all(|op| op.runs.is_empty())) {
+        if let Some(word) = beliefs
+            .limit
+            .filter(|_| self.ops.iter().all(|op| op.runs.is_empty()))
+        {
             let most = self.survivable().min(2.0 * self.cores());
             self.limit = towards(self.cores(), word).min(most).max(self.cores());
         }
@@ -265,8 +358,14 @@
     /// What a fleet's budgets leave for calls below until told anew, and what it knows of the dependency;
     /// says what of the last was left over, and whether the dependency fails here.
     pub fn spend(&mut self, left: Spend) -> (Spend, bool) {
-        let (fails, most) = (self.call_failures >= 5, if left.opens { 4 } else { u32::MAX });
-        self.call_failures = self.call_failures.min(most).max(if left.closed { 5 } else { 0 });
+        let (fails, most) = (
+            self.call_failures >= 5,
+            if left.opens { 4 } else { u32::MAX },
+        );
+        self.call_failures = self
+            .call_failures
+            .min(most)
+            .max(if left.closed { 5 } else { 0 });
         (std::mem::replace(&mut self.spend, left), fails)
     }
 
@@ -278,7 +377,8 @@
     /// Takes one up where a predecessor left it, in the order of arrival; decided on with what happens next.
     pub fn carry_on(&mut self, inv: usize, mut it: Inv) {
         it.told.operation = it.told.operation.min(self.ops.len() - 1);
-        self.invs.resize_with(self.invs.len().max(inv + 1), Inv::default);
+        self.invs
+            .resize_with(self.invs.len().max(inv + 1), Inv::default);
         self.invs[inv] = it;
         self.live.push(inv);
     }
@@ -291,26 +391,45 @@
         if let Some(budget) = told.budget.filter(|_| !self.marked) {
             let budgets = &mut self.ops[told.operation].budgets;
             sample(budgets, budget + told.age);
-            told.again = budget + told.age < 0.75 * budgets.iter().fold(0.0, |most, &it| it.max(most));
+            told.again =
+                budget + told.age < 0.75 * budgets.iter().fold(0.0, |most, &it| it.max(most));
         }
         let op = &self.ops[told.operation];
         let arrived = now - told.age;
-        let due = told.budget.map_or(arrived + op.timeout, |budget| now + budget);
+        let due = told
+            .budget
+            .map_or(arrived + op.timeout, |budget| now + budget);
         let stretched = op.objective + op.stretch * told.cost.unwrap_or(0.0);
         // A further try has spent four tenths of the objective elsewhere (0 tried), or less by its budget.
         let aim = stretched.min(op.timeout);
-        let bound = told.budget.map_or(aim, |budget| op.timeout - budget - told.age);
+        let bound = told
+            .budget
+            .map_or(aim, |budget| op.timeout - budget - told.age);
         let spent = bound.clamp(0.0, 0.4 * aim);
         let by = (arrived + aim - if told.again { spent } else { 0.0 }).min(due);
         let over_share = self.beyond_share(told.customer);
-        let before = self.callers.insert(told.caller, now).unwrap_or(f64::NEG_INFINITY);
+        let before = self
+            .callers
+            .insert(told.caller, now)
+            .unwrap_or(f64::NEG_INFINITY);
         sample(&mut self.gaps, now - before);
         if self.marked {
             sample(&mut self.agains, f64::from(u8::from(told.again)));
         }
-        told.repeats &= !told.earlier.is_some_and(|earlier| self.unrun.contains(&earlier));
-        self.invs.resize_with(self.invs.len().max(inv + 1), Inv::default);
-        self.invs[inv] = Inv { told, arrived, due, by, since: now, over_share, ..Inv::default() };
+        told.repeats &= !told
+            .earlier
+            .is_some_and(|earlier| self.unrun.contains(&earlier));
+        self.invs
+            .resize_with(self.invs.len().max(inv + 1), Inv::default);
+        self.invs[inv] = Inv {
+            told,
+            arrived,
+            due,
+            by,
+            since: now,
+            over_share,
+            ..Inv::default()
+        };
         let work = self.core_time(&self.invs[inv]);
         sample(&mut self.asked, (now, work));
         self.live.push(inv);
@@ -325,7 +444,12 @@
         }
         self.leave_call(inv, outcome);
         let it = &self.invs[inv];
-        let (op, away, cost, entry) = (it.told.operation, it.away, it.told.cost.unwrap_or(1.0), it.entry);
+        let (op, away, cost, entry) = (
+            it.told.operation,
+            it.away,
+            it.told.cost.unwrap_or(1.0),
+            it.entry,
+        );
         let (ran, whole) = (it.stage != Stage::Joined, outcome.succeeded && !it.stopping);
         self.progress = if ran { now } else { self.progress };
         if ran && whole {
@@ -363,7 +487,11 @@
             self.leave_call(inv, outcome);
             let it = &mut self.invs[inv];
             it.unsure = !outcome.succeeded && !outcome.never_ran;
-            it.stage = if outcome.succeeded { Stage::Running } else { Stage::AtCall };
+            it.stage = if outcome.succeeded {
+                Stage::Running
+            } else {
+                Stage::AtCall
+            };
             self.progress = now;
         }
         self.settle()
@@ -409,13 +537,15 @@
         it.lowest = it.lowest.min(duration);
         let queue = limit * (1.0 - it.lowest / duration);
         let log = limit.max(2.0).log10();
-        let step = f64::from(u8::from(queue < ALPHA * log)) - f64::from(u8::from(queue > BETA * log));
+        let step =
+            f64::from(u8::from(queue < ALPHA * log)) - f64::from(u8::from(queue > BETA * log));
         self.limit = (limit + step * log).min(most).max(self.cores());
     }
 
     fn cores_idle(&self) -> Option<usize> {
         let waits = self.in_hand() as f64 > self.limit && self.limit < self.survivable();
-        self.newly_read().filter(|_| waits && self.load() <= Self::CUT_FROM)
+        self.newly_read()
+            .filter(|_| waits && self.load() <= Self::CUT_FROM)
     }
 
     fn raise(&mut self, _: usize) {
@@ -427,14 +557,19 @@
     fn over_limit(&self) -> Option<usize> {
         let load = self.load();
         let over = self.in_hand() as f64 > self.limit && load > Self::CUT_FROM;
-        self.newly_read().filter(|&inv| over && self.group(inv) > 640.0 * (1.0 - load.powi(3)))
+        self.newly_read()
+            .filter(|&inv| over && self.group(inv) > 640.0 * (1.0 - load.powi(3)))
     }
 
     /// Five bands from rank, the lowest rank with the highest number, and 128 cohorts of callers. The seed
     /// goes into the cohort, so that no caller is shut out on all servers for the same hour.
     fn group(&self, inv: usize) -> f64 {
         let it = &self.invs[inv];
-        let rank = if it.over_share { 0.0 } else { it.told.rank.clamp(0.0, 0.999) };
+        let rank = if it.over_share {
+            0.0
+        } else {
+            it.told.rank.clamp(0.0, 0.999)
+        };
         let hour = (self.now / 3600.0) as u64;
         let mixed = (it.told.caller ^ self.salt.rotate_left(17) ^ hour.rotate_left(40))
             .wrapping_mul(0x9E37_79B9_7F4A_7C15);
@@ -444,7 +579,11 @@
     /// Share of the cores busy; all where the gauge is old, or falls because work has stopped while reading
     /// goes on: the cut must not then admit everything.
     fn load(&self) -> f64 {
-        if self.now - self.busy_at > 0.5 || self.hangs() { 1.0 } else { self.busy }
+        if self.now - self.busy_at > 0.5 || self.hangs() {
+            1.0
+        } else {
+            self.busy
+        }
     }
 
     /// Every core has a run, none has moved for three mean runs, and the gauge has fallen: two long runs on
@@ -461,7 +600,8 @@
     }
 
     fn due(&self, it: &Inv) -> f64 {
-        self.leave_at.map_or(it.due, |(_, stop)| it.due.min(stop - MARGIN))
+        self.leave_at
+            .map_or(it.due, |(_, stop)| it.due.min(stop - MARGIN))
     }
 
     /// The final answer to what can't be had: turned away if unrun, else errored, as is a joined repeat.
@@ -473,7 +613,10 @@
         it.answered = true;
         if matches!(it.stage, Stage::AtCall | Stage::Calling) {
             // Its time below counts, else a slow dependency shows only in the calls that it let through.
-            sample(&mut self.ops[it.told.operation].below, it.away + now - it.since);
+            sample(
+                &mut self.ops[it.told.operation].below,
+                it.away + now - it.since,
+            );
         }
         self.out.errored.push(inv);
         self.drop_waiting(inv);
@@ -481,16 +624,30 @@
 
     fn throttle(&mut self, inv: usize) {
         let allowed = self.text("Allowed.RetryAfter") == "true";
-        let most = if allowed { self.secs("Allowed.MaxRetryAfterUs", 0.0) } else { 0.0 };
+        let most = if allowed {
+            self.secs("Allowed.MaxRetryAfterUs", 0.0)
+        } else {
+            0.0
+        };
         let work: f64 = self.all(|_| true).map(|it| self.core_time(it)).sum();
         let clear = work / self.cores() * (0.25 + 0.5 * self.chance()); // half of it, spread
         let never = self.ops[self.invs[inv].told.operation].objective == 0.0; // switched off for all
-        let away = if never || self.leave_at.is_some() { most } else { clear.max(BEAT).min(most) };
+        let away = if never || self.leave_at.is_some() {
+            most
+        } else {
+            clear.max(BEAT).min(most)
+        };
         // Not elsewhere where it has been, nor while over a seventh of the last arrivals were further tries:
         // all turn away then. Guards against storms of tries; harm: lost where others have room.
-        let last = never || self.invs[inv].told.again || mean_beside(&self.agains, self.beliefs.again) > 0.15;
+        let last = never
+            || self.invs[inv].told.again
+            || mean_beside(&self.agains, self.beliefs.again) > 0.15;
         self.out.throttled.push((inv, away, last));
-        self.turned.iter_mut().rev().take(1).for_each(|last| *last = true);
+        self.turned
+            .iter_mut()
+            .rev()
+            .take(1)
+            .for_each(|last| *last = true);
         self.decided_on(1.0);
         self.release(inv);
     }
@@ -532,7 +689,11 @@
     fn over_memory(&self) -> Option<usize> {
         let inv = self.newly_read()?;
         let tokened = self.ops[self.invs[inv].told.operation].tokened;
-        let entry = if tokened { self.num("FamilyInfo.KeyKb", 0.0) } else { 0.0 };
+        let entry = if tokened {
+            self.num("FamilyInfo.KeyKb", 0.0)
+        } else {
+            0.0
+        };
         (entry > self.spare_memory()).then_some(inv)
     }
 
@@ -552,12 +713,17 @@
         let from = self.num("Rules.StartCapacity", 0.0);
         let over = self.secs("Rules.WarmUpUs", 0.0).max(1e-6);
         let cold = matches!(self.text("FamilyInfo.FreshStart"), "true" | "1");
-        if cold { (from + (1.0 - from) * (self.now - self.born) / over).min(1.0) } else { 1.0 }
+        if cold {
+            (from + (1.0 - from) * (self.now - self.born) / over).min(1.0)
+        } else {
+            1.0
+        }
     }
 
     /// How many may be on the cores or about to come back to them: the told crowd, less while cold.
     fn survivable(&self) -> f64 {
-        let crowd = self.cores() * (1.0 + (self.num("Rules.FallMultiple", 2.0) - 1.0) * self.warmth());
+        let crowd =
+            self.cores() * (1.0 + (self.num("Rules.FallMultiple", 2.0) - 1.0) * self.warmth());
         (crowd * 0.9).floor().max(1.0) // a tenth less, since the mean is taken over finer steps than ours
     }
 
@@ -567,15 +733,19 @@
         self.newly_read().filter(|&inv| {
             let it = &self.invs[inv];
             let ahead = |one: &Inv| match one.stage {
-                Stage::Running => (self.core_time(one) - (self.now - one.began - one.away)).max(0.0),
+                Stage::Running => {
+                    (self.core_time(one) - (self.now - one.began - one.away)).max(0.0)
+                }
                 Stage::Held if self.density(one) >= self.density(it) => self.core_time(one),
                 _ => 0.0,
             };
             let work: f64 = self.all(|_| true).map(ahead).sum();
             let full = self.on_cores() as f64 >= self.for_runs();
             let never = self.ops[it.told.operation].objective == 0.0; // switched off by the operators
-            let like = |one: &Inv| one.stage == Stage::Running && one.told.operation == it.told.operation;
-            let ends = self.now + if full { work / self.for_runs() } else { 0.0 } + self.whole_time(it);
+            let like =
+                |one: &Inv| one.stage == Stage::Running && one.told.operation == it.told.operation;
+            let ends =
+                self.now + if full { work / self.for_runs() } else { 0.0 } + self.whole_time(it);
             never || (full || !it.told.again && self.first(like).is_some()) && ends > it.by
         })
     }
@@ -614,12 +784,14 @@
         let factor = self.num("FamilyInfo.RunFactor", 1.0);
         let below = self.count(|it| matches!(it.stage, Stage::AtCall | Stage::Calling));
         let on = self.on_cores();
-        if on as f64 >= self.for_runs() || (on + below) as f64 >= self.survivable() || self.hangs() {
+        if on as f64 >= self.for_runs() || (on + below) as f64 >= self.survivable() || self.hangs()
+        {
             return None;
         }
         let free = self.spare_memory();
         // Behind a jam below, work that calls only fills memory; half the cores' number may wait there.
-        let stuck = |it: &Inv| it.stage == Stage::AtCall && self.ops[it.told.operation].skip_value == 0.0;
+        let stuck =
+            |it: &Inv| it.stage == Stage::AtCall && self.ops[it.told.operation].skip_value == 0.0;
         let jam = self.breaker_holds() || self.count(stuck) as f64 >= 0.5 * self.cores();
         let fits = |it: &Inv| {
             let op = &self.ops[it.told.operation];
@@ -636,7 +808,11 @@
     }
 
     fn begin(&mut self, inv: usize) {
-        self.progress = if self.on_cores() == 0 { self.now } else { self.progress };
+        self.progress = if self.on_cores() == 0 {
+            self.now
+        } else {
+            self.progress
+        };
         let (now, it) = (self.now, &mut self.invs[inv]);
         (it.stage, it.began, it.since, it.ran) = (Stage::Running, now, now, true);
         self.out.started.push(inv);
@@ -648,8 +824,17 @@
     fn density(&self, it: &Inv) -> f64 {
         let op = &self.ops[it.told.operation];
         let again = if it.told.again { 0.5 } else { 1.0 }; // 0.2 tried: no better
-        let share = again * if it.over_share { self.num("OverShareWorth", 1.0) } else { 1.0 };
-        let work = if self.by_work { 1.0 } else { self.core_time(it).max(1e-3) };
+        let share = again
+            * if it.over_share {
+                self.num("OverShareWorth", 1.0)
+            } else {
+                1.0
+            };
+        let work = if self.by_work {
+            1.0
+        } else {
+            self.core_time(it).max(1e-3)
+        };
         op.value * share / work
     }
 
@@ -657,12 +842,20 @@
     /// count too: sudden slowness shows before one ends; harm: a long run by chance makes the next look long.
     fn rate(&self, op: usize) -> f64 {
         let (value, weight) = told(self.ops[op].runs.len(), self.word(op));
-        let of = weight * if self.ops[op].costs.is_empty() { 1.0 } else { mean(&self.ops[op].costs) };
+        let of = weight
+            * if self.ops[op].costs.is_empty() {
+                1.0
+            } else {
+                mean(&self.ops[op].costs)
+            };
         let mut took = self.ops[op].runs.iter().sum::<f64>() + value * of;
         let mut cost = (self.ops[op].costs.iter().sum::<f64>() + of).max(1e-9);
         let twice = 2.0 * took / cost;
         for one in self.all(|one| one.stage == Stage::Running && one.told.operation == op) {
-            let (lasts, of) = (self.now - one.began - one.away, one.told.cost.unwrap_or(1.0));
+            let (lasts, of) = (
+                self.now - one.began - one.away,
+                one.told.cost.unwrap_or(1.0),
+            );
             if lasts > twice * of {
                 (took, cost) = (took + lasts, cost + of);
             }
@@ -674,7 +867,11 @@
         // Unsampled: by the hint, longer while cold. Guards successors in a rush; harm: fast ones refuse.
         let op = it.told.operation;
         let unknown = self.ops[op].runs.is_empty() && self.word(op).is_none();
-        let least = if unknown && it.told.cost.is_some() { 1.0 / self.warmth().max(0.1) } else { 0.0 };
+        let least = if unknown && it.told.cost.is_some() {
+            1.0 / self.warmth().max(0.1)
+        } else {
+            0.0
+        };
         self.rates[op].max(least) * it.told.cost.unwrap_or(1.0)
     }
 
@@ -689,7 +886,11 @@
         let (took, cost) = (&self.ops[op].runs, &self.ops[op].costs);
         let off = took.iter().sum::<f64>() / cost.iter().sum::<f64>() / word.value; // no number if none
         let tries = |it: &Inv| it.ran && self.ops[it.told.operation].runs.is_empty();
-        let heeded = if took.is_empty() { self.count(tries) > 0 } else { (0.5..2.0).contains(&off) };
+        let heeded = if took.is_empty() {
+            self.count(tries) > 0
+        } else {
+            (0.5..2.0).contains(&off)
+        };
         heeded.then_some(word)
     }
 
@@ -702,18 +903,23 @@
         let count = times.len() as f64;
         let rate = servers * (count - 1.0) / (now - times[0]).max(0.5);
         // Twice the root by which arrivals stray: a few at one of hundreds of backends tell little.
-        quota > 0.0 && rate > quota * (1.0 + 2.0 / count.sqrt()) && self.chance() < 1.0 - quota / rate
+        quota > 0.0
+            && rate > quota * (1.0 + 2.0 / count.sqrt())
+            && self.chance() < 1.0 - quota / rate
     }
 
     fn leave_call(&mut self, inv: usize, outcome: Outcome) {
         let (now, stays) = (self.now, self.secs("FamilyInfo.StaysForUs", 0.0));
-        let Inv { stage, since, away, .. } = self.invs[inv];
+        let Inv {
+            stage, since, away, ..
+        } = self.invs[inv];
         if matches!(stage, Stage::AtCall | Stage::Calling) {
             (self.invs[inv].away, self.invs[inv].since) = (away + now - since, now);
         }
         if stage == Stage::Calling {
             let lingers = !outcome.succeeded && !outcome.never_ran;
-            self.calls.push_back((since, if lingers { now + stays } else { now }));
+            self.calls
+                .push_back((since, if lingers { now + stays } else { now }));
             if outcome.succeeded || lingers && !outcome.stopped {
                 self.call_measured(now - since); // of an abandoned one the least that it would have taken
             }
@@ -737,7 +943,12 @@
             return;
         }
         // Those of the last 2 s, where they are few the last 8: 24 would be 10 s old on a small backend.
-        let last = self.calls.iter().filter(|&&(_, end)| end > self.now - 2.0).count().clamp(8, 24);
+        let last = self
+            .calls
+            .iter()
+            .filter(|&&(_, end)| end > self.now - 2.0)
+            .count()
+            .clamp(8, 24);
         let recent = mean(&self.call_times.iter().rev().take(last).copied().collect());
         self.call_probe = self.call_probe.saturating_sub(1);
         if self.call_probe == 0 {
@@ -754,14 +965,18 @@
     /// Time that calls have taken below over the last `span`, open ones too, abandoned ones with their stay.
     fn used_below(&self, span: f64) -> f64 {
         let taken = |from: f64, to: f64| (to - from.max(self.now - span)).max(0.0);
-        let open = self.all(|it| it.stage == Stage::Calling).map(|it| taken(it.since, self.now));
-        open.chain(self.calls.iter().map(|&(from, to)| taken(from, to))).sum()
+        let open = self
+            .all(|it| it.stage == Stage::Calling)
+            .map(|it| taken(it.since, self.now));
+        open.chain(self.calls.iter().map(|&(from, to)| taken(from, to)))
+            .sum()
     }
 
     /// The told window, or a longer one where the share is so small that its time would hold no call.
     fn call_window(&self) -> f64 {
         let share = self.num("FamilyInfo.CallShare", f64::INFINITY).max(1e-6);
-        self.secs("FamilyInfo.DepWindowUs", 5.0).max(3.0 * self.secs("FamilyInfo.StaysForUs", 0.0) / share)
+        self.secs("FamilyInfo.DepWindowUs", 5.0)
+            .max(3.0 * self.secs("FamilyInfo.StaysForUs", 0.0) / share)
     }
 
     /// Whether calls have taken this part of their limit over the last fifth of the window.
@@ -776,25 +991,44 @@
     fn room_below(&self) -> f64 {
         let share = self.num("FamilyInfo.CallShare", f64::INFINITY) * 0.8; // 0.5 tried: too few calls
         let (window, limit) = (self.call_window(), self.call_limit);
-        let lingering = self.calls.iter().filter(|&&(_, end)| end > self.now).count();
+        let lingering = self
+            .calls
+            .iter()
+            .filter(|&&(_, end)| end > self.now)
+            .count();
         let open = (self.count(|it| it.stage == Stage::Calling) + lingering) as f64;
         let full = open >= (2.0 * limit).ceil().min(share.floor()).max(1.0);
-        let room = share * window - self.used_below(window) - self.secs("FamilyInfo.StaysForUs", 0.0);
+        let room =
+            share * window - self.used_below(window) - self.secs("FamilyInfo.StaysForUs", 0.0);
         // A call cut short stays below all the same: none without room for four mean ones.
-        let four = if self.call_times.is_empty() { f64::MAX } else { 4.0 * mean(&self.call_times) };
+        let four = if self.call_times.is_empty() {
+            f64::MAX
+        } else {
+            4.0 * mean(&self.call_times)
+        };
         // In a window longer than the told one backends take turns by seed: together they keep to the told.
         let told = self.secs("FamilyInfo.DepWindowUs", 5.0).max(1e-6);
         let turns = (window / told).ceil() as u64; // 1 or more
-        let others = !((self.now / told) as u64).wrapping_add(self.salt).is_multiple_of(turns);
+        let others = !((self.now / told) as u64)
+            .wrapping_add(self.salt)
+            .is_multiple_of(turns);
         let none = full || others || limit < 1.0 && self.paced_below(1.0);
-        if none || room < four.min(0.5 * share * window) { 0.0 } else { room.max(0.0) }
+        if none || room < four.min(0.5 * share * window) {
+            0.0
+        } else {
+            room.max(0.0)
+        }
     }
 
     /// The breaker: after five failures in a row (hardly chance) one trial at a time, each after a pause.
     fn breaker_holds(&self) -> bool {
         let trial = self.count(|it| it.stage == Stage::Calling) > 0;
         let pause = trial || self.now < self.call_failed_at + 0.5; // untried
-        if self.call_failures >= 5 { pause || self.spend.left[2] == 0 } else { self.spend.left[0] == 0 }
+        if self.call_failures >= 5 {
+            pause || self.spend.left[2] == 0
+        } else {
+            self.spend.left[0] == 0
+        }
     }
 
     fn may_call(&self, it: &Inv) -> bool {
@@ -806,7 +1040,9 @@
         self.first(|it| {
             let op = &self.ops[it.told.operation];
             let past = self.now > it.by && op.late_value == 0.0;
-            it.stage == Stage::AtCall && !it.answered && (past || op.skip_value == 0.0 && !self.may_call(it))
+            it.stage == Stage::AtCall
+                && !it.answered
+                && (past || op.skip_value == 0.0 && !self.may_call(it))
         })
     }
 
@@ -818,11 +1054,17 @@
         let needs = |op: &Operation| op.calls && op.skip_value == 0.0 && !op.runs.is_empty();
         let kept = LazyCell::new(|| self.ops.iter().any(needs) && self.paced_below(0.5));
         let full = LazyCell::new(|| self.room_below() == 0.0);
-        let stakes = || self.all(|it| it.stage == Stage::AtCall).map(|it| self.stake(it));
+        let stakes = || {
+            self.all(|it| it.stage == Stage::AtCall)
+                .map(|it| self.stake(it))
+        };
         let dearest = LazyCell::new(|| stakes().fold(f64::NEG_INFINITY, f64::max));
         self.first(|it| {
             let op = &self.ops[it.told.operation];
-            let below = mean_beside(&op.below, self.beliefs.below.get(it.told.operation).copied().flatten());
+            let below = mean_beside(
+                &op.below,
+                self.beliefs.below.get(it.told.operation).copied().flatten(),
+            );
             let late = || self.now + below + 0.5 * self.core_time(it) > it.by;
             let short = || *kept || *full && *dearest > self.stake(it);
             let skip = || !self.may_call(it) || *breaker || late() || short();
@@ -831,7 +1073,13 @@
     }
 
     fn degrade(&mut self, inv: usize) {
-        self.leave_call(inv, Outcome { succeeded: true, ..Outcome::default() });
+        self.leave_call(
+            inv,
+            Outcome {
+                succeeded: true,
+                ..Outcome::default()
+            },
+        );
         self.invs[inv].stage = Stage::Running;
         self.out.degraded.push(inv);
     }
@@ -851,10 +1099,18 @@
     fn call(&mut self, inv: usize) {
         let (now, it) = (self.now, &self.invs[inv]);
         let op = &self.ops[it.told.operation];
-        let until = if op.late_value > 0.0 && op.skip_value == 0.0 { self.due(it) } else { it.by };
+        let until = if op.late_value > 0.0 && op.skip_value == 0.0 {
+            self.due(it)
+        } else {
+            it.by
+        };
         let part = if op.skip_value > 0.0 { 0.7 } else { 1.0 }; // in time to earn what skipping earns
         let patience = ((until - now) * part).min(self.room_below()).max(0.02);
-        let kind = if self.call_failures >= 5 { 2 } else { usize::from(it.calls > 0) };
+        let kind = if self.call_failures >= 5 {
+            2
+        } else {
+            usize::from(it.calls > 0)
+        };
         self.spend.left[kind] = self.spend.left[kind].saturating_sub(1);
         let it = &mut self.invs[inv];
         it.away += now - it.since;
@@ -864,7 +1120,10 @@
 
     fn word_is_old(&self) -> Option<usize> {
         let due = self.now >= self.level_at + 0.25; // a quarter of how long callers keep a value
-        (due || self.told.is_none_or(|told| told.0 == (self.leave_at.is_some() || self.hangs()))).then_some(0)
+        (due || self
+            .told
+            .is_none_or(|told| told.0 == (self.leave_at.is_some() || self.hangs())))
+        .then_some(0)
     }
 
     fn tell(&mut self, _: usize) {
@@ -878,7 +1137,13 @@
         // By those who came within the time for which it is heeded, not by all: a hundredth each turned away
         // just those who knew this one. Harm: callers that come back all at once may each have that many.
         let from = self.now - self.secs("FamilyInfo.HeededUs", 1.0);
-        let here = || self.callers.values().filter(|&&last| last >= from).count().max(1) as f64;
+        let here = || {
+            self.callers
+                .values()
+                .filter(|&&last| last >= from)
+                .count()
+                .max(1) as f64
+        };
         let value = match self.text("FamilyInfo.Say") {
             "floor" => Some(level.min(0.999)),
             "weight" => Some(1.0 - level),
@@ -889,12 +1154,17 @@
         let was = self.told.replace((good, value, idle));
         self.out.health = Some(good).filter(|_| was.is_none_or(|was| was.0 != good));
         self.out.level = value.filter(|_| was.is_none_or(|was| was.1 != value));
-        self.out.trim_after = Some(idle).filter(|_| idle >= 0.01 && was.is_none_or(|was| was.2 != idle));
+        self.out.trim_after =
+            Some(idle).filter(|_| idle >= 0.01 && was.is_none_or(|was| was.2 != idle));
     }
 
     /// What the last arrivals ask for, as a part of what the cores can do, whatever is then decided.
     fn demand(&self) -> f64 {
-        let since = self.asked.front().map_or(0.0, |&(at, _)| self.now - at).max(1e-9);
+        let since = self
+            .asked
+            .front()
+            .map_or(0.0, |&(at, _)| self.now - at)
+            .max(1e-9);
         self.asked.iter().rev().map(|&(_, work)| work).sum::<f64>() / (self.cores() * since)
     }
 
@@ -905,18 +1175,38 @@
     /// at no cost, an opening takes a seventh of a run. Harm: lost in a short rush.
     fn keep_idle(&mut self) -> f64 {
         let idle = self.secs("FamilyInfo.CallerIdleUs", 0.0);
-        let from = self.now - if self.callers.len() > 4096 { idle.min(1.0) } else { idle };
+        let from = self.now
+            - if self.callers.len() > 4096 {
+                idle.min(1.0)
+            } else {
+                idle
+            };
         self.callers.retain(|_, &mut last| last >= from); // a later one counts as new, as it would anyway
-        let back =
-            self.gaps.iter().filter(|&&gap| gap <= idle).count() as f64 / self.gaps.len().max(1) as f64;
-        let back = if self.gaps.len() < 8 { self.beliefs.back.map_or(1.0, |word| word.value) } else { back };
-        let shorter = if back >= 0.5 { idle / 3.0 } else { idle.min(0.01) };
-        if !self.marked && self.demand() > 1.0 { idle } else { shorter }
+        let back = self.gaps.iter().filter(|&&gap| gap <= idle).count() as f64
+            / self.gaps.len().max(1) as f64;
+        let back = if self.gaps.len() < 8 {
+            self.beliefs.back.map_or(1.0, |word| word.value)
+        } else {
+            back
+        };
+        let shorter = if back >= 0.5 {
+            idle / 3.0
+        } else {
+            idle.min(0.01)
+        };
+        if !self.marked && self.demand() > 1.0 {
+            idle
+        } else {
+            shorter
+        }
     }
 
     fn settle(&mut self) -> Decided {
         self.rates = (0..self.ops.len()).map(|op| self.rate(op)).collect();
-        while let Some((inv, effect)) = RULES.iter().find_map(|(_, when, then)| Some((when(self)?, then))) {
+        while let Some((inv, effect)) = RULES
+            .iter()
+            .find_map(|(_, when, then)| Some((when(self)?, then)))
+        {
             effect(self, inv);
         }
         std::mem::take(&mut self.out)
@@ -931,7 +1221,10 @@
     }
 
     fn drop_waiting(&mut self, inv: usize) {
-        if matches!(self.invs[inv].stage, Stage::Read | Stage::Held | Stage::Joined) {
+        if matches!(
+            self.invs[inv].stage,
+            Stage::Read | Stage::Held | Stage::Joined
+        ) {
             self.release(inv);
         }
     }
@@ -939,7 +1232,9 @@
     /// What leaves unrun leaves the table too, so that a later try of it starts afresh. Repeats that wait for
     /// its result hear now if there is none; its number may be handed out again.
     fn release(&mut self, inv: usize) {
-        let Inv { ran, stage, entry, .. } = self.invs[inv];
+        let Inv {
+            ran, stage, entry, ..
+        } = self.invs[inv];
         let unrun = !ran && stage != Stage::Joined;
         self.unrun.extend(Some(inv).filter(|_| unrun));
         if entry && unrun {
@@ -967,7 +1262,11 @@
 
     /// The one of most worth, of these the one whose objective comes first.
     fn best(&self, when: impl Fn(&Inv) -> bool, worth: impl Fn(&Inv) -> f64) -> Option<usize> {
-        let all = self.live.iter().copied().filter(|&inv| when(&self.invs[inv]));
+        let all = self
+            .live
+            .iter()
+            .copied()
+            .filter(|&inv| when(&self.invs[inv]));
         all.max_by(|&a, &b| {
             let (a, b) = (&self.invs[a], &self.invs[b]);
             worth(a).total_cmp(&worth(b)).then(b.by.total_cmp(&a.by))
@@ -975,7 +1274,10 @@
     }
 
     fn all(&self, when: impl Fn(&Inv) -> bool) -> impl Iterator<Item = &Inv> {
-        self.live.iter().map(|&inv| &self.invs[inv]).filter(move |it| when(it))
+        self.live
+            .iter()
+            .map(|&inv| &self.invs[inv])
+            .filter(move |it| when(it))
     }
 
     fn count(&self, when: impl Fn(&Inv) -> bool) -> usize {
@@ -1007,10 +1309,16 @@
     }
 
     fn num(&self, name: &str, absent: f64) -> f64 {
-        self.settings.get(name).and_then(|text| text.parse().ok()).unwrap_or(absent)
+        self.settings
+            .get(name)
+            .and_then(|text| text.parse().ok())
+            .unwrap_or(absent)
     }
 
     fn secs(&self, name: &str, absent: f64) -> f64 {
-        self.settings.get(name).and_then(|text| text.parse().ok()).map_or(absent, |us: f64| us / 1e6)
+        self.settings
+            .get(name)
+            .and_then(|text| text.parse().ok())
+            .map_or(absent, |us: f64| us / 1e6)
     }
 }
--- a/crates/merlinshelf/src/shedder/tests.rs
+++ b/crates/merlinshelf/src/shedder/tests.rs
@@ -3,7 +3,10 @@
 use super::*;
 
 fn read<'a>(settings: impl IntoIterator<Item = &'a (&'a str, &'a str)>) -> Settings {
-    settings.into_iter().map(|&(name, value)| (name.to_owned(), value.to_owned())).collect()
+    settings
+        .into_iter()
+        .map(|&(name, value)| (name.to_owned(), value.to_owned()))
+        .collect()
 }
 
 fn gauges(busy: f64) -> BTreeMap<String, f64> {
@@ -12,15 +15,33 @@
 
 #[test]
 fn callers_that_are_always_new_do_not_fill_the_memory() {
-    let settings = [("Classes.count", "1"), ("FamilyInfo.CallerIdleUs", "30000000")];
+    let settings = [
+        ("Classes.count", "1"),
+        ("FamilyInfo.CallerIdleUs", "30000000"),
+    ];
     let (mut shedder, _) = Shedder::start(0.0, 1, read(&settings)).expect("settings that are read");
     let mut most = 0;
     // Two a millisecond for a while, then ten a second; one comes back all the time and stays known.
     for number in 0..20_000u32 {
-        let now =
-            if number < 16_000 { f64::from(number) / 2e3 } else { f64::from(number - 16_000) / 10.0 + 8.0 };
-        let caller = if number % 100 == 0 { 0 } else { u64::from(number) };
-        shedder.arrived(now, 0, Invocation { caller, budget: Some(0.0), ..Invocation::default() });
+        let now = if number < 16_000 {
+            f64::from(number) / 2e3
+        } else {
+            f64::from(number - 16_000) / 10.0 + 8.0
+        };
+        let caller = if number % 100 == 0 {
+            0
+        } else {
+            u64::from(number)
+        };
+        shedder.arrived(
+            now,
+            0,
+            Invocation {
+                caller,
+                budget: Some(0.0),
+                ..Invocation::default()
+            },
+        );
         shedder.woken(now, 0, &BTreeMap::new());
         most = most.max(shedder.callers.len());
     }
@@ -52,11 +73,18 @@
         ("Allowed.RetryAfter", "true"),
         ("Allowed.MaxRetryAfterUs", "1000000"),
     ];
-    Shedder::start(0.0, 1, read(base.iter().chain(extra))).expect("settings that are read").0
+    Shedder::start(0.0, 1, read(base.iter().chain(extra)))
+        .expect("settings that are read")
+        .0
 }
 
 fn told(operation: usize) -> Invocation {
-    Invocation { operation, held_kb: 50.0, rank: 0.5, ..Invocation::default() }
+    Invocation {
+        operation,
+        held_kb: 50.0,
+        rank: 0.5,
+        ..Invocation::default()
+    }
 }
 
 /// Both cores busy with runs 0 and 1 of the operation, and `number` held, which does not decide anything yet.
@@ -83,7 +111,14 @@
         }),
         ("keep within memory", || {
             let mut shedder = instance(&[("FamilyInfo.HeapKb", "100")]);
-            let decided = shedder.arrived(0.0, 7, Invocation { held_kb: 95.0, ..told(0) });
+            let decided = shedder.arrived(
+                0.0,
+                7,
+                Invocation {
+                    held_kb: 95.0,
+                    ..told(0)
+                },
+            );
             (shedder, decided)
         }),
         ("turn away after the grace", || {
@@ -104,7 +139,15 @@
         ("turn away what comes too late", || {
             let mut shedder = instance(&[]);
             shedder.arrived(0.0, 0, told(0));
-            shedder.ended(0.9, 0, Outcome { succeeded: true, ..Outcome::default() }, 0.9);
+            shedder.ended(
+                0.9,
+                0,
+                Outcome {
+                    succeeded: true,
+                    ..Outcome::default()
+                },
+                0.9,
+            );
             for number in 1..3 {
                 shedder.arrived(0.9, number, told(0));
             }
@@ -114,7 +157,10 @@
         ("drop held work past its objective", || {
             let mut shedder = with_one_held(0, 7);
             shedder.woken(0.99, 0, &BTreeMap::new());
-            assert!(shedder.invocation(7).is_some(), "meant to serve until its objective");
+            assert!(
+                shedder.invocation(7).is_some(),
+                "meant to serve until its objective"
+            );
             let decided = shedder.woken(1.01, 0, &BTreeMap::new());
             (shedder, decided)
         }),
@@ -138,29 +184,75 @@
     ];
     for (name, ..) in RULES {
         let gives_up = scenes.iter().any(|(scene, _)| scene == name);
-        assert!(gives_up != others.contains(name), "{name}: played here, or sorted among those that serve");
+        assert!(
+            gives_up != others.contains(name),
+            "{name}: played here, or sorted among those that serve"
+        );
     }
     for (name, scene) in scenes {
         let (shedder, decided) = scene();
         let refused = decided.throttled.iter().find(|answer| answer.0 == 7);
-        assert!(refused.is_some() || decided.errored.contains(&7), "{name}: {decided:?}");
-        assert!(refused.is_none_or(|answer| answer.1 > 0.0), "{name}: when to come back {decided:?}");
-        assert!(shedder.invocation(7).is_none_or(|it| it.answered), "{name}: nothing is owed any more");
+        assert!(
+            refused.is_some() || decided.errored.contains(&7),
+            "{name}: {decided:?}"
+        );
+        assert!(
+            refused.is_none_or(|answer| answer.1 > 0.0),
+            "{name}: when to come back {decided:?}"
+        );
+        assert!(
+            shedder.invocation(7).is_none_or(|it| it.answered),
+            "{name}: nothing is owed any more"
+        );
     }
 }
 
 #[test]
 fn repeats_that_joined_what_is_given_up_unrun_hear_so_in_that_same_decision() {
     let mut shedder = with_one_held(1, 7);
-    let repeat = Invocation { repeats: true, earlier: Some(7), ..told(1) };
+    let repeat = Invocation {
+        repeats: true,
+        earlier: Some(7),
+        ..told(1)
+    };
     assert_eq!(shedder.arrived(0.5, 8, repeat.clone()).joined, [8]);
     let decided = shedder.woken(1.01, 0, &BTreeMap::new());
-    assert_eq!(decided.throttled.iter().map(|answer| answer.0).collect::<Vec<_>>(), [7]);
+    assert_eq!(
+        decided
+            .throttled
+            .iter()
+            .map(|answer| answer.0)
+            .collect::<Vec<_>>(),
+        [7]
+    );
     assert_eq!((decided.errored, decided.forgotten), (vec![8], vec![7]));
     // Its number may be handed out again: who waits for an answer of a run is not taken for its repeat.
-    shedder.arrived(1.1, 9, Invocation { repeats: true, earlier: Some(0), ..told(1) });
-    shedder.ended(1.2, 0, Outcome { succeeded: true, ..Outcome::default() }, 1.2);
-    let again = shedder.arrived(1.3, 0, Invocation { held_kb: 99_999.0, ..told(0) });
+    shedder.arrived(
+        1.1,
+        9,
+        Invocation {
+            repeats: true,
+            earlier: Some(0),
+            ..told(1)
+        },
+    );
+    shedder.ended(
+        1.2,
+        0,
+        Outcome {
+            succeeded: true,
+            ..Outcome::default()
+        },
+        1.2,
+    );
+    let again = shedder.arrived(
+        1.3,
+        0,
+        Invocation {
+            held_kb: 99_999.0,
+            ..told(0)
+        },
+    );
     assert_eq!((again.throttled.len(), again.errored), (1, vec![]));
 }
 
@@ -168,20 +260,44 @@
 fn a_repeat_read_with_word_that_the_first_ones_caller_left_unrun_starts_afresh() {
     let mut shedder = with_one_held(1, 7);
     assert_eq!(shedder.caller_left(0.5, 7).forgotten, [7]);
-    let decided = shedder.arrived(0.5, 8, Invocation { repeats: true, earlier: Some(7), ..told(1) });
-    assert_eq!((decided.joined, decided.kept.len()), (vec![], 1), "nothing has run: it is held for itself");
+    let decided = shedder.arrived(
+        0.5,
+        8,
+        Invocation {
+            repeats: true,
+            earlier: Some(7),
+            ..told(1)
+        },
+    );
+    assert_eq!(
+        (decided.joined, decided.kept.len()),
+        (vec![], 1),
+        "nothing has run: it is held for itself"
+    );
 }
 
 #[test]
 fn settings_that_the_second_rule_rests_on_are_never_read_as_the_harmless_ones() {
     let start = |name: &str, value: &str| {
-        let settings = [("Classes.count", "1"), ("Classes.0.Effect", "idempotency_key"), (name, value)];
-        Shedder::start(0.0, 1, read(&settings)).err().unwrap_or_default()
+        let settings = [
+            ("Classes.count", "1"),
+            ("Classes.0.Effect", "idempotency_key"),
+            (name, value),
+        ];
+        Shedder::start(0.0, 1, read(&settings))
+            .err()
+            .unwrap_or_default()
     };
-    for (name, value) in
-        [("Classes.0.MemorySpanUs", "0"), ("Tenants.0.QuotaPerS", "many"), ("Rules.StartCapacity", "half")]
-    {
-        assert!(start(name, value).contains(name), "{name}={value}: {:?}", start(name, value));
+    for (name, value) in [
+        ("Classes.0.MemorySpanUs", "0"),
+        ("Tenants.0.QuotaPerS", "many"),
+        ("Rules.StartCapacity", "half"),
+    ] {
+        assert!(
+            start(name, value).contains(name),
+            "{name}={value}: {:?}",
+            start(name, value)
+        );
     }
     assert!(
         start("FamilyInfo.Cores", "2").contains("Classes.0.MemorySpanUs"),
@@ -189,16 +305,34 @@
     );
     assert_eq!(start("Classes.0.MemorySpanUs", "5000000"), "");
     // No known word: named at the start and taken for the strictest.
-    let settings =
-        [("Classes.count", "1"), ("Classes.0.Effect", "idempotent-ish"), ("FamilyInfo.Halt", "kill")];
+    let settings = [
+        ("Classes.count", "1"),
+        ("Classes.0.Effect", "idempotent-ish"),
+        ("FamilyInfo.Halt", "kill"),
+    ];
     let (mut shedder, decided) = Shedder::start(0.0, 1, read(&settings)).expect("it starts");
-    for (note, name) in decided.notes.iter().zip(["Classes.0.Effect", "FamilyInfo.Halt"]) {
+    for (note, name) in decided
+        .notes
+        .iter()
+        .zip(["Classes.0.Effect", "FamilyInfo.Halt"])
+    {
         assert!(note.contains(name), "{note}");
     }
-    assert_eq!((decided.notes.len(), shedder.ops[0].idempotent, shedder.ops[0].tokened), (2, false, false));
+    assert_eq!(
+        (
+            decided.notes.len(),
+            shedder.ops[0].idempotent,
+            shedder.ops[0].tokened
+        ),
+        (2, false, false)
+    );
     shedder.arrived(0.0, 7, told(0));
     let left = shedder.caller_left(0.1, 7);
-    assert_eq!((left.stopped, shedder.invocation(7).is_some()), (vec![], true), "what runs is not stopped");
+    assert_eq!(
+        (left.stopped, shedder.invocation(7).is_some()),
+        (vec![], true),
+        "what runs is not stopped"
+    );
 }
 
 #[test]
@@ -213,10 +347,21 @@
 #[test]
 fn unmarked_further_tries_show_by_refusals_and_keep_connections() {
     let play = |marks: &str| {
-        let mut shedder = instance(&[("FamilyInfo.CallerIdleUs", "30000000"), ("Callers.MarksRetry", marks)]);
+        let mut shedder = instance(&[
+            ("FamilyInfo.CallerIdleUs", "30000000"),
+            ("Callers.MarksRetry", marks),
+        ]);
         shedder.woken(0.0, 0, &gauges(1.0));
         shedder.arrived(0.0, 0, told(0));
-        shedder.ended(0.3, 0, Outcome { succeeded: true, ..Outcome::default() }, 0.3);
+        shedder.ended(
+            0.3,
+            0,
+            Outcome {
+                succeeded: true,
+                ..Outcome::default()
+            },
+            0.3,
+        );
         let mut last = false;
         for number in 0..60 {
             let now = 0.31 + 0.01 * number as f64;
@@ -227,8 +372,16 @@
         }
         (last, shedder.told.map(|told| told.2))
     };
-    assert_eq!(play("false"), (true, Some(30.0)), "all refuse: no try elsewhere, nobody new let in");
-    assert_eq!(play("true"), (false, Some(0.01)), "no try was marked as a further one: others have room");
+    assert_eq!(
+        play("false"),
+        (true, Some(30.0)),
+        "all refuse: no try elsewhere, nobody new let in"
+    );
+    assert_eq!(
+        play("true"),
+        (false, Some(0.01)),
+        "no try was marked as a further one: others have room"
+    );
 }
 
 #[test]
@@ -236,13 +389,30 @@
     let play = |marks: &str| {
         let mut shedder = instance(&[("Callers.MarksRetry", marks)]);
         let mut arrive = |number, budget| {
-            shedder.arrived(0.0, number, Invocation { budget: Some(budget), age: 0.1, ..told(0) });
+            shedder.arrived(
+                0.0,
+                number,
+                Invocation {
+                    budget: Some(budget),
+                    age: 0.1,
+                    ..told(0)
+                },
+            );
             shedder.invs[number].told.again
         };
-        [arrive(0, 3.9), arrive(1, 2.95), arrive(2, 2.8), arrive(3, 1.9)]
+        [
+            arrive(0, 3.9),
+            arrive(1, 2.95),
+            arrive(2, 2.8),
+            arrive(3, 1.9),
+        ]
     };
     assert_eq!(play("false"), [false, false, true, true]);
-    assert_eq!(play("true"), [false; 4], "where tries are marked the mark alone counts");
+    assert_eq!(
+        play("true"),
+        [false; 4],
+        "where tries are marked the mark alone counts"
+    );
 }
 
 #[test]
@@ -254,10 +424,22 @@
     ]);
     for (now, callers, each) in [(0.0, 0..4, 1.0), (2.0, 4..6, 2.0)] {
         for caller in callers {
-            shedder.arrived(now, 0, Invocation { caller, budget: Some(0.0), ..told(0) });
+            shedder.arrived(
+                now,
+                0,
+                Invocation {
+                    caller,
+                    budget: Some(0.0),
+                    ..told(0)
+                },
+            );
         }
         shedder.woken(now + 0.3, 0, &gauges(0.5));
         let value = Some(each * (1.0 - shedder.level));
-        assert_eq!(shedder.told.and_then(|told| told.1), value, "twice a limit of two, by those here");
+        assert_eq!(
+            shedder.told.and_then(|told| told.1),
+            value,
+            "twice a limit of two, by those here"
+        );
     }
 }
--- a/crates/merlinshelf/tests/helpers/mod.rs
+++ b/crates/merlinshelf/tests/helpers/mod.rs
@@ -9,9 +9,21 @@
     pub trace: String,
 }
 
-pub const OK: Outcome = Outcome { succeeded: true, never_ran: false, stopped: false };
-pub const LOST: Outcome = Outcome { succeeded: false, never_ran: false, stopped: false };
-pub const UNSEEN: Outcome = Outcome { succeeded: false, never_ran: true, stopped: false };
+pub const OK: Outcome = Outcome {
+    succeeded: true,
+    never_ran: false,
+    stopped: false,
+};
+pub const LOST: Outcome = Outcome {
+    succeeded: false,
+    never_ran: false,
+    stopped: false,
+};
+pub const UNSEEN: Outcome = Outcome {
+    succeeded: false,
+    never_ran: true,
+    stopped: false,
+};
 
 /// Two cores and three operations: 0 idempotent and skippable, 1 tokened, 2 non-idempotent.
 pub fn play(extra: &[(&str, &str)]) -> Play {
@@ -40,11 +52,18 @@
         settings.insert((*name).to_owned(), (*value).to_owned());
     }
     for op in 0..3 {
-        settings.entry(format!("Classes.{op}.AimUs")).or_insert("1000000".into());
-        settings.entry(format!("Classes.{op}.DeadlineUs")).or_insert("2000000".into());
+        settings
+            .entry(format!("Classes.{op}.AimUs"))
+            .or_insert("1000000".into());
+        settings
+            .entry(format!("Classes.{op}.DeadlineUs"))
+            .or_insert("2000000".into());
     }
     let (shedder, decided) = Shedder::start(100.0, 7, settings).expect("good settings");
-    let mut play = Play { shedder, trace: String::new() };
+    let mut play = Play {
+        shedder,
+        trace: String::new(),
+    };
     play.note("start", &decided);
     play
 }
@@ -68,8 +87,16 @@
 
 impl Play {
     fn note(&mut self, what: &str, decided: &Decided) {
-        let shown = Decided { wake: Vec::new(), released: Vec::new(), ..decided.clone() };
-        let fields = rounded(&format!("{shown:?}").replace("Decided { ", "").replace(" }", ""));
+        let shown = Decided {
+            wake: Vec::new(),
+            released: Vec::new(),
+            ..decided.clone()
+        };
+        let fields = rounded(
+            &format!("{shown:?}")
+                .replace("Decided { ", "")
+                .replace(" }", ""),
+        );
         let told: Vec<&str> = fields.split(", ").collect();
         let mut line = String::new();
         let mut depth = 0;
@@ -77,7 +104,8 @@
         for part in told {
             field.push_str(if field.is_empty() { "" } else { ", " });
             field.push_str(part);
-            depth += part.matches(['[', '(']).count() as i32 - part.matches([']', ')']).count() as i32;
+            depth +=
+                part.matches(['[', '(']).count() as i32 - part.matches([']', ')']).count() as i32;
             if depth == 0 {
                 if !field.ends_with(": []") && !field.ends_with("None") {
                     line.push_str(&format!(" {field};"));
@@ -126,5 +154,11 @@
 }
 
 pub fn inv(operation: usize) -> Invocation {
-    Invocation { operation, held_kb: 50.0, rank: 0.5, caller: 3, ..Invocation::default() }
+    Invocation {
+        operation,
+        held_kb: 50.0,
+        rank: 0.5,
+        caller: 3,
+        ..Invocation::default()
+    }
 }
--- a/crates/merlinshelf/tests/traces.rs
+++ b/crates/merlinshelf/tests/traces.rs
@@ -13,10 +13,31 @@
         play.arrive(0.01, number, inv(0));
     }
     // 640 x (1 - 0.95^3) is 91: only the top band can pass.
-    play.arrive(0.02, 3, Invocation { rank: 0.1, ..inv(0) });
-    play.arrive(0.02, 4, Invocation { rank: 0.99, ..inv(2) });
+    play.arrive(
+        0.02,
+        3,
+        Invocation {
+            rank: 0.1,
+            ..inv(0)
+        },
+    );
+    play.arrive(
+        0.02,
+        4,
+        Invocation {
+            rank: 0.99,
+            ..inv(2)
+        },
+    );
     play.wake(0.03, 0.7);
-    play.arrive(0.04, 5, Invocation { rank: 0.1, ..inv(0) });
+    play.arrive(
+        0.04,
+        5,
+        Invocation {
+            rank: 0.1,
+            ..inv(0)
+        },
+    );
     insta::assert_snapshot!(play.trace);
 }
 
@@ -34,16 +55,45 @@
 
 #[test]
 fn answers_come_before_they_are_due() {
-    let mut play = play(&[("FamilyInfo.Halt", "freeze"), ("Classes.0.LateWorth", "0.2")]);
-    play.arrive(0.0, 0, Invocation { budget: Some(0.5), ..inv(0) });
+    let mut play = play(&[
+        ("FamilyInfo.Halt", "freeze"),
+        ("Classes.0.LateWorth", "0.2"),
+    ]);
+    play.arrive(
+        0.0,
+        0,
+        Invocation {
+            budget: Some(0.5),
+            ..inv(0)
+        },
+    );
     play.arrive(0.0, 1, Invocation { age: 0.3, ..inv(2) });
     play.wants(0.1, 1);
-    play.arrive(0.1, 2, Invocation { budget: Some(0.3), ..inv(2) });
-    play.arrive(0.1, 3, Invocation { budget: Some(0.3), ..inv(0) });
+    play.arrive(
+        0.1,
+        2,
+        Invocation {
+            budget: Some(0.3),
+            ..inv(2)
+        },
+    );
+    play.arrive(
+        0.1,
+        3,
+        Invocation {
+            budget: Some(0.3),
+            ..inv(0)
+        },
+    );
     for beat in 0..170 {
         play.wake(0.1 + f64::from(beat) * 0.01, 0.5);
     }
-    play.trace = play.trace.lines().filter(|line| !line.ends_with("->")).collect::<Vec<_>>().join("\n");
+    play.trace = play
+        .trace
+        .lines()
+        .filter(|line| !line.ends_with("->"))
+        .collect::<Vec<_>>()
+        .join("\n");
     insta::assert_snapshot!(play.trace);
 }
 
@@ -51,12 +101,27 @@
 fn a_tokened_invocation_runs_once() {
     let mut play = play(&[]);
     play.arrive(0.0, 0, inv(1));
-    play.arrive(0.0, 1, Invocation { repeats: true, earlier: Some(0), ..inv(1) });
+    play.arrive(
+        0.0,
+        1,
+        Invocation {
+            repeats: true,
+            earlier: Some(0),
+            ..inv(1)
+        },
+    );
     play.end(0.3, 0, OK, 0.3);
     play.end(0.31, 1, OK, 0.01);
     // Run and no longer known by its number: its result is all that can be had, also when leaving.
     play.leave(0.4, 5.0);
-    play.arrive(2.0, 2, Invocation { repeats: true, ..inv(1) });
+    play.arrive(
+        2.0,
+        2,
+        Invocation {
+            repeats: true,
+            ..inv(1)
+        },
+    );
     play.wake(3.99, 0.5);
     insta::assert_snapshot!(play.trace);
 }
@@ -64,10 +129,32 @@
 #[test]
 fn a_token_turned_away_unrun_starts_afresh_in_the_same_batch() {
     let mut play = play(&[("FamilyInfo.HeapKb", "1000")]);
-    play.arrive(0.0, 0, Invocation { held_kb: 150.0, ..inv(0) });
-    play.arrive(0.0, 1, Invocation { held_kb: 250.0, ..inv(1) });
+    play.arrive(
+        0.0,
+        0,
+        Invocation {
+            held_kb: 150.0,
+            ..inv(0)
+        },
+    );
+    play.arrive(
+        0.0,
+        1,
+        Invocation {
+            held_kb: 250.0,
+            ..inv(1)
+        },
+    );
     play.end(0.0, 0, OK, 0.1);
-    play.arrive(0.0, 2, Invocation { repeats: true, earlier: Some(1), ..inv(1) });
+    play.arrive(
+        0.0,
+        2,
+        Invocation {
+            repeats: true,
+            earlier: Some(1),
+            ..inv(1)
+        },
+    );
     insta::assert_snapshot!(play.trace);
 }
 
@@ -78,7 +165,15 @@
     play.wants(0.1, 0);
     play.called(0.2, 0, UNSEEN);
     play.called(0.3, 0, LOST);
-    play.end(0.31, 0, Outcome { stopped: true, ..LOST }, 0.31);
+    play.end(
+        0.31,
+        0,
+        Outcome {
+            stopped: true,
+            ..LOST
+        },
+        0.31,
+    );
     play.arrive(0.4, 1, inv(0));
     play.wants(0.5, 1);
     play.called(0.6, 1, LOST);
@@ -87,7 +182,10 @@
 
 #[test]
 fn after_failures_in_a_row_calls_come_back_by_single_trials() {
-    let mut play = play(&[("FamilyInfo.CallShare", "20"), ("Classes.0.AimUs", "2000000")]);
+    let mut play = play(&[
+        ("FamilyInfo.CallShare", "20"),
+        ("Classes.0.AimUs", "2000000"),
+    ]);
     for number in 0..5 {
         let at = f64::from(number) * 0.02;
         let number = number as usize;
@@ -95,7 +193,15 @@
         play.wants(at, number);
         play.called(at + 0.01, number, LOST);
         play.left(at + 0.01, number);
-        play.end(at + 0.01, number, Outcome { stopped: true, ..LOST }, 0.01);
+        play.end(
+            at + 0.01,
+            number,
+            Outcome {
+                stopped: true,
+                ..LOST
+            },
+            0.01,
+        );
     }
     play.arrive(0.2, 5, inv(0));
     play.wants(0.21, 5);
@@ -115,7 +221,15 @@
         play.arrive(0.0, number, inv(2));
         play.wants(0.0, number);
         play.called(0.01, number, LOST);
-        play.end(0.01, number, Outcome { stopped: true, ..LOST }, 0.01);
+        play.end(
+            0.01,
+            number,
+            Outcome {
+                stopped: true,
+                ..LOST
+            },
+            0.01,
+        );
     }
     play.arrive(0.1, 5, inv(2));
     play.arrive(0.1, 6, inv(2));
@@ -131,7 +245,8 @@
     let mut play = play(&[("FamilyInfo.Cores", "4")]);
     for beat in 0..24 {
         let gauges = [("cpu_busy".to_owned(), 0.5), ("runnable".to_owned(), 1.5)].into();
-        play.shedder.woken(100.0 + 0.01 * f64::from(beat), 0, &gauges);
+        play.shedder
+            .woken(100.0 + 0.01 * f64::from(beat), 0, &gauges);
     }
     for number in 0..4 {
         play.arrive(0.3, number, inv(0));
@@ -160,7 +275,14 @@
         let mut play = play(&cold);
         play.wake(0.1, 0.5);
         for number in 0..4 {
-            play.arrive(0.1, number, Invocation { cost: Some(0.1), ..inv(0) });
+            play.arrive(
+                0.1,
+                number,
+                Invocation {
+                    cost: Some(0.1),
+                    ..inv(0)
+                },
+            );
         }
         insta::assert_snapshot!(format!("fresh_{fresh}"), play.trace);
     }
@@ -169,11 +291,40 @@
 #[test]
 fn a_first_try_too_long_for_this_machine_goes_elsewhere() {
     let mut play = play(&[]);
-    play.arrive(0.0, 0, Invocation { cost: Some(0.2), ..inv(0) });
+    play.arrive(
+        0.0,
+        0,
+        Invocation {
+            cost: Some(0.2),
+            ..inv(0)
+        },
+    );
     play.end(0.6, 0, OK, 0.6);
-    play.arrive(1.0, 1, Invocation { cost: Some(0.4), ..inv(0) });
-    play.arrive(1.0, 2, Invocation { cost: Some(0.4), ..inv(0) });
-    play.arrive(1.0, 3, Invocation { cost: Some(0.4), again: true, ..inv(0) });
+    play.arrive(
+        1.0,
+        1,
+        Invocation {
+            cost: Some(0.4),
+            ..inv(0)
+        },
+    );
+    play.arrive(
+        1.0,
+        2,
+        Invocation {
+            cost: Some(0.4),
+            ..inv(0)
+        },
+    );
+    play.arrive(
+        1.0,
+        3,
+        Invocation {
+            cost: Some(0.4),
+            again: true,
+            ..inv(0)
+        },
+    );
     insta::assert_snapshot!(play.trace);
 }
 
@@ -183,7 +334,15 @@
     play.arrive(0.0, 0, inv(2));
     play.wants(0.0, 0);
     play.called(1.01, 0, LOST);
-    play.end(1.01, 0, Outcome { stopped: true, ..LOST }, 1.01);
+    play.end(
+        1.01,
+        0,
+        Outcome {
+            stopped: true,
+            ..LOST
+        },
+        1.01,
+    );
     play.arrive(1.1, 1, inv(2));
     play.arrive(1.2, 2, inv(2));
     insta::assert_snapshot!(play.trace);
@@ -194,7 +353,15 @@
     let mut play = play(&[("FamilyInfo.HeapKb", "600")]);
     play.arrive(0.0, 0, inv(1));
     for number in 1..7 {
-        play.arrive(0.1, number, Invocation { repeats: true, earlier: Some(0), ..inv(1) });
+        play.arrive(
+            0.1,
+            number,
+            Invocation {
+                repeats: true,
+                earlier: Some(0),
+                ..inv(1)
+            },
+        );
     }
     insta::assert_snapshot!(play.trace);
 }
@@ -222,7 +389,15 @@
     play.arrive(0.0, 0, inv(2));
     play.wants(0.1, 0);
     play.left(0.15, 0);
-    play.end(0.15, 0, Outcome { stopped: true, ..LOST }, 0.15);
+    play.end(
+        0.15,
+        0,
+        Outcome {
+            stopped: true,
+            ..LOST
+        },
+        0.15,
+    );
     play.arrive(0.15, 1, inv(2));
     play.wants(0.16, 1);
     play.wake(0.25, 0.5);
@@ -248,10 +423,17 @@
     }
     let calls = |round: usize| {
         let from = format!("{:.2} ", round as f64 * 0.2);
-        let lines = play.trace.lines().filter(|line| line.starts_with(&from) && line.contains("wants"));
+        let lines = play
+            .trace
+            .lines()
+            .filter(|line| line.starts_with(&from) && line.contains("wants"));
         lines.filter(|line| line.contains("called")).count()
     };
-    insta::assert_snapshot!(format!("calls at once: round 1 {}, round 30 {}", calls(1), calls(30)));
+    insta::assert_snapshot!(format!(
+        "calls at once: round 1 {}, round 30 {}",
+        calls(1),
+        calls(30)
+    ));
 }
 
 #[test]
@@ -260,7 +442,14 @@
     play.arrive(0.0, 0, inv(0));
     play.arrive(0.0, 1, inv(2));
     play.leave(0.1, 1.5);
-    play.arrive(0.9, 2, Invocation { age: 0.05, ..inv(0) });
+    play.arrive(
+        0.9,
+        2,
+        Invocation {
+            age: 0.05,
+            ..inv(0)
+        },
+    );
     play.arrive(1.2, 3, inv(0));
     play.wake(1.59, 0.5);
     insta::assert_snapshot!(play.trace);
@@ -282,7 +471,10 @@
             play.wants(at, number);
         }
         let started = play.trace.matches("started").count();
-        insta::assert_snapshot!(format!("crowd_at_{at}"), format!("started before any came back: {started}"));
+        insta::assert_snapshot!(
+            format!("crowd_at_{at}"),
+            format!("started before any came back: {started}")
+        );
     }
     let mut play = play(&[("FamilyInfo.HeapKb", "700")]);
     for number in 0..9 {
@@ -303,11 +495,20 @@
     play.wake(0.0, 0.85);
     for number in 0..40 {
         let at = 0.005 * number as f64;
-        play.arrive(at, number, Invocation { customer: number % 2, rank: 0.7, ..inv(0) });
+        play.arrive(
+            at,
+            number,
+            Invocation {
+                customer: number % 2,
+                rank: 0.7,
+                ..inv(0)
+            },
+        );
     }
     let trace = &play.trace;
-    let cut =
-        |rest: usize| (0..40).filter(move |n| n % 2 == rest && trace.contains(&format!("throttled: [({n},")));
+    let cut = |rest: usize| {
+        (0..40).filter(move |n| n % 2 == rest && trace.contains(&format!("throttled: [({n},")))
+    };
     insta::assert_snapshot!(format!(
         "cut: {} of the one over its share, {} of the other",
         cut(0).count(),
@@ -320,7 +521,14 @@
     let mut play = play(&[]);
     play.arrive(0.0, 0, inv(0));
     play.arrive(0.0, 1, inv(0));
-    play.arrive(0.1, 2, Invocation { again: true, ..inv(0) });
+    play.arrive(
+        0.1,
+        2,
+        Invocation {
+            again: true,
+            ..inv(0)
+        },
+    );
     play.arrive(0.2, 3, inv(0));
     play.end(0.3, 0, OK, 0.3);
     play.end(0.31, 1, OK, 0.31);
@@ -332,7 +540,15 @@
     let mut play = play(&[]);
     play.arrive(0.0, 0, inv(0));
     play.end(0.6, 0, OK, 0.6);
-    play.arrive(1.0, 1, Invocation { budget: Some(0.4), again: true, ..inv(0) });
+    play.arrive(
+        1.0,
+        1,
+        Invocation {
+            budget: Some(0.4),
+            again: true,
+            ..inv(0)
+        },
+    );
     insta::assert_snapshot!(play.trace);
 }
 
@@ -358,10 +574,22 @@
         let mut play = play(&[("FamilyInfo.CallerIdleUs", "30000000")]);
         for number in 0..30 {
             let at = 0.2 * number as f64;
-            play.arrive(at, number, Invocation { caller: number as u64 % callers, ..inv(0) });
+            play.arrive(
+                at,
+                number,
+                Invocation {
+                    caller: number as u64 % callers,
+                    ..inv(0)
+                },
+            );
             play.end(at + 0.1, number, OK, 0.1);
         }
-        let told = play.trace.lines().filter(|line| line.contains("trim")).collect::<Vec<_>>().join("\n");
+        let told = play
+            .trace
+            .lines()
+            .filter(|line| line.contains("trim"))
+            .collect::<Vec<_>>()
+            .join("\n");
         insta::assert_snapshot!(format!("trim_with_{callers}_callers"), told);
     }
 }
@@ -369,46 +597,93 @@
 #[test]
 fn in_a_storm_of_further_tries_callers_are_asked_not_to_go_on() {
     let mut play = play(&[]);
-    let full = |number: usize| Invocation { again: number % 4 == 3, held_kb: 9000.0, ..inv(0) };
+    let full = |number: usize| Invocation {
+        again: number % 4 == 3,
+        held_kb: 9000.0,
+        ..inv(0)
+    };
     (0..8).for_each(|number| play.arrive(0.1, number, full(number)));
     insta::assert_snapshot!(play.trace);
 }
 
 #[test]
 fn a_share_of_calls_below_one_is_spread_and_no_call_cut_short() {
-    let mut play = play(&[("FamilyInfo.CallShare", "0.3"), ("Classes.2.AimUs", "9000000")]);
+    let mut play = play(&[
+        ("FamilyInfo.CallShare", "0.3"),
+        ("Classes.2.AimUs", "9000000"),
+    ]);
     for number in 0..24 {
         let at = 0.2 * number as f64;
-        play.arrive(at, number, Invocation { budget: Some(9.0), ..inv(2) });
+        play.arrive(
+            at,
+            number,
+            Invocation {
+                budget: Some(9.0),
+                ..inv(2)
+            },
+        );
         play.wants(at + 0.01, number);
         play.called(at + 0.05, number, OK);
         play.end(at + 0.06, number, OK, 0.05);
     }
-    let calls = play.trace.lines().filter(|line| line.contains("called:")).collect::<Vec<_>>().join("\n");
+    let calls = play
+        .trace
+        .lines()
+        .filter(|line| line.contains("called:"))
+        .collect::<Vec<_>>()
+        .join("\n");
     insta::assert_snapshot!(calls);
 }
 
 #[test]
 fn under_a_tiny_share_backends_take_turns() {
-    let mut play = play(&[("FamilyInfo.CallShare", "0.03"), ("Classes.2.AimUs", "9000000")]);
+    let mut play = play(&[
+        ("FamilyInfo.CallShare", "0.03"),
+        ("Classes.2.AimUs", "9000000"),
+    ]);
     for number in 0..30 {
         let at = 2.0 * number as f64;
-        play.arrive(at, number, Invocation { budget: Some(1.0), ..inv(2) });
+        play.arrive(
+            at,
+            number,
+            Invocation {
+                budget: Some(1.0),
+                ..inv(2)
+            },
+        );
         play.wants(at + 0.01, number);
         play.called(at + 0.05, number, OK);
         play.end(at + 0.06, number, OK, 0.05);
     }
-    let calls = play.trace.lines().filter(|line| line.contains("called:")).collect::<Vec<_>>().join("\n");
+    let calls = play
+        .trace
+        .lines()
+        .filter(|line| line.contains("called:"))
+        .collect::<Vec<_>>()
+        .join("\n");
     insta::assert_snapshot!(calls);
 }
 
 #[test]
 fn half_of_the_calls_is_kept_for_what_cannot_do_without() {
-    let mut play = play(&[("FamilyInfo.CallShare", "0.3"), ("Classes.0.AimUs", "9000000")]);
-    let wait = Invocation { budget: Some(9.0), ..inv(0) };
+    let mut play = play(&[
+        ("FamilyInfo.CallShare", "0.3"),
+        ("Classes.0.AimUs", "9000000"),
+    ]);
+    let wait = Invocation {
+        budget: Some(9.0),
+        ..inv(0)
+    };
     for (number, operation) in [2, 0, 0, 0, 2].into_iter().enumerate() {
         let at = 0.2 * number as f64;
-        play.arrive(at, number, Invocation { operation, ..wait.clone() });
+        play.arrive(
+            at,
+            number,
+            Invocation {
+                operation,
+                ..wait.clone()
+            },
+        );
         play.wants(at + 0.01, number);
         play.called(at + 0.05, number, OK);
         play.end(at + 0.06, number, OK, 0.05);
@@ -424,8 +699,24 @@
     play.arrive(1.0, 1, inv(0));
     play.arrive(1.0, 2, inv(0));
     play.wake(1.15, 0.5);
-    play.arrive(1.2, 3, Invocation { again: true, budget: Some(0.9), ..inv(0) });
-    play.arrive(1.2, 4, Invocation { again: true, budget: Some(1.95), ..inv(0) });
+    play.arrive(
+        1.2,
+        3,
+        Invocation {
+            again: true,
+            budget: Some(0.9),
+            ..inv(0)
+        },
+    );
+    play.arrive(
+        1.2,
+        4,
+        Invocation {
+            again: true,
+            budget: Some(1.95),
+            ..inv(0)
+        },
+    );
     play.end(1.5, 1, OK, 0.5);
     insta::assert_snapshot!(play.trace);
 }
@@ -433,7 +724,11 @@
 #[test]
 fn a_setting_that_cannot_be_read_is_named() {
     let settings = [("FamilyInfo.Cores".to_owned(), "six".to_owned())].into();
-    insta::assert_snapshot!(merlinshelf::Shedder::start(0.0, 1, settings).err().unwrap_or_default());
+    insta::assert_snapshot!(
+        merlinshelf::Shedder::start(0.0, 1, settings)
+            .err()
+            .unwrap_or_default()
+    );
 }
 
 fn word(value: f64, weight: f64) -> Option<Believed> {
@@ -444,14 +739,20 @@
 fn told_of_an_outage_below_the_first_call_is_a_trial_at_once_and_ends_it_if_it_goes_well() {
     for (weight, outcome) in [(0.6, OK), (0.6, LOST), (0.1, OK)] {
         let mut play = play(&[("FamilyInfo.CallShare", "20"), ("FamilyInfo.Cores", "8")]);
-        play.shedder.believe(Beliefs { call_failures: word(9.0, weight), ..Beliefs::default() });
+        play.shedder.believe(Beliefs {
+            call_failures: word(9.0, weight),
+            ..Beliefs::default()
+        });
         for number in 0..3 {
             play.arrive(0.0, number, inv(0));
             play.wants(0.01, number);
         }
         play.called(0.03, 0, outcome);
         // Told again, it is no news any more.
-        play.shedder.believe(Beliefs { call_failures: word(12.0, weight), ..Beliefs::default() });
+        play.shedder.believe(Beliefs {
+            call_failures: word(12.0, weight),
+            ..Beliefs::default()
+        });
         play.arrive(0.04, 3, inv(0));
         play.wants(0.05, 3);
         insta::assert_snapshot!(format!("told_{weight}_{}", outcome.succeeded), play.trace);
@@ -461,7 +762,10 @@
 #[test]
 fn what_is_told_of_runs_is_heeded_while_one_tries_it_and_dropped_once_that_was_twice_as_fast() {
     let mut play = play(&[]);
-    play.shedder.believe(Beliefs { runs: vec![None, None, word(5.0, 0.7)], ..Beliefs::default() });
+    play.shedder.believe(Beliefs {
+        runs: vec![None, None, word(5.0, 0.7)],
+        ..Beliefs::default()
+    });
     play.arrive(0.0, 0, inv(2));
     play.arrive(0.01, 1, inv(2)); // told to last 5 s, against an aim of 1 s: turned away
     play.end(0.05, 0, OK, 0.05);
@@ -484,7 +788,10 @@
     play.shedder.believe(told.clone());
     let learnt = play.shedder.learnt();
     // Within what the settings allow, whatever is told.
-    assert_eq!((learnt.limit, learnt.call_limit, learnt.call_lowest), (4.0, 8.0, 0.004));
+    assert_eq!(
+        (learnt.limit, learnt.call_limit, learnt.call_lowest),
+        (4.0, 8.0, 0.004)
+    );
     // What is told is not passed on as seen.
     assert!(learnt.operations.iter().all(|of| of.runs.is_empty()) && learnt.call_times.is_empty());
     for number in 0..40 {
@@ -496,8 +803,16 @@
     }
     play.shedder.believe(told);
     let learnt = play.shedder.learnt();
-    assert!((0.019..0.021).contains(&learnt.call_lowest), "its own by now: {}", learnt.call_lowest);
-    assert!((0.029..0.031).contains(&learnt.operations[0].lowest), "{}", learnt.operations[0].lowest);
+    assert!(
+        (0.019..0.021).contains(&learnt.call_lowest),
+        "its own by now: {}",
+        learnt.call_lowest
+    );
+    assert!(
+        (0.029..0.031).contains(&learnt.operations[0].lowest),
+        "{}",
+        learnt.operations[0].lowest
+    );
     assert!(learnt.limit >= 2.0);
 }
 
@@ -511,7 +826,10 @@
         ..Beliefs::default()
     };
     let traces = [Beliefs::default(), lie].map(|beliefs| {
-        let mut play = play(&[("FamilyInfo.CallShare", "20"), ("FamilyInfo.CallerIdleUs", "30000000")]);
+        let mut play = play(&[
+            ("FamilyInfo.CallShare", "20"),
+            ("FamilyInfo.CallerIdleUs", "30000000"),
+        ]);
         for number in 0..10 {
             let at = 0.1 * number as f64;
             play.arrive(at, number, inv(0));
@@ -539,7 +857,14 @@
     let mut play = play(&[("Classes.0.AimUs", "0"), ("Classes.0.LateWorth", "1")]);
     play.wake(0.0, 0.1);
     play.arrive(0.01, 0, inv(0));
-    play.arrive(0.02, 1, Invocation { again: true, ..inv(0) });
+    play.arrive(
+        0.02,
+        1,
+        Invocation {
+            again: true,
+            ..inv(0)
+        },
+    );
     play.arrive(0.03, 2, inv(2));
     insta::assert_snapshot!(play.trace);
 }
@@ -548,8 +873,15 @@
 fn what_a_fleet_has_left_bounds_calls_below() {
     let mut play = play(&[("FamilyInfo.CallShare", "50")]);
     let spend = |play: &mut Play, left: [u32; 3], closed: bool, opens: bool| {
-        let (over, fails) = play.shedder.spend(Spend { left, closed, opens });
-        play.trace.push_str(&format!("left over {:?}, fails {fails}\n", over.left.map(|of| of.min(99))));
+        let (over, fails) = play.shedder.spend(Spend {
+            left,
+            closed,
+            opens,
+        });
+        play.trace.push_str(&format!(
+            "left over {:?}, fails {fails}\n",
+            over.left.map(|of| of.min(99))
+        ));
     };
     play.arrive(0.01, 0, inv(0));
     play.arrive(0.02, 1, inv(2));
