--- a/crates/merlinshelf-adapter/src/main.rs
+++ b/crates/merlinshelf-adapter/src/main.rs
@@ -7,7 +7,7 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::process::ExitCode;
 
-use merlinshelf::{Decided, Invocation, Outcome, Settings, Shedder};
+use merlinshelf_admission::{Decided, Invocation, Outcome, Settings, Shedder};
 
 /// One hosted instance and the numbers by which it knows invocations.
 struct Instance {
--- a/crates/merlinshelf/tests/helpers/mod.rs
+++ b/crates/merlinshelf-admission/tests/helpers/mod.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use merlinshelf::{Decided, Invocation, Outcome, Settings, Shedder};
+use merlinshelf_admission::{Decided, Invocation, Outcome, Settings, Shedder};
 
 pub struct Play {
     pub shedder: Shedder,
--- a/crates/merlinshelf/tests/traces.rs
+++ b/crates/merlinshelf-admission/tests/traces.rs
@@ -3,7 +3,7 @@
 mod helpers;
 
 use helpers::{LOST, OK, Play, UNSEEN, inv, play};
-use merlinshelf::{Beliefs, Believed, Invocation, Outcome, Spend};
+use merlinshelf_admission::{Beliefs, Believed, Invocation, Outcome, Spend};
 
 #[test]
 fn over_the_limit_low_bands_are_cut_on_arrival() {
@@ -725,7 +725,7 @@
 fn a_setting_that_cannot_be_read_is_named() {
     let settings = [("FamilyInfo.Cores".to_owned(), "six".to_owned())].into();
     insta::assert_snapshot!(
-        merlinshelf::Shedder::start(0.0, 1, settings)
+        merlinshelf_admission::Shedder::start(0.0, 1, settings)
             .err()
             .unwrap_or_default()
     );
--- a/crates/merlinshelf-agent/src/council.rs
+++ b/crates/merlinshelf-agent/src/council.rs
@@ -9,8 +9,8 @@
 
 use log::{error, info, warn};
 use merlinshelf_backend::learning::folder::Disk;
-use merlinshelf_council::{Council, HEAD, Record, Standing, Step, Word, recover};
-use merlinshelf_knowledge::Files;
+use merlinshelf_consensus::{Council, HEAD, Record, Standing, Step, Word, recover};
+use merlinshelf_gossip::Files;
 use merlinshelf_policy::ledger::News;
 use merlinshelf_policy::{Entry, Ledger};
 use tokio::sync::mpsc::UnboundedSender;
--- a/crates/merlinshelf-agent/src/links.rs
+++ b/crates/merlinshelf-agent/src/links.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use log::{debug, warn};
-use merlinshelf_council::Word;
+use merlinshelf_consensus::Word;
 use merlinshelf_policy::{Entry, HostAsk, HostWord};
 use merlinshelf_protocol::control::{self, FORM, Question};
 use serde::{Deserialize, Serialize};
--- a/crates/merlinshelf-agent/src/policy/budgets.rs
+++ b/crates/merlinshelf-agent/src/policy/budgets.rs
@@ -5,7 +5,7 @@
 
 use merlinshelf_fleet::wanted::CouncilOf;
 use merlinshelf_policy::HostAsk;
-use merlinshelf_shares::{Asked, Bank, Budgets, Given, House, Kind, Lease, kinds};
+use merlinshelf_quota::{Asked, Bank, Budgets, Given, House, Kind, Lease, kinds};
 use serde_json::{Value, json};
 
 use super::PolicyAgent;
--- a/crates/merlinshelf-agent/src/policy/mod.rs
+++ b/crates/merlinshelf-agent/src/policy/mod.rs
@@ -168,7 +168,7 @@
     ) {
         let plain = now;
         let now = now * self.clock_rate;
-        if plain >= self.ticked + merlinshelf_council::TICK_MS as f64 / 1e3 {
+        if plain >= self.ticked + merlinshelf_consensus::TICK_MS as f64 / 1e3 {
             self.ticked = plain;
             self.seat.tick(now);
             if let Some((conductor, _)) = &mut self.conductor {
--- a/crates/merlinshelf-agent/src/store.rs
+++ b/crates/merlinshelf-agent/src/store.rs
@@ -8,8 +8,8 @@
 use log::{info, warn};
 use merlinshelf_backend::learning::folder::Disk;
 use merlinshelf_fleet::Record;
-use merlinshelf_knowledge::Files;
-use merlinshelf_knowledge::log::{framed, unframed};
+use merlinshelf_gossip::Files;
+use merlinshelf_gossip::log::{framed, unframed};
 
 const FILE: &str = "fleet";
 const NEXT: &str = "fleet.new";
--- a/crates/merlinshelf-backend/src/client/catalogue.rs
+++ b/crates/merlinshelf-backend/src/client/catalogue.rs
@@ -13,7 +13,7 @@
 use merlinshelf_handover::{Flow, Key, Role, records};
 use merlinshelf_protocol::CallId;
 use merlinshelf_protocol::catalogue::{self, Reply};
-use merlinshelf_shares::CATALOGUE;
+use merlinshelf_quota::CATALOGUE;
 use rustix::net::{Shutdown, shutdown};
 use serde_bytes::ByteBuf;
 use tokio::io::Interest;
--- a/crates/merlinshelf-backend/src/config.rs
+++ b/crates/merlinshelf-backend/src/config.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use merlinshelf::Settings;
+use merlinshelf_admission::Settings;
 use serde_json::{Map, Value};
 
 /// Where the client side finds its far ends: all that may change while the program runs.
--- a/crates/merlinshelf-backend/src/exchange/arrivals.rs
+++ b/crates/merlinshelf-backend/src/exchange/arrivals.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use log::warn;
-use merlinshelf::Invocation;
+use merlinshelf_admission::Invocation;
 use merlinshelf_protocol::CallId;
 use tokio::sync::Notify;
 
--- a/crates/merlinshelf-backend/src/exchange/budgets.rs
+++ b/crates/merlinshelf-backend/src/exchange/budgets.rs
@@ -8,8 +8,8 @@
 use std::path::{Path, PathBuf};
 
 use log::{info, warn};
-use merlinshelf::{Spend, Stage};
-use merlinshelf_shares::{
+use merlinshelf_admission::{Spend, Stage};
+use merlinshelf_quota::{
     Asked, Budgets, CATALOGUE, Given, Kind, Lease, Left, Phase, Spender, kinds, purse,
 };
 use rand::{RngExt, SeedableRng};
--- a/crates/merlinshelf-backend/src/exchange/calls.rs
+++ b/crates/merlinshelf-backend/src/exchange/calls.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use merlinshelf::Outcome;
+use merlinshelf_admission::Outcome;
 use merlinshelf_protocol::CallId;
 use tokio::sync::Notify;
 
--- a/crates/merlinshelf-backend/src/exchange/carry.rs
+++ b/crates/merlinshelf-backend/src/exchange/carry.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use log::error;
-use merlinshelf::Shedder;
+use merlinshelf_admission::Shedder;
 use merlinshelf_handover::records;
 use merlinshelf_handover::{Image, Key, Role, Transaction};
 use merlinshelf_protocol::CallId;
@@ -296,7 +296,7 @@
         &mut self,
         image: &Image,
         lines: &[records::Line],
-        learnt: Option<merlinshelf::Learnt>,
+        learnt: Option<merlinshelf_admission::Learnt>,
     ) {
         let instance: records::Instance = image.get(Key::Instance).unwrap_or_default();
         let numbers = image.keys().filter_map(|key| match key {
--- a/crates/merlinshelf-backend/src/exchange/decisions.rs
+++ b/crates/merlinshelf-backend/src/exchange/decisions.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use log::{error, info, warn};
-use merlinshelf::{Decided, Shedder};
+use merlinshelf_admission::{Decided, Shedder};
 use tokio::time::Instant;
 
 use super::alarms::Alarm;
--- a/crates/merlinshelf-backend/src/exchange/mod.rs
+++ b/crates/merlinshelf-backend/src/exchange/mod.rs
@@ -21,7 +21,7 @@
 use std::rc::Rc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use merlinshelf::{Beliefs, Learnt, Settings, Shedder};
+use merlinshelf_admission::{Beliefs, Learnt, Settings, Shedder};
 use tokio::sync::{Notify, mpsc, watch};
 use tokio::time::Instant;
 
--- a/crates/merlinshelf-backend/src/exchange/policy.rs
+++ b/crates/merlinshelf-backend/src/exchange/policy.rs
@@ -4,10 +4,10 @@
 use std::panic::catch_unwind;
 
 use log::{error, info};
-use merlinshelf::{Settings, Shedder};
+use merlinshelf_admission::{Settings, Shedder};
 use merlinshelf_policy::holder::Passed;
 use merlinshelf_policy::{Acting, Beat, Holder, Policy, Said};
-use merlinshelf_shares::kinds;
+use merlinshelf_quota::kinds;
 
 use super::budgets::Spending;
 use super::{Exchange, Wanting, monotonic, unix_ms};
--- a/crates/merlinshelf-backend/src/exchange/runs.rs
+++ b/crates/merlinshelf-backend/src/exchange/runs.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use log::{debug, info, warn};
-use merlinshelf::Outcome;
+use merlinshelf_admission::Outcome;
 use merlinshelf_protocol::CallId;
 use merlinshelf_protocol::engine::End;
 use tokio::sync::Notify;
--- a/crates/merlinshelf-backend/src/instance.rs
+++ b/crates/merlinshelf-backend/src/instance.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use log::{error, warn};
-use merlinshelf::Learnt;
+use merlinshelf_admission::Learnt;
 use merlinshelf_handover::{Image, Key, Role, Settled, Transaction, records};
 use tokio::net::TcpStream;
 use tokio::select;
--- a/crates/merlinshelf-backend/src/learning/folder.rs
+++ b/crates/merlinshelf-backend/src/learning/folder.rs
@@ -6,9 +6,9 @@
 use std::path::{Path, PathBuf};
 use std::sync::mpsc::{Receiver, SyncSender, TrySendError, sync_channel};
 
-use merlinshelf_knowledge::Told;
-use merlinshelf_knowledge::log::Flaw;
-use merlinshelf_knowledge::store::{Files, Found, LENGTH_MOST, Store};
+use merlinshelf_gossip::Told;
+use merlinshelf_gossip::log::Flaw;
+use merlinshelf_gossip::store::{Files, Found, LENGTH_MOST, Store};
 use rustix::fs::{FlockOperation, flock};
 use rustix::io::Errno;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
--- a/crates/merlinshelf-backend/src/learning/mod.rs
+++ b/crates/merlinshelf-backend/src/learning/mod.rs
@@ -1,5 +1,5 @@
 //! Learning from other instances and from one's own past: the sockets, the folder and the clock round what
-//! `merlinshelf-knowledge` decides. Service neither waits for any of it nor ends by it.
+//! `merlinshelf-gossip` decides. Service neither waits for any of it nor ends by it.
 
 pub mod folder;
 mod peers;
@@ -11,10 +11,10 @@
 use std::time::Duration;
 
 use log::{info, warn};
-use merlinshelf_knowledge::fact::Unbelievable;
-use merlinshelf_knowledge::learner::{Learner, Settings, Step};
-use merlinshelf_knowledge::log::{Kept, Record, recover};
-use merlinshelf_knowledge::{Scope, Told, log as form, members};
+use merlinshelf_gossip::fact::Unbelievable;
+use merlinshelf_gossip::learner::{Learner, Settings, Step};
+use merlinshelf_gossip::log::{Kept, Record, recover};
+use merlinshelf_gossip::{Scope, Told, log as form, members};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use tokio::select;
@@ -67,7 +67,7 @@
 impl Learning {
     pub fn new(
         name: &str,
-        settings: &merlinshelf::Settings,
+        settings: &merlinshelf_admission::Settings,
         operator: operator::Learning,
     ) -> Learning {
         let count = settings
@@ -297,7 +297,7 @@
         self.state.borrow_mut().learner = Some(learner);
     }
 
-    fn found(&mut self, found: merlinshelf_knowledge::store::Found) -> Vec<Told> {
+    fn found(&mut self, found: merlinshelf_gossip::store::Found) -> Vec<Told> {
         if let Some(flaw) = found.flaw {
             let aside = if found.set_aside {
                 ", and set aside"
--- a/crates/merlinshelf-backend/src/learning/peers.rs
+++ b/crates/merlinshelf-backend/src/learning/peers.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use log::{debug, info, warn};
-use merlinshelf_knowledge::Message;
+use merlinshelf_gossip::Message;
 use merlinshelf_protocol::teaching::{Kind, MESSAGE_MOST, Reading, put_message};
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
--- a/crates/merlinshelf-backend/src/learning/report.rs
+++ b/crates/merlinshelf-backend/src/learning/report.rs
@@ -1,7 +1,7 @@
 //! What is reported of learning: by whom, how old, and what of it still counts.
 
-use merlinshelf_knowledge::book::weight;
-use merlinshelf_knowledge::{Figure, Origin, Subject};
+use merlinshelf_gossip::book::weight;
+use merlinshelf_gossip::{Figure, Origin, Subject};
 use serde_json::{Value, json};
 
 use super::State;
--- a/crates/merlinshelf-backend/src/routing.rs
+++ b/crates/merlinshelf-backend/src/routing.rs
@@ -9,7 +9,7 @@
 use merlinshelf_dependencies::{Ask, Dependencies, Effect, End, Ended, Report, Router, Step};
 use merlinshelf_policy::Policy;
 use merlinshelf_protocol::CallId;
-use merlinshelf_shares::{Kind, Left};
+use merlinshelf_quota::{Kind, Left};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use tokio::sync::Notify;
--- a/crates/merlinshelf-backend/src/server/mod.rs
+++ b/crates/merlinshelf-backend/src/server/mod.rs
@@ -14,7 +14,7 @@
 
 use log::warn;
 use merlinshelf_handover::records;
-use merlinshelf_shares::CALLERS;
+use merlinshelf_quota::CALLERS;
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 use rustix::net::{Shutdown, shutdown};
 use tokio::io::Interest;
--- a/crates/merlinshelf-backend/src/upgrade/guard.rs
+++ b/crates/merlinshelf-backend/src/upgrade/guard.rs
@@ -8,7 +8,7 @@
 use std::process::{Child, Command};
 
 use log::warn;
-use merlinshelf::Learnt;
+use merlinshelf_admission::Learnt;
 use merlinshelf_handover::{Image, Key, Role, Word, records};
 use rustix::process::{Pid, PidfdFlags, Signal, pidfd_open, pidfd_send_signal};
 use tokio::io::Interest;
--- a/crates/merlinshelf-cli/src/knowledge.rs
+++ b/crates/merlinshelf-cli/src/knowledge.rs
@@ -8,7 +8,7 @@
 
 use merlinshelf_agent::talk::Blocking as Talk;
 use merlinshelf_backend::learning::folder::{flaw_text, look};
-use merlinshelf_knowledge::Told;
+use merlinshelf_gossip::Told;
 use merlinshelf_protocol::control::{Question, Word};
 use serde_json::{Value, json};
 
--- a/crates/merlinshelf-cli/tests/fleet.rs
+++ b/crates/merlinshelf-cli/tests/fleet.rs
@@ -5,10 +5,10 @@
 use std::process::Command;
 use std::time::Duration;
 
-use merlinshelf_lab::fleet::{Rig, sum};
-use merlinshelf_lab::instance::signal;
-use merlinshelf_lab::play::play_within;
 use merlinshelf_protocol::control::Word;
+use merlinshelf_testbed::fleet::{Rig, sum};
+use merlinshelf_testbed::instance::signal;
+use merlinshelf_testbed::play::play_within;
 use rustix::process::Signal;
 use serde_json::{Value, json};
 use tokio::time::sleep;
--- a/crates/merlinshelf-cli/tests/handover.rs
+++ b/crates/merlinshelf-cli/tests/handover.rs
@@ -9,9 +9,9 @@
 use std::time::Instant;
 
 use insta::assert_snapshot;
-use merlinshelf_lab::instance::signal;
-use merlinshelf_lab::script::{PATIENCE, Peer, Rig, ask_until_stalled, bind, serve_all};
-use merlinshelf_lab::wire::{ask, id};
+use merlinshelf_testbed::instance::signal;
+use merlinshelf_testbed::script::{PATIENCE, Peer, Rig, ask_until_stalled, bind, serve_all};
+use merlinshelf_testbed::wire::{ask, id};
 use rustix::process::Signal;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_merlinshelf");
--- a/crates/merlinshelf-cli/tests/learning.rs
+++ b/crates/merlinshelf-cli/tests/learning.rs
@@ -5,12 +5,12 @@
 use std::process::Command;
 use std::time::Duration;
 
-use merlinshelf_knowledge::{Origin, Standing, Subject, Told};
-use merlinshelf_lab::instance::{Instance, Setup, peer_address, signal};
-use merlinshelf_lab::load::{Load, Playing, Verdict};
-use merlinshelf_lab::play::play_within;
-use merlinshelf_lab::trial::learning::worth;
+use merlinshelf_gossip::{Origin, Standing, Subject, Told};
 use merlinshelf_protocol::control::{Question, Word};
+use merlinshelf_testbed::instance::{Instance, Setup, peer_address, signal};
+use merlinshelf_testbed::load::{Load, Playing, Verdict};
+use merlinshelf_testbed::play::play_within;
+use merlinshelf_testbed::trial::learning::worth;
 use rustix::process::Signal;
 use serde_json::{Value, json};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
--- a/crates/merlinshelf-cli/tests/policy.rs
+++ b/crates/merlinshelf-cli/tests/policy.rs
@@ -1,18 +1,18 @@
 //! Several real agents with real instances between stand-ins, one policy for all of them, and faults between the processes. What
-//! holds is read from what clients got: each policy lets in one of three signs (`merlinshelf_lab::installation`).
+//! holds is read from what clients got: each policy lets in one of three signs (`merlinshelf_testbed::installation`).
 
 use std::io;
 use std::process::{Command, Output};
 use std::time::Duration;
 
 use merlinshelf_agent::talk::Talk;
-use merlinshelf_lab::installation::{
+use merlinshelf_protocol::control::{Question, Word};
+use merlinshelf_testbed::installation::{
     Changed, Installation, Made, check, evidence, out_of_order, policy_of,
 };
-use merlinshelf_lab::instance::signal;
-use merlinshelf_lab::link::{ControlLink, Fault, Manner};
-use merlinshelf_lab::play::play_in_a_lane;
-use merlinshelf_protocol::control::{Question, Word};
+use merlinshelf_testbed::instance::signal;
+use merlinshelf_testbed::link::{ControlLink, Fault, Manner};
+use merlinshelf_testbed::play::play_in_a_lane;
 use rustix::process::Signal;
 use serde_json::{Value, json};
 use tokio::time::{Instant, sleep, timeout};
@@ -77,8 +77,8 @@
     playing: Vec<(
         usize,
         u16,
-        merlinshelf_lab::load::Load,
-        merlinshelf_lab::load::Playing,
+        merlinshelf_testbed::load::Load,
+        merlinshelf_testbed::load::Playing,
     )>,
     changes: &[Changed],
 ) {
--- a/crates/merlinshelf-cli/tests/serving.rs
+++ b/crates/merlinshelf-cli/tests/serving.rs
@@ -8,10 +8,10 @@
 use std::time::{Duration, Instant};
 
 use insta::assert_snapshot;
-use merlinshelf_lab::script::{
+use merlinshelf_testbed::script::{
     PATIENCE, Peer, Rig, ask_until_stalled, bind, configuration, millis, program, serve_all,
 };
-use merlinshelf_lab::wire::{ask, id, record, unix_ms};
+use merlinshelf_testbed::wire::{ask, id, record, unix_ms};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
 
--- a/crates/merlinshelf-cli/tests/shares.rs
+++ b/crates/merlinshelf-cli/tests/shares.rs
@@ -5,16 +5,16 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use merlinshelf_lab::budgets::{
+use merlinshelf_protocol::control::Word;
+use merlinshelf_testbed::budgets::{
     AGAIN, Door, FIRST, PROBES, aside, each_second, hold, most_within, policy, worst_second,
 };
-use merlinshelf_lab::installation::{Installation, Made, check};
-use merlinshelf_lab::instance::signal;
-use merlinshelf_lab::link::Fault;
-use merlinshelf_lab::load::{Load, Playing, Verdict};
-use merlinshelf_lab::play::play_in_a_lane;
-use merlinshelf_lab::stand_in::{Manners, Server};
-use merlinshelf_protocol::control::Word;
+use merlinshelf_testbed::installation::{Installation, Made, check};
+use merlinshelf_testbed::instance::signal;
+use merlinshelf_testbed::link::Fault;
+use merlinshelf_testbed::load::{Load, Playing, Verdict};
+use merlinshelf_testbed::play::play_in_a_lane;
+use merlinshelf_testbed::stand_in::{Manners, Server};
 use rustix::process::Signal;
 use serde_json::{Value, json};
 use tokio::time::{Instant, sleep};
--- a/crates/merlinshelf-cli/tests/upgrade.rs
+++ b/crates/merlinshelf-cli/tests/upgrade.rs
@@ -4,11 +4,11 @@
 use std::io;
 use std::time::Duration;
 
-use merlinshelf_lab::instance::{Instance, Setup, signal};
-use merlinshelf_lab::load::{Load, Playing, Verdict};
-use merlinshelf_lab::play::play_within;
-use merlinshelf_lab::trial::upgrade::{self, Plan, round};
 use merlinshelf_protocol::control::{Question, Word};
+use merlinshelf_testbed::instance::{Instance, Setup, signal};
+use merlinshelf_testbed::load::{Load, Playing, Verdict};
+use merlinshelf_testbed::play::play_within;
+use merlinshelf_testbed::trial::upgrade::{self, Plan, round};
 use rustix::process::Signal;
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::{Instant, sleep};
--- a/crates/merlinshelf-cli/tests/uwsgi.rs
+++ b/crates/merlinshelf-cli/tests/uwsgi.rs
@@ -4,11 +4,11 @@
 use std::io;
 use std::time::Duration;
 
-use merlinshelf_lab::instance::{Instance, Setup};
-use merlinshelf_lab::load::{Front, Load};
-use merlinshelf_lab::play::play_within;
-use merlinshelf_lab::trial::upgrade::round;
-use merlinshelf_lab::wire::{ask, ask_uwsgi};
+use merlinshelf_testbed::instance::{Instance, Setup};
+use merlinshelf_testbed::load::{Front, Load};
+use merlinshelf_testbed::play::play_within;
+use merlinshelf_testbed::trial::upgrade::round;
+use merlinshelf_testbed::wire::{ask, ask_uwsgi};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep, timeout};
--- a/crates/merlinshelf-council/tests/council.rs
+++ b/crates/merlinshelf-consensus/tests/council.rs
@@ -4,7 +4,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use merlinshelf_council::{Council, Record, Standing, Step, Word};
+use merlinshelf_consensus::{Council, Record, Standing, Step, Word};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -368,7 +368,7 @@
 
 #[test]
 fn what_is_torn_at_the_end_was_never_promised_and_what_is_spoilt_before_it_is_told() {
-    use merlinshelf_council::recover;
+    use merlinshelf_consensus::recover;
     let records = [
         Record::Seat { id: 1, life: 2 },
         Record::Hard {
--- a/crates/merlinshelf-dependencies/src/router.rs
+++ b/crates/merlinshelf-dependencies/src/router.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use merlinshelf_shares::Left;
+use merlinshelf_quota::Left;
 
 use crate::attempts::{Attempts, Effect, Ended};
 use crate::budget::allowance;
--- a/crates/merlinshelf-dependencies/tests/router.rs
+++ b/crates/merlinshelf-dependencies/tests/router.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use merlinshelf_dependencies::{Ask, Dependencies, Effect, End, Ended, Router, Step};
-use merlinshelf_shares::Left;
+use merlinshelf_quota::Left;
 use proptest::prelude::*;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
--- a/crates/merlinshelf-knowledge/src/learner.rs
+++ b/crates/merlinshelf-gossip/src/learner.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use merlinshelf::{Beliefs, Learnt};
+use merlinshelf_admission::{Beliefs, Learnt};
 
 use crate::book::Book;
 use crate::fact::{Origin, Standing, Told, Unbelievable};
--- a/crates/merlinshelf-knowledge/src/lesson.rs
+++ b/crates/merlinshelf-gossip/src/lesson.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use merlinshelf::{Beliefs, Believed, Learnt};
+use merlinshelf_admission::{Beliefs, Believed, Learnt};
 
 use crate::book::Book;
 use crate::fact::Subject;
--- a/crates/merlinshelf-knowledge/tests/knowledge.rs
+++ b/crates/merlinshelf-gossip/tests/knowledge.rs
@@ -3,9 +3,9 @@
 use std::fmt::Write as _;
 
 use insta::assert_snapshot;
-use merlinshelf_knowledge::fact::HOPS_MOST;
-use merlinshelf_knowledge::log::{Flaw, Kept, Record, head, record, recover};
-use merlinshelf_knowledge::{Book, Origin, Standing, Subject, Told, Unbelievable};
+use merlinshelf_gossip::fact::HOPS_MOST;
+use merlinshelf_gossip::log::{Flaw, Kept, Record, head, record, recover};
+use merlinshelf_gossip::{Book, Origin, Standing, Subject, Told, Unbelievable};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
--- a/crates/merlinshelf-knowledge/tests/learner.rs
+++ b/crates/merlinshelf-gossip/tests/learner.rs
@@ -3,9 +3,9 @@
 
 use std::collections::VecDeque;
 
-use merlinshelf::{Learnt, LearntOfOperation};
-use merlinshelf_knowledge::learner::{FIGURES_MOST, Learner, Message, Settings, Step};
-use merlinshelf_knowledge::{Origin, Scope, Standing, State, Subject, Told, Unbelievable, members};
+use merlinshelf_admission::{Learnt, LearntOfOperation};
+use merlinshelf_gossip::learner::{FIGURES_MOST, Learner, Message, Settings, Step};
+use merlinshelf_gossip::{Origin, Scope, Standing, State, Subject, Told, Unbelievable, members};
 
 fn settings(name: &str, seeds: &[&str]) -> Settings {
     Settings {
--- a/crates/merlinshelf-knowledge/tests/members.rs
+++ b/crates/merlinshelf-gossip/tests/members.rs
@@ -4,8 +4,8 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-use merlinshelf_knowledge::members::{Settings, Step};
-use merlinshelf_knowledge::{Members, News, State};
+use merlinshelf_gossip::members::{Settings, Step};
+use merlinshelf_gossip::{Members, News, State};
 
 /// A small generator of chance, by seed.
 struct Chance(u64);
--- a/crates/merlinshelf-handover/src/records.rs
+++ b/crates/merlinshelf-handover/src/records.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use merlinshelf::{Inv, Learnt};
+use merlinshelf_admission::{Inv, Learnt};
 use serde::{Deserialize, Serialize};
 use serde_bytes::ByteBuf;
 
@@ -30,11 +30,11 @@
     pub counters: BTreeMap<String, u64>,
     /// None while the engine was never up.
     pub learnt: Option<Learnt>,
-    /// What is known of the servers behind and from whom, in the form of its file (`merlinshelf-knowledge`).
+    /// What is known of the servers behind and from whom, in the form of its file (`merlinshelf-gossip`).
     pub knowledge: ByteBuf,
     /// The lease on a policy and the documents (`merlinshelf-policy`), for a successor alone: empty in what is noted.
     pub policy: ByteBuf,
-    /// What is held of the fleet's budgets (`merlinshelf-shares`), for a successor alone as well.
+    /// What is held of the fleet's budgets (`merlinshelf-quota`), for a successor alone as well.
     pub shares: ByteBuf,
 }
 
--- a/crates/merlinshelf-policy/src/document.rs
+++ b/crates/merlinshelf-policy/src/document.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeMap;
 
 use garde::Validate;
-use merlinshelf::Settings;
+use merlinshelf_admission::Settings;
 use merlinshelf_dependencies::Dependencies;
-use merlinshelf_shares::{Budgets, CALLERS, CATALOGUE, Kind, kinds};
+use merlinshelf_quota::{Budgets, CALLERS, CATALOGUE, Kind, kinds};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
--- a/crates/merlinshelf-policy/src/holder.rs
+++ b/crates/merlinshelf-policy/src/holder.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use merlinshelf::Settings;
+use merlinshelf_admission::Settings;
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
--- a/crates/merlinshelf-policy/src/words.rs
+++ b/crates/merlinshelf-policy/src/words.rs
@@ -3,7 +3,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use merlinshelf_shares::{Asked, Given};
+use merlinshelf_quota::{Asked, Given};
 
 use crate::document::Policy;
 
--- a/crates/merlinshelf-policy/tests/parts.rs
+++ b/crates/merlinshelf-policy/tests/parts.rs
@@ -1,7 +1,7 @@
 //! The document and an instance's part by hand.
 
 use garde::Validate;
-use merlinshelf::Settings;
+use merlinshelf_admission::Settings;
 use merlinshelf_dependencies::Dependencies;
 use merlinshelf_policy::words::{Beat, Grant};
 use merlinshelf_policy::{Acting, Holder, Policy, Without};
--- a/crates/merlinshelf-protocol/src/teaching.rs
+++ b/crates/merlinshelf-protocol/src/teaching.rs
@@ -7,9 +7,9 @@
 
 use std::borrow::Cow;
 
-use merlinshelf_knowledge::fact::{Origin, Standing, Subject, Told};
-use merlinshelf_knowledge::learner::{FIGURES_MOST, Message, NEWS_MOST};
-use merlinshelf_knowledge::members::{News, State};
+use merlinshelf_gossip::fact::{Origin, Standing, Subject, Told};
+use merlinshelf_gossip::learner::{FIGURES_MOST, Message, NEWS_MOST};
+use merlinshelf_gossip::members::{News, State};
 use percent_encoding::{AsciiSet, CONTROLS, percent_decode, utf8_percent_encode};
 use winnow::ascii::{dec_uint, float};
 use winnow::combinator::{alt, preceded};
--- a/crates/merlinshelf-protocol/tests/teaching.rs
+++ b/crates/merlinshelf-protocol/tests/teaching.rs
@@ -1,7 +1,7 @@
 //! Messages between instances: whole, in pieces of any size, garbled, endless.
 
-use merlinshelf_knowledge::learner::{FIGURES_MOST, NEWS_MOST};
-use merlinshelf_knowledge::{Message, News, Origin, Standing, State, Subject, Told};
+use merlinshelf_gossip::learner::{FIGURES_MOST, NEWS_MOST};
+use merlinshelf_gossip::{Message, News, Origin, Standing, State, Subject, Told};
 use merlinshelf_protocol::teaching::{Kind, MESSAGE_MOST, Reading, put_message};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
--- a/crates/merlinshelf-shares/tests/model.rs
+++ b/crates/merlinshelf-quota/tests/model.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BinaryHeap};
 
-use merlinshelf_shares::{Claim, Holder, Keeper, Lease, Share};
+use merlinshelf_quota::{Claim, Holder, Keeper, Lease, Share};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
--- a/crates/merlinshelf-shares/tests/parts.rs
+++ b/crates/merlinshelf-quota/tests/parts.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 
-use merlinshelf_shares::kinds::{check, check_against};
-use merlinshelf_shares::{
+use merlinshelf_quota::kinds::{check, check_against};
+use merlinshelf_quota::{
     Bank, Budgets, CATALOGUE, House, Kind, Lease, Phase, Recovery, Sight, Spender, purse,
 };
 
--- a/crates/merlinshelf-lab/src/disk.rs
+++ b/crates/merlinshelf-testbed/src/disk.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::io;
 
-use merlinshelf_knowledge::Files;
+use merlinshelf_gossip::Files;
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 
--- a/crates/merlinshelf-lab/src/instance.rs
+++ b/crates/merlinshelf-testbed/src/instance.rs
@@ -146,8 +146,10 @@
 impl Instance {
     /// Starts stand-ins and the program between them, and waits until it serves.
     pub async fn start(setup: &Setup, number: u8) -> io::Result<Instance> {
-        let folder =
-            std::env::temp_dir().join(format!("merlinshelf-lab-{}-{number}", std::process::id()));
+        let folder = std::env::temp_dir().join(format!(
+            "merlinshelf-testbed-{}-{number}",
+            std::process::id()
+        ));
         std::fs::create_dir_all(&folder)?;
         let records: Shared = Rc::new(RefCell::new(Records::default()));
         let bind = || TcpListener::bind("127.0.0.1:0");
--- a/crates/merlinshelf-lab/src/main.rs
+++ b/crates/merlinshelf-testbed/src/main.rs
@@ -6,19 +6,19 @@
 use std::time::Duration;
 
 use clap::{Parser, Subcommand};
-use merlinshelf_lab::instance::Setup;
-use merlinshelf_lab::stand_in::Manner;
-use merlinshelf_lab::{demo, standing, trial};
+use merlinshelf_testbed::instance::Setup;
+use merlinshelf_testbed::stand_in::Manner;
+use merlinshelf_testbed::{demo, standing, trial};
 use tokio::runtime::Builder;
 use tokio::task::LocalSet;
 
 #[derive(Parser)]
 #[command(
-    name = "merlinshelf-lab",
+    name = "merlinshelf-testbed",
     version,
     about = "Stand-ins, load and trials for merlinshelf; everything on loopback, and it ends by itself",
     after_help = "Exit codes: 0 done, 1 a rule broke or something failed, 2 wrong usage.\n\nExamples:\n  \
-                  merlinshelf-lab demo\n  merlinshelf-lab trial upgrade --seed 7 --rounds 20 --fail 0.5"
+                  merlinshelf-testbed demo\n  merlinshelf-testbed trial upgrade --seed 7 --rounds 20 --fail 0.5"
 )]
 struct Cli {
     #[command(subcommand)]
@@ -34,11 +34,11 @@
         program: Option<PathBuf>,
     },
     /// Play engine, catalogue and membership service at the addresses of a configuration
-    #[command(after_help = "Example:\n  merlinshelf-lab stand-ins examples/config.json")]
+    #[command(after_help = "Example:\n  merlinshelf-testbed stand-ins examples/config.json")]
     StandIns { config: PathBuf },
     /// Send invocations to the address of a configuration and print the answers
     #[command(
-        after_help = "Example:\n  merlinshelf-lab ask examples/config.json thumbnail page-7 3"
+        after_help = "Example:\n  merlinshelf-testbed ask examples/config.json thumbnail page-7 3"
     )]
     Ask {
         config: PathBuf,
@@ -79,7 +79,7 @@
     },
     /// Rolling upgrades, restarts and drains of many instances under load, with kills of the agent
     #[command(
-        after_help = "Example:\n  merlinshelf-lab trial fleet --seed 18 --seeds 20 --instances 20"
+        after_help = "Example:\n  merlinshelf-testbed trial fleet --seed 18 --seeds 20 --instances 20"
     )]
     Fleet {
         #[arg(long, default_value_t = 1)]
@@ -102,7 +102,7 @@
         program: Option<PathBuf>,
     },
     /// One change of policy a round for all instances of several agents, with faults between the processes by seed
-    #[command(after_help = "Example:\n  merlinshelf-lab trial policy --seed 28 --rounds 20")]
+    #[command(after_help = "Example:\n  merlinshelf-testbed trial policy --seed 28 --rounds 20")]
     Policy {
         #[arg(long, default_value_t = 1)]
         seed: u64,
@@ -138,7 +138,7 @@
         program: Option<PathBuf>,
     },
     /// Two dependencies of five servers each that fail by script, against plain ways to call them; many instances in virtual time
-    #[command(after_help = "Example:\n  merlinshelf-lab trial dependencies --seed 19")]
+    #[command(after_help = "Example:\n  merlinshelf-testbed trial dependencies --seed 19")]
     Dependencies {
         #[arg(long, default_value_t = 1)]
         seed: u64,
@@ -155,7 +155,7 @@
         program: Option<PathBuf>,
     },
     /// The same mix in overload by FastCGI, by uwsgi and by both: served, throttled and errored by operation, and what it costs
-    #[command(after_help = "Example:\n  merlinshelf-lab trial uwsgi --seed 20 --seeds 5")]
+    #[command(after_help = "Example:\n  merlinshelf-testbed trial uwsgi --seed 20 --seeds 5")]
     Uwsgi {
         #[arg(long, default_value_t = 1)]
         seed: u64,
@@ -170,7 +170,7 @@
     },
     /// What being taught is worth, what bad teachers cost, what it costs a fleet, and what crashes leave
     #[command(
-        after_help = "Example:\n  merlinshelf-lab trial learning --seed 17 --seeds 20 --at-once 4"
+        after_help = "Example:\n  merlinshelf-testbed trial learning --seed 17 --seeds 20 --at-once 4"
     )]
     Learning {
         #[arg(long, default_value_t = 1)]
@@ -267,11 +267,11 @@
     match run(Cli::parse().command) {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => {
-            eprintln!("merlinshelf-lab: a rule broke, see above");
+            eprintln!("merlinshelf-testbed: a rule broke, see above");
             ExitCode::FAILURE
         }
         Err(error) => {
-            eprintln!("merlinshelf-lab: {error}");
+            eprintln!("merlinshelf-testbed: {error}");
             ExitCode::FAILURE
         }
     }
@@ -419,7 +419,7 @@
             }
             let program = std::fs::canonicalize(found(program)?)?;
             let (hosts, council) = (if by_restart { 1 } else { agents }, !by_restart);
-            let made = merlinshelf_lab::installation::Made {
+            let made = merlinshelf_testbed::installation::Made {
                 hosts,
                 instances,
                 lease_ms,
--- a/crates/merlinshelf-lab/src/trial/cost.rs
+++ b/crates/merlinshelf-testbed/src/trial/cost.rs
@@ -7,7 +7,7 @@
 use merlinshelf_agent::talk::Talk;
 use merlinshelf_policy::{Beat, Grant, Policy, Said};
 use merlinshelf_protocol::control::Question;
-use merlinshelf_shares::{Bank, Budgets, CATALOGUE, House, Kind, Lease};
+use merlinshelf_quota::{Bank, Budgets, CATALOGUE, House, Kind, Lease};
 use serde_json::{Value, json};
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep};
--- a/crates/merlinshelf-lab/src/trial/learning/crashes.rs
+++ b/crates/merlinshelf-testbed/src/trial/learning/crashes.rs
@@ -3,9 +3,9 @@
 
 use std::collections::BTreeMap;
 
-use merlinshelf_knowledge::log::Kept;
-use merlinshelf_knowledge::store::{FILE, Found, Store};
-use merlinshelf_knowledge::{Origin, Standing, Subject, Told};
+use merlinshelf_gossip::log::Kept;
+use merlinshelf_gossip::store::{FILE, Found, Store};
+use merlinshelf_gossip::{Origin, Standing, Subject, Told};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
--- a/crates/merlinshelf-lab/src/trial/learning/fleet.rs
+++ b/crates/merlinshelf-testbed/src/trial/learning/fleet.rs
@@ -3,9 +3,9 @@
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
 
-use merlinshelf::{Learnt, LearntOfOperation};
-use merlinshelf_knowledge::learner::{Learner, Settings, Step};
-use merlinshelf_knowledge::{Message, Scope, State, members};
+use merlinshelf_admission::{Learnt, LearntOfOperation};
+use merlinshelf_gossip::learner::{Learner, Settings, Step};
+use merlinshelf_gossip::{Message, Scope, State, members};
 use merlinshelf_protocol::teaching::{Kind, put_message};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
--- a/crates/merlinshelf-lab/src/trial/learning/worth.rs
+++ b/crates/merlinshelf-testbed/src/trial/learning/worth.rs
@@ -5,8 +5,8 @@
 use std::io;
 use std::time::Duration;
 
-use merlinshelf_knowledge::{Message, News};
-use merlinshelf_knowledge::{Origin, Standing, Subject, Told};
+use merlinshelf_gossip::{Message, News};
+use merlinshelf_gossip::{Origin, Standing, Subject, Told};
 use merlinshelf_protocol::teaching::{Kind, Reading, put_message};
 use serde_json::{Value, json};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -386,7 +386,7 @@
             address: address.clone(),
             life: 1,
             turn: 0,
-            state: merlinshelf_knowledge::State::Alive,
+            state: merlinshelf_gossip::State::Alive,
         };
         let figures = figures.clone();
         spawn_local(async move {
--- a/crates/merlinshelf-lab/src/trial/policy_size.rs
+++ b/crates/merlinshelf-testbed/src/trial/policy_size.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use merlinshelf_council::{Council, Step, TICK_MS, Word};
+use merlinshelf_consensus::{Council, Step, TICK_MS, Word};
 use merlinshelf_policy::conductor::{self, Conductor, Watch};
 use merlinshelf_policy::{
     Acting, Beat, Entry, Founding, Holder, HostAsk, HostWord, Ledger, Policy, Said, Warden, Without,
--- a/crates/merlinshelf-lab/src/trial/shares_size.rs
+++ b/crates/merlinshelf-testbed/src/trial/shares_size.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use std::time::Instant;
 
-use merlinshelf_shares::{
+use merlinshelf_quota::{
     Asked, Bank, Budgets, CATALOGUE, Given, House, Kind, Lease, Phase, Spender, purse,
 };
 use rand::{RngExt, SeedableRng};
--- a/crates/merlinshelf-lab/tests/fleet.rs
+++ b/crates/merlinshelf-testbed/tests/fleet.rs
@@ -1,8 +1,8 @@
 //! Fleets of learners in virtual time: all cold at once, half that restarts together, a parted network with two histories,
 //! and one that answers nobody.
 
-use merlinshelf_knowledge::{Standing, State};
-use merlinshelf_lab::trial::learning::fleet::{World, learnt};
+use merlinshelf_gossip::{Standing, State};
+use merlinshelf_testbed::trial::learning::fleet::{World, learnt};
 
 #[test]
 fn all_cold_at_once_teach_each_other_nothing_that_is_believed_much() {
@@ -98,7 +98,7 @@
         .expect("all meet");
     let (from, before) = (world.now, world.messages);
     world.part[150] = 1;
-    let gone = |one: &merlinshelf_knowledge::Learner| {
+    let gone = |one: &merlinshelf_gossip::Learner| {
         one.members().own().name == "n150"
             || one
                 .members()
--- a/crates/merlinshelf-lab/tests/shares.rs
+++ b/crates/merlinshelf-testbed/tests/shares.rs
@@ -1,8 +1,8 @@
 //! The fleet's budgets in virtual time, with troubles by seed: in no second more arrives than the budget has, and the check finds a
 //! keeper that does not wait.
 
-use merlinshelf_lab::trial::shares_size::{Size, play};
-use merlinshelf_shares::Kind;
+use merlinshelf_quota::Kind;
+use merlinshelf_testbed::trial::shares_size::{Size, play};
 
 fn size(instances: usize, probes: u32, first: u32) -> Size {
     let budgets = [
--- a/crates/merlinshelf-lab/tests/store.rs
+++ b/crates/merlinshelf-testbed/tests/store.rs
@@ -1,10 +1,10 @@
 //! The store of what is known, on a folder that crashes, fills up, may only be read or holds something else.
 
-use merlinshelf_knowledge::log::{Flaw, Kept};
-use merlinshelf_knowledge::store::{ASIDE, FILE, LENGTH_MOST, Store};
-use merlinshelf_knowledge::{Origin, Standing, Subject, Told};
-use merlinshelf_lab::disk::{Disk, Trouble};
-use merlinshelf_lab::trial::learning::crashes;
+use merlinshelf_gossip::log::{Flaw, Kept};
+use merlinshelf_gossip::store::{ASIDE, FILE, LENGTH_MOST, Store};
+use merlinshelf_gossip::{Origin, Standing, Subject, Told};
+use merlinshelf_testbed::disk::{Disk, Trouble};
+use merlinshelf_testbed::trial::learning::crashes;
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
@@ -68,7 +68,7 @@
             "what is kept already is not written again"
         );
         longest = longest.max(
-            merlinshelf_knowledge::Files::read(&mut disk, FILE)
+            merlinshelf_gossip::Files::read(&mut disk, FILE)
                 .expect("it reads")
                 .map_or(0, |of| of.len()),
         );
@@ -124,7 +124,7 @@
     assert_eq!((found.life, found.kept.len()), (life, 2));
     // The clock went back: the next life is a later one all the same.
     assert_eq!(again.begin(3), life + 1);
-    let mut whole = merlinshelf_knowledge::Files::read(&mut disk, FILE)
+    let mut whole = merlinshelf_gossip::Files::read(&mut disk, FILE)
         .expect("it reads")
         .expect("it is there");
     let last = whole.len() - 3;
