--- a/crates/merlinshelf-agent/src/policy/budgets.rs
+++ b/crates/merlinshelf-agent/src/policy/budgets.rs
@@ -5,7 +5,10 @@
 
 use merlinshelf_fleet::wanted::CouncilOf;
 use merlinshelf_policy::HostAsk;
-use merlinshelf_quota::{Asked, Bank, Budgets, Given, House, Kind, Lease, kinds};
+use merlinshelf_quota::{
+    Budgets, CallKind, FleetAllocator, HostAllocator, LeaseTerms, QuotaGrantBatch,
+    QuotaRequestBatch, budget,
+};
 use serde_json::{Value, json};
 
 use super::PolicyAgent;
@@ -14,22 +17,22 @@
 const WISHES_MOST: usize = 16;
 
 pub(super) struct Budgeting {
-    lease: Lease,
-    pub house: House,
+    lease: LeaseTerms,
+    pub house: HostAllocator,
     /// Where this agent leads, and in which term.
-    bank: Option<(Bank, u64)>,
+    bank: Option<(FleetAllocator, u64)>,
     /// By host, what came with its askings: by the number of each.
-    wishes: BTreeMap<String, VecDeque<(u64, Asked)>>,
+    wishes: BTreeMap<String, VecDeque<(u64, QuotaRequestBatch)>>,
     bound: Budgets,
 }
 
 impl Budgeting {
     pub fn new(of: &CouncilOf, life: u64) -> Budgeting {
-        let lease = Lease {
-            lease_s: of.lease_ms as f64 / 1e3,
+        let lease = LeaseTerms {
+            lease_seconds: of.lease_ms as f64 / 1e3,
             drift: of.drift,
         };
-        let house = House::new(life, lease, &of.zone);
+        let house = HostAllocator::new(life, lease, &of.zone);
         Budgeting {
             lease,
             house,
@@ -42,12 +45,12 @@
     /// This agent leads from now on, or does not any more.
     pub fn leads(&mut self, term: Option<u64>) {
         self.wishes.clear();
-        self.bank = term.map(|term| (Bank::elected(self.lease, term), term));
+        self.bank = term.map(|term| (FleetAllocator::elected(self.lease, term), term));
     }
 
     /// What this host asks; none where nothing is bounded.
-    pub fn asks(&mut self, now: f64) -> Option<Asked> {
-        (!self.bound.is_empty()).then(|| self.house.asks(now))
+    pub fn asks(&mut self, now: f64) -> Option<QuotaRequestBatch> {
+        (!self.bound.is_empty()).then(|| self.house.request(now))
     }
 
     /// What came with a host's asking: kept until its lease is granted, since only then it is sure that this agent leads.
@@ -63,23 +66,23 @@
     }
 
     /// The lease that a host asked for by this number is granted.
-    pub fn granted(&mut self, now: f64, host: &str, token: u64) -> Option<Given> {
+    pub fn granted(&mut self, now: f64, host: &str, token: u64) -> Option<QuotaGrantBatch> {
         let of = self.wishes.get_mut(host)?;
         let place = of.iter().position(|(number, _)| *number == token)?;
         // Older ones are answered by nothing any more.
         let (_, wishes) = of.drain(..=place).next_back()?;
         let (bank, _) = self.bank.as_mut()?;
-        Some(bank.asked(now, host, &wishes))
+        Some(bank.handle_request(now, host, &wishes))
     }
 
     /// What is shared out among all, where this agent leads.
     pub fn shared_out(&self, now: f64) -> Option<Value> {
         let (bank, term) = self.bank.as_ref()?;
-        let of = |(name, kind, calls, aside): (&String, Kind, u32, u32)| {
-            let (shared, to) = bank.given(now, name, kind);
+        let of = |(name, kind, calls, aside): (&String, CallKind, u32, u32)| {
+            let (shared, to) = bank.granted(now, name, kind);
             json!({
                 "dependency": name, "kind": kind, "budget": calls, "aside_each": aside, "shared": shared,
-                "granted": to.values().sum::<u32>(), "to": to, "spent_s": bank.spent(now, name, kind),
+                "granted": to.values().sum::<u32>(), "to": to, "spent_s": bank.spent_per_second(now, name, kind),
                 "fares": bank.phases(name),
             })
         };
@@ -93,8 +96,8 @@
             .bound
             .iter()
             .flat_map(|(name, kinds)| kinds.keys().map(move |kind| (name, *kind)));
-        let of = |(name, kind): (&String, Kind)| {
-            let (held, to) = self.house.held(now, name, kind)?;
+        let of = |(name, kind): (&String, CallKind)| {
+            let (held, to) = self.house.granted(now, name, kind)?;
             let fares = self.house.phase(now, name);
             Some(
                 json!({ "dependency": name, "kind": kind, "held": held, "to": to, "fares": fares }),
@@ -128,12 +131,12 @@
         };
         if *budgets != self.budgeting.bound {
             self.budgeting.bound = budgets.clone();
-            self.budgeting.house.bound(now, budgets);
+            self.budgeting.house.set_budgets(now, budgets);
         }
         if self.budgeting.bank.is_some() {
             let hosts = self.hosts();
             if let Some((bank, _)) = &mut self.budgeting.bank {
-                bank.bound(&self.budgeting.bound, &self.of.base.budgets, hosts);
+                bank.set_budgets(&self.budgeting.bound, &self.of.base.budgets, hosts);
             }
         }
     }
@@ -141,7 +144,7 @@
     /// # Errors
     /// Budgets that leave less than each host has set aside.
     pub(super) fn budgets_fit(&self, budgets: &Budgets) -> Result<(), String> {
-        kinds::check_against(budgets, &self.of.base.budgets, Some(self.hosts()))
+        budget::validate_against_reserve(budgets, &self.of.base.budgets, Some(self.hosts()))
     }
 
     /// All of it, for operators.
--- a/crates/merlinshelf-agent/src/policy/mod.rs
+++ b/crates/merlinshelf-agent/src/policy/mod.rs
@@ -135,7 +135,7 @@
             Happened::Kept(kept) => self.seat.kept(now, kept),
             Happened::Beat(name, Ok(mut said)) => {
                 if let Some(wishes) = said.wishes.take()
-                    && self.budgeting.house.asked(now, &name, wishes)
+                    && self.budgeting.house.handle_request(now, &name, wishes)
                 {
                     self.warden.ask_soon();
                 }
@@ -187,7 +187,7 @@
         }
         self.warden.serving(now, instances.keys());
         self.bound_budgets(now);
-        if now >= self.hurried + HURRY_EVERY && self.budgeting.house.is_busy(now) {
+        if now >= self.hurried + HURRY_EVERY && self.budgeting.house.has_unhealthy_dependency(now) {
             self.hurried = now;
             self.warden.ask_soon();
             self.warden.beat_soon();
@@ -203,7 +203,7 @@
             }
         }
         while let Some((name, mut beat)) = self.warden.next_beat(now) {
-            beat.given = self.budgeting.house.answers(now, &name);
+            beat.given = self.budgeting.house.take_grants(now, &name);
             let Some(control) = instances.get(&name).cloned() else {
                 continue;
             };
@@ -262,7 +262,7 @@
     fn heard_of_lease(&mut self, now: f64, word: &HostWord) {
         self.warden.granted(now, word);
         if let Some(given) = &word.given
-            && self.budgeting.house.given(now, given)
+            && self.budgeting.house.handle_grants(now, given)
         {
             self.warden.beat_soon();
         }
--- a/crates/merlinshelf-backend/src/exchange/budgets.rs
+++ b/crates/merlinshelf-backend/src/exchange/budgets.rs
@@ -10,7 +10,8 @@
 use log::{info, warn};
 use merlinshelf_admission::{Spend, Stage};
 use merlinshelf_quota::{
-    Asked, Budgets, CATALOGUE, Given, Kind, Lease, Left, Phase, Spender, kinds, purse,
+    Budgets, CATALOGUE, CallKind, LeaseTerms, Phase, QuotaClient, QuotaGrantBatch,
+    QuotaRequestBatch, Remaining, budget, reserve,
 };
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -25,15 +26,15 @@
 
 /// What an instance holds of all budgets.
 pub struct Spending {
-    spender: Spender,
+    spender: QuotaClient,
     /// What the host has set aside, and where that is kept; nowhere: nothing is.
     aside: Budgets,
     folder: Option<PathBuf>,
     drift: f64,
     chance: Pcg64Mcg,
     /// By dependency: what was left when its caller was last told, and whether it failed then.
-    told: BTreeMap<String, (Left, bool)>,
-    looked_at: BTreeMap<(String, Kind), f64>,
+    told: BTreeMap<String, (Remaining, bool)>,
+    looked_at: BTreeMap<(String, CallKind), f64>,
     phases: BTreeMap<String, Phase>,
     complained: bool,
     /// Calls and connections that were bounded and made since they were last counted, and those drawn from what is set aside.
@@ -51,12 +52,12 @@
 
 impl Spending {
     pub(super) fn new(life: u64, seed: u64, of: &PolicyOf) -> Spending {
-        let lease = Lease {
-            lease_s: of.lease_ms as f64 / 1e3,
+        let lease = LeaseTerms {
+            lease_seconds: of.lease_ms as f64 / 1e3,
             drift: of.drift,
         };
-        let mut spender = Spender::new(life, lease);
-        spender.bound(&of.base.budgets);
+        let mut spender = QuotaClient::new(life, lease);
+        spender.set_budgets(&of.base.budgets);
         Spending {
             spender,
             aside: of.base.budgets.clone(),
@@ -72,11 +73,11 @@
     }
 
     pub(super) fn bound(&mut self, budgets: &Budgets) {
-        self.spender.bound(budgets);
+        self.spender.set_budgets(budgets);
     }
 
     pub(super) fn pass(&mut self, life: u64) -> Vec<u8> {
-        rmp_serde::to_vec_named(&self.spender.pass(life)).unwrap_or_default()
+        rmp_serde::to_vec_named(&self.spender.begin_handover(life)).unwrap_or_default()
     }
 
     pub(super) fn take(&mut self, passed: &[u8]) {
@@ -85,10 +86,11 @@
         }
     }
 
-    pub(super) fn heard(&mut self, given: &Given) {
+    pub(super) fn heard(&mut self, given: &QuotaGrantBatch) {
         let (now, chance) = (monotonic(), &mut self.chance);
-        self.spender.given(now, given, &mut || chance.random());
-        for name in given.places.keys() {
+        self.spender
+            .handle_grants(now, given, &mut || chance.random());
+        for name in given.dependencies.keys() {
             let Some(phase) = self.spender.phase(now, name) else {
                 continue;
             };
@@ -99,55 +101,59 @@
     }
 
     /// What is asked of the host; none where nothing is bounded.
-    pub(super) fn asks(&mut self) -> Option<Asked> {
-        let any = self.spender.kinds().next().is_some();
-        any.then(|| self.spender.asks(monotonic()))
+    pub(super) fn asks(&mut self) -> Option<QuotaRequestBatch> {
+        let any = self.spender.limited_kinds().next().is_some();
+        any.then(|| self.spender.request(monotonic()))
     }
 
     /// What is left of each, for a caller that was told before: what of that was `left_over`, and whether the dependency fails.
     fn renew(
         &mut self,
         name: &str,
-        left_over: Left,
+        left_over: Remaining,
         fails: bool,
         wanting: Wanting,
-    ) -> Option<Left> {
+    ) -> Option<Remaining> {
         let now = monotonic();
         let before = self.told.get(name).map(|(left, _)| *left);
-        if !self.spender.bounds(name) {
+        if !self.spender.has_budget(name) {
             // It is bounded no more: told once.
-            return self.told.remove(name).map(|_| Left::ALL);
+            return self.told.remove(name).map(|_| Remaining::ALL);
         }
         if let Some(before) = before {
             for (kind, told, over) in [
-                (Kind::First, before.first, left_over.first),
-                (Kind::Again, before.again, left_over.again),
-                (Kind::Probes, before.probes, left_over.probes),
+                (
+                    CallKind::FirstCall,
+                    before.first_calls,
+                    left_over.first_calls,
+                ),
+                (CallKind::Retry, before.retries, left_over.retries),
+                (CallKind::Probe, before.probes, left_over.probes),
             ] {
                 if told != u32::MAX && told > over {
                     self.spend(now, name, kind, told - over);
                 }
             }
         }
-        self.spender.fails(now, name, fails);
-        let closed = self.spender.phase(now, name) == Some(Phase::Fails);
+        self.spender.set_failing(now, name, fails);
+        let closed = self.spender.phase(now, name) == Some(Phase::Failing);
         let call = if fails || closed {
-            Kind::Probes
+            CallKind::Probe
         } else {
-            Kind::First
+            CallKind::FirstCall
         };
         if wanting.call {
             self.draw(now, name, call);
         }
         if wanting.again {
-            self.draw(now, name, Kind::Again);
+            self.draw(now, name, CallKind::Retry);
         }
-        let left = self.spender.left(now, name);
+        let left = self.spender.remaining(now, name);
         self.told.insert(
             name.to_owned(),
             (
-                Left {
-                    opens: false,
+                Remaining {
+                    reopened: false,
                     ..left
                 },
                 fails,
@@ -156,18 +162,18 @@
         Some(left)
     }
 
-    fn spend(&mut self, now: f64, name: &str, kind: Kind, calls: u32) {
+    fn spend(&mut self, now: f64, name: &str, kind: CallKind, calls: u32) {
         self.made.0 += u64::from(calls);
-        self.spender.spent(now, name, kind, calls);
+        self.spender.record_spent(now, name, kind, calls);
     }
 
-    fn wants(&mut self, name: &str, kind: Kind) {
-        self.spender.wants(monotonic(), name, kind, 1.0);
+    fn wants(&mut self, name: &str, kind: CallKind) {
+        self.spender.record_demand(monotonic(), name, kind, 1.0);
     }
 
     /// One call of what the host has set aside, where nothing else is left of it.
-    fn draw(&mut self, now: f64, name: &str, kind: Kind) {
-        let aside = kinds::budget_of(&self.aside, name, kind).unwrap_or(0);
+    fn draw(&mut self, now: f64, name: &str, kind: CallKind) {
+        let aside = budget::budget_of(&self.aside, name, kind).unwrap_or(0);
         let Some(folder) = self.folder.as_ref().filter(|_| aside > 0) else {
             return;
         };
@@ -176,7 +182,7 @@
             .get(&(name.to_owned(), kind))
             .copied()
             .unwrap_or(f64::NEG_INFINITY);
-        if now < looked + LOOK_EVERY || !self.spender.lacks(now, name, kind) {
+        if now < looked + LOOK_EVERY || !self.spender.needs_reserve(now, name, kind) {
             return;
         }
         let drawn = draw(folder, name, kind, aside, self.drift);
@@ -184,7 +190,7 @@
         match drawn {
             Ok(true) => {
                 self.made.1 += 1;
-                self.spender.drew(now, name, kind);
+                self.spender.record_reserve_draw(now, name, kind);
             }
             Ok(false) => {}
             Err(error) if !self.complained => {
@@ -201,14 +207,14 @@
 
 fn said(phase: Phase) -> &'static str {
     match phase {
-        Phase::Well => "is well",
-        Phase::Returns => "returns",
-        Phase::Fails => "fails",
+        Phase::Healthy => "is well",
+        Phase::Recovering => "returns",
+        Phase::Failing => "fails",
     }
 }
 
 /// Draws one call from the file that all instances of the host have in common. Whoever holds it is not waited for.
-fn draw(folder: &Path, name: &str, kind: Kind, aside: u32, drift: f64) -> io::Result<bool> {
+fn draw(folder: &Path, name: &str, kind: CallKind, aside: u32, drift: f64) -> io::Result<bool> {
     // Names of dependencies may be anything: as a file each byte that is no letter or digit is written as its number.
     let plain = name.bytes().map(|byte| match byte {
         b'a'..=b'z' | b'A'..=b'Z' | b'0'..=b'9' => char::from(byte).to_string(),
@@ -238,7 +244,7 @@
         .take(64 * 1024)
         .read_to_end(&mut bytes)?;
     // The clock is read behind the lock: what is written down stands in the order in which it was drawn.
-    let (may, next) = match purse::draw(&bytes, monotonic(), aside, drift) {
+    let (may, next) = match reserve::draw(&bytes, monotonic(), aside, drift) {
         Ok(next) => (true, Some(next)),
         Err(next) => (false, next),
     };
@@ -257,7 +263,7 @@
         let Some(spending) = &mut self.spending else {
             return;
         };
-        if !spending.spender.bounds(CATALOGUE) && !spending.told.contains_key(CATALOGUE) {
+        if !spending.spender.has_budget(CATALOGUE) && !spending.told.contains_key(CATALOGUE) {
             return;
         }
         let Some(shedder) = &mut self.shedder else {
@@ -276,19 +282,19 @@
             ..wanting
         };
         let [first, again, probes] = over.left;
-        let over = Left {
-            first,
-            again,
+        let over = Remaining {
+            first_calls: first,
+            retries: again,
             probes,
-            ..Left::ALL
+            ..Remaining::ALL
         };
         let left = spending
             .renew(CATALOGUE, over, fails, wanting)
-            .unwrap_or(Left::ALL);
+            .unwrap_or(Remaining::ALL);
         shedder.spend(Spend {
-            left: [left.first, left.again, left.probes],
-            closed: left.closed,
-            opens: left.opens,
+            left: [left.first_calls, left.retries, left.probes],
+            closed: left.probes_only,
+            opens: left.reopened,
         });
         self.count_budgets();
     }
@@ -309,17 +315,26 @@
             let failing = spending
                 .told
                 .get(CATALOGUE)
-                .is_some_and(|(left, fails)| *fails || left.closed);
-            spending.wants(CATALOGUE, if failing { Kind::Probes } else { Kind::First });
+                .is_some_and(|(left, fails)| *fails || left.probes_only);
+            spending.wants(
+                CATALOGUE,
+                if failing {
+                    CallKind::Probe
+                } else {
+                    CallKind::FirstCall
+                },
+            );
         }
     }
 
     /// A call to it has ended; whether a further one may follow.
     pub(super) fn note_end(&mut self, well: bool, again: bool) {
         if let Some(spending) = &mut self.spending {
-            spending.spender.ended(monotonic(), CATALOGUE, well);
+            spending
+                .spender
+                .record_call_end(monotonic(), CATALOGUE, well);
             if again {
-                spending.wants(CATALOGUE, Kind::Again);
+                spending.wants(CATALOGUE, CallKind::Retry);
             }
         }
     }
@@ -328,10 +343,10 @@
     pub fn budget(
         &mut self,
         name: &str,
-        left_over: Left,
+        left_over: Remaining,
         fails: bool,
         wanting: Wanting,
-    ) -> Option<Left> {
+    ) -> Option<Remaining> {
         self.spending
             .as_mut()?
             .renew(name, left_over, fails, wanting)
@@ -344,7 +359,7 @@
         };
         let names = spending
             .spender
-            .kinds()
+            .limited_kinds()
             .map(|(name, _)| name)
             .chain(spending.told.keys());
         let mut names: Vec<String> = names.filter(|name| *name != CATALOGUE).cloned().collect();
@@ -354,7 +369,7 @@
     }
 
     /// A call to a dependency that is told apart is wanted, or has ended.
-    pub fn note_budget(&mut self, name: &str, wants: Option<Kind>, ended: Option<bool>) {
+    pub fn note_budget(&mut self, name: &str, wants: Option<CallKind>, ended: Option<bool>) {
         let Some(spending) = &mut self.spending else {
             return;
         };
@@ -362,14 +377,14 @@
             spending.wants(name, kind);
         }
         if let Some(well) = ended {
-            spending.spender.ended(monotonic(), name, well);
+            spending.spender.record_call_end(monotonic(), name, well);
         }
     }
 
     /// A connection is to be opened for a call that waits for it.
     pub fn wants_line(&mut self, name: &str) {
         if let Some(spending) = &mut self.spending {
-            spending.wants(name, Kind::Opened);
+            spending.wants(name, CallKind::NewConnection);
         }
     }
 
@@ -379,13 +394,16 @@
             return true;
         };
         let now = monotonic();
-        if !spending.spender.is_bounded(now, name, Kind::Opened) {
+        if !spending
+            .spender
+            .is_limited(now, name, CallKind::NewConnection)
+        {
             return true;
         }
-        spending.draw(now, name, Kind::Opened);
-        let may = spending.spender.may_open(now, name) > 0;
+        spending.draw(now, name, CallKind::NewConnection);
+        let may = spending.spender.remaining_connections(now, name) > 0;
         if may {
-            spending.spend(now, name, Kind::Opened, 1);
+            spending.spend(now, name, CallKind::NewConnection, 1);
         }
         self.count_budgets();
         may
@@ -395,13 +413,13 @@
     pub fn budgets(&self) -> Option<Value> {
         let spending = self.spending.as_ref()?;
         let now = monotonic();
-        let of = |(name, kind): (&String, Kind)| {
+        let of = |(name, kind): (&String, CallKind)| {
             json!({
-                "dependency": name, "kind": kind, "share": spending.spender.share(now, name, kind),
+                "dependency": name, "kind": kind, "share": spending.spender.granted(now, name, kind),
                 "fares": spending.spender.phase(now, name),
             })
         };
-        let all: Vec<Value> = spending.spender.kinds().map(of).collect();
+        let all: Vec<Value> = spending.spender.limited_kinds().map(of).collect();
         (!all.is_empty()).then_some(Value::from(all))
     }
 }
--- a/crates/merlinshelf-backend/src/exchange/policy.rs
+++ b/crates/merlinshelf-backend/src/exchange/policy.rs
@@ -7,7 +7,7 @@
 use merlinshelf_admission::{Settings, Shedder};
 use merlinshelf_policy::holder::Passed;
 use merlinshelf_policy::{Acting, Beat, Holder, Policy, Said};
-use merlinshelf_quota::kinds;
+use merlinshelf_quota::budget;
 
 use super::budgets::Spending;
 use super::{Exchange, Wanting, monotonic, unix_ms};
@@ -118,7 +118,7 @@
         let mut said = holder.heard(monotonic(), beat, |policy| {
             let settings = policy.settings(base)?;
             laid.fits(policy)?;
-            kinds::check_against(&policy.budgets, &aside, None)?;
+            budget::validate_against_reserve(&policy.budgets, &aside, None)?;
             Shedder::start(0.0, seed, settings).map(|_| ())
         });
         self.mind_policy();
--- a/crates/merlinshelf-backend/src/routing.rs
+++ b/crates/merlinshelf-backend/src/routing.rs
@@ -9,7 +9,7 @@
 use merlinshelf_dependencies::{Ask, Dependencies, Effect, End, Ended, Report, Router, Step};
 use merlinshelf_policy::Policy;
 use merlinshelf_protocol::CallId;
-use merlinshelf_quota::{Kind, Left};
+use merlinshelf_quota::{CallKind, Remaining};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use tokio::sync::Notify;
@@ -153,12 +153,16 @@
             },
         );
         if let Some(name) = &of {
-            let left = self.router.spend(name, Left::ALL);
+            let left = self.router.spend(name, Remaining::ALL);
             let failing = left.is_some_and(|(left, fails)| {
                 self.router.spend(name, left);
-                fails || left.closed
+                fails || left.probes_only
             });
-            let kind = if failing { Kind::Probes } else { Kind::First };
+            let kind = if failing {
+                CallKind::Probe
+            } else {
+                CallKind::FirstCall
+            };
             exchange.borrow_mut().note_budget(name, Some(kind), None);
         }
         let (now, chance) = (self.now(), &mut self.chance);
@@ -180,7 +184,7 @@
         if let Some(name) = &of {
             exchange
                 .borrow_mut()
-                .note_budget(name, again.then_some(Kind::Again), Some(!again));
+                .note_budget(name, again.then_some(CallKind::Retry), Some(!again));
         }
         self.lay_budgets(exchange, of.as_deref(), Wanting { call: false, again });
         let (now, chance) = (self.now(), &mut self.chance);
@@ -232,7 +236,7 @@
     fn lay_budgets(&mut self, exchange: &exchange::Shared, wanted: Option<&str>, wanting: Wanting) {
         let mut exchange = exchange.borrow_mut();
         for name in exchange.budgeted() {
-            let Some((over, fails)) = self.router.spend(&name, Left::ALL) else {
+            let Some((over, fails)) = self.router.spend(&name, Remaining::ALL) else {
                 continue;
             };
             let wanting = if wanted == Some(name.as_str()) {
@@ -244,7 +248,7 @@
                 &name,
                 exchange
                     .budget(&name, over, fails, wanting)
-                    .unwrap_or(Left::ALL),
+                    .unwrap_or(Remaining::ALL),
             );
         }
     }
--- a/crates/merlinshelf-dependencies/src/router.rs
+++ b/crates/merlinshelf-dependencies/src/router.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use merlinshelf_quota::Left;
+use merlinshelf_quota::Remaining;
 
 use crate::attempts::{Attempts, Effect, Ended};
 use crate::budget::allowance;
@@ -109,7 +109,7 @@
     lowest: f64,
     pub(crate) counts: Counts,
     /// What a fleet's budgets leave of calls to it.
-    left: Left,
+    left: Remaining,
 }
 
 /// Limits begin where a small pool of servers is surely not hurt, and end at what no instance has open.
@@ -216,7 +216,7 @@
                         took: VecDeque::new(),
                         lowest: 0.0,
                         counts: Counts::default(),
-                        left: Left::ALL,
+                        left: Remaining::ALL,
                     };
                     self.places.insert(name.clone(), place);
                 }
@@ -233,10 +233,10 @@
 
     /// What a fleet's budgets leave of calls to a dependency from here on, and how it fares for all; says what of the last was left
     /// over, and whether it fails here.
-    pub fn spend(&mut self, name: &str, left: Left) -> Option<(Left, bool)> {
+    pub fn spend(&mut self, name: &str, left: Remaining) -> Option<(Remaining, bool)> {
         let place = self.places.get_mut(name)?;
         let fails = place.attempts.fails();
-        if left.opens {
+        if left.reopened {
             place.attempts.forget_failures();
         }
         Some((std::mem::replace(&mut place.left, left), fails))
@@ -372,7 +372,7 @@
                 return self.instead(now, number, chance, true);
             }
             place.trial_at = now + TRIAL_PAUSE;
-        } else if place.left.first == 0 {
+        } else if place.left.first_calls == 0 {
             return self.instead(now, number, chance, true);
         } else if !place.limit.has_room(place.open) {
             // Time for the call itself must be left once its turn comes.
@@ -452,10 +452,10 @@
         place.counts.attempts += 1;
         let further = beside || !ticket.tried.is_empty();
         let left = &mut place.left;
-        let of = match (place.attempts.fails() || left.closed, further) {
+        let of = match (place.attempts.fails() || left.probes_only, further) {
             (true, _) => &mut left.probes,
-            (false, true) => &mut left.again,
-            (false, false) => &mut left.first,
+            (false, true) => &mut left.retries,
+            (false, false) => &mut left.first_calls,
         };
         *of = of.saturating_sub(1);
         if !beside {
@@ -615,7 +615,7 @@
                 return;
             };
             // Where the whole of it fails nobody is kept waiting for a turn that does not come.
-            let fails = place.fails() || place.left.first == 0;
+            let fails = place.fails() || place.left.first_calls == 0;
             if !fails && !place.limit.has_room(place.open) {
                 return;
             }
@@ -822,12 +822,12 @@
 impl Place {
     /// Whether a further call may be made now: never to what fails for all.
     fn has_again(&self) -> bool {
-        !self.left.closed && self.left.again > 0
+        !self.left.probes_only && self.left.retries > 0
     }
 
     /// It fails here, or for all.
     fn fails(&self) -> bool {
-        self.attempts.fails() || self.left.closed
+        self.attempts.fails() || self.left.probes_only
     }
 
     /// What a call takes lately; none before the first.
--- a/crates/merlinshelf-dependencies/tests/router.rs
+++ b/crates/merlinshelf-dependencies/tests/router.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use merlinshelf_dependencies::{Ask, Dependencies, Effect, End, Ended, Router, Step};
-use merlinshelf_quota::Left;
+use merlinshelf_quota::Remaining;
 use proptest::prelude::*;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -538,11 +538,11 @@
 #[test]
 fn what_a_fleet_has_left_bounds_calls_and_what_it_found_counts() {
     let mut world = World::new("{to: 'a'}", |_, _| Some((0.005, Ended::Refused)));
-    let left = |first, again, probes| Left {
-        first,
-        again,
+    let left = |first, again, probes| Remaining {
+        first_calls: first,
+        retries: again,
         probes,
-        ..Left::ALL
+        ..Remaining::ALL
     };
     world.router.spend("a", left(3, 1, 0));
     // Three first calls are made, one of them again, and then nothing more.
@@ -556,8 +556,8 @@
         .router
         .spend(
             "a",
-            Left {
-                closed: true,
+            Remaining {
+                probes_only: true,
                 ..left(9, 9, 2)
             },
         )
@@ -576,13 +576,13 @@
         .router
         .spend(
             "a",
-            Left {
-                opens: true,
-                ..Left::ALL
+            Remaining {
+                reopened: true,
+                ..Remaining::ALL
             },
         )
         .expect("it is there");
-    assert_eq!((over.probes, over.closed), (0, true));
+    assert_eq!((over.probes, over.probes_only), (0, true));
     let (whole, asked) = world.play(50.0, world.now + 0.5);
     assert_eq!(whole, asked);
 }
--- a/crates/merlinshelf-policy/src/document.rs
+++ b/crates/merlinshelf-policy/src/document.rs
@@ -5,7 +5,7 @@
 use garde::Validate;
 use merlinshelf_admission::Settings;
 use merlinshelf_dependencies::Dependencies;
-use merlinshelf_quota::{Budgets, CALLERS, CATALOGUE, Kind, kinds};
+use merlinshelf_quota::{Budgets, CALLERS, CATALOGUE, CallKind, budget};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
@@ -99,9 +99,8 @@
 }
 
 fn of_budgets(_: &mut schemars::SchemaGenerator) -> schemars::Schema {
-    let figure =
-        schemars::json_schema!({ "type": "integer", "minimum": 1, "maximum": kinds::MOST });
-    let figures: serde_json::Map<String, serde_json::Value> = Kind::ALL
+    let figure = schemars::json_schema!({ "type": "integer", "minimum": 1, "maximum": budget::MAX_CALLS_PER_SECOND });
+    let figures: serde_json::Map<String, serde_json::Value> = CallKind::ALL
         .iter()
         .map(|kind| (kind.name().to_owned(), figure.clone().into()))
         .collect();
@@ -113,7 +112,7 @@
 }
 
 fn can_be(budgets: &Budgets, (): &()) -> garde::Result {
-    kinds::check(budgets).or_else(no)
+    budget::validate(budgets).or_else(no)
 }
 
 fn not_under_nothing(value: &f64, (): &()) -> garde::Result {
--- a/crates/merlinshelf-policy/src/words.rs
+++ b/crates/merlinshelf-policy/src/words.rs
@@ -3,7 +3,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use merlinshelf_quota::{Asked, Given};
+use merlinshelf_quota::{QuotaGrantBatch, QuotaRequestBatch};
 
 use crate::document::Policy;
 
@@ -21,7 +21,7 @@
     pub grant: Option<Grant>,
     /// The answer to what the instance asked of budgets.
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub given: Option<Given>,
+    pub given: Option<QuotaGrantBatch>,
 }
 
 /// A lease for an instance.
@@ -55,7 +55,7 @@
     pub base: u64,
     /// What it asks of budgets; none where it knows none.
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub wishes: Option<Asked>,
+    pub wishes: Option<QuotaRequestBatch>,
 }
 
 /// From an agent to the one that leads.
@@ -73,7 +73,7 @@
     /// Invocations and how many of them succeeded, of all instances, since they were first seen.
     pub service: (u64, u64),
     /// What it asks of budgets.
-    pub wishes: Option<Asked>,
+    pub wishes: Option<QuotaRequestBatch>,
 }
 
 /// What the instances of a host say to a document.
@@ -97,5 +97,5 @@
     /// A lease on this number, as long as is agreed for the installation.
     pub granted: u64,
     /// The answer to what this question asked of budgets.
-    pub given: Option<Given>,
+    pub given: Option<QuotaGrantBatch>,
 }
--- a/crates/merlinshelf-quota/src/keeper.rs
+++ b/crates/merlinshelf-quota/src/allocator.rs
@@ -2,12 +2,12 @@
 
 use std::collections::BTreeMap;
 
-use crate::Lease;
-use crate::words::{Claim, Share};
+use crate::LeaseTerms;
+use crate::messages::{QuotaGrant, QuotaRequest};
 
 /// A share that was given, and until when it may show in a second, by the keeper's clock.
 #[derive(Clone, Copy, Debug)]
-struct Given {
+struct IssuedGrant {
     number: u64,
     calls: u32,
     over: f64,
@@ -15,8 +15,8 @@
 
 /// One holder, as its keeper knows it.
 #[derive(Clone, Debug, Default)]
-struct Part {
-    given: Vec<Given>,
+struct HolderState {
+    given: Vec<IssuedGrant>,
     need: u32,
     worth: f64,
     heard_at: f64,
@@ -24,7 +24,7 @@
     turn_at: Option<f64>,
 }
 
-impl Part {
+impl HolderState {
     /// By what its wishes count against others' beyond an even part.
     fn weight(&self) -> f64 {
         self.worth.max(1e-9)
@@ -43,8 +43,8 @@
 
 /// The state machine. `now` is the keeper's own clock in seconds.
 #[derive(Clone, Debug)]
-pub struct Keeper {
-    lease: Lease,
+pub struct Allocator {
+    lease: LeaseTerms,
     budget: u32,
     /// Nothing is given before: what an earlier keeper gave may be spent until then.
     from: f64,
@@ -54,19 +54,19 @@
     holds_back: bool,
     number: u64,
     /// By name and life: a process and its successor may both be spending for a while.
-    parts: BTreeMap<(String, u64), Part>,
+    parts: BTreeMap<(String, u64), HolderState>,
 }
 
 /// Who a part is.
 type Who = (String, u64);
 
-impl Keeper {
+impl Allocator {
     /// One that takes over at `now` from another one that may have given until then. `id` is a number that no other keeper has.
-    pub fn taking_over(now: f64, lease: Lease, budget: u32, id: u64) -> Keeper {
-        Keeper {
+    pub fn taking_over(now: f64, lease: LeaseTerms, budget: u32, id: u64) -> Allocator {
+        Allocator {
             lease,
             budget,
-            from: lease.over_by(now),
+            from: lease.expired_by(now),
             id,
             holds_back: true,
             number: 0,
@@ -75,11 +75,11 @@
     }
 
     /// One that nobody was before, or whose forerunner shared out of another budget.
-    pub fn first(now: f64, lease: Lease, budget: u32, id: u64) -> Keeper {
-        Keeper {
+    pub fn first(now: f64, lease: LeaseTerms, budget: u32, id: u64) -> Allocator {
+        Allocator {
             from: now,
             holds_back: false,
-            ..Keeper::taking_over(now, lease, budget, id)
+            ..Allocator::taking_over(now, lease, budget, id)
         }
     }
 
@@ -97,12 +97,12 @@
     }
 
     /// The most that all holders together may be spending.
-    pub fn held(&self, now: f64) -> u32 {
+    pub fn outstanding(&self, now: f64) -> u32 {
         self.parts.values().map(|part| part.may(now)).sum()
     }
 
     /// What each may be spending, by name; lives of one holder together.
-    pub fn parts(&self, now: f64) -> BTreeMap<String, u32> {
+    pub fn outstanding_by_holder(&self, now: f64) -> BTreeMap<String, u32> {
         let mut all = BTreeMap::new();
         for ((name, _), part) in &self.parts {
             *all.entry(name.clone()).or_default() += part.may(now);
@@ -111,7 +111,7 @@
     }
 
     /// What all of them need, and the mean worth of what they refused: what a host asks for.
-    pub fn needs(&self) -> (u32, f64) {
+    pub fn total_demand(&self) -> (u32, f64) {
         let need = self
             .parts
             .values()
@@ -129,22 +129,28 @@
     }
 
     /// A holder claims its share, and gets what it may spend. `until`: when what is shared out here ends itself.
-    pub fn claimed(&mut self, now: f64, who: &str, claim: &Claim, until: Option<f64>) -> Share {
-        let silent = self.lease.over_by(0.0);
+    pub fn handle_request(
+        &mut self,
+        now: f64,
+        who: &str,
+        claim: &QuotaRequest,
+        until: Option<f64>,
+    ) -> QuotaGrant {
+        let silent = self.lease.expired_by(0.0);
         self.parts
             .retain(|_, part| part.may(now) > 0 || now < part.heard_at + silent);
-        let own: Who = (who.to_owned(), claim.life);
+        let own: Who = (who.to_owned(), claim.incarnation);
         // A life that another one of the same holder came after needs nothing more.
         self.parts
             .iter_mut()
             .filter(|((name, _), _)| name == who)
             .for_each(|(_, part)| part.need = 0);
         let part = self.parts.entry(own.clone()).or_default();
-        (part.need, part.worth, part.heard_at) = (claim.need, claim.worth, now);
+        (part.need, part.worth, part.heard_at) = (claim.calls_needed, claim.priority_weight, now);
         // What came before the share that it goes by is spent no more, and shows for a while.
         let shows = now + self.lease.window() * (1.0 + self.lease.drift);
-        let heard = if claim.heard.0 == self.id {
-            claim.heard.1
+        let heard = if claim.acknowledged_grant.0 == self.id {
+            claim.acknowledged_grant.1
         } else {
             0
         };
@@ -166,38 +172,38 @@
         let calls = self.target(now, &own).min(free);
         self.number += 1;
         let number = self.number;
-        let left = until.map_or(self.lease.lease_s, |until| {
-            (until - now).clamp(0.0, self.lease.lease_s)
+        let left = until.map_or(self.lease.lease_seconds, |until| {
+            (until - now).clamp(0.0, self.lease.lease_seconds)
         });
         if let Some(part) = self.parts.get_mut(&own) {
             if calls > 0 && part.may(now) == 0 {
                 part.turn_at = Some(now);
             }
-            let over = Lease {
-                lease_s: left,
+            let over = LeaseTerms {
+                lease_seconds: left,
                 ..self.lease
             }
-            .over_by(now);
-            part.given.push(Given {
+            .expired_by(now);
+            part.given.push(IssuedGrant {
                 number,
                 calls,
                 over,
             });
         }
-        Share {
-            life: claim.life,
-            token: claim.token,
-            keeper: self.id,
-            number,
-            calls,
-            for_s: left,
+        QuotaGrant {
+            incarnation: claim.incarnation,
+            request_id: claim.request_id,
+            allocator_id: self.id,
+            grant_number: number,
+            calls_per_second: calls,
+            duration_seconds: left,
         }
     }
 
     /// What a holder is to have of the whole budget, by all needs that are known: an even part first, then by worth. What nobody
     /// needs is spread over all, so that a need which comes all at once finds something: else the first second of each found nothing.
     fn target(&self, now: f64, who: &Who) -> u32 {
-        let needing: Vec<(&Who, &Part)> = self
+        let needing: Vec<(&Who, &HolderState)> = self
             .parts
             .iter()
             .filter(|(_, part)| part.need > 0)
@@ -206,7 +212,7 @@
             return u32::from(self.on_turn(now, needing).any(|name| name == who));
         }
         let even = self.budget / (needing.len() as u32).max(1);
-        let mut parts: Vec<(&Who, &Part, u32)> = needing
+        let mut parts: Vec<(&Who, &HolderState, u32)> = needing
             .iter()
             .map(|(name, part)| (*name, *part, part.need.min(even)))
             .collect();
@@ -234,7 +240,7 @@
                 .iter_mut()
                 .filter(|(_, part, calls)| *calls < part.need);
             let most = short.max_by(|one, other| {
-                let by = |of: &(&Who, &Part, u32)| of.1.weight() / f64::from(of.2 + 1);
+                let by = |of: &(&Who, &HolderState, u32)| of.1.weight() / f64::from(of.2 + 1);
                 by(one).total_cmp(&by(other))
             });
             let Some((.., calls)) = most else { break };
@@ -253,13 +259,17 @@
     fn on_turn<'a>(
         &self,
         now: f64,
-        mut needing: Vec<(&'a Who, &'a Part)>,
+        mut needing: Vec<(&'a Who, &'a HolderState)>,
     ) -> impl Iterator<Item = &'a Who> {
-        let within = |part: &Part| {
-            part.may(now) > 0 && part.turn_at.is_some_and(|at| now < at + self.lease.lease_s)
+        let within = |part: &HolderState| {
+            part.may(now) > 0
+                && part
+                    .turn_at
+                    .is_some_and(|at| now < at + self.lease.lease_seconds)
         };
         needing.sort_by(|(_, one), (_, other)| {
-            let by = |part: &Part| (!within(part), part.turn_at.unwrap_or(f64::NEG_INFINITY));
+            let by =
+                |part: &HolderState| (!within(part), part.turn_at.unwrap_or(f64::NEG_INFINITY));
             let (one, other) = (by(one), by(other));
             one.0.cmp(&other.0).then(one.1.total_cmp(&other.1))
         });
--- a/crates/merlinshelf-quota/src/kinds.rs
+++ b/crates/merlinshelf-quota/src/budget.rs
@@ -10,36 +10,45 @@
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, JsonSchema,
 )]
 #[serde(rename_all = "snake_case")]
-pub enum Kind {
+pub enum CallKind {
     /// Further attempts, and second calls beside a first one.
-    Again,
+    #[serde(rename = "again")]
+    Retry,
     /// Calls to a dependency that fails.
-    Probes,
+    #[serde(rename = "probes")]
+    Probe,
     /// First calls while it comes back.
-    First,
+    #[serde(rename = "first")]
+    FirstCall,
     /// Connections that are opened anew.
-    Opened,
+    #[serde(rename = "opened")]
+    NewConnection,
 }
 
-impl Kind {
-    pub const ALL: [Kind; 4] = [Kind::Again, Kind::Probes, Kind::First, Kind::Opened];
+impl CallKind {
+    pub const ALL: [CallKind; 4] = [
+        CallKind::Retry,
+        CallKind::Probe,
+        CallKind::FirstCall,
+        CallKind::NewConnection,
+    ];
 
     /// As the policy writes it.
     pub fn name(self) -> &'static str {
         match self {
-            Kind::Again => "again",
-            Kind::Probes => "probes",
-            Kind::First => "first",
-            Kind::Opened => "opened",
+            CallKind::Retry => "again",
+            CallKind::Probe => "probes",
+            CallKind::FirstCall => "first",
+            CallKind::NewConnection => "opened",
         }
     }
 }
 
 /// By dependency and kind, calls a second. What is not named is not bounded.
-pub type Budgets = BTreeMap<String, BTreeMap<Kind, u32>>;
+pub type Budgets = BTreeMap<String, BTreeMap<CallKind, u32>>;
 
 /// What a budget is; none: this kind is not bounded.
-pub fn budget_of(budgets: &Budgets, name: &str, kind: Kind) -> Option<u32> {
+pub fn budget_of(budgets: &Budgets, name: &str, kind: CallKind) -> Option<u32> {
     budgets.get(name)?.get(&kind).copied()
 }
 
@@ -50,22 +59,22 @@
 pub const CALLERS: &str = "callers";
 
 /// More calls a second than any dependency bears.
-pub const MOST: u32 = 1_000_000;
+pub const MAX_CALLS_PER_SECOND: u32 = 1_000_000;
 
 /// # Errors
 /// The first figure that can't be, with its place.
-pub fn check(budgets: &Budgets) -> Result<(), String> {
+pub fn validate(budgets: &Budgets) -> Result<(), String> {
     for (name, kinds) in budgets {
         for (kind, calls) in kinds {
-            if name == CALLERS && *kind != Kind::Opened {
+            if name == CALLERS && *kind != CallKind::NewConnection {
                 return Err(format!(
                     "{name}.{}: of callers only what is opened has a budget",
                     kind.name()
                 ));
             }
-            if !(1..=MOST).contains(calls) {
+            if !(1..=MAX_CALLS_PER_SECOND).contains(calls) {
                 return Err(format!(
-                    "{name}.{}: {calls} is not from 1 to {MOST} calls a second",
+                    "{name}.{}: {calls} is not from 1 to {MAX_CALLS_PER_SECOND} calls a second",
                     kind.name()
                 ));
             }
@@ -79,7 +88,11 @@
 ///
 /// # Errors
 /// Each budget that does not.
-pub fn check_against(budgets: &Budgets, base: &Budgets, hosts: Option<u32>) -> Result<(), String> {
+pub fn validate_against_reserve(
+    budgets: &Budgets,
+    base: &Budgets,
+    hosts: Option<u32>,
+) -> Result<(), String> {
     let mut whys = Vec::new();
     for (name, kinds) in budgets {
         for (kind, calls) in kinds {
--- a/crates/merlinshelf-quota/src/holder.rs
+++ b/crates/merlinshelf-quota/src/lease_holder.rs
@@ -4,17 +4,17 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::Lease;
-use crate::words::{Claim, Share};
+use crate::LeaseTerms;
+use crate::messages::{QuotaGrant, QuotaRequest};
 
 /// Askings whose answers are waited for.
 const ASKS_MOST: usize = 16;
 
 /// The state machine of one holder, for one budget. `now` is its own clock in seconds.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Holder {
+pub struct QuotaLeaseHolder {
     life: u64,
-    lease: Lease,
+    lease: LeaseTerms,
     /// What it goes by: whose and which number, calls a second, until when.
     share: ((u64, u64), u32, f64),
     /// The last share than which nothing more is spent here, or by those it was shared out among.
@@ -32,10 +32,10 @@
     need: f64,
 }
 
-impl Holder {
+impl QuotaLeaseHolder {
     /// One that holds nothing yet. `life` is a number that no other process of this holder has.
-    pub fn new(life: u64, lease: Lease) -> Holder {
-        Holder {
+    pub fn new(life: u64, lease: LeaseTerms) -> QuotaLeaseHolder {
+        QuotaLeaseHolder {
             life,
             lease,
             share: ((0, 0), 0, 0.0),
@@ -52,7 +52,7 @@
     }
 
     /// Calls a second that may be made now, and until when; none where that ends with nothing that was given.
-    pub fn may(&self, now: f64) -> (u32, Option<f64>) {
+    pub fn usable(&self, now: f64) -> (u32, Option<f64>) {
         let (_, calls, until) = self.share;
         if now < until && calls > 0 {
             (calls, Some(until))
@@ -62,38 +62,38 @@
     }
 
     /// Calls that may be made at this very moment.
-    pub fn left(&mut self, now: f64) -> u32 {
+    pub fn remaining(&mut self, now: f64) -> u32 {
         let window = self.lease.window();
         while self.made.front().is_some_and(|at| *at <= now - window) {
             self.made.pop_front();
         }
-        self.may(now).0.saturating_sub(self.made.len() as u32)
+        self.usable(now).0.saturating_sub(self.made.len() as u32)
     }
 
     /// So many were made, of those that were left.
-    pub fn spent(&mut self, now: f64, calls: u32) {
+    pub fn record_spent(&mut self, now: f64, calls: u32) {
         self.made.extend((0..calls).map(|_| now));
         self.spent += calls;
     }
 
     /// A call is wanted, whether it can be made or not. `worth` is what is lost where it can't.
-    pub fn wants(&mut self, worth: f64) {
+    pub fn record_demand(&mut self, worth: f64) {
         self.wanted += 1;
         self.worth += worth;
     }
 
     /// Whether a call that is wanted may be made now; it is counted as made where it may.
-    pub fn spend(&mut self, now: f64, worth: f64) -> bool {
-        self.wants(worth);
-        let may = self.left(now) > 0;
+    pub fn try_spend(&mut self, now: f64, worth: f64) -> bool {
+        self.record_demand(worth);
+        let may = self.remaining(now) > 0;
         if may {
-            self.spent(now, 1);
+            self.record_spent(now, 1);
         }
         may
     }
 
     /// A round: says what is needed. Of a need that is there no more half is left each time.
-    pub fn claim(&mut self, now: f64) -> Claim {
+    pub fn request(&mut self, now: f64) -> QuotaRequest {
         let wanted = self.wanted.max(self.spent);
         self.lately.push_back((now, wanted));
         while self
@@ -122,15 +122,15 @@
         } else {
             self.need.ceil() as u32
         };
-        Claim {
-            spent,
-            ..self.claim_for(now, need, worth, 0)
+        QuotaRequest {
+            calls_spent: spent,
+            ..self.request_for(now, need, worth, 0)
         }
     }
 
     /// The same where others' needs are added up, as a host does for its instances. `held`: the most that they may be spending.
-    pub fn claim_for(&mut self, now: f64, need: u32, worth: f64, held: u32) -> Claim {
-        if held <= self.may(now).0 {
+    pub fn request_for(&mut self, now: f64, need: u32, worth: f64, held: u32) -> QuotaRequest {
+        if held <= self.usable(now).0 {
             self.settled = self.share.0;
         }
         self.token += 1;
@@ -138,31 +138,31 @@
         if self.asks.len() > ASKS_MOST {
             self.asks.pop_front();
         }
-        Claim {
-            life: self.life,
-            token: self.token,
-            need,
-            worth,
-            heard: self.settled,
-            spent: 0,
+        QuotaRequest {
+            incarnation: self.life,
+            request_id: self.token,
+            calls_needed: need,
+            priority_weight: worth,
+            acknowledged_grant: self.settled,
+            calls_spent: 0,
         }
     }
 
     /// A share has come, however late. One that answers an asking before another answer's says nothing any more.
-    pub fn granted(&mut self, share: &Share) {
+    pub fn handle_grant(&mut self, share: &QuotaGrant) {
         let asked = self
             .asks
             .iter()
-            .find(|(token, _)| *token == share.token)
+            .find(|(token, _)| *token == share.request_id)
             .map(|(_, at)| *at);
-        let Some(asked) = asked.filter(|_| share.life == self.life) else {
+        let Some(asked) = asked.filter(|_| share.incarnation == self.life) else {
             return;
         };
-        self.asks.retain(|(token, _)| *token > share.token);
+        self.asks.retain(|(token, _)| *token > share.request_id);
         self.share = (
-            (share.keeper, share.number),
-            share.calls,
-            asked + self.lease.held_for(share.for_s),
+            (share.allocator_id, share.grant_number),
+            share.calls_per_second,
+            asked + self.lease.holder_duration(share.duration_seconds),
         );
     }
 }
--- a/crates/merlinshelf-quota/src/recovery.rs
+++ b/crates/merlinshelf-quota/src/recovery.rs
@@ -11,11 +11,14 @@
 pub enum Phase {
     /// Called as each sees fit.
     #[default]
-    Well,
+    #[serde(rename = "well")]
+    Healthy,
     /// It answers again, and first calls are bounded.
-    Returns,
+    #[serde(rename = "returns")]
+    Recovering,
     /// Probes alone.
-    Fails,
+    #[serde(rename = "fails")]
+    Failing,
 }
 
 /// What was told, as long as it holds: with the time until which it does.
@@ -27,22 +30,26 @@
 /// What is seen of a dependency.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Sight {
+pub struct DependencyHealth {
     /// Who has called it lately.
-    pub instances: u32,
+    #[serde(rename = "instances")]
+    pub calling_instances: u32,
     /// Of these, to whom it fails.
-    pub failing: u32,
+    #[serde(rename = "failing")]
+    pub failing_instances: u32,
     /// Calls that ended since the last word of this.
-    pub good: u32,
-    pub bad: u32,
+    #[serde(rename = "good")]
+    pub succeeded_calls: u32,
+    #[serde(rename = "bad")]
+    pub failed_calls: u32,
 }
 
-impl Sight {
-    pub fn add(&mut self, other: &Sight) {
-        self.instances += other.instances;
-        self.failing += other.failing;
-        self.good = self.good.saturating_add(other.good);
-        self.bad = self.bad.saturating_add(other.bad);
+impl DependencyHealth {
+    pub fn add(&mut self, other: &DependencyHealth) {
+        self.calling_instances += other.calling_instances;
+        self.failing_instances += other.failing_instances;
+        self.succeeded_calls = self.succeeded_calls.saturating_add(other.succeeded_calls);
+        self.failed_calls = self.failed_calls.saturating_add(other.failed_calls);
     }
 }
 
@@ -71,7 +78,7 @@
 pub struct Recovery {
     /// For how long a host's word counts, seconds.
     lately: f64,
-    hosts: BTreeMap<String, (f64, Sight)>,
+    hosts: BTreeMap<String, (f64, DependencyHealth)>,
     phase: Phase,
     /// It is what was seen, or what an earlier leader had told.
     known: bool,
@@ -92,9 +99,9 @@
             lately,
             hosts: BTreeMap::new(),
             phase: if most.is_some() {
-                Phase::Returns
+                Phase::Recovering
             } else {
-                Phase::Well
+                Phase::Healthy
             },
             known: false,
             step: most.map_or(1, first_step),
@@ -110,8 +117,8 @@
     }
 
     /// First calls a second that all of this zone together may make while it returns.
-    pub fn step(&self) -> u32 {
-        if self.phase == Phase::Returns {
+    pub fn calls_per_second(&self) -> u32 {
+        if self.phase == Phase::Recovering {
             self.step
         } else {
             0
@@ -119,17 +126,17 @@
     }
 
     /// What a host was told last by whoever led before: gone on with, as long as nothing else is known.
-    pub fn was(&mut self, now: f64, phase: Phase, most: Option<u32>) {
+    pub fn resume_from(&mut self, now: f64, phase: Phase, most: Option<u32>) {
         if !self.known {
             self.turn(now, phase, most.map_or(1, first_step));
         }
     }
 
     /// A host says what its instances see.
-    pub fn heard(&mut self, now: f64, host: &str, sight: Sight) {
+    pub fn record_health(&mut self, now: f64, host: &str, sight: DependencyHealth) {
         self.seen = (
-            self.seen.0.saturating_add(sight.good),
-            self.seen.1.saturating_add(sight.bad),
+            self.seen.0.saturating_add(sight.succeeded_calls),
+            self.seen.1.saturating_add(sight.failed_calls),
         );
         self.hosts.insert(host.to_owned(), (now, sight));
         self.hosts.retain(|_, (at, _)| now <= *at + self.lately);
@@ -140,32 +147,32 @@
         let all = self
             .hosts
             .values()
-            .fold(Sight::default(), |mut sum, (_, sight)| {
+            .fold(DependencyHealth::default(), |mut sum, (_, sight)| {
                 sum.add(sight);
                 sum
             });
         let (good, bad) = self.seen;
         let part = f64::from(good) / f64::from((good + bad).max(1));
         match self.phase {
-            Phase::Well => {
+            Phase::Healthy => {
                 // For most of those who call it. One who says so alone, or one zone's, moves nobody else.
-                if 2 * all.failing > all.instances && part < FAILING {
-                    self.turn(now, Phase::Fails, 1);
+                if 2 * all.failing_instances > all.calling_instances && part < FAILING {
+                    self.turn(now, Phase::Failing, 1);
                 } else if now >= self.stepped_at + STEP_S {
-                    self.turn(now, Phase::Well, 1);
+                    self.turn(now, Phase::Healthy, 1);
                 }
             }
-            Phase::Fails => {
+            Phase::Failing => {
                 if good > 0 && part >= FAILING {
                     match most {
-                        Some(most) => self.turn(now, Phase::Returns, first_step(most)),
-                        None => self.turn(now, Phase::Well, 1),
+                        Some(most) => self.turn(now, Phase::Recovering, first_step(most)),
+                        None => self.turn(now, Phase::Healthy, 1),
                     }
                 } else if now >= self.stepped_at + STEP_S {
-                    self.turn(now, Phase::Fails, 1);
+                    self.turn(now, Phase::Failing, 1);
                 }
             }
-            Phase::Returns => {
+            Phase::Recovering => {
                 if now < self.stepped_at + STEP_S {
                     return;
                 }
@@ -179,18 +186,18 @@
                 };
                 let most = most.unwrap_or(0);
                 if further && self.step >= most {
-                    self.turn(now, Phase::Well, 1);
+                    self.turn(now, Phase::Healthy, 1);
                 } else if further {
-                    self.turn(now, Phase::Returns, (2 * self.step).min(most));
+                    self.turn(now, Phase::Recovering, (2 * self.step).min(most));
                 } else if seen && part < FAILING {
-                    self.turn(now, Phase::Fails, 1);
+                    self.turn(now, Phase::Failing, 1);
                 } else {
                     if seen {
                         self.halved_at = Some(part);
                     }
                     self.turn(
                         now,
-                        Phase::Returns,
+                        Phase::Recovering,
                         if seen { self.step / 2 } else { self.step }.max(1),
                     );
                     self.unseen = unseen;
@@ -202,14 +209,14 @@
     fn turn(&mut self, now: f64, phase: Phase, step: u32) {
         (self.phase, self.step, self.stepped_at, self.known) = (phase, step, now, true);
         (self.seen, self.unseen) = ((0, 0), 0);
-        if phase != Phase::Returns {
+        if phase != Phase::Recovering {
             self.halved_at = None;
         }
-        if phase == Phase::Returns {
+        if phase == Phase::Recovering {
             // Who has not called it since it failed says that it fails until it does.
             self.hosts
                 .values_mut()
-                .for_each(|(_, sight)| sight.failing = 0);
+                .for_each(|(_, sight)| sight.failing_instances = 0);
         }
     }
 }
--- a/crates/merlinshelf-quota/tests/model.rs
+++ b/crates/merlinshelf-quota/tests/model.rs
@@ -3,14 +3,14 @@
 
 use std::collections::{BTreeMap, BinaryHeap};
 
-use merlinshelf_quota::{Claim, Holder, Keeper, Lease, Share};
+use merlinshelf_quota::{Allocator, LeaseTerms, QuotaGrant, QuotaLeaseHolder, QuotaRequest};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
 const HOSTS: usize = 3;
 const EACH: usize = 4;
-const LEASE: Lease = Lease {
-    lease_s: 2.0,
+const LEASE: LeaseTerms = LeaseTerms {
+    lease_seconds: 2.0,
     drift: 0.02,
 };
 const ROUND: f64 = 0.125;
@@ -28,10 +28,10 @@
 #[derive(Clone, Debug)]
 enum Event {
     Round(usize, Option<usize>),
-    Up(usize, Claim),
-    Down(usize, Share),
-    HostUp(usize, usize, Claim),
-    HostDown(usize, usize, Share),
+    Up(usize, QuotaRequest),
+    Down(usize, QuotaGrant),
+    HostUp(usize, usize, QuotaRequest),
+    HostDown(usize, usize, QuotaGrant),
     Wants(usize, usize),
     Elected,
     /// An agent begins anew: another holder towards the leader, another keeper towards its instances.
@@ -45,9 +45,9 @@
 
 struct Host {
     rate: f64,
-    holder: Holder,
-    keeper: Keeper,
-    instances: Vec<(f64, Holder, f64, f64)>,
+    holder: QuotaLeaseHolder,
+    keeper: Allocator,
+    instances: Vec<(f64, QuotaLeaseHolder, f64, f64)>,
     /// Until when it hears nothing, and until when it is not heard.
     cut: (f64, f64),
 }
@@ -59,7 +59,7 @@
     queue: BinaryHeap<(std::cmp::Reverse<u64>, u64)>,
     events: BTreeMap<u64, Event>,
     count: u64,
-    keeper: Keeper,
+    keeper: Allocator,
     keeper_rate: f64,
     hosts: Vec<Host>,
     /// When calls arrived, by true time.
@@ -75,13 +75,13 @@
         let mut rate = || 1.0 + rng.random_range(-0.01..0.01);
         let hosts = (0..HOSTS).map(|host| Host {
             rate: rate(),
-            holder: Holder::new(host as u64 + 1, LEASE),
-            keeper: Keeper::first(0.0, LEASE, 0, 1),
+            holder: QuotaLeaseHolder::new(host as u64 + 1, LEASE),
+            keeper: Allocator::first(0.0, LEASE, 0, 1),
             instances: (0..EACH)
                 .map(|place| {
                     (
                         rate(),
-                        Holder::new((host * EACH + place) as u64 + 1, LEASE),
+                        QuotaLeaseHolder::new((host * EACH + place) as u64 + 1, LEASE),
                         0.0,
                         1.0,
                     )
@@ -90,7 +90,7 @@
             cut: (0.0, 0.0),
         });
         let (hosts, keeper_rate) = (hosts.collect(), 1.0);
-        let keeper = Keeper::first(0.0, LEASE, budget, 1);
+        let keeper = Allocator::first(0.0, LEASE, budget, 1);
         let mut play = Play {
             rng,
             planted,
@@ -158,16 +158,16 @@
             Event::Round(host, None) => {
                 let of = &mut self.hosts[host];
                 let own = now * of.rate;
-                let (need, worth) = of.keeper.needs();
-                let held = of.keeper.held(own);
-                let claim = of.holder.claim_for(own, need, worth, held);
+                let (need, worth) = of.keeper.total_demand();
+                let held = of.keeper.outstanding(own);
+                let claim = of.holder.request_for(own, need, worth, held);
                 self.send(Event::Up(host, claim));
                 self.after(ROUND, Event::Round(host, None));
             }
             Event::Round(host, Some(place)) => {
                 let (rate, holder, stands_until, _) = &mut self.hosts[host].instances[place];
                 if now >= *stands_until {
-                    let claim = holder.claim(now * *rate);
+                    let claim = holder.request(now * *rate);
                     self.send(Event::HostUp(host, place, claim));
                 }
                 self.after(ROUND, Event::Round(host, Some(place)));
@@ -178,23 +178,28 @@
             }
             Event::Up(host, mut claim) => {
                 if self.planted == Planted::HeardAtOnce {
-                    claim.heard = (self.keeper.id(), u64::MAX);
+                    claim.acknowledged_grant = (self.keeper.id(), u64::MAX);
                 }
-                let share =
-                    self.keeper
-                        .claimed(now * self.keeper_rate, &format!("h{host}"), &claim, None);
+                let share = self.keeper.handle_request(
+                    now * self.keeper_rate,
+                    &format!("h{host}"),
+                    &claim,
+                    None,
+                );
                 self.send(Event::Down(host, share));
             }
             Event::Down(host, share) => {
                 let of = &mut self.hosts[host];
-                of.holder.granted(&share);
+                of.holder.handle_grant(&share);
             }
             Event::HostUp(host, place, claim) => {
                 let of = &mut self.hosts[host];
                 let own = now * of.rate;
-                let (may, until) = of.holder.may(own);
+                let (may, until) = of.holder.usable(own);
                 of.keeper.set_budget(may);
-                let share = of.keeper.claimed(own, &format!("i{place}"), &claim, until);
+                let share = of
+                    .keeper
+                    .handle_request(own, &format!("i{place}"), &claim, until);
                 self.send(Event::HostDown(host, place, share));
             }
             Event::HostDown(host, place, share) => {
@@ -203,7 +208,7 @@
                 if pause > 1e-6 {
                     self.after(pause, Event::HostDown(host, place, share)); // it lies in its socket
                 } else {
-                    holder.granted(&share);
+                    holder.handle_grant(&share);
                 }
             }
             Event::Wants(host, place) => {
@@ -211,7 +216,7 @@
                 if now < *stands_until {
                     return;
                 }
-                if holder.spend(now * *rate, *worth) {
+                if holder.try_spend(now * *rate, *worth) {
                     let way = self.rng.random_range(0.0..0.05);
                     self.arrived.push(now + way);
                 } else {
@@ -223,23 +228,23 @@
                 let budget = self.keeper.budget();
                 self.keeper_rate = 1.0 + self.rng.random_range(-0.01..0.01);
                 let own = now * self.keeper_rate;
-                self.keeper = Keeper::taking_over(own, LEASE, budget, number);
+                self.keeper = Allocator::taking_over(own, LEASE, budget, number);
                 if self.planted == Planted::AtOnce {
-                    self.keeper = Keeper::taking_over(own - 100.0, LEASE, budget, number);
+                    self.keeper = Allocator::taking_over(own - 100.0, LEASE, budget, number);
                 }
             }
             Event::Begins(host) => {
                 self.lives += 1;
                 let (lives, of) = (self.lives, &mut self.hosts[host]);
-                of.holder = Holder::new(lives, LEASE);
+                of.holder = QuotaLeaseHolder::new(lives, LEASE);
                 // What the one before gave is counted by the leader, as the part of that one's life: this one need not wait.
-                of.keeper = Keeper::first(now * of.rate, LEASE, 0, lives);
+                of.keeper = Allocator::first(now * of.rate, LEASE, 0, lives);
             }
             Event::Stands(host, place, until) => self.hosts[host].instances[place].2 = until,
             Event::Dies(host, place) => {
                 self.lives += 1;
                 let (_, holder, ..) = &mut self.hosts[host].instances[place];
-                *holder = Holder::new(self.lives, LEASE);
+                *holder = QuotaLeaseHolder::new(self.lives, LEASE);
             }
             Event::Cut(host, true, until) => self.hosts[host].cut.0 = until,
             Event::Cut(host, false, until) => self.hosts[host].cut.1 = until,
@@ -404,7 +409,7 @@
         play.run(f64::from(tenth) / 10.0);
         for (host, place) in everybody() {
             let (rate, holder, ..) = &play.hosts[host].instances[place];
-            had[host * EACH + place] |= holder.may(play.now * *rate).0 > 0;
+            had[host * EACH + place] |= holder.usable(play.now * *rate).0 > 0;
         }
     }
     assert!(had.iter().all(|had| *had), "{had:?}");
@@ -414,17 +419,21 @@
 #[test]
 fn a_share_that_lay_on_its_way_is_over_when_it_comes() {
     for counts_from_arrival in [false, true] {
-        let mut keeper = Keeper::first(0.0, LEASE, 10, 1);
-        let (mut one, mut other) = (Holder::new(1, LEASE), Holder::new(2, LEASE));
-        let claim = one.claim_for(0.0, 10, 1.0, 0);
-        let mut lies = keeper.claimed(0.01, "one", &claim, None);
-        assert_eq!(lies.calls, 10);
+        let mut keeper = Allocator::first(0.0, LEASE, 10, 1);
+        let (mut one, mut other) = (
+            QuotaLeaseHolder::new(1, LEASE),
+            QuotaLeaseHolder::new(2, LEASE),
+        );
+        let claim = one.request_for(0.0, 10, 1.0, 0);
+        let mut lies = keeper.handle_request(0.01, "one", &claim, None);
+        assert_eq!(lies.calls_per_second, 10);
         let mut given_at = 0.0;
         for round in 1..40 {
             let now = f64::from(round) * ROUND;
-            let share = keeper.claimed(now, "other", &other.claim_for(now, 10, 1.0, 0), None);
-            other.granted(&share);
-            if share.calls == 10 {
+            let share =
+                keeper.handle_request(now, "other", &other.request_for(now, 10, 1.0, 0), None);
+            other.handle_grant(&share);
+            if share.calls_per_second == 10 {
                 given_at = now;
                 break;
             }
@@ -434,11 +443,11 @@
             "the first one's is counted until then: {given_at}"
         );
         if counts_from_arrival {
-            lies.for_s += given_at; // the planted fault
+            lies.duration_seconds += given_at; // the planted fault
         }
-        one.granted(&lies);
-        let made = (0..20).filter(|_| one.spend(given_at, 1.0)).count()
-            + (0..20).filter(|_| other.spend(given_at, 1.0)).count();
+        one.handle_grant(&lies);
+        let made = (0..20).filter(|_| one.try_spend(given_at, 1.0)).count()
+            + (0..20).filter(|_| other.try_spend(given_at, 1.0)).count();
         assert_eq!(made, if counts_from_arrival { 20 } else { 10 });
     }
 }
--- a/crates/merlinshelf-quota/tests/parts.rs
+++ b/crates/merlinshelf-quota/tests/parts.rs
@@ -2,26 +2,27 @@
 
 use std::collections::BTreeMap;
 
-use merlinshelf_quota::kinds::{check, check_against};
+use merlinshelf_quota::budget::{validate, validate_against_reserve};
 use merlinshelf_quota::{
-    Bank, Budgets, CATALOGUE, House, Kind, Lease, Phase, Recovery, Sight, Spender, purse,
+    Budgets, CATALOGUE, CallKind, DependencyHealth, FleetAllocator, HostAllocator, LeaseTerms,
+    Phase, QuotaClient, Recovery, reserve,
 };
 
-const LEASE: Lease = Lease {
-    lease_s: 2.0,
+const LEASE: LeaseTerms = LeaseTerms {
+    lease_seconds: 2.0,
     drift: 0.02,
 };
 
-fn sight(instances: u32, failing: u32, good: u32, bad: u32) -> Sight {
-    Sight {
-        instances,
-        failing,
-        good,
-        bad,
+fn sight(instances: u32, failing: u32, good: u32, bad: u32) -> DependencyHealth {
+    DependencyHealth {
+        calling_instances: instances,
+        failing_instances: failing,
+        succeeded_calls: good,
+        failed_calls: bad,
     }
 }
 
-fn budgets(kinds: &[(Kind, u32)]) -> Budgets {
+fn budgets(kinds: &[(CallKind, u32)]) -> Budgets {
     BTreeMap::from([(CATALOGUE.to_owned(), kinds.iter().copied().collect())])
 }
 
@@ -60,14 +61,14 @@
     ];
     for (what, now, sight) in script {
         if what == "told as well before" {
-            fares.was(now, Phase::Well, most);
+            fares.resume_from(now, Phase::Healthy, most);
         }
-        fares.heard(now, "one", sight);
+        fares.record_health(now, "one", sight);
         fares.advance(now, most);
         lines.push(format!(
             "{now:>4} {what}: {:?} {}",
             fares.phase(),
-            fares.step()
+            fares.calls_per_second()
         ));
     }
     insta::assert_snapshot!(lines.join("\n"));
@@ -78,7 +79,7 @@
     let mut fares = Recovery::new(0.0, 2.0, Some(16));
     let opened = (1..200).find(|tick| {
         fares.advance(f64::from(*tick) * 0.1, Some(16));
-        fares.phase() == Phase::Well
+        fares.phase() == Phase::Healthy
     });
     assert!(
         opened.is_some_and(|tick| (20..80).contains(&tick)),
@@ -91,7 +92,7 @@
     let (mut bytes, mut drawn) = (Vec::new(), Vec::new());
     for tick in 0..500 {
         let now = 100.0 + f64::from(tick) * 0.01;
-        match purse::draw(&bytes, now, 3, 0.02) {
+        match reserve::draw(&bytes, now, 3, 0.02) {
             Ok(next) => {
                 bytes = next;
                 drawn.push(now);
@@ -104,32 +105,33 @@
         "{drawn:?}"
     );
     assert!(drawn.len() >= 12, "{drawn:?}");
-    let torn = purse::draw(&bytes[..bytes.len() - 3], 105.0, 3, 0.02).expect_err("torn");
+    let torn = reserve::draw(&bytes[..bytes.len() - 3], 105.0, 3, 0.02).expect_err("torn");
     let torn = torn.expect("counted as spent");
     assert!(
-        purse::draw(&torn, 105.5, 3, 0.02).is_err() && purse::draw(&torn, 106.1, 3, 0.02).is_ok()
+        reserve::draw(&torn, 105.5, 3, 0.02).is_err()
+            && reserve::draw(&torn, 106.1, 3, 0.02).is_ok()
     );
     // Later than now: from before the machine's last start.
-    assert!(purse::draw(&1e9_f64.to_le_bytes(), 5.0, 1, 0.02).is_ok());
-    assert!(purse::draw(&f64::NAN.to_le_bytes(), 5.0, 1, 0.02).is_err());
+    assert!(reserve::draw(&1e9_f64.to_le_bytes(), 5.0, 1, 0.02).is_ok());
+    assert!(reserve::draw(&f64::NAN.to_le_bytes(), 5.0, 1, 0.02).is_err());
 }
 
 /// One leader, one host, one instance, a round at a time.
 struct Three {
-    bank: Bank,
-    house: House,
-    spender: Spender,
+    bank: FleetAllocator,
+    house: HostAllocator,
+    spender: QuotaClient,
     now: f64,
 }
 
 impl Three {
     fn new(all: &Budgets, aside: &Budgets) -> Three {
-        let mut bank = Bank::elected(LEASE, 1);
-        bank.bound(all, aside, 1);
-        let mut house = House::new(1, LEASE, "z");
-        house.bound(0.0, all);
-        let mut spender = Spender::new(7, LEASE);
-        spender.bound(all);
+        let mut bank = FleetAllocator::elected(LEASE, 1);
+        bank.set_budgets(all, aside, 1);
+        let mut house = HostAllocator::new(1, LEASE, "z");
+        house.set_budgets(0.0, all);
+        let mut spender = QuotaClient::new(7, LEASE);
+        spender.set_budgets(all);
         Three {
             bank,
             house,
@@ -140,78 +142,117 @@
 
     fn round(&mut self) {
         self.now += 0.25;
-        if let Some(given) = self.house.answers(self.now, "i") {
-            self.spender.given(self.now, &given, &mut || 0.0);
+        if let Some(given) = self.house.take_grants(self.now, "i") {
+            self.spender.handle_grants(self.now, &given, &mut || 0.0);
         }
-        self.house.asked(self.now, "i", self.spender.asks(self.now));
-        let asked = self.house.asks(self.now);
-        let given = self.bank.asked(self.now, "h", &asked);
-        self.house.given(self.now, &given);
+        self.house
+            .handle_request(self.now, "i", self.spender.request(self.now));
+        let asked = self.house.request(self.now);
+        let given = self.bank.handle_request(self.now, "h", &asked);
+        self.house.handle_grants(self.now, &given);
     }
 }
 
 #[test]
 fn an_instance_is_bounded_until_it_is_known_how_the_dependency_fares() {
-    let all = budgets(&[(Kind::First, 16), (Kind::Probes, 3), (Kind::Again, 5)]);
+    let all = budgets(&[
+        (CallKind::FirstCall, 16),
+        (CallKind::Probe, 3),
+        (CallKind::Retry, 5),
+    ]);
     let mut three = Three::new(
         &all,
-        &budgets(&[(Kind::First, 1), (Kind::Probes, 1), (Kind::Again, 1)]),
+        &budgets(&[
+            (CallKind::FirstCall, 1),
+            (CallKind::Probe, 1),
+            (CallKind::Retry, 1),
+        ]),
     );
-    let left = three.spender.left(0.0, CATALOGUE);
+    let left = three.spender.remaining(0.0, CATALOGUE);
     assert_eq!(
-        (left.first, left.probes, left.again, left.closed),
+        (
+            left.first_calls,
+            left.probes,
+            left.retries,
+            left.probes_only
+        ),
         (0, 0, 0, false)
     );
-    assert!(three.spender.lacks(0.0, CATALOGUE, Kind::First));
-    three.spender.drew(0.0, CATALOGUE, Kind::First);
-    assert_eq!(three.spender.left(0.01, CATALOGUE).first, 1);
+    assert!(
+        three
+            .spender
+            .needs_reserve(0.0, CATALOGUE, CallKind::FirstCall)
+    );
+    three
+        .spender
+        .record_reserve_draw(0.0, CATALOGUE, CallKind::FirstCall);
+    assert_eq!(three.spender.remaining(0.01, CATALOGUE).first_calls, 1);
     assert_eq!(
-        three.spender.left(0.03, CATALOGUE).first,
+        three.spender.remaining(0.03, CATALOGUE).first_calls,
         0,
         "what was drawn is made at once or not at all"
     );
     // Nobody else calls it: it is opened in steps, and then first calls are not bounded.
     (0..40).for_each(|_| three.round());
-    assert_eq!(three.spender.phase(three.now, CATALOGUE), Some(Phase::Well));
-    assert_eq!(three.spender.left(three.now, CATALOGUE).first, u32::MAX);
+    assert_eq!(
+        three.spender.phase(three.now, CATALOGUE),
+        Some(Phase::Healthy)
+    );
+    assert_eq!(
+        three.spender.remaining(three.now, CATALOGUE).first_calls,
+        u32::MAX
+    );
     // It fails here, and so for most of those who call it.
-    three.spender.ended(three.now, CATALOGUE, false);
-    three.spender.fails(three.now, CATALOGUE, true);
+    three.spender.record_call_end(three.now, CATALOGUE, false);
+    three.spender.set_failing(three.now, CATALOGUE, true);
     for _ in 0..16 {
-        three.spender.wants(three.now, CATALOGUE, Kind::Probes, 1.0);
+        three
+            .spender
+            .record_demand(three.now, CATALOGUE, CallKind::Probe, 1.0);
         three.round();
     }
-    let left = three.spender.left(three.now, CATALOGUE);
-    assert!(left.closed && left.probes > 0, "{left:?}");
-    three.spender.spent(three.now, CATALOGUE, Kind::Probes, 1);
-    three.spender.ended(three.now, CATALOGUE, true);
-    let before = three.spender.left(three.now, CATALOGUE).probes;
+    let left = three.spender.remaining(three.now, CATALOGUE);
+    assert!(left.probes_only && left.probes > 0, "{left:?}");
+    three
+        .spender
+        .record_spent(three.now, CATALOGUE, CallKind::Probe, 1);
+    three.spender.record_call_end(three.now, CATALOGUE, true);
+    let before = three.spender.remaining(three.now, CATALOGUE).probes;
     assert_eq!(before + 1, left.probes);
     // The probe went well: it is said once that what failed here counts no more.
     (0..2).for_each(|_| three.round());
     assert!(
-        three.spender.left(three.now, CATALOGUE).opens
-            && !three.spender.left(three.now, CATALOGUE).opens
+        three.spender.remaining(three.now, CATALOGUE).reopened
+            && !three.spender.remaining(three.now, CATALOGUE).reopened
     );
     // Nobody says anything any more: a share is over after its lease.
-    assert_eq!(three.spender.left(three.now + 2.1, CATALOGUE).probes, 0);
+    assert_eq!(
+        three.spender.remaining(three.now + 2.1, CATALOGUE).probes,
+        0
+    );
 }
 
 #[test]
 fn a_successor_goes_on_with_what_is_held_and_its_predecessor_holds_nothing() {
-    let all = budgets(&[(Kind::Again, 10)]);
-    let mut three = Three::new(&all, &budgets(&[(Kind::Again, 1)]));
+    let all = budgets(&[(CallKind::Retry, 10)]);
+    let mut three = Three::new(&all, &budgets(&[(CallKind::Retry, 1)]));
     for _ in 0..30 {
-        (0..3).for_each(|_| three.spender.wants(three.now, CATALOGUE, Kind::Again, 1.0));
+        (0..3).for_each(|_| {
+            three
+                .spender
+                .record_demand(three.now, CATALOGUE, CallKind::Retry, 1.0)
+        });
         three.round();
     }
-    let before = three.spender.left(three.now, CATALOGUE).again;
+    let before = three.spender.remaining(three.now, CATALOGUE).retries;
     assert!(before >= 9, "{before}");
-    three.spender.spent(three.now, CATALOGUE, Kind::Again, 4);
-    let mut successor = three.spender.pass(8);
-    assert_eq!(three.spender.left(three.now, CATALOGUE).again, 0);
+    three
+        .spender
+        .record_spent(three.now, CATALOGUE, CallKind::Retry, 4);
+    let mut successor = three.spender.begin_handover(8);
+    assert_eq!(three.spender.remaining(three.now, CATALOGUE).retries, 0);
     assert_eq!(
-        successor.left(three.now, CATALOGUE).again,
+        successor.remaining(three.now, CATALOGUE).retries,
         before - 4,
         "what was spent counts on"
     );
@@ -219,14 +260,14 @@
 
 #[test]
 fn figures_that_can_not_be_are_named() {
-    assert_eq!(check(&budgets(&[(Kind::Probes, 5)])), Ok(()));
+    assert_eq!(validate(&budgets(&[(CallKind::Probe, 5)])), Ok(()));
     let figures = [0, 1_000_001]
-        .map(|calls| check(&budgets(&[(Kind::First, calls)])).expect_err("it can't be"));
-    let none = check_against(&budgets(&[(Kind::Again, 5)]), &Budgets::new(), None)
+        .map(|calls| validate(&budgets(&[(CallKind::FirstCall, calls)])).expect_err("it can't be"));
+    let none = validate_against_reserve(&budgets(&[(CallKind::Retry, 5)]), &Budgets::new(), None)
         .expect_err("not in the base");
-    let fewer = check_against(
-        &budgets(&[(Kind::Again, 5)]),
-        &budgets(&[(Kind::Again, 2)]),
+    let fewer = validate_against_reserve(
+        &budgets(&[(CallKind::Retry, 5)]),
+        &budgets(&[(CallKind::Retry, 2)]),
         Some(3),
     );
     let lines = [
--- a/crates/merlinshelf-testbed/src/trial/cost.rs
+++ b/crates/merlinshelf-testbed/src/trial/cost.rs
@@ -7,7 +7,7 @@
 use merlinshelf_agent::talk::Talk;
 use merlinshelf_policy::{Beat, Grant, Policy, Said};
 use merlinshelf_protocol::control::Question;
-use merlinshelf_quota::{Bank, Budgets, CATALOGUE, House, Kind, Lease};
+use merlinshelf_quota::{Budgets, CATALOGUE, CallKind, FleetAllocator, HostAllocator, LeaseTerms};
 use serde_json::{Value, json};
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep};
@@ -32,24 +32,27 @@
 async fn beat(control: PathBuf) {
     let (mut life, mut asked) = (0, 0.0);
     let figures = [
-        (Kind::Again, 1000),
-        (Kind::Probes, 8),
-        (Kind::First, 4000),
-        (Kind::Opened, 4000),
+        (CallKind::Retry, 1000),
+        (CallKind::Probe, 8),
+        (CallKind::FirstCall, 4000),
+        (CallKind::NewConnection, 4000),
     ];
     let budgets = Budgets::from([(CATALOGUE.to_owned(), figures.into_iter().collect())]);
-    let lease = Lease {
-        lease_s: 2.0,
+    let lease = LeaseTerms {
+        lease_seconds: 2.0,
         drift: 0.02,
     };
-    let (mut bank, mut house) = (Bank::elected(lease, 1), House::new(1, lease, ""));
-    bank.bound(&budgets, &Budgets::new(), 1);
-    house.bound(0.0, &budgets);
+    let (mut bank, mut house) = (
+        FleetAllocator::elected(lease, 1),
+        HostAllocator::new(1, lease, ""),
+    );
+    bank.set_budgets(&budgets, &Budgets::new(), 1);
+    house.set_budgets(0.0, &budgets);
     let began = Instant::now();
     loop {
         let now = began.elapsed().as_secs_f64();
-        let given = bank.asked(now, "h", &house.asks(now));
-        house.given(now, &given);
+        let given = bank.handle_request(now, "h", &house.request(now));
+        house.handle_grants(now, &given);
         let beat = Beat {
             life,
             offer: Some((
@@ -66,7 +69,7 @@
                 asked,
                 for_s: 2.0,
             }),
-            given: house.answers(now, "i"),
+            given: house.take_grants(now, "i"),
         };
         let body = serde_json::to_value(&beat).unwrap_or_default();
         if let Ok(mut talk) =
@@ -77,7 +80,7 @@
             (life, asked) = (said.life, said.asked);
             said.wishes
                 .into_iter()
-                .for_each(|wishes| _ = house.asked(now, "i", wishes));
+                .for_each(|wishes| _ = house.handle_request(now, "i", wishes));
         }
         sleep(Duration::from_millis(250)).await;
     }
--- a/crates/merlinshelf-testbed/src/trial/shares_size.rs
+++ b/crates/merlinshelf-testbed/src/trial/shares_size.rs
@@ -5,18 +5,19 @@
 use std::time::Instant;
 
 use merlinshelf_quota::{
-    Asked, Bank, Budgets, CATALOGUE, Given, House, Kind, Lease, Phase, Spender, purse,
+    Budgets, CATALOGUE, CallKind, FleetAllocator, HostAllocator, LeaseTerms, Phase, QuotaClient,
+    QuotaGrantBatch, QuotaRequestBatch, reserve,
 };
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use serde::Serialize;
 use serde_json::{Value, json};
 
-const LEASE: Lease = Lease {
-    lease_s: 2.0,
+const LEASE: LeaseTerms = LeaseTerms {
+    lease_seconds: 2.0,
     drift: 0.02,
 };
-const ROUND: f64 = LEASE.lease_s / 8.0;
+const ROUND: f64 = LEASE.lease_seconds / 8.0;
 /// What a call takes, and how long it is on its way at the most.
 const TAKES: f64 = 0.008;
 const WAY: f64 = 0.04;
@@ -36,7 +37,7 @@
     pub gone: (f64, f64),
     /// Changes of who leads, hosts cut off, processes that stand still or die, over all of it.
     pub troubles: usize,
-    pub budgets: [(Kind, u32); 3],
+    pub budgets: [(CallKind, u32); 3],
     pub aside: u32,
     /// What is wrong on purpose: whoever is elected gives at once.
     pub planted: bool,
@@ -46,9 +47,9 @@
     /// One with an outage in its midst.
     pub fn of(hosts: usize, instances: usize, troubles: usize) -> Size {
         let budgets = [
-            (Kind::Again, 24),
-            (Kind::Probes, 8.max(2 * hosts as u32)),
-            (Kind::First, 20 + instances as u32),
+            (CallKind::Retry, 24),
+            (CallKind::Probe, 8.max(2 * hosts as u32)),
+            (CallKind::FirstCall, 20 + instances as u32),
         ];
         let (seconds, gone, planted) = (22.0, (5.0, 14.0), false);
         Size {
@@ -82,7 +83,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Played {
     /// The worst second of each kind, wherever it begins.
-    pub worst: BTreeMap<Kind, usize>,
+    pub worst: BTreeMap<CallKind, usize>,
     /// Messages and bytes an instance and second: to and from its agent; and those between agents, a host and second.
     pub messages: (f64, f64),
     pub bytes: (f64, f64),
@@ -97,10 +98,10 @@
 #[derive(Clone, Debug)]
 enum Event {
     HostAsks(usize),
-    Up(usize, Asked),
-    Down(usize, Given),
+    Up(usize, QuotaRequestBatch),
+    Down(usize, QuotaGrantBatch),
     Beat(usize),
-    Said(usize, Asked),
+    Said(usize, QuotaRequestBatch),
     Wants(usize),
     Ended(usize, u64, bool, bool),
     Trouble,
@@ -109,8 +110,8 @@
 struct One {
     host: usize,
     rate: f64,
-    spender: Spender,
-    given: Vec<Given>,
+    spender: QuotaClient,
+    given: Vec<QuotaGrantBatch>,
     stands_until: f64,
     life: u64,
     failures: u32,
@@ -120,8 +121,8 @@
 
 struct Host {
     rate: f64,
-    house: House,
-    purses: BTreeMap<Kind, Vec<u8>>,
+    house: HostAllocator,
+    purses: BTreeMap<CallKind, Vec<u8>>,
     deaf_until: f64,
     mute_until: f64,
 }
@@ -133,13 +134,13 @@
     queue: BinaryHeap<(std::cmp::Reverse<u64>, std::cmp::Reverse<u64>)>,
     events: BTreeMap<u64, Event>,
     count: u64,
-    bank: Bank,
+    bank: FleetAllocator,
     bank_rate: f64,
     /// It waits until what an earlier one gave is over.
     waits: bool,
     hosts: Vec<Host>,
     all: Vec<One>,
-    arrived: BTreeMap<Kind, Vec<f64>>,
+    arrived: BTreeMap<CallKind, Vec<f64>>,
     played: Played,
     sent: (u64, u64, u64, u64),
     spent: (f64, f64, f64),
@@ -155,8 +156,8 @@
         let budgets = size.bounds();
         let mut rate = || 1.0 + rng.random_range(-0.01..0.01);
         let hosts = (0..size.hosts).map(|host| {
-            let mut house = House::new(host as u64 + 1, LEASE, "");
-            house.bound(0.0, &budgets);
+            let mut house = HostAllocator::new(host as u64 + 1, LEASE, "");
+            house.set_budgets(0.0, &budgets);
             Host {
                 rate: rate(),
                 house,
@@ -168,8 +169,8 @@
         let hosts = hosts.collect();
         let all = (0..size.instances).map(|place| {
             let life = 1000 + place as u64;
-            let mut spender = Spender::new(life, LEASE);
-            spender.bound(&budgets);
+            let mut spender = QuotaClient::new(life, LEASE);
+            spender.set_budgets(&budgets);
             One {
                 host: place % size.hosts,
                 rate: rate(),
@@ -183,8 +184,8 @@
             }
         });
         let all = all.collect();
-        let mut bank = Bank::elected(LEASE, 1);
-        bank.bound(&budgets, &size.set_aside(), size.hosts as u32);
+        let mut bank = FleetAllocator::elected(LEASE, 1);
+        bank.set_budgets(&budgets, &size.set_aside(), size.hosts as u32);
         let mut world = World {
             size: size.clone(),
             rng,
@@ -287,7 +288,7 @@
             Event::HostAsks(host) => {
                 let of = &mut self.hosts[host];
                 let began = Instant::now();
-                let asked = of.house.asks(now * of.rate);
+                let asked = of.house.request(now * of.rate);
                 self.spent.1 += began.elapsed().as_secs_f64();
                 if now >= of.mute_until {
                     self.send(Event::Up(host, asked));
@@ -297,13 +298,16 @@
             Event::Up(host, asked) => {
                 if !self.waits {
                     // The planted fault: it takes what an earlier one gave for long over.
-                    self.bank
-                        .asked(now * self.bank_rate - 100.0, &format!("h{host}"), &asked);
+                    self.bank.handle_request(
+                        now * self.bank_rate - 100.0,
+                        &format!("h{host}"),
+                        &asked,
+                    );
                 }
                 let began = Instant::now();
-                let given = self
-                    .bank
-                    .asked(now * self.bank_rate, &format!("h{host}"), &asked);
+                let given =
+                    self.bank
+                        .handle_request(now * self.bank_rate, &format!("h{host}"), &asked);
                 self.spent.0 += began.elapsed().as_secs_f64();
                 self.sent.0 += 2;
                 self.sent.1 += length(&asked) + length(&given);
@@ -312,7 +316,7 @@
                     .bank
                     .phases(CATALOGUE)
                     .values()
-                    .all(|phase| *phase == Phase::Well);
+                    .all(|phase| *phase == Phase::Healthy);
                 if open && now > self.size.gone.1 && self.played.open_after.is_none() {
                     self.played.open_after = Some(now - self.size.gone.1);
                 }
@@ -323,7 +327,7 @@
                     let pause = of.deaf_until - now; // it lies on its way, and comes
                     return self.after(pause + 1e-6, Event::Down(host, given));
                 }
-                if of.house.given(now * of.rate, &given) {
+                if of.house.handle_grants(now * of.rate, &given) {
                     // Something fares differently: its instances hear of it at once.
                     let of_host: Vec<usize> = (0..self.all.len())
                         .filter(|place| self.all[*place].host == host)
@@ -339,7 +343,8 @@
                 let host = self.all[place].host;
                 let of = &mut self.hosts[host];
                 let began = Instant::now();
-                of.house.asked(now * of.rate, &format!("i{place}"), asked);
+                of.house
+                    .handle_request(now * of.rate, &format!("i{place}"), asked);
                 self.spent.1 += began.elapsed().as_secs_f64();
             }
             Event::Wants(place) => {
@@ -357,7 +362,9 @@
         let one = &mut self.all[place];
         let host = &mut self.hosts[one.host];
         let began = Instant::now();
-        let given = host.house.answers(now * host.rate, &format!("i{place}"));
+        let given = host
+            .house
+            .take_grants(now * host.rate, &format!("i{place}"));
         self.spent.1 += began.elapsed().as_secs_f64();
         self.sent.2 += 2;
         self.sent.3 += given.as_ref().map_or(0, length);
@@ -368,9 +375,10 @@
         let own = now * one.rate;
         let began = Instant::now();
         for given in std::mem::take(&mut one.given) {
-            one.spender.given(own, &given, &mut || self.rng.random());
+            one.spender
+                .handle_grants(own, &given, &mut || self.rng.random());
         }
-        let asked = one.spender.asks(own);
+        let asked = one.spender.request(own);
         self.spent.2 += began.elapsed().as_secs_f64();
         self.sent.3 += length(&asked);
         self.send(Event::Said(place, asked));
@@ -384,41 +392,41 @@
         }
         let own = now * one.rate;
         let fails = one.failures >= FAILURES;
-        one.spender.fails(own, CATALOGUE, fails);
-        let closed = one.spender.left(own, CATALOGUE).closed;
+        one.spender.set_failing(own, CATALOGUE, fails);
+        let closed = one.spender.remaining(own, CATALOGUE).probes_only;
         let kind = if fails || closed {
-            Kind::Probes
+            CallKind::Probe
         } else {
-            Kind::First
+            CallKind::FirstCall
         };
-        one.spender.wants(own, CATALOGUE, kind, 1.0);
-        if one.spender.lacks(own, CATALOGUE, kind) {
+        one.spender.record_demand(own, CATALOGUE, kind, 1.0);
+        if one.spender.needs_reserve(own, CATALOGUE, kind) {
             let host = &mut self.hosts[one.host];
             let purse = host.purses.entry(kind).or_default();
-            match purse::draw(purse, now, aside, LEASE.drift) {
+            match reserve::draw(purse, now, aside, LEASE.drift) {
                 Ok(next) => {
                     *purse = next;
-                    one.spender.drew(own, CATALOGUE, kind);
+                    one.spender.record_reserve_draw(own, CATALOGUE, kind);
                 }
                 Err(next) => *purse = next.unwrap_or_else(|| purse.clone()),
             }
         }
-        let left = one.spender.left(own, CATALOGUE);
-        if left.opens {
+        let left = one.spender.remaining(own, CATALOGUE);
+        if left.reopened {
             one.failures = one.failures.min(FAILURES - 1);
         }
-        let bounded = one.spender.is_bounded(own, CATALOGUE, kind);
+        let bounded = one.spender.is_limited(own, CATALOGUE, kind);
         let may = match kind {
-            Kind::Probes => left.probes > 0 && !one.probing && now >= one.failed_at + PAUSE,
-            _ => left.first > 0,
+            CallKind::Probe => left.probes > 0 && !one.probing && now >= one.failed_at + PAUSE,
+            _ => left.first_calls > 0,
         };
         if !may {
             return;
         }
         if bounded {
-            one.spender.spent(own, CATALOGUE, kind, 1);
+            one.spender.record_spent(own, CATALOGUE, kind, 1);
         }
-        one.probing |= kind == Kind::Probes;
+        one.probing |= kind == CallKind::Probe;
         let life = one.life;
         let way = self.rng.random_range(0.0..WAY);
         let (from, until) = self.size.gone;
@@ -427,10 +435,10 @@
             self.arrived.entry(kind).or_default().push(now + way);
         }
         self.played.calls += 1;
-        self.played.probes += u64::from(kind == Kind::Probes && bounded);
+        self.played.probes += u64::from(kind == CallKind::Probe && bounded);
         self.after(
             way + TAKES,
-            Event::Ended(place, life, kind == Kind::Probes, well),
+            Event::Ended(place, life, kind == CallKind::Probe, well),
         );
     }
 
@@ -441,7 +449,7 @@
             return;
         }
         one.probing &= !probe;
-        one.spender.ended(now * one.rate, CATALOGUE, well);
+        one.spender.record_call_end(now * one.rate, CATALOGUE, well);
         one.failures = if well { 0 } else { one.failures + 1 };
         if !well {
             one.failed_at = now;
@@ -455,9 +463,9 @@
         match self.rng.random_range(0..5) {
             0 => {
                 self.bank_rate = 1.0 + self.rng.random_range(-0.01..0.01);
-                self.bank = Bank::elected(LEASE, self.count);
+                self.bank = FleetAllocator::elected(LEASE, self.count);
                 self.waits = !self.size.planted;
-                self.bank.bound(
+                self.bank.set_budgets(
                     &self.size.bounds(),
                     &self.size.set_aside(),
                     self.size.hosts as u32,
@@ -466,8 +474,8 @@
             1 => self.all[place].stands_until = now + self.rng.random_range(0.2..4.0),
             2 => {
                 let life = 1_000_000 + self.count;
-                let mut spender = Spender::new(life, LEASE);
-                spender.bound(&self.size.bounds());
+                let mut spender = QuotaClient::new(life, LEASE);
+                spender.set_budgets(&self.size.bounds());
                 let one = &mut self.all[place];
                 (one.spender, one.life, one.failures, one.probing) = (spender, life, 0, false);
                 one.given.clear();
@@ -481,8 +489,8 @@
                 }
             }
             _ => {
-                let mut house = House::new(2_000_000 + self.count, LEASE, "");
-                house.bound(now * self.hosts[host].rate, &self.size.bounds());
+                let mut house = HostAllocator::new(2_000_000 + self.count, LEASE, "");
+                house.set_budgets(now * self.hosts[host].rate, &self.size.bounds());
                 self.hosts[host].house = house;
             }
         }
@@ -521,7 +529,7 @@
     ] {
         let size = Size::of(hosts, instances, troubles);
         let played = play(&size, seed);
-        let worst = |kind: Kind| {
+        let worst = |kind: CallKind| {
             let budget = size
                 .budgets
                 .iter()
@@ -529,21 +537,21 @@
                 .map_or(1, |(_, calls)| *calls);
             played.worst.get(&kind).copied().unwrap_or(0) as f64 / f64::from(budget)
         };
-        clean &= worst(Kind::Probes) <= 1.0 && worst(Kind::First) <= 1.0;
+        clean &= worst(CallKind::Probe) <= 1.0 && worst(CallKind::FirstCall) <= 1.0;
         println!(
             "{hosts:>5} {instances:>9} {troubles:>6} {:>12.2} {:>12.0} {:>12.1} {:>12.0} {:>9.2} {:>9.2} {:>9.1} {:>9.3}",
             played.messages.0,
             played.bytes.0,
             played.messages.1,
             played.bytes.1,
-            worst(Kind::Probes),
-            worst(Kind::First),
+            worst(CallKind::Probe),
+            worst(CallKind::FirstCall),
             played.open_after.unwrap_or(f64::NAN),
             played.cost_ms.0,
         );
         rows.push(json!({
             "hosts": hosts, "instances": instances, "faults": troubles, "messages": played.messages.0,
-            "bytes": played.bytes.0, "worst_probes": worst(Kind::Probes), "worst_first": worst(Kind::First),
+            "bytes": played.bytes.0, "worst_probes": worst(CallKind::Probe), "worst_first": worst(CallKind::FirstCall),
             "open_after_s": played.open_after, "leader_ms_s": played.cost_ms.0, "host_ms_s": played.cost_ms.1,
         }));
     }
--- a/crates/merlinshelf-testbed/tests/shares.rs
+++ b/crates/merlinshelf-testbed/tests/shares.rs
@@ -1,14 +1,14 @@
 //! The fleet's budgets in virtual time, with troubles by seed: in no second more arrives than the budget has, and the check finds a
 //! keeper that does not wait.
 
-use merlinshelf_quota::Kind;
+use merlinshelf_quota::CallKind;
 use merlinshelf_testbed::trial::shares_size::{Size, play};
 
 fn size(instances: usize, probes: u32, first: u32) -> Size {
     let budgets = [
-        (Kind::Again, 24),
-        (Kind::Probes, probes),
-        (Kind::First, first),
+        (CallKind::Retry, 24),
+        (CallKind::Probe, probes),
+        (CallKind::FirstCall, first),
     ];
     Size {
         budgets,
@@ -20,7 +20,7 @@
 fn worst(size: &Size, seed: u64) -> (usize, usize) {
     let played = play(size, seed);
     let of = |kind| played.worst.get(&kind).copied().unwrap_or(0);
-    (of(Kind::Probes), of(Kind::First))
+    (of(CallKind::Probe), of(CallKind::FirstCall))
 }
 
 #[test]
