--- a/crates/merlinshelf-agent/src/council.rs
+++ b/crates/merlinshelf-agent/src/council.rs
@@ -11,8 +11,8 @@
 use merlinshelf_backend::learning::folder::Disk;
 use merlinshelf_consensus::{Council, HEAD, Record, Standing, Step, Word, recover};
 use merlinshelf_gossip::Files;
-use merlinshelf_policy::ledger::News;
-use merlinshelf_policy::{Entry, Ledger};
+use merlinshelf_policy::replicated_state::ReplicatedEvent;
+use merlinshelf_policy::{Entry, ReplicatedState};
 use tokio::sync::mpsc::UnboundedSender;
 
 const FILE: &str = "council";
@@ -35,7 +35,7 @@
 pub enum Came {
     Send(String, Word),
     /// Something was decided, or all is another by now.
-    Decided(Option<News>),
+    Decided(Option<ReplicatedEvent>),
     Confirmed(u64),
 }
 
@@ -53,7 +53,7 @@
     failed_at: Option<f64>,
     complained: bool,
     ticket: u64,
-    pub ledger: Ledger,
+    pub ledger: ReplicatedState,
     came: Vec<Came>,
 }
 
@@ -78,7 +78,7 @@
             failed_at: None,
             complained: false,
             ticket: ticket.max(1),
-            ledger: Ledger::default(),
+            ledger: ReplicatedState::default(),
             came: Vec::new(),
         }
     }
@@ -142,7 +142,7 @@
             (self.ticket >> 33) as usize,
             &kept,
         )?;
-        self.ledger = Ledger::default();
+        self.ledger = ReplicatedState::default();
         self.came.push(Came::Decided(None));
         let (work, todo) = channel();
         (self.life, self.keeping) = (self.life + 1, false);
@@ -277,11 +277,11 @@
                 },
                 Step::Restore(index, state) => {
                     self.ledger = if state.is_empty() {
-                        Ledger::default()
+                        ReplicatedState::default()
                     } else {
                         rmp_serde::from_slice(&state).unwrap_or_else(|error| {
                             error!("the state at {index} is of a later version: {error}");
-                            Ledger::default()
+                            ReplicatedState::default()
                         })
                     };
                     self.came.push(Came::Decided(None));
--- a/crates/merlinshelf-agent/src/links.rs
+++ b/crates/merlinshelf-agent/src/links.rs
@@ -7,7 +7,7 @@
 
 use log::{debug, warn};
 use merlinshelf_consensus::Word;
-use merlinshelf_policy::{Entry, HostAsk, HostWord};
+use merlinshelf_policy::{Entry, HostLeaseRequest, HostLeaseResponse};
 use merlinshelf_protocol::control::{self, FORM, Question};
 use serde::{Deserialize, Serialize};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -28,8 +28,8 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Peer {
     Council(Word),
-    Ask(HostAsk),
-    Word(HostWord),
+    Ask(HostLeaseRequest),
+    Word(HostLeaseResponse),
     /// For whoever leads: an entry to be put into the log.
     Propose(Entry),
     /// For whoever leads: this agent is gone for good.
--- a/crates/merlinshelf-agent/src/policy/asked.rs
+++ b/crates/merlinshelf-agent/src/policy/asked.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use merlinshelf_policy::ledger::{Ended, Verdict};
+use merlinshelf_policy::replicated_state::{ChangeOutcome, CompletedChange};
 use merlinshelf_policy::{Entry, Policy};
 use merlinshelf_protocol::control::Word;
 use serde_json::{Value, json};
@@ -80,21 +80,24 @@
         for mut one in std::mem::take(&mut self.pending) {
             let ledger = &self.seat.ledger;
             if let Some(ended) = ledger.outcome(&one.id) {
-                let held = ended.verdict == Verdict::Held;
+                let held = ended.outcome == ChangeOutcome::Committed;
                 let _ = one
                     .reply
                     .send((if held { Word::Done } else { Word::Failed }, shown(ended)));
                 continue;
             }
-            if let Some(change) = ledger.change.as_ref().filter(|change| change.id == one.id)
+            if let Some(change) = ledger
+                .pending_change
+                .as_ref()
+                .filter(|change| change.change_id == one.id)
                 && !one.wait
             {
-                let report = json!({ "number": change.number, "id": one.id, "state": "proposed" });
+                let report = json!({ "number": change.version, "id": one.id, "state": "proposed" });
                 let _ = one.reply.send((Word::Done, report));
                 continue;
             }
             if now > one.since + patience {
-                let known = ledger.knows(&one.id);
+                let known = ledger.knows_change(&one.id);
                 let leads = self.seat.leader().is_some();
                 let why = match (known, leads) {
                     (true, _) => "it is under way",
@@ -113,9 +116,12 @@
                 ));
                 continue;
             }
-            if now >= one.put_at + PUT_AGAIN && !ledger.knows(&one.id) {
+            if now >= one.put_at + PUT_AGAIN && !ledger.knows_change(&one.id) {
                 one.put_at = now;
-                if let Some(Entry::Propose { at, .. }) = &mut one.entry {
+                if let Some(Entry::Propose {
+                    proposed_at: at, ..
+                }) = &mut one.entry
+                {
                     *at = unix;
                 }
                 if let Some(entry) = &one.entry {
@@ -137,20 +143,20 @@
             "show" => say(Word::Done, self.show(now)),
             "budgets" => say(Word::Done, self.show_budgets(now)),
             "history" => {
-                for ended in &ledger.ended {
+                for ended in &ledger.completed_changes {
                     say(Word::More, shown(ended));
                 }
                 say(
                     Word::Done,
-                    json!({ "current": ledger.current, "under_way": ledger.change.as_ref().map(|of| of.number) }),
+                    json!({ "current": ledger.current_version, "under_way": ledger.pending_change.as_ref().map(|of| of.version) }),
                 );
             }
             "document" => say(
                 Word::Done,
-                json!({ "number": ledger.current, "policy": ledger.policy, "base": self.of.base }),
+                json!({ "number": ledger.current_version, "policy": ledger.policy, "base": self.of.base }),
             ),
             what @ ("propose" | "undo") => {
-                let policy = match (what, &ledger.former) {
+                let policy = match (what, &ledger.previous) {
                     ("propose", _) => {
                         match serde_json::from_value::<Policy>(body["policy"].clone()) {
                             Ok(policy) => policy,
@@ -175,8 +181,8 @@
                     }
                 };
                 let length = serde_json::to_vec(&policy).map_or(0, |bytes| bytes.len());
-                if length > merlinshelf_policy::document::LENGTH_MOST {
-                    let most = merlinshelf_policy::document::LENGTH_MOST;
+                if length > merlinshelf_policy::document::MAX_DOCUMENT_BYTES {
+                    let most = merlinshelf_policy::document::MAX_DOCUMENT_BYTES;
                     let text = format!(
                         "the document has {length} bytes, and {most} at the most are taken"
                     );
@@ -189,12 +195,12 @@
                     return say(Word::Refused, json!({ "text": why }));
                 }
                 if body["dry_run"] == true {
-                    let change = ledger.change.as_ref().map(|of| of.number);
+                    let change = ledger.pending_change.as_ref().map(|of| of.version);
                     return say(
                         Word::Done,
                         json!({
-                            "would_be": ledger.last + 1, "in_place_of": ledger.current, "under_way": change,
-                            "same": policy.fingerprint() == ledger.policy.fingerprint() && ledger.current > 0,
+                            "would_be": ledger.last_version + 1, "in_place_of": ledger.current_version, "under_way": change,
+                            "same": policy.fingerprint() == ledger.policy.fingerprint() && ledger.current_version > 0,
                         }),
                     );
                 }
@@ -209,16 +215,17 @@
                 };
                 let by = body["by"].as_str().unwrap_or(&self.of.name).to_owned();
                 let entry = Entry::Propose {
-                    id: id.to_owned(),
+                    change_id: id.to_owned(),
                     policy: Box::new(policy),
-                    by,
-                    at: 0.0,
+                    proposed_by: by,
+                    proposed_at: 0.0,
                 };
                 self.wait_for(now, id, Some(entry), body["wait"] == true, reply);
             }
             "outcome" => {
                 let id = body["id"].as_str().unwrap_or("").to_owned();
-                if !ledger.knows(&id) && self.seat.leader().is_some() && body["wait"] != true {
+                if !ledger.knows_change(&id) && self.seat.leader().is_some() && body["wait"] != true
+                {
                     return say(
                         Word::Refused,
                         json!({ "text": format!("no change with id {id} is known"), "id": id }),
@@ -268,8 +275,8 @@
     fn show(&self, now: f64) -> Value {
         let ledger = &self.seat.ledger;
         let lease = self.warden.lease(now);
-        let change = ledger.change.as_ref().map(|of| {
-            json!({ "number": of.number, "id": of.id, "by": of.by, "stage": format!("{:?}", of.stage).to_lowercase() })
+        let change = ledger.pending_change.as_ref().map(|of| {
+            json!({ "number": of.version, "id": of.change_id, "by": of.proposed_by, "stage": format!("{:?}", of.stage).to_lowercase() })
         });
         let roll = self
             .seat
@@ -285,28 +292,28 @@
             .last_counts
             .keys()
             .filter_map(|name| {
-                let said = self.warden.instance(name)?;
-                Some(json!({ "name": name, "acts": said.acts, "left_s": said.left_s, "unfit": said.unfit }))
+                let said = self.warden.instance_status(name)?;
+                Some(json!({ "name": name, "acts": said.effective_version, "left_s": said.lease_remaining_seconds, "unfit": said.rejected_version }))
             })
             .collect();
         json!({
             "agent": self.of.name, "council": self.seat.standing(), "leader": self.seat.leader(), "members": members,
-            "current": ledger.current, "note": ledger.policy.note, "under_way": change,
+            "current": ledger.current_version, "note": ledger.policy.note, "under_way": change,
             "lease": lease.map(|(number, left)| json!({ "number": number, "left_s": left })),
-            "lease_ms": ledger.founding.as_ref().map(|of| of.lease_ms), "instances": instances,
+            "lease_ms": ledger.bootstrap.as_ref().map(|of| of.lease_ms), "instances": instances,
         })
     }
 }
 
 /// An ended change, for reports.
-fn shown(ended: &Ended) -> Value {
-    let state = if ended.verdict == Verdict::Held {
+fn shown(ended: &CompletedChange) -> Value {
+    let state = if ended.outcome == ChangeOutcome::Committed {
         "held"
     } else {
         "refused"
     };
     json!({
-        "number": ended.number, "id": ended.id, "state": state, "why": why(&ended.verdict), "by": ended.by,
-        "note": ended.note, "at": ended.at,
+        "number": ended.version, "id": ended.change_id, "state": state, "why": why(&ended.outcome), "by": ended.proposed_by,
+        "note": ended.note, "at": ended.proposed_at,
     })
 }
--- a/crates/merlinshelf-agent/src/policy/budgets.rs
+++ b/crates/merlinshelf-agent/src/policy/budgets.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use merlinshelf_fleet::wanted::CouncilOf;
-use merlinshelf_policy::HostAsk;
+use merlinshelf_policy::HostLeaseRequest;
 use merlinshelf_quota::{
     Budgets, CallKind, FleetAllocator, HostAllocator, LeaseTerms, QuotaGrantBatch,
     QuotaRequestBatch, budget,
@@ -54,12 +54,12 @@
     }
 
     /// What came with a host's asking: kept until its lease is granted, since only then it is sure that this agent leads.
-    pub fn wished(&mut self, ask: &mut HostAsk) {
-        let Some(wishes) = ask.wishes.take() else {
+    pub fn wished(&mut self, ask: &mut HostLeaseRequest) {
+        let Some(wishes) = ask.quota_requests.take() else {
             return;
         };
         let of = self.wishes.entry(ask.host.clone()).or_default();
-        of.push_back((ask.token, wishes));
+        of.push_back((ask.request_id, wishes));
         if of.len() > WISHES_MOST {
             of.pop_front();
         }
@@ -124,7 +124,7 @@
     /// Budgets by what holds.
     pub(super) fn bound_budgets(&mut self, now: f64) {
         let ledger = &self.seat.ledger;
-        let budgets = if ledger.current > 0 {
+        let budgets = if ledger.current_version > 0 {
             &ledger.policy.budgets
         } else {
             &self.of.base.budgets
@@ -157,7 +157,7 @@
         };
         let (age, all) = own.or_else(told).unwrap_or((0.0, Value::Null));
         json!({
-            "agent": self.of.name, "leader": leader, "policy": self.seat.ledger.current, "hosts": self.hosts(),
+            "agent": self.of.name, "leader": leader, "policy": self.seat.ledger.current_version, "hosts": self.hosts(),
             "age_s": (age * 10.0).round() / 10.0, "budgets": all["budgets"], "here": self.budgeting.held(now),
         })
     }
--- a/crates/merlinshelf-agent/src/policy/mod.rs
+++ b/crates/merlinshelf-agent/src/policy/mod.rs
@@ -11,9 +11,11 @@
 use log::{info, warn};
 use merlinshelf_backend::fault;
 use merlinshelf_fleet::wanted::CouncilOf;
-use merlinshelf_policy::conductor::{Step, Watch};
-use merlinshelf_policy::ledger::{News, Verdict};
-use merlinshelf_policy::{Conductor, Entry, Founding, HostWord, Said, Warden};
+use merlinshelf_policy::replicated_state::{ChangeOutcome, ReplicatedEvent};
+use merlinshelf_policy::rollout_leader::{Action, ServiceWatch};
+use merlinshelf_policy::{
+    Bootstrap, Entry, HostLeaseManager, HostLeaseResponse, InstanceStatus, RolloutLeader,
+};
 use merlinshelf_protocol::control::{Question, Word};
 use serde_json::{Value, json};
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
@@ -35,17 +37,17 @@
 /// What happens beside the loop.
 pub enum Happened {
     Peer(String, Peer),
-    Beat(String, Result<Said, Option<String>>),
+    Beat(String, Result<InstanceStatus, Option<String>>),
     Kept(Kept),
 }
 
 pub struct PolicyAgent {
     of: CouncilOf,
-    founding: Founding,
+    founding: Bootstrap,
     seat: Seat,
     links: Links,
-    warden: Warden,
-    conductor: Option<(Conductor, u64)>,
+    warden: HostLeaseManager,
+    conductor: Option<(RolloutLeader, u64)>,
     budgeting: Budgeting,
     hurried: f64,
     pending: Vec<Pending>,
@@ -56,7 +58,7 @@
     ticked: f64,
     clock_rate: f64,
     last_counts: BTreeMap<String, (u64, u64)>,
-    complained: Option<Founding>,
+    complained: Option<Bootstrap>,
     pub happened: (UnboundedSender<Happened>, UnboundedReceiver<Happened>),
     peers: UnboundedReceiver<(String, Peer)>,
     kept: UnboundedReceiver<Kept>,
@@ -75,13 +77,13 @@
             .ok()
             .and_then(|text| text.parse().ok());
         Ok(PolicyAgent {
-            founding: Founding {
+            founding: Bootstrap {
                 lease_ms: of.lease_ms,
-                base,
+                base_fingerprint: base,
             },
             seat: Seat::new(&of.name, &of.agents, folder, life, tell),
             links,
-            warden: Warden::new(&of.name, life, base, of.drift),
+            warden: HostLeaseManager::new(&of.name, life, base, of.drift),
             conductor: None,
             budgeting: Budgeting::new(of, life),
             hurried: 0.0,
@@ -120,7 +122,7 @@
             Happened::Peer(_, Peer::Ask(mut ask)) => {
                 if let Some((conductor, _)) = &mut self.conductor {
                     self.budgeting.wished(&mut ask);
-                    conductor.asked(now, ask, &self.seat.ledger);
+                    conductor.handle_lease_request(now, ask, &self.seat.ledger);
                 }
             }
             Happened::Peer(_, Peer::Word(word)) => self.heard_of_lease(now, &word),
@@ -134,14 +136,14 @@
             }
             Happened::Kept(kept) => self.seat.kept(now, kept),
             Happened::Beat(name, Ok(mut said)) => {
-                if let Some(wishes) = said.wishes.take()
+                if let Some(wishes) = said.quota_requests.take()
                     && self.budgeting.house.handle_request(now, &name, wishes)
                 {
-                    self.warden.ask_soon();
+                    self.warden.request_soon();
                 }
-                self.warden.said(now, &name, said);
+                self.warden.instance_responded(now, &name, said);
             }
-            Happened::Beat(name, Err(why)) => self.warden.silent(&name, why),
+            Happened::Beat(name, Err(why)) => self.warden.instance_unreachable(&name, why),
         }
     }
 
@@ -152,8 +154,8 @@
             .insert(name.to_owned(), (invocations, succeeded));
         let before = before.filter(|before| before.0 <= invocations && before.1 <= succeeded);
         if let Some(before) = before {
-            self.warden.service.0 += invocations - before.0;
-            self.warden.service.1 += succeeded - before.1;
+            self.warden.service_counts.0 += invocations - before.0;
+            self.warden.service_counts.1 += succeeded - before.1;
         }
     }
 
@@ -172,7 +174,7 @@
             self.ticked = plain;
             self.seat.tick(now);
             if let Some((conductor, _)) = &mut self.conductor {
-                conductor.woken(now, &self.seat.ledger);
+                conductor.advance(now, &self.seat.ledger);
             }
         }
         if plain >= self.told_standing + STANDING_EVERY {
@@ -185,12 +187,12 @@
                 .others()
                 .for_each(|other| self.links.send(other, &Peer::Standing(text.clone())));
         }
-        self.warden.serving(now, instances.keys());
+        self.warden.set_instances(now, instances.keys());
         self.bound_budgets(now);
         if now >= self.hurried + HURRY_EVERY && self.budgeting.house.has_unhealthy_dependency(now) {
             self.hurried = now;
-            self.warden.ask_soon();
-            self.warden.beat_soon();
+            self.warden.request_soon();
+            self.warden.heartbeat_soon();
         }
         // Each round may bring about another one; it ends since nothing is done twice.
         for _ in 0..64 {
@@ -202,8 +204,8 @@
                 break;
             }
         }
-        while let Some((name, mut beat)) = self.warden.next_beat(now) {
-            beat.given = self.budgeting.house.take_grants(now, &name);
+        while let Some((name, mut beat)) = self.warden.poll_heartbeat(now) {
+            beat.quota_grants = self.budgeting.house.take_grants(now, &name);
             let Some(control) = instances.get(&name).cloned() else {
                 continue;
             };
@@ -259,12 +261,12 @@
     }
 
     /// A word of whoever leads: a lease on what holds, and shares.
-    fn heard_of_lease(&mut self, now: f64, word: &HostWord) {
-        self.warden.granted(now, word);
-        if let Some(given) = &word.given
+    fn heard_of_lease(&mut self, now: f64, word: &HostLeaseResponse) {
+        self.warden.handle_lease_response(now, word);
+        if let Some(given) = &word.quota_grants
             && self.budgeting.house.handle_grants(now, given)
         {
-            self.warden.beat_soon();
+            self.warden.heartbeat_soon();
         }
     }
 
@@ -275,20 +277,20 @@
                 if let Some(news) = &news {
                     self.log(news);
                     match news {
-                        News::Founded(_) => {}
-                        News::Proposed(number) => point("proposed", *number),
-                        News::Decided(number, _) => point("decided", *number),
-                        News::Held(number) => point("held", *number),
+                        ReplicatedEvent::Bootstrapped(_) => {}
+                        ReplicatedEvent::Proposed(number) => point("proposed", *number),
+                        ReplicatedEvent::Decided(number, _) => point("decided", *number),
+                        ReplicatedEvent::Committed(number) => point("held", *number),
                     }
                 }
-                self.warden.decided(now, &self.seat.ledger);
+                self.warden.state_changed(now, &self.seat.ledger);
                 if let (Some(news), Some((conductor, _))) = (news, &mut self.conductor) {
-                    conductor.decided(now, &news, &self.seat.ledger);
+                    conductor.state_changed(now, &news, &self.seat.ledger);
                 }
                 let agreed = self
                     .seat
                     .ledger
-                    .founding
+                    .bootstrap
                     .clone()
                     .filter(|agreed| *agreed != self.founding);
                 if agreed.is_some() && agreed != self.complained {
@@ -302,32 +304,34 @@
             }
             Came::Confirmed(number) => {
                 if let Some((conductor, _)) = &mut self.conductor {
-                    conductor.confirmed(now, number, &self.seat.ledger);
+                    conductor.leadership_confirmed(now, number, &self.seat.ledger);
                 }
             }
         }
     }
 
-    fn log(&self, news: &News) {
+    fn log(&self, news: &ReplicatedEvent) {
         let ledger = &self.seat.ledger;
         match news {
-            News::Founded(founding) => {
+            ReplicatedEvent::Bootstrapped(founding) => {
                 info!(lease_ms = founding.lease_ms; "policy: founded, leases of {} ms", founding.lease_ms)
             }
-            News::Proposed(number) => info!(number = number; "policy {number}: proposed"),
-            News::Decided(number, true) => {
+            ReplicatedEvent::Proposed(number) => {
+                info!(number = number; "policy {number}: proposed")
+            }
+            ReplicatedEvent::Decided(number, true) => {
                 info!(number = number; "policy {number}: decided, it holds")
             }
-            News::Decided(number, false) => {
+            ReplicatedEvent::Decided(number, false) => {
                 let ended = ledger
-                    .ended
+                    .completed_changes
                     .iter()
                     .rev()
-                    .find(|ended| ended.number == *number);
-                let why = ended.map(|ended| why(&ended.verdict)).unwrap_or_default();
+                    .find(|ended| ended.version == *number);
+                let why = ended.map(|ended| why(&ended.outcome)).unwrap_or_default();
                 info!(number = number; "policy {number}: refused: {why}");
             }
-            News::Held(number) => info!(number = number; "policy {number}: held"),
+            ReplicatedEvent::Committed(number) => info!(number = number; "policy {number}: held"),
         }
     }
 
@@ -337,9 +341,9 @@
         if self.conductor.as_ref().map(|(_, term)| *term) != term {
             self.conductor = term.map(|term| {
                 info!(term = term; "this agent leads in term {term}");
-                let watch = Watch {
-                    over_s: self.of.watch_ms as f64 / 1e3,
-                    worse: self.of.worse,
+                let watch = ServiceWatch {
+                    window_seconds: self.of.watch_ms as f64 / 1e3,
+                    tolerated_loss: self.of.worse,
                 };
                 // Also whoever sat once: one that was replaced may have a lease from its former life.
                 let roll = self
@@ -355,25 +359,25 @@
                 let agreed = self
                     .seat
                     .ledger
-                    .founding
+                    .bootstrap
                     .clone()
                     .unwrap_or_else(|| self.founding.clone());
                 (
-                    Conductor::elected(now, agreed, self.of.drift, watch, names),
+                    RolloutLeader::elected(now, agreed, self.of.drift, watch, names),
                     term,
                 )
             });
             self.budgeting.leads(term);
             self.bound_budgets(now);
         }
-        let ask = self.warden.ask(now);
+        let ask = self.warden.poll_lease_request(now);
         let mut did = ask.is_some();
         if let Some(mut ask) = ask {
-            ask.wishes = self.budgeting.asks(now);
+            ask.quota_requests = self.budgeting.asks(now);
             match (&mut self.conductor, self.seat.leader()) {
                 (Some((conductor, _)), _) => {
                     self.budgeting.wished(&mut ask);
-                    conductor.asked(now, ask, &self.seat.ledger);
+                    conductor.handle_lease_request(now, ask, &self.seat.ledger);
                 }
                 (None, Some(leader)) => self.links.send(leader, &Peer::Ask(ask)),
                 (None, None) => {}
@@ -382,20 +386,22 @@
         while let Some(step) = self
             .conductor
             .as_mut()
-            .and_then(|(conductor, _)| conductor.next_step())
+            .and_then(|(conductor, _)| conductor.poll_action())
         {
             did = true;
             match &step {
-                Step::Propose(Entry::Decide { number, .. }) => point("decides", *number),
-                Step::Propose(Entry::Open { number }) => point("opens", *number),
-                Step::Tell(_, word) => point("grants", word.granted),
-                Step::Confirm(_) | Step::Propose(_) => {}
+                Action::Propose(Entry::Decide {
+                    version: number, ..
+                }) => point("decides", *number),
+                Action::Propose(Entry::Activate { version: number }) => point("opens", *number),
+                Action::Respond(_, word) => point("grants", word.granted_version),
+                Action::ConfirmLeadership(_) | Action::Propose(_) => {}
             }
             match step {
-                Step::Confirm(number) => self.seat.confirm(now, number),
-                Step::Propose(entry) => _ = self.seat.propose(now, &entry),
-                Step::Tell(host, mut word) => {
-                    word.given = self.budgeting.granted(now, &host, word.token);
+                Action::ConfirmLeadership(number) => self.seat.confirm(now, number),
+                Action::Propose(entry) => _ = self.seat.propose(now, &entry),
+                Action::Respond(host, mut word) => {
+                    word.quota_grants = self.budgeting.granted(now, &host, word.request_id);
                     if host == self.of.name {
                         self.heard_of_lease(now, &word);
                     } else {
@@ -424,10 +430,10 @@
     }
 }
 
-fn why(verdict: &Verdict) -> String {
+fn why(verdict: &ChangeOutcome) -> String {
     match verdict {
-        Verdict::Held => String::new(),
-        Verdict::Refused(by) => by
+        ChangeOutcome::Committed => String::new(),
+        ChangeOutcome::Rejected(by) => by
             .iter()
             .map(|(who, why)| format!("{who}: {why}"))
             .collect::<Vec<_>>()
--- a/crates/merlinshelf-backend/src/control.rs
+++ b/crates/merlinshelf-backend/src/control.rs
@@ -11,7 +11,7 @@
 
 use log::{debug, info, warn};
 use merlinshelf_handover::keeper::Progress;
-use merlinshelf_policy::{Beat, Said};
+use merlinshelf_policy::{Heartbeat, InstanceStatus};
 use merlinshelf_protocol::control::{self, FORM, Question, Word};
 use serde_json::{Value, json};
 use tokio::net::{UnixListener, UnixStream};
@@ -43,7 +43,7 @@
     /// Forget what this origin told, or all; how many figures these were, none where learning is off.
     Forget(Option<String>, oneshot::Sender<Option<usize>>),
     /// A beat of the host's agent; none where policies are off.
-    Policy(Box<Beat>, oneshot::Sender<Option<Said>>),
+    Policy(Box<Heartbeat>, oneshot::Sender<Option<InstanceStatus>>),
     /// Something for an agent, and where its answers go: all but the last are `more`.
     Fleet(Value, UnboundedSender<(Word, Value)>),
 }
--- a/crates/merlinshelf-backend/src/exchange/policy.rs
+++ b/crates/merlinshelf-backend/src/exchange/policy.rs
@@ -5,8 +5,8 @@
 
 use log::{error, info};
 use merlinshelf_admission::{Settings, Shedder};
-use merlinshelf_policy::holder::Passed;
-use merlinshelf_policy::{Acting, Beat, Holder, Policy, Said};
+use merlinshelf_policy::lease_holder::HandoverState;
+use merlinshelf_policy::{EffectivePolicy, Heartbeat, InstanceStatus, LeaseHolder, Policy};
 use merlinshelf_quota::budget;
 
 use super::budgets::Spending;
@@ -22,8 +22,8 @@
 }
 
 pub struct Policed {
-    holder: Holder,
-    acting: Acting,
+    holder: LeaseHolder,
+    acting: EffectivePolicy,
     /// The settings as they were configured.
     base: Settings,
     laid: Box<dyn Laid>,
@@ -47,9 +47,9 @@
             .and_then(|settings| laid.fits(&of.base).map(|()| settings));
         let settings = settings.map_err(|why| format!("policy.base: {why}"));
         let life = life();
-        let holder = Holder::new(life, of.base.clone(), of.without, of.drift);
+        let holder = LeaseHolder::new(life, of.base.clone(), of.without, of.drift);
         self.spending = Some(Spending::new(life, self.seed, of));
-        let acting = holder.acting(monotonic());
+        let acting = holder.effective_policy(monotonic());
         laid.lay(&of.base);
         self.settings = settings?;
         self.policy = Some(Policed {
@@ -68,7 +68,7 @@
         let passed = self
             .policy
             .as_mut()
-            .map(|policed| policed.holder.pass(life));
+            .map(|policed| policed.holder.begin_handover(life));
         let policy = passed
             .and_then(|passed| rmp_serde::to_vec_named(&passed).ok())
             .unwrap_or_default();
@@ -87,8 +87,8 @@
             spending.take(shares);
         }
         if let Some(policed) = &mut self.policy {
-            let passed: Passed = rmp_serde::from_slice(passed).unwrap_or_default();
-            policed.holder.take(passed);
+            let passed: HandoverState = rmp_serde::from_slice(passed).unwrap_or_default();
+            policed.holder.resume(passed);
         }
     }
 
@@ -96,26 +96,26 @@
     pub fn policy_began(&self) -> bool {
         self.policy
             .as_ref()
-            .is_none_or(|policed| policed.holder.began())
+            .is_none_or(|policed| policed.holder.is_ready())
     }
 
     /// Nobody is waited for any more.
     pub fn begin_without_policy(&mut self) {
         if let Some(policed) = &mut self.policy {
-            policed.holder.begin();
+            policed.holder.stop_waiting();
         }
     }
 
     /// A beat of this host's agent; none where policies are off.
-    pub fn policy_heard(&mut self, beat: Beat) -> Option<Said> {
+    pub fn policy_heard(&mut self, beat: Heartbeat) -> Option<InstanceStatus> {
         let seed = self.seed;
         let policed = self.policy.as_mut()?;
         let Policed {
             holder, base, laid, ..
         } = policed;
-        let given = beat.given.clone();
-        let aside = holder.base().budgets.clone();
-        let mut said = holder.heard(monotonic(), beat, |policy| {
+        let given = beat.quota_grants.clone();
+        let aside = holder.base_policy().budgets.clone();
+        let mut said = holder.handle_heartbeat(monotonic(), beat, |policy| {
             let settings = policy.settings(base)?;
             laid.fits(policy)?;
             budget::validate_against_reserve(&policy.budgets, &aside, None)?;
@@ -124,7 +124,7 @@
         self.mind_policy();
         if let Some(spending) = &mut self.spending {
             given.iter().for_each(|given| spending.heard(given));
-            said.wishes = spending.asks();
+            said.quota_requests = spending.asks();
         }
         Some(said)
     }
@@ -136,10 +136,10 @@
         }
     }
 
-    pub fn policy_said(&self) -> Option<Said> {
+    pub fn policy_said(&self) -> Option<InstanceStatus> {
         self.policy
             .as_ref()
-            .map(|policed| policed.holder.said(monotonic()))
+            .map(|policed| policed.holder.status(monotonic()))
     }
 
     /// How long callers are to stay away where nothing may be served.
@@ -147,7 +147,7 @@
         let away = self
             .policy
             .as_ref()
-            .is_some_and(|policed| policed.acting == Acting::Away);
+            .is_some_and(|policed| policed.acting == EffectivePolicy::RejectAll);
         let allowed = self
             .settings
             .get("Allowed.RetryAfter")
@@ -170,7 +170,7 @@
         let Some(policed) = &mut self.policy else {
             return;
         };
-        let acting = policed.holder.acting(monotonic());
+        let acting = policed.holder.effective_policy(monotonic());
         if acting == policed.acting {
             return;
         }
--- a/crates/merlinshelf-backend/src/host/asked.rs
+++ b/crates/merlinshelf-backend/src/host/asked.rs
@@ -138,8 +138,8 @@
             "learning": self.learning.as_ref().map(Learning::status),
             "dependencies": self.routing.as_ref().map(|routing| routing.borrow().report()),
             "policy": exchange.as_ref().and_then(|exchange| exchange.policy_said()).map(|said| json!({
-                "acts": said.acts, "left_s": said.left_s, "fenced": said.fenced, "knows": said.knows,
-                "unfit": said.unfit, "base": format!("{:016x}", said.base),
+                "acts": said.effective_version, "left_s": said.lease_remaining_seconds, "fenced": said.fenced_version, "knows": said.known_versions,
+                "unfit": said.rejected_version, "base": format!("{:016x}", said.base_fingerprint),
             })),
             "budgets": exchange.as_ref().and_then(|exchange| exchange.budgets()),
             "counters": exchange.as_ref().map(|exchange| exchange.counters.by_name()),
--- a/crates/merlinshelf-backend/src/operator.rs
+++ b/crates/merlinshelf-backend/src/operator.rs
@@ -7,7 +7,7 @@
 use garde::Validate;
 use log::LevelFilter;
 use merlinshelf_dependencies::Dependencies;
-use merlinshelf_policy::{Policy, Without};
+use merlinshelf_policy::{LeaseExpiryMode, Policy};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
@@ -49,7 +49,7 @@
     pub base: Policy,
     /// What is done without a lease.
     #[garde(skip)]
-    pub without: Without,
+    pub without: LeaseExpiryMode,
     /// How much clocks of two processes may run apart, as a part: leases are held shorter by it, and waited for longer.
     #[garde(range(min = 0.0, max = 0.2))]
     #[schemars(range(min = 0.0, max = 0.2))]
@@ -72,7 +72,7 @@
     fn default() -> PolicyOf {
         PolicyOf {
             base: Policy::default(),
-            without: Without::default(),
+            without: LeaseExpiryMode::default(),
             drift: 0.02,
             wait_ms: 5_000,
             lease_ms: 2_000,
--- a/crates/merlinshelf-cli/src/policy.rs
+++ b/crates/merlinshelf-cli/src/policy.rs
@@ -7,7 +7,7 @@
 
 use clap::{Args, Subcommand, ValueHint};
 use merlinshelf_backend::operator::read_as;
-use merlinshelf_policy::document::LENGTH_MOST;
+use merlinshelf_policy::document::MAX_DOCUMENT_BYTES;
 use merlinshelf_protocol::control::Word;
 use serde_json::{Value, json};
 
@@ -95,12 +95,12 @@
     let opened = std::fs::File::open(file).map_err(|error| named(format!(" {error}")))?;
     // One byte more than there may be shows that there is more.
     opened
-        .take(LENGTH_MOST as u64 + 1)
+        .take(MAX_DOCUMENT_BYTES as u64 + 1)
         .read_to_string(&mut text)
         .map_err(|error| named(format!(" {error}")))?;
-    if text.len() > LENGTH_MOST {
+    if text.len() > MAX_DOCUMENT_BYTES {
         return Err(named(format!(
-            " it is longer than the {LENGTH_MOST} bytes that a policy may have"
+            " it is longer than the {MAX_DOCUMENT_BYTES} bytes that a policy may have"
         )));
     }
     read_as(&text).map_err(named)
--- a/crates/merlinshelf-fleet/src/wanted.rs
+++ b/crates/merlinshelf-fleet/src/wanted.rs
@@ -4,7 +4,7 @@
 use std::path::PathBuf;
 
 use garde::Validate;
-use merlinshelf_policy::{Policy, Without};
+use merlinshelf_policy::{LeaseExpiryMode, Policy};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
@@ -70,7 +70,7 @@
     /// What instances do without a lease.
     #[garde(skip)]
     #[serde(default)]
-    pub without: Without,
+    pub without: LeaseExpiryMode,
     /// How long service is watched after a change and compared with before, in milliseconds; 0: not at all.
     #[garde(range(max = 60_000))]
     #[serde(default)]
--- a/crates/merlinshelf-policy/src/document.rs
+++ b/crates/merlinshelf-policy/src/document.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 
 /// The longest document, in bytes of its text.
-pub const LENGTH_MOST: usize = 16 * 1024;
+pub const MAX_DOCUMENT_BYTES: usize = 16 * 1024;
 
 /// What a service may change without a start. Whatever is not named stays as each instance's configuration has it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
@@ -23,7 +23,7 @@
     pub note: String,
     /// By the operation's name in the platform's settings.
     #[garde(dive, length(max = 64))]
-    pub operations: BTreeMap<String, OperationOf>,
+    pub operations: BTreeMap<String, OperationPolicy>,
     /// By the tenant's name, or its number: its part of the sum of all quotas, 0 to 1. All together are 1 at the most.
     #[garde(custom(shares))]
     pub tenants: BTreeMap<String, f64>,
@@ -32,7 +32,7 @@
     pub call_share: Option<f64>,
     /// By the dependency's name in the operators' file.
     #[garde(dive, length(max = 64))]
-    pub dependencies: BTreeMap<String, DependencyOf>,
+    pub dependencies: BTreeMap<String, DependencyPolicy>,
     /// By the dependency's name in the operators' file, or `catalogue` for the one below that the platform names: calls a second
     /// of the whole fleet. `again`: further attempts and second calls; `probes`: calls to it while it fails; `first`: first calls
     /// while it comes back; `opened`: connections opened anew; of `callers`, of whom it is the one kind: those that are
@@ -48,7 +48,7 @@
 /// What holds for one operation.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields, default)]
-pub struct OperationOf {
+pub struct OperationPolicy {
     /// `false` turns all of them away.
     #[garde(skip)]
     pub admit: Option<bool>,
@@ -69,7 +69,7 @@
 /// What holds for one dependency.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields, default)]
-pub struct DependencyOf {
+pub struct DependencyPolicy {
     /// The part of the servers that may be out at one time, 0 to 1.
     #[garde(inner(custom(part)))]
     pub out_most: Option<f64>,
--- a/crates/merlinshelf-policy/src/warden.rs
+++ b/crates/merlinshelf-policy/src/host_lease_manager.rs
@@ -4,8 +4,10 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::document::Policy;
-use crate::ledger::{Ledger, Stage};
-use crate::words::{Beat, Grant, HostAsk, HostWord, Prepared, Said};
+use crate::messages::{
+    Heartbeat, HostLeaseRequest, HostLeaseResponse, InstanceStatus, LeaseGrant, PrepareResult,
+};
+use crate::replicated_state::{ReplicatedState, Stage};
 use crate::{Drift, over_by};
 
 /// An instance that does not say what it thinks of a document for so long is left out of the count, seconds.
@@ -17,7 +19,7 @@
 
 #[derive(Clone, Debug, Default)]
 struct Seen {
-    said: Option<Said>,
+    said: Option<InstanceStatus>,
     /// It can't be asked at all, and why.
     refuses: Option<String>,
     beat_at: f64,
@@ -31,7 +33,7 @@
 
 /// The state machine of one agent towards its instances. `now` is the agent's own clock in seconds.
 #[derive(Clone, Debug)]
-pub struct Warden {
+pub struct HostLeaseManager {
     host: String,
     life: u64,
     drift: Drift,
@@ -50,16 +52,16 @@
     asks: VecDeque<(u64, f64)>,
     token: u64,
     asked_at: f64,
-    told: (u64, Option<Prepared>),
+    told: (u64, Option<PrepareResult>),
     instances: BTreeMap<String, Seen>,
-    pub service: (u64, u64),
+    pub service_counts: (u64, u64),
 }
 
-impl Warden {
+impl HostLeaseManager {
     /// An agent that begins. `life` is a number that no other process of the agent has, `base` the fingerprint of the
     /// base policy of its file.
-    pub fn new(host: &str, life: u64, base: u64, drift: Drift) -> Warden {
-        Warden {
+    pub fn new(host: &str, life: u64, base: u64, drift: Drift) -> HostLeaseManager {
+        HostLeaseManager {
             host: host.to_owned(),
             life,
             drift,
@@ -75,45 +77,51 @@
             asked_at: f64::NEG_INFINITY,
             told: (0, None),
             instances: BTreeMap::new(),
-            service: (0, 0),
+            service_counts: (0, 0),
         }
     }
 
     /// What is decided by now, as far as this host's log has it.
-    pub fn decided(&mut self, now: f64, ledger: &Ledger) {
+    pub fn state_changed(&mut self, now: f64, ledger: &ReplicatedState) {
         self.began.get_or_insert(now);
-        if let Some(founding) = &ledger.founding {
+        if let Some(founding) = &ledger.bootstrap {
             // What was agreed counts, whatever this agent's file says by now.
-            (self.lease_s, self.base) = (Some(founding.lease_ms as f64 / 1e3), founding.base);
+            (self.lease_s, self.base) = (
+                Some(founding.lease_ms as f64 / 1e3),
+                founding.base_fingerprint,
+            );
         }
-        let (fence, before) = (ledger.fence(), self.fence);
+        let (fence, before) = (ledger.fence_version(), self.fence);
         self.fence = self.fence.max(fence);
         self.lease = self
             .lease
             .filter(|(number, _)| *number == 0 || *number > self.fence);
-        let change = ledger.change.as_ref();
-        let numbers = [Some(ledger.current), change.map(|change| change.number)];
+        let change = ledger.pending_change.as_ref();
+        let numbers = [
+            Some(ledger.current_version),
+            change.map(|change| change.version),
+        ];
         let known = numbers
             .into_iter()
             .flatten()
-            .filter_map(|of| Some((of, ledger.document(of)?.clone())));
+            .filter_map(|of| Some((of, ledger.policy_for_version(of)?.clone())));
         let known: Vec<(u64, Policy)> = known.collect();
         let judged = change
             .filter(|change| change.stage == Stage::Preparing)
-            .map(|change| change.number);
+            .map(|change| change.version);
         let same = self.judged.map(|(number, _)| number) == judged;
         if !same {
             self.judged = judged.map(|number| (number, now));
         }
         if fence != before || known != self.documents || !same {
-            self.beat_soon();
+            self.heartbeat_soon();
         }
         self.documents = known;
     }
 
     /// The instances that have a process now. Of a process that is new here nothing is known: it may hold a lease that an
     /// agent before this one gave it.
-    pub fn serving<'a>(&mut self, now: f64, names: impl Iterator<Item = &'a String>) {
+    pub fn set_instances<'a>(&mut self, now: f64, names: impl Iterator<Item = &'a String>) {
         let names: std::collections::BTreeSet<&String> = names.collect();
         self.began.get_or_insert(now);
         let lease = self.lease_s.unwrap_or(0.0);
@@ -134,22 +142,30 @@
     }
 
     /// The next beat that is due, and to whom. Each is reported by `said` or `silent`.
-    pub fn next_beat(&mut self, now: f64) -> Option<(String, Beat)> {
+    pub fn poll_heartbeat(&mut self, now: f64) -> Option<(String, Heartbeat)> {
         self.lease_s?;
         let every = self.beat_every();
         let due = |one: &Seen| !one.waits && (one.urgent || now >= one.beat_at + every);
         let (name, one) = self.instances.iter_mut().find(|(_, one)| due(one))?;
         (one.beat_at, one.waits, one.urgent) = (now, true, false);
-        let mut beat = Beat {
-            fence: self.fence,
-            ..Beat::default()
+        let mut beat = Heartbeat {
+            fence_version: self.fence,
+            ..Heartbeat::default()
         };
-        if let Some(said) = one.said.as_ref().filter(|said| said.base == self.base) {
-            beat.life = said.life;
+        if let Some(said) = one
+            .said
+            .as_ref()
+            .filter(|said| said.base_fingerprint == self.base)
+        {
+            beat.incarnation = said.incarnation;
             let lease = self.lease.filter(|(_, until)| now < *until);
             let granted = lease.map(|(number, _)| number);
-            let lacks = |number: &u64| !said.knows.contains(number);
-            let refused = |number: &u64| said.unfit.as_ref().is_some_and(|(of, _)| of == number);
+            let lacks = |number: &u64| !said.known_versions.contains(number);
+            let refused = |number: &u64| {
+                said.rejected_version
+                    .as_ref()
+                    .is_some_and(|(of, _)| of == number)
+            };
             let first = self
                 .documents
                 .iter()
@@ -159,12 +175,12 @@
                 .iter()
                 .rev()
                 .find(|(number, _)| lacks(number) && !refused(number));
-            beat.offer = first.or(other).cloned();
+            beat.offered_policy = first.or(other).cloned();
             if let Some((number, until)) = lease {
-                beat.grant = Some(Grant {
-                    number,
-                    asked: said.asked,
-                    for_s: until - now,
+                beat.grant = Some(LeaseGrant {
+                    version: number,
+                    requested_at: said.reported_at,
+                    duration_seconds: until - now,
                 });
                 if number > 0 {
                     // Whoever was granted this number holds nothing below it: that was given back before, by all.
@@ -178,7 +194,7 @@
     }
 
     /// An instance's answer to its beat.
-    pub fn said(&mut self, _now: f64, name: &str, said: Said) {
+    pub fn instance_responded(&mut self, _now: f64, name: &str, said: InstanceStatus) {
         let Some(one) = self.instances.get_mut(name) else {
             return;
         };
@@ -187,20 +203,20 @@
         let other_life = one
             .said
             .as_ref()
-            .is_none_or(|before| before.life != said.life);
-        let behind = said.acts != Some(granted) && self.lease.is_some();
+            .is_none_or(|before| before.incarnation != said.incarnation);
+        let behind = said.effective_version != Some(granted) && self.lease.is_some();
         // A new process, or one that has not got what holds: told at once, but not without end.
         one.urgent |= other_life
             || behind
                 && one
                     .said
                     .as_ref()
-                    .is_none_or(|before| before.knows != said.knows);
+                    .is_none_or(|before| before.known_versions != said.known_versions);
         one.said = Some(said);
     }
 
     /// It did not answer; with a reason where it said that it can't.
-    pub fn silent(&mut self, name: &str, refuses: Option<String>) {
+    pub fn instance_unreachable(&mut self, name: &str, refuses: Option<String>) {
         if let Some(one) = self.instances.get_mut(name) {
             one.waits = false;
             one.refuses = refuses.or(one.refuses.take());
@@ -208,24 +224,24 @@
     }
 
     /// There is something that whoever leads should hear now.
-    pub fn ask_soon(&mut self) {
+    pub fn request_soon(&mut self) {
         self.asked_at = f64::NEG_INFINITY;
     }
 
     /// There is something that all instances should hear now.
-    pub fn beat_soon(&mut self) {
+    pub fn heartbeat_soon(&mut self) {
         self.instances
             .values_mut()
             .for_each(|one| one.urgent = true);
     }
 
     /// Everything up to this number is acted on by nobody here any more.
-    pub fn fenced(&self, now: f64) -> u64 {
+    pub fn fenced_version(&self, now: f64) -> u64 {
         let held = |one: &Seen| {
             let acked = one
                 .said
                 .as_ref()
-                .is_some_and(|said| said.fenced >= self.fence);
+                .is_some_and(|said| said.fenced_version >= self.fence);
             !acked
                 && one
                     .may
@@ -244,39 +260,39 @@
     }
 
     /// What the instances say to the document that is judged, once all have or are late.
-    pub fn prepared(&self, now: f64) -> Option<Prepared> {
+    pub fn prepare_result(&self, now: f64) -> Option<PrepareResult> {
         let (number, since) = self.judged?;
-        let mut prepared = Prepared {
-            number,
-            ..Prepared::default()
+        let mut prepared = PrepareResult {
+            version: number,
+            ..PrepareResult::default()
         };
         let mut waits = false;
         for (name, one) in &self.instances {
             let said = one.said.as_ref();
             let unfit = said
-                .and_then(|said| said.unfit.clone())
+                .and_then(|said| said.rejected_version.clone())
                 .filter(|(of, _)| *of == number)
                 .map(|(_, why)| why);
             let other = said
-                .filter(|said| said.base != self.base)
+                .filter(|said| said.base_fingerprint != self.base)
                 .map(|_| "its base policy is another".to_owned());
             if let Some(why) = unfit.or(other).or(one.refuses.clone()) {
-                prepared.unfit.push((name.clone(), why));
-            } else if said.is_some_and(|said| said.knows.contains(&number)) {
-                prepared.ready += 1;
+                prepared.rejections.push((name.clone(), why));
+            } else if said.is_some_and(|said| said.known_versions.contains(&number)) {
+                prepared.ready_instances += 1;
             } else if now >= since + SILENT_S {
-                prepared.silent += 1;
+                prepared.silent_instances += 1;
             } else {
                 waits = true;
             }
         }
-        (!waits || !prepared.unfit.is_empty()).then_some(prepared)
+        (!waits || !prepared.rejections.is_empty()).then_some(prepared)
     }
 
     /// What the one that leads is to be asked now, where that is due or something has come about.
-    pub fn ask(&mut self, now: f64) -> Option<HostAsk> {
+    pub fn poll_lease_request(&mut self, now: f64) -> Option<HostLeaseRequest> {
         let lease_s = self.lease_s?;
-        let told = (self.fenced(now), self.prepared(now));
+        let told = (self.fenced_version(now), self.prepare_result(now));
         let lacks = self
             .lease
             .is_none_or(|(number, until)| now >= until || number <= self.fence && self.fence > 0);
@@ -295,25 +311,25 @@
             self.asks.pop_front();
         }
         self.asks.push_back((self.token, now));
-        Some(HostAsk {
+        Some(HostLeaseRequest {
             host: self.host.clone(),
-            life: self.life,
-            token: self.token,
-            fenced: self.told.0,
-            prepared: self.told.1.clone(),
-            service: self.service,
-            wishes: None,
+            incarnation: self.life,
+            request_id: self.token,
+            fenced_version: self.told.0,
+            prepare_result: self.told.1.clone(),
+            service_counts: self.service_counts,
+            quota_requests: None,
         })
     }
 
     /// A lease of the one that leads; counted from when it was asked for.
-    pub fn granted(&mut self, now: f64, word: &HostWord) {
+    pub fn handle_lease_response(&mut self, now: f64, word: &HostLeaseResponse) {
         let (
             Some(lease_s),
-            HostWord {
-                life,
-                token,
-                granted: number,
+            HostLeaseResponse {
+                incarnation: life,
+                request_id: token,
+                granted_version: number,
                 ..
             },
         ) = (self.lease_s, word)
@@ -342,7 +358,7 @@
             .lease
             .is_none_or(|(of, before)| of != *number || now >= before)
         {
-            self.beat_soon();
+            self.heartbeat_soon();
         }
         self.lease = Some((*number, until));
     }
@@ -355,7 +371,7 @@
     }
 
     /// What an instance last said; for reports.
-    pub fn instance(&self, name: &str) -> Option<&Said> {
+    pub fn instance_status(&self, name: &str) -> Option<&InstanceStatus> {
         self.instances.get(name)?.said.as_ref()
     }
 }
--- a/crates/merlinshelf-policy/src/holder.rs
+++ b/crates/merlinshelf-policy/src/lease_holder.rs
@@ -8,7 +8,7 @@
 
 use crate::Drift;
 use crate::document::Policy;
-use crate::words::{Beat, Said};
+use crate::messages::{Heartbeat, InstanceStatus};
 
 /// Documents that are kept: the one that is acted on, the next one, and one to spare.
 const KNOWN_MOST: usize = 3;
@@ -16,43 +16,49 @@
 /// What is done without a lease.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
-pub enum Without {
+pub enum LeaseExpiryMode {
     /// Served by the base policy.
     #[default]
-    Base,
+    #[serde(rename = "base")]
+    BasePolicy,
     /// Turned away, with when to come back.
-    TurnAway,
+    #[serde(rename = "turn_away")]
+    RejectAll,
 }
 
 /// What an instance acts on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Acting {
+pub enum EffectivePolicy {
     Base,
-    Held(u64),
-    Away,
+    Leased(u64),
+    RejectAll,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 struct Lease {
-    number: u64,
-    until: f64,
+    #[serde(rename = "number")]
+    version: u64,
+    #[serde(rename = "until")]
+    expires_at: f64,
 }
 
 /// What a successor goes on with: its clock is the same as its predecessor's.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Passed {
+pub struct HandoverState {
     lease: Option<Lease>,
-    fenced: u64,
-    known: BTreeMap<u64, Policy>,
+    #[serde(rename = "fenced")]
+    fenced_version: u64,
+    #[serde(rename = "known")]
+    known_policies: BTreeMap<u64, Policy>,
 }
 
 /// The state machine. `now` is its own clock in seconds, which only goes forward.
 #[derive(Clone, Debug)]
-pub struct Holder {
+pub struct LeaseHolder {
     life: u64,
     drift: Drift,
-    without: Without,
+    without: LeaseExpiryMode,
     base: Policy,
     known: BTreeMap<u64, Policy>,
     unfit: Option<(u64, String)>,
@@ -62,10 +68,10 @@
     began: bool,
 }
 
-impl Holder {
+impl LeaseHolder {
     /// A process that begins, without a lease. `life` is a number that no other process of the instance has, not 0.
-    pub fn new(life: u64, base: Policy, without: Without, drift: Drift) -> Holder {
-        Holder {
+    pub fn new(life: u64, base: Policy, without: LeaseExpiryMode, drift: Drift) -> LeaseHolder {
+        LeaseHolder {
             life,
             drift,
             without,
@@ -80,50 +86,51 @@
 
     /// What is passed to a successor. From here on this one acts on nothing that it held: it can only come back by
     /// taking back, when the successor may long have given its lease up.
-    pub fn pass(&mut self, life: u64) -> Passed {
+    pub fn begin_handover(&mut self, life: u64) -> HandoverState {
         self.life = life;
-        Passed {
+        HandoverState {
             lease: self.lease.take(),
-            fenced: self.fenced,
-            known: self.known.clone(),
+            fenced_version: self.fenced,
+            known_policies: self.known.clone(),
         }
     }
 
     /// Goes on with what a predecessor passed.
-    pub fn take(&mut self, passed: Passed) {
-        (self.lease, self.fenced, self.known) = (passed.lease, passed.fenced, passed.known);
+    pub fn resume(&mut self, passed: HandoverState) {
+        (self.lease, self.fenced, self.known) =
+            (passed.lease, passed.fenced_version, passed.known_policies);
         self.began = true;
     }
 
     /// What it acts on. Asked before anything is decided, after what is decided on was read.
-    pub fn acting(&self, now: f64) -> Acting {
+    pub fn effective_policy(&self, now: f64) -> EffectivePolicy {
         match (&self.lease, self.without) {
-            (Some(lease), _) if now < lease.until => Acting::Held(lease.number),
-            (_, Without::Base) => Acting::Base,
-            (_, Without::TurnAway) => Acting::Away,
+            (Some(lease), _) if now < lease.expires_at => EffectivePolicy::Leased(lease.version),
+            (_, LeaseExpiryMode::BasePolicy) => EffectivePolicy::Base,
+            (_, LeaseExpiryMode::RejectAll) => EffectivePolicy::RejectAll,
         }
     }
 
     /// Whether it has heard which policy holds, so that it may take its first invocation.
-    pub fn began(&self) -> bool {
+    pub fn is_ready(&self) -> bool {
         self.began
     }
 
     /// Nobody is waited for any more.
-    pub fn begin(&mut self) {
+    pub fn stop_waiting(&mut self) {
         self.began = true;
     }
 
     /// The document that it acts on; the base policy where it acts on none.
-    pub fn policy(&self, acting: Acting) -> &Policy {
+    pub fn policy(&self, acting: EffectivePolicy) -> &Policy {
         match acting {
-            Acting::Held(number) => self.known.get(&number).unwrap_or(&self.base),
+            EffectivePolicy::Leased(number) => self.known.get(&number).unwrap_or(&self.base),
             _ => &self.base,
         }
     }
 
     /// The base policy, of which each host has its part of budgets set aside.
-    pub fn base(&self) -> &Policy {
+    pub fn base_policy(&self) -> &Policy {
         &self.base
     }
 
@@ -131,26 +138,26 @@
     ///
     /// # Errors
     /// As of [`Policy::settings`]; what is held was found to fit before.
-    pub fn settings(&self, acting: Acting, base: &Settings) -> Result<Settings, String> {
+    pub fn settings(&self, acting: EffectivePolicy, base: &Settings) -> Result<Settings, String> {
         self.policy(acting).settings(base)
     }
 
     /// A beat of its agent, and what is said to it. `fits` is whether it can use a document.
-    pub fn heard(
+    pub fn handle_heartbeat(
         &mut self,
         now: f64,
-        beat: Beat,
+        beat: Heartbeat,
         fits: impl FnOnce(&Policy) -> Result<(), String>,
-    ) -> Said {
-        if beat.life == self.life {
-            if let Some((number, policy)) = beat.offer
+    ) -> InstanceStatus {
+        if beat.incarnation == self.life {
+            if let Some((number, policy)) = beat.offered_policy
                 && self.known.get(&number) != Some(&policy)
             {
                 match fits(&policy) {
                     Ok(()) => {
                         self.known.insert(number, policy);
                         self.unfit = self.unfit.take().filter(|(of, _)| *of != number);
-                        let keep = self.lease.map(|lease| lease.number);
+                        let keep = self.lease.map(|lease| lease.version);
                         while self.known.len() > KNOWN_MOST {
                             let Some(oldest) =
                                 self.known.keys().copied().find(|of| Some(*of) != keep)
@@ -163,52 +170,54 @@
                     Err(why) => self.unfit = Some((number, why)),
                 }
             }
-            self.fence(beat.fence);
+            self.fence(beat.fence_version);
             if let Some(grant) = beat.grant {
                 // It counts from when it was asked for: one that lay somewhere may be over already.
-                let until = grant.asked + grant.for_s * (1.0 - self.drift);
-                let known = grant.number > 0 && self.known.contains_key(&grant.number);
-                if grant.number > self.fenced && known && grant.asked <= now {
-                    self.fence(grant.number - 1);
-                    let longer = self
-                        .lease
-                        .is_none_or(|lease| lease.number < grant.number || lease.until < until);
+                let until = grant.requested_at + grant.duration_seconds * (1.0 - self.drift);
+                let known = grant.version > 0 && self.known.contains_key(&grant.version);
+                if grant.version > self.fenced && known && grant.requested_at <= now {
+                    self.fence(grant.version - 1);
+                    let longer = self.lease.is_none_or(|lease| {
+                        lease.version < grant.version || lease.expires_at < until
+                    });
                     if longer && until > now {
                         self.lease = Some(Lease {
-                            number: grant.number,
-                            until,
+                            version: grant.version,
+                            expires_at: until,
                         });
                         self.began = true;
                     }
                 }
                 // The base policy is what holds: nothing else has to be waited for.
-                self.began |= grant.number == 0;
+                self.began |= grant.version == 0;
             }
         }
-        self.said(now)
+        self.status(now)
     }
 
     fn fence(&mut self, number: u64) {
         self.fenced = self.fenced.max(number);
-        self.lease = self.lease.filter(|lease| lease.number > self.fenced);
+        self.lease = self.lease.filter(|lease| lease.version > self.fenced);
     }
 
-    pub fn said(&self, now: f64) -> Said {
-        let acting = self.acting(now);
-        Said {
-            life: self.life,
-            asked: now,
-            fenced: self.fenced,
-            knows: self.known.keys().copied().collect(),
-            unfit: self.unfit.clone(),
-            acts: match acting {
-                Acting::Base => Some(0),
-                Acting::Held(number) => Some(number),
-                Acting::Away => None,
+    pub fn status(&self, now: f64) -> InstanceStatus {
+        let acting = self.effective_policy(now);
+        InstanceStatus {
+            incarnation: self.life,
+            reported_at: now,
+            fenced_version: self.fenced,
+            known_versions: self.known.keys().copied().collect(),
+            rejected_version: self.unfit.clone(),
+            effective_version: match acting {
+                EffectivePolicy::Base => Some(0),
+                EffectivePolicy::Leased(number) => Some(number),
+                EffectivePolicy::RejectAll => None,
             },
-            left_s: self.lease.map_or(0.0, |lease| (lease.until - now).max(0.0)),
-            base: self.base.fingerprint(),
-            wishes: None,
+            lease_remaining_seconds: self
+                .lease
+                .map_or(0.0, |lease| (lease.expires_at - now).max(0.0)),
+            base_fingerprint: self.base.fingerprint(),
+            quota_requests: None,
         }
     }
 }
--- a/crates/merlinshelf-policy/src/conductor.rs
+++ b/crates/merlinshelf-policy/src/rollout_leader.rs
@@ -3,8 +3,10 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use crate::ledger::{Entry, Founding, Ledger, News, Stage, Verdict};
-use crate::words::{HostAsk, HostWord, Prepared};
+use crate::messages::{HostLeaseRequest, HostLeaseResponse, PrepareResult};
+use crate::replicated_state::{
+    Bootstrap, ChangeOutcome, Entry, ReplicatedEvent, ReplicatedState, Stage,
+};
 use crate::{Drift, over_by};
 
 /// Hosts that have not judged a document by then are left out of the count, seconds.
@@ -19,42 +21,42 @@
 
 /// What the host of this state machine is to do, in this order.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Step {
+pub enum Action {
     /// Have a majority confirm that this agent still leads; reported by `confirmed` with the number.
-    Confirm(u64),
+    ConfirmLeadership(u64),
     Propose(Entry),
-    Tell(String, HostWord),
+    Respond(String, HostLeaseResponse),
 }
 
 /// How service is watched after a change.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Watch {
+pub struct ServiceWatch {
     /// So long before and after, seconds; 0: not at all.
-    pub over_s: f64,
+    pub window_seconds: f64,
     /// By how much the succeeded share may be less.
-    pub worse: f64,
+    pub tolerated_loss: f64,
 }
 
 #[derive(Clone, Debug, Default)]
 struct Host {
     fenced: u64,
-    prepared: Option<Prepared>,
+    prepared: Option<PrepareResult>,
     /// Until when a lease that was granted here may be held.
     until: f64,
     /// The last question, and the confirmation that it waits for.
-    asked: Option<(HostWord, u64)>,
+    asked: Option<(HostLeaseResponse, u64)>,
     /// One that was asked before a majority confirmed.
-    confirmed: Option<HostWord>,
+    confirmed: Option<HostLeaseResponse>,
     /// What it said first and last of its instances' service.
     service: (u64, u64),
 }
 
 /// The state machine. `now` is the agent's own clock in seconds.
 #[derive(Clone, Debug)]
-pub struct Conductor {
-    founding: Founding,
+pub struct RolloutLeader {
+    founding: Bootstrap,
     drift: Drift,
-    watch: Watch,
+    watch: ServiceWatch,
     /// When every lease that was granted before this agent was elected is over.
     elected_over: f64,
     hosts: BTreeMap<String, Host>,
@@ -70,20 +72,20 @@
     looks: VecDeque<(f64, u64, u64)>,
     /// The change that is watched, since when, and the share before it.
     watched: Option<(u64, f64, f64)>,
-    steps: VecDeque<Step>,
+    steps: VecDeque<Action>,
 }
 
-impl Conductor {
+impl RolloutLeader {
     /// An agent that was elected at `now`, over these hosts.
     pub fn elected(
         now: f64,
-        founding: Founding,
+        founding: Bootstrap,
         drift: Drift,
-        watch: Watch,
+        watch: ServiceWatch,
         hosts: impl Iterator<Item = String>,
-    ) -> Conductor {
+    ) -> RolloutLeader {
         let lease_s = founding.lease_ms as f64 / 1e3;
-        Conductor {
+        RolloutLeader {
             elected_over: over_by(now, lease_s, drift),
             founding,
             drift,
@@ -100,7 +102,7 @@
         }
     }
 
-    pub fn next_step(&mut self) -> Option<Step> {
+    pub fn poll_action(&mut self) -> Option<Action> {
         self.steps.pop_front()
     }
 
@@ -109,49 +111,56 @@
     }
 
     /// A host asks for its lease, and says how far it is.
-    pub fn asked(&mut self, now: f64, ask: HostAsk, ledger: &Ledger) {
+    pub fn handle_lease_request(
+        &mut self,
+        now: f64,
+        ask: HostLeaseRequest,
+        ledger: &ReplicatedState,
+    ) {
         let host = self.hosts.entry(ask.host).or_default();
-        (host.fenced, host.prepared, host.service) = (ask.fenced, ask.prepared, ask.service);
+        (host.fenced, host.prepared, host.service) =
+            (ask.fenced_version, ask.prepare_result, ask.service_counts);
         host.asked = Some((
-            HostWord {
-                life: ask.life,
-                token: ask.token,
-                ..HostWord::default()
+            HostLeaseResponse {
+                incarnation: ask.incarnation,
+                request_id: ask.request_id,
+                ..HostLeaseResponse::default()
             },
             self.confirm,
         ));
-        self.woken(now, ledger);
+        self.advance(now, ledger);
     }
 
     /// A majority has confirmed that this agent leads, after the confirmation was asked for.
-    pub fn confirmed(&mut self, now: f64, number: u64, ledger: &Ledger) {
+    pub fn leadership_confirmed(&mut self, now: f64, number: u64, ledger: &ReplicatedState) {
         self.confirming = self.confirming.filter(|(of, _)| *of > number);
         for host in self.hosts.values_mut() {
             if let Some((word, _)) = host.asked.take_if(|(_, waits_for)| *waits_for <= number) {
                 host.confirmed = Some(word);
             }
         }
-        self.woken(now, ledger);
+        self.advance(now, ledger);
     }
 
     /// Something was decided, or time has gone on.
-    pub fn woken(&mut self, now: f64, ledger: &Ledger) {
+    pub fn advance(&mut self, now: f64, ledger: &ReplicatedState) {
         if self.hosts.values().any(|host| host.asked.is_some())
             && self
                 .confirming
                 .is_none_or(|(_, since)| now >= since + AGAIN_AFTER)
         {
-            self.steps.push_back(Step::Confirm(self.confirm));
+            self.steps
+                .push_back(Action::ConfirmLeadership(self.confirm));
             self.confirming = Some((self.confirm, now));
             self.confirm += 1;
         }
-        if ledger.founding.is_none() {
-            return self.propose(now, Entry::Found(self.founding.clone()));
+        if ledger.bootstrap.is_none() {
+            return self.propose(now, Entry::Bootstrap(self.founding.clone()));
         }
-        if let Some(change) = &ledger.change {
+        if let Some(change) = &ledger.pending_change {
             match change.stage {
-                Stage::Preparing => self.judge(now, change.number),
-                Stage::Fencing => self.fence(now, change.number, ledger.fence()),
+                Stage::Preparing => self.judge(now, change.version),
+                Stage::Fencing => self.fence(now, change.version, ledger.fence_version()),
             }
         }
         self.look(now, ledger);
@@ -159,12 +168,12 @@
     }
 
     /// An entry has come back.
-    pub fn decided(&mut self, now: f64, news: &News, ledger: &Ledger) {
-        if let News::Held(number) = news {
-            let before = self.share(now - self.watch.over_s, now);
+    pub fn state_changed(&mut self, now: f64, news: &ReplicatedEvent, ledger: &ReplicatedState) {
+        if let ReplicatedEvent::Committed(number) = news {
+            let before = self.share(now - self.watch.window_seconds, now);
             self.watched = before.map(|share| (*number, now, share));
         }
-        self.woken(now, ledger);
+        self.advance(now, ledger);
     }
 
     /// Once, and again where it was lost on its way into the log.
@@ -175,7 +184,7 @@
             .is_some_and(|(of, at)| *of == entry && now < at + AGAIN_AFTER);
         if !under_way {
             self.proposed = Some((entry.clone(), now));
-            self.steps.push_back(Step::Propose(entry));
+            self.steps.push_back(Action::Propose(entry));
         }
     }
 
@@ -184,29 +193,33 @@
             Some((of, since)) if of == number => since,
             _ => self.judged.insert((number, now)).1,
         };
-        let judged = |host: &Host| host.prepared.as_ref().is_some_and(|of| of.number == number);
+        let judged = |host: &Host| {
+            host.prepared
+                .as_ref()
+                .is_some_and(|of| of.version == number)
+        };
         let unfit = self
             .hosts
             .values()
             .filter(|host| judged(host))
             .filter_map(|host| host.prepared.as_ref());
-        let why: Vec<(String, String)> = unfit.flat_map(|of| of.unfit.clone()).collect();
+        let why: Vec<(String, String)> = unfit.flat_map(|of| of.rejections.clone()).collect();
         if !why.is_empty() {
             self.propose(
                 now,
                 Entry::Decide {
-                    number,
-                    hold: false,
-                    why,
+                    version: number,
+                    accepted: false,
+                    rejections: why,
                 },
             );
         } else if self.hosts.values().all(judged) || now >= since + PREPARED_WITHIN {
             self.propose(
                 now,
                 Entry::Decide {
-                    number,
-                    hold: true,
-                    why,
+                    version: number,
+                    accepted: true,
+                    rejections: why,
                 },
             );
         }
@@ -216,33 +229,38 @@
         let over = |host: &Host| host.fenced >= fence || now >= host.until.max(self.elected_over);
         if self.opened == number || self.hosts.values().all(over) {
             self.opened = number;
-            self.propose(now, Entry::Open { number });
+            self.propose(now, Entry::Activate { version: number });
         }
     }
 
     /// Leases for all who asked before a majority confirmed, on what holds; on nothing while all are fenced.
-    fn grant(&mut self, now: f64, ledger: &Ledger) {
+    fn grant(&mut self, now: f64, ledger: &ReplicatedState) {
         let fencing = ledger
-            .change
+            .pending_change
             .as_ref()
             .filter(|change| change.stage == Stage::Fencing);
         let granted = match fencing {
-            Some(change) if change.number != self.opened => return,
-            Some(change) => change.number,
-            None => ledger.current,
+            Some(change) if change.version != self.opened => return,
+            Some(change) => change.version,
+            None => ledger.current_version,
         };
         let until = over_by(now, self.lease_s(), self.drift);
         for (name, host) in &mut self.hosts {
             if let Some(word) = host.confirmed.take() {
                 host.until = until;
-                self.steps
-                    .push_back(Step::Tell(name.clone(), HostWord { granted, ..word }));
+                self.steps.push_back(Action::Respond(
+                    name.clone(),
+                    HostLeaseResponse {
+                        granted_version: granted,
+                        ..word
+                    },
+                ));
             }
         }
     }
 
     /// Looks at the service of all, and brings the former policy back where the last change made it worse.
-    fn look(&mut self, now: f64, ledger: &Ledger) {
+    fn look(&mut self, now: f64, ledger: &ReplicatedState) {
         if self
             .looks
             .back()
@@ -256,35 +274,37 @@
             self.looks.pop_front();
         }
         self.looks.push_back(look);
-        let Some((number, since, before)) = self.watched.filter(|_| self.watch.over_s > 0.0) else {
+        let Some((number, since, before)) =
+            self.watched.filter(|_| self.watch.window_seconds > 0.0)
+        else {
             return;
         };
-        if now < since + self.watch.over_s {
+        if now < since + self.watch.window_seconds {
             return;
         }
         self.watched = None;
         let last = ledger
-            .ended
+            .completed_changes
             .iter()
             .rev()
-            .find(|ended| ended.number == number && ended.verdict == Verdict::Held);
-        let brought_back = last.is_none_or(|ended| ended.by == WATCH);
+            .find(|ended| ended.version == number && ended.outcome == ChangeOutcome::Committed);
+        let brought_back = last.is_none_or(|ended| ended.proposed_by == ROLLBACK_PROPOSER);
         let (Some(after), Some((_, former)), false) =
-            (self.share(since, now), &ledger.former, brought_back)
+            (self.share(since, now), &ledger.previous, brought_back)
         else {
             return;
         };
-        if ledger.current == number && after + self.watch.worse < before {
+        if ledger.current_version == number && after + self.watch.tolerated_loss < before {
             let mut policy = former.clone();
             policy.note = format!("back from {number}: served {after:.3}, before it {before:.3}");
-            let (id, by) = (format!("back-from-{number}"), WATCH.to_owned());
+            let (id, by) = (format!("back-from-{number}"), ROLLBACK_PROPOSER.to_owned());
             self.propose(
                 now,
                 Entry::Propose {
-                    id,
+                    change_id: id,
                     policy: Box::new(policy),
-                    by,
-                    at: 0.0,
+                    proposed_by: by,
+                    proposed_at: 0.0,
                 },
             );
         }
@@ -304,4 +324,4 @@
 }
 
 /// By whom a change is that brings the former policy back.
-pub const WATCH: &str = "the watch after a change";
+pub const ROLLBACK_PROPOSER: &str = "the watch after a change";
--- a/crates/merlinshelf-policy/tests/model.rs
+++ b/crates/merlinshelf-policy/tests/model.rs
@@ -4,19 +4,23 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use merlinshelf_policy::conductor::{Conductor, Step, Watch};
-use merlinshelf_policy::ledger::{Entry, Founding, Ledger, News, Verdict};
-use merlinshelf_policy::words::{Beat, HostAsk, HostWord, Said};
-use merlinshelf_policy::{Acting, Holder, Policy, Warden, Without};
+use merlinshelf_policy::messages::{
+    Heartbeat, HostLeaseRequest, HostLeaseResponse, InstanceStatus,
+};
+use merlinshelf_policy::replicated_state::{
+    Bootstrap, ChangeOutcome, Entry, ReplicatedEvent, ReplicatedState,
+};
+use merlinshelf_policy::rollout_leader::{Action, RolloutLeader, ServiceWatch};
+use merlinshelf_policy::{EffectivePolicy, HostLeaseManager, LeaseExpiryMode, LeaseHolder, Policy};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
 const TICK: f64 = 0.01;
 const LEASE: f64 = 2.0;
 const DRIFT: f64 = 0.03;
-const WATCH: Watch = Watch {
-    over_s: 0.0,
-    worse: 1.0,
+const ROLLBACK_PROPOSER: ServiceWatch = ServiceWatch {
+    window_seconds: 0.0,
+    tolerated_loss: 1.0,
 };
 
 /// What is planted, to show that it is found.
@@ -32,11 +36,11 @@
 }
 
 enum Message {
-    Beat(usize, String, Beat),
-    Said(usize, String, Said),
-    Ask(usize, HostAsk),
+    Heartbeat(usize, String, Heartbeat),
+    InstanceStatus(usize, String, InstanceStatus),
+    Ask(usize, HostLeaseRequest),
     /// From whom, to whom.
-    Word(usize, usize, HostWord),
+    Word(usize, usize, HostLeaseResponse),
 }
 
 struct Clock {
@@ -54,16 +58,16 @@
     clock: Clock,
     up: bool,
     applied: usize,
-    ledger: Ledger,
-    warden: Warden,
+    ledger: ReplicatedState,
+    warden: HostLeaseManager,
     /// While it believes that it leads, with the term in which it was elected.
-    conductor: Option<(Conductor, u64)>,
+    conductor: Option<(RolloutLeader, u64)>,
     cut: bool,
 }
 
 struct Instance {
     clock: Clock,
-    holder: Holder,
+    holder: LeaseHolder,
     stopped: bool,
     /// What it decided by last.
     acted: BTreeSet<u64>,
@@ -107,8 +111,8 @@
             clock: clock(),
             up: true,
             applied: 0,
-            ledger: Ledger::default(),
-            warden: Warden::new(
+            ledger: ReplicatedState::default(),
+            warden: HostLeaseManager::new(
                 &format!("a{place}"),
                 place as u64 + 1,
                 Policy::default().fingerprint(),
@@ -121,7 +125,12 @@
         let mut instances = BTreeMap::new();
         for place in 0..agents * each {
             let name = format!("a{}.{}", place / each, place % each);
-            let holder = Holder::new(1000 + place as u64, Policy::default(), Without::Base, DRIFT);
+            let holder = LeaseHolder::new(
+                1000 + place as u64,
+                Policy::default(),
+                LeaseExpiryMode::BasePolicy,
+                DRIFT,
+            );
             instances.insert(
                 name,
                 Instance {
@@ -153,10 +162,10 @@
         world
     }
 
-    fn founding() -> Founding {
-        Founding {
+    fn founding() -> Bootstrap {
+        Bootstrap {
             lease_ms: (LEASE * 1e3) as u64,
-            base: Policy::default().fingerprint(),
+            base_fingerprint: Policy::default().fingerprint(),
         }
     }
 
@@ -167,7 +176,13 @@
         let names: Vec<String> = (0..self.agents.len()).map(|of| format!("a{of}")).collect();
         let agent = &mut self.agents[place];
         let now = agent.clock.at(self.t);
-        let conductor = Conductor::elected(now, Self::founding(), DRIFT, WATCH, names.into_iter());
+        let conductor = RolloutLeader::elected(
+            now,
+            Self::founding(),
+            DRIFT,
+            ROLLBACK_PROPOSER,
+            names.into_iter(),
+        );
         agent.conductor = Some((conductor, self.term));
     }
 
@@ -178,9 +193,9 @@
         while agent.applied < until {
             let news = agent.ledger.apply(self.log[agent.applied].clone());
             agent.applied += 1;
-            agent.warden.decided(now, &agent.ledger);
+            agent.warden.state_changed(now, &agent.ledger);
             if let (Some(news), Some((conductor, _))) = (news, &mut agent.conductor) {
-                conductor.decided(now, &news, &agent.ledger);
+                conductor.state_changed(now, &news, &agent.ledger);
             }
         }
     }
@@ -217,7 +232,7 @@
 
     fn arrive(&mut self, message: Message, faults: bool) {
         match message {
-            Message::Beat(place, name, mut beat) => {
+            Message::Heartbeat(place, name, mut beat) => {
                 let Some(one) = self.instances.get_mut(&name) else {
                     return;
                 };
@@ -225,18 +240,20 @@
                     // It lies in the socket until it goes on.
                     return self
                         .flying
-                        .push((self.t + TICK, Message::Beat(place, name, beat)));
+                        .push((self.t + TICK, Message::Heartbeat(place, name, beat)));
                 }
                 let now = one.clock.at(self.t);
                 if let (Planted::FromArrival, Some(grant)) = (self.planted, &mut beat.grant) {
-                    grant.asked = now;
+                    grant.requested_at = now;
                 }
-                let said = one.holder.heard(now, beat, |_| Ok(()));
-                self.fly(Message::Said(place, name, said), faults);
+                let said = one.holder.handle_heartbeat(now, beat, |_| Ok(()));
+                self.fly(Message::InstanceStatus(place, name, said), faults);
             }
-            Message::Said(place, name, said) => {
+            Message::InstanceStatus(place, name, said) => {
                 let agent = &mut self.agents[place];
-                agent.warden.said(agent.clock.at(self.t), &name, said);
+                agent
+                    .warden
+                    .instance_responded(agent.clock.at(self.t), &name, said);
             }
             Message::Ask(place, ask) => {
                 let agent = &mut self.agents[place];
@@ -244,13 +261,15 @@
                 // Nobody is cut off from itself.
                 let heard = agent.up && (!agent.cut || ask.host == format!("a{place}"));
                 if let (true, Some((conductor, _))) = (heard, &mut agent.conductor) {
-                    conductor.asked(now, ask, &agent.ledger);
+                    conductor.handle_lease_request(now, ask, &agent.ledger);
                 }
             }
             Message::Word(from, place, word) => {
                 let agent = &mut self.agents[place];
                 if agent.up && (!agent.cut || from == place) {
-                    agent.warden.granted(agent.clock.at(self.t), &word);
+                    agent
+                        .warden
+                        .handle_lease_response(agent.clock.at(self.t), &word);
                 }
             }
         }
@@ -268,16 +287,16 @@
         let agent = &mut self.agents[place];
         let now = agent.clock.at(self.t);
         let own = format!("a{place}.");
-        agent.warden.serving(
+        agent.warden.set_instances(
             now,
             self.instances.keys().filter(|name| name.starts_with(&own)),
         );
         let mut out = Vec::new();
-        while let Some((name, beat)) = agent.warden.next_beat(now) {
-            out.push(Message::Beat(place, name, beat));
+        while let Some((name, beat)) = agent.warden.poll_heartbeat(now) {
+            out.push(Message::Heartbeat(place, name, beat));
         }
         let leads_alone = cut && agent.conductor.is_some();
-        if let Some(ask) = agent.warden.ask(now)
+        if let Some(ask) = agent.warden.poll_lease_request(now)
             && (!cut || leads_alone)
         {
             // To whom it believes to lead: now and then that is one who does not any more.
@@ -295,22 +314,24 @@
         );
         let agent = &mut self.agents[place];
         if let Some((conductor, _)) = &mut agent.conductor {
-            conductor.woken(now, &agent.ledger);
-            while let Some(step) = conductor.next_step() {
+            conductor.advance(now, &agent.ledger);
+            while let Some(step) = conductor.poll_action() {
                 steps.push(step);
             }
         }
         let leads = term == Some(self.term) && !cut;
         for step in steps {
             match step {
-                Step::Confirm(number) if leads || self.planted == Planted::Unconfirmed => {
+                Action::ConfirmLeadership(number)
+                    if leads || self.planted == Planted::Unconfirmed =>
+                {
                     let agent = &mut self.agents[place];
                     if let Some((conductor, _)) = &mut agent.conductor {
-                        conductor.confirmed(now, number, &agent.ledger);
+                        conductor.leadership_confirmed(now, number, &agent.ledger);
                     }
                 }
-                Step::Propose(entry) if leads => self.log.push(entry),
-                Step::Tell(host, word) => {
+                Action::Propose(entry) if leads => self.log.push(entry),
+                Action::Respond(host, word) => {
                     let to = host[1..].parse().unwrap_or(0);
                     out.push(Message::Word(place, to, word));
                 }
@@ -335,7 +356,7 @@
                 .collect();
             names
                 .iter()
-                .for_each(|name| self.agents[place].warden.silent(name, None));
+                .for_each(|name| self.agents[place].warden.instance_unreachable(name, None));
         }
     }
 
@@ -365,7 +386,7 @@
                 agent.conductor = None;
             } else {
                 agent.up = true;
-                agent.warden = Warden::new(
+                agent.warden = HostLeaseManager::new(
                     &format!("a{place}"),
                     self.life,
                     Policy::default().fingerprint(),
@@ -375,9 +396,11 @@
                     // As if it and its instances had begun long ago.
                     let own = format!("a{place}.");
                     let names = self.instances.keys().filter(|name| name.starts_with(&own));
-                    agent.warden.serving(agent.clock.at(t) - 3.0 * LEASE, names);
+                    agent
+                        .warden
+                        .set_instances(agent.clock.at(t) - 3.0 * LEASE, names);
                 }
-                agent.warden.decided(agent.clock.at(t), &agent.ledger);
+                agent.warden.state_changed(agent.clock.at(t), &agent.ledger);
             }
         }
         let names: Vec<String> = self.instances.keys().cloned().collect();
@@ -389,7 +412,8 @@
             self.life += 1;
             let life = self.life;
             if let Some(one) = self.instances.get_mut(name) {
-                one.holder = Holder::new(life, Policy::default(), Without::Base, DRIFT);
+                one.holder =
+                    LeaseHolder::new(life, Policy::default(), LeaseExpiryMode::BasePolicy, DRIFT);
                 one.stopped = false;
             }
         }
@@ -402,17 +426,17 @@
         self.proposed += 1;
         let number = self.proposed;
         let entry = Entry::Propose {
-            id: format!("p{number}"),
+            change_id: format!("p{number}"),
             policy: Box::new(policy(number)),
-            by: "operator".into(),
-            at: 0.0,
+            proposed_by: "operator".into(),
+            proposed_at: 0.0,
         };
         self.log.push(entry);
     }
 
     /// Every instance that runs decides something at this very moment.
     fn check(&mut self) {
-        let mut truth = Ledger::default();
+        let mut truth = ReplicatedState::default();
         for entry in &self.log {
             truth.apply(entry.clone());
         }
@@ -421,7 +445,8 @@
             if one.stopped {
                 continue;
             }
-            let Acting::Held(number) = one.holder.acting(one.clock.at(self.t)) else {
+            let EffectivePolicy::Leased(number) = one.holder.effective_policy(one.clock.at(self.t))
+            else {
                 continue;
             };
             one.acted.insert(number);
@@ -433,10 +458,10 @@
             }
             self.highest = self.highest.max(number);
             let refused = truth
-                .ended
+                .completed_changes
                 .iter()
-                .any(|of| of.number == number && matches!(of.verdict, Verdict::Refused(_)));
-            let decided = number <= truth.fence() + 1 && number <= truth.last;
+                .any(|of| of.version == number && matches!(of.outcome, ChangeOutcome::Rejected(_)));
+            let decided = number <= truth.fence_version() + 1 && number <= truth.last_version;
             if refused || !decided {
                 self.broken.push(format!(
                     "{:.2} {name} acts on {number}, which is not decided",
@@ -450,7 +475,7 @@
             .map(|one| {
                 format!(
                     "{:?}{}",
-                    one.holder.acting(one.clock.at(self.t)),
+                    one.holder.effective_policy(one.clock.at(self.t)),
                     u8::from(one.stopped)
                 )
             })
@@ -467,7 +492,9 @@
                 )
             })
             .collect();
-        let stage = truth.change.map(|change| format!("{:?}", change.stage));
+        let stage = truth
+            .pending_change
+            .map(|change| format!("{:?}", change.stage));
         self.states.insert(format!(
             "{} {stage:?} {}",
             state.join(","),
@@ -483,13 +510,15 @@
             if !agent.up {
                 self.life += 1;
                 agent.up = true;
-                agent.warden = Warden::new(
+                agent.warden = HostLeaseManager::new(
                     &format!("a{place}"),
                     self.life,
                     Policy::default().fingerprint(),
                     DRIFT,
                 );
-                agent.warden.decided(agent.clock.at(self.t), &agent.ledger);
+                agent
+                    .warden
+                    .state_changed(agent.clock.at(self.t), &agent.ledger);
             }
         }
         self.instances
@@ -507,7 +536,7 @@
             if self.pending() {
                 self.broken.push(format!(
                     "a change does not end: {:?}",
-                    self.agents[0].ledger.change
+                    self.agents[0].ledger.pending_change
                 ));
             }
             self.worst_end = self.worst_end.max(self.t - began);
@@ -523,8 +552,10 @@
         while self.t < until {
             self.step(false);
         }
-        let current = self.agents[0].ledger.current;
-        let all = |one: &Instance| one.holder.acting(one.clock.at(self.t)) == Acting::Held(current);
+        let current = self.agents[0].ledger.current_version;
+        let all = |one: &Instance| {
+            one.holder.effective_policy(one.clock.at(self.t)) == EffectivePolicy::Leased(current)
+        };
         if current == 0 || !self.instances.values().all(all) {
             self.broken
                 .push(format!("not all act on {current} in the end"));
@@ -532,11 +563,11 @@
     }
 
     fn pending(&self) -> bool {
-        let mut truth = Ledger::default();
+        let mut truth = ReplicatedState::default();
         self.log
             .iter()
             .for_each(|entry| _ = truth.apply(entry.clone()));
-        truth.founding.is_none() || truth.change.is_some()
+        truth.bootstrap.is_none() || truth.pending_change.is_some()
     }
 }
 
@@ -606,12 +637,12 @@
 
 #[test]
 fn whoever_asks_twice_has_made_one_change_and_the_second_of_two_is_refused() {
-    let mut ledger = Ledger::default();
+    let mut ledger = ReplicatedState::default();
     let propose = |id: &str| Entry::Propose {
-        id: id.into(),
+        change_id: id.into(),
         policy: Box::new(policy(1)),
-        by: "a".into(),
-        at: 0.0,
+        proposed_by: "a".into(),
+        proposed_at: 0.0,
     };
     assert_eq!(
         ledger.apply(propose("early")),
@@ -619,46 +650,58 @@
         "nothing is proposed before it is founded"
     );
     assert!(matches!(
-        ledger.apply(Entry::Found(World::founding())),
-        Some(News::Founded(_))
+        ledger.apply(Entry::Bootstrap(World::founding())),
+        Some(ReplicatedEvent::Bootstrapped(_))
     ));
-    assert_eq!(ledger.apply(Entry::Found(Founding::default())), None);
-    assert_eq!(ledger.apply(propose("one")), Some(News::Proposed(1)));
+    assert_eq!(ledger.apply(Entry::Bootstrap(Bootstrap::default())), None);
+    assert_eq!(
+        ledger.apply(propose("one")),
+        Some(ReplicatedEvent::Proposed(1))
+    );
     assert_eq!(ledger.apply(propose("one")), None);
-    assert_eq!(ledger.apply(propose("two")), Some(News::Decided(2, false)));
-    assert_eq!(ledger.fence(), 0);
+    assert_eq!(
+        ledger.apply(propose("two")),
+        Some(ReplicatedEvent::Decided(2, false))
+    );
+    assert_eq!(ledger.fence_version(), 0);
     assert_eq!(
         ledger.apply(Entry::Decide {
-            number: 1,
-            hold: true,
-            why: vec![]
+            version: 1,
+            accepted: true,
+            rejections: vec![]
         }),
-        Some(News::Decided(1, true))
+        Some(ReplicatedEvent::Decided(1, true))
     );
     assert_eq!(
         ledger.apply(Entry::Decide {
-            number: 1,
-            hold: false,
-            why: vec![]
+            version: 1,
+            accepted: false,
+            rejections: vec![]
         }),
         None,
         "the first counts"
     );
-    assert_eq!(ledger.apply(Entry::Open { number: 1 }), Some(News::Held(1)));
+    assert_eq!(
+        ledger.apply(Entry::Activate { version: 1 }),
+        Some(ReplicatedEvent::Committed(1))
+    );
     assert_eq!(
         (
-            ledger.current,
-            ledger.fence(),
-            ledger.apply(Entry::Open { number: 1 })
+            ledger.current_version,
+            ledger.fence_version(),
+            ledger.apply(Entry::Activate { version: 1 })
         ),
         (1, 0, None)
     );
-    assert_eq!(ledger.outcome("two").map(|of| of.number), Some(2));
-    assert_eq!(ledger.apply(propose("three")), Some(News::Proposed(3)));
+    assert_eq!(ledger.outcome("two").map(|of| of.version), Some(2));
+    assert_eq!(
+        ledger.apply(propose("three")),
+        Some(ReplicatedEvent::Proposed(3))
+    );
     ledger.apply(Entry::Decide {
-        number: 3,
-        hold: true,
-        why: vec![],
+        version: 3,
+        accepted: true,
+        rejections: vec![],
     });
-    assert_eq!(ledger.fence(), 2);
+    assert_eq!(ledger.fence_version(), 2);
 }
--- a/crates/merlinshelf-policy/tests/parts.rs
+++ b/crates/merlinshelf-policy/tests/parts.rs
@@ -3,8 +3,8 @@
 use garde::Validate;
 use merlinshelf_admission::Settings;
 use merlinshelf_dependencies::Dependencies;
-use merlinshelf_policy::words::{Beat, Grant};
-use merlinshelf_policy::{Acting, Holder, Policy, Without};
+use merlinshelf_policy::messages::{Heartbeat, LeaseGrant};
+use merlinshelf_policy::{EffectivePolicy, LeaseExpiryMode, LeaseHolder, Policy};
 
 fn read(text: &str) -> Result<Policy, String> {
     let policy: Policy = json5::from_str(text).map_err(|error| error.to_string())?;
@@ -113,22 +113,22 @@
 /// One beat after the other, with what the instance acts on after each.
 #[test]
 fn an_instance_acts_on_a_lease_and_on_nothing_that_lay_somewhere_in_between() {
-    let mut holder = Holder::new(7, Policy::default(), Without::Base, 0.01);
+    let mut holder = LeaseHolder::new(7, Policy::default(), LeaseExpiryMode::BasePolicy, 0.01);
     let mut lines = Vec::new();
     let policy = |number: u64| Policy {
         call_share: Some(number as f64),
         ..Policy::default()
     };
-    let beat = |life, offer: Option<u64>, fence, grant: Option<(u64, f64)>| Beat {
-        life,
-        offer: offer.map(|number| (number, policy(number))),
-        fence,
-        grant: grant.map(|(number, asked)| Grant {
-            number,
-            asked,
-            for_s: 2.0,
+    let beat = |life, offer: Option<u64>, fence, grant: Option<(u64, f64)>| Heartbeat {
+        incarnation: life,
+        offered_policy: offer.map(|number| (number, policy(number))),
+        fence_version: fence,
+        grant: grant.map(|(number, asked)| LeaseGrant {
+            version: number,
+            requested_at: asked,
+            duration_seconds: 2.0,
         }),
-        given: None,
+        quota_grants: None,
     };
     let script = [
         ("of nobody", 0.0, beat(0, Some(1), 0, Some((1, 0.0)))),
@@ -188,14 +188,14 @@
                 Err("no room".to_owned())
             }
         };
-        let said = holder.heard(now, beat, fits);
+        let said = holder.handle_heartbeat(now, beat, fits);
         lines.push(format!(
             "{now:>5} {what}: {:?}, fenced {}, knows {:?}, unfit {:?}, {:.2} s left",
-            holder.acting(now),
-            said.fenced,
-            said.knows,
-            said.unfit,
-            said.left_s
+            holder.effective_policy(now),
+            said.fenced_version,
+            said.known_versions,
+            said.rejected_version,
+            said.lease_remaining_seconds
         ));
     }
     insta::assert_snapshot!(lines.join("\n"));
@@ -203,103 +203,110 @@
 
 #[test]
 fn a_successor_goes_on_with_the_lease_and_who_takes_back_holds_none() {
-    let mut old = Holder::new(7, Policy::default(), Without::TurnAway, 0.01);
-    assert_eq!((old.acting(0.0), old.began()), (Acting::Away, false));
-    let grant = Grant {
-        number: 1,
-        asked: 0.0,
-        for_s: 2.0,
+    let mut old = LeaseHolder::new(7, Policy::default(), LeaseExpiryMode::RejectAll, 0.01);
+    assert_eq!(
+        (old.effective_policy(0.0), old.is_ready()),
+        (EffectivePolicy::RejectAll, false)
+    );
+    let grant = LeaseGrant {
+        version: 1,
+        requested_at: 0.0,
+        duration_seconds: 2.0,
     };
-    let beat = Beat {
-        life: 7,
-        offer: Some((1, Policy::default())),
+    let beat = Heartbeat {
+        incarnation: 7,
+        offered_policy: Some((1, Policy::default())),
         grant: Some(grant),
-        ..Beat::default()
+        ..Heartbeat::default()
     };
-    old.heard(0.1, beat, |_| Ok(()));
-    assert_eq!((old.acting(0.2), old.began()), (Acting::Held(1), true));
-    let passed = old.pass(8);
+    old.handle_heartbeat(0.1, beat, |_| Ok(()));
+    assert_eq!(
+        (old.effective_policy(0.2), old.is_ready()),
+        (EffectivePolicy::Leased(1), true)
+    );
+    let passed = old.begin_handover(8);
     assert_eq!(
-        old.acting(0.2),
-        Acting::Away,
+        old.effective_policy(0.2),
+        EffectivePolicy::RejectAll,
         "it may come back when the successor has long given the lease up"
     );
-    let mut new = Holder::new(9, Policy::default(), Without::TurnAway, 0.01);
-    new.take(passed);
+    let mut new = LeaseHolder::new(9, Policy::default(), LeaseExpiryMode::RejectAll, 0.01);
+    new.resume(passed);
     assert_eq!(
-        (new.acting(0.3), new.acting(2.0)),
-        (Acting::Held(1), Acting::Away)
+        (new.effective_policy(0.3), new.effective_policy(2.0)),
+        (EffectivePolicy::Leased(1), EffectivePolicy::RejectAll)
     );
     // What was on its way to the old one is nothing for either.
-    let late = Beat {
-        life: 7,
-        grant: Some(Grant {
-            asked: 1.0,
+    let late = Heartbeat {
+        incarnation: 7,
+        grant: Some(LeaseGrant {
+            requested_at: 1.0,
             ..grant
         }),
-        ..Beat::default()
+        ..Heartbeat::default()
     };
     assert_eq!(
-        new.heard(1.9, late.clone(), |_| Ok(())).left_s,
-        new.said(1.9).left_s
+        new.handle_heartbeat(1.9, late.clone(), |_| Ok(()))
+            .lease_remaining_seconds,
+        new.status(1.9).lease_remaining_seconds
     );
-    old.heard(1.9, late, |_| Ok(()));
-    assert_eq!(old.acting(1.9), Acting::Away);
+    old.handle_heartbeat(1.9, late, |_| Ok(()));
+    assert_eq!(old.effective_policy(1.9), EffectivePolicy::RejectAll);
 }
 
 #[test]
 fn an_instance_with_another_base_than_was_agreed_gets_no_lease_and_refuses_by_name() {
-    use merlinshelf_policy::words::{HostWord, Said};
-    use merlinshelf_policy::{Entry, Founding, Ledger, Warden};
+    use merlinshelf_policy::messages::{HostLeaseResponse, InstanceStatus};
+    use merlinshelf_policy::{Bootstrap, Entry, HostLeaseManager, ReplicatedState};
     let (agreed, own) = (Policy::default().fingerprint(), 7);
-    let mut ledger = Ledger::default();
-    ledger.apply(Entry::Found(Founding {
+    let mut ledger = ReplicatedState::default();
+    ledger.apply(Entry::Bootstrap(Bootstrap {
         lease_ms: 2000,
-        base: agreed,
+        base_fingerprint: agreed,
     }));
-    let mut warden = Warden::new("h", 1, own, 0.01);
-    warden.decided(0.0, &ledger);
+    let mut warden = HostLeaseManager::new("h", 1, own, 0.01);
+    warden.state_changed(0.0, &ledger);
     let names = ["web.0".to_owned(), "web.1".to_owned()];
-    warden.serving(0.0, names.iter());
-    let token = warden.ask(0.1).expect("it asks").token;
-    warden.granted(
+    warden.set_instances(0.0, names.iter());
+    let token = warden.poll_lease_request(0.1).expect("it asks").request_id;
+    warden.handle_lease_response(
         0.1,
-        &HostWord {
-            life: 1,
-            token,
-            ..HostWord::default()
+        &HostLeaseResponse {
+            incarnation: 1,
+            request_id: token,
+            ..HostLeaseResponse::default()
         },
     );
     let mut granted = std::collections::BTreeSet::new();
     for _ in 0..6 {
-        let Some((name, beat)) = warden.next_beat(0.2) else {
+        let Some((name, beat)) = warden.poll_heartbeat(0.2) else {
             break;
         };
         if beat.grant.is_some() {
             granted.insert(name.clone());
         }
         let base = if name == "web.0" { agreed } else { own };
-        warden.said(
+        warden.instance_responded(
             0.2,
             &name,
-            Said {
-                life: 5,
-                base,
-                ..Said::default()
+            InstanceStatus {
+                incarnation: 5,
+                base_fingerprint: base,
+                ..InstanceStatus::default()
             },
         );
     }
     assert_eq!(granted.into_iter().collect::<Vec<_>>(), ["web.0"]);
     ledger.apply(Entry::Propose {
-        id: "a".into(),
+        change_id: "a".into(),
         policy: Box::default(),
-        by: "b".into(),
-        at: 0.0,
+        proposed_by: "b".into(),
+        proposed_at: 0.0,
     });
-    warden.decided(0.4, &ledger);
-    let prepared = warden.prepared(0.5).expect("one refuses");
+    warden.state_changed(0.4, &ledger);
+    let prepared = warden.prepare_result(0.5).expect("one refuses");
     assert_eq!(
-        prepared.unfit,
+        prepared.rejections,
         [("web.1".to_owned(), "its base policy is another".to_owned())]
     );
 }
--- a/crates/merlinshelf-testbed/src/trial/cost.rs
+++ b/crates/merlinshelf-testbed/src/trial/cost.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use merlinshelf_agent::talk::Talk;
-use merlinshelf_policy::{Beat, Grant, Policy, Said};
+use merlinshelf_policy::{Heartbeat, InstanceStatus, LeaseGrant, Policy};
 use merlinshelf_protocol::control::Question;
 use merlinshelf_quota::{Budgets, CATALOGUE, CallKind, FleetAllocator, HostAllocator, LeaseTerms};
 use serde_json::{Value, json};
@@ -53,9 +53,9 @@
         let now = began.elapsed().as_secs_f64();
         let given = bank.handle_request(now, "h", &house.request(now));
         house.handle_grants(now, &given);
-        let beat = Beat {
-            life,
-            offer: Some((
+        let beat = Heartbeat {
+            incarnation: life,
+            offered_policy: Some((
                 1,
                 Policy {
                     call_share: Some(4.0),
@@ -63,22 +63,22 @@
                     ..Policy::default()
                 },
             )),
-            fence: 0,
-            grant: Some(Grant {
-                number: 1,
-                asked,
-                for_s: 2.0,
+            fence_version: 0,
+            grant: Some(LeaseGrant {
+                version: 1,
+                requested_at: asked,
+                duration_seconds: 2.0,
             }),
-            given: house.take_grants(now, "i"),
+            quota_grants: house.take_grants(now, "i"),
         };
         let body = serde_json::to_value(&beat).unwrap_or_default();
         if let Ok(mut talk) =
             Talk::ask(&control, Question::Policy, &body, Duration::from_secs(1)).await
             && let Ok((_, said)) = talk.next().await
-            && let Ok(said) = serde_json::from_value::<Said>(said)
+            && let Ok(said) = serde_json::from_value::<InstanceStatus>(said)
         {
-            (life, asked) = (said.life, said.asked);
-            said.wishes
+            (life, asked) = (said.incarnation, said.reported_at);
+            said.quota_requests
                 .into_iter()
                 .for_each(|wishes| _ = house.handle_request(now, "i", wishes));
         }
--- a/crates/merlinshelf-testbed/src/trial/policy_size.rs
+++ b/crates/merlinshelf-testbed/src/trial/policy_size.rs
@@ -4,9 +4,10 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use merlinshelf_consensus::{Council, Step, TICK_MS, Word};
-use merlinshelf_policy::conductor::{self, Conductor, Watch};
+use merlinshelf_policy::rollout_leader::{self, RolloutLeader, ServiceWatch};
 use merlinshelf_policy::{
-    Acting, Beat, Entry, Founding, Holder, HostAsk, HostWord, Ledger, Policy, Said, Warden, Without,
+    Bootstrap, EffectivePolicy, Entry, Heartbeat, HostLeaseManager, HostLeaseRequest,
+    HostLeaseResponse, InstanceStatus, LeaseExpiryMode, LeaseHolder, Policy, ReplicatedState,
 };
 use serde::Serialize;
 use serde_json::{Value, json};
@@ -22,19 +23,19 @@
 
 enum Message {
     Council(usize, usize, Word),
-    Ask(usize, HostAsk),
-    Told(usize, HostWord),
+    Ask(usize, HostLeaseRequest),
+    Told(usize, HostLeaseResponse),
     Propose(usize, Entry),
-    Beat(usize, String, Beat),
-    Said(usize, String, Said),
+    Beat(usize, String, Heartbeat),
+    Said(usize, String, InstanceStatus),
     Kept(usize),
 }
 
 struct Agent {
     council: Council,
-    warden: Warden,
-    conductor: Option<(Conductor, u64)>,
-    ledger: Ledger,
+    warden: HostLeaseManager,
+    conductor: Option<(RolloutLeader, u64)>,
+    ledger: ReplicatedState,
     keeping: bool,
 }
 
@@ -49,7 +50,7 @@
     t: f64,
     names: Vec<String>,
     agents: Vec<Agent>,
-    instances: BTreeMap<String, Holder>,
+    instances: BTreeMap<String, LeaseHolder>,
     flying: VecDeque<(f64, Message)>,
     count: Count,
 }
@@ -66,9 +67,9 @@
         let begin = |(place, name): (usize, &String)| Agent {
             council: Council::begin(name, &wanted, place as u64 + 1, place, &[])
                 .unwrap_or_else(|why| unreachable!("{why}")),
-            warden: Warden::new(name, place as u64 + 1, base.fingerprint(), DRIFT),
+            warden: HostLeaseManager::new(name, place as u64 + 1, base.fingerprint(), DRIFT),
             conductor: None,
-            ledger: Ledger::default(),
+            ledger: ReplicatedState::default(),
             keeping: false,
         };
         let all = names.iter().enumerate().map(begin).collect();
@@ -76,7 +77,12 @@
             let name = format!("h{}.{}", place % agents, place / agents);
             (
                 name,
-                Holder::new(1000 + place as u64, base.clone(), Without::Base, DRIFT),
+                LeaseHolder::new(
+                    1000 + place as u64,
+                    base.clone(),
+                    LeaseExpiryMode::BasePolicy,
+                    DRIFT,
+                ),
             )
         };
         let instances = (0..instances).map(holder).collect();
@@ -152,11 +158,11 @@
             Message::Ask(to, ask) => {
                 let agent = &mut self.agents[to];
                 if let Some((conductor, _)) = &mut agent.conductor {
-                    conductor.asked(now, ask, &agent.ledger);
+                    conductor.handle_lease_request(now, ask, &agent.ledger);
                 }
                 self.turn(to, true);
             }
-            Message::Told(to, word) => self.agents[to].warden.granted(now, &word),
+            Message::Told(to, word) => self.agents[to].warden.handle_lease_response(now, &word),
             Message::Propose(to, entry) => {
                 self.agents[to]
                     .council
@@ -167,10 +173,12 @@
                 let Some(holder) = self.instances.get_mut(&name) else {
                     return;
                 };
-                let said = holder.heard(now, beat, |_| Ok(()));
+                let said = holder.handle_heartbeat(now, beat, |_| Ok(()));
                 self.fly(Message::Said(from, name, said));
             }
-            Message::Said(to, name, said) => self.agents[to].warden.said(now, &name, said),
+            Message::Said(to, name, said) => {
+                self.agents[to].warden.instance_responded(now, &name, said)
+            }
             Message::Kept(to) => {
                 self.agents[to].keeping = false;
                 self.turn(to, true);
@@ -192,7 +200,7 @@
                 .cloned()
                 .collect();
             let agent = &mut self.agents[place];
-            agent.warden.serving(now, own_names.iter());
+            agent.warden.set_instances(now, own_names.iter());
             for _ in 0..16 {
                 let mut idle = true;
                 while !agent.keeping {
@@ -217,52 +225,60 @@
                             if let Ok(entry) = rmp_serde::from_slice(&data)
                                 && let Some(news) = agent.ledger.apply(entry)
                             {
-                                agent.warden.decided(now, &agent.ledger);
+                                agent.warden.state_changed(now, &agent.ledger);
                                 if let Some((conductor, _)) = &mut agent.conductor {
-                                    conductor.decided(now, &news, &agent.ledger);
+                                    conductor.state_changed(now, &news, &agent.ledger);
                                 }
                             }
                         }
                         Step::Restore(..) => {}
                         Step::Confirmed(number) => {
                             if let Some((conductor, _)) = &mut agent.conductor {
-                                conductor.confirmed(now, number, &agent.ledger);
+                                conductor.leadership_confirmed(now, number, &agent.ledger);
                             }
                         }
                     }
                 }
                 let term = agent.council.leads();
                 if agent.conductor.as_ref().map(|(_, term)| *term) != term {
-                    let founding = Founding {
+                    let founding = Bootstrap {
                         lease_ms: LEASE_MS,
-                        base: Policy::default().fingerprint(),
+                        base_fingerprint: Policy::default().fingerprint(),
                     };
-                    let watch = Watch {
-                        over_s: 0.0,
-                        worse: 1.0,
+                    let watch = ServiceWatch {
+                        window_seconds: 0.0,
+                        tolerated_loss: 1.0,
                     };
                     agent.conductor = term.map(|term| {
                         (
-                            Conductor::elected(now, founding, DRIFT, watch, names.iter().cloned()),
+                            RolloutLeader::elected(
+                                now,
+                                founding,
+                                DRIFT,
+                                watch,
+                                names.iter().cloned(),
+                            ),
                             term,
                         )
                     });
                 }
                 if let Some((conductor, _)) = &mut agent.conductor {
-                    conductor.woken(now, &agent.ledger);
-                    while let Some(step) = conductor.next_step() {
+                    conductor.advance(now, &agent.ledger);
+                    while let Some(step) = conductor.poll_action() {
                         idle = false;
                         match step {
-                            conductor::Step::Confirm(number) => agent.council.confirm(number),
-                            conductor::Step::Propose(entry) => {
+                            rollout_leader::Action::ConfirmLeadership(number) => {
+                                agent.council.confirm(number)
+                            }
+                            rollout_leader::Action::Propose(entry) => {
                                 agent
                                     .council
                                     .propose(rmp_serde::to_vec_named(&entry).unwrap_or_default());
                             }
-                            conductor::Step::Tell(host, word) => {
+                            rollout_leader::Action::Respond(host, word) => {
                                 let to = number(&host);
                                 if to == place {
-                                    agent.warden.granted(now, &word);
+                                    agent.warden.handle_lease_response(now, &word);
                                 } else {
                                     out.push(Message::Told(to, word));
                                 }
@@ -274,12 +290,13 @@
                     break;
                 }
             }
-            if let (Some(leader), Some(ask)) =
-                (agent.council.leader().map(number), agent.warden.ask(now))
-            {
+            if let (Some(leader), Some(ask)) = (
+                agent.council.leader().map(number),
+                agent.warden.poll_lease_request(now),
+            ) {
                 if leader == place {
                     if let Some((conductor, _)) = &mut agent.conductor {
-                        conductor.asked(now, ask, &agent.ledger);
+                        conductor.handle_lease_request(now, ask, &agent.ledger);
                     }
                 } else {
                     out.push(Message::Ask(leader, ask));
@@ -287,7 +304,7 @@
             }
         }
         let agent = &mut self.agents[place];
-        while let Some((name, beat)) = agent.warden.next_beat(now) {
+        while let Some((name, beat)) = agent.warden.poll_heartbeat(now) {
             out.push(Message::Beat(place, name, beat));
         }
         out.into_iter().for_each(|message| self.fly(message));
@@ -318,10 +335,10 @@
         ..Policy::default()
     };
     let entry = Entry::Propose {
-        id: "one".into(),
+        change_id: "one".into(),
         policy: Box::new(policy),
-        by: "operator".into(),
-        at: 0.0,
+        proposed_by: "operator".into(),
+        proposed_at: 0.0,
     };
     let leader = world
         .agents
@@ -330,14 +347,17 @@
         .unwrap_or(0);
     world.fly(Message::Propose(leader, entry));
     let held = world.until(began + 30.0, |world| {
-        world.agents.iter().all(|agent| agent.ledger.current == 1)
+        world
+            .agents
+            .iter()
+            .all(|agent| agent.ledger.current_version == 1)
     });
     let held_ms = (world.t - began) * 1e3;
     let all = world.until(began + 30.0, |world| {
         world
             .instances
             .values()
-            .all(|holder| holder.acting(world.t) == Acting::Held(1))
+            .all(|holder| holder.effective_policy(world.t) == EffectivePolicy::Leased(1))
     });
     let of =
         |(messages, bytes): (u64, u64)| (messages as f64 / COUNTED, bytes as f64 / COUNTED / 1e3);
