--- a/crates/merlinshelf-agent/src/council.rs
+++ b/crates/merlinshelf-agent/src/council.rs
@@ -9,7 +9,9 @@
 
 use log::{error, info, warn};
 use merlinshelf_backend::learning::folder::Disk;
-use merlinshelf_consensus::{Council, HEAD, Record, Standing, Step, Word, recover};
+use merlinshelf_consensus::{
+    Action, FILE_HEADER, Message, Record, Replica, ReplicaStatus, recover,
+};
 use merlinshelf_gossip::Files;
 use merlinshelf_policy::replicated_state::ReplicatedEvent;
 use merlinshelf_policy::{Entry, ReplicatedState};
@@ -33,7 +35,7 @@
 /// What comes of a turn.
 #[derive(Debug)]
 pub enum Came {
-    Send(String, Word),
+    Send(String, Message),
     /// Something was decided, or all is another by now.
     Decided(Option<ReplicatedEvent>),
     Confirmed(u64),
@@ -44,7 +46,7 @@
     name: String,
     wanted: BTreeSet<String>,
     folder: PathBuf,
-    held: Option<(Council, Sender<Work>)>,
+    held: Option<(Replica, Sender<Work>)>,
     /// Which life of the disk's thread this is: what a former one reports does not count.
     life: u64,
     /// Something is being kept; no step behind it is carried out before.
@@ -83,7 +85,7 @@
         }
     }
 
-    pub fn council(&self) -> Option<&Council> {
+    pub fn council(&self) -> Option<&Replica> {
         self.held.as_ref().map(|(council, _)| council)
     }
 
@@ -93,15 +95,15 @@
 
     /// The term in which this agent leads.
     pub fn leads(&self) -> Option<u64> {
-        self.council()?.leads()
+        self.council()?.leading_term()
     }
 
     pub fn standing(&self) -> &'static str {
-        match self.council().map(Council::standing) {
+        match self.council().map(Replica::status) {
             None => "without its disk",
-            Some(Standing::Seeking) => "seeks a seat",
-            Some(Standing::Greeting) => "asks whether it remembers all",
-            Some(Standing::Sitting) => "sits",
+            Some(ReplicaStatus::Joining) => "seeks a seat",
+            Some(ReplicaStatus::Verifying) => "asks whether it remembers all",
+            Some(ReplicaStatus::Active) => "sits",
         }
     }
 
@@ -135,7 +137,7 @@
             .wrapping_mul(0x5851_F42D_4C95_7F2D)
             .wrapping_add(0x1405_7B7E_F767_814F)
             | 1;
-        let council = Council::begin(
+        let council = Replica::start(
             &self.name,
             &self.wanted,
             self.ticket,
@@ -151,7 +153,8 @@
             while let Ok(work) = todo.recv() {
                 let done = match work {
                     Work::Append(records) => {
-                        let bytes: Vec<u8> = records.iter().flat_map(Record::framed).collect();
+                        let bytes: Vec<u8> =
+                            records.iter().flat_map(Record::encode_frame).collect();
                         disk.append(FILE, &bytes).and_then(|()| disk.sync(FILE))
                     }
                     Work::Anew(records) => write(&mut disk, &records),
@@ -184,7 +187,7 @@
                 Err(why) => self.fail(now, &why),
             }
         }
-        self.with(now, Council::tick);
+        self.with(now, Replica::tick);
     }
 
     /// The disk's thread is done with what it was given last.
@@ -199,8 +202,8 @@
         }
     }
 
-    pub fn heard(&mut self, now: f64, from: &str, word: Word) {
-        self.with(now, |council| council.heard(from, word));
+    pub fn heard(&mut self, now: f64, from: &str, word: Message) {
+        self.with(now, |council| council.handle_message(from, word));
     }
 
     /// Puts an entry into the log; false where this agent does not lead.
@@ -213,11 +216,11 @@
 
     /// An agent is gone for good: its seat is given up, where this agent leads.
     pub fn remove(&mut self, now: f64, name: &str) {
-        self.with(now, |council| council.remove(name));
+        self.with(now, |council| council.remove_member(name));
     }
 
     pub fn confirm(&mut self, now: f64, number: u64) {
-        self.with(now, |council| council.confirm(number));
+        self.with(now, |council| council.confirm_leadership(number));
     }
 
     /// What has come of all that by now.
@@ -225,7 +228,7 @@
         std::mem::take(&mut self.came)
     }
 
-    fn with(&mut self, now: f64, what: impl FnOnce(&mut Council)) {
+    fn with(&mut self, now: f64, what: impl FnOnce(&mut Replica)) {
         let Some((council, _)) = &mut self.held else {
             return;
         };
@@ -250,32 +253,32 @@
             let Some((council, work)) = self.held.as_mut() else {
                 return;
             };
-            if council.is_long() {
+            if council.needs_compaction() {
                 council.compact(rmp_serde::to_vec_named(&self.ledger).unwrap_or_default());
             }
-            let Some(step) = council.next_step() else {
+            let Some(step) = council.poll_action() else {
                 return;
             };
             match step {
-                Step::Keep(records) => {
+                Action::Append(records) => {
                     self.keeping = true;
                     let _ = work.send(Work::Append(records)); // its end shows in what it does not report
                 }
-                Step::KeepAnew(records) => {
+                Action::ReplaceLog(records) => {
                     self.keeping = true;
                     let _ = work.send(Work::Anew(records));
                 }
-                Step::Send(to, word) => {
+                Action::Send(to, word) => {
                     self.came.push(Came::Send(to, word));
                 }
-                Step::Apply(index, data) => match rmp_serde::from_slice(&data) {
+                Action::Apply(index, data) => match rmp_serde::from_slice(&data) {
                     Ok(entry) => {
                         let news = self.ledger.apply(entry);
                         self.came.extend(news.map(|news| Came::Decided(Some(news))));
                     }
                     Err(error) => error!("entry {index} is of a later version: {error}"),
                 },
-                Step::Restore(index, state) => {
+                Action::Restore(index, state) => {
                     self.ledger = if state.is_empty() {
                         ReplicatedState::default()
                     } else {
@@ -286,7 +289,7 @@
                     };
                     self.came.push(Came::Decided(None));
                 }
-                Step::Confirmed(number) => {
+                Action::LeadershipConfirmed(number) => {
                     self.came.push(Came::Confirmed(number));
                 }
             }
@@ -295,8 +298,8 @@
 }
 
 fn write(disk: &mut Disk, records: &[Record]) -> io::Result<()> {
-    let mut bytes = HEAD.to_vec();
-    bytes.extend(records.iter().flat_map(Record::framed));
+    let mut bytes = FILE_HEADER.to_vec();
+    bytes.extend(records.iter().flat_map(Record::encode_frame));
     disk.create(NEXT)?;
     disk.append(NEXT, &bytes)?;
     disk.sync(NEXT)?;
--- a/crates/merlinshelf-agent/src/links.rs
+++ b/crates/merlinshelf-agent/src/links.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use log::{debug, warn};
-use merlinshelf_consensus::Word;
+use merlinshelf_consensus::Message;
 use merlinshelf_policy::{Entry, HostLeaseRequest, HostLeaseResponse};
 use merlinshelf_protocol::control::{self, FORM, Question};
 use serde::{Deserialize, Serialize};
@@ -27,7 +27,7 @@
 /// What agents say to each other.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Peer {
-    Council(Word),
+    Council(Message),
     Ask(HostLeaseRequest),
     Word(HostLeaseResponse),
     /// For whoever leads: an entry to be put into the log.
--- a/crates/merlinshelf-agent/src/policy/asked.rs
+++ b/crates/merlinshelf-agent/src/policy/asked.rs
@@ -43,7 +43,7 @@
         let council = self.seat.council();
         council.is_some_and(|council| {
             council
-                .roll()
+                .membership()
                 .members
                 .values()
                 .any(|member| member.name == name)
@@ -281,7 +281,7 @@
         let roll = self
             .seat
             .council()
-            .map(|council| council.roll().clone())
+            .map(|council| council.membership().clone())
             .unwrap_or_default();
         let members: BTreeMap<String, u64> = roll
             .members
--- a/crates/merlinshelf-agent/src/policy/budgets.rs
+++ b/crates/merlinshelf-agent/src/policy/budgets.rs
@@ -113,7 +113,7 @@
         let roll = self
             .seat
             .council()
-            .map(|council| council.roll().clone())
+            .map(|council| council.membership().clone())
             .unwrap_or_default();
         let members = roll.members.into_values().map(|member| member.name);
         let all: std::collections::BTreeSet<String> =
--- a/crates/merlinshelf-agent/src/policy/mod.rs
+++ b/crates/merlinshelf-agent/src/policy/mod.rs
@@ -349,7 +349,7 @@
                 let roll = self
                     .seat
                     .council()
-                    .map(|council| council.roll().clone())
+                    .map(|council| council.membership().clone())
                     .unwrap_or_default();
                 let names = roll
                     .members
--- a/crates/merlinshelf-consensus/src/shelf.rs
+++ b/crates/merlinshelf-consensus/src/log_storage.rs
@@ -8,7 +8,7 @@
 use crate::record::Record;
 
 #[derive(Clone, Default)]
-pub struct Shelf {
+pub struct LogStorage {
     pub hard: HardState,
     pub conf: ConfState,
     /// Its index is the last one that is not among the entries.
@@ -16,7 +16,7 @@
     entries: Vec<Entry>,
 }
 
-impl Shelf {
+impl LogStorage {
     pub fn base(&self) -> u64 {
         self.snapshot.get_metadata().index
     }
@@ -70,10 +70,10 @@
                     self.put(snapshot);
                 }
             }
-            Record::Hard { term, vote, commit } => {
+            Record::HardState { term, vote, commit } => {
                 (self.hard.term, self.hard.vote, self.hard.commit) = (*term, *vote, *commit);
             }
-            Record::Seat { .. } | Record::Met { .. } => {}
+            Record::VoterSlot { .. } | Record::PeerSlot { .. } => {}
         }
     }
 
@@ -95,14 +95,14 @@
 }
 
 pub fn hard_record(hard: &HardState) -> Record {
-    Record::Hard {
+    Record::HardState {
         term: hard.term,
         vote: hard.vote,
         commit: hard.commit,
     }
 }
 
-impl Storage for Shelf {
+impl Storage for LogStorage {
     fn initial_state(&self) -> Result<RaftState> {
         Ok(RaftState::new(self.hard.clone(), self.conf.clone()))
     }
--- a/crates/merlinshelf-consensus/src/record.rs
+++ b/crates/merlinshelf-consensus/src/record.rs
@@ -5,28 +5,30 @@
 use serde_bytes::ByteBuf;
 
 /// The head of a file and its form.
-pub const HEAD: &[u8; 8] = b"MSC1\x01\0\0\0";
+pub const FILE_HEADER: &[u8; 8] = b"MSC1\x01\0\0\0";
 /// An entry holds a document at the most; a snapshot a few of them and a history.
 const LENGTH_MOST: usize = 16 * 1024 * 1024;
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Record {
     /// The seat and which life of it begins.
-    Seat {
+    #[serde(rename = "Seat")]
+    VoterSlot {
         id: u64,
-        life: u64,
+        #[serde(rename = "life")]
+        incarnation: u64,
     },
     /// The latest life of another's seat, and the ticket of the process that lived it: the same life twice is one too many.
-    Met {
+    #[serde(rename = "Met")]
+    PeerSlot {
         id: u64,
-        life: u64,
-        ticket: u64,
-    },
-    Hard {
-        term: u64,
-        vote: u64,
-        commit: u64,
+        #[serde(rename = "life")]
+        incarnation: u64,
+        #[serde(rename = "ticket")]
+        boot_id: u64,
     },
+    #[serde(rename = "Hard")]
+    HardState { term: u64, vote: u64, commit: u64 },
     /// An entry of the log; one with the same or a lower number takes the place of all from there on.
     Entry(ByteBuf),
     /// Everything up to a point, in place of the entries.
@@ -34,7 +36,7 @@
 }
 
 impl Record {
-    pub fn framed(&self) -> Vec<u8> {
+    pub fn encode_frame(&self) -> Vec<u8> {
         let bytes = rmp_serde::to_vec(self).unwrap_or_default();
         let mut out = (bytes.len() as u32).to_le_bytes().to_vec();
         out.extend(crc32fast::hash(&bytes).to_le_bytes());
@@ -50,11 +52,11 @@
 /// The file is of another program or of a later form, or a record in its midst is not what was written: what came behind it
 /// was promised, and can't be told.
 pub fn recover(bytes: &[u8]) -> Result<(Vec<Record>, usize), &'static str> {
-    if bytes.len() < HEAD.len() && HEAD.starts_with(bytes) {
+    if bytes.len() < FILE_HEADER.len() && FILE_HEADER.starts_with(bytes) {
         return Ok((Vec::new(), 0));
     }
-    let mut used = HEAD.len();
-    if !bytes.starts_with(HEAD) {
+    let mut used = FILE_HEADER.len();
+    if !bytes.starts_with(FILE_HEADER) {
         return Err("it is of another program or of a later form");
     }
     let mut records = Vec::new();
--- a/crates/merlinshelf-consensus/src/council.rs
+++ b/crates/merlinshelf-consensus/src/replica.rs
@@ -4,16 +4,16 @@
 
 use protobuf::Message as _;
 use raft::prelude::{
-    ConfChange, ConfChangeType, ConfState, Config, Entry, EntryType, HardState, Message,
-    MessageType, Snapshot,
+    ConfChange, ConfChangeType, ConfState, Config, Entry, EntryType, HardState,
+    Message as RaftMessage, MessageType, Snapshot,
 };
 use raft::{ProgressState, RawNode, SnapshotStatus, StateRole};
 use serde::{Deserialize, Serialize};
 use serde_bytes::ByteBuf;
 
+use crate::log_storage::{LogStorage, entry_record, hard_record, snapshot_record};
+use crate::messages::{BootstrapState, Member, Membership, Message, PeerProgress};
 use crate::record::Record;
-use crate::shelf::{Shelf, entry_record, hard_record, snapshot_record};
-use crate::words::{Known, Member, Roll, State, Word};
 
 /// Ticks between two greetings of who does not sit yet.
 const GREET_EVERY: u32 = 2;
@@ -27,39 +27,40 @@
 /// What the host of this state machine is to do, in this order. Where one can't be done, nothing after it may be: the council
 /// is dropped, and made anew from what is kept.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Step {
+pub enum Action {
     /// Keep these for good before going on.
-    Keep(Vec<Record>),
+    Append(Vec<Record>),
     /// Keep these in place of all that is kept.
-    KeepAnew(Vec<Record>),
-    Send(String, Word),
+    ReplaceLog(Vec<Record>),
+    Send(String, Message),
     /// An entry that all have alike, with its number, in its order.
     Apply(u64, Vec<u8>),
     /// The state after the entries up to this number, in place of applying them; empty where there were none.
     Restore(u64, Vec<u8>),
     /// A majority has confirmed that this agent still led after it was asked for.
-    Confirmed(u64),
+    LeadershipConfirmed(u64),
 }
 
 /// How an agent stands to the council.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum ReplicaStatus {
     /// It remembers none: it founds one with all others, or asks for a seat.
-    Seeking,
+    Joining,
     /// It has begun, and asks the others whether they know a later life of its seat than its own.
-    Greeting,
-    Sitting,
+    Verifying,
+    Active,
 }
 
 /// What a snapshot holds beside the state of whoever uses the log.
 #[derive(Debug, Default, Serialize, Deserialize)]
-struct Held {
-    roll: Roll,
+struct SnapshotPayload {
+    #[serde(rename = "roll")]
+    membership: Membership,
     state: ByteBuf,
 }
 
 /// The state machine of one agent.
-pub struct Council {
+pub struct Replica {
     name: String,
     /// The names of all agents that are wanted.
     wanted: BTreeSet<String>,
@@ -70,12 +71,12 @@
     /// The latest life of each seat, and the ticket of the process that lived it.
     met: BTreeMap<u64, (u64, u64)>,
     /// What each seat has said to have kept.
-    seen: BTreeMap<u64, Known>,
-    node: Option<RawNode<Shelf>>,
-    standing: Standing,
+    seen: BTreeMap<u64, PeerProgress>,
+    node: Option<RawNode<LogStorage>>,
+    standing: ReplicaStatus,
     /// Who has answered its greeting, and how far each is.
-    welcomed: BTreeMap<String, (State, Option<u64>, Option<u64>)>,
-    roll: Roll,
+    welcomed: BTreeMap<String, (BootstrapState, Option<u64>, Option<u64>)>,
+    roll: Membership,
     /// Who spoke last from a seat: a member that was sent nothing yet has no roll to answer by.
     voices: BTreeMap<u64, String>,
     ticks: u32,
@@ -88,23 +89,23 @@
     applied: u64,
     /// Somebody came in since the last snapshot, who takes none that does not name it.
     joined: bool,
-    steps: VecDeque<Step>,
+    steps: VecDeque<Action>,
 }
 
-impl Council {
+impl Replica {
     /// An agent that begins with what is kept of it; nothing where it has no memory. `ticket` is a new number of its own and
     /// not 0, `chance` a small number that spreads elections.
     ///
     /// # Errors
     /// What `raft` does not take of what is kept.
-    pub fn begin(
+    pub fn start(
         name: &str,
         wanted: &BTreeSet<String>,
         ticket: u64,
         chance: usize,
         kept: &[Record],
-    ) -> Result<Council, String> {
-        let mut council = Council {
+    ) -> Result<Replica, String> {
+        let mut council = Replica {
             name: name.to_owned(),
             wanted: wanted.clone(),
             ticket,
@@ -113,9 +114,9 @@
             met: BTreeMap::new(),
             seen: BTreeMap::new(),
             node: None,
-            standing: Standing::Seeking,
+            standing: ReplicaStatus::Joining,
             welcomed: BTreeMap::new(),
-            roll: Roll::default(),
+            roll: Membership::default(),
             voices: BTreeMap::new(),
             ticks: 0,
             quiet: 0,
@@ -125,11 +126,18 @@
             joined: false,
             steps: VecDeque::new(),
         };
-        let mut shelf = Shelf::default();
+        let mut shelf = LogStorage::default();
         for record in kept {
             match record {
-                Record::Seat { id, life } => council.seat = Some((*id, *life)),
-                Record::Met { id, life, ticket } => _ = council.met.insert(*id, (*life, *ticket)),
+                Record::VoterSlot {
+                    id,
+                    incarnation: life,
+                } => council.seat = Some((*id, *life)),
+                Record::PeerSlot {
+                    id,
+                    incarnation: life,
+                    boot_id: ticket,
+                } => _ = council.met.insert(*id, (*life, *ticket)),
                 other => shelf.take(other),
             }
         }
@@ -138,9 +146,12 @@
             council.seat = Some((id, life));
             council
                 .steps
-                .push_back(Step::Keep(vec![Record::Seat { id, life }]));
+                .push_back(Action::Append(vec![Record::VoterSlot {
+                    id,
+                    incarnation: life,
+                }]));
             council.sit(shelf)?;
-            council.standing = Standing::Greeting;
+            council.standing = ReplicaStatus::Verifying;
             council.greeted();
         }
         council.greet();
@@ -148,7 +159,7 @@
     }
 
     /// Makes the node over what is kept; nothing of it shows before this agent sits.
-    fn sit(&mut self, shelf: Shelf) -> Result<(), String> {
+    fn sit(&mut self, shelf: LogStorage) -> Result<(), String> {
         let Some((id, _)) = self.seat else {
             return Ok(());
         };
@@ -177,26 +188,26 @@
     }
 
     fn restore(&mut self, snapshot: &Snapshot) {
-        let held: Held = rmp_serde::from_slice(snapshot.get_data()).unwrap_or_default();
-        self.roll = held.roll;
+        let held: SnapshotPayload = rmp_serde::from_slice(snapshot.get_data()).unwrap_or_default();
+        self.roll = held.membership;
         self.applied = snapshot.get_metadata().index;
         self.steps
-            .push_back(Step::Restore(self.applied, held.state.into_vec()));
+            .push_back(Action::Restore(self.applied, held.state.into_vec()));
     }
 
-    pub fn next_step(&mut self) -> Option<Step> {
+    pub fn poll_action(&mut self) -> Option<Action> {
         self.steps.pop_front()
     }
 
-    pub fn standing(&self) -> &Standing {
+    pub fn status(&self) -> &ReplicaStatus {
         &self.standing
     }
 
-    pub fn roll(&self) -> &Roll {
+    pub fn membership(&self) -> &Membership {
         &self.roll
     }
 
-    pub fn seat(&self) -> Option<u64> {
+    pub fn slot(&self) -> Option<u64> {
         self.seat.map(|(id, _)| id)
     }
 
@@ -208,16 +219,16 @@
             .map(|node| node.raft.leader_id)
             .filter(|id| *id > 0)?;
         self.roll
-            .name(id)
-            .filter(|_| self.standing == Standing::Sitting)
+            .name_of(id)
+            .filter(|_| self.standing == ReplicaStatus::Active)
     }
 
     /// The term in which this agent leads.
-    pub fn leads(&self) -> Option<u64> {
+    pub fn leading_term(&self) -> Option<u64> {
         let node = self
             .node
             .as_ref()
-            .filter(|_| self.standing == Standing::Sitting)?;
+            .filter(|_| self.standing == ReplicaStatus::Active)?;
         (node.raft.state == StateRole::Leader).then_some(node.raft.term)
     }
 
@@ -239,8 +250,13 @@
     fn greet(&mut self) {
         let (ticket, seat) = (self.ticket, self.seat);
         for name in self.others() {
-            self.steps
-                .push_back(Step::Send(name, Word::Hello { ticket, seat }));
+            self.steps.push_back(Action::Send(
+                name,
+                Message::Hello {
+                    boot_id: ticket,
+                    slot: seat,
+                },
+            ));
         }
         self.found();
     }
@@ -248,7 +264,7 @@
     /// Time goes on by one tick.
     pub fn tick(&mut self) {
         self.ticks += 1;
-        if self.standing != Standing::Sitting {
+        if self.standing != ReplicaStatus::Active {
             if self.ticks.is_multiple_of(GREET_EVERY) {
                 self.greet();
             }
@@ -258,10 +274,10 @@
             node.tick();
         }
         self.quiet += 1;
-        if self.leads().is_none() && self.quiet > QUIET && self.ticks.is_multiple_of(QUIET) {
+        if self.leading_term().is_none() && self.quiet > QUIET && self.ticks.is_multiple_of(QUIET) {
             self.greet(); // it may have been replaced
         }
-        if self.leads().is_some() {
+        if self.leading_term().is_some() {
             self.change_members();
             if self.ticks.is_multiple_of(QUIET) {
                 self.send_snapshots_again();
@@ -270,38 +286,45 @@
         self.pump();
     }
 
-    fn state(&self) -> State {
+    fn state(&self) -> BootstrapState {
         match &self.node {
-            None => State::Empty,
+            None => BootstrapState::Empty,
             Some(node) => {
                 let shelf = node.store();
                 let fresh =
                     shelf.hard.vote == 0 && shelf.last() == FOUNDED_AT && node.raft.term <= 1;
-                if fresh { State::Fresh } else { State::Seated }
+                if fresh {
+                    BootstrapState::Fresh
+                } else {
+                    BootstrapState::Established
+                }
             }
         }
     }
 
     /// A word from another agent.
-    pub fn heard(&mut self, from: &str, word: Word) {
+    pub fn handle_message(&mut self, from: &str, word: Message) {
         match word {
-            Word::Hello { ticket, seat } => self.hello(from, ticket, seat),
-            Word::Welcome {
-                ticket,
+            Message::Hello {
+                boot_id: ticket,
+                slot: seat,
+            } => self.hello(from, ticket, seat),
+            Message::Welcome {
+                boot_id: ticket,
                 state,
-                own,
-                known,
-                seat,
+                responder_slot: own,
+                progress: known,
+                reserved_slot: seat,
             } if ticket == self.ticket => {
                 self.welcome(from, state, own, known, seat);
             }
-            Word::Welcome { .. } => {}
-            Word::Raft(bytes) => {
-                let Ok(message) = Message::parse_from_bytes(&bytes) else {
+            Message::Welcome { .. } => {}
+            Message::Raft(bytes) => {
+                let Ok(message) = RaftMessage::parse_from_bytes(&bytes) else {
                     return;
                 };
                 let own = self.seat.is_some_and(|(id, _)| id == message.to);
-                if own && self.standing == Standing::Sitting {
+                if own && self.standing == ReplicaStatus::Active {
                     self.voices.insert(message.from, from.to_owned());
                     self.see(&message);
                     self.applying.remove(from);
@@ -315,33 +338,36 @@
     }
 
     fn hello(&mut self, from: &str, ticket: u64, seat: Option<(u64, u64)>) {
-        let mut known = Known::default();
+        let mut known = PeerProgress::default();
         match seat {
             Some((id, life)) => {
                 self.applying.remove(from);
                 let met = self.met.get(&id).copied();
                 known = self.seen.get(&id).copied().unwrap_or_default();
                 // The same life lived by another process is one too many.
-                known.life = met
+                known.incarnation = met
                     .filter(|met| *met != (life, ticket))
                     .map(|(life, _)| life);
-                known.replaced = self.standing == Standing::Sitting
+                known.replaced = self.standing == ReplicaStatus::Active
                     && !self.roll.members.contains_key(&id)
-                    && self.roll.highest >= id;
+                    && self.roll.highest_slot >= id;
                 let sits = self
                     .node
                     .as_ref()
-                    .filter(|_| self.standing == Standing::Sitting);
+                    .filter(|_| self.standing == ReplicaStatus::Active);
                 known.leader = sits
                     .map(|node| node.raft.leader_id)
                     .filter(|leader| *leader > 0);
                 if met.is_none_or(|(before, _)| life > before) {
                     self.met.insert(id, (life, ticket));
-                    self.steps
-                        .push_back(Step::Keep(vec![Record::Met { id, life, ticket }]));
+                    self.steps.push_back(Action::Append(vec![Record::PeerSlot {
+                        id,
+                        incarnation: life,
+                        boot_id: ticket,
+                    }]));
                 }
             }
-            None if self.state() == State::Seated => {
+            None if self.state() == BootstrapState::Established => {
                 _ = self.applying.insert(from.to_owned(), ticket)
             }
             None => {}
@@ -350,22 +376,22 @@
             .roll
             .members
             .iter()
-            .find(|(_, of)| of.name == from && of.ticket == ticket);
-        let (state, own, seat) = (self.state(), self.seat(), kept.map(|(id, _)| *id));
-        self.steps.push_back(Step::Send(
+            .find(|(_, of)| of.name == from && of.boot_id == ticket);
+        let (state, own, seat) = (self.state(), self.slot(), kept.map(|(id, _)| *id));
+        self.steps.push_back(Action::Send(
             from.to_owned(),
-            Word::Welcome {
-                ticket,
+            Message::Welcome {
+                boot_id: ticket,
                 state,
-                own,
-                known,
-                seat,
+                responder_slot: own,
+                progress: known,
+                reserved_slot: seat,
             },
         ));
     }
 
     /// What a member has kept for sure, by what it says: its words come after.
-    fn see(&mut self, message: &Message) {
+    fn see(&mut self, message: &RaftMessage) {
         let index = match message.get_msg_type() {
             MessageType::MsgAppendResponse if !message.reject => message.index,
             MessageType::MsgAppend | MessageType::MsgHeartbeat => message.commit,
@@ -380,21 +406,21 @@
     fn welcome(
         &mut self,
         from: &str,
-        state: State,
+        state: BootstrapState,
         own: Option<u64>,
-        known: Known,
+        known: PeerProgress,
         seat: Option<u64>,
     ) {
         match self.standing {
-            Standing::Seeking => {
+            ReplicaStatus::Joining => {
                 if let Some(id) = seat {
                     // Kept for this very ticket: an empty member that is sent all there is.
                     self.seat = Some((id, 1));
                     let mut records = self.met_records();
-                    records.push(Record::Seat { id, life: 1 });
-                    self.steps.push_back(Step::KeepAnew(records));
-                    if self.sit(Shelf::default()).is_ok() {
-                        self.standing = Standing::Sitting;
+                    records.push(Record::VoterSlot { id, incarnation: 1 });
+                    self.steps.push_back(Action::ReplaceLog(records));
+                    if self.sit(LogStorage::default()).is_ok() {
+                        self.standing = ReplicaStatus::Active;
                     }
                     return;
                 }
@@ -402,9 +428,9 @@
                     .insert(from.to_owned(), (state, own, known.leader));
                 self.found();
             }
-            Standing::Greeting => {
+            ReplicaStatus::Verifying => {
                 let later = known
-                    .life
+                    .incarnation
                     .zip(self.seat)
                     .is_some_and(|(life, (_, own))| life >= own);
                 let kept = self.node.as_ref().map_or((0, 0), |node| {
@@ -419,15 +445,15 @@
                 self.greeted();
             }
             // Only one that was replaced, and never told so, is answered so.
-            Standing::Sitting if known.replaced => self.give_up(),
-            Standing::Sitting => {}
+            ReplicaStatus::Active if known.replaced => self.give_up(),
+            ReplicaStatus::Active => {}
         }
     }
 
     /// What is kept here is older than what was promised, or the seat is another's: it is left for good.
     fn give_up(&mut self) {
-        (self.seat, self.node, self.standing) = (None, None, Standing::Seeking);
-        self.roll = Roll::default();
+        (self.seat, self.node, self.standing) = (None, None, ReplicaStatus::Joining);
+        self.roll = Membership::default();
         // A seat that is kept for the old one was sat in, and has promised things that are forgotten now.
         self.ticket = self
             .ticket
@@ -435,7 +461,7 @@
             .wrapping_add(0x1405_7B7E_F767_814F);
         (self.applied, self.ticks) = (0, 0);
         self.welcomed.clear();
-        self.steps.push_back(Step::KeepAnew(self.met_records()));
+        self.steps.push_back(Action::ReplaceLog(self.met_records()));
     }
 
     /// Enough others know of no later life of this seat.
@@ -443,21 +469,21 @@
         // Whoever leads hears what each has kept: where there is one, it must have spoken.
         let spoke = |seat: u64| self.welcomed.values().any(|(_, own, _)| *own == Some(seat));
         let (own, mut leaders) = (
-            self.seat(),
+            self.slot(),
             self.welcomed.values().filter_map(|(.., leader)| *leader),
         );
         if leaders.any(|leader| Some(leader) != own && !spoke(leader)) {
             return;
         }
         // Who sits elsewhere by now has no memory of what was said to its former seat.
-        let same = |name: &str, own: Option<u64>| own.is_some() && self.roll.seat_of(name) == own;
+        let same = |name: &str, own: Option<u64>| own.is_some() && self.roll.slot_of(name) == own;
         let heard = self
             .welcomed
             .iter()
             .filter(|(name, (_, own, _))| same(name, *own))
             .count();
         let moved = |name: &str, own: Option<u64>| {
-            own.is_some() && self.roll.seat_of(name).is_some_and(|id| Some(id) != own)
+            own.is_some() && self.roll.slot_of(name).is_some_and(|id| Some(id) != own)
         };
         let elsewhere = self
             .welcomed
@@ -473,13 +499,13 @@
                 .count();
             let led = self.welcomed.values().any(|(.., leader)| leader.is_some());
             if sit + 1 > self.wanted.len() / 2 && led {
-                self.standing = Standing::Sitting;
+                self.standing = ReplicaStatus::Active;
                 self.pump();
             }
             return;
         }
         if heard + 1 >= self.majority() {
-            self.standing = Standing::Sitting;
+            self.standing = ReplicaStatus::Active;
             self.pump();
         } else if self.roll.members.len() - elsewhere < self.majority() {
             // Too many of those whom this memory names are replaced: nobody could vouch for it any more.
@@ -492,7 +518,7 @@
         let none = |name: &String| {
             matches!(
                 self.welcomed.get(name),
-                Some((State::Empty | State::Fresh, ..))
+                Some((BootstrapState::Empty | BootstrapState::Fresh, ..))
             )
         };
         let alone = self
@@ -500,21 +526,21 @@
             .iter()
             .filter(|name| **name != self.name)
             .all(none);
-        if self.standing != Standing::Seeking || !alone || !self.wanted.contains(&self.name) {
+        if self.standing != ReplicaStatus::Joining || !alone || !self.wanted.contains(&self.name) {
             return;
         }
-        let mut roll = Roll::default();
+        let mut roll = Membership::default();
         for (place, name) in self.wanted.iter().enumerate() {
-            roll.highest = place as u64 + 1;
+            roll.highest_slot = place as u64 + 1;
             roll.members.insert(
-                roll.highest,
+                roll.highest_slot,
                 Member {
                     name: name.clone(),
-                    ticket: 0,
+                    boot_id: 0,
                 },
             );
         }
-        let Some(id) = roll.seat_of(&self.name) else {
+        let Some(id) = roll.slot_of(&self.name) else {
             return;
         };
         let conf = ConfState {
@@ -522,15 +548,15 @@
             ..ConfState::default()
         };
         let mut snapshot = Snapshot::default();
-        let held = Held {
-            roll,
+        let held = SnapshotPayload {
+            membership: roll,
             state: ByteBuf::new(),
         };
         snapshot.set_data(rmp_serde::to_vec(&held).unwrap_or_default().into());
         let meta = snapshot.mut_metadata();
         (meta.index, meta.term) = (FOUNDED_AT, 1);
         meta.set_conf_state(conf);
-        let mut shelf = Shelf::default();
+        let mut shelf = LogStorage::default();
         shelf.put(snapshot.clone());
         shelf.hard = HardState {
             term: 1,
@@ -541,19 +567,19 @@
         self.seat = Some((id, 1));
         let mut records = self.met_records();
         records.extend([
-            Record::Seat { id, life: 1 },
+            Record::VoterSlot { id, incarnation: 1 },
             snapshot_record(&snapshot),
             hard_record(&shelf.hard),
         ]);
-        self.steps.push_back(Step::KeepAnew(records));
+        self.steps.push_back(Action::ReplaceLog(records));
         if self.sit(shelf).is_ok() {
-            self.standing = Standing::Sitting;
+            self.standing = ReplicaStatus::Active;
         }
     }
 
     /// Puts data into the log; false where this agent does not lead.
     pub fn propose(&mut self, data: Vec<u8>) -> bool {
-        let leads = self.leads().is_some();
+        let leads = self.leading_term().is_some();
         let put = leads
             && self
                 .node
@@ -564,15 +590,15 @@
     }
 
     /// Has a majority confirm that this agent leads now.
-    pub fn confirm(&mut self, number: u64) {
-        if let (Some(_), Some(node)) = (self.leads(), &mut self.node) {
+    pub fn confirm_leadership(&mut self, number: u64) {
+        if let (Some(_), Some(node)) = (self.leading_term(), &mut self.node) {
             node.read_index(number.to_le_bytes().to_vec());
         }
         self.pump();
     }
 
     /// An agent is to sit here no more, by whoever leads.
-    pub fn remove(&mut self, name: &str) {
+    pub fn remove_member(&mut self, name: &str) {
         self.leaving.insert(name.to_owned());
     }
 
@@ -583,28 +609,28 @@
             return;
         }
         let roll = &self.roll;
-        self.leaving.retain(|name| roll.seat_of(name).is_some());
+        self.leaving.retain(|name| roll.slot_of(name).is_some());
         let wanted = &self.wanted;
         self.applying.retain(|name, ticket| {
             let kept = roll
-                .seat_of(name)
+                .slot_of(name)
                 .and_then(|id| roll.members.get(&id))
-                .is_some_and(|of| of.ticket == *ticket);
+                .is_some_and(|of| of.boot_id == *ticket);
             !kept && wanted.contains(name)
         });
         let own = self.seat.map(|(id, _)| id);
-        let vacant = self.leaving.iter().find_map(|name| roll.seat_of(name));
-        let change = vacant.or_else(|| self.applying.keys().find_map(|name| roll.seat_of(name)));
+        let vacant = self.leaving.iter().find_map(|name| roll.slot_of(name));
+        let change = vacant.or_else(|| self.applying.keys().find_map(|name| roll.slot_of(name)));
         let (kind, id, context) = match (change, self.applying.iter().next()) {
             (Some(id), _) if Some(id) != own => (ConfChangeType::RemoveNode, id, Vec::new()),
             (None, Some((name, ticket))) => {
                 let member = Member {
                     name: name.clone(),
-                    ticket: *ticket,
+                    boot_id: *ticket,
                 };
                 (
                     ConfChangeType::AddNode,
-                    roll.highest + 1,
+                    roll.highest_slot + 1,
                     rmp_serde::to_vec(&member).unwrap_or_default(),
                 )
             }
@@ -633,10 +659,10 @@
 
     fn met_records(&self) -> Vec<Record> {
         let all = self.met.iter();
-        all.map(|(id, (life, ticket))| Record::Met {
+        all.map(|(id, (life, ticket))| Record::PeerSlot {
             id: *id,
-            life: *life,
-            ticket: *ticket,
+            incarnation: *life,
+            boot_id: *ticket,
         })
         .collect()
     }
@@ -652,8 +678,8 @@
         let Ok(term) = raft::Storage::term(shelf, applied) else {
             return;
         };
-        let held = Held {
-            roll: self.roll.clone(),
+        let held = SnapshotPayload {
+            membership: self.roll.clone(),
             state: ByteBuf::from(state),
         };
         let mut snapshot = Snapshot::default();
@@ -663,17 +689,17 @@
         meta.set_conf_state(conf);
         shelf.put(snapshot);
         self.joined = false;
-        let mut records = vec![Record::Seat {
+        let mut records = vec![Record::VoterSlot {
             id: seat.0,
-            life: seat.1,
+            incarnation: seat.1,
         }];
         records.extend(shelf.records());
         records.extend(self.met_records());
-        self.steps.push_back(Step::KeepAnew(records));
+        self.steps.push_back(Action::ReplaceLog(records));
     }
 
     /// Whether the log is to be made short, once all steps are carried out.
-    pub fn is_long(&self) -> bool {
+    pub fn needs_compaction(&self) -> bool {
         let base = self
             .node
             .as_ref()
@@ -684,7 +710,7 @@
 
     /// Everything that `raft` has to say, as steps in their order.
     fn pump(&mut self) {
-        if self.standing != Standing::Sitting {
+        if self.standing != ReplicaStatus::Active {
             return;
         }
         while let Some(node) = &mut self.node
@@ -715,7 +741,7 @@
             let later = ready.take_persisted_messages();
             self.send(at_once);
             if !records.is_empty() {
-                self.steps.push_back(Step::Keep(records));
+                self.steps.push_back(Action::Append(records));
             }
             self.send(later);
             if restores {
@@ -725,7 +751,7 @@
             for read in reads {
                 if let Ok(number) = read.try_into() {
                     self.steps
-                        .push_back(Step::Confirmed(u64::from_le_bytes(number)));
+                        .push_back(Action::LeadershipConfirmed(u64::from_le_bytes(number)));
                 }
             }
             let Some(node) = &mut self.node else { return }; // it is replaced
@@ -742,16 +768,16 @@
         }
     }
 
-    fn send(&mut self, messages: Vec<Message>) {
+    fn send(&mut self, messages: Vec<RaftMessage>) {
         for message in messages {
             let voice = || self.voices.get(&message.to).map(String::as_str);
-            let Some(name) = self.roll.name(message.to).or_else(voice) else {
+            let Some(name) = self.roll.name_of(message.to).or_else(voice) else {
                 continue;
             };
             let bytes = message.write_to_bytes().unwrap_or_default();
-            self.steps.push_back(Step::Send(
+            self.steps.push_back(Action::Send(
                 name.to_owned(),
-                Word::Raft(ByteBuf::from(bytes)),
+                Message::Raft(ByteBuf::from(bytes)),
             ));
         }
     }
@@ -765,7 +791,7 @@
             if entry.get_entry_type() == EntryType::EntryNormal {
                 if !entry.data.is_empty() {
                     self.steps
-                        .push_back(Step::Apply(entry.index, entry.data.to_vec()));
+                        .push_back(Action::Apply(entry.index, entry.data.to_vec()));
                 }
                 continue;
             }
@@ -779,11 +805,11 @@
             if change.get_change_type() == ConfChangeType::AddNode {
                 let member = rmp_serde::from_slice(&change.context).unwrap_or_default();
                 self.roll.members.insert(change.node_id, member);
-                self.roll.highest = self.roll.highest.max(change.node_id);
+                self.roll.highest_slot = self.roll.highest_slot.max(change.node_id);
                 self.joined = true;
             } else {
                 self.roll.members.remove(&change.node_id);
-                if Some(change.node_id) == self.seat() {
+                if Some(change.node_id) == self.slot() {
                     return self.give_up();
                 }
             }
--- a/crates/merlinshelf-consensus/tests/council.rs
+++ b/crates/merlinshelf-consensus/tests/council.rs
@@ -4,7 +4,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use merlinshelf_consensus::{Council, Record, Standing, Step, Word};
+use merlinshelf_consensus::{Action, Message, Record, Replica, ReplicaStatus};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -18,7 +18,7 @@
 }
 
 struct Agent {
-    council: Option<Council>,
+    council: Option<Replica>,
     disk: Vec<Record>,
     older: Vec<Record>,
     down_until: u32,
@@ -30,7 +30,7 @@
     rng: Pcg64Mcg,
     names: Vec<String>,
     agents: BTreeMap<String, Agent>,
-    flying: Vec<(u32, String, String, Word)>,
+    flying: Vec<(u32, String, String, Message)>,
     cut: BTreeSet<(String, String)>,
     tick: u32,
     ticket: u64,
@@ -82,7 +82,7 @@
             return;
         };
         agent.state.clear();
-        let council = Council::begin(name, &wanted, self.ticket, chance, &agent.disk);
+        let council = Replica::start(name, &wanted, self.ticket, chance, &agent.disk);
         agent.council = Some(council.expect("what was kept can be gone on with"));
         self.carry_out(name, false);
     }
@@ -96,14 +96,14 @@
             let Some(council) = &mut agent.council else {
                 return;
             };
-            if council.is_long() {
+            if council.needs_compaction() {
                 council.compact(serialized(&agent.state));
             }
-            let Some(step) = council.next_step() else {
+            let Some(step) = council.poll_action() else {
                 return;
             };
             match step {
-                Step::Keep(records) => {
+                Action::Append(records) => {
                     let count = if dies {
                         self.rng.random_range(0..=records.len())
                     } else {
@@ -114,13 +114,13 @@
                         return self.kill(name);
                     }
                 }
-                Step::KeepAnew(records) => {
+                Action::ReplaceLog(records) => {
                     if dies && self.rng.random_bool(0.5) {
                         return self.kill(name);
                     }
                     agent.disk = records;
                 }
-                Step::Send(to, word) => {
+                Action::Send(to, word) => {
                     let delay =
                         1 + u32::from(self.rng.random_bool(0.1)) * self.rng.random_range(0..20);
                     if !self.rng.random_bool(0.03) {
@@ -128,7 +128,7 @@
                             .push((self.tick + delay, name.to_owned(), to, word));
                     }
                 }
-                Step::Apply(index, data) => {
+                Action::Apply(index, data) => {
                     if agent.state.last().is_some_and(|(last, _)| *last >= index) {
                         self.broken.push(format!("{name} applies {index} again"));
                     }
@@ -139,7 +139,7 @@
                             .push(format!("{name} applies another entry {index}"));
                     }
                 }
-                Step::Restore(index, state) => {
+                Action::Restore(index, state) => {
                     agent.state = state
                         .chunks(16)
                         .map(|pair| (number(&pair[..8]), pair[8..].to_vec()))
@@ -154,7 +154,7 @@
                             .push(format!("{name} is restored to what never was"));
                     }
                 }
-                Step::Confirmed(_) => {}
+                Action::LeadershipConfirmed(_) => {}
             }
         }
     }
@@ -171,7 +171,7 @@
             agent.council = None;
             agent.down_until = tick + down;
             // The last ones were never there.
-            let seat = |record: &Record| matches!(record, Record::Seat { .. });
+            let seat = |record: &Record| matches!(record, Record::VoterSlot { .. });
             for _ in 0..lost {
                 if agent.disk.last().is_some_and(|record| !seat(record)) && agent.disk.len() > 3 {
                     agent.disk.pop();
@@ -188,7 +188,13 @@
             .partition(|(at, ..)| *at <= tick);
         self.flying = later;
         for (_, from, to, mut word) in now {
-            if let (Planted::Trusting, Word::Welcome { known, .. }) = (self.planted, &mut word) {
+            if let (
+                Planted::Trusting,
+                Message::Welcome {
+                    progress: known, ..
+                },
+            ) = (self.planted, &mut word)
+            {
                 *known = Default::default();
             }
             if self.cut.contains(&(from.clone(), to.clone())) {
@@ -202,7 +208,7 @@
                 continue;
             };
             // raft gives up loudly where what it is told can't be: a sign as good as another.
-            let told = std::panic::AssertUnwindSafe(|| council.heard(&from, word));
+            let told = std::panic::AssertUnwindSafe(|| council.handle_message(&from, word));
             if std::panic::catch_unwind(told).is_err() {
                 self.broken.push(format!("{to} is told what can't be"));
                 self.kill(&to);
@@ -220,7 +226,7 @@
                 None => continue,
                 Some(council) => {
                     council.tick();
-                    if council.leads().is_some() && self.rng.random_bool(0.3) {
+                    if council.leading_term().is_some() && self.rng.random_bool(0.3) {
                         self.proposed += 1;
                         council.propose(self.proposed.to_le_bytes().to_vec());
                     }
@@ -242,7 +248,7 @@
                 .agents
                 .get(name)
                 .and_then(|agent| agent.council.as_ref());
-            council.is_some_and(|of| *of.standing() == Standing::Sitting && of.leader().is_some())
+            council.is_some_and(|of| *of.status() == ReplicaStatus::Active && of.leader().is_some())
         };
         if self.returning.as_ref().is_some_and(sits) {
             self.returning = None;
@@ -262,10 +268,9 @@
         // Disks are lost or put back only where all is well otherwise: with a majority gone nothing could be known.
         let well = self.cut.is_empty()
             && self.agents.values().all(|agent| {
-                agent
-                    .council
-                    .as_ref()
-                    .is_some_and(|of| *of.standing() == Standing::Sitting && of.leader().is_some())
+                agent.council.as_ref().is_some_and(|of| {
+                    *of.status() == ReplicaStatus::Active && of.leader().is_some()
+                })
             });
         let Some(agent) = self.agents.get_mut(&name) else {
             return;
@@ -300,7 +305,7 @@
                 .map(|of| {
                     of.council
                         .as_ref()
-                        .map(|of| (of.standing().clone(), of.seat(), of.leads()))
+                        .map(|of| (of.status().clone(), of.slot(), of.leading_term()))
                 })
                 .collect();
             self.broken
@@ -348,7 +353,7 @@
                 .agents
                 .values()
                 .filter_map(|of| of.council.as_ref())
-                .map(|of| of.roll().highest)
+                .map(|of| of.membership().highest_slot)
                 .max();
             replaced += highest.unwrap_or(0) - count as u64;
         }
@@ -370,8 +375,11 @@
 fn what_is_torn_at_the_end_was_never_promised_and_what_is_spoilt_before_it_is_told() {
     use merlinshelf_consensus::recover;
     let records = [
-        Record::Seat { id: 1, life: 2 },
-        Record::Hard {
+        Record::VoterSlot {
+            id: 1,
+            incarnation: 2,
+        },
+        Record::HardState {
             term: 3,
             vote: 1,
             commit: 1,
@@ -381,7 +389,7 @@
     let ends: Vec<usize> = records
         .iter()
         .map(|record| {
-            bytes.extend(record.framed());
+            bytes.extend(record.encode_frame());
             bytes.len()
         })
         .collect();
--- a/crates/merlinshelf-testbed/src/trial/policy_size.rs
+++ b/crates/merlinshelf-testbed/src/trial/policy_size.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use merlinshelf_consensus::{Council, Step, TICK_MS, Word};
+use merlinshelf_consensus::{Action, Message as ReplicaMessage, Replica, TICK_MS};
 use merlinshelf_policy::rollout_leader::{self, RolloutLeader, ServiceWatch};
 use merlinshelf_policy::{
     Bootstrap, EffectivePolicy, Entry, Heartbeat, HostLeaseManager, HostLeaseRequest,
@@ -22,17 +22,17 @@
 const COUNTED: f64 = 10.0;
 
 enum Message {
-    Council(usize, usize, Word),
-    Ask(usize, HostLeaseRequest),
-    Told(usize, HostLeaseResponse),
+    Consensus(usize, usize, ReplicaMessage),
+    LeaseRequest(usize, HostLeaseRequest),
+    LeaseResponse(usize, HostLeaseResponse),
     Propose(usize, Entry),
-    Beat(usize, String, Heartbeat),
-    Said(usize, String, InstanceStatus),
-    Kept(usize),
+    Heartbeat(usize, String, Heartbeat),
+    InstanceStatus(usize, String, InstanceStatus),
+    Persisted(usize),
 }
 
 struct Agent {
-    council: Council,
+    council: Replica,
     warden: HostLeaseManager,
     conductor: Option<(RolloutLeader, u64)>,
     ledger: ReplicatedState,
@@ -65,7 +65,7 @@
         let wanted: BTreeSet<String> = names.iter().cloned().collect();
         let base = Policy::default();
         let begin = |(place, name): (usize, &String)| Agent {
-            council: Council::begin(name, &wanted, place as u64 + 1, place, &[])
+            council: Replica::start(name, &wanted, place as u64 + 1, place, &[])
                 .unwrap_or_else(|why| unreachable!("{why}")),
             warden: HostLeaseManager::new(name, place as u64 + 1, base.fingerprint(), DRIFT),
             conductor: None,
@@ -98,20 +98,20 @@
 
     fn fly(&mut self, message: Message) {
         let between = match &message {
-            Message::Council(_, _, word) => Some((true, size(word))),
-            Message::Ask(_, ask) => Some((true, size(ask))),
-            Message::Told(_, word) => Some((true, size(word))),
+            Message::Consensus(_, _, word) => Some((true, size(word))),
+            Message::LeaseRequest(_, ask) => Some((true, size(ask))),
+            Message::LeaseResponse(_, word) => Some((true, size(word))),
             Message::Propose(_, entry) => Some((true, size(entry))),
             // These go as JSON.
-            Message::Beat(_, _, beat) => Some((
+            Message::Heartbeat(_, _, beat) => Some((
                 false,
                 serde_json::to_vec(beat).map_or(0, |bytes| bytes.len() as u64 + 20),
             )),
-            Message::Said(_, _, said) => Some((
+            Message::InstanceStatus(_, _, said) => Some((
                 false,
                 serde_json::to_vec(said).map_or(0, |bytes| bytes.len() as u64 + 20),
             )),
-            Message::Kept(_) => None,
+            Message::Persisted(_) => None,
         };
         if let Some((agents, bytes)) = between {
             let of = if agents {
@@ -150,36 +150,38 @@
     fn arrive(&mut self, message: Message) {
         let now = self.t;
         match message {
-            Message::Council(from, to, word) => {
+            Message::Consensus(from, to, word) => {
                 let from = self.names[from].clone();
-                self.agents[to].council.heard(&from, word);
+                self.agents[to].council.handle_message(&from, word);
                 self.turn(to, true);
             }
-            Message::Ask(to, ask) => {
+            Message::LeaseRequest(to, ask) => {
                 let agent = &mut self.agents[to];
                 if let Some((conductor, _)) = &mut agent.conductor {
                     conductor.handle_lease_request(now, ask, &agent.ledger);
                 }
                 self.turn(to, true);
             }
-            Message::Told(to, word) => self.agents[to].warden.handle_lease_response(now, &word),
+            Message::LeaseResponse(to, word) => {
+                self.agents[to].warden.handle_lease_response(now, &word)
+            }
             Message::Propose(to, entry) => {
                 self.agents[to]
                     .council
                     .propose(rmp_serde::to_vec_named(&entry).unwrap_or_default());
                 self.turn(to, true);
             }
-            Message::Beat(from, name, beat) => {
+            Message::Heartbeat(from, name, beat) => {
                 let Some(holder) = self.instances.get_mut(&name) else {
                     return;
                 };
                 let said = holder.handle_heartbeat(now, beat, |_| Ok(()));
-                self.fly(Message::Said(from, name, said));
+                self.fly(Message::InstanceStatus(from, name, said));
             }
-            Message::Said(to, name, said) => {
+            Message::InstanceStatus(to, name, said) => {
                 self.agents[to].warden.instance_responded(now, &name, said)
             }
-            Message::Kept(to) => {
+            Message::Persisted(to) => {
                 self.agents[to].keeping = false;
                 self.turn(to, true);
             }
@@ -204,24 +206,24 @@
             for _ in 0..16 {
                 let mut idle = true;
                 while !agent.keeping {
-                    if agent.council.is_long() {
+                    if agent.council.needs_compaction() {
                         agent
                             .council
                             .compact(rmp_serde::to_vec_named(&agent.ledger).unwrap_or_default());
                     }
-                    let Some(step) = agent.council.next_step() else {
+                    let Some(step) = agent.council.poll_action() else {
                         break;
                     };
                     idle = false;
                     match step {
-                        Step::Keep(_) | Step::KeepAnew(_) => {
+                        Action::Append(_) | Action::ReplaceLog(_) => {
                             agent.keeping = true;
-                            out.push(Message::Kept(place));
+                            out.push(Message::Persisted(place));
                         }
-                        Step::Send(to, word) => {
-                            out.push(Message::Council(place, number(&to), word))
+                        Action::Send(to, word) => {
+                            out.push(Message::Consensus(place, number(&to), word))
                         }
-                        Step::Apply(_, data) => {
+                        Action::Apply(_, data) => {
                             if let Ok(entry) = rmp_serde::from_slice(&data)
                                 && let Some(news) = agent.ledger.apply(entry)
                             {
@@ -231,15 +233,15 @@
                                 }
                             }
                         }
-                        Step::Restore(..) => {}
-                        Step::Confirmed(number) => {
+                        Action::Restore(..) => {}
+                        Action::LeadershipConfirmed(number) => {
                             if let Some((conductor, _)) = &mut agent.conductor {
                                 conductor.leadership_confirmed(now, number, &agent.ledger);
                             }
                         }
                     }
                 }
-                let term = agent.council.leads();
+                let term = agent.council.leading_term();
                 if agent.conductor.as_ref().map(|(_, term)| *term) != term {
                     let founding = Bootstrap {
                         lease_ms: LEASE_MS,
@@ -268,7 +270,7 @@
                         idle = false;
                         match step {
                             rollout_leader::Action::ConfirmLeadership(number) => {
-                                agent.council.confirm(number)
+                                agent.council.confirm_leadership(number)
                             }
                             rollout_leader::Action::Propose(entry) => {
                                 agent
@@ -280,7 +282,7 @@
                                 if to == place {
                                     agent.warden.handle_lease_response(now, &word);
                                 } else {
-                                    out.push(Message::Told(to, word));
+                                    out.push(Message::LeaseResponse(to, word));
                                 }
                             }
                         }
@@ -299,13 +301,13 @@
                         conductor.handle_lease_request(now, ask, &agent.ledger);
                     }
                 } else {
-                    out.push(Message::Ask(leader, ask));
+                    out.push(Message::LeaseRequest(leader, ask));
                 }
             }
         }
         let agent = &mut self.agents[place];
         while let Some((name, beat)) = agent.warden.poll_heartbeat(now) {
-            out.push(Message::Beat(place, name, beat));
+            out.push(Message::Heartbeat(place, name, beat));
         }
         out.into_iter().for_each(|message| self.fly(message));
     }
@@ -343,7 +345,7 @@
     let leader = world
         .agents
         .iter()
-        .position(|agent| agent.council.leads().is_some())
+        .position(|agent| agent.council.leading_term().is_some())
         .unwrap_or(0);
     world.fly(Message::Propose(leader, entry));
     let held = world.until(began + 30.0, |world| {
