--- /dev/null
+++ b/crates/merlinshelf-admission/tests/golden.rs
@@ -0,0 +1,230 @@
+//! The types of this package that outlive a process, held to golden files: what a handover image carries of one
+//! invocation and of what an instance has learnt, in MessagePack with field names as the image writes it.
+//!
+//! Every field of a sample has a value of its own that is not its default, so that a field that is lost, swapped or
+//! renamed on the wire shows. The files hold bytes as programs in the field wrote them: where a test fails, the code is
+//! to be mended, not the file.
+
+use std::collections::{BTreeMap, VecDeque};
+
+use merlinshelf_admission::{Inv, Invocation, Learnt, LearntOfOperation, Stage};
+use serde::Serialize;
+use serde::de::DeserializeOwned;
+
+fn encode(value: &impl Serialize) -> Vec<u8> {
+    rmp_serde::to_vec_named(value).expect("a plain structure")
+}
+
+fn decode<T: DeserializeOwned>(bytes: &[u8]) -> T {
+    rmp_serde::from_slice(bytes).expect("bytes that can be decoded")
+}
+
+fn invocation() -> Invocation {
+    Invocation {
+        operation: 3,
+        customer: 41,
+        caller: 0x1234_5678_9abc_def0,
+        budget: Some(1.25),
+        age: 0.0625,
+        cost: Some(0.375),
+        held_kb: 212.5,
+        rank: 0.875,
+        again: true,
+        has_subject: true,
+        repeats: true,
+        earlier: Some(17),
+    }
+}
+
+fn invocation_state() -> Inv {
+    Inv {
+        told: invocation(),
+        arrived: 100.5,
+        due: 104.25,
+        by: 102.125,
+        stage: Stage::Calling,
+        since: 101.75,
+        began: 101.5,
+        away: 0.1875,
+        answered: true,
+        stopping: true,
+        ran: true,
+        entry: true,
+        over_share: true,
+        calls: 7,
+        unsure: true,
+    }
+}
+
+fn learned_of_operation(first: f64) -> LearntOfOperation {
+    LearntOfOperation {
+        runs: VecDeque::from([first, first + 0.25]),
+        costs: VecDeque::from([first + 1.0, first + 1.25]),
+        below: VecDeque::from([first + 2.0, first + 2.25]),
+        lowest: first + 3.0,
+        until_probe: first + 4.0,
+    }
+}
+
+fn learned_state() -> Learnt {
+    Learnt {
+        born: 11.5,
+        leave_at: Some((12.5, 13.5)),
+        operations: vec![learned_of_operation(20.0), learned_of_operation(30.0)],
+        limit: 40.5,
+        busy: 0.41,
+        busy_at: 42.5,
+        others: VecDeque::from([43.5, 44.5]),
+        progress: 0.45,
+        calls: VecDeque::from([(46.5, 47.5), (48.5, 49.5)]),
+        call_times: VecDeque::from([50.5, 51.5]),
+        call_lowest: 52.5,
+        call_probe: 53,
+        call_limit: 54.5,
+        call_failures: 55,
+        call_failed_at: 56.5,
+        arrivals: BTreeMap::from([
+            (57, VecDeque::from([58.5, 59.5])),
+            (60, VecDeque::from([61.5])),
+        ]),
+        callers: BTreeMap::from([(62, 63.5), (u64::MAX - 64, 65.5)]),
+        gaps: VecDeque::from([66.5, 67.5]),
+        agains: VecDeque::from([68.5, 69.5]),
+    }
+}
+
+#[test]
+fn invocation_as_it_was_read() {
+    golden_file::assert_form("invocation", &invocation(), encode, decode);
+}
+
+#[test]
+fn state_of_an_invocation() {
+    golden_file::assert_form("invocation_state", &invocation_state(), encode, decode);
+}
+
+#[test]
+fn stages_of_an_invocation() {
+    let stages = vec![
+        Stage::Read,
+        Stage::Held,
+        Stage::Running,
+        Stage::AtCall,
+        Stage::Calling,
+        Stage::Joined,
+    ];
+    golden_file::assert_form("stages", &stages, encode, decode);
+}
+
+#[test]
+fn state_learned_of_one_operation() {
+    golden_file::assert_form(
+        "learned_of_operation",
+        &learned_of_operation(0.5),
+        encode,
+        decode,
+    );
+}
+
+#[test]
+fn learned_state_of_an_instance() {
+    golden_file::assert_form("learned_state", &learned_state(), encode, decode);
+}
+
+/// What is not there takes the same bytes as ever, too.
+#[test]
+fn records_of_nothing() {
+    let nothing = (
+        Invocation::default(),
+        Inv::default(),
+        LearntOfOperation::default(),
+        Learnt::default(),
+    );
+    golden_file::assert_form("defaults", &nothing, encode, decode);
+}
+
+/// Golden files: `tests/golden/NAME.hex`, sixteen bytes a line, each line with its offset, the bytes in hexadecimal and
+/// the same bytes as text.
+mod golden_file {
+    use std::fmt::Write as _;
+    use std::path::{Path, PathBuf};
+
+    const BYTES_PER_LINE: usize = 16;
+
+    fn path_of(name: &str) -> PathBuf {
+        Path::new(env!("CARGO_MANIFEST_DIR"))
+            .join("tests/golden")
+            .join(name)
+            .with_extension("hex")
+    }
+
+    fn format_bytes(bytes: &[u8]) -> String {
+        let mut text = String::new();
+        for (line, part) in bytes.chunks(BYTES_PER_LINE).enumerate() {
+            let hexadecimal: Vec<String> = part.iter().map(|byte| format!("{byte:02x}")).collect();
+            let printable = part.iter().map(|byte| match byte {
+                b' '..=b'~' => char::from(*byte),
+                _ => '.',
+            });
+            let _ = writeln!(
+                text,
+                "{:06x}  {:<47}  |{}|",
+                line * BYTES_PER_LINE,
+                hexadecimal.join(" "),
+                printable.collect::<String>()
+            );
+        }
+        text
+    }
+
+    fn parse_bytes(text: &str) -> Vec<u8> {
+        let byte = |digits: &str| u8::from_str_radix(digits, 16).expect("two hexadecimal digits");
+        let columns = text
+            .lines()
+            .map(|line| line.get(8..55).expect("a full line"));
+        columns
+            .flat_map(|column| column.split_whitespace().map(byte))
+            .collect()
+    }
+
+    /// The bytes of a golden file, which must be there. With `GOLDEN_WRITE=1` in the environment a file that is missing
+    /// is written from `encoded`; one that is there is never changed, since bytes in the field don't change either.
+    pub fn read(name: &str, encoded: &[u8]) -> Vec<u8> {
+        let path = path_of(name);
+        if std::env::var_os("GOLDEN_WRITE").is_some_and(|value| value == "1") && !path.exists() {
+            std::fs::create_dir_all(path.parent().expect("a folder")).expect("a folder");
+            std::fs::write(&path, format_bytes(encoded)).expect("a file that can be written");
+        }
+        let text = std::fs::read_to_string(&path)
+            .unwrap_or_else(|error| panic!("golden file {}: {error}", path.display()));
+        let bytes = parse_bytes(&text);
+        assert_eq!(format_bytes(&bytes), text, "{name}.hex is not well formed");
+        bytes
+    }
+
+    /// Asserts that a value is encoded to the golden bytes.
+    pub fn assert_encoded(name: &str, encoded: &[u8]) {
+        let golden = read(name, encoded);
+        assert_eq!(
+            format_bytes(encoded),
+            format_bytes(&golden),
+            "the value is no longer encoded to the bytes of {name}.hex"
+        );
+    }
+
+    /// Asserts that the golden bytes are decoded to exactly this value, and the value encoded to the golden bytes.
+    pub fn assert_form<T: std::fmt::Debug + PartialEq>(
+        name: &str,
+        value: &T,
+        encode: impl Fn(&T) -> Vec<u8>,
+        decode: impl Fn(&[u8]) -> T,
+    ) {
+        let encoded = encode(value);
+        let decoded = decode(&read(name, &encoded));
+        assert_eq!(
+            &decoded, value,
+            "{name}.hex is no longer decoded to the value it was written from"
+        );
+        assert_encoded(name, &encoded);
+    }
+}
--- /dev/null
+++ b/crates/merlinshelf-gossip/tests/golden.rs
@@ -0,0 +1,347 @@
+//! What outlives an instance's process, held to golden files: the store file in both of its forms and the names of its
+//! files; and the types of this package that are encoded with field names.
+//!
+//! Every field of a sample has a value of its own that is not its default, so that a field that is lost, swapped or
+//! renamed on the wire shows. The files hold bytes as programs in the field wrote them: where a test fails, the code is
+//! to be mended, not the file.
+
+use std::collections::BTreeMap;
+use std::io;
+
+use merlinshelf_gossip::log::{self, Kept, Record, Recovered};
+use merlinshelf_gossip::store::{ASIDE, FILE, Files, Found, NEXT, Store};
+use merlinshelf_gossip::{Figure, News, Origin, Standing, State, Subject, Told};
+use serde::Serialize;
+use serde::de::DeserializeOwned;
+
+const LIFE: u64 = 1_796_150_622_705;
+const SAVED_AT: f64 = 1_796_150_700.25;
+const SAVED_AGAIN_AT: f64 = 1_796_150_730.5;
+
+fn encode(value: &impl Serialize) -> Vec<u8> {
+    rmp_serde::to_vec_named(value).expect("a plain structure")
+}
+
+fn decode<T: DeserializeOwned>(bytes: &[u8]) -> T {
+    rmp_serde::from_slice(bytes).expect("bytes that can be decoded")
+}
+
+/// Every subject, each with names of its own.
+fn subjects() -> Vec<Subject> {
+    vec![
+        Subject::RunLowest {
+            engine: "engine 1".into(),
+            operation: "operation 1".into(),
+        },
+        Subject::RunRecent {
+            engine: "engine 2".into(),
+            operation: "operation 2".into(),
+        },
+        Subject::Limit {
+            engine: "engine 3".into(),
+        },
+        Subject::CallLowest {
+            dependency: "dependency 4".into(),
+        },
+        Subject::CallRecent {
+            dependency: "dependency 5".into(),
+        },
+        Subject::CallLimit {
+            dependency: "dependency 6".into(),
+        },
+        Subject::CallFailures {
+            dependency: "dependency 7".into(),
+        },
+        Subject::RunBelow {
+            dependency: "dependency 8".into(),
+            operation: "operation 8".into(),
+        },
+        Subject::CallersAgain,
+        Subject::CallersBack,
+    ]
+}
+
+const STANDINGS: [Standing; 4] = [
+    Standing::Steady,
+    Standing::Recovering,
+    Standing::JustTaught,
+    Standing::Leaving,
+];
+
+/// A figure of every subject, from teachers of every standing.
+fn figures() -> Vec<Told> {
+    let figure = |(place, subject): (usize, Subject)| Told {
+        subject,
+        origin: Origin {
+            name: format!("n{place}"),
+            life: LIFE + 1 + place as u64,
+        },
+        value: 0.0625 + place as f64,
+        count: 20 + place as u32,
+        age: 40.5 + place as f64,
+        number: 300_000 + place as u64,
+        hops: 60 + place as u8,
+        standing: STANDINGS[place % STANDINGS.len()],
+    };
+    subjects().into_iter().enumerate().map(figure).collect()
+}
+
+/// A later look at the first figure.
+fn later_figure() -> Told {
+    Told {
+        value: 77.5,
+        count: 78,
+        age: 79.5,
+        number: 300_080,
+        ..figures().remove(0)
+    }
+}
+
+/// A folder in memory.
+#[derive(Default)]
+struct MemoryFolder(BTreeMap<String, Vec<u8>>);
+
+impl Files for MemoryFolder {
+    fn read(&mut self, name: &str) -> io::Result<Option<Vec<u8>>> {
+        Ok(self.0.get(name).cloned())
+    }
+
+    fn create(&mut self, name: &str) -> io::Result<()> {
+        self.0.insert(name.to_owned(), Vec::new());
+        Ok(())
+    }
+
+    fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
+        let file = self.0.get_mut(name).ok_or(io::ErrorKind::NotFound)?;
+        file.extend(bytes);
+        Ok(())
+    }
+
+    fn sync(&mut self, _: &str) -> io::Result<()> {
+        Ok(())
+    }
+
+    fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
+        let file = self.0.remove(from).ok_or(io::ErrorKind::NotFound)?;
+        self.0.insert(to.to_owned(), file);
+        Ok(())
+    }
+
+    fn sync_folder(&mut self) -> io::Result<()> {
+        Ok(())
+    }
+}
+
+fn kept(at: f64, told: Told) -> Kept {
+    Kept { at, told }
+}
+
+/// What the store file holds after two savings, the second of which appends what has changed.
+fn stored() -> Found {
+    let first = figures().into_iter().map(|told| kept(SAVED_AT, told));
+    let second = kept(SAVED_AGAIN_AT, later_figure());
+    Found {
+        kept: first.chain([second]).collect(),
+        life: LIFE,
+        flaw: None,
+        set_aside: false,
+    }
+}
+
+fn write_store() -> Vec<u8> {
+    let mut folder = MemoryFolder::default();
+    let (mut store, _) = Store::open(&mut folder).expect("an empty folder");
+    assert_eq!(store.begin(LIFE), LIFE);
+    let mut all = figures();
+    store
+        .save(&mut folder, SAVED_AT, &all)
+        .expect("memory takes it");
+    all[0] = later_figure();
+    store
+        .save(&mut folder, SAVED_AGAIN_AT, &all)
+        .expect("memory takes it");
+    let names: Vec<&str> = folder.0.keys().map(String::as_str).collect();
+    assert_eq!(names, ["knowledge"]);
+    folder.0.remove("knowledge").expect("the store file")
+}
+
+fn open_store(bytes: &[u8]) -> Found {
+    let mut folder = MemoryFolder::default();
+    folder.0.insert("knowledge".into(), bytes.to_vec());
+    let (_, found) = Store::open(&mut folder).expect("memory can be read");
+    found
+}
+
+#[test]
+fn store_file() {
+    golden_file::assert_form("store_file", &stored(), |_| write_store(), open_store);
+}
+
+/// The same bytes record by record: the form in which a handover image carries them.
+#[test]
+fn records_of_the_store_file() {
+    let figures = stored().kept.into_iter().map(Record::Figure);
+    let records: Vec<Record> = [Record::Life(LIFE)].into_iter().chain(figures).collect();
+    let encode = |records: &Vec<Record>| {
+        let framed = records.iter().flat_map(log::record);
+        log::head().into_iter().chain(framed).collect()
+    };
+    let decode = |bytes: &[u8]| {
+        let Recovered {
+            records,
+            used,
+            flaw,
+        } = log::recover(bytes);
+        assert_eq!((used, flaw), (bytes.len(), None));
+        records
+    };
+    golden_file::assert_form("store_file", &records, encode, decode);
+}
+
+/// Nothing writes it any more, but files of it are still to be read.
+#[test]
+fn store_file_of_the_first_form() {
+    let expected: Vec<Kept> = figures()
+        .into_iter()
+        .map(|told| kept(SAVED_AT, told))
+        .collect();
+    let encode = |all: &Vec<Kept>| {
+        let framed = all.iter().flat_map(log::framed);
+        b"MSK1\x01\0\0\0".iter().copied().chain(framed).collect()
+    };
+    let decode = |bytes: &[u8]| {
+        let found = open_store(bytes);
+        assert_eq!((found.life, found.flaw, found.set_aside), (0, None, false));
+        found.kept
+    };
+    golden_file::assert_form("store_file_first_form", &expected, encode, decode);
+}
+
+/// A later program finds what an earlier one left by these names.
+#[test]
+fn names_of_the_stores_files() {
+    assert_eq!(
+        [FILE, NEXT, ASIDE],
+        ["knowledge", "knowledge.new", "knowledge.aside"]
+    );
+}
+
+#[test]
+fn figure_as_it_is_kept() {
+    let figures: Vec<Figure> = STANDINGS
+        .into_iter()
+        .zip(1..)
+        .map(|(standing, place)| Figure {
+            value: 0.125 + f64::from(place),
+            count: 10 + place,
+            seen: 20.5 + f64::from(place),
+            number: 300_000 + u64::from(place),
+            hops: 40 + place as u8,
+            standing,
+        })
+        .collect();
+    golden_file::assert_form("figures", &figures, encode, decode);
+}
+
+#[test]
+fn news_of_peers() {
+    let states = [State::Alive, State::Suspect, State::Left, State::Gone];
+    let news: Vec<News> = states
+        .into_iter()
+        .zip(1..)
+        .map(|(state, place)| News {
+            name: format!("n{place}"),
+            address: format!("127.0.0.1:74{place:02}"),
+            life: LIFE + u64::from(place),
+            turn: 10 + place,
+            state,
+        })
+        .collect();
+    golden_file::assert_form("news", &news, encode, decode);
+}
+
+/// Golden files: `tests/golden/NAME.hex`, sixteen bytes a line, each line with its offset, the bytes in hexadecimal and
+/// the same bytes as text.
+mod golden_file {
+    use std::fmt::Write as _;
+    use std::path::{Path, PathBuf};
+
+    const BYTES_PER_LINE: usize = 16;
+
+    fn path_of(name: &str) -> PathBuf {
+        Path::new(env!("CARGO_MANIFEST_DIR"))
+            .join("tests/golden")
+            .join(name)
+            .with_extension("hex")
+    }
+
+    fn format_bytes(bytes: &[u8]) -> String {
+        let mut text = String::new();
+        for (line, part) in bytes.chunks(BYTES_PER_LINE).enumerate() {
+            let hexadecimal: Vec<String> = part.iter().map(|byte| format!("{byte:02x}")).collect();
+            let printable = part.iter().map(|byte| match byte {
+                b' '..=b'~' => char::from(*byte),
+                _ => '.',
+            });
+            let _ = writeln!(
+                text,
+                "{:06x}  {:<47}  |{}|",
+                line * BYTES_PER_LINE,
+                hexadecimal.join(" "),
+                printable.collect::<String>()
+            );
+        }
+        text
+    }
+
+    fn parse_bytes(text: &str) -> Vec<u8> {
+        let byte = |digits: &str| u8::from_str_radix(digits, 16).expect("two hexadecimal digits");
+        let columns = text
+            .lines()
+            .map(|line| line.get(8..55).expect("a full line"));
+        columns
+            .flat_map(|column| column.split_whitespace().map(byte))
+            .collect()
+    }
+
+    /// The bytes of a golden file, which must be there. With `GOLDEN_WRITE=1` in the environment a file that is missing
+    /// is written from `encoded`; one that is there is never changed, since bytes in the field don't change either.
+    pub fn read(name: &str, encoded: &[u8]) -> Vec<u8> {
+        let path = path_of(name);
+        if std::env::var_os("GOLDEN_WRITE").is_some_and(|value| value == "1") && !path.exists() {
+            std::fs::create_dir_all(path.parent().expect("a folder")).expect("a folder");
+            std::fs::write(&path, format_bytes(encoded)).expect("a file that can be written");
+        }
+        let text = std::fs::read_to_string(&path)
+            .unwrap_or_else(|error| panic!("golden file {}: {error}", path.display()));
+        let bytes = parse_bytes(&text);
+        assert_eq!(format_bytes(&bytes), text, "{name}.hex is not well formed");
+        bytes
+    }
+
+    /// Asserts that a value is encoded to the golden bytes.
+    pub fn assert_encoded(name: &str, encoded: &[u8]) {
+        let golden = read(name, encoded);
+        assert_eq!(
+            format_bytes(encoded),
+            format_bytes(&golden),
+            "the value is no longer encoded to the bytes of {name}.hex"
+        );
+    }
+
+    /// Asserts that the golden bytes are decoded to exactly this value, and the value encoded to the golden bytes.
+    pub fn assert_form<T: std::fmt::Debug + PartialEq>(
+        name: &str,
+        value: &T,
+        encode: impl Fn(&T) -> Vec<u8>,
+        decode: impl Fn(&[u8]) -> T,
+    ) {
+        let encoded = encode(value);
+        let decoded = decode(&read(name, &encoded));
+        assert_eq!(
+            &decoded, value,
+            "{name}.hex is no longer decoded to the value it was written from"
+        );
+        assert_encoded(name, &encoded);
+    }
+}
--- /dev/null
+++ b/crates/merlinshelf-handover/tests/golden.rs
@@ -0,0 +1,531 @@
+//! What passes between an instance and its successor, held to golden files: the transactions of an image with every kind
+//! of record, and the datagrams of the channel between the two processes.
+//!
+//! Every field of a sample has a value of its own that is not its default, so that a field that is lost, swapped or
+//! renamed on the wire shows. The files hold bytes as programs in the field wrote them: where a test fails, the code is
+//! to be mended, not the file.
+
+use std::collections::{BTreeMap, VecDeque};
+
+use merlinshelf_admission::{
+    Inv, Invocation as AdmissionInvocation, Learnt, LearntOfOperation, Stage,
+};
+use merlinshelf_handover::records::{
+    Answer, Command, Door, Edge, Instance, Invocation, Line, Link, Partial,
+};
+use merlinshelf_handover::{FORMS, Flow, Image, Key, Role, Transaction, Word};
+use serde::Serialize;
+use serde::de::DeserializeOwned;
+use serde_bytes::ByteBuf;
+
+fn bytes(text: &str) -> ByteBuf {
+    ByteBuf::from(text)
+}
+
+fn flow(name: &str, first: u64) -> Flow {
+    Flow {
+        taken: first,
+        given: first + 1,
+        coming: format!("{name} coming").into_bytes(),
+        going: format!("{name} going").into_bytes(),
+    }
+}
+
+fn learned_state() -> Learnt {
+    let learned_of_operation = |first: f64| LearntOfOperation {
+        runs: VecDeque::from([first, first + 0.25]),
+        costs: VecDeque::from([first + 1.0, first + 1.25]),
+        below: VecDeque::from([first + 2.0, first + 2.25]),
+        lowest: first + 3.0,
+        until_probe: first + 4.0,
+    };
+    Learnt {
+        born: 11.5,
+        leave_at: Some((12.5, 13.5)),
+        operations: vec![learned_of_operation(20.0), learned_of_operation(30.0)],
+        limit: 40.5,
+        busy: 0.41,
+        busy_at: 42.5,
+        others: VecDeque::from([43.5, 44.5]),
+        progress: 0.45,
+        calls: VecDeque::from([(46.5, 47.5), (48.5, 49.5)]),
+        call_times: VecDeque::from([50.5, 51.5]),
+        call_lowest: 52.5,
+        call_probe: 53,
+        call_limit: 54.5,
+        call_failures: 55,
+        call_failed_at: 56.5,
+        arrivals: BTreeMap::from([
+            (57, VecDeque::from([58.5, 59.5])),
+            (60, VecDeque::from([61.5])),
+        ]),
+        callers: BTreeMap::from([(62, 63.5), (u64::MAX - 64, 65.5)]),
+        gaps: VecDeque::from([66.5, 67.5]),
+        agains: VecDeque::from([68.5, 69.5]),
+    }
+}
+
+fn instance() -> Instance {
+    Instance {
+        clock: -1234.5,
+        operations: vec!["thumbnail".into(), "transcript-search".into()],
+        next_stream: 70_001,
+        healthy: true,
+        trim_after: 29.5,
+        stop: Some(5678.25),
+        fresh_start: Some("true".into()),
+        calls_again: vec![true, false, true],
+        counters: BTreeMap::from([("connections".into(), 71), ("runs".into(), 72)]),
+        learnt: Some(learned_state()),
+        knowledge: bytes("the store of observations"),
+        policy: bytes("the lease on a policy"),
+        shares: bytes("the shares of budgets"),
+    }
+}
+
+fn link() -> Link {
+    Link {
+        stream: Some(81),
+        address: "127.0.0.1:9300".into(),
+        last: 82,
+        tag: 83,
+        asked: true,
+        hello: true,
+        caught_up: true,
+        names: true,
+        born: Some(84.5),
+        flow: flow("link", 85),
+    }
+}
+
+fn edge() -> Edge {
+    Edge {
+        flow: flow("edge", 91),
+        record: (93, 94, 95, 96),
+        front: 2,
+        partials: vec![
+            Partial {
+                tag: 97,
+                keep: true,
+                params: bytes("first params"),
+                params_done: true,
+                body: bytes("first body"),
+            },
+            Partial {
+                tag: 98,
+                keep: false,
+                params: bytes("second params"),
+                params_done: false,
+                body: bytes("second body"),
+            },
+        ],
+        open: vec![(99, true), (100, false)],
+        astray: 101,
+        faults: 102,
+        said: 103,
+        read_closed: true,
+        last_word: true,
+    }
+}
+
+/// With every kind of answer.
+fn door() -> Door {
+    Door {
+        answers: vec![
+            (111, Answer::Succeeded(bytes("complete result"))),
+            (
+                112,
+                Answer::Partial(bytes("partial result"), "captions,chapters".into()),
+            ),
+            (
+                113,
+                Answer::Throttled {
+                    away: 0.75,
+                    last: true,
+                },
+            ),
+            (
+                114,
+                Answer::Throttled {
+                    away: 1.5,
+                    last: false,
+                },
+            ),
+            (115, Answer::Errored),
+            (116, Answer::Unknown),
+        ],
+    }
+}
+
+fn line() -> Line {
+    Line {
+        address: "127.0.0.1:5432".into(),
+        id: bytes("9b1f03aa5c7e2d41"),
+        number: 121,
+        carried: vec![bytes("9b1f03aa5c7e2d42"), bytes("9b1f03aa5c7e2d43")],
+        flow: flow("line", 122),
+    }
+}
+
+fn invocation() -> Invocation {
+    Invocation {
+        operation: 131,
+        body: bytes("body"),
+        reply: Some((132, 133)),
+        need: Some((134, bytes("body of a call"))),
+        named: Some("thumbs-2".into()),
+        wanted: 135,
+        missing: vec!["captions".into(), "chapters".into()],
+        calls: 136,
+        calling_until: Some(137.5),
+        begun: true,
+        heard: 138,
+        command: Some((Command::Feed(bytes("reply of a call")), true)),
+        place: 139,
+        inv: Inv {
+            told: AdmissionInvocation {
+                operation: 140,
+                customer: 141,
+                caller: 0x1234_5678_9abc_def0,
+                budget: Some(1.25),
+                age: 0.0625,
+                cost: Some(0.375),
+                held_kb: 212.5,
+                rank: 0.875,
+                again: true,
+                has_subject: true,
+                repeats: true,
+                earlier: Some(142),
+            },
+            arrived: 143.5,
+            due: 144.5,
+            by: 145.5,
+            stage: Stage::Calling,
+            since: 146.5,
+            began: 147.5,
+            away: 148.5,
+            answered: true,
+            stopping: true,
+            ran: true,
+            entry: true,
+            over_share: true,
+            calls: 149,
+            unsure: true,
+        },
+    }
+}
+
+/// A transaction that puts these records under these keys.
+fn transaction<T: Serialize>(records: &[(Key, T)]) -> Vec<u8> {
+    let mut transaction = Transaction::default();
+    for (key, record) in records {
+        transaction.put(*key, record);
+    }
+    transaction.take()
+}
+
+/// An image of exactly these bytes.
+fn image(bytes: &[u8]) -> Image {
+    let mut image = Image::default();
+    assert_eq!(image.apply(bytes), Ok(bytes.len()));
+    image
+}
+
+/// All records of an image that holds one kind of them.
+fn records<T: DeserializeOwned>(bytes: &[u8]) -> Vec<(Key, T)> {
+    let image = image(bytes);
+    let record = |key| image.get(key).expect("a record that can be decoded");
+    image.keys().map(|key| (key, record(key))).collect()
+}
+
+fn assert_records<T: Serialize + DeserializeOwned + std::fmt::Debug + PartialEq>(
+    name: &str,
+    expected: Vec<(Key, T)>,
+) {
+    golden_file::assert_form(name, &expected, |all| transaction(all), records);
+}
+
+#[test]
+fn record_of_the_instance() {
+    assert_records("instance", vec![(Key::Instance, instance())]);
+}
+
+#[test]
+fn record_of_the_engines_link() {
+    assert_records("link", vec![(Key::Link, link())]);
+}
+
+#[test]
+fn record_of_an_edge_nodes_connection() {
+    assert_records("edge", vec![(Key::Edge(0x0102_0304_0506_0708), edge())]);
+}
+
+#[test]
+fn record_of_answers_that_wait() {
+    assert_records("door", vec![(Key::Door(0x1112_1314_1516_1718), door())]);
+}
+
+#[test]
+fn record_of_a_connection_to_the_catalogue() {
+    assert_records("line", vec![(Key::Line(0x2122_2324_2526_2728), line())]);
+}
+
+#[test]
+fn record_of_an_invocation() {
+    let key = Key::Invocation(*b"9b1f03aa5c7e2d41");
+    assert_records("invocation", vec![(key, invocation())]);
+}
+
+/// Every command that may wait for the engine, and every stage.
+#[test]
+fn records_of_invocations_by_command_and_stage() {
+    let cases = [
+        (b"9b1f03aa5c7e2d51", Some((Command::Run, true)), Stage::Read),
+        (
+            b"9b1f03aa5c7e2d52",
+            Some((Command::Run, false)),
+            Stage::Held,
+        ),
+        (
+            b"9b1f03aa5c7e2d53",
+            Some((Command::Feed(bytes("reply")), false)),
+            Stage::Running,
+        ),
+        (
+            b"9b1f03aa5c7e2d54",
+            Some((Command::Skip(151), true)),
+            Stage::AtCall,
+        ),
+        (
+            b"9b1f03aa5c7e2d55",
+            Some((Command::Skip(152), false)),
+            Stage::Calling,
+        ),
+        (b"9b1f03aa5c7e2d56", None, Stage::Joined),
+    ];
+    let record = |command, stage| Invocation {
+        command,
+        inv: Inv {
+            stage,
+            ..Inv::default()
+        },
+        ..Invocation::default()
+    };
+    let records = cases.map(|(id, command, stage)| (Key::Invocation(*id), record(command, stage)));
+    assert_records("invocations_by_command", records.into());
+}
+
+/// What is not there takes the same bytes as ever, too.
+#[test]
+fn records_of_nothing() {
+    let mut written = Transaction::default();
+    written.put(Key::Instance, &Instance::default());
+    written.put(Key::Link, &Link::default());
+    written.put(Key::Edge(1), &Edge::default());
+    written.put(Key::Door(2), &Door::default());
+    written.put(Key::Line(3), &Line::default());
+    written.put(Key::Invocation([4; 16]), &Invocation::default());
+    let written = written.take();
+    golden_file::assert_encoded("defaults", &written);
+    let image = image(&golden_file::read("defaults", &written));
+    assert_eq!(image.get(Key::Instance), Some(Instance::default()));
+    assert_eq!(image.get(Key::Link), Some(Link::default()));
+    assert_eq!(image.get(Key::Edge(1)), Some(Edge::default()));
+    assert_eq!(image.get(Key::Door(2)), Some(Door::default()));
+    assert_eq!(image.get(Key::Line(3)), Some(Line::default()));
+    assert_eq!(
+        image.get(Key::Invocation([4; 16])),
+        Some(Invocation::default())
+    );
+}
+
+/// An image and the notes behind it: two transactions, the second of which takes a thing of each kind away.
+#[test]
+fn transactions_with_removals() {
+    let keys = [
+        Key::Instance,
+        Key::Link,
+        Key::Edge(161),
+        Key::Door(162),
+        Key::Line(163),
+        Key::Invocation(*b"9b1f03aa5c7e2d61"),
+    ];
+    let kept = Key::Line(164);
+    let mut put = Transaction::default();
+    keys.iter()
+        .for_each(|key| put.put(*key, &flow("gone", 165)));
+    put.put(kept, &flow("kept", 167));
+    let mut removed = Transaction::default();
+    keys.iter().for_each(|key| removed.remove(*key));
+    let written = [put.take(), removed.take()].concat();
+
+    golden_file::assert_encoded("transactions", &written);
+    let mut image = image(&golden_file::read("transactions", &written));
+    assert_eq!(image.keys().collect::<Vec<_>>(), [kept]);
+    assert_eq!(image.get(kept), Some(flow("kept", 167)));
+    assert_eq!(image.take_gone(), keys);
+}
+
+fn encode_datagrams(messages: &[Word]) -> Vec<u8> {
+    let encode = |message| rmp_serde::to_vec_named(message).expect("a plain structure");
+    messages.iter().flat_map(encode).collect()
+}
+
+fn decode_datagrams(mut rest: &[u8]) -> Vec<Word> {
+    let mut messages = Vec::new();
+    while !rest.is_empty() {
+        messages.push(rmp_serde::from_read(&mut rest).expect("a datagram that can be decoded"));
+    }
+    messages
+}
+
+fn roles() -> Vec<Role> {
+    vec![
+        Role::Image,
+        Role::Journal,
+        Role::Listener,
+        Role::Control,
+        Role::Edge(171),
+        Role::Line(172),
+        Role::Link(173),
+    ]
+}
+
+#[test]
+fn datagrams_of_the_successor() {
+    let messages = vec![
+        Word::Hello {
+            forms: vec![1, 174],
+            program: "merlinshelf 0.1.0".into(),
+        },
+        Word::Refuse {
+            why: "no room".into(),
+        },
+        Word::Ready,
+        Word::Taken,
+        Word::Opened {
+            role: Role::Edge(175),
+        },
+        Word::Beat,
+        Word::Steady,
+        Word::Leaves { stop: 176.5 },
+        Word::Unwatched,
+    ];
+    golden_file::assert_form(
+        "datagrams_of_successor",
+        &messages,
+        |messages| encode_datagrams(messages),
+        decode_datagrams,
+    );
+}
+
+#[test]
+fn datagrams_of_the_old_process() {
+    let messages = vec![
+        Word::Form { form: 181 },
+        Word::Pass { roles: roles() },
+        Word::Passed { count: 182 },
+        Word::Go,
+        Word::Released,
+        Word::Leave { stop: 183.5 },
+        Word::Reload,
+    ];
+    golden_file::assert_form(
+        "datagrams_of_predecessor",
+        &messages,
+        |messages| encode_datagrams(messages),
+        decode_datagrams,
+    );
+}
+
+/// The golden files are of this form; a program that speaks another one needs files of its own beside them.
+#[test]
+fn form_of_the_golden_files_is_spoken() {
+    assert_eq!(FORMS, [1]);
+}
+
+/// Golden files: `tests/golden/NAME.hex`, sixteen bytes a line, each line with its offset, the bytes in hexadecimal and
+/// the same bytes as text.
+mod golden_file {
+    use std::fmt::Write as _;
+    use std::path::{Path, PathBuf};
+
+    const BYTES_PER_LINE: usize = 16;
+
+    fn path_of(name: &str) -> PathBuf {
+        Path::new(env!("CARGO_MANIFEST_DIR"))
+            .join("tests/golden")
+            .join(name)
+            .with_extension("hex")
+    }
+
+    fn format_bytes(bytes: &[u8]) -> String {
+        let mut text = String::new();
+        for (line, part) in bytes.chunks(BYTES_PER_LINE).enumerate() {
+            let hexadecimal: Vec<String> = part.iter().map(|byte| format!("{byte:02x}")).collect();
+            let printable = part.iter().map(|byte| match byte {
+                b' '..=b'~' => char::from(*byte),
+                _ => '.',
+            });
+            let _ = writeln!(
+                text,
+                "{:06x}  {:<47}  |{}|",
+                line * BYTES_PER_LINE,
+                hexadecimal.join(" "),
+                printable.collect::<String>()
+            );
+        }
+        text
+    }
+
+    fn parse_bytes(text: &str) -> Vec<u8> {
+        let byte = |digits: &str| u8::from_str_radix(digits, 16).expect("two hexadecimal digits");
+        let columns = text
+            .lines()
+            .map(|line| line.get(8..55).expect("a full line"));
+        columns
+            .flat_map(|column| column.split_whitespace().map(byte))
+            .collect()
+    }
+
+    /// The bytes of a golden file, which must be there. With `GOLDEN_WRITE=1` in the environment a file that is missing
+    /// is written from `encoded`; one that is there is never changed, since bytes in the field don't change either.
+    pub fn read(name: &str, encoded: &[u8]) -> Vec<u8> {
+        let path = path_of(name);
+        if std::env::var_os("GOLDEN_WRITE").is_some_and(|value| value == "1") && !path.exists() {
+            std::fs::create_dir_all(path.parent().expect("a folder")).expect("a folder");
+            std::fs::write(&path, format_bytes(encoded)).expect("a file that can be written");
+        }
+        let text = std::fs::read_to_string(&path)
+            .unwrap_or_else(|error| panic!("golden file {}: {error}", path.display()));
+        let bytes = parse_bytes(&text);
+        assert_eq!(format_bytes(&bytes), text, "{name}.hex is not well formed");
+        bytes
+    }
+
+    /// Asserts that a value is encoded to the golden bytes.
+    pub fn assert_encoded(name: &str, encoded: &[u8]) {
+        let golden = read(name, encoded);
+        assert_eq!(
+            format_bytes(encoded),
+            format_bytes(&golden),
+            "the value is no longer encoded to the bytes of {name}.hex"
+        );
+    }
+
+    /// Asserts that the golden bytes are decoded to exactly this value, and the value encoded to the golden bytes.
+    pub fn assert_form<T: std::fmt::Debug + PartialEq>(
+        name: &str,
+        value: &T,
+        encode: impl Fn(&T) -> Vec<u8>,
+        decode: impl Fn(&[u8]) -> T,
+    ) {
+        let encoded = encode(value);
+        let decoded = decode(&read(name, &encoded));
+        assert_eq!(
+            &decoded, value,
+            "{name}.hex is no longer decoded to the value it was written from"
+        );
+        assert_encoded(name, &encoded);
+    }
+}
--- /dev/null
+++ b/crates/merlinshelf-protocol/tests/golden.rs
@@ -0,0 +1,396 @@
+//! What two processes of ours say to each other in text, held to golden files: the messages of gossip with every
+//! subject, standing and state, and the framing of the control socket with every question and word. Beside them what
+//! `wire.rs` has no sample of: a report to the membership service that an instance is up, a run that failed, and the
+//! numbers by which a handover image tells where a parser stood.
+//!
+//! Every field of a sample has a value of its own that is not its default, so that a field that is lost or swapped
+//! shows. The files hold bytes as programs in the field wrote them: where a test fails, the code is to be mended, not
+//! the file.
+
+use merlinshelf_gossip::{Message, News, Origin, Standing, State, Subject, Told};
+use merlinshelf_protocol::control::{self, Question};
+use merlinshelf_protocol::engine::{self, End, Notice};
+use merlinshelf_protocol::teaching::{Kind, Reading, put_message};
+use merlinshelf_protocol::{CallId, Front, fastcgi, members, uwsgi};
+
+const LIFE: u64 = 1_796_150_622_705;
+const STANDINGS: [Standing; 4] = [
+    Standing::Steady,
+    Standing::Recovering,
+    Standing::JustTaught,
+    Standing::Leaving,
+];
+const STATES: [State; 4] = [State::Alive, State::Suspect, State::Left, State::Gone];
+
+/// Every subject, each with names of its own: some have bytes that are escaped.
+fn subjects() -> Vec<Subject> {
+    vec![
+        Subject::RunLowest {
+            engine: "engine 1".into(),
+            operation: "100%".into(),
+        },
+        Subject::RunRecent {
+            engine: "-".into(),
+            operation: "übertragung".into(),
+        },
+        Subject::Limit {
+            engine: "engine-3".into(),
+        },
+        Subject::CallLowest {
+            dependency: "dependency-4".into(),
+        },
+        Subject::CallRecent {
+            dependency: "dependency-5".into(),
+        },
+        Subject::CallLimit {
+            dependency: "dependency-6".into(),
+        },
+        Subject::CallFailures {
+            dependency: "dependency-7".into(),
+        },
+        Subject::RunBelow {
+            dependency: "dependency-8".into(),
+            operation: "operation-8".into(),
+        },
+        Subject::CallersAgain,
+        Subject::CallersBack,
+    ]
+}
+
+fn figures() -> Vec<Told> {
+    let figure = |(place, subject): (usize, Subject)| Told {
+        subject,
+        origin: Origin {
+            name: format!("origin {place}"),
+            life: LIFE + 1 + place as u64,
+        },
+        value: 0.0625 + place as f64,
+        count: 20 + place as u32,
+        age: 40.5 + place as f64,
+        number: 300_000 + place as u64,
+        hops: 60 + place as u8,
+        standing: STANDINGS[place % STANDINGS.len()],
+    };
+    subjects().into_iter().enumerate().map(figure).collect()
+}
+
+/// A peer in every state, the last of them without an address.
+fn news() -> Vec<News> {
+    let peer = |(state, place): (State, u32)| News {
+        name: format!("peer {place}"),
+        address: match state {
+            State::Gone => String::new(),
+            _ => format!("127.0.0.1:74{place:02}"),
+        },
+        life: LIFE + 100 + u64::from(place),
+        turn: 80 + place,
+        state,
+    };
+    STATES.into_iter().zip(1..).map(peer).collect()
+}
+
+/// What says which kind of message it is, and the message.
+type Gossip = (Kind, Message);
+
+fn question_of_peer() -> Gossip {
+    let message = Message {
+        from: News {
+            name: "n0".into(),
+            address: "127.0.0.1:7400".into(),
+            life: LIFE,
+            turn: 2,
+            state: State::Alive,
+        },
+        standing: Standing::Recovering,
+        wants: true,
+        news: news(),
+        figures: figures(),
+    };
+    (Kind::Ask, message)
+}
+
+/// With counts of news and figures that differ, and the three standings that the question does not have.
+fn answers_of_peer() -> Vec<Gossip> {
+    let standings = [Standing::Steady, Standing::JustTaught, Standing::Leaving];
+    let answer = |(standing, place): (Standing, usize)| {
+        let message = Message {
+            from: News {
+                name: format!("n{place}"),
+                address: format!("127.0.0.1:75{place:02}"),
+                life: LIFE + 200 + place as u64,
+                turn: 90 + place as u32,
+                state: STATES[place],
+            },
+            standing,
+            wants: false,
+            news: news().into_iter().take(place).collect(),
+            figures: figures().into_iter().take(2 * place).collect(),
+        };
+        (Kind::Tell, message)
+    };
+    standings.into_iter().zip(1..).map(answer).collect()
+}
+
+fn encode_gossip(all: &[Gossip]) -> Vec<u8> {
+    let mut bytes: Vec<u8> = Vec::new();
+    for (kind, message) in all {
+        put_message(&mut bytes, *kind, message);
+    }
+    bytes
+}
+
+fn decode_gossip(mut rest: &[u8]) -> Vec<Gossip> {
+    let mut all = Vec::new();
+    while !rest.is_empty() {
+        let (used, message) = Reading::default().read(rest).expect("a message");
+        all.push(message.expect("a complete message"));
+        rest = &rest[used..];
+    }
+    all
+}
+
+#[test]
+fn question_of_a_peer() {
+    golden_file::assert_form(
+        "gossip_question",
+        &vec![question_of_peer()],
+        |all| encode_gossip(all),
+        decode_gossip,
+    );
+}
+
+#[test]
+fn answers_of_peers() {
+    golden_file::assert_form(
+        "gossip_answers",
+        &answers_of_peer(),
+        |all| encode_gossip(all),
+        decode_gossip,
+    );
+}
+
+/// A word of the control socket with the form's number and the body.
+type Framed<T> = (u32, T, Vec<u8>);
+
+const FORM: u32 = 1;
+
+fn decode_framed<T>(
+    mut rest: &[u8],
+    read: impl Fn(&[u8]) -> Front<(u32, T, &[u8])>,
+) -> Vec<Framed<T>> {
+    let mut all = Vec::new();
+    while !rest.is_empty() {
+        let ((form, word, body), used) = read(rest).expect("a word").expect("a complete word");
+        all.push((form, word, body.to_vec()));
+        rest = &rest[used..];
+    }
+    all
+}
+
+/// Each with a body of its own: none, one of several lines, one that is not text.
+fn framed<T: Copy>(words: &[T]) -> Vec<Framed<T>> {
+    let bodies: [&[u8]; 4] = [b"{\"of\":1}", b"", b"{\r\n\"of\":3}\r\n", b"\x81\xa2of\x04"];
+    let bodies = bodies.into_iter().cycle().map(<[u8]>::to_vec);
+    let all = words.iter().zip(bodies);
+    all.map(|(word, body)| (FORM, *word, body)).collect()
+}
+
+#[test]
+fn questions_at_the_control_socket() {
+    let questions = framed(&[
+        Question::Status,
+        Question::Drain,
+        Question::Upgrade,
+        Question::Knowledge,
+        Question::Forget,
+        Question::Fleet,
+        Question::Policy,
+        Question::Council,
+    ]);
+    let encode = |questions: &Vec<Framed<Question>>| {
+        let mut bytes: Vec<u8> = Vec::new();
+        for (_, question, body) in questions {
+            control::ask(&mut bytes, *question, body);
+        }
+        bytes
+    };
+    let decode = |bytes: &[u8]| decode_framed(bytes, control::question);
+    golden_file::assert_form("control_questions", &questions, encode, decode);
+}
+
+/// What one agent says to another has a reader of its own.
+#[test]
+fn message_between_agents() {
+    let message = framed(&[Question::Council]);
+    let encode = |message: &Vec<Framed<Question>>| {
+        let mut bytes: Vec<u8> = Vec::new();
+        control::ask(&mut bytes, message[0].1, &message[0].2);
+        bytes
+    };
+    let decode = |bytes: &[u8]| decode_framed(bytes, control::council);
+    golden_file::assert_form("control_between_agents", &message, encode, decode);
+}
+
+#[test]
+fn answers_at_the_control_socket() {
+    use control::Word;
+    let words = framed(&[Word::More, Word::Done, Word::Failed, Word::Refused]);
+    let encode = |words: &Vec<Framed<Word>>| {
+        let mut bytes: Vec<u8> = Vec::new();
+        for (_, word, body) in words {
+            control::say(&mut bytes, *word, body);
+        }
+        bytes
+    };
+    let decode = |bytes: &[u8]| decode_framed(bytes, control::word);
+    golden_file::assert_form("control_answers", &words, encode, decode);
+}
+
+#[test]
+fn report_that_an_instance_is_up() {
+    let mut bytes: Vec<u8> = Vec::new();
+    members::report(&mut bytes, "127.0.0.1:8761", "n3", true);
+    golden_file::assert_encoded("registration_up", &bytes);
+}
+
+#[test]
+fn notice_of_a_run_that_failed() {
+    let id = CallId::read(b"9b1f03aa5c7e2d41").expect("an id");
+    let bytes = b"DONE 6 9b1f03aa5c7e2d41 ERROR 12.5 4\r\nfail\r\n";
+    let notice = Notice::Done {
+        number: 6,
+        id,
+        end: End::Errored,
+        took_ms: 12.5,
+        result: b"fail",
+    };
+    assert_eq!(engine::notice(bytes), Ok(Some((notice, bytes.len()))));
+}
+
+/// A handover image carries these four numbers (`records::Edge::record`).
+#[test]
+fn where_a_parser_of_fastcgi_stood() {
+    let mut records = fastcgi::Records::default();
+    let begun = [&[1, 5, 1, 2, 0, 9, 7, 0][..], b"four"].concat();
+    let (head, _) = records.next(&begun).expect("a record's head");
+    let (body, _) = records.next(&begun[head..]).expect("a part of its content");
+    assert_eq!((head, body), (8, 4));
+    assert_eq!(records.state(), (5, 0x0102, 5, 7));
+    assert_eq!(
+        fastcgi::Records::resumed((5, 0x0102, 5, 7)).state(),
+        (5, 0x0102, 5, 7)
+    );
+}
+
+/// And these two in the same place for a request in uwsgi.
+#[test]
+fn where_a_parser_of_uwsgi_stood() {
+    let mut packet: Vec<u8> = Vec::new();
+    uwsgi::request(&mut packet, &[("CONTENT_LENGTH", "9")]);
+    let mut request = uwsgi::Request::default();
+    let mut states = vec![request.state()];
+    let mut rest = [&packet[..], b"four", b"-five"].concat();
+    for available in [packet.len(), packet.len(), 4, 5] {
+        let (used, _) = request
+            .next(&rest[..available.min(rest.len())])
+            .expect("a request");
+        rest.drain(..used);
+        states.push(request.state());
+    }
+    let variables = packet.len() - 4;
+    assert_eq!(states, [(0, 0), (1, variables), (3, 9), (3, 5), (4, 0)]);
+
+    // Variables that are too long are passed over.
+    let mut request = uwsgi::Request::default();
+    let (used, _) = request.next(&[0, 0xff, 0xff, 0]).expect("a head");
+    assert_eq!((used, request.state()), (4, (2, 0xffff)));
+    for state in [(0, 0), (1, 11), (2, 12), (3, 13), (4, 0)] {
+        assert_eq!(uwsgi::Request::resumed(state).state(), state);
+    }
+}
+
+/// Golden files: `tests/golden/NAME.hex`, sixteen bytes a line, each line with its offset, the bytes in hexadecimal and
+/// the same bytes as text.
+mod golden_file {
+    use std::fmt::Write as _;
+    use std::path::{Path, PathBuf};
+
+    const BYTES_PER_LINE: usize = 16;
+
+    fn path_of(name: &str) -> PathBuf {
+        Path::new(env!("CARGO_MANIFEST_DIR"))
+            .join("tests/golden")
+            .join(name)
+            .with_extension("hex")
+    }
+
+    fn format_bytes(bytes: &[u8]) -> String {
+        let mut text = String::new();
+        for (line, part) in bytes.chunks(BYTES_PER_LINE).enumerate() {
+            let hexadecimal: Vec<String> = part.iter().map(|byte| format!("{byte:02x}")).collect();
+            let printable = part.iter().map(|byte| match byte {
+                b' '..=b'~' => char::from(*byte),
+                _ => '.',
+            });
+            let _ = writeln!(
+                text,
+                "{:06x}  {:<47}  |{}|",
+                line * BYTES_PER_LINE,
+                hexadecimal.join(" "),
+                printable.collect::<String>()
+            );
+        }
+        text
+    }
+
+    fn parse_bytes(text: &str) -> Vec<u8> {
+        let byte = |digits: &str| u8::from_str_radix(digits, 16).expect("two hexadecimal digits");
+        let columns = text
+            .lines()
+            .map(|line| line.get(8..55).expect("a full line"));
+        columns
+            .flat_map(|column| column.split_whitespace().map(byte))
+            .collect()
+    }
+
+    /// The bytes of a golden file, which must be there. With `GOLDEN_WRITE=1` in the environment a file that is missing
+    /// is written from `encoded`; one that is there is never changed, since bytes in the field don't change either.
+    pub fn read(name: &str, encoded: &[u8]) -> Vec<u8> {
+        let path = path_of(name);
+        if std::env::var_os("GOLDEN_WRITE").is_some_and(|value| value == "1") && !path.exists() {
+            std::fs::create_dir_all(path.parent().expect("a folder")).expect("a folder");
+            std::fs::write(&path, format_bytes(encoded)).expect("a file that can be written");
+        }
+        let text = std::fs::read_to_string(&path)
+            .unwrap_or_else(|error| panic!("golden file {}: {error}", path.display()));
+        let bytes = parse_bytes(&text);
+        assert_eq!(format_bytes(&bytes), text, "{name}.hex is not well formed");
+        bytes
+    }
+
+    /// Asserts that a value is encoded to the golden bytes.
+    pub fn assert_encoded(name: &str, encoded: &[u8]) {
+        let golden = read(name, encoded);
+        assert_eq!(
+            format_bytes(encoded),
+            format_bytes(&golden),
+            "the value is no longer encoded to the bytes of {name}.hex"
+        );
+    }
+
+    /// Asserts that the golden bytes are decoded to exactly this value, and the value encoded to the golden bytes.
+    pub fn assert_form<T: std::fmt::Debug + PartialEq>(
+        name: &str,
+        value: &T,
+        encode: impl Fn(&T) -> Vec<u8>,
+        decode: impl Fn(&[u8]) -> T,
+    ) {
+        let encoded = encode(value);
+        let decoded = decode(&read(name, &encoded));
+        assert_eq!(
+            &decoded, value,
+            "{name}.hex is no longer decoded to the value it was written from"
+        );
+        assert_encoded(name, &encoded);
+    }
+}
