--- a/crates/merlinshelf-backend/tests/golden.rs
+++ b/crates/merlinshelf-backend/tests/golden.rs
@@ -16,7 +16,7 @@
 use merlinshelf_gossip::log::{self, Kept, Record};
 use merlinshelf_gossip::{Origin, Standing, Subject, Told};
 use merlinshelf_handover::keeper::Progress;
-use merlinshelf_policy::{Beat, Grant, Said};
+use merlinshelf_policy::{Heartbeat, InstanceStatus, LeaseGrant};
 use merlinshelf_protocol::control::{self, Question, Word};
 use serde_json::{Value, json};
 use tokio::sync::mpsc::{UnboundedReceiver, unbounded_channel};
@@ -79,35 +79,35 @@
 }
 
 /// A heartbeat of an agent as JSON, and what it says.
-fn heartbeat() -> (Value, Beat) {
+fn heartbeat() -> (Value, Heartbeat) {
     let text = json!({
         "life": 11, "offer": null, "fence": 12, "grant": { "number": 13, "asked": 14.5, "for_s": 15.5 },
     });
-    let beat = Beat {
-        life: 11,
-        offer: None,
-        fence: 12,
-        grant: Some(Grant {
-            number: 13,
-            asked: 14.5,
-            for_s: 15.5,
+    let beat = Heartbeat {
+        incarnation: 11,
+        offered_policy: None,
+        fence_version: 12,
+        grant: Some(LeaseGrant {
+            version: 13,
+            requested_at: 14.5,
+            duration_seconds: 15.5,
         }),
-        given: None,
+        quota_grants: None,
     };
     (text, beat)
 }
 
-fn status_of_policy() -> Said {
-    Said {
-        life: 21,
-        asked: 22.5,
-        fenced: 23,
-        knows: vec![24, 25],
-        unfit: Some((26, "no such operation".into())),
-        acts: Some(27),
-        left_s: 28.5,
-        base: 29,
-        wishes: None,
+fn status_of_policy() -> InstanceStatus {
+    InstanceStatus {
+        incarnation: 21,
+        reported_at: 22.5,
+        fenced_version: 23,
+        known_versions: vec![24, 25],
+        rejected_version: Some((26, "no such operation".into())),
+        effective_version: Some(27),
+        lease_remaining_seconds: 28.5,
+        base_fingerprint: 29,
+        quota_requests: None,
     }
 }
 
