--- a/crates/merlinshelf-agent/src/files.rs
+++ b/crates/merlinshelf-agent/src/files.rs
@@ -5,8 +5,8 @@
 use std::path::{Path, PathBuf};
 
 use merlinshelf_backend::operator::read_as;
-use merlinshelf_fleet::fit::{self, address};
-use merlinshelf_fleet::{Instance, Wanted};
+use merlinshelf_fleet::capacity::{self, address};
+use merlinshelf_fleet::{FleetSpec, Instance};
 use serde_json::{Value, json};
 
 /// A log that is longer is put beside and begun anew.
@@ -18,13 +18,13 @@
 ///
 /// # Errors
 /// What can't be used, with the file, the line and the field where it is one.
-pub fn load(path: &Path) -> Result<Wanted, String> {
+pub fn load(path: &Path) -> Result<FleetSpec, String> {
     let named = |why: String| format!("{}:{why}", path.display());
     let mut text = String::new();
     let file = std::fs::File::open(path).map_err(|error| named(format!(" {error}")))?;
     io::Read::read_to_string(&mut io::Read::take(file, FILE_MOST), &mut text)
         .map_err(|error| named(format!(" {error}")))?;
-    let mut wanted: Wanted = read_as(&text).map_err(named)?;
+    let mut wanted: FleetSpec = read_as(&text).map_err(named)?;
     let base = path.parent().unwrap_or(Path::new("."));
     wanted.folder = std::path::absolute(base.join(&wanted.folder))
         .map_err(|error| named(format!(" folder: {error}")))?;
@@ -38,12 +38,12 @@
         merlinshelf_backend::check_config(&group.config)
             .map_err(|why| named(format!(" groups.{name}.config: {why}")))?;
     }
-    fit::check(&wanted).map_err(|misfit| named(format!(" {misfit}")))?;
+    capacity::check(&wanted).map_err(|misfit| named(format!(" {misfit}")))?;
     Ok(wanted)
 }
 
 /// How long the slowest group's instances may take from the notice to their end, seconds.
-pub fn stop_within(wanted: &Wanted) -> f64 {
+pub fn stop_within(wanted: &FleetSpec) -> f64 {
     let of = |group: &merlinshelf_fleet::Group| {
         let text = std::fs::read_to_string(&group.config).ok()?;
         serde_json::from_str::<Value>(&text).ok()?["stop_ms"].as_f64()
@@ -61,7 +61,7 @@
     pub log: PathBuf,
 }
 
-pub fn paths(wanted: &Wanted, name: &str) -> Paths {
+pub fn paths(wanted: &FleetSpec, name: &str) -> Paths {
     let folder = wanted.folder.join(name);
     Paths {
         config: folder.join("config.json"),
@@ -74,7 +74,7 @@
 }
 
 /// Where the agent itself is asked.
-pub fn agent_socket(wanted: &Wanted) -> PathBuf {
+pub fn agent_socket(wanted: &FleetSpec) -> PathBuf {
     wanted.folder.join("agent")
 }
 
@@ -94,7 +94,7 @@
 ///
 /// # Errors
 /// The group is not in the file any more, its configuration can't be read, or the folder can't be written.
-pub fn make(wanted: &Wanted, one: &Instance) -> io::Result<Paths> {
+pub fn make(wanted: &FleetSpec, one: &Instance) -> io::Result<Paths> {
     let group = wanted
         .groups
         .get(&one.group)
--- a/crates/merlinshelf-agent/src/host.rs
+++ b/crates/merlinshelf-agent/src/host.rs
@@ -12,8 +12,8 @@
 use merlinshelf_backend::control::{self, Asked};
 use merlinshelf_backend::logger;
 use merlinshelf_backend::operator::Format;
-use merlinshelf_fleet::fit::address;
-use merlinshelf_fleet::{Fleet, Identity, Report, State, Step, Wanted};
+use merlinshelf_fleet::capacity::address;
+use merlinshelf_fleet::{Action, Fleet, FleetSpec, Identity, Report, State};
 use merlinshelf_protocol::control::{Question, Word};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -114,7 +114,7 @@
         .as_secs_f64()
 }
 
-async fn run(file: PathBuf, wanted: Wanted) -> io::Result<()> {
+async fn run(file: PathBuf, wanted: FleetSpec) -> io::Result<()> {
     let folder = wanted.folder.clone();
     let named =
         |error: io::Error| io::Error::new(error.kind(), format!("{}: {error}", folder.display()));
@@ -413,10 +413,10 @@
         }
     }
 
-    fn carry_out(&mut self, step: Step) {
+    fn carry_out(&mut self, step: Action) {
         let now = self.now();
         match step {
-            Step::Start { name, program } => {
+            Action::Start { name, program } => {
                 let made = match self.fleet.get(&name) {
                     Some(one) => files::make(self.fleet.wanted(), one),
                     None => return,
@@ -446,7 +446,7 @@
                         .not_started(now, &name, &error.to_string(), chance);
                 }
             }
-            Step::Drain { name } => {
+            Action::Drain { name } => {
                 let control = self.paths(&name).control;
                 let Some((_, process)) = self.held.get(&name) else {
                     return;
@@ -459,18 +459,18 @@
                     }
                 });
             }
-            Step::Terminate { name } => {
+            Action::Terminate { name } => {
                 if let Some((_, process)) = self.held.get(&name) {
                     process.signal(Signal::CONT);
                     process.signal(Signal::TERM);
                 }
             }
-            Step::Kill { name } => {
+            Action::Kill { name } => {
                 if let Some((_, process)) = self.held.get(&name) {
                     process.signal(Signal::KILL);
                 }
             }
-            Step::Upgrade { name, program } => {
+            Action::Upgrade { name, program } => {
                 let paths = self.paths(&name);
                 let sender = self.events.0.clone();
                 let pointed = files::point(&paths, &program);
--- a/crates/merlinshelf-agent/src/lib.rs
+++ b/crates/merlinshelf-agent/src/lib.rs
@@ -16,6 +16,6 @@
 
 /// The schema of the fleet's file, as JSON.
 pub fn schema() -> String {
-    let schema = schemars::schema_for!(merlinshelf_fleet::Wanted);
+    let schema = schemars::schema_for!(merlinshelf_fleet::FleetSpec);
     serde_json::to_string_pretty(&schema).unwrap_or_default() + "\n"
 }
--- a/crates/merlinshelf-agent/src/policy/budgets.rs
+++ b/crates/merlinshelf-agent/src/policy/budgets.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use merlinshelf_fleet::wanted::CouncilOf;
+use merlinshelf_fleet::fleet_spec::ConsensusConfig;
 use merlinshelf_policy::HostLeaseRequest;
 use merlinshelf_quota::{
     Budgets, CallKind, FleetAllocator, HostAllocator, LeaseTerms, QuotaGrantBatch,
@@ -27,7 +27,7 @@
 }
 
 impl Budgeting {
-    pub fn new(of: &CouncilOf, life: u64) -> Budgeting {
+    pub fn new(of: &ConsensusConfig, life: u64) -> Budgeting {
         let lease = LeaseTerms {
             lease_seconds: of.lease_ms as f64 / 1e3,
             drift: of.drift,
--- a/crates/merlinshelf-agent/src/policy/mod.rs
+++ b/crates/merlinshelf-agent/src/policy/mod.rs
@@ -10,7 +10,7 @@
 
 use log::{info, warn};
 use merlinshelf_backend::fault;
-use merlinshelf_fleet::wanted::CouncilOf;
+use merlinshelf_fleet::fleet_spec::ConsensusConfig;
 use merlinshelf_policy::replicated_state::{ChangeOutcome, ReplicatedEvent};
 use merlinshelf_policy::rollout_leader::{Action, ServiceWatch};
 use merlinshelf_policy::{
@@ -42,7 +42,7 @@
 }
 
 pub struct PolicyAgent {
-    of: CouncilOf,
+    of: ConsensusConfig,
     founding: Bootstrap,
     seat: Seat,
     links: Links,
@@ -67,7 +67,11 @@
 impl PolicyAgent {
     /// # Errors
     /// The address for other agents can't be had.
-    pub async fn begin(of: &CouncilOf, folder: &Path, life: u64) -> std::io::Result<PolicyAgent> {
+    pub async fn begin(
+        of: &ConsensusConfig,
+        folder: &Path,
+        life: u64,
+    ) -> std::io::Result<PolicyAgent> {
         let (heard, peers) = unbounded_channel();
         let links = Links::open(&of.name, &of.listen, &of.agents, heard).await?;
         let (tell, kept) = unbounded_channel();
--- a/crates/merlinshelf-backend/src/client/catalogue.rs
+++ b/crates/merlinshelf-backend/src/client/catalogue.rs
@@ -92,7 +92,7 @@
 }
 
 /// A line that another process has opened, as it left it.
-pub type Resumed = (TcpStream, u64, records::Line);
+pub type Resumed = (TcpStream, u64, records::DownstreamConnectionRecord);
 
 /// Makes calls until everything is to stop where it stands; goes on with those that another process has begun.
 pub async fn serve(
@@ -481,7 +481,7 @@
 async fn open(address: SocketAddr, exchange: &Shared) -> io::Result<Line> {
     let socket = connect(address).await?;
     let stream = exchange.borrow_mut().next_stream();
-    pass(exchange, Role::Line(stream), &socket).await?;
+    pass(exchange, Role::DownstreamConnectionRecord(stream), &socket).await?;
     let (coming, going, carried) = Default::default();
     Ok(Line {
         socket,
@@ -576,8 +576,8 @@
 
 impl Line {
     /// How it stands, for a process that carries it on.
-    fn record(&self, (id, number, _): Attempt) -> records::Line {
-        records::Line {
+    fn record(&self, (id, number, _): Attempt) -> records::DownstreamConnectionRecord {
+        records::DownstreamConnectionRecord {
             address: self.address.to_string(),
             id: ByteBuf::from(id.as_bytes()),
             number,
@@ -599,7 +599,10 @@
     fn secure(&self, call: Attempt, exchange: &Shared) {
         let mut exchange = exchange.borrow_mut();
         if exchange.notes() {
-            exchange.stage(Key::Line(self.stream), &self.record(call));
+            exchange.stage(
+                Key::DownstreamConnectionRecord(self.stream),
+                &self.record(call),
+            );
             exchange.secure();
         }
     }
@@ -608,7 +611,7 @@
     fn close(&self, exchange: &Shared) {
         let mut exchange = exchange.borrow_mut();
         if exchange.notes() {
-            exchange.stage_gone(&[Key::Line(self.stream)]);
+            exchange.stage_gone(&[Key::DownstreamConnectionRecord(self.stream)]);
             exchange.secure();
             let _ = shutdown(&self.socket, Shutdown::Both);
         }
--- a/crates/merlinshelf-backend/src/client/engine.rs
+++ b/crates/merlinshelf-backend/src/client/engine.rs
@@ -69,7 +69,7 @@
 }
 
 /// A link that another process has held, as it left it; without its connection where that was down.
-pub type Resumed = (records::Link, Option<TcpStream>);
+pub type Resumed = (records::EngineConnectionRecord, Option<TcpStream>);
 
 /// Holds the link until everything is to stop where it stands; goes on with one that another process has held.
 pub async fn hold(mut peers: Watched, exchange: Shared, resumed: Rc<RefCell<Option<Resumed>>>) {
@@ -173,7 +173,12 @@
             exchange.counters.engine_links += 1;
             exchange.next_stream()
         };
-        pass(&self.exchange, Role::Link(stream), &socket).await?;
+        pass(
+            &self.exchange,
+            Role::EngineConnectionRecord(stream),
+            &socket,
+        )
+        .await?;
         let now = Instant::now();
         let (coming, going) = (Ring::default(), Ring::default());
         // The first HELLO waits for the engine to be up; any later one is a question's answer like another.
@@ -230,7 +235,7 @@
         })
     }
 
-    fn record(&self, link: Option<&Link>) -> records::Link {
+    fn record(&self, link: Option<&Link>) -> records::EngineConnectionRecord {
         let now = Instant::now();
         let flow = |link: &Link| Flow {
             taken: link.coming.moved(),
@@ -238,7 +243,7 @@
             coming: link.coming.to_vec(),
             going: link.going.to_vec(),
         };
-        records::Link {
+        records::EngineConnectionRecord {
             stream: link.map(|link| link.stream),
             address: link
                 .map(|link| link.address.to_string())
@@ -260,7 +265,7 @@
     fn secure(&self, link: Option<&Link>) {
         let mut exchange = self.exchange.borrow_mut();
         if exchange.notes() {
-            exchange.stage(Key::Link, &self.record(link));
+            exchange.stage(Key::EngineConnectionRecord, &self.record(link));
             exchange.secure();
         }
     }
--- a/crates/merlinshelf-backend/src/control.rs
+++ b/crates/merlinshelf-backend/src/control.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use log::{debug, info, warn};
-use merlinshelf_handover::keeper::Progress;
+use merlinshelf_handover::predecessor::Progress;
 use merlinshelf_policy::{Heartbeat, InstanceStatus};
 use merlinshelf_protocol::control::{self, FORM, Question, Word};
 use serde_json::{Value, json};
--- a/crates/merlinshelf-backend/src/exchange/carry.rs
+++ b/crates/merlinshelf-backend/src/exchange/carry.rs
@@ -26,9 +26,9 @@
 /// What a part hands in when it stops where it stands: its record, and its connection where it has one.
 #[derive(Debug)]
 pub enum Deposit {
-    Edge(u64, records::Edge, TcpStream),
-    Line(u64, records::Line, TcpStream),
-    Link(records::Link, Option<TcpStream>),
+    Edge(u64, records::ClientConnectionRecord, TcpStream),
+    Line(u64, records::DownstreamConnectionRecord, TcpStream),
+    Link(records::EngineConnectionRecord, Option<TcpStream>),
 }
 
 /// A connection on its way to the predecessor, and where to say that it has arrived there.
@@ -87,22 +87,22 @@
             }
         }
         for (stream, door) in self.doors_with_answers() {
-            image.put(Key::Door(stream), &door);
+            image.put(Key::ResponseQueueRecord(stream), &door);
         }
         for deposit in std::mem::take(&mut self.deposits) {
             match deposit {
                 Deposit::Edge(stream, edge, socket) => {
-                    image.put(Key::Edge(stream), &edge);
-                    passed.insert(Role::Edge(stream), socket.into());
+                    image.put(Key::ClientConnectionRecord(stream), &edge);
+                    passed.insert(Role::ClientConnectionRecord(stream), socket.into());
                 }
                 Deposit::Line(stream, line, socket) => {
-                    image.put(Key::Line(stream), &line);
-                    passed.insert(Role::Line(stream), socket.into());
+                    image.put(Key::DownstreamConnectionRecord(stream), &line);
+                    passed.insert(Role::DownstreamConnectionRecord(stream), socket.into());
                 }
                 Deposit::Link(link, socket) => {
-                    image.put(Key::Link, &link);
+                    image.put(Key::EngineConnectionRecord, &link);
                     if let (Some(stream), Some(socket)) = (link.stream, socket) {
-                        passed.insert(Role::Link(stream), socket.into());
+                        passed.insert(Role::EngineConnectionRecord(stream), socket.into());
                     }
                 }
             }
@@ -139,18 +139,18 @@
         }
     }
 
-    fn doors_with_answers(&self) -> Vec<(u64, records::Door)> {
+    fn doors_with_answers(&self) -> Vec<(u64, records::ResponseQueueRecord)> {
         let doors = self.doors.numbers().filter_map(|number| self.door(number));
         doors.filter(|(_, door)| !door.answers.is_empty()).collect()
     }
 
-    fn door(&self, number: usize) -> Option<(u64, records::Door)> {
+    fn door(&self, number: usize) -> Option<(u64, records::ResponseQueueRecord)> {
         let (stream, answers) = self.doors.look(number)?;
         let answers = answers
             .iter()
             .map(|(tag, answer)| (*tag, answer.record()))
             .collect();
-        Some((stream, records::Door { answers }))
+        Some((stream, records::ResponseQueueRecord { answers }))
     }
 
     fn invocation(&self, number: usize) -> Option<(Key, records::Invocation)> {
@@ -256,7 +256,7 @@
             .unwrap_or_default()
         {
             if let Some((stream, door)) = self.door(number) {
-                journal.put(Key::Door(stream), &door);
+                journal.put(Key::ResponseQueueRecord(stream), &door);
             }
         }
         journal.write();
@@ -295,12 +295,14 @@
     pub fn take_up(
         &mut self,
         image: &Image,
-        lines: &[records::Line],
+        lines: &[records::DownstreamConnectionRecord],
         learnt: Option<merlinshelf_admission::Learnt>,
     ) {
         let instance: records::Instance = image.get(Key::Instance).unwrap_or_default();
         let numbers = image.keys().filter_map(|key| match key {
-            Key::Edge(stream) | Key::Line(stream) => Some(stream + 1),
+            Key::ClientConnectionRecord(stream) | Key::DownstreamConnectionRecord(stream) => {
+                Some(stream + 1)
+            }
             _ => None,
         });
         self.next_stream = numbers.fold(self.next_stream, u64::max);
@@ -344,8 +346,8 @@
                     let id = CallId::read(&name);
                     invocations.extend(id.zip(image.get(key)));
                 }
-                Key::Door(stream) => {
-                    let answers: records::Door = image.get(key).unwrap_or_default();
+                Key::ResponseQueueRecord(stream) => {
+                    let answers: records::ResponseQueueRecord = image.get(key).unwrap_or_default();
                     if let Some(outbox) =
                         doors.get(&stream).and_then(|door| self.doors.outbox(*door))
                     {
--- a/crates/merlinshelf-backend/src/host/asked.rs
+++ b/crates/merlinshelf-backend/src/host/asked.rs
@@ -1,7 +1,7 @@
 //! What is asked over the control socket.
 
-use merlinshelf_handover::Heir;
-use merlinshelf_handover::keeper::{Progress, Step};
+use merlinshelf_handover::Successor;
+use merlinshelf_handover::predecessor::{Action, Progress};
 use merlinshelf_protocol::control::Word as ControlWord;
 use serde_json::json;
 use tokio::sync::mpsc::UnboundedSender;
@@ -70,7 +70,7 @@
     /// Turns down who asked second, and goes on telling who asked first.
     fn refuse_second(&mut self, first: UnboundedSender<Progress>) {
         while let Some(step) = self.keeper.next_step() {
-            if let (Step::Tell(progress), Some(second)) = (step, self.asked.take()) {
+            if let (Action::Tell(progress), Some(second)) = (step, self.asked.take()) {
                 let _ = second.send(progress);
             }
         }
@@ -85,7 +85,7 @@
         let Some(upgrade) = &self.operator.upgrade else {
             return Some("upgrades are off: the operators' file has no `upgrade`".into());
         };
-        if self.heir.as_ref().is_some_and(Heir::notes) {
+        if self.heir.as_ref().is_some_and(Successor::notes) {
             return Some("it has only just taken over and is still watched".into());
         }
         if self.leaving.is_some() {
--- a/crates/merlinshelf-backend/src/host/handing.rs
+++ b/crates/merlinshelf-backend/src/host/handing.rs
@@ -6,8 +6,8 @@
 use std::rc::Rc;
 
 use log::{info, warn};
-use merlinshelf_handover::keeper::{Progress, Step};
-use merlinshelf_handover::{Image, Key, Role, Word, heir, records};
+use merlinshelf_handover::predecessor::{Action, Progress};
+use merlinshelf_handover::{Image, Key, Message, Role, records, successor};
 use tokio::time::{Instant, timeout};
 
 use super::{Host, load};
@@ -19,24 +19,24 @@
 use crate::upgrade::guard::Guard;
 
 impl Host {
-    pub(super) async fn keeper_step(&mut self, step: Step) -> io::Result<Option<i32>> {
+    pub(super) async fn keeper_step(&mut self, step: Action) -> io::Result<Option<i32>> {
         match step {
-            Step::Start => self.start_successor(),
-            Step::Say(word) => {
+            Action::Start => self.start_successor(),
+            Action::Say(word) => {
                 if let Some(guard) = &self.guard
                     && let Err(error) = guard.channel.send(&word, &[]).await
                 {
                     warn!("the successor can't be told: {error}");
                 }
             }
-            Step::Freeze => {
+            Action::Freeze => {
                 self.control = None;
                 match self.freeze().await {
                     Ok(()) => self.keeper.frozen(self.now()),
                     Err(why) => self.keeper.not_frozen(&why),
                 }
             }
-            Step::Pass => {
+            Action::Pass => {
                 let patience = self.operator.upgrade.clone().unwrap_or_default().taken();
                 let passed = match &self.guard {
                     Some(guard) => timeout(patience, guard.pass())
@@ -49,18 +49,18 @@
                     Err(error) => self.keeper.not_passed(&error.to_string()),
                 }
             }
-            Step::Yield => info!(
+            Action::Yield => info!(
                 "the successor {} has everything and is watched",
                 self.successor()
             ),
-            Step::Kill => {
+            Action::Kill => {
                 if let Some(guard) = &self.guard {
                     warn!("the successor {} is killed", guard.id());
                     guard.kill();
                 }
             }
-            Step::Resume | Step::TakeBack => self.take_back()?,
-            Step::Tell(progress) => {
+            Action::Resume | Action::TakeBack => self.take_back()?,
+            Action::Tell(progress) => {
                 info!("upgrade: {progress}");
                 if let Some(asked) = &self.asked {
                     let _ = asked.send(progress.clone());
@@ -69,22 +69,22 @@
                     }
                 }
             }
-            Step::LeaveNow { stop } => self.leave(stop),
-            Step::ReloadNow => self.reload(),
-            Step::End => return Ok(Some(0)),
-            Step::EndAs { status } => return Ok(Some(status)),
+            Action::LeaveNow { stop } => self.leave(stop),
+            Action::ReloadNow => self.reload(),
+            Action::End => return Ok(Some(0)),
+            Action::EndAs { status } => return Ok(Some(status)),
         }
         Ok(None)
     }
 
-    pub(super) async fn heir_step(&mut self, step: heir::Step) -> io::Result<()> {
+    pub(super) async fn heir_step(&mut self, step: successor::Action) -> io::Result<()> {
         match step {
-            heir::Step::Say(word) => {
+            successor::Action::Say(word) => {
                 match word {
-                    Word::Hello { .. } => fault::point("heir.hello"),
-                    Word::Ready => fault::point("heir.ready"),
-                    Word::Taken => fault::point("heir.taken"),
-                    Word::Beat => fault::point("heir.beat"),
+                    Message::Hello { .. } => fault::point("heir.hello"),
+                    Message::Ready => fault::point("heir.ready"),
+                    Message::Taken => fault::point("heir.taken"),
+                    Message::Beat => fault::point("heir.beat"),
                     _ => {}
                 }
                 if let Some(elder) = &self.elder {
@@ -92,7 +92,7 @@
                     let _ = elder.send(&word, &[]).await;
                 }
             }
-            heir::Step::Take => {
+            successor::Action::Take => {
                 let now = self.now();
                 let taken = self.take_over();
                 let Some(heir) = &mut self.heir else {
@@ -106,7 +106,7 @@
                     Err(error) => heir.not_taken(&error.to_string()),
                 }
             }
-            heir::Step::Serve => {
+            successor::Action::Serve => {
                 fault::point("heir.serve");
                 if let Some(prepared) = self.prepared.take() {
                     let (edges, lines, hand) = prepared.sums();
@@ -120,16 +120,16 @@
                 }
                 self.try_control();
             }
-            heir::Step::Free => {
+            successor::Action::Free => {
                 info!("the predecessor watches no longer");
                 self.elder = None;
                 if let Some(instance) = &self.instance {
                     instance.exchange.borrow_mut().note_no_more();
                 }
             }
-            heir::Step::Leave { stop } => self.leave(stop),
-            heir::Step::Reload => self.reload(),
-            heir::Step::End { why } => return Err(io::Error::other(why)),
+            successor::Action::Leave { stop } => self.leave(stop),
+            successor::Action::Reload => self.reload(),
+            successor::Action::End { why } => return Err(io::Error::other(why)),
         }
         Ok(())
     }
--- a/crates/merlinshelf-backend/src/host/mod.rs
+++ b/crates/merlinshelf-backend/src/host/mod.rs
@@ -15,8 +15,8 @@
 
 use log::{error, info, warn};
 use merlinshelf_dependencies::Dependencies;
-use merlinshelf_handover::keeper::{Patience, Progress};
-use merlinshelf_handover::{Heir, Keeper, Word, heir};
+use merlinshelf_handover::predecessor::{Progress, StageTimeouts};
+use merlinshelf_handover::{Message, Predecessor, Successor, successor};
 use tokio::runtime::Builder;
 use tokio::select;
 use tokio::signal::unix::{Signal, SignalKind, signal};
@@ -101,11 +101,11 @@
 
 /// Tells the old process that this one can't take over.
 async fn refuse(elder: OwnedFd, why: &str) {
-    let mut heir = Heir::new(Duration::ZERO, VERSION);
+    let mut heir = Successor::new(Duration::ZERO, VERSION);
     heir.refuse(why);
     if let Ok(channel) = Channel::new(elder) {
         while let Some(step) = heir.next_step() {
-            if let heir::Step::Say(word) = step {
+            if let successor::Action::Say(word) = step {
                 let _ = channel.send(&word, &[]).await;
             }
         }
@@ -131,13 +131,13 @@
     waiting: Option<Waiting>,
     leaving: Option<Leaving>,
     // towards a successor
-    keeper: Keeper,
+    keeper: Predecessor,
     guard: Option<Guard>,
     /// The channel to it has ended.
     cut: bool,
     asked: Option<UnboundedSender<Progress>>,
     // towards a predecessor
-    heir: Option<Heir>,
+    heir: Option<Successor>,
     /// Whom it took over from.
     predecessor: Option<u32>,
     elder: Option<Channel>,
@@ -164,9 +164,9 @@
     Reload,
     Counters,
     Asked(Asked),
-    FromSuccessor(io::Result<(Word, Vec<OwnedFd>)>),
+    FromSuccessor(io::Result<(Message, Vec<OwnedFd>)>),
     SuccessorEnded,
-    FromElder(io::Result<(Word, Vec<OwnedFd>)>),
+    FromElder(io::Result<(Message, Vec<OwnedFd>)>),
     ToPass(Passing),
     Woken,
 }
@@ -179,7 +179,7 @@
         elder: Option<OwnedFd>,
     ) -> io::Result<Host> {
         let upgrade = operator.upgrade.clone().unwrap_or_default();
-        let patience = Patience {
+        let patience = StageTimeouts {
             ready: upgrade.ready(),
             taken: upgrade.taken(),
             watched: upgrade.watched(),
@@ -189,7 +189,7 @@
         Ok(Host {
             heir: elder
                 .as_ref()
-                .map(|_| Heir::new(upgrade.watched(), VERSION)),
+                .map(|_| Successor::new(upgrade.watched(), VERSION)),
             predecessor: elder.as_ref().map(|_| std::os::unix::process::parent_id()),
             start,
             peers: config.peers,
@@ -208,7 +208,7 @@
             began: Instant::now(),
             instance: None,
             leaving: None,
-            keeper: Keeper::new(patience),
+            keeper: Predecessor::new(patience),
             guard: None,
             cut: false,
             asked: None,
@@ -289,7 +289,7 @@
     async fn next_event(&mut self) -> Event {
         let wake = [
             self.keeper.wake_at(),
-            self.heir.as_ref().and_then(Heir::wake_at),
+            self.heir.as_ref().and_then(Successor::wake_at),
         ];
         let wake = wake.into_iter().flatten().min().map(|at| self.began + at);
         let wake = wake
@@ -328,7 +328,7 @@
         match event {
             Event::ToLeave => return self.told_to_leave(),
             Event::Left => return Some(0),
-            Event::Reload if self.heir.as_ref().is_some_and(Heir::owns) => self.reload(),
+            Event::Reload if self.heir.as_ref().is_some_and(Successor::owns) => self.reload(),
             Event::Reload => self.keeper.reload(),
             Event::Counters => {
                 if let Some(instance) = &self.instance {
@@ -341,7 +341,7 @@
             }
             Event::Asked(asked) => self.asked_for(asked),
             Event::FromSuccessor(Ok((word, descriptors))) => {
-                if let (Word::Opened { role }, Some(guard)) = (&word, &mut self.guard) {
+                if let (Message::Opened { role }, Some(guard)) = (&word, &mut self.guard) {
                     guard.opened(*role, descriptors);
                 }
                 let followed = self.guard.as_mut().map_or(Ok(()), Guard::follow);
@@ -379,7 +379,7 @@
                 }
             }
             Event::FromElder(Ok((word, descriptors))) => {
-                if let Word::Pass { roles } = &word {
+                if let Message::Pass { roles } = &word {
                     fault::point("heir.pass");
                     self.inherited
                         .extend(roles.iter().copied().zip(descriptors));
@@ -402,7 +402,7 @@
                 if let Some(elder) = &self.elder {
                     // An error is the predecessor's end, which is seen by itself.
                     let _ = elder
-                        .send(&Word::Opened { role }, &[descriptor.as_fd()])
+                        .send(&Message::Opened { role }, &[descriptor.as_fd()])
                         .await;
                 }
                 let _ = passed.send(());
@@ -446,7 +446,7 @@
                 if let Some(status) = self.keeper_step(step).await? {
                     return Ok(Some(status));
                 }
-            } else if let Some(step) = self.heir.as_mut().and_then(Heir::next_step) {
+            } else if let Some(step) = self.heir.as_mut().and_then(Successor::next_step) {
                 self.heir_step(step).await?;
             } else {
                 return Ok(None);
@@ -585,7 +585,7 @@
     }
 }
 
-async fn receive(channel: Option<&Channel>) -> io::Result<(Word, Vec<OwnedFd>)> {
+async fn receive(channel: Option<&Channel>) -> io::Result<(Message, Vec<OwnedFd>)> {
     match channel {
         Some(channel) => channel.receive().await,
         None => std::future::pending().await,
--- a/crates/merlinshelf-backend/src/instance.rs
+++ b/crates/merlinshelf-backend/src/instance.rs
@@ -9,7 +9,7 @@
 
 use log::{error, warn};
 use merlinshelf_admission::Learnt;
-use merlinshelf_handover::{Image, Key, Role, Settled, Transaction, records};
+use merlinshelf_handover::{Image, Key, Reconciliation, Role, Transaction, records};
 use tokio::net::TcpStream;
 use tokio::select;
 use tokio::sync::{Notify, mpsc, watch};
@@ -82,8 +82,18 @@
 pub struct Prepared {
     exchange: Shared,
     listener: Rc<Listening>,
-    edges: Vec<(TcpStream, Door, records::Edge, Settled)>,
-    lines: Vec<(TcpStream, u64, records::Line, Settled)>,
+    edges: Vec<(
+        TcpStream,
+        Door,
+        records::ClientConnectionRecord,
+        Reconciliation,
+    )>,
+    lines: Vec<(
+        TcpStream,
+        u64,
+        records::DownstreamConnectionRecord,
+        Reconciliation,
+    )>,
     link: Option<client::engine::Resumed>,
     link_discards: usize,
     /// Connections that could not be gone on with.
@@ -115,10 +125,11 @@
     ) -> io::Result<Prepared> {
         exchange.suits(image).map_err(io::Error::other)?;
         let mut prepared = Prepared::fresh(Rc::new(RefCell::new(exchange)), listener);
-        let record: Option<records::Link> = image.get(Key::Link);
+        let record: Option<records::EngineConnectionRecord> =
+            image.get(Key::EngineConnectionRecord);
         let socket = record
             .as_ref()
-            .and_then(|link| passed.remove(&Role::Link(link.stream?)));
+            .and_then(|link| passed.remove(&Role::EngineConnectionRecord(link.stream?)));
         if let Some(mut record) = record {
             let live = socket.and_then(|socket| {
                 let settled = settle(&socket, &mut record.flow, true)?;
@@ -129,10 +140,13 @@
         }
         for (role, socket) in passed {
             match role {
-                Role::Edge(stream) if !image.gone(Key::Edge(stream)) => {
+                Role::ClientConnectionRecord(stream)
+                    if !image.gone(Key::ClientConnectionRecord(stream)) =>
+                {
                     // One of which nothing was noted was only just taken in.
-                    let mut record: records::Edge =
-                        image.get(Key::Edge(stream)).unwrap_or_default();
+                    let mut record: records::ClientConnectionRecord = image
+                        .get(Key::ClientConnectionRecord(stream))
+                        .unwrap_or_default();
                     let live = settle(&socket, &mut record.flow, false).zip(into_stream(socket));
                     let Some((settled, socket)) = live else {
                         prepared.broken += 1;
@@ -141,8 +155,10 @@
                     let door = Door::reopen(&prepared.exchange, stream);
                     prepared.edges.push((socket, door, record, settled));
                 }
-                Role::Line(stream) => {
-                    let Some(mut record) = image.get::<records::Line>(Key::Line(stream)) else {
+                Role::DownstreamConnectionRecord(stream) => {
+                    let Some(mut record) = image.get::<records::DownstreamConnectionRecord>(
+                        Key::DownstreamConnectionRecord(stream),
+                    ) else {
                         continue;
                     };
                     if let Some((settled, socket)) =
@@ -154,7 +170,7 @@
                 _ => {}
             }
         }
-        let lines: Vec<records::Line> = prepared
+        let lines: Vec<records::DownstreamConnectionRecord> = prepared
             .lines
             .iter()
             .map(|(_, _, record, _)| record.clone())
@@ -364,7 +380,7 @@
     socket: &OwnedFd,
     flow: &mut merlinshelf_handover::Flow,
     opened_here: bool,
-) -> Option<Settled> {
+) -> Option<Reconciliation> {
     match kernel::counts(socket, opened_here) {
         Ok(counts) => match flow.settle(counts) {
             Ok(settled) => Some(settled),
--- a/crates/merlinshelf-backend/src/journal.rs
+++ b/crates/merlinshelf-backend/src/journal.rs
@@ -114,7 +114,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use merlinshelf_handover::records::Door;
+    use merlinshelf_handover::records::ResponseQueueRecord;
 
     #[test]
     fn what_was_noted_is_read_back_and_its_memory_given_back() {
@@ -123,22 +123,25 @@
         let size = |file: &OwnedFd| rustix::fs::fstat(file).expect("a state").st_blocks;
         let (mut journal, mut image) = (Journal::new(file), Image::default());
         let mut follower = Follower::new(copy.try_clone().expect("a copy"));
-        let answers = |count: usize| Door {
+        let answers = |count: usize| ResponseQueueRecord {
             answers: vec![(
                 1,
                 merlinshelf_handover::records::Answer::Succeeded(vec![7; count].into()),
             )],
         };
         for round in 0..100_u64 {
-            journal.put(Key::Door(round % 7), &answers(20_000));
+            journal.put(Key::ResponseQueueRecord(round % 7), &answers(20_000));
             if round % 3 == 0 {
-                journal.remove(Key::Door((round + 1) % 7));
+                journal.remove(Key::ResponseQueueRecord((round + 1) % 7));
             }
             journal.write();
             follower.follow(&mut image).expect("it can be read");
             assert!(size(&copy) <= 16, "{} blocks", size(&copy));
         }
-        assert_eq!(image.get::<Door>(Key::Door(99 % 7)), Some(answers(20_000)));
-        assert!(image.gone(Key::Door(100 % 7)));
+        assert_eq!(
+            image.get::<ResponseQueueRecord>(Key::ResponseQueueRecord(99 % 7)),
+            Some(answers(20_000))
+        );
+        assert!(image.gone(Key::ResponseQueueRecord(100 % 7)));
     }
 }
--- a/crates/merlinshelf-backend/src/server/connection.rs
+++ b/crates/merlinshelf-backend/src/server/connection.rs
@@ -121,7 +121,7 @@
         seat: Seat,
         door: Door,
         (connections_most, uwsgi): (usize, bool),
-        record: records::Edge,
+        record: records::ClientConnectionRecord,
     ) -> Connection {
         let mut connection =
             Connection::new(socket, exchange, seat, door, (connections_most, uwsgi));
@@ -153,9 +153,9 @@
     }
 
     /// How it stands, for a process that carries it on.
-    fn record(&self) -> records::Edge {
+    fn record(&self) -> records::ClientConnectionRecord {
         let (front, record) = self.codec.state();
-        records::Edge {
+        records::ClientConnectionRecord {
             flow: Flow {
                 taken: self.coming.moved(),
                 given: self.going.moved(),
@@ -178,7 +178,10 @@
     fn secure(&self) {
         let mut exchange = self.exchange.borrow_mut();
         if exchange.notes() {
-            exchange.stage(Key::Edge(self.door.stream()), &self.record());
+            exchange.stage(
+                Key::ClientConnectionRecord(self.door.stream()),
+                &self.record(),
+            );
             exchange.secure();
         }
     }
@@ -188,8 +191,12 @@
     pub async fn serve(mut self) {
         if !self.resumed {
             // One that a predecessor has opened is known to it.
-            if let Err(error) =
-                pass(&self.exchange, Role::Edge(self.door.stream()), &self.socket).await
+            if let Err(error) = pass(
+                &self.exchange,
+                Role::ClientConnectionRecord(self.door.stream()),
+                &self.socket,
+            )
+            .await
             {
                 warn!("a connection can't be passed on and ends: {error}");
                 return;
@@ -212,7 +219,10 @@
             let stream = self.door.stream();
             let mut exchange = self.exchange.borrow_mut();
             if exchange.notes() {
-                exchange.stage_gone(&[Key::Edge(stream), Key::Door(stream)]);
+                exchange.stage_gone(&[
+                    Key::ClientConnectionRecord(stream),
+                    Key::ResponseQueueRecord(stream),
+                ]);
                 exchange.secure();
                 // The predecessor's copy would keep it open otherwise.
                 let _ = shutdown(
--- a/crates/merlinshelf-backend/src/server/mod.rs
+++ b/crates/merlinshelf-backend/src/server/mod.rs
@@ -131,7 +131,7 @@
     }
 
     /// Carries on a connection that another process has served, behind the door that was opened for it.
-    pub fn resume(&self, socket: TcpStream, door: Door, record: records::Edge) {
+    pub fn resume(&self, socket: TcpStream, door: Door, record: records::ClientConnectionRecord) {
         let seat = self.table.sit();
         let connection = Connection::resumed(
             socket,
--- a/crates/merlinshelf-backend/src/upgrade/channel.rs
+++ b/crates/merlinshelf-backend/src/upgrade/channel.rs
@@ -5,7 +5,7 @@
 use std::os::fd::{AsFd, BorrowedFd, FromRawFd, OwnedFd, RawFd};
 use std::time::Duration;
 
-use merlinshelf_handover::Word;
+use merlinshelf_handover::Message;
 use rustix::io::{FdFlags, fcntl_setfd};
 use rustix::net::{
     AddressFamily, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
@@ -57,7 +57,7 @@
         }?))
     }
 
-    pub async fn send(&self, word: &Word, descriptors: &[BorrowedFd<'_>]) -> io::Result<()> {
+    pub async fn send(&self, word: &Message, descriptors: &[BorrowedFd<'_>]) -> io::Result<()> {
         let bytes = rmp_serde::to_vec_named(word).map_err(io::Error::other)?;
         let sent = timeout(
             SEND_WITHIN,
@@ -68,14 +68,14 @@
     }
 
     /// The next word; an error at the end of the channel.
-    pub async fn receive(&self) -> io::Result<(Word, Vec<OwnedFd>)> {
+    pub async fn receive(&self) -> io::Result<(Message, Vec<OwnedFd>)> {
         self.0
             .async_io(Interest::READABLE, |end| receive(end.as_fd()))
             .await
     }
 
     /// A word that has come already, if there is one: also from a process that has ended since.
-    pub fn receive_now(&self) -> Option<(Word, Vec<OwnedFd>)> {
+    pub fn receive_now(&self) -> Option<(Message, Vec<OwnedFd>)> {
         receive(self.0.get_ref().as_fd()).ok()
     }
 }
@@ -95,7 +95,7 @@
     Ok(())
 }
 
-fn receive(end: BorrowedFd) -> io::Result<(Word, Vec<OwnedFd>)> {
+fn receive(end: BorrowedFd) -> io::Result<(Message, Vec<OwnedFd>)> {
     let mut bytes = [0; WORD_MOST];
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(BATCH))];
     let mut control = RecvAncillaryBuffer::new(&mut space);
@@ -129,13 +129,15 @@
         let (ours, theirs) = Channel::pair().expect("a pair");
         let theirs = Channel::new(theirs).expect("an end");
         let (mut near, far) = UnixStream::pair().expect("a pair");
-        let roles: Vec<Role> = (0..BATCH as u64).map(Role::Edge).collect();
-        let word = Word::Pass { roles };
+        let roles: Vec<Role> = (0..BATCH as u64)
+            .map(Role::ClientConnectionRecord)
+            .collect();
+        let word = Message::Pass { roles };
         theirs
             .send(&word, &[far.as_fd(); BATCH])
             .await
             .expect("it is taken");
-        theirs.send(&Word::Beat, &[]).await.expect("it is taken");
+        theirs.send(&Message::Beat, &[]).await.expect("it is taken");
         drop((theirs, far));
         let (come, descriptors) = ours.receive().await.expect("a word");
         assert_eq!((come, descriptors.len()), (word, BATCH));
@@ -146,7 +148,7 @@
             .expect("it is the one that was passed");
         assert_eq!(
             (&text, ours.receive_now().map(|(word, _)| word)),
-            (b"here", Some(Word::Beat))
+            (b"here", Some(Message::Beat))
         );
         assert!(ours.receive().await.is_err(), "the end of the channel");
     }
--- a/crates/merlinshelf-backend/src/upgrade/guard.rs
+++ b/crates/merlinshelf-backend/src/upgrade/guard.rs
@@ -9,7 +9,7 @@
 
 use log::warn;
 use merlinshelf_admission::Learnt;
-use merlinshelf_handover::{Image, Key, Role, Word, records};
+use merlinshelf_handover::{Image, Key, Message, Role, records};
 use rustix::process::{Pid, PidfdFlags, Signal, pidfd_open, pidfd_send_signal};
 use tokio::io::Interest;
 use tokio::io::unix::AsyncFd;
@@ -146,7 +146,7 @@
         for batch in all.chunks(BATCH) {
             let (roles, descriptors): (Vec<Role>, Vec<BorrowedFd>) = batch.iter().copied().unzip();
             self.channel
-                .send(&Word::Pass { roles }, &descriptors)
+                .send(&Message::Pass { roles }, &descriptors)
                 .await?;
         }
         Ok(all.len())
@@ -168,21 +168,30 @@
         held.follower.follow(&mut held.image)?;
         for key in held.image.take_gone() {
             match key {
-                Key::Edge(stream) => _ = held.passed.remove(&Role::Edge(stream)),
-                Key::Line(stream) => _ = held.passed.remove(&Role::Line(stream)),
+                Key::ClientConnectionRecord(stream) => {
+                    _ = held.passed.remove(&Role::ClientConnectionRecord(stream))
+                }
+                Key::DownstreamConnectionRecord(stream) => {
+                    _ = held
+                        .passed
+                        .remove(&Role::DownstreamConnectionRecord(stream))
+                }
                 _ => {}
             }
         }
         // Of the engine's links only the last one counts.
-        let link: Option<records::Link> = held.image.get(Key::Link);
+        let link: Option<records::EngineConnectionRecord> =
+            held.image.get(Key::EngineConnectionRecord);
         let current = link.and_then(|link| link.stream);
         let newest = held.passed.keys().filter_map(|role| match role {
-            Role::Link(stream) => Some(*stream),
+            Role::EngineConnectionRecord(stream) => Some(*stream),
             _ => None,
         });
         let newest = newest.max();
         held.passed.retain(|role, _| match role {
-            Role::Link(stream) => Some(*stream) == current || Some(*stream) == newest,
+            Role::EngineConnectionRecord(stream) => {
+                Some(*stream) == current || Some(*stream) == newest
+            }
             _ => true,
         });
         Ok(())
@@ -190,12 +199,12 @@
 
     /// What the successor, whose process has ended, had still said, as far as it counts after its end: that it leaves, or
     /// that it notes nothing any more. What was passed with its words is kept.
-    pub fn last_words(&mut self) -> Vec<Word> {
+    pub fn last_words(&mut self) -> Vec<Message> {
         let mut last = Vec::new();
         while let Some((word, descriptors)) = self.channel.receive_now() {
             match word {
-                Word::Opened { role } => self.opened(role, descriptors),
-                Word::Unwatched | Word::Leaves { .. } => last.push(word),
+                Message::Opened { role } => self.opened(role, descriptors),
+                Message::Unwatched | Message::Leaves { .. } => last.push(word),
                 _ => {}
             }
         }
--- a/crates/merlinshelf-backend/tests/golden.rs
+++ b/crates/merlinshelf-backend/tests/golden.rs
@@ -15,7 +15,7 @@
 use merlinshelf_backend::{Start, serve};
 use merlinshelf_gossip::log::{self, Kept, Record};
 use merlinshelf_gossip::{Origin, Standing, Subject, Told};
-use merlinshelf_handover::keeper::Progress;
+use merlinshelf_handover::predecessor::Progress;
 use merlinshelf_policy::{Heartbeat, InstanceStatus, LeaseGrant};
 use merlinshelf_protocol::control::{self, Question, Word};
 use serde_json::{Value, json};
--- a/crates/merlinshelf-fleet/src/fit.rs
+++ b/crates/merlinshelf-fleet/src/capacity.rs
@@ -3,13 +3,13 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use crate::wanted::Wanted;
+use crate::fleet_spec::FleetSpec;
 
 /// What does not fit, each with its sum.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Misfit(pub Vec<String>);
+pub struct CapacityError(pub Vec<String>);
 
-impl std::fmt::Display for Misfit {
+impl std::fmt::Display for CapacityError {
     fn fmt(&self, out: &mut std::fmt::Formatter) -> std::fmt::Result {
         out.write_str(&self.0.join("; "))
     }
@@ -26,7 +26,7 @@
 ///
 /// # Errors
 /// Every sum that is too large, and every address that two would have.
-pub fn check(wanted: &Wanted) -> Result<(), Misfit> {
+pub fn check(wanted: &FleetSpec) -> Result<(), CapacityError> {
     let mut whys = Vec::new();
     let (mut memory, mut cores, mut descriptors) = (0, 0.0, 0);
     let (mut largest_memory, mut largest_descriptors) = (0, 0);
@@ -48,7 +48,7 @@
                 ));
                 break;
             };
-            let own = crate::wanted::instance_name(name, number);
+            let own = crate::fleet_spec::instance_name(name, number);
             if let Some(other) = addresses.insert(address, own.clone()) {
                 whys.push(format!("{own} and {other} would both listen on {address}"));
                 break;
@@ -89,6 +89,6 @@
     if whys.is_empty() {
         Ok(())
     } else {
-        Err(Misfit(whys))
+        Err(CapacityError(whys))
     }
 }
--- a/crates/merlinshelf-fleet/src/crashes.rs
+++ b/crates/merlinshelf-fleet/src/crash_backoff.rs
@@ -3,17 +3,17 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::wanted::Restarts;
+use crate::fleet_spec::Restarts;
 
 /// The crashes of one instance that still count.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Crashes {
+pub struct CrashBackoff {
     pub in_a_row: u32,
     /// No start before this moment.
     pub not_before: f64,
 }
 
-impl Crashes {
+impl CrashBackoff {
     /// It ended by itself after it was up for so long. `chance` is from 0 to under 1.
     pub fn crashed(&mut self, now: f64, up: f64, restarts: &Restarts, chance: f64) {
         if up * 1e3 >= restarts.steady_ms as f64 {
@@ -32,6 +32,6 @@
 
     /// The operators start it: what was is over.
     pub fn forgive(&mut self) {
-        *self = Crashes::default();
+        *self = CrashBackoff::default();
     }
 }
--- a/crates/merlinshelf-fleet/src/fleet/commands.rs
+++ b/crates/merlinshelf-fleet/src/fleet/commands.rs
@@ -1,10 +1,10 @@
 //! What operators ask of instances, and whether it can be had.
 
 use super::{Command, Fleet, Refusal, Selector};
-use crate::fit;
+use crate::capacity;
+use crate::fleet_spec::FleetSpec;
 use crate::instance::Instance;
 use crate::plan::{Kind, Plan, PlanState};
-use crate::wanted::Wanted;
 
 impl Fleet {
     /// The instances that are meant, in order.
@@ -182,7 +182,7 @@
                 of.count = *count;
             }
         }
-        fit::check(&wanted).map_err(|misfit| Refusal(misfit.to_string()))?;
+        capacity::check(&wanted).map_err(|misfit| Refusal(misfit.to_string()))?;
         self.counts.insert(group.to_owned(), count);
         self.note(None, format!("{group} is to have {count}"));
         self.make_instances(now);
@@ -193,8 +193,8 @@
     ///
     /// # Errors
     /// It does not fit.
-    pub fn apply(&mut self, now: f64, wanted: Wanted) -> Result<(), Refusal> {
-        fit::check(&wanted).map_err(|misfit| Refusal(misfit.to_string()))?;
+    pub fn apply(&mut self, now: f64, wanted: FleetSpec) -> Result<(), Refusal> {
+        capacity::check(&wanted).map_err(|misfit| Refusal(misfit.to_string()))?;
         self.counts.clear();
         self.programs.clear();
         self.wanted = wanted;
--- a/crates/merlinshelf-fleet/src/fleet/mod.rs
+++ b/crates/merlinshelf-fleet/src/fleet/mod.rs
@@ -1,20 +1,20 @@
 //! All instances and the plan: everything that happens comes in here, and what is to be done goes out as steps.
 
-mod advance;
-mod care;
 mod commands;
+mod reconcile;
+mod rollout;
 
 use std::collections::{BTreeMap, VecDeque};
 
+use crate::fleet_spec::{FleetSpec, instance_name};
 use crate::history::History;
 use crate::instance::{Identity, Instance, Report, State};
 use crate::plan::{Kind, Plan, PlanState, Stage};
-use crate::record::{Kept, Record};
-use crate::wanted::{Wanted, instance_name};
+use crate::record::{InstanceRecord, Record};
 
 /// What the host is to do.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Step {
+pub enum Action {
     /// Start its process; reported by `started` or `not_started`.
     Start {
         name: String,
@@ -72,7 +72,7 @@
 
 #[derive(Debug)]
 pub struct Fleet {
-    wanted: Wanted,
+    wanted: FleetSpec,
     instances: BTreeMap<String, Instance>,
     plan: Option<Plan>,
     plans: u64,
@@ -81,7 +81,7 @@
     pub history: History,
     /// How long an instance may take from the notice to its end, seconds.
     stop_within: f64,
-    steps: VecDeque<Step>,
+    steps: VecDeque<Action>,
     /// Whether what outlives the agent has changed since it was taken.
     changed: bool,
     /// The wall clock, for the history.
@@ -90,7 +90,7 @@
 
 impl Fleet {
     /// A fleet as it is wanted and as an earlier agent left it. Processes that are still there come in by `found`.
-    pub fn new(now: f64, unix: f64, wanted: Wanted, record: Record, stop_within: f64) -> Fleet {
+    pub fn new(now: f64, unix: f64, wanted: FleetSpec, record: Record, stop_within: f64) -> Fleet {
         let mut fleet = Fleet {
             wanted,
             instances: BTreeMap::new(),
@@ -130,11 +130,11 @@
         fleet
     }
 
-    pub fn next_step(&mut self) -> Option<Step> {
+    pub fn next_step(&mut self) -> Option<Action> {
         self.steps.pop_front()
     }
 
-    pub fn wanted(&self) -> &Wanted {
+    pub fn wanted(&self) -> &FleetSpec {
         &self.wanted
     }
 
@@ -155,7 +155,7 @@
         if !std::mem::take(&mut self.changed) {
             return None;
         }
-        let kept = |one: &Instance| Kept {
+        let kept = |one: &Instance| InstanceRecord {
             identity: one.identity.clone(),
             program: one.program.clone(),
             down: one.down,
--- a/crates/merlinshelf-fleet/src/fleet/care.rs
+++ b/crates/merlinshelf-fleet/src/fleet/reconcile.rs
@@ -1,6 +1,6 @@
 //! What is done for instances as time goes on, whoever asks for it or nobody.
 
-use super::{Fleet, STOP_MARGIN, Step};
+use super::{Action, Fleet, STOP_MARGIN};
 use crate::instance::{Instance, State};
 
 /// A kill that shows no effect is made again after so long.
@@ -47,14 +47,14 @@
                     ));
                     one.turn(now, State::Lost);
                     one.kill_at = Some(now + stop_within);
-                    self.steps.push_back(Step::Terminate { name });
+                    self.steps.push_back(Action::Terminate { name });
                 }
                 // One that hands over is silent for a moment, far shorter than a hang.
                 State::Warming | State::Serving | State::Upgrading if silent > hangs => {
                     notes.push((name.clone(), format!("hangs: no answer for {silent:.1} s")));
                     one.turn(now, State::Lost);
                     one.kill_at = Some(now + stop_within);
-                    self.steps.push_back(Step::Terminate { name });
+                    self.steps.push_back(Action::Terminate { name });
                 }
                 _ => {}
             }
@@ -63,7 +63,7 @@
                     notes.push((one.name.clone(), "its time is over: it is killed".into()));
                 }
                 one.kill_at = Some(now + KILL_AGAIN);
-                self.steps.push_back(Step::Kill {
+                self.steps.push_back(Action::Kill {
                     name: one.name.clone(),
                 });
             }
@@ -99,7 +99,7 @@
                         one.heard = now;
                     }
                     self.changed = true;
-                    self.steps.push_back(Step::Start { name, program });
+                    self.steps.push_back(Action::Start { name, program });
                 }
                 State::Warming | State::Serving
                     if one.number >= self.count_of(&one.group) && !one.told =>
@@ -149,7 +149,7 @@
         }
         self.changed = true;
         if !told {
-            self.steps.push_back(Step::Drain {
+            self.steps.push_back(Action::Drain {
                 name: name.to_owned(),
             });
             self.note(Some(name), "told to leave");
--- a/crates/merlinshelf-fleet/src/fleet/advance.rs
+++ b/crates/merlinshelf-fleet/src/fleet/rollout.rs
@@ -1,6 +1,6 @@
 //! A plan on its way, one instance after the other, within what capacity allows.
 
-use super::{Fleet, Step};
+use super::{Action, Fleet};
 use crate::instance::{Instance, State};
 use crate::plan::{Kind, Plan, PlanState, Stage};
 
@@ -346,7 +346,7 @@
                 one.program = program.clone();
                 one.turn(now, State::Upgrading);
                 one.asked_upgrade = true;
-                self.steps.push_back(Step::Upgrade {
+                self.steps.push_back(Action::Upgrade {
                     name: name.to_owned(),
                     program,
                 });
--- a/crates/merlinshelf-fleet/src/wanted.rs
+++ b/crates/merlinshelf-fleet/src/fleet_spec.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
 #[schemars(title = "The fleet's file of merlinshelf")]
-pub struct Wanted {
+pub struct FleetSpec {
     /// Where the agent keeps its files, and those of the instances.
     #[garde(skip)]
     pub folder: PathBuf,
@@ -31,7 +31,7 @@
     /// Other agents, with which this one decides on the policy for all; absent: there is none (docs/policy.md).
     #[garde(dive)]
     #[serde(default)]
-    pub council: Option<CouncilOf>,
+    pub council: Option<ConsensusConfig>,
     /// The groups by name.
     #[garde(dive, custom(names))]
     pub groups: BTreeMap<String, Group>,
@@ -40,7 +40,7 @@
 /// The agents that decide together, and what they agree on.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
-pub struct CouncilOf {
+pub struct ConsensusConfig {
     /// Which of the agents this one is.
     #[garde(length(min = 1, max = 40))]
     pub name: String,
@@ -283,7 +283,7 @@
     Ok(())
 }
 
-impl Wanted {
+impl FleetSpec {
     /// All instances that are wanted, by name, with their group and number.
     pub fn instances(&self) -> impl Iterator<Item = (String, &str, u32)> {
         self.groups.iter().flat_map(|(name, group)| {
--- a/crates/merlinshelf-fleet/src/instance.rs
+++ b/crates/merlinshelf-fleet/src/instance.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::crashes::Crashes;
+use crate::crash_backoff::CrashBackoff;
 
 /// Which process it is: never by its number alone, which another one may have by now.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -120,7 +120,7 @@
     pub healthy_since: Option<f64>,
     /// When its process was started, or adopted.
     pub up_since: f64,
-    pub crashes: Crashes,
+    pub crashes: CrashBackoff,
     looks: VecDeque<(f64, u64, u64)>,
 }
 
@@ -143,7 +143,7 @@
             heard: 0.0,
             healthy_since: None,
             up_since: 0.0,
-            crashes: Crashes::default(),
+            crashes: CrashBackoff::default(),
             looks: VecDeque::new(),
         }
     }
--- a/crates/merlinshelf-fleet/src/lib.rs
+++ b/crates/merlinshelf-fleet/src/lib.rs
@@ -4,17 +4,17 @@
 //!
 //! Nothing here reads a clock, a process table or chance. Moments are seconds of the agent's monotonic clock.
 
-pub mod crashes;
-pub mod fit;
+pub mod capacity;
+pub mod crash_backoff;
 pub mod fleet;
+pub mod fleet_spec;
 pub mod history;
 pub mod instance;
 pub mod plan;
 pub mod record;
-pub mod wanted;
 
-pub use fleet::{Command, Fleet, Refusal, Selector, Step};
+pub use fleet::{Action, Command, Fleet, Refusal, Selector};
+pub use fleet_spec::{FleetSpec, Group, Host};
 pub use instance::{Identity, Instance, Report, State};
 pub use plan::{Plan, PlanState};
 pub use record::Record;
-pub use wanted::{Group, Host, Wanted};
--- a/crates/merlinshelf-fleet/src/record.rs
+++ b/crates/merlinshelf-fleet/src/record.rs
@@ -11,7 +11,7 @@
 /// Of one instance.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Kept {
+pub struct InstanceRecord {
     /// Its process, where there is one.
     pub identity: Option<Identity>,
     /// The program that it runs.
@@ -27,7 +27,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Record {
-    pub instances: BTreeMap<String, Kept>,
+    pub instances: BTreeMap<String, InstanceRecord>,
     /// Counts that were set by `scale`, by group.
     pub counts: BTreeMap<String, u32>,
     /// Programs that were set by `upgrade`, by group.
--- a/crates/merlinshelf-fleet/tests/fleet.rs
+++ b/crates/merlinshelf-fleet/tests/fleet.rs
@@ -2,11 +2,12 @@
 
 use std::collections::BTreeMap;
 
-use merlinshelf_fleet::fit;
+use merlinshelf_fleet::capacity;
+use merlinshelf_fleet::fleet_spec::{Change, Restarts};
 use merlinshelf_fleet::plan::Kind;
-use merlinshelf_fleet::wanted::{Change, Restarts};
 use merlinshelf_fleet::{
-    Command, Fleet, Group, Host, Identity, PlanState, Record, Report, Selector, State, Step, Wanted,
+    Action, Command, Fleet, FleetSpec, Group, Host, Identity, PlanState, Record, Report, Selector,
+    State,
 };
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -61,8 +62,8 @@
     }
 }
 
-fn wanted(count: u32) -> Wanted {
-    Wanted {
+fn wanted(count: u32) -> FleetSpec {
+    FleetSpec {
         folder: "/run/fleet".into(),
         host: Host::default(),
         change: Change {
@@ -80,7 +81,7 @@
 }
 
 impl World {
-    fn new(wanted: Wanted) -> World {
+    fn new(wanted: FleetSpec) -> World {
         World {
             now: 0.0,
             fleet: Fleet::new(0.0, 1e9, wanted, Record::default(), 3.0),
@@ -113,11 +114,11 @@
         }
     }
 
-    fn step(&mut self, step: Step) {
+    fn step(&mut self, step: Action) {
         self.trace.push(format!("{:.1} {step:?}", self.now));
         let now = self.now;
         match step {
-            Step::Start { name, program } => {
+            Action::Start { name, program } => {
                 let process = self.process(&program, None);
                 let identity = Identity {
                     pid: process.pid,
@@ -126,7 +127,7 @@
                 self.processes.insert(name.clone(), process);
                 self.fleet.started(now, &name, identity);
             }
-            Step::Drain { name } | Step::Terminate { name } => {
+            Action::Drain { name } | Action::Terminate { name } => {
                 let takes = self.drain_takes;
                 if let Some(one) = self.processes.get_mut(&name) {
                     one.told += 1;
@@ -136,12 +137,12 @@
                     }
                 }
             }
-            Step::Kill { name } => {
+            Action::Kill { name } => {
                 if let Some(one) = self.processes.get_mut(&name) {
                     one.gone_at = Some(now);
                 }
             }
-            Step::Upgrade { name, program } => {
+            Action::Upgrade { name, program } => {
                 if let Some(one) = self.processes.get_mut(&name) {
                     one.upgrade = Some((now + 0.5, program));
                 }
@@ -788,7 +789,7 @@
     let mut two = wanted(10);
     two.groups.insert("api".into(), group(3, 7005));
     insta::assert_snapshot!(
-        fit::check(&two)
+        capacity::check(&two)
             .expect_err("two on one address")
             .to_string()
     );
--- a/crates/merlinshelf-handover/src/flow.rs
+++ b/crates/merlinshelf-handover/src/flow.rs
@@ -36,7 +36,7 @@
 
 /// What is left to do for a connection once both agree.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Settled {
+pub struct Reconciliation {
     /// Bytes at the front of what the kernel holds that were taken into account already.
     pub discard: usize,
     /// Bytes of `going` that the kernel had been given.
@@ -45,7 +45,7 @@
 
 /// The two don't belong together: the connection can't be gone on with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Torn {
+pub enum ByteCountMismatch {
     /// The kernel handed out bytes that were never noted.
     Lost(u64),
     /// More was noted than can still lie in the kernel.
@@ -59,27 +59,29 @@
 impl Flow {
     /// Settles what a process that died may have done after its last note: it noted what it saw before it took it out
     /// of the kernel, and what it was about to write before it wrote.
-    pub fn settle(&mut self, kernel: Kernel) -> Result<Settled, Torn> {
+    pub fn settle(&mut self, kernel: Kernel) -> Result<Reconciliation, ByteCountMismatch> {
         let handed_out = kernel
             .received
             .saturating_sub(kernel.unread + u64::from(kernel.ended));
         let discard = match self.taken.checked_sub(handed_out) {
-            None => return Err(Torn::Lost(handed_out - self.taken)),
-            Some(ahead) if ahead > kernel.unread => return Err(Torn::Ahead(ahead - kernel.unread)),
+            None => return Err(ByteCountMismatch::Lost(handed_out - self.taken)),
+            Some(ahead) if ahead > kernel.unread => {
+                return Err(ByteCountMismatch::Ahead(ahead - kernel.unread));
+            }
             Some(ahead) => ahead as usize,
         };
         let given = (kernel.acknowledged + kernel.unacknowledged)
             .saturating_sub(u64::from(kernel.opened_here));
         let more = match given.checked_sub(self.given) {
-            None => return Err(Torn::Behind(self.given - given)),
+            None => return Err(ByteCountMismatch::Behind(self.given - given)),
             Some(more) if more > self.going.len() as u64 => {
-                return Err(Torn::Unknown(more - self.going.len() as u64));
+                return Err(ByteCountMismatch::Unknown(more - self.going.len() as u64));
             }
             Some(more) => more as usize,
         };
         self.going.drain(..more);
         self.given = given;
-        Ok(Settled {
+        Ok(Reconciliation {
             discard,
             given: more,
         })
--- a/crates/merlinshelf-handover/src/image.rs
+++ b/crates/merlinshelf-handover/src/image.rs
@@ -20,12 +20,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Key {
     Instance,
-    Link,
+    EngineConnectionRecord,
     /// An edge node's connection, and the answers that wait for it.
-    Edge(u64),
-    Door(u64),
+    ClientConnectionRecord(u64),
+    ResponseQueueRecord(u64),
     /// A connection to the catalogue.
-    Line(u64),
+    DownstreamConnectionRecord(u64),
     /// An invocation, by its id.
     Invocation([u8; 16]),
 }
@@ -39,10 +39,10 @@
         };
         match self {
             Key::Instance => (1, [0; 16]),
-            Key::Link => (2, [0; 16]),
-            Key::Edge(of) => (3, number(of)),
-            Key::Door(of) => (4, number(of)),
-            Key::Line(of) => (5, number(of)),
+            Key::EngineConnectionRecord => (2, [0; 16]),
+            Key::ClientConnectionRecord(of) => (3, number(of)),
+            Key::ResponseQueueRecord(of) => (4, number(of)),
+            Key::DownstreamConnectionRecord(of) => (5, number(of)),
             Key::Invocation(id) => (6, id),
         }
     }
@@ -53,10 +53,10 @@
         let number = u64::from_be_bytes(low);
         Some(match kind {
             1 => Key::Instance,
-            2 => Key::Link,
-            3 => Key::Edge(number),
-            4 => Key::Door(number),
-            5 => Key::Line(number),
+            2 => Key::EngineConnectionRecord,
+            3 => Key::ClientConnectionRecord(number),
+            4 => Key::ResponseQueueRecord(number),
+            5 => Key::DownstreamConnectionRecord(number),
             6 => Key::Invocation(name),
             _ => return None,
         })
@@ -65,9 +65,9 @@
 
 /// Why bytes are no image.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Unreadable(pub &'static str);
+pub struct DecodeError(pub &'static str);
 
-impl std::fmt::Display for Unreadable {
+impl std::fmt::Display for DecodeError {
     fn fmt(&self, out: &mut std::fmt::Formatter) -> std::fmt::Result {
         out.write_str(self.0)
     }
@@ -127,15 +127,15 @@
 impl Image {
     /// Applies all whole transactions at the front of the bytes and says how many bytes they are: what is behind
     /// them was being written when its writer ended, and never happened.
-    pub fn apply(&mut self, bytes: &[u8]) -> Result<usize, Unreadable> {
+    pub fn apply(&mut self, bytes: &[u8]) -> Result<usize, DecodeError> {
         let mut used = 0;
         while let Some((head, rest)) = bytes[used..].split_at_checked(HEAD) {
             if head[..4] != MAGIC {
-                return Err(Unreadable("no transaction where one must begin"));
+                return Err(DecodeError("no transaction where one must begin"));
             }
             let length = number(&head[4..]) as usize;
             if length > TRANSACTION_MOST {
-                return Err(Unreadable("a transaction of an impossible length"));
+                return Err(DecodeError("a transaction of an impossible length"));
             }
             let Some(entries) = rest.get(..length) else {
                 break;
@@ -146,12 +146,12 @@
         Ok(used)
     }
 
-    fn entries(&mut self, mut entries: &[u8]) -> Result<(), Unreadable> {
+    fn entries(&mut self, mut entries: &[u8]) -> Result<(), DecodeError> {
         // First the whole of it is read, so that a spoilt one changes nothing.
         let mut changes = Vec::new();
         while !entries.is_empty() {
             let Some((head, rest)) = entries.split_at_checked(ENTRY_HEAD) else {
-                return Err(Unreadable("an entry that is cut short"));
+                return Err(DecodeError("an entry that is cut short"));
             };
             let mut name = [0; 16];
             name.copy_from_slice(&head[1..17]);
@@ -160,7 +160,7 @@
                 GONE => None,
                 length => Some(
                     rest.get(..length as usize)
-                        .ok_or(Unreadable("a record that is cut short"))?,
+                        .ok_or(DecodeError("a record that is cut short"))?,
                 ),
             };
             entries = &rest[record.map_or(0, <[u8]>::len)..];
--- a/crates/merlinshelf-handover/src/lib.rs
+++ b/crates/merlinshelf-handover/src/lib.rs
@@ -6,14 +6,14 @@
 //! moment, and what is to be done goes out as steps that a host carries out and reports on.
 
 pub mod flow;
-pub mod heir;
 pub mod image;
-pub mod keeper;
+pub mod messages;
+pub mod predecessor;
 pub mod records;
-pub mod words;
+pub mod successor;
 
-pub use flow::{Flow, Kernel, Settled, Torn};
-pub use heir::Heir;
+pub use flow::{ByteCountMismatch, Flow, Kernel, Reconciliation};
 pub use image::{Image, Key, Transaction};
-pub use keeper::Keeper;
-pub use words::{FORMS, Role, Word};
+pub use messages::{Message, Role, SUPPORTED_FORMATS};
+pub use predecessor::Predecessor;
+pub use successor::Successor;
--- a/crates/merlinshelf-handover/src/words.rs
+++ b/crates/merlinshelf-handover/src/messages.rs
@@ -4,11 +4,11 @@
 
 /// The forms of the image and of these words that this program speaks. A successor names those it can read; the
 /// highest that both know is used.
-pub const FORMS: &[u32] = &[1];
+pub const SUPPORTED_FORMATS: &[u32] = &[1];
 
 /// The form to use with one who speaks these, if there is one.
 pub fn form(theirs: &[u32]) -> Option<u32> {
-    FORMS
+    SUPPORTED_FORMATS
         .iter()
         .copied()
         .filter(|form| theirs.contains(form))
@@ -24,16 +24,16 @@
     Listener,
     Control,
     /// A connection by its number.
-    Edge(u64),
-    Line(u64),
-    Link(u64),
+    ClientConnectionRecord(u64),
+    DownstreamConnectionRecord(u64),
+    EngineConnectionRecord(u64),
 }
 
 /// A moment on the monotonic clock of the machine, in seconds.
 pub type Moment = f64;
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Word {
+pub enum Message {
     // from the successor
     /// The first word: the forms it speaks, its version.
     Hello { forms: Vec<u32>, program: String },
--- a/crates/merlinshelf-handover/src/keeper.rs
+++ b/crates/merlinshelf-handover/src/predecessor.rs
@@ -8,11 +8,11 @@
 use std::fmt;
 use std::time::Duration;
 
-use crate::words::{Moment, Word, form};
+use crate::messages::{Message, Moment, form};
 
 /// How long each stage may take. All are the operator's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Patience {
+pub struct StageTimeouts {
     /// From the start of the successor until it is ready, its configuration read.
     pub ready: Duration,
     /// From the freeze until it has taken everything: nobody is served meanwhile.
@@ -25,11 +25,11 @@
 
 /// What the host is to do, in this order.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Step {
+pub enum Action {
     /// Start the successor's process; reported by `started` or `not_started`.
     Start,
     /// Say something to it.
-    Say(Word),
+    Say(Message),
     /// Stop serving and make the image; reported by `frozen` or `not_frozen`.
     Freeze,
     /// Hand over image and descriptors; reported by `passed` or `not_passed`.
@@ -140,18 +140,18 @@
 
 /// The old process's state machine.
 #[derive(Debug)]
-pub struct Keeper {
-    patience: Patience,
+pub struct Predecessor {
+    patience: StageTimeouts,
     state: State,
     /// The notice to leave, where it came while this process could not heed it.
     leave: Option<Moment>,
     reload: bool,
-    steps: VecDeque<Step>,
+    steps: VecDeque<Action>,
 }
 
-impl Keeper {
-    pub fn new(patience: Patience) -> Keeper {
-        Keeper {
+impl Predecessor {
+    pub fn new(patience: StageTimeouts) -> Predecessor {
+        Predecessor {
             patience,
             state: State::Serving,
             leave: None,
@@ -161,7 +161,7 @@
     }
 
     /// The next thing to do, if there is one.
-    pub fn next_step(&mut self) -> Option<Step> {
+    pub fn next_step(&mut self) -> Option<Action> {
         self.steps.pop_front()
     }
 
@@ -241,7 +241,7 @@
             until: now + self.patience.ready,
         };
         self.tell(Progress::Starting);
-        self.steps.push_back(Step::Start);
+        self.steps.push_back(Action::Start);
     }
 
     /// The successor's process could not be started.
@@ -253,15 +253,15 @@
     }
 
     /// The successor said something.
-    pub fn heard(&mut self, now: Duration, word: Word) {
+    pub fn heard(&mut self, now: Duration, word: Message) {
         match (&mut self.state, word) {
-            (State::Starting { greeted, until: _ }, Word::Hello { forms, program })
+            (State::Starting { greeted, until: _ }, Message::Hello { forms, program })
                 if !*greeted =>
             {
                 match form(&forms) {
                     Some(form) => {
                         *greeted = true;
-                        self.steps.push_back(Step::Say(Word::Form { form }));
+                        self.steps.push_back(Action::Say(Message::Form { form }));
                     }
                     None => self.fail(
                         format!("{program} speaks only forms {forms:?}"),
@@ -269,51 +269,51 @@
                     ),
                 }
             }
-            (State::Starting { greeted: true, .. }, Word::Ready) => {
+            (State::Starting { greeted: true, .. }, Message::Ready) => {
                 self.state = State::Freezing {
                     until: now + self.patience.taken,
                 };
                 self.tell(Progress::Ready);
-                self.steps.push_back(Step::Freeze);
+                self.steps.push_back(Action::Freeze);
             }
-            (State::Taking { .. }, Word::Taken) => {
+            (State::Taking { .. }, Message::Taken) => {
                 self.state = State::Watching {
                     heard: now,
                     since: now,
                     leaves: None,
                 };
-                self.steps.extend([Step::Yield, Step::Say(Word::Go)]);
+                self.steps.extend([Action::Yield, Action::Say(Message::Go)]);
                 self.tell(Progress::TookOver);
                 if let Some(stop) = self.leave {
                     self.pass_on_leave(stop);
                 }
                 if std::mem::take(&mut self.reload) {
-                    self.steps.push_back(Step::Say(Word::Reload));
+                    self.steps.push_back(Action::Say(Message::Reload));
                 }
             }
-            (State::Watching { heard, .. }, Word::Beat | Word::Opened { .. }) => *heard = now,
-            (State::Watching { heard, leaves, .. }, Word::Leaves { stop }) => {
+            (State::Watching { heard, .. }, Message::Beat | Message::Opened { .. }) => *heard = now,
+            (State::Watching { heard, leaves, .. }, Message::Leaves { stop }) => {
                 *heard = now;
                 // The first notice counts.
                 let stop = leaves.map_or(stop, |known: f64| known.min(stop));
                 *leaves = Some(stop);
                 self.leave = Some(stop);
             }
-            (State::Watching { leaves: None, .. }, Word::Steady) => {
+            (State::Watching { leaves: None, .. }, Message::Steady) => {
                 self.state = State::Ended;
-                self.steps.push_back(Step::Say(Word::Released));
+                self.steps.push_back(Action::Say(Message::Released));
                 self.tell(Progress::Done);
-                self.steps.push_back(Step::End);
+                self.steps.push_back(Action::End);
             }
             // This process was asleep; nothing here can be gone on with.
-            (State::Watching { .. }, Word::Unwatched) => {
+            (State::Watching { .. }, Message::Unwatched) => {
                 self.state = State::Ended;
                 self.tell(Progress::Done);
-                self.steps.push_back(Step::End);
+                self.steps.push_back(Action::End);
             }
             // One that leaves is watched to its end.
-            (State::Watching { heard, .. }, Word::Steady) => *heard = now,
-            (_, Word::Refuse { why }) => self.failed(why),
+            (State::Watching { heard, .. }, Message::Steady) => *heard = now,
+            (_, Message::Refuse { why }) => self.failed(why),
             // Late, doubled or out of place: it says nothing that counts now.
             _ => {}
         }
@@ -326,7 +326,7 @@
                 return self.fail("freezing took too long".into(), Held::Frozen);
             }
             self.state = State::Passing { until };
-            self.steps.push_back(Step::Pass);
+            self.steps.push_back(Action::Pass);
         }
     }
 
@@ -341,7 +341,7 @@
     pub fn passed(&mut self, count: usize) {
         if let State::Passing { until } = self.state {
             self.state = State::Taking { until };
-            self.steps.push_back(Step::Say(Word::Passed { count }));
+            self.steps.push_back(Action::Say(Message::Passed { count }));
         }
     }
 
@@ -368,7 +368,7 @@
             State::Serving => {}
             State::Starting { .. } => self.tell(Progress::GivenUp(ended)),
             State::Freezing { .. } | State::Passing { .. } | State::Taking { .. } => {
-                self.steps.push_back(Step::Resume);
+                self.steps.push_back(Action::Resume);
                 self.tell(Progress::GivenUp(ended));
             }
             // It was told to leave, and did as it was told.
@@ -377,30 +377,30 @@
             } if status == Some(0) => {
                 self.state = State::Ended;
                 self.tell(Progress::Done);
-                self.steps.push_back(Step::EndAs { status: 0 });
+                self.steps.push_back(Action::EndAs { status: 0 });
             }
             State::Watching { .. } => {
-                self.steps.push_back(Step::TakeBack);
+                self.steps.push_back(Action::TakeBack);
                 self.tell(Progress::TakenBack(ended));
             }
             State::Killing { why, held } => match held {
                 Held::Service => self.tell(Progress::GivenUp(why)),
                 Held::Frozen => {
-                    self.steps.push_back(Step::Resume);
+                    self.steps.push_back(Action::Resume);
                     self.tell(Progress::GivenUp(why));
                 }
                 Held::Copies => {
-                    self.steps.push_back(Step::TakeBack);
+                    self.steps.push_back(Action::TakeBack);
                     self.tell(Progress::TakenBack(why));
                 }
             },
         }
         if self.state == State::Serving {
             if let Some(stop) = self.leave {
-                self.steps.push_back(Step::LeaveNow { stop });
+                self.steps.push_back(Action::LeaveNow { stop });
             }
             if std::mem::take(&mut self.reload) {
-                self.steps.push_back(Step::ReloadNow);
+                self.steps.push_back(Action::ReloadNow);
             }
         }
     }
@@ -412,10 +412,10 @@
         }
         self.leave = Some(stop);
         match &self.state {
-            State::Serving => self.steps.push_back(Step::LeaveNow { stop }),
+            State::Serving => self.steps.push_back(Action::LeaveNow { stop }),
             State::Starting { .. } => {
                 self.fail("the notice to leave came".into(), Held::Service);
-                self.steps.push_back(Step::LeaveNow { stop });
+                self.steps.push_back(Action::LeaveNow { stop });
             }
             State::Freezing { .. } | State::Passing { .. } | State::Taking { .. } => {
                 self.fail("the notice to leave came".into(), Held::Frozen);
@@ -424,7 +424,7 @@
             State::Killing {
                 held: Held::Service,
                 ..
-            } => self.steps.push_back(Step::LeaveNow { stop }),
+            } => self.steps.push_back(Action::LeaveNow { stop }),
             State::Killing { .. } | State::Ended => {}
         }
     }
@@ -432,7 +432,7 @@
     fn pass_on_leave(&mut self, stop: Moment) {
         if let State::Watching { leaves, .. } = &mut self.state {
             *leaves = Some(stop);
-            self.steps.push_back(Step::Say(Word::Leave { stop }));
+            self.steps.push_back(Action::Say(Message::Leave { stop }));
         }
     }
 
@@ -445,9 +445,9 @@
                 held: Held::Service,
                 ..
             } => {
-                self.steps.push_back(Step::ReloadNow);
+                self.steps.push_back(Action::ReloadNow);
             }
-            State::Watching { .. } => self.steps.push_back(Step::Say(Word::Reload)),
+            State::Watching { .. } => self.steps.push_back(Action::Say(Message::Reload)),
             State::Freezing { .. }
             | State::Passing { .. }
             | State::Taking { .. }
@@ -512,10 +512,10 @@
     /// It must be gone before anything else happens.
     fn fail(&mut self, why: String, held: Held) {
         self.state = State::Killing { why, held };
-        self.steps.push_back(Step::Kill);
+        self.steps.push_back(Action::Kill);
     }
 
     fn tell(&mut self, progress: Progress) {
-        self.steps.push_back(Step::Tell(progress));
+        self.steps.push_back(Action::Tell(progress));
     }
 }
--- a/crates/merlinshelf-handover/src/records.rs
+++ b/crates/merlinshelf-handover/src/records.rs
@@ -41,7 +41,7 @@
 /// The engine's link.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Link {
+pub struct EngineConnectionRecord {
     /// The connection's number among those that passed; none where it is down.
     pub stream: Option<u64>,
     pub address: String,
@@ -73,7 +73,7 @@
 /// An edge node's connection.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Edge {
+pub struct ClientConnectionRecord {
     pub flow: Flow,
     /// The record that has come in part: kind, id, bytes of content and of padding still to come.
     pub record: (u8, u16, usize, usize),
@@ -106,14 +106,14 @@
 /// Answers that wait for a connection to take them, by tag.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Door {
+pub struct ResponseQueueRecord {
     pub answers: Vec<(u16, Answer)>,
 }
 
 /// A connection to the catalogue with an open call.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Line {
+pub struct DownstreamConnectionRecord {
     pub address: String,
     pub id: ByteBuf,
     /// Which call of its invocation it is.
--- a/crates/merlinshelf-handover/src/heir.rs
+++ b/crates/merlinshelf-handover/src/successor.rs
@@ -4,7 +4,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use crate::words::{FORMS, Moment, Word};
+use crate::messages::{Message, Moment, SUPPORTED_FORMATS};
 
 /// Between two words that its main loop turns.
 const BEAT: Duration = Duration::from_millis(50);
@@ -14,8 +14,8 @@
 
 /// What the host is to do, in this order.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Step {
-    Say(Word),
+pub enum Action {
+    Say(Message),
     /// Make all live that was passed, touching nothing yet; reported by `taken` or `not_taken`.
     Take,
     /// Serve, and note every change before it shows.
@@ -56,29 +56,29 @@
 
 /// The successor's state machine. It is made once its configuration is read: the first word says that it can go on.
 #[derive(Debug)]
-pub struct Heir {
+pub struct Successor {
     /// How long it is to be watched.
     watched: Duration,
     state: State,
     leaves: bool,
-    steps: VecDeque<Step>,
+    steps: VecDeque<Action>,
 }
 
-impl Heir {
-    pub fn new(watched: Duration, program: &str) -> Heir {
-        let hello = Word::Hello {
-            forms: FORMS.to_vec(),
+impl Successor {
+    pub fn new(watched: Duration, program: &str) -> Successor {
+        let hello = Message::Hello {
+            forms: SUPPORTED_FORMATS.to_vec(),
             program: program.to_owned(),
         };
-        Heir {
+        Successor {
             watched,
             state: State::Greeting,
             leaves: false,
-            steps: VecDeque::from([Step::Say(hello)]),
+            steps: VecDeque::from([Action::Say(hello)]),
         }
     }
 
-    pub fn next_step(&mut self) -> Option<Step> {
+    pub fn next_step(&mut self) -> Option<Action> {
         self.steps.pop_front()
     }
 
@@ -103,41 +103,41 @@
     pub fn refuse(&mut self, why: &str) {
         if !self.owns() {
             self.state = State::Ended;
-            self.steps.push_back(Step::Say(Word::Refuse {
+            self.steps.push_back(Action::Say(Message::Refuse {
                 why: why.to_owned(),
             }));
-            self.steps.push_back(Step::End {
+            self.steps.push_back(Action::End {
                 why: why.to_owned(),
             });
         }
     }
 
-    pub fn heard(&mut self, now: Duration, word: Word) {
+    pub fn heard(&mut self, now: Duration, word: Message) {
         match (&mut self.state, word) {
-            (State::Greeting, Word::Form { form }) if FORMS.contains(&form) => {
+            (State::Greeting, Message::Form { form }) if SUPPORTED_FORMATS.contains(&form) => {
                 self.state = State::Receiving { come: 0 };
-                self.steps.push_back(Step::Say(Word::Ready));
+                self.steps.push_back(Action::Say(Message::Ready));
             }
-            (State::Greeting, Word::Form { form }) => {
+            (State::Greeting, Message::Form { form }) => {
                 self.refuse(&format!("form {form} is not spoken here"));
             }
-            (State::Receiving { come }, Word::Pass { roles }) => *come += roles.len(),
-            (State::Receiving { come }, Word::Passed { count }) => {
+            (State::Receiving { come }, Message::Pass { roles }) => *come += roles.len(),
+            (State::Receiving { come }, Message::Passed { count }) => {
                 if *come == count {
                     self.state = State::Taking { alone: false };
-                    self.steps.push_back(Step::Take);
+                    self.steps.push_back(Action::Take);
                 } else {
                     let why = format!("{come} of {count} descriptors have come");
                     self.refuse(&why);
                 }
             }
-            (State::Waiting, Word::Go) => self.serve(now),
-            (State::Watched { .. }, Word::Released) => self.free(),
-            (State::Watched { .. }, Word::Leave { stop }) if !self.leaves => {
+            (State::Waiting, Message::Go) => self.serve(now),
+            (State::Watched { .. }, Message::Released) => self.free(),
+            (State::Watched { .. }, Message::Leave { stop }) if !self.leaves => {
                 self.leaves = true;
-                self.steps.push_back(Step::Leave { stop });
+                self.steps.push_back(Action::Leave { stop });
             }
-            (State::Watched { .. }, Word::Reload) => self.steps.push_back(Step::Reload),
+            (State::Watched { .. }, Message::Reload) => self.steps.push_back(Action::Reload),
             _ => {}
         }
     }
@@ -149,7 +149,7 @@
             if alone {
                 return self.alone(now);
             }
-            self.steps.push_back(Step::Say(Word::Taken));
+            self.steps.push_back(Action::Say(Message::Taken));
         }
     }
 
@@ -173,7 +173,7 @@
             State::Taking { .. } => self.state = State::Taking { alone: true },
             State::Greeting | State::Receiving { .. } => {
                 self.state = State::Ended;
-                self.steps.push_back(Step::End {
+                self.steps.push_back(Action::End {
                     why: "the old process is gone".into(),
                 });
             }
@@ -186,9 +186,9 @@
         if !self.leaves && self.owns() {
             self.leaves = true;
             if matches!(self.state, State::Watched { .. }) {
-                self.steps.push_back(Step::Say(Word::Leaves { stop }));
+                self.steps.push_back(Action::Say(Message::Leaves { stop }));
             }
-            self.steps.push_back(Step::Leave { stop });
+            self.steps.push_back(Action::Leave { stop });
         }
     }
 
@@ -208,18 +208,18 @@
             }
             let word = if now >= *since + self.watched && !*steady && !self.leaves {
                 *steady = true;
-                Word::Steady
+                Message::Steady
             } else {
-                Word::Beat
+                Message::Beat
             };
-            self.steps.push_back(Step::Say(word));
+            self.steps.push_back(Action::Say(word));
         }
     }
 
     /// Nobody reads its notes any more: it goes on alone.
     pub fn unread(&mut self) {
         if self.notes() {
-            self.steps.push_back(Step::Say(Word::Unwatched));
+            self.steps.push_back(Action::Say(Message::Unwatched));
             self.free();
         }
     }
@@ -230,11 +230,11 @@
             beat: now,
             steady: false,
         };
-        self.steps.push_back(Step::Serve);
+        self.steps.push_back(Action::Serve);
     }
 
     fn free(&mut self) {
         self.state = State::Free;
-        self.steps.push_back(Step::Free);
+        self.steps.push_back(Action::Free);
     }
 }
--- a/crates/merlinshelf-handover/tests/golden.rs
+++ b/crates/merlinshelf-handover/tests/golden.rs
@@ -11,9 +11,10 @@
     Inv, Invocation as AdmissionInvocation, Learnt, LearntOfOperation, Stage,
 };
 use merlinshelf_handover::records::{
-    Answer, Command, Door, Edge, Instance, Invocation, Line, Link, Partial,
+    Answer, ClientConnectionRecord, Command, DownstreamConnectionRecord, EngineConnectionRecord,
+    Instance, Invocation, Partial, ResponseQueueRecord,
 };
-use merlinshelf_handover::{FORMS, Flow, Image, Key, Role, Transaction, Word};
+use merlinshelf_handover::{Flow, Image, Key, Message, Role, SUPPORTED_FORMATS, Transaction};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use serde_bytes::ByteBuf;
@@ -83,8 +84,8 @@
     }
 }
 
-fn link() -> Link {
-    Link {
+fn link() -> EngineConnectionRecord {
+    EngineConnectionRecord {
         stream: Some(81),
         address: "127.0.0.1:9300".into(),
         last: 82,
@@ -98,8 +99,8 @@
     }
 }
 
-fn edge() -> Edge {
-    Edge {
+fn edge() -> ClientConnectionRecord {
+    ClientConnectionRecord {
         flow: flow("edge", 91),
         record: (93, 94, 95, 96),
         front: 2,
@@ -129,8 +130,8 @@
 }
 
 /// With every kind of answer.
-fn door() -> Door {
-    Door {
+fn door() -> ResponseQueueRecord {
+    ResponseQueueRecord {
         answers: vec![
             (111, Answer::Succeeded(bytes("complete result"))),
             (
@@ -157,8 +158,8 @@
     }
 }
 
-fn line() -> Line {
-    Line {
+fn line() -> DownstreamConnectionRecord {
+    DownstreamConnectionRecord {
         address: "127.0.0.1:5432".into(),
         id: bytes("9b1f03aa5c7e2d41"),
         number: 121,
@@ -252,22 +253,34 @@
 
 #[test]
 fn record_of_the_engines_link() {
-    assert_records("link", vec![(Key::Link, link())]);
+    assert_records("link", vec![(Key::EngineConnectionRecord, link())]);
 }
 
 #[test]
 fn record_of_an_edge_nodes_connection() {
-    assert_records("edge", vec![(Key::Edge(0x0102_0304_0506_0708), edge())]);
+    assert_records(
+        "edge",
+        vec![(Key::ClientConnectionRecord(0x0102_0304_0506_0708), edge())],
+    );
 }
 
 #[test]
 fn record_of_answers_that_wait() {
-    assert_records("door", vec![(Key::Door(0x1112_1314_1516_1718), door())]);
+    assert_records(
+        "door",
+        vec![(Key::ResponseQueueRecord(0x1112_1314_1516_1718), door())],
+    );
 }
 
 #[test]
 fn record_of_a_connection_to_the_catalogue() {
-    assert_records("line", vec![(Key::Line(0x2122_2324_2526_2728), line())]);
+    assert_records(
+        "line",
+        vec![(
+            Key::DownstreamConnectionRecord(0x2122_2324_2526_2728),
+            line(),
+        )],
+    );
 }
 
 #[test]
@@ -320,19 +333,40 @@
 fn records_of_nothing() {
     let mut written = Transaction::default();
     written.put(Key::Instance, &Instance::default());
-    written.put(Key::Link, &Link::default());
-    written.put(Key::Edge(1), &Edge::default());
-    written.put(Key::Door(2), &Door::default());
-    written.put(Key::Line(3), &Line::default());
+    written.put(
+        Key::EngineConnectionRecord,
+        &EngineConnectionRecord::default(),
+    );
+    written.put(
+        Key::ClientConnectionRecord(1),
+        &ClientConnectionRecord::default(),
+    );
+    written.put(Key::ResponseQueueRecord(2), &ResponseQueueRecord::default());
+    written.put(
+        Key::DownstreamConnectionRecord(3),
+        &DownstreamConnectionRecord::default(),
+    );
     written.put(Key::Invocation([4; 16]), &Invocation::default());
     let written = written.take();
     golden_file::assert_encoded("defaults", &written);
     let image = image(&golden_file::read("defaults", &written));
     assert_eq!(image.get(Key::Instance), Some(Instance::default()));
-    assert_eq!(image.get(Key::Link), Some(Link::default()));
-    assert_eq!(image.get(Key::Edge(1)), Some(Edge::default()));
-    assert_eq!(image.get(Key::Door(2)), Some(Door::default()));
-    assert_eq!(image.get(Key::Line(3)), Some(Line::default()));
+    assert_eq!(
+        image.get(Key::EngineConnectionRecord),
+        Some(EngineConnectionRecord::default())
+    );
+    assert_eq!(
+        image.get(Key::ClientConnectionRecord(1)),
+        Some(ClientConnectionRecord::default())
+    );
+    assert_eq!(
+        image.get(Key::ResponseQueueRecord(2)),
+        Some(ResponseQueueRecord::default())
+    );
+    assert_eq!(
+        image.get(Key::DownstreamConnectionRecord(3)),
+        Some(DownstreamConnectionRecord::default())
+    );
     assert_eq!(
         image.get(Key::Invocation([4; 16])),
         Some(Invocation::default())
@@ -344,13 +378,13 @@
 fn transactions_with_removals() {
     let keys = [
         Key::Instance,
-        Key::Link,
-        Key::Edge(161),
-        Key::Door(162),
-        Key::Line(163),
+        Key::EngineConnectionRecord,
+        Key::ClientConnectionRecord(161),
+        Key::ResponseQueueRecord(162),
+        Key::DownstreamConnectionRecord(163),
         Key::Invocation(*b"9b1f03aa5c7e2d61"),
     ];
-    let kept = Key::Line(164);
+    let kept = Key::DownstreamConnectionRecord(164);
     let mut put = Transaction::default();
     keys.iter()
         .for_each(|key| put.put(*key, &flow("gone", 165)));
@@ -366,12 +400,12 @@
     assert_eq!(image.take_gone(), keys);
 }
 
-fn encode_datagrams(messages: &[Word]) -> Vec<u8> {
+fn encode_datagrams(messages: &[Message]) -> Vec<u8> {
     let encode = |message| rmp_serde::to_vec_named(message).expect("a plain structure");
     messages.iter().flat_map(encode).collect()
 }
 
-fn decode_datagrams(mut rest: &[u8]) -> Vec<Word> {
+fn decode_datagrams(mut rest: &[u8]) -> Vec<Message> {
     let mut messages = Vec::new();
     while !rest.is_empty() {
         messages.push(rmp_serde::from_read(&mut rest).expect("a datagram that can be decoded"));
@@ -385,31 +419,31 @@
         Role::Journal,
         Role::Listener,
         Role::Control,
-        Role::Edge(171),
-        Role::Line(172),
-        Role::Link(173),
+        Role::ClientConnectionRecord(171),
+        Role::DownstreamConnectionRecord(172),
+        Role::EngineConnectionRecord(173),
     ]
 }
 
 #[test]
 fn datagrams_of_the_successor() {
     let messages = vec![
-        Word::Hello {
+        Message::Hello {
             forms: vec![1, 174],
             program: "merlinshelf 0.1.0".into(),
         },
-        Word::Refuse {
+        Message::Refuse {
             why: "no room".into(),
         },
-        Word::Ready,
-        Word::Taken,
-        Word::Opened {
-            role: Role::Edge(175),
+        Message::Ready,
+        Message::Taken,
+        Message::Opened {
+            role: Role::ClientConnectionRecord(175),
         },
-        Word::Beat,
-        Word::Steady,
-        Word::Leaves { stop: 176.5 },
-        Word::Unwatched,
+        Message::Beat,
+        Message::Steady,
+        Message::Leaves { stop: 176.5 },
+        Message::Unwatched,
     ];
     golden_file::assert_form(
         "datagrams_of_successor",
@@ -422,13 +456,13 @@
 #[test]
 fn datagrams_of_the_old_process() {
     let messages = vec![
-        Word::Form { form: 181 },
-        Word::Pass { roles: roles() },
-        Word::Passed { count: 182 },
-        Word::Go,
-        Word::Released,
-        Word::Leave { stop: 183.5 },
-        Word::Reload,
+        Message::Form { form: 181 },
+        Message::Pass { roles: roles() },
+        Message::Passed { count: 182 },
+        Message::Go,
+        Message::Released,
+        Message::Leave { stop: 183.5 },
+        Message::Reload,
     ];
     golden_file::assert_form(
         "datagrams_of_predecessor",
@@ -441,7 +475,7 @@
 /// The golden files are of this form; a program that speaks another one needs files of its own beside them.
 #[test]
 fn form_of_the_golden_files_is_spoken() {
-    assert_eq!(FORMS, [1]);
+    assert_eq!(SUPPORTED_FORMATS, [1]);
 }
 
 /// Golden files: `tests/golden/NAME.hex`, sixteen bytes a line, each line with its offset, the bytes in hexadecimal and
--- a/crates/merlinshelf-handover/tests/handover.rs
+++ b/crates/merlinshelf-handover/tests/handover.rs
@@ -4,21 +4,21 @@
 use std::time::Duration;
 
 use insta::assert_snapshot;
-use merlinshelf_handover::keeper::{Keeper, Patience};
-use merlinshelf_handover::{Heir, Role, Word, heir};
+use merlinshelf_handover::predecessor::{Predecessor, StageTimeouts};
+use merlinshelf_handover::{Message, Role, Successor, successor};
 
 const fn ms(count: u64) -> Duration {
     Duration::from_millis(count)
 }
 
-const PATIENCE: Patience = Patience {
+const PATIENCE: StageTimeouts = StageTimeouts {
     ready: ms(1000),
     taken: ms(200),
     watched: ms(500),
     silent: ms(300),
 };
 
-fn steps(keeper: &mut Keeper) -> String {
+fn steps(keeper: &mut Predecessor) -> String {
     let mut line = keeper.name().to_owned();
     while let Some(step) = keeper.next_step() {
         let _ = write!(line, " | {step:?}");
@@ -26,29 +26,29 @@
     line + "\n"
 }
 
-fn hello(forms: &[u32]) -> Word {
-    Word::Hello {
+fn hello(forms: &[u32]) -> Message {
+    Message::Hello {
         forms: forms.to_vec(),
         program: "next".into(),
     }
 }
 
 /// A keeper whose successor has taken over 30 ms after it was asked for.
-fn watching() -> Keeper {
-    let mut keeper = Keeper::new(PATIENCE);
+fn watching() -> Predecessor {
+    let mut keeper = Predecessor::new(PATIENCE);
     keeper.upgrade(ms(0), None);
     keeper.heard(ms(10), hello(&[1, 7]));
-    keeper.heard(ms(20), Word::Ready);
+    keeper.heard(ms(20), Message::Ready);
     keeper.frozen(ms(22));
     keeper.passed(5);
-    keeper.heard(ms(30), Word::Taken);
+    keeper.heard(ms(30), Message::Taken);
     steps(&mut keeper);
     keeper
 }
 
 #[test]
 fn an_upgrade_that_goes_well() {
-    let mut keeper = Keeper::new(PATIENCE);
+    let mut keeper = Predecessor::new(PATIENCE);
     let mut trace = String::new();
     keeper.upgrade(
         ms(0),
@@ -61,18 +61,18 @@
     trace += &steps(&mut keeper);
     keeper.upgrade(ms(11), None); // turned down
     trace += &steps(&mut keeper);
-    keeper.heard(ms(20), Word::Ready);
+    keeper.heard(ms(20), Message::Ready);
     trace += &steps(&mut keeper);
     keeper.frozen(ms(22));
     trace += &steps(&mut keeper);
     keeper.passed(5);
     trace += &steps(&mut keeper);
-    keeper.heard(ms(30), Word::Taken);
+    keeper.heard(ms(30), Message::Taken);
     trace += &steps(&mut keeper);
-    keeper.heard(ms(80), Word::Beat);
+    keeper.heard(ms(80), Message::Beat);
     keeper.reload();
     trace += &steps(&mut keeper);
-    keeper.heard(ms(560), Word::Steady);
+    keeper.heard(ms(560), Message::Steady);
     trace += &steps(&mut keeper);
     keeper.died(Some(1)); // it is no business of this process any more
     trace += &steps(&mut keeper);
@@ -82,8 +82,8 @@
 #[test]
 fn a_successor_that_fails_before_it_takes_over_changes_nothing() {
     let mut trace = String::new();
-    let mut play = |what: &str, happens: &dyn Fn(&mut Keeper)| {
-        let mut keeper = Keeper::new(PATIENCE);
+    let mut play = |what: &str, happens: &dyn Fn(&mut Predecessor)| {
+        let mut keeper = Predecessor::new(PATIENCE);
         keeper.upgrade(ms(0), None);
         steps(&mut keeper);
         happens(&mut keeper);
@@ -106,7 +106,7 @@
         keeper.heard(ms(5), hello(&[1]));
         keeper.heard(
             ms(6),
-            Word::Refuse {
+            Message::Refuse {
                 why: "no listen".into(),
             },
         );
@@ -117,7 +117,7 @@
     });
     play("hangs while it takes over", &|keeper| {
         keeper.heard(ms(5), hello(&[1]));
-        keeper.heard(ms(6), Word::Ready);
+        keeper.heard(ms(6), Message::Ready);
         keeper.frozen(ms(7));
         keeper.passed(3);
         steps(keeper);
@@ -125,13 +125,13 @@
     });
     play("can't be passed everything", &|keeper| {
         keeper.heard(ms(5), hello(&[1]));
-        keeper.heard(ms(6), Word::Ready);
+        keeper.heard(ms(6), Message::Ready);
         keeper.frozen(ms(7));
         steps(keeper);
         keeper.not_passed("too many open files");
     });
     play("says it has taken what was never passed", &|keeper| {
-        keeper.heard(ms(5), Word::Taken)
+        keeper.heard(ms(5), Message::Taken)
     });
     assert_snapshot!(trace);
 }
@@ -139,7 +139,7 @@
 #[test]
 fn one_that_fails_after_it_took_over_is_taken_back_from() {
     let mut trace = String::new();
-    let mut play = |what: &str, status: Option<i32>, happens: &dyn Fn(&mut Keeper)| {
+    let mut play = |what: &str, status: Option<i32>, happens: &dyn Fn(&mut Predecessor)| {
         let mut keeper = watching();
         happens(&mut keeper);
         assert!(
@@ -154,13 +154,13 @@
     play("dies", None, &|_| {});
     play("exits with 0 unasked", Some(0), &|_| {});
     play("hangs", None, &|keeper| {
-        keeper.heard(ms(100), Word::Beat);
+        keeper.heard(ms(100), Message::Beat);
         keeper.woken(ms(399));
         keeper.woken(ms(400));
     });
     play("never becomes steady", None, &|keeper| {
         for at in (50..=1400).step_by(50) {
-            keeper.heard(ms(at), Word::Beat);
+            keeper.heard(ms(at), Message::Beat);
             keeper.woken(ms(at));
         }
     });
@@ -183,24 +183,24 @@
 #[test]
 fn the_notice_to_leave_is_heeded_by_who_owns_and_counts_from_its_moment() {
     let mut trace = String::new();
-    let mut say = |what: &str, keeper: &mut Keeper| {
+    let mut say = |what: &str, keeper: &mut Predecessor| {
         let _ = write!(trace, "{what}: {}", steps(keeper));
     };
-    let mut keeper = Keeper::new(PATIENCE);
+    let mut keeper = Predecessor::new(PATIENCE);
     keeper.leave(70.0);
     say("before", &mut keeper);
     keeper.upgrade(ms(0), None);
     say("then asked for an upgrade", &mut keeper);
-    let mut keeper = Keeper::new(PATIENCE);
+    let mut keeper = Predecessor::new(PATIENCE);
     keeper.upgrade(ms(0), None);
     keeper.leave(70.0);
     say("while it starts", &mut keeper);
     keeper.died(None);
     say("  and it is dead", &mut keeper);
-    let mut keeper = Keeper::new(PATIENCE);
+    let mut keeper = Predecessor::new(PATIENCE);
     keeper.upgrade(ms(0), None);
     keeper.heard(ms(5), hello(&[1]));
-    keeper.heard(ms(6), Word::Ready);
+    keeper.heard(ms(6), Message::Ready);
     steps(&mut keeper);
     keeper.leave(70.0);
     say("while frozen", &mut keeper);
@@ -210,11 +210,11 @@
     keeper.leave(70.0);
     keeper.leave(71.0);
     say("while watched", &mut keeper);
-    keeper.heard(ms(560), Word::Steady);
+    keeper.heard(ms(560), Message::Steady);
     keeper.died(Some(0));
     say("  and it left", &mut keeper);
     let mut keeper = watching();
-    keeper.heard(ms(40), Word::Leaves { stop: 70.0 });
+    keeper.heard(ms(40), Message::Leaves { stop: 70.0 });
     keeper.died(Some(101));
     say("told itself, and died over it", &mut keeper);
     assert_snapshot!(trace);
@@ -222,7 +222,7 @@
 
 #[test]
 fn a_successor_goes_on_alone_only_with_everything_in_hand() {
-    let said = |heir: &mut Heir| {
+    let said = |heir: &mut Successor| {
         let mut line = String::new();
         while let Some(step) = heir.next_step() {
             let _ = write!(line, " | {step:?}");
@@ -231,20 +231,20 @@
     };
     let mut trace = String::new();
     for left_at in 0..5 {
-        let mut heir = Heir::new(ms(500), "next");
-        let happens: [&dyn Fn(&mut Heir); 4] = [
-            &|heir| heir.heard(ms(1), Word::Form { form: 1 }),
+        let mut heir = Successor::new(ms(500), "next");
+        let happens: [&dyn Fn(&mut Successor); 4] = [
+            &|heir| heir.heard(ms(1), Message::Form { form: 1 }),
             &|heir| {
                 heir.heard(
                     ms(2),
-                    Word::Pass {
+                    Message::Pass {
                         roles: vec![Role::Image],
                     },
                 );
-                heir.heard(ms(3), Word::Passed { count: 1 });
+                heir.heard(ms(3), Message::Passed { count: 1 });
             },
             &|heir| heir.taken(ms(4)),
-            &|heir| heir.heard(ms(5), Word::Go),
+            &|heir| heir.heard(ms(5), Message::Go),
         ];
         happens
             .iter()
@@ -261,26 +261,26 @@
             said(&mut heir)
         );
     }
-    let mut heir = Heir::new(ms(500), "next");
-    heir.heard(ms(1), Word::Form { form: 1 });
-    heir.heard(ms(2), Word::Passed { count: 1 });
+    let mut heir = Successor::new(ms(500), "next");
+    heir.heard(ms(1), Message::Form { form: 1 });
+    heir.heard(ms(2), Message::Passed { count: 1 });
     let _ = write!(trace, "a transfer that lacks one{}", said(&mut heir));
     assert_snapshot!(trace);
 }
 
 #[test]
 fn a_predecessor_that_sleeps_is_left_behind_and_takes_nothing_back() {
-    let mut heir = Heir::new(ms(500), "next");
-    heir.heard(ms(1), Word::Form { form: 1 });
-    heir.heard(ms(2), Word::Passed { count: 0 });
+    let mut heir = Successor::new(ms(500), "next");
+    heir.heard(ms(1), Message::Form { form: 1 });
+    heir.heard(ms(2), Message::Passed { count: 0 });
     heir.taken(ms(3));
-    heir.heard(ms(4), Word::Go);
+    heir.heard(ms(4), Message::Go);
     let mut said = Vec::new();
     for at in (0..11_000).step_by(50) {
         heir.woken(ms(at));
         while let Some(step) = heir.next_step() {
             match step {
-                heir::Step::Say(Word::Beat) => {}
+                successor::Action::Say(Message::Beat) => {}
                 step => said.push(format!("{at} {step:?}")),
             }
         }
@@ -288,8 +288,8 @@
     assert!(heir.owns() && !heir.notes());
     // The old process wakes up and hears all of it at once, the successor's end after it.
     let mut keeper = watching();
-    keeper.heard(ms(11_000), Word::Beat);
-    keeper.heard(ms(11_000), Word::Unwatched);
+    keeper.heard(ms(11_000), Message::Beat);
+    keeper.heard(ms(11_000), Message::Unwatched);
     keeper.died(None);
     said.push(steps(&mut keeper));
     assert_snapshot!(said.join("\n"));
--- a/crates/merlinshelf-handover/tests/walks.rs
+++ b/crates/merlinshelf-handover/tests/walks.rs
@@ -4,9 +4,13 @@
 use std::fmt::Write as _;
 use std::time::Duration;
 
-use merlinshelf_handover::keeper::{Keeper, Patience, Step};
-use merlinshelf_handover::records::{Answer, Door, Edge, Invocation};
-use merlinshelf_handover::{Flow, Heir, Image, Kernel, Key, Torn, Transaction, Word, heir};
+use merlinshelf_handover::predecessor::{Action, Predecessor, StageTimeouts};
+use merlinshelf_handover::records::{
+    Answer, ClientConnectionRecord, Invocation, ResponseQueueRecord,
+};
+use merlinshelf_handover::{
+    ByteCountMismatch, Flow, Image, Kernel, Key, Message, Successor, Transaction, successor,
+};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -14,7 +18,7 @@
     Duration::from_millis(count)
 }
 
-const PATIENCE: Patience = Patience {
+const PATIENCE: StageTimeouts = StageTimeouts {
     ready: ms(1000),
     taken: ms(200),
     watched: ms(500),
@@ -55,13 +59,13 @@
 #[derive(Default)]
 struct World {
     now: Duration,
-    old: Option<Keeper>,
-    heir: Option<Heir>,
+    old: Option<Predecessor>,
+    heir: Option<Successor>,
     hangs: bool,
     /// The successor's end, not seen by the old process yet.
     ended: Option<Option<i32>>,
-    to_heir: VecDeque<Word>,
-    to_old: VecDeque<Word>,
+    to_heir: VecDeque<Message>,
+    to_old: VecDeque<Message>,
     /// Which process runs the parts.
     old_serves: bool,
     heir_serves: bool,
@@ -75,7 +79,7 @@
 impl World {
     fn new() -> World {
         World {
-            old: Some(Keeper::new(PATIENCE)),
+            old: Some(Predecessor::new(PATIENCE)),
             old_serves: true,
             ..World::default()
         }
@@ -90,27 +94,27 @@
     }
 
     fn keeper_steps(&mut self) {
-        while let Some(step) = self.old.as_mut().and_then(Keeper::next_step) {
+        while let Some(step) = self.old.as_mut().and_then(Predecessor::next_step) {
             let _ = writeln!(self.trace, "{:?} old {step:?}", self.now);
             let (now, Some(old)) = (self.now, &mut self.old) else {
                 return;
             };
             match step {
-                Step::Start => {
-                    self.heir = Some(Heir::new(PATIENCE.watched, "next"));
+                Action::Start => {
+                    self.heir = Some(Successor::new(PATIENCE.watched, "next"));
                     (self.ended, self.hangs) = (None, false);
                     self.to_old.clear();
                 }
-                Step::Say(word) => self.to_heir.push_back(word),
-                Step::Freeze => {
+                Action::Say(word) => self.to_heir.push_back(word),
+                Action::Freeze => {
                     assert!(self.old_serves, "frozen without serving\n{}", self.trace);
                     self.old_serves = false;
                     old.frozen(now);
                 }
-                Step::Pass if std::mem::take(&mut self.transfer_fails) => old.not_passed("torn"),
-                Step::Pass => old.passed(0),
-                Step::Kill => self.end_heir(None),
-                Step::Resume | Step::TakeBack => {
+                Action::Pass if std::mem::take(&mut self.transfer_fails) => old.not_passed("torn"),
+                Action::Pass => old.passed(0),
+                Action::Kill => self.end_heir(None),
+                Action::Resume | Action::TakeBack => {
                     assert!(
                         self.heir.is_none(),
                         "taken up before its end was seen\n{}",
@@ -119,16 +123,16 @@
                     assert!(!self.old_serves, "taken up twice\n{}", self.trace);
                     self.old_serves = true;
                 }
-                Step::LeaveNow { .. } => {
+                Action::LeaveNow { .. } => {
                     assert!(self.old_serves, "leaves without serving\n{}", self.trace);
                     self.left = true;
                 }
-                Step::ReloadNow => assert!(
+                Action::ReloadNow => assert!(
                     self.old_serves,
                     "reads anew without serving\n{}",
                     self.trace
                 ),
-                Step::End | Step::EndAs { .. } => {
+                Action::End | Action::EndAs { .. } => {
                     assert!(!self.old_serves, "ends while it serves\n{}", self.trace);
                     assert!(
                         self.heir.is_some() || self.left,
@@ -137,28 +141,28 @@
                     );
                     self.old = None;
                 }
-                Step::Yield | Step::Tell(_) => {}
+                Action::Yield | Action::Tell(_) => {}
             }
         }
     }
 
     fn heir_steps(&mut self) {
         let now = self.now;
-        while let Some(step) = self.heir.as_mut().and_then(Heir::next_step) {
+        while let Some(step) = self.heir.as_mut().and_then(Successor::next_step) {
             let _ = writeln!(self.trace, "{now:?} new {step:?}");
             let Some(heir) = &mut self.heir else { return };
             match step {
-                heir::Step::Say(word) => self.to_old.push_back(word),
-                heir::Step::Take if std::mem::take(&mut self.taking_fails) => {
+                successor::Action::Say(word) => self.to_old.push_back(word),
+                successor::Action::Take if std::mem::take(&mut self.taking_fails) => {
                     heir.not_taken("torn")
                 }
-                heir::Step::Take => heir.taken(now),
-                heir::Step::Serve => {
+                successor::Action::Take => heir.taken(now),
+                successor::Action::Serve => {
                     assert!(!self.old_serves, "both serve\n{}", self.trace);
                     self.heir_serves = true;
                 }
-                heir::Step::Leave { .. } => self.left = true,
-                heir::Step::End { .. } => {
+                successor::Action::Leave { .. } => self.left = true,
+                successor::Action::End { .. } => {
                     assert!(
                         !self.heir_serves,
                         "ends with everything in hand\n{}",
@@ -166,7 +170,7 @@
                     );
                     self.end_heir(Some(1));
                 }
-                heir::Step::Free | heir::Step::Reload => {}
+                successor::Action::Free | successor::Action::Reload => {}
             }
         }
     }
@@ -269,7 +273,7 @@
         let alive = world.old.is_some() || world.heir.is_some();
         let served = world.old_serves || world.heir_serves;
         prop_assert!(!alive || world.left || served, "nobody serves\n{}", world.trace);
-        let busy = world.old.as_ref().is_some_and(Keeper::is_busy);
+        let busy = world.old.as_ref().is_some_and(Predecessor::is_busy);
         prop_assert!(!busy || world.left, "an upgrade without an end\n{}", world.trace);
     }
 
@@ -286,10 +290,10 @@
             match length {
                 Some(length) => {
                     let answer = Answer::Succeeded(vec![7; *length].into());
-                    transaction.put(Key::Door(*stream), &Door { answers: vec![(1, answer)] });
-                    transaction.put(Key::Edge(*stream), &Edge { faults: *length as u32, ..Edge::default() });
+                    transaction.put(Key::ResponseQueueRecord(*stream), &ResponseQueueRecord { answers: vec![(1, answer)] });
+                    transaction.put(Key::ClientConnectionRecord(*stream), &ClientConnectionRecord { faults: *length as u32, ..ClientConnectionRecord::default() });
                 }
-                None => transaction.remove(Key::Door(*stream)),
+                None => transaction.remove(Key::ResponseQueueRecord(*stream)),
             }
             let written = transaction.take();
             let mut image = states.last().map(|(_, image)| image.clone()).unwrap_or_default();
@@ -344,11 +348,11 @@
         // What was taken out or written and never noted is told.
         if taken_out > 0 {
             let mut lost = Flow { taken: taken_out - 1, given, ..Flow::default() };
-            prop_assert_eq!(lost.settle(kernel), Err(Torn::Lost(1)));
+            prop_assert_eq!(lost.settle(kernel), Err(ByteCountMismatch::Lost(1)));
         }
         if written > 0 {
             let mut unknown = Flow { taken: taken_out, given: written - 1, ..Flow::default() };
-            prop_assert_eq!(unknown.settle(kernel), Err(Torn::Unknown(1)));
+            prop_assert_eq!(unknown.settle(kernel), Err(ByteCountMismatch::Unknown(1)));
         }
     }
 }
