--- a/crates/merlinshelf-adapter/src/main.rs
+++ b/crates/merlinshelf-adapter/src/main.rs
@@ -7,11 +7,11 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::process::ExitCode;
 
-use merlinshelf_admission::{Decided, Invocation, Outcome, Settings, Shedder};
+use merlinshelf_admission::{AdmissionController, Decisions, Invocation, Outcome, Settings};
 
 /// One hosted instance and the numbers by which it knows invocations.
 struct Instance {
-    shedder: Shedder,
+    shedder: AdmissionController,
     numbers: HashMap<String, usize>,
     names: Vec<String>,
     free: Vec<usize>,
@@ -182,7 +182,7 @@
             .map(|&(name, value)| (name.to_owned(), value.to_owned()))
             .collect();
         let now = self.now_us as f64 / 1e6;
-        match catch_unwind(|| Shedder::start(now, seed, settings)) {
+        match catch_unwind(|| AdmissionController::start(now, seed, settings)) {
             Ok(started) => {
                 let (shedder, decided) = started?;
                 let (numbers, names, free, released) = Default::default();
@@ -217,17 +217,17 @@
                     operation: fields.number("Band")?.unwrap_or(0),
                     customer: fields.number("Team")?.unwrap_or(0),
                     caller: fields.number("Neighbour")?.unwrap_or(0),
-                    budget: fields
+                    caller_timeout: fields
                         .seconds("TimeBudgetUs")?
                         .filter(|budget| *budget > 0.0),
                     age: fields.seconds("AgeUs")?.unwrap_or(0.0),
-                    cost: fields.seconds("ExpectedUs")?.filter(|cost| *cost > 0.0),
-                    held_kb: fields.real("HeldKb")?.unwrap_or(0.0),
+                    cost_hint: fields.seconds("ExpectedUs")?.filter(|cost| *cost > 0.0),
+                    held_kilobytes: fields.real("HeldKb")?.unwrap_or(0.0),
                     rank: fields.real("Rank")?.unwrap_or(0.0),
-                    again: fields.flag("AgainByClient")?,
+                    is_retry: fields.flag("AgainByClient")?,
                     has_subject: fields.text("NameKey").is_some_and(|key| !key.is_empty()),
-                    repeats: prior.is_some(),
-                    earlier: None,
+                    is_repeat: prior.is_some(),
+                    original: None,
                 };
                 fields.flag("IsWrite")?;
             }
@@ -246,7 +246,7 @@
         let Some(instance) = self.instances.get_mut(name) else {
             return Ok(());
         };
-        arrival.earlier = prior.and_then(|prior| instance.numbers.get(prior).copied());
+        arrival.original = prior.and_then(|prior| instance.numbers.get(prior).copied());
         let inv = match kind {
             "SUBMIT" => Some(instance.number(job)),
             _ => instance.numbers.get(job).copied(),
@@ -260,7 +260,7 @@
             ("CALL_ENDED", Some(inv)) => shedder.call_ended(now, inv, outcome, span),
             ("NOTICE", _) => shedder.leave(now, span),
             ("ALARM", _) => shedder.woken(now, handle, &gauges),
-            _ => Decided::default(),
+            _ => Decisions::default(),
         }));
         match decided {
             Ok(decided) => encode(&mut self.reply, name, instance, self.now_us, decided),
@@ -275,12 +275,12 @@
 }
 
 /// Writes what was decided, in the order in which the interface lists it.
-fn encode(out: &mut String, name: &str, instance: &mut Instance, now_us: u64, decided: Decided) {
+fn encode(out: &mut String, name: &str, instance: &mut Instance, now_us: u64, decided: Decisions) {
     let job = |inv: usize| &instance.names[inv];
     let mut put = |verb: &str, rest: std::fmt::Arguments| {
         let _ = writeln!(out, "{verb}\tBackend={name}\t{rest}");
     };
-    for (inv, away, last) in decided.throttled {
+    for (inv, away, last) in decided.rejected {
         let (away, last) = (micros(away), u8::from(last));
         put(
             "OVERLOAD_REPLY",
@@ -291,9 +291,9 @@
         list.iter()
             .for_each(|&inv| put(verb, format_args!("Job={}", job(inv))));
     };
-    each("ERROR", &decided.errored);
+    each("ERROR", &decided.failed);
     each("PREEMPT", &decided.stopped);
-    for (inv, span) in decided.kept {
+    for (inv, span) in decided.cached {
         put(
             "REMEMBER",
             format_args!("Job={}\tSpanUs={}", job(inv), micros(span)),
@@ -303,7 +303,7 @@
         list.iter()
             .for_each(|&inv| put(verb, format_args!("Job={}", job(inv))));
     };
-    each("ERASE", &decided.forgotten);
+    each("ERASE", &decided.evicted);
     each("SHARE", &decided.joined);
     each("DISPATCH", &decided.started);
     for (inv, patience) in decided.called {
@@ -324,10 +324,10 @@
     if let Some(level) = decided.level {
         put("SIGNAL", format_args!("X={level:.4}"));
     }
-    if let Some(idle) = decided.trim_after {
+    if let Some(idle) = decided.idle_timeout {
         put("TRIM_AFTER", format_args!("SpanUs={}", micros(idle)));
     }
-    for (after, handle) in decided.wake {
+    for (after, handle) in decided.timers {
         put(
             "SLEEP",
             format_args!("AtUs={}\tHandle={handle}", now_us + micros(after).max(1)),
--- a/crates/merlinshelf-admission/src/shedder.rs
+++ b/crates/merlinshelf-admission/src/controller.rs
@@ -1,6 +1,6 @@
-//! The decisions. A host calls one method of [`Shedder`] for each thing that happens (`start`, `arrived`,
+//! The decisions. A host calls one method of [`AdmissionController`] for each thing that happens (`start`, `arrived`,
 //! `ended`, `caller_left`, `wants_call`, `call_ended`, `leave`, `woken`), with the clock in seconds, and
-//! carries out the [`Decided`] that comes back. The interface's types are defined in `lib.rs`.
+//! carries out the [`Decisions`] that comes back. The interface's types are defined in `lib.rs`.
 //! A method notes what happened; then the table `RULES` is gone through from the top until no rule fires.
 //! A rule names a condition, which picks an invocation, and an effect on it. Each effect moves that
 //! invocation on (answered, held, started, called) or settles a value, so that the going-through ends.
@@ -12,8 +12,8 @@
 use rand_pcg::Pcg32;
 
 use crate::{
-    Beliefs, Believed, Decided, Inv, Invocation, Learnt, LearntOfOperation, Outcome, Settings,
-    Spend, Stage,
+    Decisions, DownstreamQuota, Invocation, InvocationState, LearnedOperation, LearnedState,
+    Outcome, PriorEstimate, PriorEstimates, Settings, Stage,
 };
 
 #[cfg(test)]
@@ -45,86 +45,94 @@
 
 type Rule = (
     &'static str,
-    fn(&Shedder) -> Option<usize>,
-    fn(&mut Shedder, usize),
+    fn(&AdmissionController) -> Option<usize>,
+    fn(&mut AdmissionController, usize),
 );
 
 /// All that is decided, in order of precedence.
 const RULES: &[Rule] = &[
     (
         "answer what falls due",
-        Shedder::falls_due,
-        Shedder::give_up,
+        AdmissionController::falls_due,
+        AdmissionController::give_up,
     ),
     (
         "stop work that nobody waits for",
-        Shedder::unwanted_run,
-        Shedder::stop,
+        AdmissionController::unwanted_run,
+        AdmissionController::stop,
+    ),
+    (
+        "keep within memory",
+        AdmissionController::over_memory,
+        AdmissionController::give_up,
     ),
-    ("keep within memory", Shedder::over_memory, Shedder::give_up),
     (
         "join repeats",
-        |s| s.first(|it| it.stage == Stage::Read && it.told.repeats),
-        Shedder::join,
+        |s| s.first(|it| it.stage == Stage::Read && it.request.is_repeat),
+        AdmissionController::join,
     ),
     (
         "turn away after the grace",
-        Shedder::after_grace,
-        Shedder::throttle,
+        AdmissionController::after_grace,
+        AdmissionController::throttle,
     ),
     (
         "raise the limit while cores idle",
-        Shedder::cores_idle,
-        Shedder::raise,
+        AdmissionController::cores_idle,
+        AdmissionController::raise,
     ),
     (
         "cut by group over the limit",
-        Shedder::over_limit,
-        Shedder::throttle,
+        AdmissionController::over_limit,
+        AdmissionController::throttle,
     ),
     (
         "turn away what comes too late",
-        Shedder::too_late,
-        Shedder::throttle,
+        AdmissionController::too_late,
+        AdmissionController::throttle,
+    ),
+    (
+        "hold the rest",
+        AdmissionController::newly_read,
+        AdmissionController::hold,
     ),
-    ("hold the rest", Shedder::newly_read, Shedder::hold),
     (
         "drop held work past its objective",
-        Shedder::hopeless,
-        Shedder::throttle,
+        AdmissionController::hopeless,
+        AdmissionController::throttle,
     ),
     (
         "give up calls that lead nowhere",
-        Shedder::call_is_lost,
-        Shedder::give_up,
+        AdmissionController::call_is_lost,
+        AdmissionController::give_up,
     ),
     (
         "leave out calls that come too late",
-        Shedder::call_to_skip,
-        Shedder::degrade,
+        AdmissionController::call_to_skip,
+        AdmissionController::degrade,
     ),
     (
         "call below within the share",
-        Shedder::call_to_make,
-        Shedder::call,
+        AdmissionController::call_to_make,
+        AdmissionController::call,
     ),
     (
         "start the best while cores are free",
-        Shedder::startable,
-        Shedder::begin,
+        AdmissionController::startable,
+        AdmissionController::begin,
     ),
     (
         "tell checks and callers",
-        Shedder::word_is_old,
-        Shedder::tell,
+        AdmissionController::word_is_old,
+        AdmissionController::tell,
     ),
 ];
 
 #[derive(Default)]
-pub struct Shedder {
+pub struct AdmissionController {
     settings: Settings,
     now: f64,
-    out: Decided,
+    out: Decisions,
     rng: Option<Pcg32>,
     salt: u64,
     born: f64,
@@ -133,7 +141,7 @@
     by_work: bool, // whether billed value is counted by work
     marked: bool,  // whether callers mark further tries
     rates: Vec<f64>,
-    invs: Vec<Inv>,
+    invs: Vec<InvocationState>,
     live: Vec<usize>,  // in order of arrival
     unrun: Vec<usize>, // turned away unrun at this very time: a repeat read with them starts afresh
     limit: f64,
@@ -158,8 +166,8 @@
     asked: VecDeque<(f64, f64)>, // when the last arrivals came, and their expected time on a core
     gaps: VecDeque<f64>,         // after how long the callers of the last arrivals had come back
     agains: VecDeque<f64>, // whether the last arrivals were further tries, unmarked: the last decided refused
-    beliefs: Beliefs,      // on the word of others: nothing on the ordinary path
-    spend: Spend,          // what a fleet's budgets leave: all of it on the ordinary path
+    beliefs: PriorEstimates, // on the word of others: nothing on the ordinary path
+    spend: DownstreamQuota, // what a fleet's budgets leave: all of it on the ordinary path
 }
 
 /// Keeps the last few samples. 24 spans a second or two of a busy operation: recent, not jumpy.
@@ -175,20 +183,20 @@
 }
 
 /// What others' word counts beside so many own samples: as three at the most, nothing beside eight.
-fn told(own: usize, word: Option<Believed>) -> (f64, f64) {
+fn told(own: usize, word: Option<PriorEstimate>) -> (f64, f64) {
     word.filter(|_| own < 8)
         .map_or((0.0, 0.0), |it| (it.value, 3.0 * it.weight.clamp(0.0, 1.0)))
 }
 
-fn mean_beside(samples: &VecDeque<f64>, word: Option<Believed>) -> f64 {
+fn mean_beside(samples: &VecDeque<f64>, word: Option<PriorEstimate>) -> f64 {
     let (value, weight) = told(samples.len(), word);
     let sum = samples.iter().sum::<f64>() + value * weight;
     sum / (samples.len() as f64 + weight).max(1e-9)
 }
 
-impl Shedder {
+impl AdmissionController {
     /// A new instance. Fails on a setting that it uses and cannot read, naming it.
-    pub fn start(now: f64, seed: u64, settings: Settings) -> Result<(Self, Decided), String> {
+    pub fn start(now: f64, seed: u64, settings: Settings) -> Result<(Self, Decisions), String> {
         let numeric = [
             "Us",
             "Kb",
@@ -203,7 +211,7 @@
         let also = ["Total", "PerS", "Capacity", "Stretch", "Servers"];
         let number = |name: &str| numeric.iter().chain(&also).any(|end| name.ends_with(end));
         let unread = |text: &str| text.parse::<f64>().map_or(true, |value| !value.is_finite());
-        let mut out = Decided::default();
+        let mut out = Decisions::default();
         // What is no known word is named, and taken for the strictest: it runs once, and nothing is halted.
         let words = [
             (".Effect", "read_like idempotency_key non_idempotent"),
@@ -222,14 +230,14 @@
                     .push(format!("setting {name}={text:?} is none of: {known}"));
             }
         }
-        let mut new = Shedder {
+        let mut new = AdmissionController {
             settings,
             now,
             out,
             salt: seed,
             born: now,
             busy_at: now,
-            ..Shedder::default()
+            ..AdmissionController::default()
         };
         new.rng = Some(Pcg32::seed_from_u64(seed));
         new.ops = (0..new.num("Classes.count", 0.0).max(1.0) as usize)
@@ -246,7 +254,7 @@
         // The dependency slows well before its share is full: half of it at the start let all backends jam
         // it together before they had samples, a quarter took long to rise where it had room.
         new.call_limit = new.num("FamilyInfo.CallShare", f64::INFINITY) * 0.4;
-        new.out.wake.push((BEAT, 0));
+        new.out.timers.push((BEAT, 0));
         let decided = new.settle();
         Ok((new, decided))
     }
@@ -271,15 +279,15 @@
     }
 
     /// What this one has learnt, for a successor.
-    pub fn learnt(&self) -> Learnt {
-        let of = |op: &Operation| LearntOfOperation {
-            runs: op.runs.clone(),
-            costs: op.costs.clone(),
-            below: op.below.clone(),
-            lowest: op.lowest,
-            until_probe: op.until_probe,
+    pub fn learnt(&self) -> LearnedState {
+        let of = |op: &Operation| LearnedOperation {
+            run_durations: op.runs.clone(),
+            run_costs: op.costs.clone(),
+            downstream_durations: op.below.clone(),
+            lowest_duration: op.lowest,
+            finishes_until_probe: op.until_probe,
         };
-        Learnt {
+        LearnedState {
             born: self.born,
             leave_at: self.leave_at,
             operations: self.ops.iter().map(of).collect(),
@@ -303,10 +311,11 @@
     }
 
     /// Takes up what a predecessor on the same engine and clock had learnt, right after the start.
-    pub fn take_up(&mut self, learnt: Learnt) {
+    pub fn take_up(&mut self, learnt: LearnedState) {
         for (op, of) in self.ops.iter_mut().zip(learnt.operations) {
-            (op.runs, op.costs, op.below) = (of.runs, of.costs, of.below);
-            (op.lowest, op.until_probe) = (of.lowest, of.until_probe);
+            (op.runs, op.costs, op.below) =
+                (of.run_durations, of.run_costs, of.downstream_durations);
+            (op.lowest, op.until_probe) = (of.lowest_duration, of.finishes_until_probe);
         }
         (self.born, self.leave_at, self.progress) = (learnt.born, learnt.leave_at, learnt.progress);
         (self.limit, self.busy, self.busy_at) =
@@ -321,9 +330,10 @@
 
     /// Takes what is believed on the word of others, as often as it changes. Limits start from it and move by
     /// one's own samples alone; durations count beside the first few of these (`told`).
-    pub fn believe(&mut self, beliefs: Beliefs) {
-        let towards =
-            |from: f64, word: Believed| from + (word.value - from) * word.weight.clamp(0.0, 1.0);
+    pub fn believe(&mut self, beliefs: PriorEstimates) {
+        let towards = |from: f64, word: PriorEstimate| {
+            from + (word.value - from) * word.weight.clamp(0.0, 1.0)
+        };
         if self.call_times.is_empty() && self.call_failures == 0 {
             let share = self.num("FamilyInfo.CallShare", f64::INFINITY);
             if let Some(word) = beliefs.call_limit.filter(|_| share.is_finite()) {
@@ -341,13 +351,13 @@
             }
         }
         if let Some(word) = beliefs
-            .limit
+            .concurrency_limit
             .filter(|_| self.ops.iter().all(|op| op.runs.is_empty()))
         {
             let most = self.survivable().min(2.0 * self.cores());
             self.limit = towards(self.cores(), word).min(most).max(self.cores());
         }
-        for (op, word) in self.ops.iter_mut().zip(&beliefs.lowest) {
+        for (op, word) in self.ops.iter_mut().zip(&beliefs.lowest_durations) {
             if let Some(word) = word.filter(|_| op.runs.is_empty()) {
                 (op.lowest, op.until_probe) = (word.value, 8.0);
             }
@@ -357,7 +367,7 @@
 
     /// What a fleet's budgets leave for calls below until told anew, and what it knows of the dependency;
     /// says what of the last was left over, and whether the dependency fails here.
-    pub fn spend(&mut self, left: Spend) -> (Spend, bool) {
+    pub fn spend(&mut self, left: DownstreamQuota) -> (DownstreamQuota, bool) {
         let (fails, most) = (
             self.call_failures >= 5,
             if left.opens { 4 } else { u32::MAX },
@@ -370,43 +380,43 @@
     }
 
     /// All that is held of an invocation in hand.
-    pub fn invocation(&self, inv: usize) -> Option<&Inv> {
+    pub fn invocation(&self, inv: usize) -> Option<&InvocationState> {
         self.lives(inv).then(|| &self.invs[inv])
     }
 
     /// Takes one up where a predecessor left it, in the order of arrival; decided on with what happens next.
-    pub fn carry_on(&mut self, inv: usize, mut it: Inv) {
-        it.told.operation = it.told.operation.min(self.ops.len() - 1);
+    pub fn carry_on(&mut self, inv: usize, mut it: InvocationState) {
+        it.request.operation = it.request.operation.min(self.ops.len() - 1);
         self.invs
-            .resize_with(self.invs.len().max(inv + 1), Inv::default);
+            .resize_with(self.invs.len().max(inv + 1), InvocationState::default);
         self.invs[inv] = it;
         self.live.push(inv);
     }
 
-    pub fn arrived(&mut self, now: f64, inv: usize, mut told: Invocation) -> Decided {
+    pub fn arrived(&mut self, now: f64, inv: usize, mut told: Invocation) -> Decisions {
         self.at(now);
         told.operation = told.operation.min(self.ops.len() - 1);
         // Unmarked, a passed time under three quarters of the longest lately tells a further try: first
         // tries wait alike, further ones with what is left. Harm: callers who wait less are taken for these.
-        if let Some(budget) = told.budget.filter(|_| !self.marked) {
+        if let Some(budget) = told.caller_timeout.filter(|_| !self.marked) {
             let budgets = &mut self.ops[told.operation].budgets;
             sample(budgets, budget + told.age);
-            told.again =
+            told.is_retry =
                 budget + told.age < 0.75 * budgets.iter().fold(0.0, |most, &it| it.max(most));
         }
         let op = &self.ops[told.operation];
         let arrived = now - told.age;
         let due = told
-            .budget
+            .caller_timeout
             .map_or(arrived + op.timeout, |budget| now + budget);
-        let stretched = op.objective + op.stretch * told.cost.unwrap_or(0.0);
+        let stretched = op.objective + op.stretch * told.cost_hint.unwrap_or(0.0);
         // A further try has spent four tenths of the objective elsewhere (0 tried), or less by its budget.
         let aim = stretched.min(op.timeout);
         let bound = told
-            .budget
+            .caller_timeout
             .map_or(aim, |budget| op.timeout - budget - told.age);
         let spent = bound.clamp(0.0, 0.4 * aim);
-        let by = (arrived + aim - if told.again { spent } else { 0.0 }).min(due);
+        let by = (arrived + aim - if told.is_retry { spent } else { 0.0 }).min(due);
         let over_share = self.beyond_share(told.customer);
         let before = self
             .callers
@@ -414,21 +424,21 @@
             .unwrap_or(f64::NEG_INFINITY);
         sample(&mut self.gaps, now - before);
         if self.marked {
-            sample(&mut self.agains, f64::from(u8::from(told.again)));
+            sample(&mut self.agains, f64::from(u8::from(told.is_retry)));
         }
-        told.repeats &= !told
-            .earlier
+        told.is_repeat &= !told
+            .original
             .is_some_and(|earlier| self.unrun.contains(&earlier));
         self.invs
-            .resize_with(self.invs.len().max(inv + 1), Inv::default);
-        self.invs[inv] = Inv {
-            told,
-            arrived,
-            due,
-            by,
-            since: now,
-            over_share,
-            ..Inv::default()
+            .resize_with(self.invs.len().max(inv + 1), InvocationState::default);
+        self.invs[inv] = InvocationState {
+            request: told,
+            arrived_at: arrived,
+            due_at: due,
+            objective_deadline: by,
+            stage_entered_at: now,
+            exceeds_quota: over_share,
+            ..InvocationState::default()
         };
         let work = self.core_time(&self.invs[inv]);
         sample(&mut self.asked, (now, work));
@@ -437,7 +447,7 @@
         self.settle()
     }
 
-    pub fn ended(&mut self, now: f64, inv: usize, outcome: Outcome, took: f64) -> Decided {
+    pub fn ended(&mut self, now: f64, inv: usize, outcome: Outcome, took: f64) -> Decisions {
         self.at(now);
         if !self.lives(inv) {
             return self.settle();
@@ -445,12 +455,15 @@
         self.leave_call(inv, outcome);
         let it = &self.invs[inv];
         let (op, away, cost, entry) = (
-            it.told.operation,
-            it.away,
-            it.told.cost.unwrap_or(1.0),
-            it.entry,
+            it.request.operation,
+            it.off_core_seconds,
+            it.request.cost_hint.unwrap_or(1.0),
+            it.has_table_entry,
+        );
+        let (ran, whole) = (
+            it.stage != Stage::Joined,
+            outcome.succeeded && !it.is_stopping,
         );
-        let (ran, whole) = (it.stage != Stage::Joined, outcome.succeeded && !it.stopping);
         self.progress = if ran { now } else { self.progress };
         if ran && whole {
             self.measured(op, (took - away).max(1e-6), cost, away);
@@ -463,30 +476,30 @@
         self.settle()
     }
 
-    pub fn caller_left(&mut self, now: f64, inv: usize) -> Decided {
+    pub fn caller_left(&mut self, now: f64, inv: usize) -> Decisions {
         self.at(now);
         if self.lives(inv) {
-            self.invs[inv].answered = true;
+            self.invs[inv].is_answered = true;
             self.drop_waiting(inv);
         }
         self.settle()
     }
 
-    pub fn wants_call(&mut self, now: f64, inv: usize) -> Decided {
+    pub fn wants_call(&mut self, now: f64, inv: usize) -> Decisions {
         self.at(now);
         if self.lives(inv) {
-            (self.invs[inv].stage, self.invs[inv].since) = (Stage::AtCall, now);
+            (self.invs[inv].stage, self.invs[inv].stage_entered_at) = (Stage::AtCall, now);
             self.progress = now;
         }
         self.settle()
     }
 
-    pub fn call_ended(&mut self, now: f64, inv: usize, outcome: Outcome, _took: f64) -> Decided {
+    pub fn call_ended(&mut self, now: f64, inv: usize, outcome: Outcome, _took: f64) -> Decisions {
         self.at(now);
         if self.lives(inv) && self.invs[inv].stage == Stage::Calling {
             self.leave_call(inv, outcome);
             let it = &mut self.invs[inv];
-            it.unsure = !outcome.succeeded && !outcome.never_ran;
+            it.has_uncertain_call = !outcome.succeeded && !outcome.never_ran;
             it.stage = if outcome.succeeded {
                 Stage::Running
             } else {
@@ -497,14 +510,14 @@
         self.settle()
     }
 
-    pub fn leave(&mut self, now: f64, budget: f64) -> Decided {
+    pub fn leave(&mut self, now: f64, budget: f64) -> Decisions {
         self.at(now);
         self.leave_at = Some((now + self.secs("Rules.DrainGraceUs", 0.0), now + budget));
         self.settle()
     }
 
     /// A timer; gauges come with it. One beat keeps all that waits on the clock moving.
-    pub fn woken(&mut self, now: f64, _handle: u64, gauges: &BTreeMap<String, f64>) -> Decided {
+    pub fn woken(&mut self, now: f64, _handle: u64, gauges: &BTreeMap<String, f64>) -> Decisions {
         self.at(now);
         if let Some(&busy) = gauges.get("cpu_busy") {
             (self.busy, self.busy_at) = (busy.clamp(0.0, 1.0), now);
@@ -512,7 +525,7 @@
         if let (Some(&all), on) = (gauges.get("runnable"), self.on_cores() as f64) {
             sample(&mut self.others, (all - on).max(0.0));
         }
-        self.out.wake.push((BEAT, 0));
+        self.out.timers.push((BEAT, 0));
         self.settle()
     }
 
@@ -565,13 +578,13 @@
     /// goes into the cohort, so that no caller is shut out on all servers for the same hour.
     fn group(&self, inv: usize) -> f64 {
         let it = &self.invs[inv];
-        let rank = if it.over_share {
+        let rank = if it.exceeds_quota {
             0.0
         } else {
-            it.told.rank.clamp(0.0, 0.999)
+            it.request.rank.clamp(0.0, 0.999)
         };
         let hour = (self.now / 3600.0) as u64;
-        let mixed = (it.told.caller ^ self.salt.rotate_left(17) ^ hour.rotate_left(40))
+        let mixed = (it.request.caller ^ self.salt.rotate_left(17) ^ hour.rotate_left(40))
             .wrapping_mul(0x9E37_79B9_7F4A_7C15);
         (4.0 - (rank * 5.0).floor()) * 128.0 + (mixed >> 57) as f64 + 1.0
     }
@@ -596,29 +609,29 @@
     }
 
     fn falls_due(&self) -> Option<usize> {
-        self.first(|it| !it.answered && self.now + MARGIN >= self.due(it))
+        self.first(|it| !it.is_answered && self.now + MARGIN >= self.due(it))
     }
 
-    fn due(&self, it: &Inv) -> f64 {
+    fn due(&self, it: &InvocationState) -> f64 {
         self.leave_at
-            .map_or(it.due, |(_, stop)| it.due.min(stop - MARGIN))
+            .map_or(it.due_at, |(_, stop)| it.due_at.min(stop - MARGIN))
     }
 
     /// The final answer to what can't be had: turned away if unrun, else errored, as is a joined repeat.
     fn give_up(&mut self, inv: usize) {
         let (now, it) = (self.now, &mut self.invs[inv]);
-        if matches!(it.stage, Stage::Read | Stage::Held) && !it.told.repeats {
+        if matches!(it.stage, Stage::Read | Stage::Queued) && !it.request.is_repeat {
             return self.throttle(inv);
         }
-        it.answered = true;
+        it.is_answered = true;
         if matches!(it.stage, Stage::AtCall | Stage::Calling) {
             // Its time below counts, else a slow dependency shows only in the calls that it let through.
             sample(
-                &mut self.ops[it.told.operation].below,
-                it.away + now - it.since,
+                &mut self.ops[it.request.operation].below,
+                it.off_core_seconds + now - it.stage_entered_at,
             );
         }
-        self.out.errored.push(inv);
+        self.out.failed.push(inv);
         self.drop_waiting(inv);
     }
 
@@ -631,7 +644,7 @@
         };
         let work: f64 = self.all(|_| true).map(|it| self.core_time(it)).sum();
         let clear = work / self.cores() * (0.25 + 0.5 * self.chance()); // half of it, spread
-        let never = self.ops[self.invs[inv].told.operation].objective == 0.0; // switched off for all
+        let never = self.ops[self.invs[inv].request.operation].objective == 0.0; // switched off for all
         let away = if never || self.leave_at.is_some() {
             most
         } else {
@@ -640,9 +653,9 @@
         // Not elsewhere where it has been, nor while over a seventh of the last arrivals were further tries:
         // all turn away then. Guards against storms of tries; harm: lost where others have room.
         let last = never
-            || self.invs[inv].told.again
-            || mean_beside(&self.agains, self.beliefs.again) > 0.15;
-        self.out.throttled.push((inv, away, last));
+            || self.invs[inv].request.is_retry
+            || mean_beside(&self.agains, self.beliefs.retry_share) > 0.15;
+        self.out.rejected.push((inv, away, last));
         self.turned
             .iter_mut()
             .rev()
@@ -653,8 +666,9 @@
     }
 
     fn unwanted_run(&self) -> Option<usize> {
-        let waste = |it: &Inv| it.answered && it.stage == Stage::Running && !it.stopping;
-        let found = self.first(|it| waste(it) && self.ops[it.told.operation].idempotent);
+        let waste =
+            |it: &InvocationState| it.is_answered && it.stage == Stage::Running && !it.is_stopping;
+        let found = self.first(|it| waste(it) && self.ops[it.request.operation].idempotent);
         found.filter(|_| matches!(self.text("FamilyInfo.Halt"), "discard" | "freeze"))
     }
 
@@ -666,7 +680,7 @@
     }
 
     fn stop(&mut self, inv: usize) {
-        self.invs[inv].stopping = true;
+        self.invs[inv].is_stopping = true;
         self.out.stopped.push(inv);
     }
 
@@ -678,17 +692,17 @@
     fn keep(&mut self, inv: usize, span: f64) {
         self.entries.retain(|&(_, holder)| holder != inv);
         self.entries.push_back((self.now + span, inv));
-        self.out.kept.push((inv, span));
+        self.out.cached.push((inv, span));
     }
 
     fn after_grace(&self) -> Option<usize> {
         let (grace, _) = self.leave_at?;
-        self.first(|it| matches!(it.stage, Stage::Read | Stage::Held) && it.arrived > grace)
+        self.first(|it| matches!(it.stage, Stage::Read | Stage::Queued) && it.arrived_at > grace)
     }
 
     fn over_memory(&self) -> Option<usize> {
         let inv = self.newly_read()?;
-        let tokened = self.ops[self.invs[inv].told.operation].tokened;
+        let tokened = self.ops[self.invs[inv].request.operation].tokened;
         let entry = if tokened {
             self.num("FamilyInfo.KeyKb", 0.0)
         } else {
@@ -700,9 +714,9 @@
     /// Memory less what is in use and a tenth for what is read before an answer can be given.
     fn spare_memory(&self) -> f64 {
         let factor = self.num("FamilyInfo.RunFactor", 1.0);
-        let needs = |it: &Inv| match it.stage {
-            Stage::Read | Stage::Held | Stage::Joined => it.told.held_kb,
-            _ => it.told.held_kb * factor,
+        let needs = |it: &InvocationState| match it.stage {
+            Stage::Read | Stage::Queued | Stage::Joined => it.request.held_kilobytes,
+            _ => it.request.held_kilobytes * factor,
         };
         let invs: f64 = self.all(|_| true).map(needs).sum();
         let used = invs + self.entries.len() as f64 * self.num("FamilyInfo.KeyKb", 0.0);
@@ -732,21 +746,24 @@
     fn too_late(&self) -> Option<usize> {
         self.newly_read().filter(|&inv| {
             let it = &self.invs[inv];
-            let ahead = |one: &Inv| match one.stage {
-                Stage::Running => {
-                    (self.core_time(one) - (self.now - one.began - one.away)).max(0.0)
-                }
-                Stage::Held if self.density(one) >= self.density(it) => self.core_time(one),
+            let ahead = |one: &InvocationState| match one.stage {
+                Stage::Running => (self.core_time(one)
+                    - (self.now - one.started_at - one.off_core_seconds))
+                    .max(0.0),
+                Stage::Queued if self.density(one) >= self.density(it) => self.core_time(one),
                 _ => 0.0,
             };
             let work: f64 = self.all(|_| true).map(ahead).sum();
             let full = self.on_cores() as f64 >= self.for_runs();
-            let never = self.ops[it.told.operation].objective == 0.0; // switched off by the operators
-            let like =
-                |one: &Inv| one.stage == Stage::Running && one.told.operation == it.told.operation;
+            let never = self.ops[it.request.operation].objective == 0.0; // switched off by the operators
+            let like = |one: &InvocationState| {
+                one.stage == Stage::Running && one.request.operation == it.request.operation
+            };
             let ends =
                 self.now + if full { work / self.for_runs() } else { 0.0 } + self.whole_time(it);
-            never || (full || !it.told.again && self.first(like).is_some()) && ends > it.by
+            never
+                || (full || !it.request.is_retry && self.first(like).is_some())
+                    && ends > it.objective_deadline
         })
     }
 
@@ -754,17 +771,17 @@
     /// others and the table leaves most of the memory to work.
     fn hold(&mut self, inv: usize) {
         let it = &self.invs[inv];
-        let op = &self.ops[it.told.operation];
-        let shares = self.secs("FamilyInfo.ShareForUs", 0.0) > 0.0 && it.told.has_subject;
+        let op = &self.ops[it.request.operation];
+        let shares = self.secs("FamilyInfo.ShareForUs", 0.0) > 0.0 && it.request.has_subject;
         let table = (self.entries.len() + 1) as f64 * self.num("FamilyInfo.KeyKb", 0.0);
         let span = if op.tokened {
-            (it.arrived + op.window - self.now).max(0.0) + 0.001
+            (it.arrived_at + op.window - self.now).max(0.0) + 0.001
         } else if op.idempotent && shares && table < self.num("FamilyInfo.HeapKb", 0.0) / 5.0 {
-            it.due - self.now
+            it.due_at - self.now
         } else {
             0.0
         };
-        (self.invs[inv].stage, self.invs[inv].entry) = (Stage::Held, span > 0.0);
+        (self.invs[inv].stage, self.invs[inv].has_table_entry) = (Stage::Queued, span > 0.0);
         if span > 0.0 {
             self.keep(inv, span);
         }
@@ -772,11 +789,12 @@
 
     /// Held work that can't make its objective any more: of no value, or of little while better waits.
     fn hopeless(&self) -> Option<usize> {
-        let held = self.count(|it| it.stage == Stage::Held);
+        let held = self.count(|it| it.stage == Stage::Queued);
         self.first(|it| {
-            let late = self.now + 0.7 * self.whole_time(it) > it.by; // 1 tried: no better
-            let none = self.now > it.by && self.ops[it.told.operation].late_value == 0.0;
-            it.stage == Stage::Held && (late && held > 1 || none)
+            let late = self.now + 0.7 * self.whole_time(it) > it.objective_deadline; // 1 tried: no better
+            let none = self.now > it.objective_deadline
+                && self.ops[it.request.operation].late_value == 0.0;
+            it.stage == Stage::Queued && (late && held > 1 || none)
         })
     }
 
@@ -790,13 +808,16 @@
         }
         let free = self.spare_memory();
         // Behind a jam below, work that calls only fills memory; half the cores' number may wait there.
-        let stuck =
-            |it: &Inv| it.stage == Stage::AtCall && self.ops[it.told.operation].skip_value == 0.0;
+        let stuck = |it: &InvocationState| {
+            it.stage == Stage::AtCall && self.ops[it.request.operation].skip_value == 0.0
+        };
         let jam = self.breaker_holds() || self.count(stuck) as f64 >= 0.5 * self.cores();
-        let fits = |it: &Inv| {
-            let op = &self.ops[it.told.operation];
+        let fits = |it: &InvocationState| {
+            let op = &self.ops[it.request.operation];
             let blocked = op.calls && op.skip_value == 0.0 && jam;
-            it.stage == Stage::Held && !blocked && it.told.held_kb * (factor - 1.0) <= free
+            it.stage == Stage::Queued
+                && !blocked
+                && it.request.held_kilobytes * (factor - 1.0) <= free
         };
         self.best(fits, |it| self.density(it))
     }
@@ -814,18 +835,19 @@
             self.progress
         };
         let (now, it) = (self.now, &mut self.invs[inv]);
-        (it.stage, it.began, it.since, it.ran) = (Stage::Running, now, now, true);
+        (it.stage, it.started_at, it.stage_entered_at, it.has_run) =
+            (Stage::Running, now, now, true);
         self.out.started.push(inv);
         self.decided_on(0.0);
     }
 
     /// Billed value by second of core. A marked further try counts half: guards against retries that take the
     /// cores from first tries; harm: one turned away at once waits longer.
-    fn density(&self, it: &Inv) -> f64 {
-        let op = &self.ops[it.told.operation];
-        let again = if it.told.again { 0.5 } else { 1.0 }; // 0.2 tried: no better
+    fn density(&self, it: &InvocationState) -> f64 {
+        let op = &self.ops[it.request.operation];
+        let again = if it.request.is_retry { 0.5 } else { 1.0 }; // 0.2 tried: no better
         let share = again
-            * if it.over_share {
+            * if it.exceeds_quota {
                 self.num("OverShareWorth", 1.0)
             } else {
                 1.0
@@ -851,10 +873,10 @@
         let mut took = self.ops[op].runs.iter().sum::<f64>() + value * of;
         let mut cost = (self.ops[op].costs.iter().sum::<f64>() + of).max(1e-9);
         let twice = 2.0 * took / cost;
-        for one in self.all(|one| one.stage == Stage::Running && one.told.operation == op) {
+        for one in self.all(|one| one.stage == Stage::Running && one.request.operation == op) {
             let (lasts, of) = (
-                self.now - one.began - one.away,
-                one.told.cost.unwrap_or(1.0),
+                self.now - one.started_at - one.off_core_seconds,
+                one.request.cost_hint.unwrap_or(1.0),
             );
             if lasts > twice * of {
                 (took, cost) = (took + lasts, cost + of);
@@ -863,29 +885,30 @@
         took / cost
     }
 
-    fn core_time(&self, it: &Inv) -> f64 {
+    fn core_time(&self, it: &InvocationState) -> f64 {
         // Unsampled: by the hint, longer while cold. Guards successors in a rush; harm: fast ones refuse.
-        let op = it.told.operation;
+        let op = it.request.operation;
         let unknown = self.ops[op].runs.is_empty() && self.word(op).is_none();
-        let least = if unknown && it.told.cost.is_some() {
+        let least = if unknown && it.request.cost_hint.is_some() {
             1.0 / self.warmth().max(0.1)
         } else {
             0.0
         };
-        self.rates[op].max(least) * it.told.cost.unwrap_or(1.0)
+        self.rates[op].max(least) * it.request.cost_hint.unwrap_or(1.0)
     }
 
-    fn whole_time(&self, it: &Inv) -> f64 {
-        self.core_time(it) + mean(&self.ops[it.told.operation].below)
+    fn whole_time(&self, it: &InvocationState) -> f64 {
+        self.core_time(it) + mean(&self.ops[it.request.operation].below)
     }
 
     /// What others say of an operation, as long as it is to be heeded: not once own runs are twice off, and
     /// of one not seen yet only while a run tries one of these. Else a lie would keep it from running.
-    fn word(&self, op: usize) -> Option<Believed> {
-        let word = (*self.beliefs.runs.get(op)?)?;
+    fn word(&self, op: usize) -> Option<PriorEstimate> {
+        let word = (*self.beliefs.run_durations.get(op)?)?;
         let (took, cost) = (&self.ops[op].runs, &self.ops[op].costs);
         let off = took.iter().sum::<f64>() / cost.iter().sum::<f64>() / word.value; // no number if none
-        let tries = |it: &Inv| it.ran && self.ops[it.told.operation].runs.is_empty();
+        let tries =
+            |it: &InvocationState| it.has_run && self.ops[it.request.operation].runs.is_empty();
         let heeded = if took.is_empty() {
             self.count(tries) > 0
         } else {
@@ -910,11 +933,17 @@
 
     fn leave_call(&mut self, inv: usize, outcome: Outcome) {
         let (now, stays) = (self.now, self.secs("FamilyInfo.StaysForUs", 0.0));
-        let Inv {
-            stage, since, away, ..
+        let InvocationState {
+            stage,
+            stage_entered_at: since,
+            off_core_seconds: away,
+            ..
         } = self.invs[inv];
         if matches!(stage, Stage::AtCall | Stage::Calling) {
-            (self.invs[inv].away, self.invs[inv].since) = (away + now - since, now);
+            (
+                self.invs[inv].off_core_seconds,
+                self.invs[inv].stage_entered_at,
+            ) = (away + now - since, now);
         }
         if stage == Stage::Calling {
             let lingers = !outcome.succeeded && !outcome.never_ran;
@@ -967,7 +996,7 @@
         let taken = |from: f64, to: f64| (to - from.max(self.now - span)).max(0.0);
         let open = self
             .all(|it| it.stage == Stage::Calling)
-            .map(|it| taken(it.since, self.now));
+            .map(|it| taken(it.stage_entered_at, self.now));
         open.chain(self.calls.iter().map(|&(from, to)| taken(from, to)))
             .sum()
     }
@@ -1031,17 +1060,17 @@
         }
     }
 
-    fn may_call(&self, it: &Inv) -> bool {
-        let once = !self.ops[it.told.operation].idempotent && it.unsure;
+    fn may_call(&self, it: &InvocationState) -> bool {
+        let once = !self.ops[it.request.operation].idempotent && it.has_uncertain_call;
         it.calls < 3 && !once && (it.calls == 0 || self.spend.left[1] > 0)
     }
 
     fn call_is_lost(&self) -> Option<usize> {
         self.first(|it| {
-            let op = &self.ops[it.told.operation];
-            let past = self.now > it.by && op.late_value == 0.0;
+            let op = &self.ops[it.request.operation];
+            let past = self.now > it.objective_deadline && op.late_value == 0.0;
             it.stage == Stage::AtCall
-                && !it.answered
+                && !it.is_answered
                 && (past || op.skip_value == 0.0 && !self.may_call(it))
         })
     }
@@ -1060,15 +1089,19 @@
         };
         let dearest = LazyCell::new(|| stakes().fold(f64::NEG_INFINITY, f64::max));
         self.first(|it| {
-            let op = &self.ops[it.told.operation];
+            let op = &self.ops[it.request.operation];
             let below = mean_beside(
                 &op.below,
-                self.beliefs.below.get(it.told.operation).copied().flatten(),
+                self.beliefs
+                    .downstream_durations
+                    .get(it.request.operation)
+                    .copied()
+                    .flatten(),
             );
-            let late = || self.now + below + 0.5 * self.core_time(it) > it.by;
+            let late = || self.now + below + 0.5 * self.core_time(it) > it.objective_deadline;
             let short = || *kept || *full && *dearest > self.stake(it);
             let skip = || !self.may_call(it) || *breaker || late() || short();
-            it.stage == Stage::AtCall && !it.answered && op.skip_value > 0.0 && skip()
+            it.stage == Stage::AtCall && !it.is_answered && op.skip_value > 0.0 && skip()
         })
     }
 
@@ -1085,24 +1118,26 @@
     }
 
     /// Billed value that is lost with the call.
-    fn stake(&self, it: &Inv) -> f64 {
-        let op = &self.ops[it.told.operation];
+    fn stake(&self, it: &InvocationState) -> f64 {
+        let op = &self.ops[it.request.operation];
         self.density(it) * (1.0 - op.skip_value)
     }
 
     fn call_to_make(&self) -> Option<usize> {
-        let waiting = |it: &Inv| it.stage == Stage::AtCall && !it.answered && self.may_call(it);
+        let waiting = |it: &InvocationState| {
+            it.stage == Stage::AtCall && !it.is_answered && self.may_call(it)
+        };
         let best = self.best(waiting, |it| self.stake(it))?;
         (self.room_below() > 0.0 && !self.breaker_holds()).then_some(best)
     }
 
     fn call(&mut self, inv: usize) {
         let (now, it) = (self.now, &self.invs[inv]);
-        let op = &self.ops[it.told.operation];
+        let op = &self.ops[it.request.operation];
         let until = if op.late_value > 0.0 && op.skip_value == 0.0 {
             self.due(it)
         } else {
-            it.by
+            it.objective_deadline
         };
         let part = if op.skip_value > 0.0 { 0.7 } else { 1.0 }; // in time to earn what skipping earns
         let patience = ((until - now) * part).min(self.room_below()).max(0.02);
@@ -1113,8 +1148,8 @@
         };
         self.spend.left[kind] = self.spend.left[kind].saturating_sub(1);
         let it = &mut self.invs[inv];
-        it.away += now - it.since;
-        (it.stage, it.since, it.calls) = (Stage::Calling, now, it.calls + 1);
+        it.off_core_seconds += now - it.stage_entered_at;
+        (it.stage, it.stage_entered_at, it.calls) = (Stage::Calling, now, it.calls + 1);
         self.out.called.push((inv, patience));
     }
 
@@ -1154,7 +1189,7 @@
         let was = self.told.replace((good, value, idle));
         self.out.health = Some(good).filter(|_| was.is_none_or(|was| was.0 != good));
         self.out.level = value.filter(|_| was.is_none_or(|was| was.1 != value));
-        self.out.trim_after =
+        self.out.idle_timeout =
             Some(idle).filter(|_| idle >= 0.01 && was.is_none_or(|was| was.2 != idle));
     }
 
@@ -1185,7 +1220,9 @@
         let back = self.gaps.iter().filter(|&&gap| gap <= idle).count() as f64
             / self.gaps.len().max(1) as f64;
         let back = if self.gaps.len() < 8 {
-            self.beliefs.back.map_or(1.0, |word| word.value)
+            self.beliefs
+                .returning_caller_share
+                .map_or(1.0, |word| word.value)
         } else {
             back
         };
@@ -1201,7 +1238,7 @@
         }
     }
 
-    fn settle(&mut self) -> Decided {
+    fn settle(&mut self) -> Decisions {
         self.rates = (0..self.ops.len()).map(|op| self.rate(op)).collect();
         while let Some((inv, effect)) = RULES
             .iter()
@@ -1223,7 +1260,7 @@
     fn drop_waiting(&mut self, inv: usize) {
         if matches!(
             self.invs[inv].stage,
-            Stage::Read | Stage::Held | Stage::Joined
+            Stage::Read | Stage::Queued | Stage::Joined
         ) {
             self.release(inv);
         }
@@ -1232,20 +1269,24 @@
     /// What leaves unrun leaves the table too, so that a later try of it starts afresh. Repeats that wait for
     /// its result hear now if there is none; its number may be handed out again.
     fn release(&mut self, inv: usize) {
-        let Inv {
-            ran, stage, entry, ..
+        let InvocationState {
+            has_run: ran,
+            stage,
+            has_table_entry: entry,
+            ..
         } = self.invs[inv];
         let unrun = !ran && stage != Stage::Joined;
         self.unrun.extend(Some(inv).filter(|_| unrun));
         if entry && unrun {
-            self.out.forgotten.push(inv);
+            self.out.evicted.push(inv);
             self.entries.retain(|&(_, holder)| holder != inv);
         }
         self.live.retain(|&one| one != inv);
         self.out.released.push(inv);
-        let waits = |it: &Inv| it.stage == Stage::Joined && it.told.earlier == Some(inv);
+        let waits =
+            |it: &InvocationState| it.stage == Stage::Joined && it.request.original == Some(inv);
         while let Some(one) = self.first(waits) {
-            self.invs[one].told.earlier = None;
+            self.invs[one].request.original = None;
             if unrun {
                 self.give_up(one);
             }
@@ -1256,12 +1297,16 @@
         self.live.contains(&inv)
     }
 
-    fn first(&self, when: impl Fn(&Inv) -> bool) -> Option<usize> {
+    fn first(&self, when: impl Fn(&InvocationState) -> bool) -> Option<usize> {
         self.live.iter().copied().find(|&inv| when(&self.invs[inv]))
     }
 
     /// The one of most worth, of these the one whose objective comes first.
-    fn best(&self, when: impl Fn(&Inv) -> bool, worth: impl Fn(&Inv) -> f64) -> Option<usize> {
+    fn best(
+        &self,
+        when: impl Fn(&InvocationState) -> bool,
+        worth: impl Fn(&InvocationState) -> f64,
+    ) -> Option<usize> {
         let all = self
             .live
             .iter()
@@ -1269,18 +1314,23 @@
             .filter(|&inv| when(&self.invs[inv]));
         all.max_by(|&a, &b| {
             let (a, b) = (&self.invs[a], &self.invs[b]);
-            worth(a).total_cmp(&worth(b)).then(b.by.total_cmp(&a.by))
+            worth(a)
+                .total_cmp(&worth(b))
+                .then(b.objective_deadline.total_cmp(&a.objective_deadline))
         })
     }
 
-    fn all(&self, when: impl Fn(&Inv) -> bool) -> impl Iterator<Item = &Inv> {
+    fn all(
+        &self,
+        when: impl Fn(&InvocationState) -> bool,
+    ) -> impl Iterator<Item = &InvocationState> {
         self.live
             .iter()
             .map(|&inv| &self.invs[inv])
             .filter(move |it| when(it))
     }
 
-    fn count(&self, when: impl Fn(&Inv) -> bool) -> usize {
+    fn count(&self, when: impl Fn(&InvocationState) -> bool) -> usize {
         self.all(when).count()
     }
 
@@ -1293,7 +1343,7 @@
     }
 
     fn in_hand(&self) -> usize {
-        self.count(|it| matches!(it.stage, Stage::Read | Stage::Held | Stage::Running))
+        self.count(|it| matches!(it.stage, Stage::Read | Stage::Queued | Stage::Running))
     }
 
     fn chance(&mut self) -> f64 {
--- a/crates/merlinshelf-admission/src/shedder/tests.rs
+++ b/crates/merlinshelf-admission/src/controller/tests.rs
@@ -19,7 +19,8 @@
         ("Classes.count", "1"),
         ("FamilyInfo.CallerIdleUs", "30000000"),
     ];
-    let (mut shedder, _) = Shedder::start(0.0, 1, read(&settings)).expect("settings that are read");
+    let (mut shedder, _) =
+        AdmissionController::start(0.0, 1, read(&settings)).expect("settings that are read");
     let mut most = 0;
     // Two a millisecond for a while, then ten a second; one comes back all the time and stays known.
     for number in 0..20_000u32 {
@@ -38,7 +39,7 @@
             0,
             Invocation {
                 caller,
-                budget: Some(0.0),
+                caller_timeout: Some(0.0),
                 ..Invocation::default()
             },
         );
@@ -49,7 +50,7 @@
     assert!(shedder.callers.len() <= 310, "{}", shedder.callers.len());
 }
 
-fn instance(extra: &[(&str, &str)]) -> Shedder {
+fn instance(extra: &[(&str, &str)]) -> AdmissionController {
     let base = [
         ("Classes.count", "3"),
         ("Classes.0.Effect", "read_like"),
@@ -73,7 +74,7 @@
         ("Allowed.RetryAfter", "true"),
         ("Allowed.MaxRetryAfterUs", "1000000"),
     ];
-    Shedder::start(0.0, 1, read(base.iter().chain(extra)))
+    AdmissionController::start(0.0, 1, read(base.iter().chain(extra)))
         .expect("settings that are read")
         .0
 }
@@ -81,19 +82,19 @@
 fn told(operation: usize) -> Invocation {
     Invocation {
         operation,
-        held_kb: 50.0,
+        held_kilobytes: 50.0,
         rank: 0.5,
         ..Invocation::default()
     }
 }
 
 /// Both cores busy with runs 0 and 1 of the operation, and `number` held, which does not decide anything yet.
-fn with_one_held(operation: usize, number: usize) -> Shedder {
+fn with_one_held(operation: usize, number: usize) -> AdmissionController {
     let mut shedder = instance(&[]);
     for running in 0..2 {
         shedder.arrived(0.0, running, told(operation));
     }
-    assert_eq!(shedder.arrived(0.0, number, told(operation)).throttled, []);
+    assert_eq!(shedder.arrived(0.0, number, told(operation)).rejected, []);
     shedder
 }
 
@@ -101,7 +102,7 @@
 /// until near its client timeout.
 #[test]
 fn whatever_is_given_up_is_answered_in_that_same_decision() {
-    type Scene = fn() -> (Shedder, Decided);
+    type Scene = fn() -> (AdmissionController, Decisions);
     let scenes: &[(&str, Scene)] = &[
         ("answer what falls due", || {
             let mut shedder = instance(&[("Classes.2.AimUs", "4000000")]);
@@ -115,7 +116,7 @@
                 0.0,
                 7,
                 Invocation {
-                    held_kb: 95.0,
+                    held_kilobytes: 95.0,
                     ..told(0)
                 },
             );
@@ -191,9 +192,9 @@
     }
     for (name, scene) in scenes {
         let (shedder, decided) = scene();
-        let refused = decided.throttled.iter().find(|answer| answer.0 == 7);
+        let refused = decided.rejected.iter().find(|answer| answer.0 == 7);
         assert!(
-            refused.is_some() || decided.errored.contains(&7),
+            refused.is_some() || decided.failed.contains(&7),
             "{name}: {decided:?}"
         );
         assert!(
@@ -201,7 +202,7 @@
             "{name}: when to come back {decided:?}"
         );
         assert!(
-            shedder.invocation(7).is_none_or(|it| it.answered),
+            shedder.invocation(7).is_none_or(|it| it.is_answered),
             "{name}: nothing is owed any more"
         );
     }
@@ -211,28 +212,28 @@
 fn repeats_that_joined_what_is_given_up_unrun_hear_so_in_that_same_decision() {
     let mut shedder = with_one_held(1, 7);
     let repeat = Invocation {
-        repeats: true,
-        earlier: Some(7),
+        is_repeat: true,
+        original: Some(7),
         ..told(1)
     };
     assert_eq!(shedder.arrived(0.5, 8, repeat.clone()).joined, [8]);
     let decided = shedder.woken(1.01, 0, &BTreeMap::new());
     assert_eq!(
         decided
-            .throttled
+            .rejected
             .iter()
             .map(|answer| answer.0)
             .collect::<Vec<_>>(),
         [7]
     );
-    assert_eq!((decided.errored, decided.forgotten), (vec![8], vec![7]));
+    assert_eq!((decided.failed, decided.evicted), (vec![8], vec![7]));
     // Its number may be handed out again: who waits for an answer of a run is not taken for its repeat.
     shedder.arrived(
         1.1,
         9,
         Invocation {
-            repeats: true,
-            earlier: Some(0),
+            is_repeat: true,
+            original: Some(0),
             ..told(1)
         },
     );
@@ -249,28 +250,28 @@
         1.3,
         0,
         Invocation {
-            held_kb: 99_999.0,
+            held_kilobytes: 99_999.0,
             ..told(0)
         },
     );
-    assert_eq!((again.throttled.len(), again.errored), (1, vec![]));
+    assert_eq!((again.rejected.len(), again.failed), (1, vec![]));
 }
 
 #[test]
 fn a_repeat_read_with_word_that_the_first_ones_caller_left_unrun_starts_afresh() {
     let mut shedder = with_one_held(1, 7);
-    assert_eq!(shedder.caller_left(0.5, 7).forgotten, [7]);
+    assert_eq!(shedder.caller_left(0.5, 7).evicted, [7]);
     let decided = shedder.arrived(
         0.5,
         8,
         Invocation {
-            repeats: true,
-            earlier: Some(7),
+            is_repeat: true,
+            original: Some(7),
             ..told(1)
         },
     );
     assert_eq!(
-        (decided.joined, decided.kept.len()),
+        (decided.joined, decided.cached.len()),
         (vec![], 1),
         "nothing has run: it is held for itself"
     );
@@ -284,7 +285,7 @@
             ("Classes.0.Effect", "idempotency_key"),
             (name, value),
         ];
-        Shedder::start(0.0, 1, read(&settings))
+        AdmissionController::start(0.0, 1, read(&settings))
             .err()
             .unwrap_or_default()
     };
@@ -310,7 +311,8 @@
         ("Classes.0.Effect", "idempotent-ish"),
         ("FamilyInfo.Halt", "kill"),
     ];
-    let (mut shedder, decided) = Shedder::start(0.0, 1, read(&settings)).expect("it starts");
+    let (mut shedder, decided) =
+        AdmissionController::start(0.0, 1, read(&settings)).expect("it starts");
     for (note, name) in decided
         .notes
         .iter()
@@ -368,7 +370,7 @@
             shedder.woken(now, 0, &gauges(1.0));
             let caller = number as u64;
             let decided = shedder.arrived(now, number, Invocation { caller, ..told(0) });
-            last = decided.throttled.first().map_or(last, |answer| answer.2);
+            last = decided.rejected.first().map_or(last, |answer| answer.2);
         }
         (last, shedder.told.map(|told| told.2))
     };
@@ -393,12 +395,12 @@
                 0.0,
                 number,
                 Invocation {
-                    budget: Some(budget),
+                    caller_timeout: Some(budget),
                     age: 0.1,
                     ..told(0)
                 },
             );
-            shedder.invs[number].told.again
+            shedder.invs[number].request.is_retry
         };
         [
             arrive(0, 3.9),
@@ -429,7 +431,7 @@
                 0,
                 Invocation {
                     caller,
-                    budget: Some(0.0),
+                    caller_timeout: Some(0.0),
                     ..told(0)
                 },
             );
--- a/crates/merlinshelf-admission/src/lib.rs
+++ b/crates/merlinshelf-admission/src/lib.rs
@@ -1,17 +1,17 @@
 //! The interface of the decision module: plain types and no decisions.
 //!
-//! A host makes one [`Shedder`] per backend process and tells it, with the clock in seconds, what
-//! has happened; each call returns a [`Decided`], which the host carries out field by field in the
+//! A host makes one [`AdmissionController`] per backend process and tells it, with the clock in seconds, what
+//! has happened; each call returns a [`Decisions`], which the host carries out field by field in the
 //! order in which the fields stand here. Invocations go by small numbers that the host hands out
 //! and may hand out again once they are `released`.
 
-mod shedder;
+mod controller;
 
 use std::collections::{BTreeMap, VecDeque};
 
 use serde::{Deserialize, Serialize};
 
-pub use shedder::Shedder;
+pub use controller::AdmissionController;
 
 /// The settings as they were handed over at the start: names and values, unread.
 pub type Settings = BTreeMap<String, String>;
@@ -24,22 +24,28 @@
     pub customer: usize,
     pub caller: u64,
     /// How long its caller still waits, where that is passed on.
-    pub budget: Option<f64>,
+    #[serde(rename = "budget")]
+    pub caller_timeout: Option<f64>,
     /// How long ago it reached the machine.
     pub age: f64,
     /// Expected work in seconds of a standard core, where a hint is given.
-    pub cost: Option<f64>,
-    pub held_kb: f64,
+    #[serde(rename = "cost")]
+    pub cost_hint: Option<f64>,
+    #[serde(rename = "held_kb")]
+    pub held_kilobytes: f64,
     /// Its place among all invocations, 0 the least worth.
     pub rank: f64,
     /// A further try or a second copy, as far as callers mark them.
-    pub again: bool,
+    #[serde(rename = "again")]
+    pub is_retry: bool,
     /// Whether it has a subject by which reads can be joined.
     pub has_subject: bool,
     /// It repeats an invocation that this backend keeps or has run.
-    pub repeats: bool,
+    #[serde(rename = "repeats")]
+    pub is_repeat: bool,
     /// Which one, while the host still knows its number.
-    pub earlier: Option<usize>,
+    #[serde(rename = "earlier")]
+    pub original: Option<usize>,
 }
 
 /// How a run or a call has ended.
@@ -54,15 +60,15 @@
 
 /// What to do now. Numbers are those of invocations, times are seconds from now.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Decided {
+pub struct Decisions {
     /// Turned away unrun: number, advised time to stay away, and the wish not to try elsewhere.
-    pub throttled: Vec<(usize, f64, bool)>,
-    pub errored: Vec<usize>,
+    pub rejected: Vec<(usize, f64, bool)>,
+    pub failed: Vec<usize>,
     /// Running work to stop.
     pub stopped: Vec<usize>,
     /// Kept in the table of repeats for that long.
-    pub kept: Vec<(usize, f64)>,
-    pub forgotten: Vec<usize>,
+    pub cached: Vec<(usize, f64)>,
+    pub evicted: Vec<usize>,
     /// Answered with the result of the invocation they repeat.
     pub joined: Vec<usize>,
     pub started: Vec<usize>,
@@ -75,9 +81,9 @@
     /// The free value that goes out with answers.
     pub level: Option<f64>,
     /// Idle time after which connections are closed.
-    pub trim_after: Option<f64>,
+    pub idle_timeout: Option<f64>,
     /// When to wake the instance, and the handle to wake it with.
-    pub wake: Vec<(f64, u64)>,
+    pub timers: Vec<(f64, u64)>,
     /// A line for the operators.
     pub notes: Vec<String>,
     /// Numbers that the module has done with.
@@ -89,7 +95,8 @@
 pub enum Stage {
     #[default]
     Read,
-    Held,
+    #[serde(rename = "Held")]
+    Queued,
     Running,
     AtCall,
     Calling,
@@ -97,55 +104,73 @@
 }
 
 /// All that the module holds of one invocation. It is plain so that a host can pass it on to a successor
-/// (see [`Shedder::invocation`] and [`Shedder::carry_on`]). Times are seconds of the module's clock.
+/// (see [`AdmissionController::invocation`] and [`AdmissionController::carry_on`]). Times are seconds of the module's clock.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Inv {
-    pub told: Invocation,
-    pub arrived: f64,
-    pub due: f64,
+pub struct InvocationState {
+    #[serde(rename = "told")]
+    pub request: Invocation,
+    #[serde(rename = "arrived")]
+    pub arrived_at: f64,
+    #[serde(rename = "due")]
+    pub due_at: f64,
     /// When its answer still makes the latency objective.
-    pub by: f64,
+    #[serde(rename = "by")]
+    pub objective_deadline: f64,
     pub stage: Stage,
-    pub since: f64,
-    pub began: f64,
+    #[serde(rename = "since")]
+    pub stage_entered_at: f64,
+    #[serde(rename = "began")]
+    pub started_at: f64,
     /// Time since `began` that was not spent on the cores.
-    pub away: f64,
-    pub answered: bool,
-    pub stopping: bool,
-    pub ran: bool,
-    pub entry: bool,
-    pub over_share: bool,
+    #[serde(rename = "away")]
+    pub off_core_seconds: f64,
+    #[serde(rename = "answered")]
+    pub is_answered: bool,
+    #[serde(rename = "stopping")]
+    pub is_stopping: bool,
+    #[serde(rename = "ran")]
+    pub has_run: bool,
+    #[serde(rename = "entry")]
+    pub has_table_entry: bool,
+    #[serde(rename = "over_share")]
+    pub exceeds_quota: bool,
     pub calls: u32,
     /// A call of it may have taken effect.
-    pub unsure: bool,
+    #[serde(rename = "unsure")]
+    pub has_uncertain_call: bool,
 }
 
 /// What was learnt of one operation: the last few samples, the oldest first. Times are seconds.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct LearntOfOperation {
+pub struct LearnedOperation {
     /// Durations of runs without calls.
-    pub runs: VecDeque<f64>,
+    #[serde(rename = "runs")]
+    pub run_durations: VecDeque<f64>,
     /// Hinted costs of those runs, 1 where there are no hints.
-    pub costs: VecDeque<f64>,
+    #[serde(rename = "costs")]
+    pub run_costs: VecDeque<f64>,
     /// Time at calls and waiting for them, by run.
-    pub below: VecDeque<f64>,
-    pub lowest: f64,
-    pub until_probe: f64,
+    #[serde(rename = "below")]
+    pub downstream_durations: VecDeque<f64>,
+    #[serde(rename = "lowest")]
+    pub lowest_duration: f64,
+    #[serde(rename = "until_probe")]
+    pub finishes_until_probe: f64,
 }
 
 /// What an instance has learnt of the engine, of calls below and of its callers, in a form that another one can take
 /// up. Times are seconds of the module's clock, durations seconds.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Learnt {
+pub struct LearnedState {
     /// When the engine was started.
     pub born: f64,
     /// When the grace ends and when the process must be gone, once it leaves.
     pub leave_at: Option<(f64, f64)>,
     /// By operation, in the order of the settings.
-    pub operations: Vec<LearntOfOperation>,
+    pub operations: Vec<LearnedOperation>,
     pub limit: f64,
     pub busy: f64,
     pub busy_at: f64,
@@ -167,7 +192,7 @@
 
 /// A figure on the word of others.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Believed {
+pub struct PriorEstimate {
     pub value: f64,
     /// How sure it is, 0 to 1.
     pub weight: f64,
@@ -176,28 +201,28 @@
 /// What is believed of the servers behind and of callers on the word of others, where one's own samples are missing or
 /// few. Durations are seconds.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Beliefs {
+pub struct PriorEstimates {
     /// By operation: how long its runs take lately, by unit of cost.
-    pub runs: Vec<Option<Believed>>,
+    pub run_durations: Vec<Option<PriorEstimate>>,
     /// By operation: how long they take at the least, by unit of cost.
-    pub lowest: Vec<Option<Believed>>,
+    pub lowest_durations: Vec<Option<PriorEstimate>>,
     /// By operation: how long its runs spend at calls.
-    pub below: Vec<Option<Believed>>,
+    pub downstream_durations: Vec<Option<PriorEstimate>>,
     /// The limit of invocations in hand.
-    pub limit: Option<Believed>,
-    pub call_lowest: Option<Believed>,
-    pub call_limit: Option<Believed>,
+    pub concurrency_limit: Option<PriorEstimate>,
+    pub call_lowest: Option<PriorEstimate>,
+    pub call_limit: Option<PriorEstimate>,
     /// Calls that failed in a row.
-    pub call_failures: Option<Believed>,
+    pub call_failures: Option<PriorEstimate>,
     /// Share of the arrivals that are further tries, 0 to 1.
-    pub again: Option<Believed>,
+    pub retry_share: Option<PriorEstimate>,
     /// Share of the callers that come back while their connection would be kept, 0 to 1.
-    pub back: Option<Believed>,
+    pub returning_caller_share: Option<PriorEstimate>,
 }
 
 /// What a fleet's budgets leave one to spend on calls below at this moment, and how the dependency fares for all.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Spend {
+pub struct DownstreamQuota {
     /// First calls, further ones, and calls while the dependency fails.
     pub left: [u32; 3],
     /// It fails for all.
@@ -207,9 +232,9 @@
 }
 
 /// Nothing is bounded.
-impl Default for Spend {
-    fn default() -> Spend {
-        Spend {
+impl Default for DownstreamQuota {
+    fn default() -> DownstreamQuota {
+        DownstreamQuota {
             left: [u32::MAX; 3],
             closed: false,
             opens: false,
--- a/crates/merlinshelf-admission/tests/golden.rs
+++ b/crates/merlinshelf-admission/tests/golden.rs
@@ -7,7 +7,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use merlinshelf_admission::{Inv, Invocation, Learnt, LearntOfOperation, Stage};
+use merlinshelf_admission::{Invocation, InvocationState, LearnedOperation, LearnedState, Stage};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
@@ -24,50 +24,50 @@
         operation: 3,
         customer: 41,
         caller: 0x1234_5678_9abc_def0,
-        budget: Some(1.25),
+        caller_timeout: Some(1.25),
         age: 0.0625,
-        cost: Some(0.375),
-        held_kb: 212.5,
+        cost_hint: Some(0.375),
+        held_kilobytes: 212.5,
         rank: 0.875,
-        again: true,
+        is_retry: true,
         has_subject: true,
-        repeats: true,
-        earlier: Some(17),
+        is_repeat: true,
+        original: Some(17),
     }
 }
 
-fn invocation_state() -> Inv {
-    Inv {
-        told: invocation(),
-        arrived: 100.5,
-        due: 104.25,
-        by: 102.125,
+fn invocation_state() -> InvocationState {
+    InvocationState {
+        request: invocation(),
+        arrived_at: 100.5,
+        due_at: 104.25,
+        objective_deadline: 102.125,
         stage: Stage::Calling,
-        since: 101.75,
-        began: 101.5,
-        away: 0.1875,
-        answered: true,
-        stopping: true,
-        ran: true,
-        entry: true,
-        over_share: true,
+        stage_entered_at: 101.75,
+        started_at: 101.5,
+        off_core_seconds: 0.1875,
+        is_answered: true,
+        is_stopping: true,
+        has_run: true,
+        has_table_entry: true,
+        exceeds_quota: true,
         calls: 7,
-        unsure: true,
+        has_uncertain_call: true,
     }
 }
 
-fn learned_of_operation(first: f64) -> LearntOfOperation {
-    LearntOfOperation {
-        runs: VecDeque::from([first, first + 0.25]),
-        costs: VecDeque::from([first + 1.0, first + 1.25]),
-        below: VecDeque::from([first + 2.0, first + 2.25]),
-        lowest: first + 3.0,
-        until_probe: first + 4.0,
+fn learned_of_operation(first: f64) -> LearnedOperation {
+    LearnedOperation {
+        run_durations: VecDeque::from([first, first + 0.25]),
+        run_costs: VecDeque::from([first + 1.0, first + 1.25]),
+        downstream_durations: VecDeque::from([first + 2.0, first + 2.25]),
+        lowest_duration: first + 3.0,
+        finishes_until_probe: first + 4.0,
     }
 }
 
-fn learned_state() -> Learnt {
-    Learnt {
+fn learned_state() -> LearnedState {
+    LearnedState {
         born: 11.5,
         leave_at: Some((12.5, 13.5)),
         operations: vec![learned_of_operation(20.0), learned_of_operation(30.0)],
@@ -107,7 +107,7 @@
 fn stages_of_an_invocation() {
     let stages = vec![
         Stage::Read,
-        Stage::Held,
+        Stage::Queued,
         Stage::Running,
         Stage::AtCall,
         Stage::Calling,
@@ -136,9 +136,9 @@
 fn records_of_nothing() {
     let nothing = (
         Invocation::default(),
-        Inv::default(),
-        LearntOfOperation::default(),
-        Learnt::default(),
+        InvocationState::default(),
+        LearnedOperation::default(),
+        LearnedState::default(),
     );
     golden_file::assert_form("defaults", &nothing, encode, decode);
 }
--- a/crates/merlinshelf-admission/tests/helpers/mod.rs
+++ b/crates/merlinshelf-admission/tests/helpers/mod.rs
@@ -2,10 +2,10 @@
 
 use std::collections::BTreeMap;
 
-use merlinshelf_admission::{Decided, Invocation, Outcome, Settings, Shedder};
+use merlinshelf_admission::{AdmissionController, Decisions, Invocation, Outcome, Settings};
 
 pub struct Play {
-    pub shedder: Shedder,
+    pub shedder: AdmissionController,
     pub trace: String,
 }
 
@@ -59,7 +59,7 @@
             .entry(format!("Classes.{op}.DeadlineUs"))
             .or_insert("2000000".into());
     }
-    let (shedder, decided) = Shedder::start(100.0, 7, settings).expect("good settings");
+    let (shedder, decided) = AdmissionController::start(100.0, 7, settings).expect("good settings");
     let mut play = Play {
         shedder,
         trace: String::new(),
@@ -86,15 +86,15 @@
 }
 
 impl Play {
-    fn note(&mut self, what: &str, decided: &Decided) {
-        let shown = Decided {
-            wake: Vec::new(),
+    fn note(&mut self, what: &str, decided: &Decisions) {
+        let shown = Decisions {
+            timers: Vec::new(),
             released: Vec::new(),
             ..decided.clone()
         };
         let fields = rounded(
             &format!("{shown:?}")
-                .replace("Decided { ", "")
+                .replace("Decisions { ", "")
                 .replace(" }", ""),
         );
         let told: Vec<&str> = fields.split(", ").collect();
@@ -156,7 +156,7 @@
 pub fn inv(operation: usize) -> Invocation {
     Invocation {
         operation,
-        held_kb: 50.0,
+        held_kilobytes: 50.0,
         rank: 0.5,
         caller: 3,
         ..Invocation::default()
--- a/crates/merlinshelf-admission/tests/traces.rs
+++ b/crates/merlinshelf-admission/tests/traces.rs
@@ -3,7 +3,7 @@
 mod helpers;
 
 use helpers::{LOST, OK, Play, UNSEEN, inv, play};
-use merlinshelf_admission::{Beliefs, Believed, Invocation, Outcome, Spend};
+use merlinshelf_admission::{DownstreamQuota, Invocation, Outcome, PriorEstimate, PriorEstimates};
 
 #[test]
 fn over_the_limit_low_bands_are_cut_on_arrival() {
@@ -63,7 +63,7 @@
         0.0,
         0,
         Invocation {
-            budget: Some(0.5),
+            caller_timeout: Some(0.5),
             ..inv(0)
         },
     );
@@ -73,7 +73,7 @@
         0.1,
         2,
         Invocation {
-            budget: Some(0.3),
+            caller_timeout: Some(0.3),
             ..inv(2)
         },
     );
@@ -81,7 +81,7 @@
         0.1,
         3,
         Invocation {
-            budget: Some(0.3),
+            caller_timeout: Some(0.3),
             ..inv(0)
         },
     );
@@ -105,8 +105,8 @@
         0.0,
         1,
         Invocation {
-            repeats: true,
-            earlier: Some(0),
+            is_repeat: true,
+            original: Some(0),
             ..inv(1)
         },
     );
@@ -118,7 +118,7 @@
         2.0,
         2,
         Invocation {
-            repeats: true,
+            is_repeat: true,
             ..inv(1)
         },
     );
@@ -133,7 +133,7 @@
         0.0,
         0,
         Invocation {
-            held_kb: 150.0,
+            held_kilobytes: 150.0,
             ..inv(0)
         },
     );
@@ -141,7 +141,7 @@
         0.0,
         1,
         Invocation {
-            held_kb: 250.0,
+            held_kilobytes: 250.0,
             ..inv(1)
         },
     );
@@ -150,8 +150,8 @@
         0.0,
         2,
         Invocation {
-            repeats: true,
-            earlier: Some(1),
+            is_repeat: true,
+            original: Some(1),
             ..inv(1)
         },
     );
@@ -279,7 +279,7 @@
                 0.1,
                 number,
                 Invocation {
-                    cost: Some(0.1),
+                    cost_hint: Some(0.1),
                     ..inv(0)
                 },
             );
@@ -295,7 +295,7 @@
         0.0,
         0,
         Invocation {
-            cost: Some(0.2),
+            cost_hint: Some(0.2),
             ..inv(0)
         },
     );
@@ -304,7 +304,7 @@
         1.0,
         1,
         Invocation {
-            cost: Some(0.4),
+            cost_hint: Some(0.4),
             ..inv(0)
         },
     );
@@ -312,7 +312,7 @@
         1.0,
         2,
         Invocation {
-            cost: Some(0.4),
+            cost_hint: Some(0.4),
             ..inv(0)
         },
     );
@@ -320,8 +320,8 @@
         1.0,
         3,
         Invocation {
-            cost: Some(0.4),
-            again: true,
+            cost_hint: Some(0.4),
+            is_retry: true,
             ..inv(0)
         },
     );
@@ -357,8 +357,8 @@
             0.1,
             number,
             Invocation {
-                repeats: true,
-                earlier: Some(0),
+                is_repeat: true,
+                original: Some(0),
                 ..inv(1)
             },
         );
@@ -507,7 +507,7 @@
     }
     let trace = &play.trace;
     let cut = |rest: usize| {
-        (0..40).filter(move |n| n % 2 == rest && trace.contains(&format!("throttled: [({n},")))
+        (0..40).filter(move |n| n % 2 == rest && trace.contains(&format!("rejected: [({n},")))
     };
     insta::assert_snapshot!(format!(
         "cut: {} of the one over its share, {} of the other",
@@ -525,7 +525,7 @@
         0.1,
         2,
         Invocation {
-            again: true,
+            is_retry: true,
             ..inv(0)
         },
     );
@@ -544,8 +544,8 @@
         1.0,
         1,
         Invocation {
-            budget: Some(0.4),
-            again: true,
+            caller_timeout: Some(0.4),
+            is_retry: true,
             ..inv(0)
         },
     );
@@ -587,7 +587,7 @@
         let told = play
             .trace
             .lines()
-            .filter(|line| line.contains("trim"))
+            .filter(|line| line.contains("idle_timeout"))
             .collect::<Vec<_>>()
             .join("\n");
         insta::assert_snapshot!(format!("trim_with_{callers}_callers"), told);
@@ -598,8 +598,8 @@
 fn in_a_storm_of_further_tries_callers_are_asked_not_to_go_on() {
     let mut play = play(&[]);
     let full = |number: usize| Invocation {
-        again: number % 4 == 3,
-        held_kb: 9000.0,
+        is_retry: number % 4 == 3,
+        held_kilobytes: 9000.0,
         ..inv(0)
     };
     (0..8).for_each(|number| play.arrive(0.1, number, full(number)));
@@ -618,7 +618,7 @@
             at,
             number,
             Invocation {
-                budget: Some(9.0),
+                caller_timeout: Some(9.0),
                 ..inv(2)
             },
         );
@@ -647,7 +647,7 @@
             at,
             number,
             Invocation {
-                budget: Some(1.0),
+                caller_timeout: Some(1.0),
                 ..inv(2)
             },
         );
@@ -671,7 +671,7 @@
         ("Classes.0.AimUs", "9000000"),
     ]);
     let wait = Invocation {
-        budget: Some(9.0),
+        caller_timeout: Some(9.0),
         ..inv(0)
     };
     for (number, operation) in [2, 0, 0, 0, 2].into_iter().enumerate() {
@@ -703,8 +703,8 @@
         1.2,
         3,
         Invocation {
-            again: true,
-            budget: Some(0.9),
+            is_retry: true,
+            caller_timeout: Some(0.9),
             ..inv(0)
         },
     );
@@ -712,8 +712,8 @@
         1.2,
         4,
         Invocation {
-            again: true,
-            budget: Some(1.95),
+            is_retry: true,
+            caller_timeout: Some(1.95),
             ..inv(0)
         },
     );
@@ -725,23 +725,23 @@
 fn a_setting_that_cannot_be_read_is_named() {
     let settings = [("FamilyInfo.Cores".to_owned(), "six".to_owned())].into();
     insta::assert_snapshot!(
-        merlinshelf_admission::Shedder::start(0.0, 1, settings)
+        merlinshelf_admission::AdmissionController::start(0.0, 1, settings)
             .err()
             .unwrap_or_default()
     );
 }
 
-fn word(value: f64, weight: f64) -> Option<Believed> {
-    Some(Believed { value, weight })
+fn word(value: f64, weight: f64) -> Option<PriorEstimate> {
+    Some(PriorEstimate { value, weight })
 }
 
 #[test]
 fn told_of_an_outage_below_the_first_call_is_a_trial_at_once_and_ends_it_if_it_goes_well() {
     for (weight, outcome) in [(0.6, OK), (0.6, LOST), (0.1, OK)] {
         let mut play = play(&[("FamilyInfo.CallShare", "20"), ("FamilyInfo.Cores", "8")]);
-        play.shedder.believe(Beliefs {
+        play.shedder.believe(PriorEstimates {
             call_failures: word(9.0, weight),
-            ..Beliefs::default()
+            ..PriorEstimates::default()
         });
         for number in 0..3 {
             play.arrive(0.0, number, inv(0));
@@ -749,9 +749,9 @@
         }
         play.called(0.03, 0, outcome);
         // Told again, it is no news any more.
-        play.shedder.believe(Beliefs {
+        play.shedder.believe(PriorEstimates {
             call_failures: word(12.0, weight),
-            ..Beliefs::default()
+            ..PriorEstimates::default()
         });
         play.arrive(0.04, 3, inv(0));
         play.wants(0.05, 3);
@@ -762,9 +762,9 @@
 #[test]
 fn what_is_told_of_runs_is_heeded_while_one_tries_it_and_dropped_once_that_was_twice_as_fast() {
     let mut play = play(&[]);
-    play.shedder.believe(Beliefs {
-        runs: vec![None, None, word(5.0, 0.7)],
-        ..Beliefs::default()
+    play.shedder.believe(PriorEstimates {
+        run_durations: vec![None, None, word(5.0, 0.7)],
+        ..PriorEstimates::default()
     });
     play.arrive(0.0, 0, inv(2));
     play.arrive(0.01, 1, inv(2)); // told to last 5 s, against an aim of 1 s: turned away
@@ -777,12 +777,12 @@
 
 #[test]
 fn limits_start_from_what_is_told_and_own_samples_move_them() {
-    let told = Beliefs {
-        limit: word(6.0, 1.0),
+    let told = PriorEstimates {
+        concurrency_limit: word(6.0, 1.0),
         call_limit: word(1e6, 1.0),
         call_lowest: word(0.004, 0.7),
-        lowest: vec![word(0.02, 0.7); 3],
-        ..Beliefs::default()
+        lowest_durations: vec![word(0.02, 0.7); 3],
+        ..PriorEstimates::default()
     };
     let mut play = play(&[("FamilyInfo.CallShare", "20"), ("FamilyInfo.Cores", "2")]);
     play.shedder.believe(told.clone());
@@ -793,7 +793,13 @@
         (4.0, 8.0, 0.004)
     );
     // What is told is not passed on as seen.
-    assert!(learnt.operations.iter().all(|of| of.runs.is_empty()) && learnt.call_times.is_empty());
+    assert!(
+        learnt
+            .operations
+            .iter()
+            .all(|of| of.run_durations.is_empty())
+            && learnt.call_times.is_empty()
+    );
     for number in 0..40 {
         let at = 0.1 * number as f64;
         play.arrive(at, number, inv(0));
@@ -809,23 +815,23 @@
         learnt.call_lowest
     );
     assert!(
-        (0.029..0.031).contains(&learnt.operations[0].lowest),
+        (0.029..0.031).contains(&learnt.operations[0].lowest_duration),
         "{}",
-        learnt.operations[0].lowest
+        learnt.operations[0].lowest_duration
     );
     assert!(learnt.limit >= 2.0);
 }
 
 #[test]
 fn beside_eight_own_samples_nothing_that_was_told_counts() {
-    let lie = Beliefs {
-        runs: vec![word(0.06, 1.0); 3],
-        below: vec![word(500.0, 1.0); 3],
-        again: word(1.0, 1.0),
-        back: word(0.0, 1.0),
-        ..Beliefs::default()
+    let lie = PriorEstimates {
+        run_durations: vec![word(0.06, 1.0); 3],
+        downstream_durations: vec![word(500.0, 1.0); 3],
+        retry_share: word(1.0, 1.0),
+        returning_caller_share: word(0.0, 1.0),
+        ..PriorEstimates::default()
     };
-    let traces = [Beliefs::default(), lie].map(|beliefs| {
+    let traces = [PriorEstimates::default(), lie].map(|beliefs| {
         let mut play = play(&[
             ("FamilyInfo.CallShare", "20"),
             ("FamilyInfo.CallerIdleUs", "30000000"),
@@ -861,7 +867,7 @@
         0.02,
         1,
         Invocation {
-            again: true,
+            is_retry: true,
             ..inv(0)
         },
     );
@@ -873,7 +879,7 @@
 fn what_a_fleet_has_left_bounds_calls_below() {
     let mut play = play(&[("FamilyInfo.CallShare", "50")]);
     let spend = |play: &mut Play, left: [u32; 3], closed: bool, opens: bool| {
-        let (over, fails) = play.shedder.spend(Spend {
+        let (over, fails) = play.shedder.spend(DownstreamQuota {
             left,
             closed,
             opens,
--- a/crates/merlinshelf-backend/src/client/catalogue.rs
+++ b/crates/merlinshelf-backend/src/client/catalogue.rs
@@ -481,7 +481,7 @@
 async fn open(address: SocketAddr, exchange: &Shared) -> io::Result<Line> {
     let socket = connect(address).await?;
     let stream = exchange.borrow_mut().next_stream();
-    pass(exchange, Role::DownstreamConnectionRecord(stream), &socket).await?;
+    pass(exchange, Role::DownstreamConnection(stream), &socket).await?;
     let (coming, going, carried) = Default::default();
     Ok(Line {
         socket,
@@ -599,10 +599,7 @@
     fn secure(&self, call: Attempt, exchange: &Shared) {
         let mut exchange = exchange.borrow_mut();
         if exchange.notes() {
-            exchange.stage(
-                Key::DownstreamConnectionRecord(self.stream),
-                &self.record(call),
-            );
+            exchange.stage(Key::DownstreamConnection(self.stream), &self.record(call));
             exchange.secure();
         }
     }
@@ -611,7 +608,7 @@
     fn close(&self, exchange: &Shared) {
         let mut exchange = exchange.borrow_mut();
         if exchange.notes() {
-            exchange.stage_gone(&[Key::DownstreamConnectionRecord(self.stream)]);
+            exchange.stage_gone(&[Key::DownstreamConnection(self.stream)]);
             exchange.secure();
             let _ = shutdown(&self.socket, Shutdown::Both);
         }
--- a/crates/merlinshelf-backend/src/client/engine.rs
+++ b/crates/merlinshelf-backend/src/client/engine.rs
@@ -173,12 +173,7 @@
             exchange.counters.engine_links += 1;
             exchange.next_stream()
         };
-        pass(
-            &self.exchange,
-            Role::EngineConnectionRecord(stream),
-            &socket,
-        )
-        .await?;
+        pass(&self.exchange, Role::EngineConnection(stream), &socket).await?;
         let now = Instant::now();
         let (coming, going) = (Ring::default(), Ring::default());
         // The first HELLO waits for the engine to be up; any later one is a question's answer like another.
@@ -265,7 +260,7 @@
     fn secure(&self, link: Option<&Link>) {
         let mut exchange = self.exchange.borrow_mut();
         if exchange.notes() {
-            exchange.stage(Key::EngineConnectionRecord, &self.record(link));
+            exchange.stage(Key::EngineConnection, &self.record(link));
             exchange.secure();
         }
     }
--- a/crates/merlinshelf-backend/src/exchange/arrivals.rs
+++ b/crates/merlinshelf-backend/src/exchange/arrivals.rs
@@ -188,7 +188,7 @@
             named: None,
             wanted: 0,
             missing: Vec::new(),
-            due: told.budget.map(|budget| {
+            due: told.caller_timeout.map(|budget| {
                 self.origin.elapsed() + Duration::from_secs_f64(budget.clamp(0.0, 1e6))
             }),
             calls: 0,
@@ -251,11 +251,11 @@
     Invocation {
         operation: arrival.operation,
         caller: arrival.caller,
-        budget,
+        caller_timeout: budget,
         age: age.min(most) / 1e3,
-        held_kb: arrival.held_kb,
+        held_kilobytes: arrival.held_kb,
         rank: arrival.rank,
-        again: arrival.again,
+        is_retry: arrival.again,
         has_subject: arrival.has_subject,
         ..Invocation::default()
     }
--- a/crates/merlinshelf-backend/src/exchange/budgets.rs
+++ b/crates/merlinshelf-backend/src/exchange/budgets.rs
@@ -8,7 +8,7 @@
 use std::path::{Path, PathBuf};
 
 use log::{info, warn};
-use merlinshelf_admission::{Spend, Stage};
+use merlinshelf_admission::{DownstreamQuota, Stage};
 use merlinshelf_quota::{
     Budgets, CATALOGUE, CallKind, LeaseTerms, Phase, QuotaClient, QuotaGrantBatch,
     QuotaRequestBatch, Remaining, budget, reserve,
@@ -269,7 +269,7 @@
         let Some(shedder) = &mut self.shedder else {
             return;
         };
-        let (over, fails) = shedder.spend(Spend::default());
+        let (over, fails) = shedder.spend(DownstreamQuota::default());
         let waits = || {
             self.hand.all().into_iter().any(|inv| {
                 shedder
@@ -291,7 +291,7 @@
         let left = spending
             .renew(CATALOGUE, over, fails, wanting)
             .unwrap_or(Remaining::ALL);
-        shedder.spend(Spend {
+        shedder.spend(DownstreamQuota {
             left: [left.first_calls, left.retries, left.probes],
             closed: left.probes_only,
             opens: left.reopened,
--- a/crates/merlinshelf-backend/src/exchange/carry.rs
+++ b/crates/merlinshelf-backend/src/exchange/carry.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use log::error;
-use merlinshelf_admission::Shedder;
+use merlinshelf_admission::AdmissionController;
 use merlinshelf_handover::records;
 use merlinshelf_handover::{Image, Key, Role, Transaction};
 use merlinshelf_protocol::CallId;
@@ -87,22 +87,22 @@
             }
         }
         for (stream, door) in self.doors_with_answers() {
-            image.put(Key::ResponseQueueRecord(stream), &door);
+            image.put(Key::ResponseQueue(stream), &door);
         }
         for deposit in std::mem::take(&mut self.deposits) {
             match deposit {
                 Deposit::Edge(stream, edge, socket) => {
-                    image.put(Key::ClientConnectionRecord(stream), &edge);
-                    passed.insert(Role::ClientConnectionRecord(stream), socket.into());
+                    image.put(Key::ClientConnection(stream), &edge);
+                    passed.insert(Role::ClientConnection(stream), socket.into());
                 }
                 Deposit::Line(stream, line, socket) => {
-                    image.put(Key::DownstreamConnectionRecord(stream), &line);
-                    passed.insert(Role::DownstreamConnectionRecord(stream), socket.into());
+                    image.put(Key::DownstreamConnection(stream), &line);
+                    passed.insert(Role::DownstreamConnection(stream), socket.into());
                 }
                 Deposit::Link(link, socket) => {
-                    image.put(Key::EngineConnectionRecord, &link);
+                    image.put(Key::EngineConnection, &link);
                     if let (Some(stream), Some(socket)) = (link.stream, socket) {
-                        passed.insert(Role::EngineConnectionRecord(stream), socket.into());
+                        passed.insert(Role::EngineConnection(stream), socket.into());
                     }
                 }
             }
@@ -111,7 +111,11 @@
     }
 
     fn instance(&self, whole: bool) -> records::Instance {
-        let learnt = self.shedder.as_ref().filter(|_| whole).map(Shedder::learnt);
+        let learnt = self
+            .shedder
+            .as_ref()
+            .filter(|_| whole)
+            .map(AdmissionController::learnt);
         let fresh_start = self.settings.get("FamilyInfo.FreshStart").cloned();
         records::Instance {
             clock: self.seconds() - monotonic(),
@@ -256,7 +260,7 @@
             .unwrap_or_default()
         {
             if let Some((stream, door)) = self.door(number) {
-                journal.put(Key::ResponseQueueRecord(stream), &door);
+                journal.put(Key::ResponseQueue(stream), &door);
             }
         }
         journal.write();
@@ -296,13 +300,11 @@
         &mut self,
         image: &Image,
         lines: &[records::DownstreamConnectionRecord],
-        learnt: Option<merlinshelf_admission::Learnt>,
+        learnt: Option<merlinshelf_admission::LearnedState>,
     ) {
         let instance: records::Instance = image.get(Key::Instance).unwrap_or_default();
         let numbers = image.keys().filter_map(|key| match key {
-            Key::ClientConnectionRecord(stream) | Key::DownstreamConnectionRecord(stream) => {
-                Some(stream + 1)
-            }
+            Key::ClientConnection(stream) | Key::DownstreamConnection(stream) => Some(stream + 1),
             _ => None,
         });
         self.next_stream = numbers.fold(self.next_stream, u64::max);
@@ -326,7 +328,7 @@
         let Some(learnt) = instance.learnt.or(learnt) else {
             return;
         };
-        match Shedder::start(learnt.born, self.seed, self.settings.clone()) {
+        match AdmissionController::start(learnt.born, self.seed, self.settings.clone()) {
             Ok((mut shedder, decided)) => {
                 shedder.take_up(learnt);
                 self.shedder = Some(shedder);
@@ -346,7 +348,7 @@
                     let id = CallId::read(&name);
                     invocations.extend(id.zip(image.get(key)));
                 }
-                Key::ResponseQueueRecord(stream) => {
+                Key::ResponseQueue(stream) => {
                     let answers: records::ResponseQueueRecord = image.get(key).unwrap_or_default();
                     if let Some(outbox) =
                         doors.get(&stream).and_then(|door| self.doors.outbox(*door))
--- a/crates/merlinshelf-backend/src/exchange/decisions.rs
+++ b/crates/merlinshelf-backend/src/exchange/decisions.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use log::{error, info, warn};
-use merlinshelf_admission::{Decided, Shedder};
+use merlinshelf_admission::{AdmissionController, Decisions};
 use tokio::time::Instant;
 
 use super::alarms::Alarm;
@@ -15,7 +15,7 @@
     pub(super) fn start(&mut self, up: f64) {
         let (seed, settings) = (self.seed, self.settings.clone());
         let born = (self.seconds() - up).max(0.0);
-        match catch_unwind(|| Shedder::start(born, seed, settings)) {
+        match catch_unwind(|| AdmissionController::start(born, seed, settings)) {
             Ok(Ok((mut shedder, decided))) => {
                 shedder.believe(self.beliefs.clone());
                 self.shedder = Some(shedder);
@@ -33,7 +33,7 @@
     }
 
     /// Tells the module something and carries out what it decides.
-    pub(super) fn decide(&mut self, tell: impl FnOnce(&mut Shedder, f64) -> Decided) {
+    pub(super) fn decide(&mut self, tell: impl FnOnce(&mut AdmissionController, f64) -> Decisions) {
         self.decide_on(Wanting::default(), tell);
     }
 
@@ -41,7 +41,7 @@
     pub(super) fn decide_on(
         &mut self,
         wanting: Wanting,
-        tell: impl FnOnce(&mut Shedder, f64) -> Decided,
+        tell: impl FnOnce(&mut AdmissionController, f64) -> Decisions,
     ) {
         self.mind_policy();
         self.lay_budgets(wanting);
@@ -51,7 +51,7 @@
     }
 
     /// False if the module panicked.
-    fn attempt(&mut self, tell: impl FnOnce(&mut Shedder, f64) -> Decided) -> bool {
+    fn attempt(&mut self, tell: impl FnOnce(&mut AdmissionController, f64) -> Decisions) -> bool {
         let now = self.seconds();
         let Some(shedder) = &mut self.shedder else {
             return true;
@@ -82,11 +82,11 @@
     }
 
     /// Carries out what was decided, in the order in which the interface lists it.
-    pub(super) fn carry_out(&mut self, decided: Decided) {
-        for (inv, away, last) in decided.throttled {
+    pub(super) fn carry_out(&mut self, decided: Decisions) {
+        for (inv, away, last) in decided.rejected {
             self.answer(inv, Answer::Throttled { away, last });
         }
-        for inv in decided.errored {
+        for inv in decided.failed {
             self.drop_call(inv);
             self.answer(inv, Answer::Errored);
         }
@@ -107,11 +107,11 @@
             info!("health is now {}", if good { "good" } else { "bad" });
             self.healthy = good;
         }
-        if let Some(idle) = decided.trim_after {
+        if let Some(idle) = decided.idle_timeout {
             self.trim_after = idle_time(idle);
             self.doors.nudge_all();
         }
-        for (after, handle) in decided.wake {
+        for (after, handle) in decided.timers {
             let at = self.origin.elapsed() + Duration::from_secs_f64(after.clamp(0.001, 3600.0));
             self.set_alarm(at, Alarm::Wake(handle));
         }
--- a/crates/merlinshelf-backend/src/exchange/mod.rs
+++ b/crates/merlinshelf-backend/src/exchange/mod.rs
@@ -21,7 +21,7 @@
 use std::rc::Rc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use merlinshelf_admission::{Beliefs, Learnt, Settings, Shedder};
+use merlinshelf_admission::{AdmissionController, LearnedState, PriorEstimates, Settings};
 use tokio::sync::{Notify, mpsc, watch};
 use tokio::time::Instant;
 
@@ -63,7 +63,7 @@
     origin: Instant,
     /// The module's clock at the origin: Unix time then, so that its hours are those of the day.
     epoch: f64,
-    shedder: Option<Shedder>,
+    shedder: Option<AdmissionController>,
     leaving: Option<Instant>,
     hand: Hand,
     doors: Doors,
@@ -96,7 +96,7 @@
     /// By operation, the dependencies of its calls; none where there is but the one catalogue.
     parts: Option<Vec<Vec<Rc<str>>>>,
     /// What is believed on the word of others, for whichever module runs.
-    beliefs: Beliefs,
+    beliefs: PriorEstimates,
     /// What is known, in the form of its file, for whoever carries this on.
     pub knowledge: Vec<u8>,
     /// The policy for all, where that is on.
@@ -140,7 +140,7 @@
                 "settings: Classes.{place}.Effect: repeats can't be known on this wire"
             ));
         }
-        Shedder::start(0.0, seed, settings.clone())?;
+        AdmissionController::start(0.0, seed, settings.clone())?;
         let operations = names
             .iter()
             .enumerate()
@@ -187,7 +187,7 @@
             passing: None,
             inherited: Vec::new(),
             parts: None,
-            beliefs: Beliefs::default(),
+            beliefs: PriorEstimates::default(),
             knowledge: Vec::new(),
             policy: None,
             spending: None,
@@ -234,7 +234,7 @@
     }
 
     /// What the module has learnt by now, and its clock; none while the engine was never up.
-    pub fn learnt(&self) -> Option<(f64, Learnt)> {
+    pub fn learnt(&self) -> Option<(f64, LearnedState)> {
         self.shedder
             .as_ref()
             .map(|shedder| (self.seconds(), shedder.learnt()))
@@ -243,13 +243,13 @@
     /// How long runs take lately, of all operations together, in ms.
     pub fn run_ms(&self) -> Option<f64> {
         let learnt = self.shedder.as_ref()?.learnt();
-        let all = || learnt.operations.iter().flat_map(|of| &of.runs);
+        let all = || learnt.operations.iter().flat_map(|of| &of.run_durations);
         let count = all().count();
         (count > 0).then(|| all().sum::<f64>() * 1e3 / count as f64)
     }
 
     /// What is believed on the word of others from here on.
-    pub fn believe(&mut self, beliefs: Beliefs) {
+    pub fn believe(&mut self, beliefs: PriorEstimates) {
         if beliefs != self.beliefs {
             if let Some(shedder) = &mut self.shedder {
                 shedder.believe(beliefs.clone());
--- a/crates/merlinshelf-backend/src/exchange/policy.rs
+++ b/crates/merlinshelf-backend/src/exchange/policy.rs
@@ -4,7 +4,7 @@
 use std::panic::catch_unwind;
 
 use log::{error, info};
-use merlinshelf_admission::{Settings, Shedder};
+use merlinshelf_admission::{AdmissionController, Settings};
 use merlinshelf_policy::lease_holder::HandoverState;
 use merlinshelf_policy::{EffectivePolicy, Heartbeat, InstanceStatus, LeaseHolder, Policy};
 use merlinshelf_quota::budget;
@@ -119,7 +119,7 @@
             let settings = policy.settings(base)?;
             laid.fits(policy)?;
             budget::validate_against_reserve(&policy.budgets, &aside, None)?;
-            Shedder::start(0.0, seed, settings).map(|_| ())
+            AdmissionController::start(0.0, seed, settings).map(|_| ())
         });
         self.mind_policy();
         if let Some(spending) = &mut self.spending {
@@ -198,7 +198,7 @@
             return;
         };
         let (seed, settings, learnt) = (self.seed, self.settings.clone(), former.learnt());
-        match catch_unwind(|| Shedder::start(learnt.born, seed, settings)) {
+        match catch_unwind(|| AdmissionController::start(learnt.born, seed, settings)) {
             Ok(Ok((mut shedder, mut decided))) => {
                 shedder.take_up(learnt);
                 shedder.believe(self.beliefs.clone());
--- a/crates/merlinshelf-backend/src/exchange/tests.rs
+++ b/crates/merlinshelf-backend/src/exchange/tests.rs
@@ -410,7 +410,7 @@
     };
     let at = |unix_ms: f64| {
         let told = told(&one, unix_ms);
-        (told.age, told.budget)
+        (told.age, told.caller_timeout)
     };
     assert_eq!(at(1_000_500.0), (0.5, Some(1.5)));
     assert_eq!(
@@ -428,7 +428,7 @@
             },
             1_000_500.0
         )
-        .budget,
+        .caller_timeout,
         None
     );
 }
--- a/crates/merlinshelf-backend/src/host/handing.rs
+++ b/crates/merlinshelf-backend/src/host/handing.rs
@@ -226,7 +226,7 @@
         &mut self,
         image: &Image,
         mut passed: Passed,
-        learnt: Option<merlinshelf_admission::Learnt>,
+        learnt: Option<merlinshelf_admission::LearnedState>,
         takes_back: bool,
     ) -> io::Result<Prepared> {
         let listener = passed
--- a/crates/merlinshelf-backend/src/instance.rs
+++ b/crates/merlinshelf-backend/src/instance.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use log::{error, warn};
-use merlinshelf_admission::Learnt;
+use merlinshelf_admission::LearnedState;
 use merlinshelf_handover::{Image, Key, Reconciliation, Role, Transaction, records};
 use tokio::net::TcpStream;
 use tokio::select;
@@ -121,15 +121,14 @@
         listener: Listening,
         image: &Image,
         mut passed: Passed,
-        learnt: Option<Learnt>,
+        learnt: Option<LearnedState>,
     ) -> io::Result<Prepared> {
         exchange.suits(image).map_err(io::Error::other)?;
         let mut prepared = Prepared::fresh(Rc::new(RefCell::new(exchange)), listener);
-        let record: Option<records::EngineConnectionRecord> =
-            image.get(Key::EngineConnectionRecord);
+        let record: Option<records::EngineConnectionRecord> = image.get(Key::EngineConnection);
         let socket = record
             .as_ref()
-            .and_then(|link| passed.remove(&Role::EngineConnectionRecord(link.stream?)));
+            .and_then(|link| passed.remove(&Role::EngineConnection(link.stream?)));
         if let Some(mut record) = record {
             let live = socket.and_then(|socket| {
                 let settled = settle(&socket, &mut record.flow, true)?;
@@ -140,13 +139,10 @@
         }
         for (role, socket) in passed {
             match role {
-                Role::ClientConnectionRecord(stream)
-                    if !image.gone(Key::ClientConnectionRecord(stream)) =>
-                {
+                Role::ClientConnection(stream) if !image.gone(Key::ClientConnection(stream)) => {
                     // One of which nothing was noted was only just taken in.
-                    let mut record: records::ClientConnectionRecord = image
-                        .get(Key::ClientConnectionRecord(stream))
-                        .unwrap_or_default();
+                    let mut record: records::ClientConnectionRecord =
+                        image.get(Key::ClientConnection(stream)).unwrap_or_default();
                     let live = settle(&socket, &mut record.flow, false).zip(into_stream(socket));
                     let Some((settled, socket)) = live else {
                         prepared.broken += 1;
@@ -155,9 +151,9 @@
                     let door = Door::reopen(&prepared.exchange, stream);
                     prepared.edges.push((socket, door, record, settled));
                 }
-                Role::DownstreamConnectionRecord(stream) => {
+                Role::DownstreamConnection(stream) => {
                     let Some(mut record) = image.get::<records::DownstreamConnectionRecord>(
-                        Key::DownstreamConnectionRecord(stream),
+                        Key::DownstreamConnection(stream),
                     ) else {
                         continue;
                     };
--- a/crates/merlinshelf-backend/src/journal.rs
+++ b/crates/merlinshelf-backend/src/journal.rs
@@ -130,18 +130,18 @@
             )],
         };
         for round in 0..100_u64 {
-            journal.put(Key::ResponseQueueRecord(round % 7), &answers(20_000));
+            journal.put(Key::ResponseQueue(round % 7), &answers(20_000));
             if round % 3 == 0 {
-                journal.remove(Key::ResponseQueueRecord((round + 1) % 7));
+                journal.remove(Key::ResponseQueue((round + 1) % 7));
             }
             journal.write();
             follower.follow(&mut image).expect("it can be read");
             assert!(size(&copy) <= 16, "{} blocks", size(&copy));
         }
         assert_eq!(
-            image.get::<ResponseQueueRecord>(Key::ResponseQueueRecord(99 % 7)),
+            image.get::<ResponseQueueRecord>(Key::ResponseQueue(99 % 7)),
             Some(answers(20_000))
         );
-        assert!(image.gone(Key::ResponseQueueRecord(100 % 7)));
+        assert!(image.gone(Key::ResponseQueue(100 % 7)));
     }
 }
--- a/crates/merlinshelf-backend/src/server/connection.rs
+++ b/crates/merlinshelf-backend/src/server/connection.rs
@@ -178,10 +178,7 @@
     fn secure(&self) {
         let mut exchange = self.exchange.borrow_mut();
         if exchange.notes() {
-            exchange.stage(
-                Key::ClientConnectionRecord(self.door.stream()),
-                &self.record(),
-            );
+            exchange.stage(Key::ClientConnection(self.door.stream()), &self.record());
             exchange.secure();
         }
     }
@@ -193,7 +190,7 @@
             // One that a predecessor has opened is known to it.
             if let Err(error) = pass(
                 &self.exchange,
-                Role::ClientConnectionRecord(self.door.stream()),
+                Role::ClientConnection(self.door.stream()),
                 &self.socket,
             )
             .await
@@ -219,10 +216,7 @@
             let stream = self.door.stream();
             let mut exchange = self.exchange.borrow_mut();
             if exchange.notes() {
-                exchange.stage_gone(&[
-                    Key::ClientConnectionRecord(stream),
-                    Key::ResponseQueueRecord(stream),
-                ]);
+                exchange.stage_gone(&[Key::ClientConnection(stream), Key::ResponseQueue(stream)]);
                 exchange.secure();
                 // The predecessor's copy would keep it open otherwise.
                 let _ = shutdown(
--- a/crates/merlinshelf-backend/src/upgrade/channel.rs
+++ b/crates/merlinshelf-backend/src/upgrade/channel.rs
@@ -129,9 +129,7 @@
         let (ours, theirs) = Channel::pair().expect("a pair");
         let theirs = Channel::new(theirs).expect("an end");
         let (mut near, far) = UnixStream::pair().expect("a pair");
-        let roles: Vec<Role> = (0..BATCH as u64)
-            .map(Role::ClientConnectionRecord)
-            .collect();
+        let roles: Vec<Role> = (0..BATCH as u64).map(Role::ClientConnection).collect();
         let word = Message::Pass { roles };
         theirs
             .send(&word, &[far.as_fd(); BATCH])
--- a/crates/merlinshelf-backend/src/upgrade/guard.rs
+++ b/crates/merlinshelf-backend/src/upgrade/guard.rs
@@ -8,7 +8,7 @@
 use std::process::{Child, Command};
 
 use log::warn;
-use merlinshelf_admission::Learnt;
+use merlinshelf_admission::LearnedState;
 use merlinshelf_handover::{Image, Key, Message, Role, records};
 use rustix::process::{Pid, PidfdFlags, Signal, pidfd_open, pidfd_send_signal};
 use tokio::io::Interest;
@@ -36,7 +36,7 @@
     image: Image,
     /// Copies of all that was handed over or opened since, by what it is.
     passed: Passed,
-    learnt: Option<Learnt>,
+    learnt: Option<LearnedState>,
     follower: Follower,
 }
 
@@ -168,30 +168,25 @@
         held.follower.follow(&mut held.image)?;
         for key in held.image.take_gone() {
             match key {
-                Key::ClientConnectionRecord(stream) => {
-                    _ = held.passed.remove(&Role::ClientConnectionRecord(stream))
+                Key::ClientConnection(stream) => {
+                    _ = held.passed.remove(&Role::ClientConnection(stream))
                 }
-                Key::DownstreamConnectionRecord(stream) => {
-                    _ = held
-                        .passed
-                        .remove(&Role::DownstreamConnectionRecord(stream))
+                Key::DownstreamConnection(stream) => {
+                    _ = held.passed.remove(&Role::DownstreamConnection(stream))
                 }
                 _ => {}
             }
         }
         // Of the engine's links only the last one counts.
-        let link: Option<records::EngineConnectionRecord> =
-            held.image.get(Key::EngineConnectionRecord);
+        let link: Option<records::EngineConnectionRecord> = held.image.get(Key::EngineConnection);
         let current = link.and_then(|link| link.stream);
         let newest = held.passed.keys().filter_map(|role| match role {
-            Role::EngineConnectionRecord(stream) => Some(*stream),
+            Role::EngineConnection(stream) => Some(*stream),
             _ => None,
         });
         let newest = newest.max();
         held.passed.retain(|role, _| match role {
-            Role::EngineConnectionRecord(stream) => {
-                Some(*stream) == current || Some(*stream) == newest
-            }
+            Role::EngineConnection(stream) => Some(*stream) == current || Some(*stream) == newest,
             _ => true,
         });
         Ok(())
@@ -212,7 +207,7 @@
     }
 
     /// Everything as the successor left it, whose process has ended and whose last words were heard: image, descriptors, what was learnt before.
-    pub fn take(&mut self) -> io::Result<(Image, Passed, Option<Learnt>)> {
+    pub fn take(&mut self) -> io::Result<(Image, Passed, Option<LearnedState>)> {
         self.follow()?;
         let held = self
             .held
--- a/crates/merlinshelf-gossip/src/learner.rs
+++ b/crates/merlinshelf-gossip/src/learner.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use merlinshelf_admission::{Beliefs, Learnt};
+use merlinshelf_admission::{LearnedState, PriorEstimates};
 
 use crate::book::Book;
 use crate::fact::{Origin, Standing, Told, Unbelievable};
@@ -158,8 +158,12 @@
     }
 
     /// What the module has learnt by now, on its clock.
-    pub fn see(&mut self, now: f64, clock: f64, learnt: &Learnt) {
-        let own: usize = learnt.operations.iter().map(|of| of.runs.len()).sum();
+    pub fn see(&mut self, now: f64, clock: f64, learnt: &LearnedState) {
+        let own: usize = learnt
+            .operations
+            .iter()
+            .map(|of| of.run_durations.len())
+            .sum();
         self.standing = if self.leaves {
             Standing::Leaving
         } else if own < OWN_FEW && !self.lessons.is_empty() {
@@ -182,7 +186,7 @@
     }
 
     /// What the module is to believe on the word of others.
-    pub fn beliefs(&self, now: f64) -> Beliefs {
+    pub fn beliefs(&self, now: f64) -> PriorEstimates {
         self.settings.scope.beliefs(now, &self.book)
     }
 
--- a/crates/merlinshelf-gossip/src/lesson.rs
+++ b/crates/merlinshelf-gossip/src/lesson.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use merlinshelf_admission::{Beliefs, Believed, Learnt};
+use merlinshelf_admission::{LearnedState, PriorEstimate, PriorEstimates};
 
 use crate::book::Book;
 use crate::fact::Subject;
@@ -50,7 +50,7 @@
     }
 
     /// The figures of what was learnt, as of `now` on the module's clock.
-    pub fn seen(&self, now: f64, learnt: &Learnt) -> Vec<Seen> {
+    pub fn seen(&self, now: f64, learnt: &LearnedState) -> Vec<Seen> {
         let mut all = Vec::new();
         let mut add = |subject: Subject, value: f64, count: usize, age: f64| {
             if count > 0 {
@@ -64,19 +64,36 @@
         };
         let ran = now - learnt.progress;
         for (name, of) in self.operations.iter().zip(&learnt.operations) {
-            let (took, cost) = (of.runs.iter().sum::<f64>(), of.costs.iter().sum::<f64>());
+            let (took, cost) = (
+                of.run_durations.iter().sum::<f64>(),
+                of.run_costs.iter().sum::<f64>(),
+            );
             add(
                 self.run(true, name),
                 took / cost.max(1e-9),
-                of.runs.len(),
+                of.run_durations.len(),
+                ran,
+            );
+            add(
+                self.run(false, name),
+                of.lowest_duration,
+                of.run_durations.len(),
                 ran,
             );
-            add(self.run(false, name), of.lowest, of.runs.len(), ran);
-            if of.below.iter().any(|below| *below > 0.0) {
-                add(self.below(name), mean(&of.below), of.below.len(), ran);
+            if of.downstream_durations.iter().any(|below| *below > 0.0) {
+                add(
+                    self.below(name),
+                    mean(&of.downstream_durations),
+                    of.downstream_durations.len(),
+                    ran,
+                );
             }
         }
-        let runs = learnt.operations.iter().map(|of| of.runs.len()).sum();
+        let runs = learnt
+            .operations
+            .iter()
+            .map(|of| of.run_durations.len())
+            .sum();
         add(
             Subject::Limit {
                 engine: self.engine.clone(),
@@ -155,25 +172,25 @@
     }
 
     /// What is believed of these on the word of others.
-    pub fn beliefs(&self, now: f64, book: &Book) -> Beliefs {
+    pub fn beliefs(&self, now: f64, book: &Book) -> PriorEstimates {
         let of = |subject: Subject| {
-            book.believe(now, &subject).map(|it| Believed {
+            book.believe(now, &subject).map(|it| PriorEstimate {
                 value: it.value,
                 weight: it.weight,
             })
         };
-        let each = |subject: &dyn Fn(&str) -> Subject| -> Vec<Option<Believed>> {
+        let each = |subject: &dyn Fn(&str) -> Subject| -> Vec<Option<PriorEstimate>> {
             self.operations
                 .iter()
                 .map(|name| of(subject(name)))
                 .collect()
         };
         let dependency = || self.dependency.clone();
-        Beliefs {
-            runs: each(&|name| self.run(true, name)),
-            lowest: each(&|name| self.run(false, name)),
-            below: each(&|name| self.below(name)),
-            limit: of(Subject::Limit {
+        PriorEstimates {
+            run_durations: each(&|name| self.run(true, name)),
+            lowest_durations: each(&|name| self.run(false, name)),
+            downstream_durations: each(&|name| self.below(name)),
+            concurrency_limit: of(Subject::Limit {
                 engine: self.engine.clone(),
             }),
             call_lowest: of(Subject::CallLowest {
@@ -185,8 +202,8 @@
             call_failures: of(Subject::CallFailures {
                 dependency: dependency(),
             }),
-            again: of(Subject::CallersAgain),
-            back: of(Subject::CallersBack),
+            retry_share: of(Subject::CallersAgain),
+            returning_caller_share: of(Subject::CallersBack),
         }
     }
 }
--- a/crates/merlinshelf-gossip/tests/learner.rs
+++ b/crates/merlinshelf-gossip/tests/learner.rs
@@ -3,7 +3,7 @@
 
 use std::collections::VecDeque;
 
-use merlinshelf_admission::{Learnt, LearntOfOperation};
+use merlinshelf_admission::{LearnedOperation, LearnedState};
 use merlinshelf_gossip::learner::{FIGURES_MOST, Learner, Message, Settings, Step};
 use merlinshelf_gossip::{Origin, Scope, Standing, State, Subject, Told, Unbelievable, members};
 
@@ -28,16 +28,16 @@
 }
 
 /// What a module has learnt from so many runs and calls, with so many failures in a row by now.
-fn learnt(samples: usize, clock: f64, speed: f64, failures: u32) -> Learnt {
+fn learnt(samples: usize, clock: f64, speed: f64, failures: u32) -> LearnedState {
     let all = |value: f64| -> VecDeque<f64> { (0..samples.min(24)).map(|_| value).collect() };
-    let of = |seconds: f64| LearntOfOperation {
-        runs: all(seconds * speed),
-        costs: all(1.0),
-        below: all(0.02),
-        lowest: seconds * speed * 0.8,
-        until_probe: 50.0,
+    let of = |seconds: f64| LearnedOperation {
+        run_durations: all(seconds * speed),
+        run_costs: all(1.0),
+        downstream_durations: all(0.02),
+        lowest_duration: seconds * speed * 0.8,
+        finishes_until_probe: 50.0,
     };
-    Learnt {
+    LearnedState {
         operations: vec![of(0.01), of(1.0)],
         limit: 12.0,
         progress: clock,
@@ -49,7 +49,7 @@
         call_failed_at: clock,
         agains: all(0.0),
         gaps: all(2.0),
-        ..Learnt::default()
+        ..LearnedState::default()
     }
 }
 
@@ -78,19 +78,25 @@
     let mut pupil = learner(100.0, "pupil", &[]);
     assert!(ask(100.0, &mut pupil, &mut steady(100.0, "teacher", 1.0)).is_empty());
     let of = pupil.beliefs(100.0);
-    let long = of.runs[1].expect("it is told of");
+    let long = of.run_durations[1].expect("it is told of");
     assert!((long.value, long.weight > 0.7) == (1.0, true), "{long:?}");
     assert_eq!(of.call_limit.map(|of| of.value), Some(5.0));
     assert_eq!(of.call_failures.map(|of| of.value), Some(0.0));
-    assert_eq!(of.back.map(|of| of.value), Some(1.0));
+    assert_eq!(of.returning_caller_share.map(|of| of.value), Some(1.0));
     // One on another kind of machine drops what holds for engines, and keeps what holds for the dependency.
     let mut other = settings("other", &[]);
     other.scope.engine = "another kind".into();
     let mut other = Learner::new(100.0, 1, other);
     ask(100.0, &mut other, &mut steady(100.0, "teacher", 1.0));
     let of = other.beliefs(100.0);
-    assert!(of.runs.iter().chain(&of.lowest).all(Option::is_none) && of.limit.is_none());
-    assert!(of.call_lowest.is_some() && of.below.iter().all(Option::is_some));
+    assert!(
+        of.run_durations
+            .iter()
+            .chain(&of.lowest_durations)
+            .all(Option::is_none)
+            && of.concurrency_limit.is_none()
+    );
+    assert!(of.call_lowest.is_some() && of.downstream_durations.iter().all(Option::is_some));
 }
 
 #[test]
@@ -98,7 +104,7 @@
     let weight_of_long = |teacher: &mut Learner| {
         let mut pupil = learner(200.0, "pupil", &[]);
         ask(200.0, &mut pupil, teacher);
-        pupil.beliefs(200.0).runs[1].map_or(0.0, |of| of.weight)
+        pupil.beliefs(200.0).run_durations[1].map_or(0.0, |of| of.weight)
     };
     let full = weight_of_long(&mut steady(200.0, "a", 1.0));
     // Cold: few samples, and little trust in them.
@@ -112,7 +118,7 @@
     let mut pupil = learner(200.0, "pupil", &[]);
     ask(200.0, &mut pupil, &mut broken);
     let of = pupil.beliefs(200.0);
-    assert!(of.runs[1].expect("it is told of").weight < 0.3 * full);
+    assert!(of.run_durations[1].expect("it is told of").weight < 0.3 * full);
     let failures = of.call_failures.expect("it is told of");
     assert!(
         failures.value == 9.0 && failures.weight > 0.9 * full,
@@ -152,7 +158,7 @@
     ask(300.0, &mut pupil, &mut steady(300.0, "a", 1.0));
     ask(300.0, &mut pupil, &mut steady(300.0, "b", 1.2));
     ask(300.0, &mut pupil, &mut steady(300.0, "liar", 400.0));
-    let long = pupil.beliefs(300.0).runs[1].expect("it is told of");
+    let long = pupil.beliefs(300.0).run_durations[1].expect("it is told of");
     assert!((1.0..=1.2).contains(&long.value), "{long:?}");
     // Word of what can't be.
     let told = |value: f64, age: f64, origin: &str, hops: u8| Told {
@@ -330,7 +336,7 @@
         .collect();
     let count = kept.len();
     assert_eq!(after.remember(530.0, kept.clone()), count);
-    let long = after.beliefs(530.0).runs[1].expect("it knows");
+    let long = after.beliefs(530.0).run_durations[1].expect("it knows");
     assert!(
         long.value == 1.0 && (0.4..0.6).contains(&long.weight),
         "{long:?}"
@@ -345,7 +351,7 @@
     after.see(531.0, 531.0, &learnt(24, 531.0, 2.0, 0));
     let mut pupil = learner(531.0, "pupil", &[]);
     ask(531.0, &mut pupil, &mut after);
-    let long = pupil.beliefs(531.0).runs[1].expect("it is told of");
+    let long = pupil.beliefs(531.0).run_durations[1].expect("it is told of");
     assert_eq!(long.value, 2.0);
     // The same life does not teach itself.
     let mut same = Learner::new(530.0, 1, settings("me", &[]));
@@ -372,7 +378,7 @@
     assert_eq!(origins(&one), ["b", "me"]);
     one.book_mut().forget_others();
     assert_eq!(origins(&one), ["me"]);
-    assert!(one.beliefs(600.0).runs[1].is_none());
+    assert!(one.beliefs(600.0).run_durations[1].is_none());
 }
 
 #[test]
--- a/crates/merlinshelf-handover/src/image.rs
+++ b/crates/merlinshelf-handover/src/image.rs
@@ -20,12 +20,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Key {
     Instance,
-    EngineConnectionRecord,
+    EngineConnection,
     /// An edge node's connection, and the answers that wait for it.
-    ClientConnectionRecord(u64),
-    ResponseQueueRecord(u64),
+    ClientConnection(u64),
+    ResponseQueue(u64),
     /// A connection to the catalogue.
-    DownstreamConnectionRecord(u64),
+    DownstreamConnection(u64),
     /// An invocation, by its id.
     Invocation([u8; 16]),
 }
@@ -39,10 +39,10 @@
         };
         match self {
             Key::Instance => (1, [0; 16]),
-            Key::EngineConnectionRecord => (2, [0; 16]),
-            Key::ClientConnectionRecord(of) => (3, number(of)),
-            Key::ResponseQueueRecord(of) => (4, number(of)),
-            Key::DownstreamConnectionRecord(of) => (5, number(of)),
+            Key::EngineConnection => (2, [0; 16]),
+            Key::ClientConnection(of) => (3, number(of)),
+            Key::ResponseQueue(of) => (4, number(of)),
+            Key::DownstreamConnection(of) => (5, number(of)),
             Key::Invocation(id) => (6, id),
         }
     }
@@ -53,10 +53,10 @@
         let number = u64::from_be_bytes(low);
         Some(match kind {
             1 => Key::Instance,
-            2 => Key::EngineConnectionRecord,
-            3 => Key::ClientConnectionRecord(number),
-            4 => Key::ResponseQueueRecord(number),
-            5 => Key::DownstreamConnectionRecord(number),
+            2 => Key::EngineConnection,
+            3 => Key::ClientConnection(number),
+            4 => Key::ResponseQueue(number),
+            5 => Key::DownstreamConnection(number),
             6 => Key::Invocation(name),
             _ => return None,
         })
--- a/crates/merlinshelf-handover/src/messages.rs
+++ b/crates/merlinshelf-handover/src/messages.rs
@@ -24,9 +24,12 @@
     Listener,
     Control,
     /// A connection by its number.
-    ClientConnectionRecord(u64),
-    DownstreamConnectionRecord(u64),
-    EngineConnectionRecord(u64),
+    #[serde(rename = "Edge")]
+    ClientConnection(u64),
+    #[serde(rename = "Line")]
+    DownstreamConnection(u64),
+    #[serde(rename = "Link")]
+    EngineConnection(u64),
 }
 
 /// A moment on the monotonic clock of the machine, in seconds.
--- a/crates/merlinshelf-handover/src/records.rs
+++ b/crates/merlinshelf-handover/src/records.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use merlinshelf_admission::{Inv, Learnt};
+use merlinshelf_admission::{InvocationState, LearnedState};
 use serde::{Deserialize, Serialize};
 use serde_bytes::ByteBuf;
 
@@ -29,7 +29,7 @@
     pub calls_again: Vec<bool>,
     pub counters: BTreeMap<String, u64>,
     /// None while the engine was never up.
-    pub learnt: Option<Learnt>,
+    pub learnt: Option<LearnedState>,
     /// What is known of the servers behind and from whom, in the form of its file (`merlinshelf-gossip`).
     pub knowledge: ByteBuf,
     /// The lease on a policy and the documents (`merlinshelf-policy`), for a successor alone: empty in what is noted.
@@ -154,5 +154,5 @@
     pub command: Option<(Command, bool)>,
     /// In which order it came.
     pub place: u64,
-    pub inv: Inv,
+    pub inv: InvocationState,
 }
--- a/crates/merlinshelf-handover/tests/golden.rs
+++ b/crates/merlinshelf-handover/tests/golden.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use merlinshelf_admission::{
-    Inv, Invocation as AdmissionInvocation, Learnt, LearntOfOperation, Stage,
+    Invocation as AdmissionInvocation, InvocationState, LearnedOperation, LearnedState, Stage,
 };
 use merlinshelf_handover::records::{
     Answer, ClientConnectionRecord, Command, DownstreamConnectionRecord, EngineConnectionRecord,
@@ -32,15 +32,15 @@
     }
 }
 
-fn learned_state() -> Learnt {
-    let learned_of_operation = |first: f64| LearntOfOperation {
-        runs: VecDeque::from([first, first + 0.25]),
-        costs: VecDeque::from([first + 1.0, first + 1.25]),
-        below: VecDeque::from([first + 2.0, first + 2.25]),
-        lowest: first + 3.0,
-        until_probe: first + 4.0,
+fn learned_state() -> LearnedState {
+    let learned_of_operation = |first: f64| LearnedOperation {
+        run_durations: VecDeque::from([first, first + 0.25]),
+        run_costs: VecDeque::from([first + 1.0, first + 1.25]),
+        downstream_durations: VecDeque::from([first + 2.0, first + 2.25]),
+        lowest_duration: first + 3.0,
+        finishes_until_probe: first + 4.0,
     };
-    Learnt {
+    LearnedState {
         born: 11.5,
         leave_at: Some((12.5, 13.5)),
         operations: vec![learned_of_operation(20.0), learned_of_operation(30.0)],
@@ -183,35 +183,35 @@
         heard: 138,
         command: Some((Command::Feed(bytes("reply of a call")), true)),
         place: 139,
-        inv: Inv {
-            told: AdmissionInvocation {
+        inv: InvocationState {
+            request: AdmissionInvocation {
                 operation: 140,
                 customer: 141,
                 caller: 0x1234_5678_9abc_def0,
-                budget: Some(1.25),
+                caller_timeout: Some(1.25),
                 age: 0.0625,
-                cost: Some(0.375),
-                held_kb: 212.5,
+                cost_hint: Some(0.375),
+                held_kilobytes: 212.5,
                 rank: 0.875,
-                again: true,
+                is_retry: true,
                 has_subject: true,
-                repeats: true,
-                earlier: Some(142),
+                is_repeat: true,
+                original: Some(142),
             },
-            arrived: 143.5,
-            due: 144.5,
-            by: 145.5,
+            arrived_at: 143.5,
+            due_at: 144.5,
+            objective_deadline: 145.5,
             stage: Stage::Calling,
-            since: 146.5,
-            began: 147.5,
-            away: 148.5,
-            answered: true,
-            stopping: true,
-            ran: true,
-            entry: true,
-            over_share: true,
+            stage_entered_at: 146.5,
+            started_at: 147.5,
+            off_core_seconds: 148.5,
+            is_answered: true,
+            is_stopping: true,
+            has_run: true,
+            has_table_entry: true,
+            exceeds_quota: true,
             calls: 149,
-            unsure: true,
+            has_uncertain_call: true,
         },
     }
 }
@@ -253,14 +253,14 @@
 
 #[test]
 fn record_of_the_engines_link() {
-    assert_records("link", vec![(Key::EngineConnectionRecord, link())]);
+    assert_records("link", vec![(Key::EngineConnection, link())]);
 }
 
 #[test]
 fn record_of_an_edge_nodes_connection() {
     assert_records(
         "edge",
-        vec![(Key::ClientConnectionRecord(0x0102_0304_0506_0708), edge())],
+        vec![(Key::ClientConnection(0x0102_0304_0506_0708), edge())],
     );
 }
 
@@ -268,7 +268,7 @@
 fn record_of_answers_that_wait() {
     assert_records(
         "door",
-        vec![(Key::ResponseQueueRecord(0x1112_1314_1516_1718), door())],
+        vec![(Key::ResponseQueue(0x1112_1314_1516_1718), door())],
     );
 }
 
@@ -276,10 +276,7 @@
 fn record_of_a_connection_to_the_catalogue() {
     assert_records(
         "line",
-        vec![(
-            Key::DownstreamConnectionRecord(0x2122_2324_2526_2728),
-            line(),
-        )],
+        vec![(Key::DownstreamConnection(0x2122_2324_2526_2728), line())],
     );
 }
 
@@ -297,7 +294,7 @@
         (
             b"9b1f03aa5c7e2d52",
             Some((Command::Run, false)),
-            Stage::Held,
+            Stage::Queued,
         ),
         (
             b"9b1f03aa5c7e2d53",
@@ -318,9 +315,9 @@
     ];
     let record = |command, stage| Invocation {
         command,
-        inv: Inv {
+        inv: InvocationState {
             stage,
-            ..Inv::default()
+            ..InvocationState::default()
         },
         ..Invocation::default()
     };
@@ -333,17 +330,11 @@
 fn records_of_nothing() {
     let mut written = Transaction::default();
     written.put(Key::Instance, &Instance::default());
+    written.put(Key::EngineConnection, &EngineConnectionRecord::default());
+    written.put(Key::ClientConnection(1), &ClientConnectionRecord::default());
+    written.put(Key::ResponseQueue(2), &ResponseQueueRecord::default());
     written.put(
-        Key::EngineConnectionRecord,
-        &EngineConnectionRecord::default(),
-    );
-    written.put(
-        Key::ClientConnectionRecord(1),
-        &ClientConnectionRecord::default(),
-    );
-    written.put(Key::ResponseQueueRecord(2), &ResponseQueueRecord::default());
-    written.put(
-        Key::DownstreamConnectionRecord(3),
+        Key::DownstreamConnection(3),
         &DownstreamConnectionRecord::default(),
     );
     written.put(Key::Invocation([4; 16]), &Invocation::default());
@@ -352,19 +343,19 @@
     let image = image(&golden_file::read("defaults", &written));
     assert_eq!(image.get(Key::Instance), Some(Instance::default()));
     assert_eq!(
-        image.get(Key::EngineConnectionRecord),
+        image.get(Key::EngineConnection),
         Some(EngineConnectionRecord::default())
     );
     assert_eq!(
-        image.get(Key::ClientConnectionRecord(1)),
+        image.get(Key::ClientConnection(1)),
         Some(ClientConnectionRecord::default())
     );
     assert_eq!(
-        image.get(Key::ResponseQueueRecord(2)),
+        image.get(Key::ResponseQueue(2)),
         Some(ResponseQueueRecord::default())
     );
     assert_eq!(
-        image.get(Key::DownstreamConnectionRecord(3)),
+        image.get(Key::DownstreamConnection(3)),
         Some(DownstreamConnectionRecord::default())
     );
     assert_eq!(
@@ -378,13 +369,13 @@
 fn transactions_with_removals() {
     let keys = [
         Key::Instance,
-        Key::EngineConnectionRecord,
-        Key::ClientConnectionRecord(161),
-        Key::ResponseQueueRecord(162),
-        Key::DownstreamConnectionRecord(163),
+        Key::EngineConnection,
+        Key::ClientConnection(161),
+        Key::ResponseQueue(162),
+        Key::DownstreamConnection(163),
         Key::Invocation(*b"9b1f03aa5c7e2d61"),
     ];
-    let kept = Key::DownstreamConnectionRecord(164);
+    let kept = Key::DownstreamConnection(164);
     let mut put = Transaction::default();
     keys.iter()
         .for_each(|key| put.put(*key, &flow("gone", 165)));
@@ -419,9 +410,9 @@
         Role::Journal,
         Role::Listener,
         Role::Control,
-        Role::ClientConnectionRecord(171),
-        Role::DownstreamConnectionRecord(172),
-        Role::EngineConnectionRecord(173),
+        Role::ClientConnection(171),
+        Role::DownstreamConnection(172),
+        Role::EngineConnection(173),
     ]
 }
 
@@ -438,7 +429,7 @@
         Message::Ready,
         Message::Taken,
         Message::Opened {
-            role: Role::ClientConnectionRecord(175),
+            role: Role::ClientConnection(175),
         },
         Message::Beat,
         Message::Steady,
--- a/crates/merlinshelf-handover/tests/walks.rs
+++ b/crates/merlinshelf-handover/tests/walks.rs
@@ -290,10 +290,10 @@
             match length {
                 Some(length) => {
                     let answer = Answer::Succeeded(vec![7; *length].into());
-                    transaction.put(Key::ResponseQueueRecord(*stream), &ResponseQueueRecord { answers: vec![(1, answer)] });
-                    transaction.put(Key::ClientConnectionRecord(*stream), &ClientConnectionRecord { faults: *length as u32, ..ClientConnectionRecord::default() });
+                    transaction.put(Key::ResponseQueue(*stream), &ResponseQueueRecord { answers: vec![(1, answer)] });
+                    transaction.put(Key::ClientConnection(*stream), &ClientConnectionRecord { faults: *length as u32, ..ClientConnectionRecord::default() });
                 }
-                None => transaction.remove(Key::ResponseQueueRecord(*stream)),
+                None => transaction.remove(Key::ResponseQueue(*stream)),
             }
             let written = transaction.take();
             let mut image = states.last().map(|(_, image)| image.clone()).unwrap_or_default();
--- a/crates/merlinshelf-testbed/src/trial/learning/fleet.rs
+++ b/crates/merlinshelf-testbed/src/trial/learning/fleet.rs
@@ -3,7 +3,7 @@
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
 
-use merlinshelf_admission::{Learnt, LearntOfOperation};
+use merlinshelf_admission::{LearnedOperation, LearnedState};
 use merlinshelf_gossip::learner::{Learner, Settings, Step};
 use merlinshelf_gossip::{Message, Scope, State, members};
 use merlinshelf_protocol::teaching::{Kind, put_message};
@@ -60,16 +60,16 @@
 }
 
 /// What a module has learnt that has seen so many runs of each operation, at this speed.
-pub fn learnt(runs: usize, clock: f64, speed: f64) -> Learnt {
+pub fn learnt(runs: usize, clock: f64, speed: f64) -> LearnedState {
     let samples = |value: f64| -> VecDeque<f64> { (0..runs.min(24)).map(|_| value).collect() };
-    let of = |place: usize| LearntOfOperation {
-        runs: samples(0.01 * speed * (place + 1) as f64),
-        costs: samples(1.0),
-        below: samples(0.005),
-        lowest: 0.008 * speed,
-        until_probe: 100.0,
+    let of = |place: usize| LearnedOperation {
+        run_durations: samples(0.01 * speed * (place + 1) as f64),
+        run_costs: samples(1.0),
+        downstream_durations: samples(0.005),
+        lowest_duration: 0.008 * speed,
+        finishes_until_probe: 100.0,
     };
-    Learnt {
+    LearnedState {
         operations: (0..8).map(of).collect(),
         limit: 16.0,
         progress: clock,
@@ -79,7 +79,7 @@
         call_limit: 4.0,
         agains: samples(0.0),
         gaps: samples(1.0),
-        ..Learnt::default()
+        ..LearnedState::default()
     }
 }
 
--- a/crates/merlinshelf-testbed/tests/fleet.rs
+++ b/crates/merlinshelf-testbed/tests/fleet.rs
@@ -13,9 +13,9 @@
     for one in world.learners.iter().flatten() {
         let of = one.beliefs(world.now);
         assert!(
-            of.runs.iter().flatten().all(|of| of.weight < 0.06),
+            of.run_durations.iter().flatten().all(|of| of.weight < 0.06),
             "{:?}",
-            of.runs
+            of.run_durations
         );
         assert_ne!(one.standing(), Standing::Steady);
     }
@@ -39,13 +39,13 @@
     for one in world.learners[20..].iter().flatten() {
         let of = one.beliefs(now);
         assert!(
-            of.runs
+            of.run_durations
                 .iter()
                 .all(|of| of.is_some_and(|of| of.weight > 0.3)),
             "{:?}",
-            of.runs
+            of.run_durations
         );
-        assert!((of.runs[3].expect("it is told of").value - 0.04).abs() < 1e-9);
+        assert!((of.run_durations[3].expect("it is told of").value - 0.04).abs() < 1e-9);
     }
     // Who was there before is known in its new life, and who has not restarted lost nothing.
     world
@@ -85,7 +85,7 @@
         .as_ref()
         .expect("it lives")
         .beliefs(now)
-        .runs[3]
+        .run_durations[3]
         .expect("it is told of");
     assert!((of.value - 0.08).abs() < 1e-9, "{of:?}");
 }
