--- a/crates/merlinshelf-agent/src/store.rs
+++ b/crates/merlinshelf-agent/src/store.rs
@@ -9,7 +9,7 @@
 use merlinshelf_backend::learning::folder::Disk;
 use merlinshelf_fleet::Record;
 use merlinshelf_gossip::Files;
-use merlinshelf_gossip::log::{framed, unframed};
+use merlinshelf_gossip::store_format::{framed, unframed};
 
 const FILE: &str = "fleet";
 const NEXT: &str = "fleet.new";
--- a/crates/merlinshelf-backend/src/learning/folder.rs
+++ b/crates/merlinshelf-backend/src/learning/folder.rs
@@ -6,9 +6,9 @@
 use std::path::{Path, PathBuf};
 use std::sync::mpsc::{Receiver, SyncSender, TrySendError, sync_channel};
 
-use merlinshelf_gossip::Told;
-use merlinshelf_gossip::log::Flaw;
-use merlinshelf_gossip::store::{Files, Found, LENGTH_MOST, Store};
+use merlinshelf_gossip::GossipedObservation;
+use merlinshelf_gossip::store::{Files, Found, MAX_STORE_BYTES, Store};
+use merlinshelf_gossip::store_format::FrameError;
 use rustix::fs::{FlockOperation, flock};
 use rustix::io::Errno;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
@@ -25,9 +25,9 @@
 }
 
 enum Job {
-    Save(Vec<Told>),
+    Save(Vec<GossipedObservation>),
     /// Something was forgotten: the file is written anew.
-    Anew(Vec<Told>),
+    Anew(Vec<GossipedObservation>),
 }
 
 /// The thread at work; dropping this ends it after the job in hand.
@@ -47,14 +47,14 @@
     }
 
     /// False where the saving before is still under way.
-    pub fn save(&self, all: Vec<Told>) -> bool {
+    pub fn save(&self, all: Vec<GossipedObservation>) -> bool {
         !matches!(
             self.jobs.try_send(Job::Save(all)),
             Err(TrySendError::Full(_))
         )
     }
 
-    pub fn anew(&self, all: Vec<Told>) -> bool {
+    pub fn anew(&self, all: Vec<GossipedObservation>) -> bool {
         !matches!(
             self.jobs.try_send(Job::Anew(all)),
             Err(TrySendError::Full(_))
@@ -143,11 +143,11 @@
 }
 
 /// What is wrong with a file, for people.
-pub fn flaw_text(flaw: Flaw) -> &'static str {
+pub fn flaw_text(flaw: FrameError) -> &'static str {
     match flaw {
-        Flaw::Foreign => "it is of another program or of a later version",
-        Flaw::Torn => "its end was being written when the process or machine ended",
-        Flaw::Garbled => "a record is not what was written",
+        FrameError::Foreign => "it is of another program or of a later version",
+        FrameError::Torn => "its end was being written when the process or machine ended",
+        FrameError::Garbled => "a record is not what was written",
     }
 }
 
@@ -192,7 +192,8 @@
     };
     let mut bytes = Vec::new();
     // One byte more than there may be shows that there is more.
-    file.take(LENGTH_MOST as u64 + 1).read_to_end(&mut bytes)?;
+    file.take(MAX_STORE_BYTES as u64 + 1)
+        .read_to_end(&mut bytes)?;
     Ok(Some(bytes))
 }
 
--- a/crates/merlinshelf-backend/src/learning/mod.rs
+++ b/crates/merlinshelf-backend/src/learning/mod.rs
@@ -11,10 +11,10 @@
 use std::time::Duration;
 
 use log::{info, warn};
-use merlinshelf_gossip::fact::Unbelievable;
-use merlinshelf_gossip::learner::{Learner, Settings, Step};
-use merlinshelf_gossip::log::{Kept, Record, recover};
-use merlinshelf_gossip::{Scope, Told, log as form, members};
+use merlinshelf_gossip::gossip_node::{Action, GossipNode, Settings};
+use merlinshelf_gossip::observation::InvalidObservation;
+use merlinshelf_gossip::store_format::{PersistedObservation, Record, recover};
+use merlinshelf_gossip::{GossipedObservation, Scope, membership, store_format};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use tokio::select;
@@ -34,7 +34,7 @@
 /// The learner, once its life has a number, and what there is to report of the folder.
 #[derive(Default)]
 pub struct State {
-    learner: Option<Learner>,
+    learner: Option<GossipNode>,
     /// How the last saving ended, with the time of it, monotonic seconds.
     saved: Option<(f64, Result<(), String>)>,
     /// Something was forgotten: the file must be written anew.
@@ -133,9 +133,11 @@
             return Vec::new();
         };
         let at = unix_ms() / 1e3;
-        let mut bytes = form::head();
+        let mut bytes = store_format::head();
         for told in learner.kept(monotonic()) {
-            bytes.extend(form::record(&Record::Figure(Kept { at, told })));
+            bytes.extend(store_format::record(&Record::Observation(
+                PersistedObservation { at, told },
+            )));
         }
         bytes
     }
@@ -199,7 +201,7 @@
                 keep_idle: self.keep_idle,
             },
             share: self.settings.share,
-            members: members::Settings::default(),
+            members: membership::Settings::default(),
         }
     }
 }
@@ -230,7 +232,7 @@
                 Some(learner) => learner.woken(monotonic(), &mut || chance.random()),
                 None => Vec::new(),
             };
-            for Step::Ask { address, question } in steps {
+            for Action::Ask { address, question } in steps {
                 let (state, nudge) = (self.state.clone(), self.nudge.clone());
                 let within = Duration::from_secs_f64(self.settings.members.answer_within);
                 spawn_local(
@@ -244,7 +246,7 @@
                 .borrow()
                 .learner
                 .as_ref()
-                .and_then(Learner::wake_at);
+                .and_then(GossipNode::wake_at);
             let wake = wake.map(|at| {
                 Instant::now() + Duration::from_secs_f64((at - monotonic()).clamp(0.002, 60.0))
             });
@@ -280,13 +282,13 @@
             }
         }
         let now = monotonic();
-        let mut learner = Learner::new(now, life, self.settings.clone());
+        let mut learner = GossipNode::new(now, life, self.settings.clone());
         if self.state.borrow().leaves {
             learner.leave();
         }
         let passed = recover(&std::mem::take(&mut self.past)).records.into_iter();
         let passed = passed.filter_map(|record| match record {
-            Record::Figure(kept) => Some(kept.told_at(unix_ms() / 1e3)),
+            Record::Observation(kept) => Some(kept.told_at(unix_ms() / 1e3)),
             Record::Life(_) => None,
         });
         kept.extend(passed);
@@ -297,7 +299,7 @@
         self.state.borrow_mut().learner = Some(learner);
     }
 
-    fn found(&mut self, found: merlinshelf_gossip::store::Found) -> Vec<Told> {
+    fn found(&mut self, found: merlinshelf_gossip::store::Found) -> Vec<GossipedObservation> {
         if let Some(flaw) = found.flaw {
             let aside = if found.set_aside {
                 ", and set aside"
@@ -396,13 +398,13 @@
 }
 
 /// Why a told figure was not taken, for the log.
-fn why(unbelievable: Unbelievable) -> &'static str {
+fn why(unbelievable: InvalidObservation) -> &'static str {
     match unbelievable {
-        Unbelievable::Value => "values that can't be",
-        Unbelievable::Age => "ages that can't be",
-        Unbelievable::Count => "counts that can't be",
-        Unbelievable::Hops => "too many hops",
-        Unbelievable::Echo => "its own echoes",
-        Unbelievable::Name => "names that can't be",
+        InvalidObservation::Value => "values that can't be",
+        InvalidObservation::Age => "ages that can't be",
+        InvalidObservation::Count => "counts that can't be",
+        InvalidObservation::Hops => "too many hops",
+        InvalidObservation::Echo => "its own echoes",
+        InvalidObservation::Name => "names that can't be",
     }
 }
--- a/crates/merlinshelf-backend/src/learning/report.rs
+++ b/crates/merlinshelf-backend/src/learning/report.rs
@@ -1,7 +1,7 @@
 //! What is reported of learning: by whom, how old, and what of it still counts.
 
-use merlinshelf_gossip::book::weight;
-use merlinshelf_gossip::{Figure, Origin, Subject};
+use merlinshelf_gossip::observation_store::weight;
+use merlinshelf_gossip::{Metric, Observation, Source};
 use serde_json::{Value, json};
 
 use super::State;
@@ -48,7 +48,7 @@
 }
 
 /// One figure, for reports.
-pub fn figure(now: f64, subject: &Subject, origin: &Origin, figure: &Figure) -> Value {
+pub fn figure(now: f64, subject: &Metric, origin: &Source, figure: &Observation) -> Value {
     let (server, operation) = subject.names();
     json!({
         "kind": subject.kind(), "server": server, "operation": operation, "value": figure.value, "count": figure.count,
--- a/crates/merlinshelf-backend/tests/golden.rs
+++ b/crates/merlinshelf-backend/tests/golden.rs
@@ -13,8 +13,8 @@
 use merlinshelf_backend::control::{Asked, open};
 use merlinshelf_backend::learning::folder;
 use merlinshelf_backend::{Start, serve};
-use merlinshelf_gossip::log::{self, Kept, Record};
-use merlinshelf_gossip::{Origin, Standing, Subject, Told};
+use merlinshelf_gossip::store_format::{self, PersistedObservation, Record};
+use merlinshelf_gossip::{GossipedObservation, Metric, Source, SourceStatus};
 use merlinshelf_handover::predecessor::Progress;
 use merlinshelf_policy::{Heartbeat, InstanceStatus, LeaseGrant};
 use merlinshelf_protocol::control::{self, Question, Word};
@@ -263,15 +263,15 @@
 /// The store file of an instance that has heard of another one a moment ago.
 fn store_file() -> Vec<u8> {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
-    let kept = Kept {
+    let kept = PersistedObservation {
         at: since_epoch
             .expect("a clock that is set right")
             .as_secs_f64(),
-        told: Told {
-            subject: Subject::CallLowest {
+        told: GossipedObservation {
+            subject: Metric::CallLowest {
                 dependency: "catalogue".into(),
             },
-            origin: Origin {
+            origin: Source {
                 name: "n9".into(),
                 life: 5,
             },
@@ -280,10 +280,14 @@
             age: 1.5,
             number: 7,
             hops: 1,
-            standing: Standing::Steady,
+            standing: SourceStatus::Steady,
         },
     };
-    [log::head(), log::record(&Record::Figure(kept))].concat()
+    [
+        store_format::head(),
+        store_format::record(&Record::Observation(kept)),
+    ]
+    .concat()
 }
 
 /// An instance with everything switched on that has a report of its own. Nobody listens where its peers would be.
--- a/crates/merlinshelf-cli/src/knowledge.rs
+++ b/crates/merlinshelf-cli/src/knowledge.rs
@@ -8,7 +8,7 @@
 
 use merlinshelf_agent::talk::Blocking as Talk;
 use merlinshelf_backend::learning::folder::{flaw_text, look};
-use merlinshelf_gossip::Told;
+use merlinshelf_gossip::GossipedObservation;
 use merlinshelf_protocol::control::{Question, Word};
 use serde_json::{Value, json};
 
@@ -65,7 +65,7 @@
         let told = kept.told_at(unix);
         last.insert((told.subject.clone(), told.origin.clone()), told);
     }
-    let line = |told: &Told| {
+    let line = |told: &GossipedObservation| {
         let (server, operation) = told.subject.names();
         json!({
             "kind": told.subject.kind(), "server": server, "operation": operation, "value": told.value,
--- a/crates/merlinshelf-cli/tests/learning.rs
+++ b/crates/merlinshelf-cli/tests/learning.rs
@@ -5,7 +5,7 @@
 use std::process::Command;
 use std::time::Duration;
 
-use merlinshelf_gossip::{Origin, Standing, Subject, Told};
+use merlinshelf_gossip::{GossipedObservation, Metric, Source, SourceStatus};
 use merlinshelf_protocol::control::{Question, Word};
 use merlinshelf_testbed::instance::{Instance, Setup, peer_address, signal};
 use merlinshelf_testbed::load::{Load, Playing, Verdict};
@@ -316,9 +316,9 @@
 fn lies_are_named_and_a_wrong_teacher_alone_costs_a_few_samples() {
     play(async {
         let listener = TcpListener::bind(peer_address(41)).await?;
-        let told = |subject: Subject, value: f64| Told {
+        let told = |subject: Metric, value: f64| GossipedObservation {
             subject,
-            origin: Origin {
+            origin: Source {
                 name: "bad".into(),
                 life: 1,
             },
@@ -327,9 +327,9 @@
             age: 0.0,
             number: 1,
             hops: 1,
-            standing: Standing::Steady,
+            standing: SourceStatus::Steady,
         };
-        let run = |operation: &str| Subject::RunRecent {
+        let run = |operation: &str| Metric::RunRecent {
             engine: "lab".into(),
             operation: operation.into(),
         };
@@ -337,19 +337,19 @@
             // What can't be, and what might be and is not so: runs of minutes, and calls that fail.
             told(run("thumbnail"), f64::NAN),
             told(
-                Subject::Limit {
+                Metric::Limit {
                     engine: "lab".into(),
                 },
                 5e6,
             ),
-            Told {
+            GossipedObservation {
                 age: -3600.0,
                 ..told(run("thumbnail"), 0.01)
             },
             told(run("playback-token"), 300.0),
             told(run("transcript-search"), 500.0),
             told(
-                Subject::CallFailures {
+                Metric::CallFailures {
                     dependency: "catalogue".into(),
                 },
                 1000.0,
--- a/crates/merlinshelf-gossip/src/learner.rs
+++ b/crates/merlinshelf-gossip/src/gossip_node.rs
@@ -5,26 +5,26 @@
 
 use merlinshelf_admission::{LearnedState, PriorEstimates};
 
-use crate::book::Book;
-use crate::fact::{Origin, Standing, Told, Unbelievable};
-use crate::lesson::Scope;
-use crate::members::{self, Members, News};
+use crate::membership::{self, Members, MembershipUpdate};
+use crate::observation::{GossipedObservation, InvalidObservation, Source, SourceStatus};
+use crate::observation_store::ObservationStore;
+use crate::own_samples::Scope;
 
 /// What passes between two instances, as a question or as an answer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Message {
     /// Who says it.
-    pub from: News,
-    pub standing: Standing,
+    pub from: MembershipUpdate,
+    pub standing: SourceStatus,
     /// In a question: whether figures are wanted.
     pub wants: bool,
-    pub news: Vec<News>,
-    pub figures: Vec<Told>,
+    pub news: Vec<MembershipUpdate>,
+    pub figures: Vec<GossipedObservation>,
 }
 
 /// Most news and figures in one message, whoever says it.
-pub const NEWS_MOST: usize = 32;
-pub const FIGURES_MOST: usize = 64;
+pub const MAX_UPDATES: usize = 32;
+pub const MAX_OBSERVATIONS: usize = 64;
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
@@ -35,19 +35,19 @@
     pub scope: Scope,
     /// Share of one core that teaching may take, 0 to 1.
     pub share: f64,
-    pub members: members::Settings,
+    pub members: membership::Settings,
 }
 
 /// What the host is to do.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Step {
+pub enum Action {
     /// Ask at this address; reported by `answered` or, in its time, by nothing.
     Ask { address: String, question: Message },
 }
 
 /// By whom it was taught, for reports.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Lessons {
+pub struct PeerStatistics {
     pub at: f64,
     pub times: u64,
     /// Figures taken, and figures that can't be true.
@@ -70,17 +70,17 @@
 const TEACHERS_MOST: usize = 16;
 
 #[derive(Clone, Debug)]
-pub struct Learner {
+pub struct GossipNode {
     settings: Settings,
     began: f64,
-    book: Book,
+    book: ObservationStore,
     members: Members,
-    standing: Standing,
+    standing: SourceStatus,
     /// Its own samples are from after a failed upgrade until then.
     recovers_until: f64,
     leaves: bool,
     questions: u64,
-    lessons: BTreeMap<String, Lessons>,
+    lessons: BTreeMap<String, PeerStatistics>,
     /// Seconds on the cores that teaching may take at once, and as of when.
     saved: f64,
     saved_at: f64,
@@ -89,10 +89,10 @@
     pub messages: u64,
 }
 
-impl Learner {
+impl GossipNode {
     /// `life` tells this life from others of the same name: later ones have higher numbers.
-    pub fn new(now: f64, life: u64, settings: Settings) -> Learner {
-        let own = Origin {
+    pub fn new(now: f64, life: u64, settings: Settings) -> GossipNode {
+        let own = Source {
             name: settings.name.clone(),
             life,
         };
@@ -104,11 +104,11 @@
             &settings.seeds,
             settings.members,
         );
-        Learner {
+        GossipNode {
             began: now,
-            book: Book::new(own),
+            book: ObservationStore::new(own),
             members,
-            standing: Standing::Recovering,
+            standing: SourceStatus::Recovering,
             recovers_until: now + RECOVERS_FOR,
             leaves: false,
             questions: 0,
@@ -121,11 +121,11 @@
         }
     }
 
-    pub fn book(&self) -> &Book {
+    pub fn book(&self) -> &ObservationStore {
         &self.book
     }
 
-    pub fn book_mut(&mut self) -> &mut Book {
+    pub fn book_mut(&mut self) -> &mut ObservationStore {
         &mut self.book
     }
 
@@ -133,12 +133,12 @@
         &self.members
     }
 
-    pub fn standing(&self) -> Standing {
+    pub fn standing(&self) -> SourceStatus {
         self.standing
     }
 
     /// By whom it was taught.
-    pub fn lessons(&self) -> &BTreeMap<String, Lessons> {
+    pub fn lessons(&self) -> &BTreeMap<String, PeerStatistics> {
         &self.lessons
     }
 
@@ -165,13 +165,13 @@
             .map(|of| of.run_durations.len())
             .sum();
         self.standing = if self.leaves {
-            Standing::Leaving
+            SourceStatus::Leaving
         } else if own < OWN_FEW && !self.lessons.is_empty() {
-            Standing::JustTaught
+            SourceStatus::JustTaught
         } else if own < OWN_FEW || now < self.recovers_until || learnt.call_failures >= 5 {
-            Standing::Recovering
+            SourceStatus::Recovering
         } else {
-            Standing::Steady
+            SourceStatus::Steady
         };
         for seen in self.settings.scope.seen(clock, learnt) {
             self.book.see(
@@ -198,19 +198,19 @@
     /// It leaves, and says so to whom it still asks and answers.
     pub fn leave(&mut self) {
         self.leaves = true;
-        self.standing = Standing::Leaving;
+        self.standing = SourceStatus::Leaving;
         self.members.leave();
     }
 
     /// A moment that it asked for has come. `chance` is a number from 0 to under 1, another at each call.
-    pub fn woken(&mut self, now: f64, chance: &mut dyn FnMut() -> f64) -> Vec<Step> {
+    pub fn woken(&mut self, now: f64, chance: &mut dyn FnMut() -> f64) -> Vec<Action> {
         let mut steps = Vec::new();
         if self.is_alone() {
             return steps;
         }
         let hurry = self.in_hurry(now);
         self.members.woken(now, hurry, chance);
-        while let Some(members::Step::Ask { address, news }) = self.members.next_step() {
+        while let Some(membership::Action::Ask { address, news }) = self.members.next_step() {
             self.questions += 1;
             self.messages += 1;
             let young = now < self.began + YOUNG_FOR;
@@ -222,12 +222,12 @@
                 news,
                 figures: Vec::new(),
             };
-            steps.push(Step::Ask { address, question });
+            steps.push(Action::Ask { address, question });
         }
         steps
     }
 
-    /// Somebody asks; the answer, or nothing where teaching has taken its share. News are answered at all times.
+    /// Somebody asks; the answer, or nothing where teaching has taken its share. MembershipUpdate are answered at all times.
     pub fn asked(&mut self, now: f64, question: &Message) -> Option<Message> {
         self.saved =
             (self.saved + (now - self.saved_at).max(0.0) * self.settings.share).min(SAVED_MOST);
@@ -237,10 +237,10 @@
             return None;
         }
         self.messages += 1;
-        let news = &question.news[..question.news.len().min(NEWS_MOST)];
+        let news = &question.news[..question.news.len().min(MAX_UPDATES)];
         let news = self.members.asked(now, &question.from, news);
         let figures = if question.wants {
-            self.book.tell(now, FIGURES_MOST)
+            self.book.tell(now, MAX_OBSERVATIONS)
         } else {
             Vec::new()
         };
@@ -260,17 +260,17 @@
     }
 
     /// Who was asked has answered. The figures that were not taken, by their reason.
-    pub fn answered(&mut self, now: f64, answer: &Message) -> BTreeMap<Unbelievable, u64> {
-        let news = &answer.news[..answer.news.len().min(NEWS_MOST)];
+    pub fn answered(&mut self, now: f64, answer: &Message) -> BTreeMap<InvalidObservation, u64> {
+        let news = &answer.news[..answer.news.len().min(MAX_UPDATES)];
         self.members.answered(now, &answer.from, news);
         let mut odd = BTreeMap::new();
         let mut taken = 0;
-        for told in answer.figures.iter().take(FIGURES_MOST) {
+        for told in answer.figures.iter().take(MAX_OBSERVATIONS) {
             let told = self.weighed(answer, told.clone());
             match self.book.hear(now, told) {
                 Ok(()) => taken += 1,
                 // Who knows one tells it what it has seen itself, too.
-                Err(Unbelievable::Echo) => {}
+                Err(InvalidObservation::Echo) => {}
                 Err(why) => *odd.entry(why).or_default() += 1,
             }
         }
@@ -293,7 +293,7 @@
 
     /// A figure as the one who answers stands now: what it saw itself counts no more than it does. Nobody speaks for an
     /// origin over fewer hops than are between: only of oneself one tells over one.
-    fn weighed(&self, answer: &Message, mut told: Told) -> Told {
+    fn weighed(&self, answer: &Message, mut told: GossipedObservation) -> GossipedObservation {
         if told.origin.name == answer.from.name {
             if answer.standing.trust(&told.subject) < told.standing.trust(&told.subject) {
                 told.standing = answer.standing;
@@ -305,13 +305,13 @@
     }
 
     /// What is kept for another process: all that is known, told as by a teacher.
-    pub fn kept(&self, now: f64) -> Vec<Told> {
+    pub fn kept(&self, now: f64) -> Vec<GossipedObservation> {
         self.book.all(now)
     }
 
     /// What another process of this instance has kept: a teacher like others, its own earlier life. How many figures were
     /// taken.
-    pub fn remember(&mut self, now: f64, kept: Vec<Told>) -> usize {
+    pub fn remember(&mut self, now: f64, kept: Vec<GossipedObservation>) -> usize {
         let mut taken = 0;
         for told in kept {
             taken += usize::from(self.book.hear(now, told).is_ok());
--- a/crates/merlinshelf-gossip/src/lib.rs
+++ b/crates/merlinshelf-gossip/src/lib.rs
@@ -6,17 +6,19 @@
 //! Nothing here reads a clock, a file or chance. Moments are seconds of the reader's own monotonic clock: between instances
 //! only ages pass, so that clocks that disagree by an hour disagree about nothing here.
 
-pub mod book;
-pub mod fact;
-pub mod learner;
-pub mod lesson;
-pub mod log;
-pub mod members;
+pub mod gossip_node;
+pub mod membership;
+pub mod observation;
+pub mod observation_store;
+pub mod own_samples;
 pub mod store;
+pub mod store_format;
 
-pub use book::{Belief, Book};
-pub use fact::{Figure, Origin, Standing, Subject, Told, Unbelievable};
-pub use learner::{Learner, Message};
-pub use lesson::Scope;
-pub use members::{Members, News, State};
+pub use gossip_node::{GossipNode, Message};
+pub use membership::{Members, MembershipUpdate, State};
+pub use observation::{
+    GossipedObservation, InvalidObservation, Metric, Observation, Source, SourceStatus,
+};
+pub use observation_store::{Estimate, ObservationStore};
+pub use own_samples::Scope;
 pub use store::{Files, Store};
--- a/crates/merlinshelf-gossip/src/members.rs
+++ b/crates/merlinshelf-gossip/src/membership.rs
@@ -24,7 +24,7 @@
 
 /// Word of one peer. Of two words of one life the worse counts, a later life counts over any.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct News {
+pub struct MembershipUpdate {
     pub name: String,
     pub address: String,
     pub life: u64,
@@ -44,7 +44,7 @@
     /// After how long one that is gone or left is forgotten.
     pub forget_after: f64,
     pub peers_most: usize,
-    /// News that go with a question or an answer.
+    /// MembershipUpdate that go with a question or an answer.
     pub news_most: usize,
     /// Peers that are asked at one time by one in a hurry, and between two questions of it.
     pub at_once: usize,
@@ -68,9 +68,12 @@
 
 /// What the host is to do.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Step {
+pub enum Action {
     /// Ask at this address, telling these news; reported by `answered` or, in its time, by nothing.
-    Ask { address: String, news: Vec<News> },
+    Ask {
+        address: String,
+        news: Vec<MembershipUpdate>,
+    },
 }
 
 #[derive(Clone, Debug)]
@@ -140,7 +143,7 @@
 /// The peers of one instance.
 #[derive(Clone, Debug)]
 pub struct Members {
-    own: News,
+    own: MembershipUpdate,
     /// How often the newest word of oneself was told.
     own_told: u32,
     seeds: Vec<String>,
@@ -151,7 +154,7 @@
     /// Who was asked, and until when its answer counts.
     asked: Vec<(Arc<str>, f64)>,
     ask_at: f64,
-    steps: VecDeque<Step>,
+    steps: VecDeque<Action>,
 }
 
 /// Each news is told so many times for each doubling of the table: with three, one in some thousands of changes misses some
@@ -167,7 +170,7 @@
         seeds: &[String],
         settings: Settings,
     ) -> Members {
-        let own = News {
+        let own = MembershipUpdate {
             name: name.into(),
             address: address.into(),
             life,
@@ -192,7 +195,7 @@
         }
     }
 
-    pub fn next_step(&mut self) -> Option<Step> {
+    pub fn next_step(&mut self) -> Option<Action> {
         self.steps.pop_front()
     }
 
@@ -280,7 +283,7 @@
             let until = now + self.settings.answer_within;
             self.asked.push((name, until));
             let news = self.news();
-            return self.steps.push_back(Step::Ask { address, news });
+            return self.steps.push_back(Action::Ask { address, news });
         }
     }
 
@@ -319,14 +322,19 @@
     }
 
     /// Somebody asked, and told this of itself and of others; the news to answer with.
-    pub fn asked(&mut self, now: f64, from: &News, news: &[News]) -> Vec<News> {
+    pub fn asked(
+        &mut self,
+        now: f64,
+        from: &MembershipUpdate,
+        news: &[MembershipUpdate],
+    ) -> Vec<MembershipUpdate> {
         self.heard(now, from);
         news.iter().for_each(|news| self.heard(now, news));
         self.news()
     }
 
     /// Who was asked has answered, with this of itself and of others.
-    pub fn answered(&mut self, now: f64, from: &News, news: &[News]) {
+    pub fn answered(&mut self, now: f64, from: &MembershipUpdate, news: &[MembershipUpdate]) {
         self.asked.retain(|(name, _)| {
             **name != *from.name
                 && name
@@ -352,7 +360,7 @@
         }
     }
 
-    fn heard(&mut self, now: f64, news: &News) {
+    fn heard(&mut self, now: f64, news: &MembershipUpdate) {
         if news.name == self.own.name {
             // Somebody thinks worse of this life than it is: it says otherwise, with a higher turn.
             let worse = news.state > self.own.state
@@ -380,7 +388,7 @@
         };
         if newer {
             let name = known.map_or_else(|| news.name.as_str().into(), |(name, _)| name.clone());
-            let News {
+            let MembershipUpdate {
                 address,
                 life,
                 turn,
@@ -400,12 +408,12 @@
     }
 
     /// The word of oneself, for questions and answers.
-    pub fn own(&self) -> &News {
+    pub fn own(&self) -> &MembershipUpdate {
         &self.own
     }
 
     /// The news that were told least, of those that were not told often enough.
-    fn news(&mut self) -> Vec<News> {
+    fn news(&mut self) -> Vec<MembershipUpdate> {
         let enough = TOLD_EACH * (usize::BITS - self.peers.all.len().leading_zeros() + 1);
         let least = self
             .peers
@@ -421,7 +429,7 @@
             let Some(peer) = self.peers.all.get(&name).cloned() else {
                 continue;
             };
-            news.push(News {
+            news.push(MembershipUpdate {
                 name: name.to_string(),
                 address: peer.address.clone(),
                 life: peer.life,
--- a/crates/merlinshelf-gossip/src/fact.rs
+++ b/crates/merlinshelf-gossip/src/observation.rs
@@ -6,12 +6,12 @@
 
 /// Who has seen it: an instance in one of its lives. A restart or an upgrade begins another life.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Origin {
+pub struct Source {
     pub name: String,
     pub life: u64,
 }
 
-impl fmt::Display for Origin {
+impl fmt::Display for Source {
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
         write!(out, "{}/{}", self.name, self.life)
     }
@@ -19,7 +19,7 @@
 
 /// What a figure is of. Names are those of the settings.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Subject {
+pub enum Metric {
     /// Seconds that a run of an operation takes at the least, and lately. They hold for engines of one kind only.
     RunLowest {
         engine: String,
@@ -57,20 +57,20 @@
     CallersBack,
 }
 
-impl Subject {
+impl Metric {
     /// What such a figure can be at all: others are a fault or a lie.
     fn bounds(&self) -> (f64, f64) {
         match self {
             // A run or call of under ten microseconds or over ten minutes is none.
-            Subject::RunLowest { .. }
-            | Subject::RunRecent { .. }
-            | Subject::CallLowest { .. }
-            | Subject::CallRecent { .. } => (1e-5, 600.0),
+            Metric::RunLowest { .. }
+            | Metric::RunRecent { .. }
+            | Metric::CallLowest { .. }
+            | Metric::CallRecent { .. } => (1e-5, 600.0),
             // No process holds more than its descriptors and memory allow.
-            Subject::Limit { .. } | Subject::CallLimit { .. } => (0.01, 20_000.0),
-            Subject::CallFailures { .. } => (0.0, 1e6),
-            Subject::RunBelow { .. } => (0.0, 600.0),
-            Subject::CallersAgain | Subject::CallersBack => (0.0, 1.0),
+            Metric::Limit { .. } | Metric::CallLimit { .. } => (0.01, 20_000.0),
+            Metric::CallFailures { .. } => (0.0, 1e6),
+            Metric::RunBelow { .. } => (0.0, 600.0),
+            Metric::CallersAgain | Metric::CallersBack => (0.0, 1.0),
         }
     }
 
@@ -84,84 +84,82 @@
     /// does lately with the minute, and whether it fails with some seconds.
     pub fn half_life(&self) -> f64 {
         match self {
-            Subject::RunLowest { .. } | Subject::CallLowest { .. } => 600.0,
-            Subject::RunRecent { .. } | Subject::Limit { .. } => 60.0,
-            Subject::CallersAgain | Subject::CallersBack => 60.0,
-            Subject::CallRecent { .. } | Subject::CallLimit { .. } | Subject::RunBelow { .. } => {
-                20.0
-            }
+            Metric::RunLowest { .. } | Metric::CallLowest { .. } => 600.0,
+            Metric::RunRecent { .. } | Metric::Limit { .. } => 60.0,
+            Metric::CallersAgain | Metric::CallersBack => 60.0,
+            Metric::CallRecent { .. } | Metric::CallLimit { .. } | Metric::RunBelow { .. } => 20.0,
             // Longer than the second in which it is seen: to believe it in vain costs one trial, not to believe it an outage.
-            Subject::CallFailures { .. } => 10.0,
+            Metric::CallFailures { .. } => 10.0,
         }
     }
 
     /// Its kind in one word, as it stands on the wire and in reports.
     pub fn kind(&self) -> &'static str {
         match self {
-            Subject::RunLowest { .. } => "run-lowest",
-            Subject::RunRecent { .. } => "run-recent",
-            Subject::Limit { .. } => "limit",
-            Subject::CallLowest { .. } => "call-lowest",
-            Subject::CallRecent { .. } => "call-recent",
-            Subject::CallLimit { .. } => "call-limit",
-            Subject::CallFailures { .. } => "call-failures",
-            Subject::RunBelow { .. } => "run-below",
-            Subject::CallersAgain => "callers-again",
-            Subject::CallersBack => "callers-back",
+            Metric::RunLowest { .. } => "run-lowest",
+            Metric::RunRecent { .. } => "run-recent",
+            Metric::Limit { .. } => "limit",
+            Metric::CallLowest { .. } => "call-lowest",
+            Metric::CallRecent { .. } => "call-recent",
+            Metric::CallLimit { .. } => "call-limit",
+            Metric::CallFailures { .. } => "call-failures",
+            Metric::RunBelow { .. } => "run-below",
+            Metric::CallersAgain => "callers-again",
+            Metric::CallersBack => "callers-back",
         }
     }
 
     /// The server that it is of, and the operation, as far as there are such.
     pub fn names(&self) -> (Option<&str>, Option<&str>) {
         match self {
-            Subject::RunLowest { engine, operation } | Subject::RunRecent { engine, operation } => {
+            Metric::RunLowest { engine, operation } | Metric::RunRecent { engine, operation } => {
                 (Some(engine), Some(operation))
             }
-            Subject::RunBelow {
+            Metric::RunBelow {
                 dependency,
                 operation,
             } => (Some(dependency), Some(operation)),
-            Subject::Limit { engine } => (Some(engine), None),
-            Subject::CallLowest { dependency }
-            | Subject::CallRecent { dependency }
-            | Subject::CallLimit { dependency }
-            | Subject::CallFailures { dependency } => (Some(dependency), None),
-            Subject::CallersAgain | Subject::CallersBack => (None, None),
+            Metric::Limit { engine } => (Some(engine), None),
+            Metric::CallLowest { dependency }
+            | Metric::CallRecent { dependency }
+            | Metric::CallLimit { dependency }
+            | Metric::CallFailures { dependency } => (Some(dependency), None),
+            Metric::CallersAgain | Metric::CallersBack => (None, None),
         }
     }
 
     /// The subject of a kind and names; none where they do not fit together.
-    pub fn of(kind: &str, server: Option<&str>, operation: Option<&str>) -> Option<Subject> {
+    pub fn of(kind: &str, server: Option<&str>, operation: Option<&str>) -> Option<Metric> {
         let engine = || server.map(str::to_owned);
         let (dependency, called) = (engine, || operation.map(str::to_owned));
         let subject = match kind {
-            "run-lowest" => Subject::RunLowest {
+            "run-lowest" => Metric::RunLowest {
                 engine: engine()?,
                 operation: called()?,
             },
-            "run-recent" => Subject::RunRecent {
+            "run-recent" => Metric::RunRecent {
                 engine: engine()?,
                 operation: called()?,
             },
-            "limit" => Subject::Limit { engine: engine()? },
-            "call-lowest" => Subject::CallLowest {
+            "limit" => Metric::Limit { engine: engine()? },
+            "call-lowest" => Metric::CallLowest {
                 dependency: dependency()?,
             },
-            "call-recent" => Subject::CallRecent {
+            "call-recent" => Metric::CallRecent {
                 dependency: dependency()?,
             },
-            "call-limit" => Subject::CallLimit {
+            "call-limit" => Metric::CallLimit {
                 dependency: dependency()?,
             },
-            "call-failures" => Subject::CallFailures {
+            "call-failures" => Metric::CallFailures {
                 dependency: dependency()?,
             },
-            "run-below" => Subject::RunBelow {
+            "run-below" => Metric::RunBelow {
                 dependency: dependency()?,
                 operation: called()?,
             },
-            "callers-again" => Subject::CallersAgain,
-            "callers-back" => Subject::CallersBack,
+            "callers-again" => Metric::CallersAgain,
+            "callers-back" => Metric::CallersBack,
             _ => return None,
         };
         (subject.names() == (server, operation)).then_some(subject)
@@ -170,7 +168,7 @@
 
 /// How a teacher stood when it told.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Standing {
+pub enum SourceStatus {
     #[default]
     Steady,
     /// Cold, its breaker open, or taken back a moment ago: what it sees is its own recovery.
@@ -180,42 +178,42 @@
     Leaving,
 }
 
-impl Standing {
+impl SourceStatus {
     /// In one word, as it stands on the wire and in reports.
     pub fn name(self) -> &'static str {
         match self {
-            Standing::Steady => "steady",
-            Standing::Recovering => "recovering",
-            Standing::JustTaught => "just-taught",
-            Standing::Leaving => "leaving",
+            SourceStatus::Steady => "steady",
+            SourceStatus::Recovering => "recovering",
+            SourceStatus::JustTaught => "just-taught",
+            SourceStatus::Leaving => "leaving",
         }
     }
 
-    pub fn of(name: &str) -> Option<Standing> {
+    pub fn of(name: &str) -> Option<SourceStatus> {
         let all = [
-            Standing::Steady,
-            Standing::Recovering,
-            Standing::JustTaught,
-            Standing::Leaving,
+            SourceStatus::Steady,
+            SourceStatus::Recovering,
+            SourceStatus::JustTaught,
+            SourceStatus::Leaving,
         ];
         all.into_iter().find(|one| one.name() == name)
     }
 
     /// How much of the weight of a figure of this subject counts. Leaving says nothing of what was seen before; that calls
     /// fail is seen at first hand by who recovers from it.
-    pub fn trust(self, subject: &Subject) -> f64 {
+    pub fn trust(self, subject: &Metric) -> f64 {
         match self {
-            Standing::Steady | Standing::Leaving => 1.0,
-            Standing::Recovering if matches!(subject, Subject::CallFailures { .. }) => 1.0,
-            Standing::Recovering => 0.25,
-            Standing::JustTaught => 0.1,
+            SourceStatus::Steady | SourceStatus::Leaving => 1.0,
+            SourceStatus::Recovering if matches!(subject, Metric::CallFailures { .. }) => 1.0,
+            SourceStatus::Recovering => 0.25,
+            SourceStatus::JustTaught => 0.1,
         }
     }
 }
 
 /// A figure as it is kept.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Figure {
+pub struct Observation {
     pub value: f64,
     pub count: u32,
     /// When it was seen, by the reader's clock.
@@ -224,26 +222,26 @@
     pub number: u64,
     /// Over how many others it came: 0 is seen here.
     pub hops: u8,
-    pub standing: Standing,
+    pub standing: SourceStatus,
 }
 
 /// A figure as it passes between instances.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Told {
-    pub subject: Subject,
-    pub origin: Origin,
+pub struct GossipedObservation {
+    pub subject: Metric,
+    pub origin: Source,
     pub value: f64,
     pub count: u32,
     /// Seconds since it was seen, by the clocks of all that it came over.
     pub age: f64,
     pub number: u64,
     pub hops: u8,
-    pub standing: Standing,
+    pub standing: SourceStatus,
 }
 
 /// Why a told figure is not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Unbelievable {
+pub enum InvalidObservation {
     /// No number, or one that such a figure can't have.
     Value,
     /// In the future, no number, or older than anything that is kept.
@@ -259,33 +257,33 @@
 }
 
 /// Nothing older counts for anything: several half-lives of the longest.
-pub const AGE_MOST: f64 = 3600.0;
+pub const MAX_AGE_SECONDS: f64 = 3600.0;
 /// Figures are passed on once: who has seen it tells, who was told may tell once more.
-pub const HOPS_MOST: u8 = 2;
+pub const MAX_HOPS: u8 = 2;
 const COUNT_MOST: u32 = 1_000_000;
 const NAME_MOST: usize = 64;
 
-impl Told {
+impl GossipedObservation {
     /// Whether it can be true at all.
-    pub fn check(&self, own: &Origin) -> Result<(), Unbelievable> {
+    pub fn check(&self, own: &Source) -> Result<(), InvalidObservation> {
         let name = |name: &str| !name.is_empty() && name.len() <= NAME_MOST;
         if !self.subject.can_be(self.value) {
-            Err(Unbelievable::Value)
-        } else if !self.age.is_finite() || !(0.0..=AGE_MOST).contains(&self.age) {
-            Err(Unbelievable::Age)
+            Err(InvalidObservation::Value)
+        } else if !self.age.is_finite() || !(0.0..=MAX_AGE_SECONDS).contains(&self.age) {
+            Err(InvalidObservation::Age)
         } else if self.count == 0 || self.count > COUNT_MOST {
-            Err(Unbelievable::Count)
-        } else if self.hops == 0 || self.hops > HOPS_MOST {
-            Err(Unbelievable::Hops)
+            Err(InvalidObservation::Count)
+        } else if self.hops == 0 || self.hops > MAX_HOPS {
+            Err(InvalidObservation::Hops)
         } else if self.origin == *own {
-            Err(Unbelievable::Echo)
+            Err(InvalidObservation::Echo)
         } else if !name(&self.origin.name)
             || ![self.subject.names().0, self.subject.names().1]
                 .into_iter()
                 .flatten()
                 .all(name)
         {
-            Err(Unbelievable::Name)
+            Err(InvalidObservation::Name)
         } else {
             Ok(())
         }
--- a/crates/merlinshelf-gossip/src/book.rs
+++ b/crates/merlinshelf-gossip/src/observation_store.rs
@@ -2,7 +2,10 @@
 
 use std::collections::BTreeMap;
 
-use crate::fact::{AGE_MOST, Figure, HOPS_MOST, Origin, Standing, Subject, Told, Unbelievable};
+use crate::observation::{
+    GossipedObservation, InvalidObservation, MAX_AGE_SECONDS, MAX_HOPS, Metric, Observation,
+    Source, SourceStatus,
+};
 
 /// Origins that are kept for one subject: enough that a lying one is outvoted, few enough that 3,000 peers cost no more
 /// than 8.
@@ -18,15 +21,15 @@
 
 /// What is believed of a subject from what was told.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Belief {
+pub struct Estimate {
     pub value: f64,
     /// How sure it is, 0 to 1.
     pub weight: f64,
     /// Who has seen what it rests on, the surest first.
-    pub origins: Vec<Origin>,
+    pub origins: Vec<Source>,
 }
 
-impl Belief {
+impl Estimate {
     /// The part that what was told still has beside so many samples of one's own.
     pub fn share(&self, own_samples: usize) -> f64 {
         self.weight / (self.weight + own_samples as f64 / FEW)
@@ -44,22 +47,22 @@
 
 /// The book of one instance in one life.
 #[derive(Clone, Debug)]
-pub struct Book {
-    own: Origin,
+pub struct ObservationStore {
+    own: Source,
     number: u64,
-    figures: BTreeMap<Subject, BTreeMap<Origin, Figure>>,
+    figures: BTreeMap<Metric, BTreeMap<Source, Observation>>,
 }
 
-impl Book {
-    pub fn new(own: Origin) -> Book {
-        Book {
+impl ObservationStore {
+    pub fn new(own: Source) -> ObservationStore {
+        ObservationStore {
             own,
             number: 0,
             figures: BTreeMap::new(),
         }
     }
 
-    pub fn own(&self) -> &Origin {
+    pub fn own(&self) -> &Source {
         &self.own
     }
 
@@ -68,11 +71,11 @@
     pub fn see(
         &mut self,
         now: f64,
-        subject: Subject,
+        subject: Metric,
         value: f64,
         count: u32,
         age: f64,
-        standing: Standing,
+        standing: SourceStatus,
     ) {
         let known = self
             .figures
@@ -85,7 +88,7 @@
         }
         let now = now - age.max(0.0);
         self.number += 1;
-        let figure = Figure {
+        let figure = Observation {
             value,
             count,
             seen: now,
@@ -99,9 +102,9 @@
 
     /// Somebody told. The same look of the same origin is the same figure, by whatever way and however often it comes: it
     /// gets no younger and no surer by that.
-    pub fn hear(&mut self, now: f64, told: Told) -> Result<(), Unbelievable> {
+    pub fn hear(&mut self, now: f64, told: GossipedObservation) -> Result<(), InvalidObservation> {
         told.check(&self.own)?;
-        let Told {
+        let GossipedObservation {
             subject,
             origin,
             value,
@@ -111,7 +114,7 @@
             hops,
             standing,
         } = told;
-        let mut figure = Figure {
+        let mut figure = Observation {
             value,
             count,
             seen: now - age,
@@ -124,7 +127,7 @@
                 return Ok(());
             }
             if known.number == number {
-                figure = Figure {
+                figure = Observation {
                     seen: known.seen.min(figure.seen),
                     hops: known.hops.min(hops),
                     ..known.clone()
@@ -135,7 +138,7 @@
         Ok(())
     }
 
-    fn put(&mut self, now: f64, subject: Subject, origin: Origin, figure: Figure) {
+    fn put(&mut self, now: f64, subject: Metric, origin: Source, figure: Observation) {
         if !self.figures.contains_key(&subject) && self.figures.len() >= SUBJECTS_MOST {
             self.forget_oldest();
         }
@@ -155,7 +158,7 @@
     }
 
     fn forget_oldest(&mut self) {
-        let newest = |all: &BTreeMap<Origin, Figure>| {
+        let newest = |all: &BTreeMap<Source, Observation>| {
             all.values()
                 .map(|figure| figure.seen)
                 .fold(f64::MIN, f64::max)
@@ -171,11 +174,11 @@
 
     /// What may be told to others: what was seen here, and once more what was told by who had seen it. Of more than `most`
     /// what counts most goes, and first what was seen here.
-    pub fn tell(&self, now: f64, most: usize) -> Vec<Told> {
+    pub fn tell(&self, now: f64, most: usize) -> Vec<GossipedObservation> {
         let mut all = self.all(now);
         if all.len() > most {
-            let counts = |told: &Told| {
-                let Told {
+            let counts = |told: &GossipedObservation| {
+                let GossipedObservation {
                     subject,
                     count,
                     age,
@@ -193,13 +196,13 @@
     }
 
     /// All that may be told or kept.
-    pub fn all(&self, now: f64) -> Vec<Told> {
+    pub fn all(&self, now: f64) -> Vec<GossipedObservation> {
         let mut all = Vec::new();
         for (subject, figures) in &self.figures {
             for (origin, figure) in figures {
                 let (age, hops) = ((now - figure.seen).max(0.0), figure.hops + 1);
-                if hops <= HOPS_MOST && age <= AGE_MOST {
-                    all.push(Told {
+                if hops <= MAX_HOPS && age <= MAX_AGE_SECONDS {
+                    all.push(GossipedObservation {
                         subject: subject.clone(),
                         origin: origin.clone(),
                         value: figure.value,
@@ -217,10 +220,10 @@
 
     /// What is believed of a subject from what others have seen: the median by weight, so that no single liar moves it past
     /// what an honest one says where there are two of those.
-    pub fn believe(&self, now: f64, subject: &Subject) -> Option<Belief> {
+    pub fn believe(&self, now: f64, subject: &Metric) -> Option<Estimate> {
         let all = self.figures.get(subject)?;
         let others = all.iter().filter(|(origin, _)| **origin != self.own);
-        let mut weighed: Vec<(f64, f64, &Origin)> = others
+        let mut weighed: Vec<(f64, f64, &Source)> = others
             .map(|(origin, figure)| (figure.value, weight(now, subject, figure), origin))
             .collect();
         weighed.retain(|(_, weight, _)| *weight > COUNTS_FROM);
@@ -238,7 +241,7 @@
             .map(|(_, weight, _)| *weight)
             .fold(0.0, f64::max);
         weighed.sort_by(|a, b| b.1.total_cmp(&a.1));
-        Some(Belief {
+        Some(Estimate {
             value,
             weight: surest,
             origins: weighed.into_iter().map(|(_, _, of)| of.clone()).collect(),
@@ -246,14 +249,14 @@
     }
 
     /// The figures by subject and origin, for reports.
-    pub fn figures(&self) -> impl Iterator<Item = (&Subject, &Origin, &Figure)> {
+    pub fn figures(&self) -> impl Iterator<Item = (&Metric, &Source, &Observation)> {
         self.figures
             .iter()
             .flat_map(|(subject, all)| all.iter().map(move |(origin, of)| (subject, origin, of)))
     }
 
     /// How many of the figures that were told, by whose word, still count for something.
-    pub fn counting(&self, now: f64) -> BTreeMap<&Origin, usize> {
+    pub fn counting(&self, now: f64) -> BTreeMap<&Source, usize> {
         let mut counting = BTreeMap::new();
         for (subject, origin, figure) in self.figures() {
             if *origin != self.own && weight(now, subject, figure) > COUNTS_FROM {
@@ -282,7 +285,7 @@
 }
 
 /// How much a figure counts, 0 to 1: by its samples, its age, its way and its teacher's standing.
-pub fn weight(now: f64, subject: &Subject, figure: &Figure) -> f64 {
+pub fn weight(now: f64, subject: &Metric, figure: &Observation) -> f64 {
     counts_for(
         subject,
         figure.count,
@@ -293,7 +296,7 @@
 }
 
 /// The same of a figure with so many samples, so old, over so many others.
-fn counts_for(subject: &Subject, count: u32, age: f64, hops: u8, standing: Standing) -> f64 {
+fn counts_for(subject: &Metric, count: u32, age: f64, hops: u8, standing: SourceStatus) -> f64 {
     let samples = f64::from(count);
     let sure = samples / (samples + HALF_SURE);
     let fresh = 0.5_f64.powf(age / subject.half_life());
--- a/crates/merlinshelf-gossip/src/lesson.rs
+++ b/crates/merlinshelf-gossip/src/own_samples.rs
@@ -4,8 +4,8 @@
 
 use merlinshelf_admission::{LearnedState, PriorEstimate, PriorEstimates};
 
-use crate::book::Book;
-use crate::fact::Subject;
+use crate::observation::Metric;
+use crate::observation_store::ObservationStore;
 
 /// What figures are of, here. Figures of an engine hold for engines of one kind only, those of a dependency for all that
 /// share it.
@@ -22,7 +22,7 @@
 /// One figure out of what the module has learnt; `age` is how long ago the newest of its samples was taken, seconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Seen {
-    pub subject: Subject,
+    pub subject: Metric,
     pub value: f64,
     pub count: u32,
     pub age: f64,
@@ -33,17 +33,17 @@
 }
 
 impl Scope {
-    fn run(&self, recent: bool, operation: &str) -> Subject {
+    fn run(&self, recent: bool, operation: &str) -> Metric {
         let (engine, operation) = (self.engine.clone(), operation.to_owned());
         if recent {
-            Subject::RunRecent { engine, operation }
+            Metric::RunRecent { engine, operation }
         } else {
-            Subject::RunLowest { engine, operation }
+            Metric::RunLowest { engine, operation }
         }
     }
 
-    fn below(&self, operation: &str) -> Subject {
-        Subject::RunBelow {
+    fn below(&self, operation: &str) -> Metric {
+        Metric::RunBelow {
             dependency: self.dependency.clone(),
             operation: operation.to_owned(),
         }
@@ -52,7 +52,7 @@
     /// The figures of what was learnt, as of `now` on the module's clock.
     pub fn seen(&self, now: f64, learnt: &LearnedState) -> Vec<Seen> {
         let mut all = Vec::new();
-        let mut add = |subject: Subject, value: f64, count: usize, age: f64| {
+        let mut add = |subject: Metric, value: f64, count: usize, age: f64| {
             if count > 0 {
                 all.push(Seen {
                     subject,
@@ -95,7 +95,7 @@
             .map(|of| of.run_durations.len())
             .sum();
         add(
-            Subject::Limit {
+            Metric::Limit {
                 engine: self.engine.clone(),
             },
             learnt.limit,
@@ -106,7 +106,7 @@
         let called = learnt.calls.back().map_or(5.0, |(_, end)| now - end);
         let calls = learnt.call_times.len();
         add(
-            Subject::CallRecent {
+            Metric::CallRecent {
                 dependency: dependency(),
             },
             mean(&learnt.call_times),
@@ -116,7 +116,7 @@
         // Of fewer the module has not taken its lowest yet.
         if learnt.call_lowest > 0.0 && calls >= 8 {
             add(
-                Subject::CallLowest {
+                Metric::CallLowest {
                     dependency: dependency(),
                 },
                 learnt.call_lowest,
@@ -124,7 +124,7 @@
                 called,
             );
             add(
-                Subject::CallLimit {
+                Metric::CallLimit {
                     dependency: dependency(),
                 },
                 learnt.call_limit,
@@ -141,7 +141,7 @@
             };
             let count = calls.max(failures as usize).min(24);
             add(
-                Subject::CallFailures {
+                Metric::CallFailures {
                     dependency: dependency(),
                 },
                 f64::from(failures),
@@ -150,7 +150,7 @@
             );
         }
         add(
-            Subject::CallersAgain,
+            Metric::CallersAgain,
             mean(&learnt.agains),
             learnt.agains.len(),
             ran,
@@ -162,7 +162,7 @@
                 .filter(|gap| **gap <= idle as f64)
                 .count() as f64;
             add(
-                Subject::CallersBack,
+                Metric::CallersBack,
                 back / learnt.gaps.len().max(1) as f64,
                 learnt.gaps.len(),
                 ran,
@@ -172,14 +172,14 @@
     }
 
     /// What is believed of these on the word of others.
-    pub fn beliefs(&self, now: f64, book: &Book) -> PriorEstimates {
-        let of = |subject: Subject| {
+    pub fn beliefs(&self, now: f64, book: &ObservationStore) -> PriorEstimates {
+        let of = |subject: Metric| {
             book.believe(now, &subject).map(|it| PriorEstimate {
                 value: it.value,
                 weight: it.weight,
             })
         };
-        let each = |subject: &dyn Fn(&str) -> Subject| -> Vec<Option<PriorEstimate>> {
+        let each = |subject: &dyn Fn(&str) -> Metric| -> Vec<Option<PriorEstimate>> {
             self.operations
                 .iter()
                 .map(|name| of(subject(name)))
@@ -190,20 +190,20 @@
             run_durations: each(&|name| self.run(true, name)),
             lowest_durations: each(&|name| self.run(false, name)),
             downstream_durations: each(&|name| self.below(name)),
-            concurrency_limit: of(Subject::Limit {
+            concurrency_limit: of(Metric::Limit {
                 engine: self.engine.clone(),
             }),
-            call_lowest: of(Subject::CallLowest {
+            call_lowest: of(Metric::CallLowest {
                 dependency: dependency(),
             }),
-            call_limit: of(Subject::CallLimit {
+            call_limit: of(Metric::CallLimit {
                 dependency: dependency(),
             }),
-            call_failures: of(Subject::CallFailures {
+            call_failures: of(Metric::CallFailures {
                 dependency: dependency(),
             }),
-            retry_share: of(Subject::CallersAgain),
-            returning_caller_share: of(Subject::CallersBack),
+            retry_share: of(Metric::CallersAgain),
+            returning_caller_share: of(Metric::CallersBack),
         }
     }
 }
--- a/crates/merlinshelf-gossip/src/store.rs
+++ b/crates/merlinshelf-gossip/src/store.rs
@@ -5,8 +5,8 @@
 use std::collections::BTreeMap;
 use std::io;
 
-use crate::fact::{Origin, Subject, Told};
-use crate::log::{self, Flaw, Kept, Record};
+use crate::observation::{GossipedObservation, Metric, Source};
+use crate::store_format::{self, FrameError, PersistedObservation, Record};
 
 /// Primitive operations on the files of one folder, each of which may fail or be cut short by a crash. What was written and
 /// not synced may be there after a crash, in part, or not at all; of names that holds for the folder's sync.
@@ -44,29 +44,29 @@
 }
 
 /// The file, the one that is made to take its place, and where one that can't be read is set aside.
-pub const FILE: &str = "knowledge";
-pub const NEXT: &str = "knowledge.new";
-pub const ASIDE: &str = "knowledge.aside";
+pub const STORE_FILE: &str = "knowledge";
+pub const STORE_FILE_NEXT: &str = "knowledge.new";
+pub const STORE_FILE_ASIDE: &str = "knowledge.aside";
 
 /// A log is written anew once it has so many bytes more than what counts in it, and is many times as long.
 const SPARE: usize = 64 * 1024;
 const LONGER: usize = 4;
 /// A file that is longer than this was not written here.
-pub const LENGTH_MOST: usize = 8 * 1024 * 1024;
+pub const MAX_STORE_BYTES: usize = 8 * 1024 * 1024;
 
 fn copy(files: &mut dyn Files, bytes: &[u8]) -> io::Result<()> {
-    files.create(ASIDE)?;
-    files.append(ASIDE, bytes)
+    files.create(STORE_FILE_ASIDE)?;
+    files.append(STORE_FILE_ASIDE, bytes)
 }
 
 /// What was found at the start.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Found {
-    pub kept: Vec<Kept>,
+    pub kept: Vec<PersistedObservation>,
     /// The highest life that was begun by this name.
     pub life: u64,
     /// What was wrong with the file, and whether it was set aside.
-    pub flaw: Option<Flaw>,
+    pub flaw: Option<FrameError>,
     pub set_aside: bool,
 }
 
@@ -75,7 +75,7 @@
 pub struct Store {
     life: u64,
     /// What the log holds last of each figure, by its number and age's moment; nothing before the first writing.
-    written: Option<BTreeMap<(Subject, Origin), (u64, u8)>>,
+    written: Option<BTreeMap<(Metric, Source), (u64, u8)>>,
     /// Bytes in the log, and of these what counted when it was made.
     length: usize,
     counted: usize,
@@ -87,16 +87,16 @@
     /// # Errors
     /// The file system's: then nothing is known of the past, and saving is tried all the same.
     pub fn open(files: &mut dyn Files) -> io::Result<(Store, Found)> {
-        let Some(bytes) = files.read(FILE)? else {
+        let Some(bytes) = files.read(STORE_FILE)? else {
             return Ok((Store::default(), Found::default()));
         };
-        let recovered = if bytes.len() > LENGTH_MOST {
-            log::Recovered {
-                flaw: Some(Flaw::Foreign),
-                ..log::Recovered::default()
+        let recovered = if bytes.len() > MAX_STORE_BYTES {
+            store_format::Recovered {
+                flaw: Some(FrameError::Foreign),
+                ..store_format::Recovered::default()
             }
         } else {
-            log::recover(&bytes)
+            store_format::recover(&bytes)
         };
         let mut found = Found {
             flaw: recovered.flaw,
@@ -104,18 +104,18 @@
         };
         for record in recovered.records {
             match record {
-                Record::Figure(kept) => found.kept.push(kept),
+                Record::Observation(kept) => found.kept.push(kept),
                 Record::Life(life) => found.life = found.life.max(life),
             }
         }
         found.set_aside = match found.flaw {
-            Some(Flaw::Foreign) => files
-                .rename(FILE, ASIDE)
+            Some(FrameError::Foreign) => files
+                .rename(STORE_FILE, STORE_FILE_ASIDE)
                 .and_then(|()| files.sync_folder())
                 .is_ok(),
             // What can be read of it counts until the next saving has taken its place: a copy is set aside.
-            Some(Flaw::Garbled) => copy(files, &bytes).is_ok(),
-            Some(Flaw::Torn) | None => false,
+            Some(FrameError::Garbled) => copy(files, &bytes).is_ok(),
+            Some(FrameError::Torn) | None => false,
         };
         Ok((
             Store {
@@ -137,11 +137,16 @@
     ///
     /// # Errors
     /// The file system's. The next saving then writes all anew.
-    pub fn save(&mut self, files: &mut dyn Files, unix: f64, all: &[Told]) -> io::Result<()> {
-        let key = |told: &Told| (told.subject.clone(), told.origin.clone());
-        let state = |told: &Told| (told.number, told.hops);
-        let record = |told: &Told| {
-            log::record(&Record::Figure(Kept {
+    pub fn save(
+        &mut self,
+        files: &mut dyn Files,
+        unix: f64,
+        all: &[GossipedObservation],
+    ) -> io::Result<()> {
+        let key = |told: &GossipedObservation| (told.subject.clone(), told.origin.clone());
+        let state = |told: &GossipedObservation| (told.number, told.hops);
+        let record = |told: &GossipedObservation| {
+            store_format::record(&Record::Observation(PersistedObservation {
                 at: unix,
                 told: told.clone(),
             }))
@@ -157,21 +162,21 @@
             }
             if bytes.is_empty() || self.length < LONGER * self.counted + SPARE {
                 if !bytes.is_empty() {
-                    files.append(FILE, &bytes)?;
-                    files.sync(FILE)?;
+                    files.append(STORE_FILE, &bytes)?;
+                    files.sync(STORE_FILE)?;
                 }
                 self.length += bytes.len();
                 self.written = Some(known);
                 return Ok(());
             }
         }
-        let mut bytes = log::head();
-        bytes.extend(log::record(&Record::Life(self.life)));
+        let mut bytes = store_format::head();
+        bytes.extend(store_format::record(&Record::Life(self.life)));
         all.iter().for_each(|told| bytes.extend(record(told)));
-        files.create(NEXT)?;
-        files.append(NEXT, &bytes)?;
-        files.sync(NEXT)?;
-        files.rename(NEXT, FILE)?;
+        files.create(STORE_FILE_NEXT)?;
+        files.append(STORE_FILE_NEXT, &bytes)?;
+        files.sync(STORE_FILE_NEXT)?;
+        files.rename(STORE_FILE_NEXT, STORE_FILE)?;
         files.sync_folder()?;
         (self.length, self.counted) = (bytes.len(), bytes.len());
         self.written = Some(all.iter().map(|told| (key(told), state(told))).collect());
--- a/crates/merlinshelf-gossip/src/log.rs
+++ b/crates/merlinshelf-gossip/src/store_format.rs
@@ -7,7 +7,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::fact::Told;
+use crate::observation::GossipedObservation;
 
 const HEAD: [u8; 8] = *b"MSK1\x02\0\0\0";
 const FIRST_FORM: [u8; 8] = *b"MSK1\x01\0\0\0";
@@ -16,22 +16,22 @@
 
 /// A figure as it is written: `at` is when, in seconds of Unix time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Kept {
+pub struct PersistedObservation {
     pub at: f64,
-    pub told: Told,
+    pub told: GossipedObservation,
 }
 
 /// What a record holds.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Record {
-    Figure(Kept),
+    Observation(PersistedObservation),
     /// A life of the instance was begun under this number.
     Life(u64),
 }
 
 /// Why reading ended before the end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Flaw {
+pub enum FrameError {
     /// The file is of another program, or of a later form.
     Foreign,
     /// The last record was being written when its writer ended.
@@ -45,7 +45,7 @@
 pub struct Recovered {
     pub records: Vec<Record>,
     pub used: usize,
-    pub flaw: Option<Flaw>,
+    pub flaw: Option<FrameError>,
 }
 
 /// The head of a new file.
@@ -76,7 +76,11 @@
     let first_form = bytes.starts_with(&FIRST_FORM);
     if !first_form && !bytes.starts_with(&HEAD) {
         let torn = HEAD.starts_with(bytes) || FIRST_FORM.starts_with(bytes);
-        recovered.flaw = Some(if torn { Flaw::Torn } else { Flaw::Foreign });
+        recovered.flaw = Some(if torn {
+            FrameError::Torn
+        } else {
+            FrameError::Foreign
+        });
         return recovered;
     }
     recovered.used = HEAD.len();
@@ -95,42 +99,42 @@
     recovered
 }
 
-fn one(bytes: &[u8], first_form: bool) -> Result<(Record, usize), Flaw> {
+fn one(bytes: &[u8], first_form: bool) -> Result<(Record, usize), FrameError> {
     let (record, used) = unframed(bytes, RECORD_MOST)?;
     let record = if first_form {
-        rmp_serde::from_slice(record).map(Record::Figure)
+        rmp_serde::from_slice(record).map(Record::Observation)
     } else {
         rmp_serde::from_slice(record)
     };
-    Ok((record.map_err(|_| Flaw::Garbled)?, used))
+    Ok((record.map_err(|_| FrameError::Garbled)?, used))
 }
 
 /// The bytes of the record at the front, and how long it is with its frame.
 ///
 /// # Errors
 /// It is not whole, or not what was written.
-pub fn unframed(bytes: &[u8], most: usize) -> Result<(&[u8], usize), Flaw> {
+pub fn unframed(bytes: &[u8], most: usize) -> Result<(&[u8], usize), FrameError> {
     let number = |at: usize| {
         let four = bytes.get(at..at + 4).and_then(|four| four.try_into().ok());
-        four.map(u32::from_le_bytes).ok_or(Flaw::Torn)
+        four.map(u32::from_le_bytes).ok_or(FrameError::Torn)
     };
     let (length, sum) = (number(0)? as usize, number(4)?);
     if length == 0 || length > most {
-        return Err(Flaw::Garbled);
+        return Err(FrameError::Garbled);
     }
-    let record = bytes.get(8..8 + length).ok_or(Flaw::Torn)?;
+    let record = bytes.get(8..8 + length).ok_or(FrameError::Torn)?;
     if crc32fast::hash(record) != sum {
-        return Err(Flaw::Garbled);
+        return Err(FrameError::Garbled);
     }
     Ok((record, 8 + length))
 }
 
-impl Kept {
+impl PersistedObservation {
     /// The figure as a teacher of now would tell it: its age by the wall clock, where that makes sense. A clock that went
     /// back since makes it no younger than it was.
-    pub fn told_at(self, unix: f64) -> Told {
+    pub fn told_at(self, unix: f64) -> GossipedObservation {
         let since = (unix - self.at).max(0.0);
-        Told {
+        GossipedObservation {
             age: self.told.age + since,
             ..self.told
         }
--- a/crates/merlinshelf-gossip/tests/golden.rs
+++ b/crates/merlinshelf-gossip/tests/golden.rs
@@ -8,9 +8,13 @@
 use std::collections::BTreeMap;
 use std::io;
 
-use merlinshelf_gossip::log::{self, Kept, Record, Recovered};
-use merlinshelf_gossip::store::{ASIDE, FILE, Files, Found, NEXT, Store};
-use merlinshelf_gossip::{Figure, News, Origin, Standing, State, Subject, Told};
+use merlinshelf_gossip::store::{
+    Files, Found, STORE_FILE, STORE_FILE_ASIDE, STORE_FILE_NEXT, Store,
+};
+use merlinshelf_gossip::store_format::{self, PersistedObservation, Record, Recovered};
+use merlinshelf_gossip::{
+    GossipedObservation, MembershipUpdate, Metric, Observation, Source, SourceStatus, State,
+};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
@@ -27,52 +31,52 @@
 }
 
 /// Every subject, each with names of its own.
-fn subjects() -> Vec<Subject> {
+fn subjects() -> Vec<Metric> {
     vec![
-        Subject::RunLowest {
+        Metric::RunLowest {
             engine: "engine 1".into(),
             operation: "operation 1".into(),
         },
-        Subject::RunRecent {
+        Metric::RunRecent {
             engine: "engine 2".into(),
             operation: "operation 2".into(),
         },
-        Subject::Limit {
+        Metric::Limit {
             engine: "engine 3".into(),
         },
-        Subject::CallLowest {
+        Metric::CallLowest {
             dependency: "dependency 4".into(),
         },
-        Subject::CallRecent {
+        Metric::CallRecent {
             dependency: "dependency 5".into(),
         },
-        Subject::CallLimit {
+        Metric::CallLimit {
             dependency: "dependency 6".into(),
         },
-        Subject::CallFailures {
+        Metric::CallFailures {
             dependency: "dependency 7".into(),
         },
-        Subject::RunBelow {
+        Metric::RunBelow {
             dependency: "dependency 8".into(),
             operation: "operation 8".into(),
         },
-        Subject::CallersAgain,
-        Subject::CallersBack,
+        Metric::CallersAgain,
+        Metric::CallersBack,
     ]
 }
 
-const STANDINGS: [Standing; 4] = [
-    Standing::Steady,
-    Standing::Recovering,
-    Standing::JustTaught,
-    Standing::Leaving,
+const STANDINGS: [SourceStatus; 4] = [
+    SourceStatus::Steady,
+    SourceStatus::Recovering,
+    SourceStatus::JustTaught,
+    SourceStatus::Leaving,
 ];
 
 /// A figure of every subject, from teachers of every standing.
-fn figures() -> Vec<Told> {
-    let figure = |(place, subject): (usize, Subject)| Told {
+fn figures() -> Vec<GossipedObservation> {
+    let figure = |(place, subject): (usize, Metric)| GossipedObservation {
         subject,
-        origin: Origin {
+        origin: Source {
             name: format!("n{place}"),
             life: LIFE + 1 + place as u64,
         },
@@ -87,8 +91,8 @@
 }
 
 /// A later look at the first figure.
-fn later_figure() -> Told {
-    Told {
+fn later_figure() -> GossipedObservation {
+    GossipedObservation {
         value: 77.5,
         count: 78,
         age: 79.5,
@@ -132,8 +136,8 @@
     }
 }
 
-fn kept(at: f64, told: Told) -> Kept {
-    Kept { at, told }
+fn kept(at: f64, told: GossipedObservation) -> PersistedObservation {
+    PersistedObservation { at, told }
 }
 
 /// What the store file holds after two savings, the second of which appends what has changed.
@@ -180,18 +184,18 @@
 /// The same bytes record by record: the form in which a handover image carries them.
 #[test]
 fn records_of_the_store_file() {
-    let figures = stored().kept.into_iter().map(Record::Figure);
+    let figures = stored().kept.into_iter().map(Record::Observation);
     let records: Vec<Record> = [Record::Life(LIFE)].into_iter().chain(figures).collect();
     let encode = |records: &Vec<Record>| {
-        let framed = records.iter().flat_map(log::record);
-        log::head().into_iter().chain(framed).collect()
+        let framed = records.iter().flat_map(store_format::record);
+        store_format::head().into_iter().chain(framed).collect()
     };
     let decode = |bytes: &[u8]| {
         let Recovered {
             records,
             used,
             flaw,
-        } = log::recover(bytes);
+        } = store_format::recover(bytes);
         assert_eq!((used, flaw), (bytes.len(), None));
         records
     };
@@ -201,12 +205,12 @@
 /// Nothing writes it any more, but files of it are still to be read.
 #[test]
 fn store_file_of_the_first_form() {
-    let expected: Vec<Kept> = figures()
+    let expected: Vec<PersistedObservation> = figures()
         .into_iter()
         .map(|told| kept(SAVED_AT, told))
         .collect();
-    let encode = |all: &Vec<Kept>| {
-        let framed = all.iter().flat_map(log::framed);
+    let encode = |all: &Vec<PersistedObservation>| {
+        let framed = all.iter().flat_map(store_format::framed);
         b"MSK1\x01\0\0\0".iter().copied().chain(framed).collect()
     };
     let decode = |bytes: &[u8]| {
@@ -221,17 +225,17 @@
 #[test]
 fn names_of_the_stores_files() {
     assert_eq!(
-        [FILE, NEXT, ASIDE],
+        [STORE_FILE, STORE_FILE_NEXT, STORE_FILE_ASIDE],
         ["knowledge", "knowledge.new", "knowledge.aside"]
     );
 }
 
 #[test]
 fn figure_as_it_is_kept() {
-    let figures: Vec<Figure> = STANDINGS
+    let figures: Vec<Observation> = STANDINGS
         .into_iter()
         .zip(1..)
-        .map(|(standing, place)| Figure {
+        .map(|(standing, place)| Observation {
             value: 0.125 + f64::from(place),
             count: 10 + place,
             seen: 20.5 + f64::from(place),
@@ -246,10 +250,10 @@
 #[test]
 fn news_of_peers() {
     let states = [State::Alive, State::Suspect, State::Left, State::Gone];
-    let news: Vec<News> = states
+    let news: Vec<MembershipUpdate> = states
         .into_iter()
         .zip(1..)
-        .map(|(state, place)| News {
+        .map(|(state, place)| MembershipUpdate {
             name: format!("n{place}"),
             address: format!("127.0.0.1:74{place:02}"),
             life: LIFE + u64::from(place),
--- a/crates/merlinshelf-gossip/tests/knowledge.rs
+++ b/crates/merlinshelf-gossip/tests/knowledge.rs
@@ -3,27 +3,31 @@
 use std::fmt::Write as _;
 
 use insta::assert_snapshot;
-use merlinshelf_gossip::fact::HOPS_MOST;
-use merlinshelf_gossip::log::{Flaw, Kept, Record, head, record, recover};
-use merlinshelf_gossip::{Book, Origin, Standing, Subject, Told, Unbelievable};
+use merlinshelf_gossip::observation::MAX_HOPS;
+use merlinshelf_gossip::store_format::{
+    FrameError, PersistedObservation, Record, head, record, recover,
+};
+use merlinshelf_gossip::{
+    GossipedObservation, InvalidObservation, Metric, ObservationStore, Source, SourceStatus,
+};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-fn origin(name: &str) -> Origin {
-    Origin {
+fn origin(name: &str) -> Source {
+    Source {
         name: name.into(),
         life: 1,
     }
 }
 
-fn calls() -> Subject {
-    Subject::CallRecent {
+fn calls() -> Metric {
+    Metric::CallRecent {
         dependency: "catalogue".into(),
     }
 }
 
-fn told(name: &str, value: f64, age: f64) -> Told {
-    Told {
+fn told(name: &str, value: f64, age: f64) -> GossipedObservation {
+    GossipedObservation {
         subject: calls(),
         origin: origin(name),
         value,
@@ -31,7 +35,7 @@
         age,
         number: 1,
         hops: 1,
-        standing: Standing::Steady,
+        standing: SourceStatus::Steady,
     }
 }
 
@@ -43,49 +47,49 @@
         ("fresh, of 24 samples", steady.clone()),
         (
             "20 s old",
-            Told {
+            GossipedObservation {
                 age: 20.0,
                 ..steady.clone()
             },
         ),
         (
             "two minutes old",
-            Told {
+            GossipedObservation {
                 age: 120.0,
                 ..steady.clone()
             },
         ),
         (
             "of two samples",
-            Told {
+            GossipedObservation {
                 count: 2,
                 ..steady.clone()
             },
         ),
         (
             "passed on once",
-            Told {
+            GossipedObservation {
                 hops: 2,
                 ..steady.clone()
             },
         ),
         (
             "from one that is just recovering",
-            Told {
-                standing: Standing::Recovering,
+            GossipedObservation {
+                standing: SourceStatus::Recovering,
                 ..steady.clone()
             },
         ),
         (
             "from one that was just taught",
-            Told {
-                standing: Standing::JustTaught,
+            GossipedObservation {
+                standing: SourceStatus::JustTaught,
                 ..steady.clone()
             },
         ),
     ];
     for (what, told) in plays {
-        let mut book = Book::new(origin("me"));
+        let mut book = ObservationStore::new(origin("me"));
         book.hear(100.0, told).expect("it can be true");
         let belief = book.believe(100.0, &calls());
         let line = belief.map(|of| {
@@ -107,107 +111,107 @@
     let good = told("a", 0.01, 1.0);
     let cases = [
         (
-            Told {
+            GossipedObservation {
                 value: f64::NAN,
                 ..good.clone()
             },
-            Unbelievable::Value,
+            InvalidObservation::Value,
         ),
         (
-            Told {
+            GossipedObservation {
                 value: 0.0,
                 ..good.clone()
             },
-            Unbelievable::Value,
+            InvalidObservation::Value,
         ),
         (
-            Told {
+            GossipedObservation {
                 value: f64::INFINITY,
                 ..good.clone()
             },
-            Unbelievable::Value,
+            InvalidObservation::Value,
         ),
         (
-            Told {
-                subject: Subject::Limit { engine: "e".into() },
+            GossipedObservation {
+                subject: Metric::Limit { engine: "e".into() },
                 value: 3e6,
                 ..good.clone()
             },
-            Unbelievable::Value,
+            InvalidObservation::Value,
         ),
         (
-            Told {
+            GossipedObservation {
                 age: -3600.0,
                 ..good.clone()
             },
-            Unbelievable::Age,
+            InvalidObservation::Age,
         ),
         (
-            Told {
+            GossipedObservation {
                 age: f64::NAN,
                 ..good.clone()
             },
-            Unbelievable::Age,
+            InvalidObservation::Age,
         ),
         (
-            Told {
+            GossipedObservation {
                 age: 1e9,
                 ..good.clone()
             },
-            Unbelievable::Age,
+            InvalidObservation::Age,
         ),
         (
-            Told {
+            GossipedObservation {
                 count: 0,
                 ..good.clone()
             },
-            Unbelievable::Count,
+            InvalidObservation::Count,
         ),
         (
-            Told {
+            GossipedObservation {
                 count: u32::MAX,
                 ..good.clone()
             },
-            Unbelievable::Count,
+            InvalidObservation::Count,
         ),
         (
-            Told {
+            GossipedObservation {
                 hops: 0,
                 ..good.clone()
             },
-            Unbelievable::Hops,
+            InvalidObservation::Hops,
         ),
         (
-            Told {
-                hops: HOPS_MOST + 1,
+            GossipedObservation {
+                hops: MAX_HOPS + 1,
                 ..good.clone()
             },
-            Unbelievable::Hops,
+            InvalidObservation::Hops,
         ),
         (
-            Told {
+            GossipedObservation {
                 origin: origin("me"),
                 ..good.clone()
             },
-            Unbelievable::Echo,
+            InvalidObservation::Echo,
         ),
         (
-            Told {
+            GossipedObservation {
                 origin: origin(""),
                 ..good.clone()
             },
-            Unbelievable::Name,
+            InvalidObservation::Name,
         ),
         (
-            Told {
+            GossipedObservation {
                 origin: origin(&"x".repeat(65)),
                 ..good
             },
-            Unbelievable::Name,
+            InvalidObservation::Name,
         ),
     ];
     for (told, why) in cases {
-        let mut book = Book::new(origin("me"));
+        let mut book = ObservationStore::new(origin("me"));
         assert_eq!(book.hear(5.0, told.clone()), Err(why), "{told:?}");
         assert_eq!(book.figures().count(), 0);
     }
@@ -216,7 +220,7 @@
 #[test]
 fn one_liar_among_three_moves_nothing_past_what_an_honest_one_says() {
     for lie in [1e-5, 0.001, 0.5, 599.0] {
-        let mut book = Book::new(origin("me"));
+        let mut book = ObservationStore::new(origin("me"));
         for told in [
             told("a", 0.010, 2.0),
             told("b", 0.012, 4.0),
@@ -228,7 +232,7 @@
         assert!((0.010..=0.012).contains(&belief.value), "{lie}: {belief:?}");
     }
     // Alone it is believed, and loses against a few own samples.
-    let mut book = Book::new(origin("me"));
+    let mut book = ObservationStore::new(origin("me"));
     book.hear(50.0, told("liar", 0.5, 0.0))
         .expect("it might be true");
     let belief = book.believe(50.0, &calls()).expect("one told");
@@ -263,9 +267,9 @@
     /// passed on as seen.
     #[test]
     fn circles_make_nothing_younger_or_surer(talks in talks()) {
-        let mut books: Vec<Book> = (0..5).map(|number| Book::new(origin(&number.to_string()))).collect();
+        let mut books: Vec<ObservationStore> = (0..5).map(|number| ObservationStore::new(origin(&number.to_string()))).collect();
         let mut now = 1000.0;
-        books[0].see(now, calls(), 0.01, 24, 0.0, Standing::Steady);
+        books[0].see(now, calls(), 0.01, 24, 0.0, SourceStatus::Steady);
         for Talk { from, to, passes } in talks {
             now += passes;
             for told in books[from].tell(now, 1000) {
@@ -288,14 +292,14 @@
     /// However many tell, a book stays small and what was seen here stays in it.
     #[test]
     fn a_book_is_bounded(names in proptest::collection::vec((0u32..400, 0u32..2000), 1..800)) {
-        let mut book = Book::new(origin("me"));
-        book.see(0.0, calls(), 0.01, 3, 0.0, Standing::Steady);
+        let mut book = ObservationStore::new(origin("me"));
+        book.see(0.0, calls(), 0.01, 3, 0.0, SourceStatus::Steady);
         for (name, operation) in names {
             let subject = match operation {
                 0..1000 => calls(),
-                _ => Subject::RunRecent { engine: "e".into(), operation: operation.to_string() },
+                _ => Metric::RunRecent { engine: "e".into(), operation: operation.to_string() },
             };
-            let _ = book.hear(1.0, Told { subject, ..told(&name.to_string(), 0.02, 0.5) });
+            let _ = book.hear(1.0, GossipedObservation { subject, ..told(&name.to_string(), 0.02, 0.5) });
         }
         prop_assert!(book.figures().count() <= 512 * 8);
         let of_calls = book.figures().filter(|(subject, ..)| **subject == calls());
@@ -309,7 +313,7 @@
     fn a_torn_or_garbled_file_gives_back_what_stood_before(
         values in proptest::collection::vec(0.001f64..1.0, 1..12), cut in 0usize..3000, flip in 0usize..3000, bit in 0u8..8,
     ) {
-        let kept = |value: &f64| Record::Figure(Kept { at: 5.0, told: told("a", *value, 0.5) });
+        let kept = |value: &f64| Record::Observation(PersistedObservation { at: 5.0, told: told("a", *value, 0.5) });
         let mut all: Vec<Record> = vec![Record::Life(7)];
         all.extend(values.iter().map(kept));
         let mut ends = vec![8];
@@ -336,14 +340,17 @@
 
 #[test]
 fn a_foreign_file_is_told_and_a_clock_that_went_back_makes_nothing_younger() {
-    assert_eq!(recover(b"SQLite format 3\0").flaw, Some(Flaw::Foreign));
-    assert_eq!(recover(b"MSK1\x03\0\0\0").flaw, Some(Flaw::Foreign));
+    assert_eq!(
+        recover(b"SQLite format 3\0").flaw,
+        Some(FrameError::Foreign)
+    );
+    assert_eq!(recover(b"MSK1\x03\0\0\0").flaw, Some(FrameError::Foreign));
     assert_eq!(recover(b"MSK1\x01\0\0\0").flaw, None);
     assert_eq!(
         (recover(b"").flaw, recover(b"MS").flaw),
-        (None, Some(Flaw::Torn))
+        (None, Some(FrameError::Torn))
     );
-    let kept = Kept {
+    let kept = PersistedObservation {
         at: 1000.0,
         told: told("a", 0.01, 7.0),
     };
--- a/crates/merlinshelf-gossip/tests/learner.rs
+++ b/crates/merlinshelf-gossip/tests/learner.rs
@@ -4,8 +4,10 @@
 use std::collections::VecDeque;
 
 use merlinshelf_admission::{LearnedOperation, LearnedState};
-use merlinshelf_gossip::learner::{FIGURES_MOST, Learner, Message, Settings, Step};
-use merlinshelf_gossip::{Origin, Scope, Standing, State, Subject, Told, Unbelievable, members};
+use merlinshelf_gossip::gossip_node::{Action, GossipNode, MAX_OBSERVATIONS, Message, Settings};
+use merlinshelf_gossip::{
+    GossipedObservation, InvalidObservation, Metric, Scope, Source, SourceStatus, State, membership,
+};
 
 fn settings(name: &str, seeds: &[&str]) -> Settings {
     Settings {
@@ -19,12 +21,12 @@
             keep_idle: Some(30),
         },
         share: 0.01,
-        members: members::Settings::default(),
+        members: membership::Settings::default(),
     }
 }
 
-fn learner(now: f64, name: &str, seeds: &[&str]) -> Learner {
-    Learner::new(now, 1, settings(name, seeds))
+fn learner(now: f64, name: &str, seeds: &[&str]) -> GossipNode {
+    GossipNode::new(now, 1, settings(name, seeds))
 }
 
 /// What a module has learnt from so many runs and calls, with so many failures in a row by now.
@@ -54,7 +56,7 @@
 }
 
 /// One asks the other once; the figures that were not taken.
-fn ask(now: f64, pupil: &mut Learner, teacher: &mut Learner) -> Vec<Unbelievable> {
+fn ask(now: f64, pupil: &mut GossipNode, teacher: &mut GossipNode) -> Vec<InvalidObservation> {
     let question = Message {
         from: pupil.members().own().clone(),
         standing: pupil.standing(),
@@ -66,10 +68,10 @@
     pupil.answered(now, &answer).into_keys().collect()
 }
 
-fn steady(now: f64, name: &str, speed: f64) -> Learner {
+fn steady(now: f64, name: &str, speed: f64) -> GossipNode {
     let mut one = learner(now - 100.0, name, &[]);
     one.see(now, now, &learnt(24, now, speed, 0));
-    assert_eq!(one.standing(), Standing::Steady);
+    assert_eq!(one.standing(), SourceStatus::Steady);
     one
 }
 
@@ -86,7 +88,7 @@
     // One on another kind of machine drops what holds for engines, and keeps what holds for the dependency.
     let mut other = settings("other", &[]);
     other.scope.engine = "another kind".into();
-    let mut other = Learner::new(100.0, 1, other);
+    let mut other = GossipNode::new(100.0, 1, other);
     ask(100.0, &mut other, &mut steady(100.0, "teacher", 1.0));
     let of = other.beliefs(100.0);
     assert!(
@@ -101,7 +103,7 @@
 
 #[test]
 fn a_teacher_that_recovers_leaves_was_taken_back_or_was_just_taught_itself_counts_accordingly() {
-    let weight_of_long = |teacher: &mut Learner| {
+    let weight_of_long = |teacher: &mut GossipNode| {
         let mut pupil = learner(200.0, "pupil", &[]);
         ask(200.0, &mut pupil, teacher);
         pupil.beliefs(200.0).run_durations[1].map_or(0.0, |of| of.weight)
@@ -110,7 +112,7 @@
     // Cold: few samples, and little trust in them.
     let mut cold = learner(199.0, "b", &[]);
     cold.see(200.0, 200.0, &learnt(3, 200.0, 1.0, 0));
-    assert_eq!(cold.standing(), Standing::Recovering);
+    assert_eq!(cold.standing(), SourceStatus::Recovering);
     assert!(weight_of_long(&mut cold) < 0.15 * full);
     // Its breaker open: what it knows of runs counts less, that calls fail counts in full.
     let mut broken = learner(100.0, "c", &[]);
@@ -133,7 +135,7 @@
     let mut middle = learner(199.5, "e", &[]);
     ask(199.5, &mut middle, &mut steady(199.5, "a", 1.0));
     middle.see(200.0, 200.0, &learnt(1, 200.0, 1.0, 0));
-    assert_eq!(middle.standing(), Standing::JustTaught);
+    assert_eq!(middle.standing(), SourceStatus::JustTaught);
     let second_hand = weight_of_long(&mut middle);
     assert!(
         second_hand < 0.55 * full && second_hand > 0.4 * full,
@@ -161,12 +163,12 @@
     let long = pupil.beliefs(300.0).run_durations[1].expect("it is told of");
     assert!((1.0..=1.2).contains(&long.value), "{long:?}");
     // Word of what can't be.
-    let told = |value: f64, age: f64, origin: &str, hops: u8| Told {
-        subject: Subject::RunLowest {
+    let told = |value: f64, age: f64, origin: &str, hops: u8| GossipedObservation {
+        subject: Metric::RunLowest {
             engine: "e".into(),
             operation: "short".into(),
         },
-        origin: Origin {
+        origin: Source {
             name: origin.into(),
             life: 1,
         },
@@ -175,7 +177,7 @@
         age,
         number: 7,
         hops,
-        standing: Standing::Steady,
+        standing: SourceStatus::Steady,
     };
     let figures = vec![
         told(0.0, 0.0, "x", 1),
@@ -189,7 +191,7 @@
     let from = liar.members().own().clone();
     let answer = Message {
         from,
-        standing: Standing::Steady,
+        standing: SourceStatus::Steady,
         wants: false,
         news: Vec::new(),
         figures,
@@ -198,9 +200,9 @@
     assert_eq!(
         odd.into_iter().collect::<Vec<_>>(),
         [
-            (Unbelievable::Value, 2),
-            (Unbelievable::Age, 1),
-            (Unbelievable::Hops, 1)
+            (InvalidObservation::Value, 2),
+            (InvalidObservation::Age, 1),
+            (InvalidObservation::Hops, 1)
         ]
     );
     // Who tells another one's figures as if over one hop is put right.
@@ -224,7 +226,7 @@
         let mut pupil = learner(10_000.0, "pupil", &[]);
         let question = Message {
             from: pupil.members().own().clone(),
-            standing: Standing::Recovering,
+            standing: SourceStatus::Recovering,
             wants: true,
             news: Vec::new(),
             figures: Vec::new(),
@@ -251,13 +253,13 @@
     }
     let question = |name: &str| Message {
         from: learner(400.0, name, &[]).members().own().clone(),
-        standing: Standing::Recovering,
+        standing: SourceStatus::Recovering,
         wants: true,
         news: Vec::new(),
         figures: Vec::new(),
     };
     let answer = teacher.asked(400.0, &question("asker")).expect("an answer");
-    assert_eq!(answer.figures.len(), FIGURES_MOST);
+    assert_eq!(answer.figures.len(), MAX_OBSERVATIONS);
     // What it has seen itself goes first.
     let own = answer
         .figures
@@ -293,7 +295,7 @@
         asked.extend(
             steps
                 .into_iter()
-                .map(|Step::Ask { address, .. }| (now, address)),
+                .map(|Action::Ask { address, .. }| (now, address)),
         );
         now += 0.01;
     }
@@ -305,7 +307,7 @@
         "{early} {late}"
     );
     // Alone it asks nobody and never wakes for it.
-    let mut alone = Learner::new(
+    let mut alone = GossipNode::new(
         0.0,
         1,
         Settings {
@@ -326,10 +328,10 @@
             .all(|told| told.hops == 1 && told.origin.name == "me")
     );
     // The next life, on the same machine: half a minute of it went by.
-    let mut after = Learner::new(530.0, 2, settings("me", &[]));
-    let kept: Vec<Told> = kept
+    let mut after = GossipNode::new(530.0, 2, settings("me", &[]));
+    let kept: Vec<GossipedObservation> = kept
         .into_iter()
-        .map(|told| Told {
+        .map(|told| GossipedObservation {
             age: told.age + 30.0,
             ..told
         })
@@ -354,7 +356,7 @@
     let long = pupil.beliefs(531.0).run_durations[1].expect("it is told of");
     assert_eq!(long.value, 2.0);
     // The same life does not teach itself.
-    let mut same = Learner::new(530.0, 1, settings("me", &[]));
+    let mut same = GossipNode::new(530.0, 1, settings("me", &[]));
     assert_eq!(same.remember(530.0, kept), 0);
 }
 
@@ -363,7 +365,7 @@
     let mut one = steady(600.0, "me", 1.0);
     ask(600.0, &mut one, &mut steady(600.0, "a", 1.0));
     ask(600.0, &mut one, &mut steady(600.0, "b", 1.0));
-    let origins = |one: &Learner| {
+    let origins = |one: &GossipNode| {
         let mut all: Vec<String> = one
             .book()
             .figures()
@@ -391,7 +393,7 @@
     assert_eq!(other.members().state_of("one"), Some(State::Alive));
     one.leave();
     let steps = one.woken(1.0, &mut || 0.5);
-    let Some(Step::Ask { question, .. }) = steps.into_iter().next() else {
+    let Some(Action::Ask { question, .. }) = steps.into_iter().next() else {
         panic!("it asks")
     };
     other.asked(1.0, &question);
--- a/crates/merlinshelf-gossip/tests/members.rs
+++ b/crates/merlinshelf-gossip/tests/members.rs
@@ -4,8 +4,8 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-use merlinshelf_gossip::members::{Settings, Step};
-use merlinshelf_gossip::{Members, News, State};
+use merlinshelf_gossip::membership::{Action, Settings};
+use merlinshelf_gossip::{Members, MembershipUpdate, State};
 
 /// A small generator of chance, by seed.
 struct Chance(u64);
@@ -25,13 +25,13 @@
     Question {
         from: usize,
         to: usize,
-        own: News,
-        news: Vec<News>,
+        own: MembershipUpdate,
+        news: Vec<MembershipUpdate>,
     },
     Answer {
         to: usize,
-        own: News,
-        news: Vec<News>,
+        own: MembershipUpdate,
+        news: Vec<MembershipUpdate>,
     },
 }
 
@@ -110,7 +110,7 @@
                     };
                     one.woken(now, false, &mut || chance.next());
                     let (mut asks, own, wake) = (Vec::new(), one.own().clone(), one.wake_at());
-                    while let Some(Step::Ask { address, news }) = one.next_step() {
+                    while let Some(Action::Ask { address, news }) = one.next_step() {
                         asks.push((address, news));
                     }
                     for (address, news) in asks {
@@ -297,7 +297,7 @@
         ..Settings::default()
     };
     let mut one = Members::new(0.0, "me", "0", 1, &[], settings);
-    let news = |name: &str| News {
+    let news = |name: &str| MembershipUpdate {
         name: name.into(),
         address: "1".into(),
         life: 1,
--- a/crates/merlinshelf-protocol/src/teaching.rs
+++ b/crates/merlinshelf-protocol/src/teaching.rs
@@ -7,9 +7,9 @@
 
 use std::borrow::Cow;
 
-use merlinshelf_gossip::fact::{Origin, Standing, Subject, Told};
-use merlinshelf_gossip::learner::{FIGURES_MOST, Message, NEWS_MOST};
-use merlinshelf_gossip::members::{News, State};
+use merlinshelf_gossip::gossip_node::{MAX_OBSERVATIONS, MAX_UPDATES, Message};
+use merlinshelf_gossip::membership::{MembershipUpdate, State};
+use merlinshelf_gossip::observation::{GossipedObservation, Metric, Source, SourceStatus};
 use percent_encoding::{AsciiSet, CONTROLS, percent_decode, utf8_percent_encode};
 use winnow::ascii::{dec_uint, float};
 use winnow::combinator::{alt, preceded};
@@ -21,7 +21,7 @@
 /// The form that is spoken here.
 pub const FORM: u32 = 1;
 /// The longest message there is.
-pub const MESSAGE_MOST: usize = (1 + NEWS_MOST + FIGURES_MOST) * (LINE_MOST + 2);
+pub const MESSAGE_MOST: usize = (1 + MAX_UPDATES + MAX_OBSERVATIONS) * (LINE_MOST + 2);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
@@ -89,7 +89,7 @@
             name_or_none(server),
             name_or_none(operation),
         );
-        let Told {
+        let GossipedObservation {
             origin,
             value,
             count,
@@ -111,7 +111,7 @@
     }
 }
 
-fn peer_words(one: &News) -> String {
+fn peer_words(one: &MembershipUpdate) -> String {
     format!(
         "{} {} {} {} {}",
         name(&one.name),
@@ -186,9 +186,9 @@
         let kind = alt(("ask".value(Kind::Ask), "tell".value(Kind::Tell)));
         let form = dec_uint::<_, u32, _>.verify(|form| *form == FORM);
         let counts = (
-            dec_uint::<_, usize, _>.verify(|count| *count <= NEWS_MOST),
+            dec_uint::<_, usize, _>.verify(|count| *count <= MAX_UPDATES),
             " ",
-            dec_uint::<_, usize, _>.verify(|count| *count <= FIGURES_MOST),
+            dec_uint::<_, usize, _>.verify(|count| *count <= MAX_OBSERVATIONS),
         );
         let (kind, _, _, _, from, _, standing, _, wants, _, (news, _, figures)) = within(
             text,
@@ -227,8 +227,8 @@
     )
 }
 
-fn peer(input: &[u8]) -> Front<News> {
-    let whole = |input: &mut Bytes| -> ModalResult<News> {
+fn peer(input: &[u8]) -> Front<MembershipUpdate> {
+    let whole = |input: &mut Bytes| -> ModalResult<MembershipUpdate> {
         let text = line(input)?;
         within(text, preceded("peer ", peer_fields))
     };
@@ -240,13 +240,13 @@
     )
 }
 
-fn figure(input: &[u8]) -> Front<Told> {
-    let whole = |input: &mut Bytes| -> ModalResult<Told> {
+fn figure(input: &[u8]) -> Front<GossipedObservation> {
+    let whole = |input: &mut Bytes| -> ModalResult<GossipedObservation> {
         let text = line(input)?;
         let subject = (word, " ", name_field, " ", name_field).verify_map(
             |(kind, _, server, _, operation)| {
                 let kind = std::str::from_utf8(kind).ok()?;
-                Subject::of(kind, server.as_deref(), operation.as_deref())
+                Metric::of(kind, server.as_deref(), operation.as_deref())
             },
         );
         let origin = (
@@ -254,7 +254,7 @@
             " ",
             dec_uint::<_, u64, _>,
         )
-            .map(|(name, _, life)| Origin { name, life });
+            .map(|(name, _, life)| Source { name, life });
         let numbers = (
             float::<_, f64, _>,
             " ",
@@ -282,7 +282,7 @@
             text,
             ("figure ", subject, " ", origin, " ", numbers, " ", rest),
         )?;
-        Ok(Told {
+        Ok(GossipedObservation {
             subject,
             origin,
             value,
@@ -317,7 +317,7 @@
     .parse_next(input)
 }
 
-fn peer_fields(input: &mut &[u8]) -> ModalResult<News> {
+fn peer_fields(input: &mut &[u8]) -> ModalResult<MembershipUpdate> {
     let state = word.verify_map(|text: &[u8]| {
         STATES
             .iter()
@@ -336,17 +336,19 @@
         name_field,
     );
     whole
-        .map(|(name, _, life, _, turn, _, state, _, address)| News {
-            name,
-            address: address.unwrap_or_default(),
-            life,
-            turn,
-            state,
-        })
+        .map(
+            |(name, _, life, _, turn, _, state, _, address)| MembershipUpdate {
+                name,
+                address: address.unwrap_or_default(),
+                life,
+                turn,
+                state,
+            },
+        )
         .parse_next(input)
 }
 
-fn standing(input: &mut &[u8]) -> ModalResult<Standing> {
-    word.verify_map(|text: &[u8]| Standing::of(std::str::from_utf8(text).ok()?))
+fn standing(input: &mut &[u8]) -> ModalResult<SourceStatus> {
+    word.verify_map(|text: &[u8]| SourceStatus::of(std::str::from_utf8(text).ok()?))
         .parse_next(input)
 }
--- a/crates/merlinshelf-protocol/tests/golden.rs
+++ b/crates/merlinshelf-protocol/tests/golden.rs
@@ -7,60 +7,62 @@
 //! shows. The files hold bytes as programs in the field wrote them: where a test fails, the code is to be mended, not
 //! the file.
 
-use merlinshelf_gossip::{Message, News, Origin, Standing, State, Subject, Told};
+use merlinshelf_gossip::{
+    GossipedObservation, MembershipUpdate, Message, Metric, Source, SourceStatus, State,
+};
 use merlinshelf_protocol::control::{self, Question};
 use merlinshelf_protocol::engine::{self, End, Notice};
 use merlinshelf_protocol::teaching::{Kind, Reading, put_message};
 use merlinshelf_protocol::{CallId, Front, fastcgi, members, uwsgi};
 
 const LIFE: u64 = 1_796_150_622_705;
-const STANDINGS: [Standing; 4] = [
-    Standing::Steady,
-    Standing::Recovering,
-    Standing::JustTaught,
-    Standing::Leaving,
+const STANDINGS: [SourceStatus; 4] = [
+    SourceStatus::Steady,
+    SourceStatus::Recovering,
+    SourceStatus::JustTaught,
+    SourceStatus::Leaving,
 ];
 const STATES: [State; 4] = [State::Alive, State::Suspect, State::Left, State::Gone];
 
 /// Every subject, each with names of its own: some have bytes that are escaped.
-fn subjects() -> Vec<Subject> {
+fn subjects() -> Vec<Metric> {
     vec![
-        Subject::RunLowest {
+        Metric::RunLowest {
             engine: "engine 1".into(),
             operation: "100%".into(),
         },
-        Subject::RunRecent {
+        Metric::RunRecent {
             engine: "-".into(),
             operation: "übertragung".into(),
         },
-        Subject::Limit {
+        Metric::Limit {
             engine: "engine-3".into(),
         },
-        Subject::CallLowest {
+        Metric::CallLowest {
             dependency: "dependency-4".into(),
         },
-        Subject::CallRecent {
+        Metric::CallRecent {
             dependency: "dependency-5".into(),
         },
-        Subject::CallLimit {
+        Metric::CallLimit {
             dependency: "dependency-6".into(),
         },
-        Subject::CallFailures {
+        Metric::CallFailures {
             dependency: "dependency-7".into(),
         },
-        Subject::RunBelow {
+        Metric::RunBelow {
             dependency: "dependency-8".into(),
             operation: "operation-8".into(),
         },
-        Subject::CallersAgain,
-        Subject::CallersBack,
+        Metric::CallersAgain,
+        Metric::CallersBack,
     ]
 }
 
-fn figures() -> Vec<Told> {
-    let figure = |(place, subject): (usize, Subject)| Told {
+fn figures() -> Vec<GossipedObservation> {
+    let figure = |(place, subject): (usize, Metric)| GossipedObservation {
         subject,
-        origin: Origin {
+        origin: Source {
             name: format!("origin {place}"),
             life: LIFE + 1 + place as u64,
         },
@@ -75,8 +77,8 @@
 }
 
 /// A peer in every state, the last of them without an address.
-fn news() -> Vec<News> {
-    let peer = |(state, place): (State, u32)| News {
+fn news() -> Vec<MembershipUpdate> {
+    let peer = |(state, place): (State, u32)| MembershipUpdate {
         name: format!("peer {place}"),
         address: match state {
             State::Gone => String::new(),
@@ -94,14 +96,14 @@
 
 fn question_of_peer() -> Gossip {
     let message = Message {
-        from: News {
+        from: MembershipUpdate {
             name: "n0".into(),
             address: "127.0.0.1:7400".into(),
             life: LIFE,
             turn: 2,
             state: State::Alive,
         },
-        standing: Standing::Recovering,
+        standing: SourceStatus::Recovering,
         wants: true,
         news: news(),
         figures: figures(),
@@ -111,10 +113,14 @@
 
 /// With counts of news and figures that differ, and the three standings that the question does not have.
 fn answers_of_peer() -> Vec<Gossip> {
-    let standings = [Standing::Steady, Standing::JustTaught, Standing::Leaving];
-    let answer = |(standing, place): (Standing, usize)| {
+    let standings = [
+        SourceStatus::Steady,
+        SourceStatus::JustTaught,
+        SourceStatus::Leaving,
+    ];
+    let answer = |(standing, place): (SourceStatus, usize)| {
         let message = Message {
-            from: News {
+            from: MembershipUpdate {
                 name: format!("n{place}"),
                 address: format!("127.0.0.1:75{place:02}"),
                 life: LIFE + 200 + place as u64,
--- a/crates/merlinshelf-protocol/tests/teaching.rs
+++ b/crates/merlinshelf-protocol/tests/teaching.rs
@@ -1,13 +1,15 @@
 //! Messages between instances: whole, in pieces of any size, garbled, endless.
 
-use merlinshelf_gossip::learner::{FIGURES_MOST, NEWS_MOST};
-use merlinshelf_gossip::{Message, News, Origin, Standing, State, Subject, Told};
+use merlinshelf_gossip::gossip_node::{MAX_OBSERVATIONS, MAX_UPDATES};
+use merlinshelf_gossip::{
+    GossipedObservation, MembershipUpdate, Message, Metric, Source, SourceStatus, State,
+};
 use merlinshelf_protocol::teaching::{Kind, MESSAGE_MOST, Reading, put_message};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-fn peer(name: &str) -> News {
-    News {
+fn peer(name: &str) -> MembershipUpdate {
+    MembershipUpdate {
         name: name.into(),
         address: "127.0.0.1:7400".into(),
         life: 1_796_150_622_705,
@@ -16,10 +18,10 @@
     }
 }
 
-fn told(subject: Subject, value: f64) -> Told {
-    Told {
+fn told(subject: Metric, value: f64) -> GossipedObservation {
+    GossipedObservation {
         subject,
-        origin: Origin {
+        origin: Source {
             name: "n 1/ü%".into(),
             life: 9,
         },
@@ -28,7 +30,7 @@
         age: 0.25,
         number: 7,
         hops: 2,
-        standing: Standing::JustTaught,
+        standing: SourceStatus::JustTaught,
     }
 }
 
@@ -36,67 +38,67 @@
     let (server, operation) = ("cx 42".to_owned(), "-".to_owned());
     let figures = vec![
         told(
-            Subject::RunLowest {
+            Metric::RunLowest {
                 engine: server.clone(),
                 operation: operation.clone(),
             },
             0.0123,
         ),
         told(
-            Subject::RunRecent {
+            Metric::RunRecent {
                 engine: server.clone(),
                 operation: operation.clone(),
             },
             1e-5,
         ),
         told(
-            Subject::Limit {
+            Metric::Limit {
                 engine: server.clone(),
             },
             12.0,
         ),
         told(
-            Subject::CallLowest {
+            Metric::CallLowest {
                 dependency: server.clone(),
             },
             1.0 / 3.0,
         ),
         told(
-            Subject::CallRecent {
+            Metric::CallRecent {
                 dependency: server.clone(),
             },
             2.0,
         ),
         told(
-            Subject::CallLimit {
+            Metric::CallLimit {
                 dependency: server.clone(),
             },
             3.0,
         ),
         told(
-            Subject::CallFailures {
+            Metric::CallFailures {
                 dependency: server.clone(),
             },
             0.0,
         ),
         told(
-            Subject::RunBelow {
+            Metric::RunBelow {
                 dependency: server,
                 operation,
             },
             600.0,
         ),
-        told(Subject::CallersAgain, 0.15),
-        told(Subject::CallersBack, 1.0),
+        told(Metric::CallersAgain, 0.15),
+        told(Metric::CallersBack, 1.0),
     ];
-    let nowhere = News {
+    let nowhere = MembershipUpdate {
         address: String::new(),
         state: State::Gone,
         ..peer("n3")
     };
     Message {
         from: peer("n0"),
-        standing: Standing::Recovering,
+        standing: SourceStatus::Recovering,
         wants: true,
         news: vec![peer("n2"), nowhere],
         figures,
@@ -154,13 +156,13 @@
 #[test]
 fn the_longest_message_is_within_the_bound_and_what_says_it_has_more_is_a_fault() {
     let long = "x".repeat(64);
-    let subject = Subject::RunRecent {
+    let subject = Metric::RunRecent {
         engine: long.clone(),
         operation: long.clone(),
     };
     let message = Message {
-        news: vec![peer(&long); NEWS_MOST],
-        figures: vec![told(subject, 1.0 / 3.0); FIGURES_MOST],
+        news: vec![peer(&long); MAX_UPDATES],
+        figures: vec![told(subject, 1.0 / 3.0); MAX_OBSERVATIONS],
         ..message()
     };
     let whole = bytes(Kind::Tell, &message);
@@ -171,11 +173,11 @@
     );
     for more in [
         Message {
-            news: vec![peer("a"); NEWS_MOST + 1],
+            news: vec![peer("a"); MAX_UPDATES + 1],
             ..message.clone()
         },
         Message {
-            figures: vec![told(Subject::CallersBack, 0.5); FIGURES_MOST + 1],
+            figures: vec![told(Metric::CallersBack, 0.5); MAX_OBSERVATIONS + 1],
             ..message
         },
     ] {
--- a/crates/merlinshelf-testbed/src/trial/learning/crashes.rs
+++ b/crates/merlinshelf-testbed/src/trial/learning/crashes.rs
@@ -3,9 +3,9 @@
 
 use std::collections::BTreeMap;
 
-use merlinshelf_gossip::log::Kept;
-use merlinshelf_gossip::store::{FILE, Found, Store};
-use merlinshelf_gossip::{Origin, Standing, Subject, Told};
+use merlinshelf_gossip::store::{Found, STORE_FILE, Store};
+use merlinshelf_gossip::store_format::PersistedObservation;
+use merlinshelf_gossip::{GossipedObservation, Metric, Source, SourceStatus};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -20,28 +20,32 @@
     pub wrong: u64,
 }
 
-type Written = BTreeMap<(Subject, u64), Vec<Told>>;
+type Written = BTreeMap<(Metric, u64), Vec<GossipedObservation>>;
 
 /// One life as the test knows it: what was kept for certain, and everything that was ever handed to the store.
 #[derive(Clone, Default)]
 struct Past {
     /// The last saving that went well, as of when.
-    certain: Vec<(f64, Told)>,
+    certain: Vec<(f64, GossipedObservation)>,
     ever: Written,
     life: u64,
 }
 
-fn figures(rng: &mut Pcg64Mcg, number: &mut u64, before: &[Told]) -> Vec<Told> {
+fn figures(
+    rng: &mut Pcg64Mcg,
+    number: &mut u64,
+    before: &[GossipedObservation],
+) -> Vec<GossipedObservation> {
     let mut all = before.to_vec();
     for _ in 0..rng.random_range(1..6) {
         *number += 1;
-        let subject = Subject::RunRecent {
+        let subject = Metric::RunRecent {
             engine: "e".into(),
             operation: format!("operation-{}", rng.random_range(0..40)),
         };
-        let told = Told {
+        let told = GossipedObservation {
             subject,
-            origin: Origin {
+            origin: Source {
                 name: "n0".into(),
                 life: 1,
             },
@@ -50,7 +54,7 @@
             age: rng.random_range(0.0..30.0),
             number: *number,
             hops: 1,
-            standing: Standing::Steady,
+            standing: SourceStatus::Steady,
         };
         all.retain(|one| one.subject != told.subject);
         all.push(told);
@@ -67,7 +71,8 @@
         .map(|told| told.number)
         .max()
         .unwrap_or(0);
-    let mut all: Vec<Told> = past.certain.iter().map(|(_, told)| told.clone()).collect();
+    let mut all: Vec<GossipedObservation> =
+        past.certain.iter().map(|(_, told)| told.clone()).collect();
     for _ in 0..6 {
         *clock += 5.0;
         all = figures(rng, &mut number, &all);
@@ -90,7 +95,7 @@
 /// Whether what was found is what was written: every figure one that was handed over as it was, none older than the last
 /// saving that went well, and no life begun under a number that was used.
 fn right(found: &Found, past: &Past) -> bool {
-    let mut last: BTreeMap<&Subject, &Kept> = BTreeMap::new();
+    let mut last: BTreeMap<&Metric, &PersistedObservation> = BTreeMap::new();
     for kept in &found.kept {
         let known = past
             .ever
@@ -134,7 +139,7 @@
                     disk.restart();
                 }
             }
-            crashes.wrong += u64::from(!disk.has(FILE));
+            crashes.wrong += u64::from(!disk.has(STORE_FILE));
         }
     }
     crashes
--- a/crates/merlinshelf-testbed/src/trial/learning/fleet.rs
+++ b/crates/merlinshelf-testbed/src/trial/learning/fleet.rs
@@ -4,8 +4,8 @@
 use std::collections::{BinaryHeap, VecDeque};
 
 use merlinshelf_admission::{LearnedOperation, LearnedState};
-use merlinshelf_gossip::learner::{Learner, Settings, Step};
-use merlinshelf_gossip::{Message, Scope, State, members};
+use merlinshelf_gossip::gossip_node::{Action, GossipNode, Settings};
+use merlinshelf_gossip::{Message, Scope, State, membership};
 use merlinshelf_protocol::teaching::{Kind, put_message};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -37,7 +37,7 @@
 /// Learners and the network between them; moments in seconds.
 pub struct World {
     pub now: f64,
-    pub learners: Vec<Option<Learner>>,
+    pub learners: Vec<Option<GossipNode>>,
     queue: BinaryHeap<Reverse<(u64, usize)>>,
     what: Vec<Option<What>>,
     free: Vec<usize>,
@@ -90,14 +90,14 @@
         seeds: seeds.iter().map(usize::to_string).collect(),
         scope: scope(),
         share: 0.01,
-        members: members::Settings::default(),
+        members: membership::Settings::default(),
     }
 }
 
 impl World {
     pub fn new(count: usize, seed: u64) -> World {
         let learners =
-            (0..count).map(|number| Some(Learner::new(0.0, 1, settings(number, &[0, 1, 2]))));
+            (0..count).map(|number| Some(GossipNode::new(0.0, 1, settings(number, &[0, 1, 2]))));
         let mut world = World {
             now: 0.0,
             learners: learners.collect(),
@@ -116,7 +116,11 @@
 
     /// Another life begins in this place.
     pub fn begin(&mut self, number: usize, life: u64) {
-        self.learners[number] = Some(Learner::new(self.now, life, settings(number, &[0, 1, 2])));
+        self.learners[number] = Some(GossipNode::new(
+            self.now,
+            life,
+            settings(number, &[0, 1, 2]),
+        ));
     }
 
     fn at(&mut self, at: f64, what: What) {
@@ -187,7 +191,7 @@
         };
         let steps = one.woken(now, &mut || rng.random());
         let wake = one.wake_at().unwrap_or(now + 1.0);
-        for Step::Ask { address, question } in steps {
+        for Action::Ask { address, question } in steps {
             let Ok(to) = address.parse() else { continue };
             let what = What::Question {
                 from: number,
@@ -209,7 +213,7 @@
     }
 
     /// Goes on until all that live say so, at most so long; when that was.
-    pub fn when(&mut self, most: f64, all: impl Fn(&Learner) -> bool) -> Option<f64> {
+    pub fn when(&mut self, most: f64, all: impl Fn(&GossipNode) -> bool) -> Option<f64> {
         let end = self.now + most;
         while self.now < end {
             let next = self.now + 0.5;
@@ -242,7 +246,7 @@
     world.measured = if count > 1000 { 97 } else { 1 };
     world.all_see(24, 1.0);
     // Half of all know nearly all: the tables of the largest fleets fill slowly, and no figure waits for that.
-    let met = |one: &Learner| one.members().count_alive() * 10 >= (count - 1) * 9;
+    let met = |one: &GossipNode| one.members().count_alive() * 10 >= (count - 1) * 9;
     let _ = world.when(240.0, met);
     world.until(world.now + 10.0);
     let (from, messages, bytes) = (world.now, world.messages, world.bytes);
@@ -256,7 +260,7 @@
     let dead = count / 2;
     world.learners[dead] = None;
     let (began, name) = (world.now, format!("n{dead}"));
-    let knows = |one: &Learner| {
+    let knows = |one: &GossipNode| {
         one.members()
             .state_of(&name)
             .is_none_or(|state| state >= State::Left)
--- a/crates/merlinshelf-testbed/src/trial/learning/worth.rs
+++ b/crates/merlinshelf-testbed/src/trial/learning/worth.rs
@@ -5,8 +5,8 @@
 use std::io;
 use std::time::Duration;
 
-use merlinshelf_gossip::{Message, News};
-use merlinshelf_gossip::{Origin, Standing, Subject, Told};
+use merlinshelf_gossip::{GossipedObservation, Metric, Source, SourceStatus};
+use merlinshelf_gossip::{MembershipUpdate, Message};
 use merlinshelf_protocol::teaching::{Kind, Reading, put_message};
 use serde_json::{Value, json};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -287,7 +287,7 @@
 }
 
 /// Figures that do not hold.
-fn wrong(teacher: Teacher, outage: bool, seed: u64) -> Vec<Told> {
+fn wrong(teacher: Teacher, outage: bool, seed: u64) -> Vec<GossipedObservation> {
     let factor = |place: u64| match teacher {
         Teacher::Stale => 0.25,
         Teacher::Wrong if (place + seed).is_multiple_of(2) => 10.0,
@@ -299,68 +299,68 @@
     let mut right = Vec::new();
     for (name, ..) in OPERATIONS {
         right.push((
-            Subject::RunRecent {
+            Metric::RunRecent {
                 engine: engine(),
                 operation: name.into(),
             },
             0.005,
         ));
         right.push((
-            Subject::RunLowest {
+            Metric::RunLowest {
                 engine: engine(),
                 operation: name.into(),
             },
             0.005,
         ));
         right.push((
-            Subject::RunBelow {
+            Metric::RunBelow {
                 dependency: dependency(),
                 operation: name.into(),
             },
             0.1,
         ));
     }
-    right.push((Subject::Limit { engine: engine() }, 16.0));
+    right.push((Metric::Limit { engine: engine() }, 16.0));
     right.push((
-        Subject::CallRecent {
+        Metric::CallRecent {
             dependency: dependency(),
         },
         0.1,
     ));
     right.push((
-        Subject::CallLowest {
+        Metric::CallLowest {
             dependency: dependency(),
         },
         0.05,
     ));
     right.push((
-        Subject::CallLimit {
+        Metric::CallLimit {
             dependency: dependency(),
         },
         8.0,
     ));
-    right.push((Subject::CallersAgain, 0.01));
-    right.push((Subject::CallersBack, 0.9));
+    right.push((Metric::CallersAgain, 0.01));
+    right.push((Metric::CallersBack, 0.9));
     // Told of an outage where there is none, and of none where there is one.
     let failures = if outage { 0.0 } else { 50.0 };
     right.push((
-        Subject::CallFailures {
+        Metric::CallFailures {
             dependency: dependency(),
         },
         failures,
     ));
-    let told = |(place, (subject, value)): (usize, (Subject, f64))| {
-        let callers = matches!(subject, Subject::CallersAgain | Subject::CallersBack);
+    let told = |(place, (subject, value)): (usize, (Metric, f64))| {
+        let callers = matches!(subject, Metric::CallersAgain | Metric::CallersBack);
         let most = if callers { 1.0 } else { 600.0 };
-        let failures = matches!(subject, Subject::CallFailures { .. });
-        Told {
+        let failures = matches!(subject, Metric::CallFailures { .. });
+        GossipedObservation {
             value: if failures {
                 value
             } else {
                 (value * factor(place as u64)).clamp(0.01, most)
             },
             subject,
-            origin: Origin {
+            origin: Source {
                 name: "bad".into(),
                 life: 1,
             },
@@ -372,16 +372,16 @@
             },
             number: 1,
             hops: 1,
-            standing: Standing::Steady,
+            standing: SourceStatus::Steady,
         }
     };
     right.into_iter().enumerate().map(told).collect()
 }
 
 /// Teaches whoever asks these figures.
-pub async fn teach(listener: TcpListener, address: String, figures: Vec<Told>) {
+pub async fn teach(listener: TcpListener, address: String, figures: Vec<GossipedObservation>) {
     while let Ok((mut stream, _)) = listener.accept().await {
-        let from = News {
+        let from = MembershipUpdate {
             name: "bad".into(),
             address: address.clone(),
             life: 1,
@@ -403,7 +403,7 @@
             }
             let answer = Message {
                 from,
-                standing: Standing::Steady,
+                standing: SourceStatus::Steady,
                 wants: false,
                 news: Vec::new(),
                 figures,
--- a/crates/merlinshelf-testbed/tests/fleet.rs
+++ b/crates/merlinshelf-testbed/tests/fleet.rs
@@ -1,7 +1,7 @@
 //! Fleets of learners in virtual time: all cold at once, half that restarts together, a parted network with two histories,
 //! and one that answers nobody.
 
-use merlinshelf_gossip::{Standing, State};
+use merlinshelf_gossip::{SourceStatus, State};
 use merlinshelf_testbed::trial::learning::fleet::{World, learnt};
 
 #[test]
@@ -17,7 +17,7 @@
             "{:?}",
             of.run_durations
         );
-        assert_ne!(one.standing(), Standing::Steady);
+        assert_ne!(one.standing(), SourceStatus::Steady);
     }
     // They met over it, at two messages a second each and a few at the start.
     assert!(world.messages < 40 * (6 * 2 + 2 * 60), "{}", world.messages);
@@ -98,7 +98,7 @@
         .expect("all meet");
     let (from, before) = (world.now, world.messages);
     world.part[150] = 1;
-    let gone = |one: &merlinshelf_gossip::Learner| {
+    let gone = |one: &merlinshelf_gossip::GossipNode| {
         one.members().own().name == "n150"
             || one
                 .members()
--- a/crates/merlinshelf-testbed/tests/store.rs
+++ b/crates/merlinshelf-testbed/tests/store.rs
@@ -1,8 +1,8 @@
 //! The store of what is known, on a folder that crashes, fills up, may only be read or holds something else.
 
-use merlinshelf_gossip::log::{Flaw, Kept};
-use merlinshelf_gossip::store::{ASIDE, FILE, LENGTH_MOST, Store};
-use merlinshelf_gossip::{Origin, Standing, Subject, Told};
+use merlinshelf_gossip::store::{MAX_STORE_BYTES, STORE_FILE, STORE_FILE_ASIDE, Store};
+use merlinshelf_gossip::store_format::{FrameError, PersistedObservation};
+use merlinshelf_gossip::{GossipedObservation, Metric, Source, SourceStatus};
 use merlinshelf_testbed::disk::{Disk, Trouble};
 use merlinshelf_testbed::trial::learning::crashes;
 use rand::SeedableRng;
@@ -12,13 +12,13 @@
     Disk::new(Pcg64Mcg::seed_from_u64(3))
 }
 
-fn told(operation: &str, number: u64) -> Told {
-    Told {
-        subject: Subject::RunRecent {
+fn told(operation: &str, number: u64) -> GossipedObservation {
+    GossipedObservation {
+        subject: Metric::RunRecent {
             engine: "e".into(),
             operation: operation.into(),
         },
-        origin: Origin {
+        origin: Source {
             name: "n0".into(),
             life: 1,
         },
@@ -27,11 +27,11 @@
         age: 1.0,
         number,
         hops: 1,
-        standing: Standing::Steady,
+        standing: SourceStatus::Steady,
     }
 }
 
-fn read(disk: &mut Disk) -> Vec<Told> {
+fn read(disk: &mut Disk) -> Vec<GossipedObservation> {
     let found = Store::open(disk).expect("it can be read").1;
     assert_eq!(found.flaw, None);
     found.kept.into_iter().map(|kept| kept.told).collect()
@@ -68,7 +68,7 @@
             "what is kept already is not written again"
         );
         longest = longest.max(
-            merlinshelf_gossip::Files::read(&mut disk, FILE)
+            merlinshelf_gossip::Files::read(&mut disk, STORE_FILE)
                 .expect("it reads")
                 .map_or(0, |of| of.len()),
         );
@@ -83,16 +83,16 @@
     for bytes in [
         b"SQLite format 3\0".to_vec(),
         b"MSK1\x03\0\0\0later".to_vec(),
-        vec![7; LENGTH_MOST + 1],
+        vec![7; MAX_STORE_BYTES + 1],
     ] {
         let mut disk = disk();
-        disk.put(FILE, &bytes);
+        disk.put(STORE_FILE, &bytes);
         let (mut store, found) = Store::open(&mut disk).expect("it can be read");
         assert_eq!(
             (found.flaw, found.set_aside, found.kept.len()),
-            (Some(Flaw::Foreign), true, 0)
+            (Some(FrameError::Foreign), true, 0)
         );
-        assert!(disk.has(ASIDE) && !disk.has(FILE));
+        assert!(disk.has(STORE_FILE_ASIDE) && !disk.has(STORE_FILE));
         store
             .save(&mut disk, 1.0, &[told("a", 1)])
             .expect("a new one is made");
@@ -102,7 +102,7 @@
 
 #[test]
 fn the_form_before_is_read_and_a_garbled_record_costs_what_follows_it() {
-    let bytes = rmp_serde::to_vec_named(&Kept {
+    let bytes = rmp_serde::to_vec_named(&PersistedObservation {
         at: 9.0,
         told: told("a", 4),
     })
@@ -112,7 +112,7 @@
     file.extend(crc32fast::hash(&bytes).to_le_bytes());
     file.extend(&bytes);
     let mut disk = disk();
-    disk.put(FILE, &file);
+    disk.put(STORE_FILE, &file);
     assert_eq!(read(&mut disk), [told("a", 4)]);
     // Written by this version, it is of this form.
     let (mut store, _) = Store::open(&mut disk).expect("it can be read");
@@ -124,19 +124,19 @@
     assert_eq!((found.life, found.kept.len()), (life, 2));
     // The clock went back: the next life is a later one all the same.
     assert_eq!(again.begin(3), life + 1);
-    let mut whole = merlinshelf_gossip::Files::read(&mut disk, FILE)
+    let mut whole = merlinshelf_gossip::Files::read(&mut disk, STORE_FILE)
         .expect("it reads")
         .expect("it is there");
     let last = whole.len() - 3;
     whole[last] ^= 1;
-    disk.put(FILE, &whole);
+    disk.put(STORE_FILE, &whole);
     let (_, found) = Store::open(&mut disk).expect("it can be read");
     assert_eq!(
         (found.flaw, found.kept.len(), found.set_aside),
-        (Some(Flaw::Garbled), 1, true)
+        (Some(FrameError::Garbled), 1, true)
     );
     assert!(
-        disk.has(FILE),
+        disk.has(STORE_FILE),
         "what can be read stays until it is replaced"
     );
 }
