--- a/crates/merlinshelf-backend/tests/golden_settings.rs
+++ b/crates/merlinshelf-backend/tests/golden_settings.rs
@@ -22,12 +22,12 @@
 use merlinshelf_backend::{Start, serve};
 use merlinshelf_dependencies::Dependencies;
 use merlinshelf_dependencies::wanted::{Call, Dependency, Instead, Operation, ServerOf};
-use merlinshelf_gossip::log::{Kept, Record};
-use merlinshelf_gossip::{Origin, Standing, Subject, Told};
-use merlinshelf_handover::keeper::Progress;
-use merlinshelf_policy::{Beat, Grant, Policy, Said, Without};
+use merlinshelf_gossip::store_format::{PersistedObservation, Record};
+use merlinshelf_gossip::{GossipedObservation, Metric, Source, SourceStatus};
+use merlinshelf_handover::predecessor::Progress;
+use merlinshelf_policy::{Heartbeat, InstanceStatus, LeaseExpiryMode, LeaseGrant, Policy};
 use merlinshelf_protocol::control::Word;
-use merlinshelf_quota::{Given, Kind};
+use merlinshelf_quota::{CallKind, QuotaGrantBatch};
 use serde_json::{Value, json};
 use tokio::runtime::Builder;
 use tokio::sync::mpsc::unbounded_channel;
@@ -106,7 +106,7 @@
     let base = Policy {
         note: "base".into(),
         call_share: Some(5.5),
-        budgets: BTreeMap::from([("catalogue".into(), BTreeMap::from([(Kind::Probes, 8)]))]),
+        budgets: BTreeMap::from([("catalogue".into(), BTreeMap::from([(CallKind::Probe, 8)]))]),
         ..Policy::default()
     };
     Operator {
@@ -145,7 +145,7 @@
         }),
         policy: Some(PolicyOf {
             base,
-            without: Without::TurnAway,
+            without: LeaseExpiryMode::RejectAll,
             drift: 0.03125,
             wait_ms: 5_006,
             lease_ms: 2_007,
@@ -194,7 +194,7 @@
         dependencies: Some(Dependencies::default()),
         policy: Some(PolicyOf {
             base: Policy::default(),
-            without: Without::Base,
+            without: LeaseExpiryMode::BasePolicy,
             drift: 0.02,
             wait_ms: 5_000,
             lease_ms: 2_000,
@@ -319,14 +319,20 @@
         let operator = Operator::read(&text).expect(word);
         operator.policy.expect("a policy").without
     });
-    assert_eq!(modes, [Without::Base, Without::TurnAway]);
+    assert_eq!(
+        modes,
+        [LeaseExpiryMode::BasePolicy, LeaseExpiryMode::RejectAll]
+    );
 }
 
 /// A policy is read from operators' files in the same way as the operators' file itself.
 #[test]
 fn policy_file_as_operators_write_it() {
     let kept: Policy = read_as(&read_golden_text("policy_file.json5")).expect("it is read");
-    let budgets = BTreeMap::from([("callers".into(), BTreeMap::from([(Kind::Opened, 500)]))]);
+    let budgets = BTreeMap::from([(
+        "callers".into(),
+        BTreeMap::from([(CallKind::NewConnection, 500)]),
+    )]);
     let expected = Policy {
         note: "evening".into(),
         call_share: Some(5.5),
@@ -461,37 +467,37 @@
 
 #[test]
 fn heartbeat_and_its_answer() {
-    let beat = Beat {
-        life: LARGE,
-        offer: Some((
+    let beat = Heartbeat {
+        incarnation: LARGE,
+        offered_policy: Some((
             23,
             Policy {
                 note: "evening".into(),
                 ..Policy::default()
             },
         )),
-        fence: 21,
-        grant: Some(Grant {
-            number: 22,
-            asked: 1021.5,
-            for_s: 1.625,
+        fence_version: 21,
+        grant: Some(LeaseGrant {
+            version: 22,
+            requested_at: 1021.5,
+            duration_seconds: 1.625,
         }),
-        given: Some(Given {
-            life: LARGE,
-            token: 24,
-            ..Given::default()
+        quota_grants: Some(QuotaGrantBatch {
+            incarnation: LARGE,
+            request_id: 24,
+            ..QuotaGrantBatch::default()
         }),
     };
-    let said = Said {
-        life: LARGE,
-        asked: 1022.25,
-        fenced: 21,
-        knows: vec![22, 23],
-        unfit: Some((24, "no such dependency".into())),
-        acts: Some(22),
-        left_s: 1.375,
-        base: LARGE + 2,
-        wishes: None,
+    let said = InstanceStatus {
+        incarnation: LARGE,
+        reported_at: 1022.25,
+        fenced_version: 21,
+        known_versions: vec![22, 23],
+        rejected_version: Some((24, "no such dependency".into())),
+        effective_version: Some(22),
+        lease_remaining_seconds: 1.375,
+        base_fingerprint: LARGE + 2,
+        quota_requests: None,
     };
     let body = read_golden_text("control_beat.json");
     let mut answers = [None, Some(said)].into_iter();
@@ -588,34 +594,35 @@
 /// What an instance has kept of another one, as its file holds it.
 fn kept_observations() -> Vec<u8> {
     let now = SystemTime::now().duration_since(UNIX_EPOCH);
-    let told = |subject: Subject, value: f64, count: u32, standing: Standing| Told {
-        subject,
-        origin: Origin {
-            name: "n4".into(),
-            life: LARGE,
-        },
-        value,
-        count,
-        age: 1.5,
-        number: 42,
-        hops: 1,
-        standing,
-    };
-    let limit = Subject::CallLimit {
+    let told =
+        |subject: Metric, value: f64, count: u32, standing: SourceStatus| GossipedObservation {
+            subject,
+            origin: Source {
+                name: "n4".into(),
+                life: LARGE,
+            },
+            value,
+            count,
+            age: 1.5,
+            number: 42,
+            hops: 1,
+            standing,
+        };
+    let limit = Metric::CallLimit {
         dependency: "library".into(),
     };
-    let run = Subject::RunRecent {
+    let run = Metric::RunRecent {
         engine: "cx42".into(),
         operation: "thumbnail".into(),
     };
-    let mut bytes = merlinshelf_gossip::log::head();
+    let mut bytes = merlinshelf_gossip::store_format::head();
     for told in [
-        told(limit, 48.5, 96, Standing::JustTaught),
-        told(run, 0.25, 64, Standing::Steady),
+        told(limit, 48.5, 96, SourceStatus::JustTaught),
+        told(run, 0.25, 64, SourceStatus::Steady),
     ] {
         let at = now.clone().expect("a time").as_secs_f64();
-        let kept = Record::Figure(Kept { at, told });
-        bytes.extend(merlinshelf_gossip::log::record(&kept));
+        let kept = Record::Observation(PersistedObservation { at, told });
+        bytes.extend(merlinshelf_gossip::store_format::record(&kept));
     }
     bytes
 }
--- a/crates/merlinshelf-gossip/src/store_format.rs
+++ b/crates/merlinshelf-gossip/src/store_format.rs
@@ -24,6 +24,7 @@
 /// What a record holds.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Record {
+    #[serde(rename = "Figure")]
     Observation(PersistedObservation),
     /// A life of the instance was begun under this number.
     Life(u64),
--- a/crates/merlinshelf-policy/src/document.rs
+++ b/crates/merlinshelf-policy/src/document.rs
@@ -54,16 +54,13 @@
     pub admit: Option<bool>,
     /// The latency objective, in milliseconds.
     #[garde(inner(custom(above_nothing)))]
-    #[serde(rename = "aim_ms")]
-    pub latency_objective_ms: Option<f64>,
+    pub aim_ms: Option<f64>,
     /// The billed value.
     #[garde(inner(custom(not_under_nothing)))]
-    #[serde(rename = "worth")]
-    pub priority_weight: Option<f64>,
+    pub worth: Option<f64>,
     /// The part of the billed value that an answer past the objective still has, 0 to 1.
     #[garde(inner(custom(part)))]
-    #[serde(rename = "late")]
-    pub late_value_part: Option<f64>,
+    pub late: Option<f64>,
     /// By the dependency's name: the part of the caller's time that calls to it may take, above 0 and up to 1.
     #[garde(custom(shares_of_time))]
     pub calls: BTreeMap<String, f64>,
@@ -75,8 +72,7 @@
 pub struct DependencyPolicy {
     /// The part of the servers that may be out at one time, 0 to 1.
     #[garde(inner(custom(part)))]
-    #[serde(rename = "out_most")]
-    pub max_ejected_part: Option<f64>,
+    pub out_most: Option<f64>,
     /// How many of the servers one instance uses.
     #[garde(inner(range(min = 1)))]
     pub subset: Option<usize>,
@@ -189,9 +185,9 @@
                     settings.insert(format!("Classes.{place}.{field}"), value.to_string());
                 }
             };
-            set("AimUs", of.latency_objective_ms.map(|aim| aim * 1e3));
-            set("Worth", of.priority_weight);
-            set("LateWorth", of.late_value_part);
+            set("AimUs", of.aim_ms.map(|aim| aim * 1e3));
+            set("Worth", of.worth);
+            set("LateWorth", of.late);
             // An objective of nothing is met by nothing: the module turns it away (docs/design.md).
             set("AimUs", (of.admit == Some(false)).then_some(0.0));
         }
@@ -240,7 +236,7 @@
                 whys.push(format!("dependencies.{name}: there is no such dependency"));
                 continue;
             };
-            own.out_most = of.max_ejected_part.unwrap_or(own.out_most);
+            own.out_most = of.out_most.unwrap_or(own.out_most);
             own.subset = of.subset.or(own.subset);
         }
         for name in self
@@ -282,23 +278,4 @@
             Err(whys.join("; "))
         }
     }
-
-    /// A number for what it says, to tell documents apart; its note does not count.
-    pub fn fingerprint(&self) -> u64 {
-        let mut text = String::new();
-        let Policy {
-            note: _,
-            operations,
-            tenants,
-            call_share,
-            dependencies,
-            budgets,
-        } = self;
-        text += &format!("{operations:?}{tenants:?}{call_share:?}{dependencies:?}");
-        if !budgets.is_empty() {
-            text += &format!("{budgets:?}"); // else as of programs that know none
-        }
-        let back: Vec<u8> = text.bytes().rev().collect();
-        u64::from(crc32fast::hash(text.as_bytes())) << 32 | u64::from(crc32fast::hash(&back))
-    }
 }
--- a/crates/merlinshelf-policy/src/lib.rs
+++ b/crates/merlinshelf-policy/src/lib.rs
@@ -5,6 +5,7 @@
 //! well. What the agents have decided together is a [`ReplicatedState`], the same on all of them (docs/policy.md).
 
 pub mod document;
+mod fingerprint;
 pub mod host_lease_manager;
 pub mod lease_holder;
 pub mod messages;
--- a/crates/merlinshelf-policy/tests/golden.rs
+++ b/crates/merlinshelf-policy/tests/golden.rs
@@ -12,14 +12,18 @@
 use std::fmt::Debug;
 use std::path::{Path, PathBuf};
 
-use merlinshelf_policy::document::{DependencyOf, OperationOf};
-use merlinshelf_policy::holder::Passed;
-use merlinshelf_policy::ledger::{Change, Ended, Stage};
+use merlinshelf_policy::document::{DependencyPolicy, OperationPolicy};
+use merlinshelf_policy::lease_holder::HandoverState;
+use merlinshelf_policy::replicated_state::{Change, CompletedChange, Stage};
 use merlinshelf_policy::{
-    Acting, Beat, Entry, Founding, Grant, Holder, HostAsk, HostWord, Ledger, Policy, Prepared,
-    Said, Verdict, Without,
+    Bootstrap, ChangeOutcome, EffectivePolicy, Entry, Heartbeat, HostLeaseRequest,
+    HostLeaseResponse, InstanceStatus, LeaseExpiryMode, LeaseGrant, LeaseHolder, Policy,
+    PrepareResult, ReplicatedState,
+};
+use merlinshelf_quota::{
+    CallKind, DependencyGrant, DependencyHealth, DependencyRequest, Phase, QuotaGrant,
+    QuotaGrantBatch, QuotaRequest, QuotaRequestBatch,
 };
-use merlinshelf_quota::{Asked, Claim, Given, Kind, Phase, PlaceAsked, PlaceGiven, Share, Sight};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
@@ -89,7 +93,7 @@
         note: "exam evenings".into(),
         operations: BTreeMap::from([(
             "playback-token".into(),
-            OperationOf {
+            OperationPolicy {
                 admit: Some(false),
                 aim_ms: Some(1200.5),
                 worth: Some(4.25),
@@ -101,7 +105,7 @@
         call_share: Some(5.5),
         dependencies: BTreeMap::from([(
             "thumbs".into(),
-            DependencyOf {
+            DependencyPolicy {
                 out_most: Some(0.375),
                 subset: Some(3),
             },
@@ -109,10 +113,10 @@
         budgets: BTreeMap::from([(
             "catalogue".into(),
             BTreeMap::from([
-                (Kind::Again, 24),
-                (Kind::Probes, 8),
-                (Kind::First, 240),
-                (Kind::Opened, 200),
+                (CallKind::Retry, 24),
+                (CallKind::Probe, 8),
+                (CallKind::FirstCall, 240),
+                (CallKind::NewConnection, 200),
             ]),
         )]),
     }
@@ -134,18 +138,18 @@
         operations: BTreeMap::from([
             (
                 "playback-token".into(),
-                OperationOf {
+                OperationPolicy {
                     aim_ms: Some(1200.0),
                     worth: Some(4.0),
-                    ..OperationOf::default()
+                    ..OperationPolicy::default()
                 },
             ),
             (
                 "transcript-search".into(),
-                OperationOf {
+                OperationPolicy {
                     worth: Some(1.0),
                     late: Some(0.1),
-                    ..OperationOf::default()
+                    ..OperationPolicy::default()
                 },
             ),
         ]),
@@ -155,34 +159,34 @@
 }
 
 /// What is asked of budgets: all kinds of calls.
-fn asked_of_budgets() -> Asked {
-    let claim = |token: u64| Claim {
-        life: 61,
-        token,
-        need: 62,
-        worth: 6.25,
-        heard: (63, 64),
-        spent: 65,
+fn asked_of_budgets() -> QuotaRequestBatch {
+    let claim = |token: u64| QuotaRequest {
+        incarnation: 61,
+        request_id: token,
+        calls_needed: 62,
+        priority_weight: 6.25,
+        acknowledged_grant: (63, 64),
+        calls_spent: 65,
     };
-    Asked {
-        life: 51,
-        token: 52,
+    QuotaRequestBatch {
+        incarnation: 51,
+        request_id: 52,
         zone: "erlangen".into(),
-        places: BTreeMap::from([(
+        dependencies: BTreeMap::from([(
             "catalogue".into(),
-            PlaceAsked {
-                sight: Sight {
-                    instances: 53,
-                    failing: 54,
-                    good: 55,
-                    bad: 56,
+            DependencyRequest {
+                health: DependencyHealth {
+                    calling_instances: 53,
+                    failing_instances: 54,
+                    succeeded_calls: 55,
+                    failed_calls: 56,
                 },
-                phase: Some(Phase::Returns),
-                claims: BTreeMap::from([
-                    (Kind::Again, claim(71)),
-                    (Kind::Probes, claim(72)),
-                    (Kind::First, claim(73)),
-                    (Kind::Opened, claim(74)),
+                phase: Some(Phase::Recovering),
+                requests: BTreeMap::from([
+                    (CallKind::Retry, claim(71)),
+                    (CallKind::Probe, claim(72)),
+                    (CallKind::FirstCall, claim(73)),
+                    (CallKind::NewConnection, claim(74)),
                 ]),
             },
         )]),
@@ -190,72 +194,72 @@
 }
 
 /// The answer to what is asked of budgets.
-fn given_of_budgets() -> Given {
-    let share = Share {
-        life: 81,
-        token: 82,
-        keeper: 83,
-        number: 84,
-        calls: 85,
-        for_s: 1.75,
+fn given_of_budgets() -> QuotaGrantBatch {
+    let share = QuotaGrant {
+        incarnation: 81,
+        request_id: 82,
+        allocator_id: 83,
+        grant_number: 84,
+        calls_per_second: 85,
+        duration_seconds: 1.75,
     };
-    Given {
-        life: 86,
-        token: 87,
-        places: BTreeMap::from([(
+    QuotaGrantBatch {
+        incarnation: 86,
+        request_id: 87,
+        dependencies: BTreeMap::from([(
             "catalogue".into(),
-            PlaceGiven {
-                phase: Some(Phase::Fails),
-                shares: BTreeMap::from([(Kind::Probes, share)]),
+            DependencyGrant {
+                phase: Some(Phase::Failing),
+                grants: BTreeMap::from([(CallKind::Probe, share)]),
             },
         )]),
     }
 }
 
-fn filled_prepared() -> Prepared {
-    Prepared {
-        number: 31,
-        ready: 32,
-        silent: 33,
-        unfit: vec![("n4".into(), "no such operation".into())],
+fn filled_prepared() -> PrepareResult {
+    PrepareResult {
+        version: 31,
+        ready_instances: 32,
+        silent_instances: 33,
+        rejections: vec![("n4".into(), "no such operation".into())],
     }
 }
 
 /// Replicated state with every field filled, and a change at this stage.
-fn filled_ledger(stage: Stage) -> Ledger {
-    Ledger {
-        founding: Some(Founding {
+fn filled_ledger(stage: Stage) -> ReplicatedState {
+    ReplicatedState {
+        bootstrap: Some(Bootstrap {
             lease_ms: 2000,
-            base: BASE_FINGERPRINT,
+            base_fingerprint: BASE_FINGERPRINT,
         }),
-        last: 12,
-        current: 11,
+        last_version: 12,
+        current_version: 11,
         policy: short_policy("the one that holds", 6.5),
-        former: Some((9, short_policy("the one before", 7.5))),
-        change: Some(Change {
-            number: 12,
-            id: "change-of-tuesday".into(),
+        previous: Some((9, short_policy("the one before", 7.5))),
+        pending_change: Some(Change {
+            version: 12,
+            change_id: "change-of-tuesday".into(),
             policy: filled_policy(),
-            by: "operations".into(),
-            at: 1_764_576_000.25,
+            proposed_by: "operations".into(),
+            proposed_at: 1_764_576_000.25,
             stage,
         }),
-        ended: VecDeque::from([
-            Ended {
-                number: 10,
-                id: "refused-one".into(),
+        completed_changes: VecDeque::from([
+            CompletedChange {
+                version: 10,
+                change_id: "refused-one".into(),
                 note: "too bold".into(),
-                by: "somebody".into(),
-                at: 1_764_400_000.5,
-                verdict: Verdict::Refused(vec![("n7".into(), "no such tenant".into())]),
+                proposed_by: "somebody".into(),
+                proposed_at: 1_764_400_000.5,
+                outcome: ChangeOutcome::Rejected(vec![("n7".into(), "no such tenant".into())]),
             },
-            Ended {
-                number: 11,
-                id: "held-one".into(),
+            CompletedChange {
+                version: 11,
+                change_id: "held-one".into(),
                 note: "the one that holds".into(),
-                by: "somebody else".into(),
-                at: 1_764_500_000.75,
-                verdict: Verdict::Held,
+                proposed_by: "somebody else".into(),
+                proposed_at: 1_764_500_000.75,
+                outcome: ChangeOutcome::Committed,
             },
         ]),
     }
@@ -275,77 +279,77 @@
 
 #[test]
 fn replicated_state_of_a_new_installation() {
-    assert_message_pack("ledger_new.bin", &Ledger::default());
+    assert_message_pack("ledger_new.bin", &ReplicatedState::default());
 }
 
 #[test]
 fn log_entries() {
     assert_message_pack(
         "entry_found.bin",
-        &Entry::Found(Founding {
+        &Entry::Bootstrap(Bootstrap {
             lease_ms: 2500,
-            base: BASE_FINGERPRINT,
+            base_fingerprint: BASE_FINGERPRINT,
         }),
     );
     assert_message_pack(
         "entry_propose.bin",
         &Entry::Propose {
-            id: "change-of-tuesday".into(),
+            change_id: "change-of-tuesday".into(),
             policy: Box::new(filled_policy()),
-            by: "operations".into(),
-            at: 1_764_576_000.25,
+            proposed_by: "operations".into(),
+            proposed_at: 1_764_576_000.25,
         },
     );
     assert_message_pack(
         "entry_decide.bin",
         &Entry::Decide {
-            number: 12,
-            hold: true,
-            why: vec![("n7".into(), "no such tenant".into())],
+            version: 12,
+            accepted: true,
+            rejections: vec![("n7".into(), "no such tenant".into())],
         },
     );
-    assert_message_pack("entry_open.bin", &Entry::Open { number: 13 });
+    assert_message_pack("entry_open.bin", &Entry::Activate { version: 13 });
 }
 
 // Between an instance and its agent.
 
 #[test]
 fn heartbeat_from_an_agent_to_an_instance() {
-    let grant = Grant {
-        number: 22,
-        asked: 1021.5,
-        for_s: 1.625,
+    let grant = LeaseGrant {
+        version: 22,
+        requested_at: 1021.5,
+        duration_seconds: 1.625,
     };
     assert_json(
         "beat.json",
-        &Beat {
-            life: INSTANCE_LIFE,
-            offer: Some((23, filled_policy())),
-            fence: 21,
+        &Heartbeat {
+            incarnation: INSTANCE_LIFE,
+            offered_policy: Some((23, filled_policy())),
+            fence_version: 21,
             grant: Some(grant),
-            given: Some(given_of_budgets()),
+            quota_grants: Some(given_of_budgets()),
         },
     );
-    assert_json("beat_empty.json", &Beat::default());
+    assert_json("beat_empty.json", &Heartbeat::default());
 }
 
 #[test]
 fn answer_of_an_instance_to_a_heartbeat() {
     assert_json(
         "said.json",
-        &Said {
-            life: INSTANCE_LIFE,
-            asked: 1022.25,
-            fenced: 21,
-            knows: vec![22, 23],
-            unfit: Some((24, "no such dependency".into())),
-            acts: Some(22),
-            left_s: 1.375,
-            base: BASE_FINGERPRINT,
-            wishes: Some(asked_of_budgets()),
+        &InstanceStatus {
+            incarnation: INSTANCE_LIFE,
+            reported_at: 1022.25,
+            fenced_version: 21,
+            known_versions: vec![22, 23],
+            rejected_version: Some((24, "no such dependency".into())),
+            effective_version: Some(22),
+            lease_remaining_seconds: 1.375,
+            base_fingerprint: BASE_FINGERPRINT,
+            quota_requests: Some(asked_of_budgets()),
         },
     );
-    assert_json("said_empty.json", &Said::default());
+    assert_json("said_empty.json", &InstanceStatus::default());
 }
 
 // Between agents.
@@ -354,31 +358,31 @@
 fn lease_request_of_a_host() {
     assert_message_pack(
         "host_ask.bin",
-        &HostAsk {
+        &HostLeaseRequest {
             host: "h2".into(),
-            life: AGENT_LIFE,
-            token: 41,
-            fenced: 42,
-            prepared: Some(filled_prepared()),
-            service: (43, 44),
-            wishes: Some(asked_of_budgets()),
+            incarnation: AGENT_LIFE,
+            request_id: 41,
+            fenced_version: 42,
+            prepare_result: Some(filled_prepared()),
+            service_counts: (43, 44),
+            quota_requests: Some(asked_of_budgets()),
         },
     );
-    assert_message_pack("host_ask_empty.bin", &HostAsk::default());
+    assert_message_pack("host_ask_empty.bin", &HostLeaseRequest::default());
 }
 
 #[test]
 fn lease_response_of_the_leader() {
     assert_message_pack(
         "host_word.bin",
-        &HostWord {
-            life: AGENT_LIFE,
-            token: 45,
-            granted: 46,
-            given: Some(given_of_budgets()),
+        &HostLeaseResponse {
+            incarnation: AGENT_LIFE,
+            request_id: 45,
+            granted_version: 46,
+            quota_grants: Some(given_of_budgets()),
         },
     );
-    assert_message_pack("host_word_empty.bin", &HostWord::default());
+    assert_message_pack("host_word_empty.bin", &HostLeaseResponse::default());
 }
 
 /// What an older version does not know to say is taken as its default, and what a later one says beside it is passed over.
@@ -398,14 +402,14 @@
             assert_eq!(decoded, T::default(), "{name}");
         }
     }
-    assert_tolerant::<Beat>("Beat");
-    assert_tolerant::<Grant>("Grant");
-    assert_tolerant::<Said>("Said");
-    assert_tolerant::<HostAsk>("HostAsk");
-    assert_tolerant::<Prepared>("Prepared");
-    assert_tolerant::<HostWord>("HostWord");
-    assert_tolerant::<Ledger>("Ledger");
-    assert_tolerant::<Passed>("Passed");
+    assert_tolerant::<Heartbeat>("Beat");
+    assert_tolerant::<LeaseGrant>("Grant");
+    assert_tolerant::<InstanceStatus>("Said");
+    assert_tolerant::<HostLeaseRequest>("HostAsk");
+    assert_tolerant::<PrepareResult>("PrepareResult");
+    assert_tolerant::<HostLeaseResponse>("HostWord");
+    assert_tolerant::<ReplicatedState>("Ledger");
+    assert_tolerant::<HandoverState>("Passed");
 }
 
 // The policy document.
@@ -455,7 +459,10 @@
 /// As the operators' file of an instance writes it (`policy.without`).
 #[test]
 fn what_is_done_without_a_lease() {
-    assert_json("without.json", &vec![Without::Base, Without::TurnAway]);
+    assert_json(
+        "without.json",
+        &vec![LeaseExpiryMode::BasePolicy, LeaseExpiryMode::RejectAll],
+    );
 }
 
 // Handed over in an upgrade.
@@ -464,40 +471,54 @@
 fn lease_and_documents_that_a_successor_goes_on_with() {
     let base = short_policy("base", 8.5);
     let (drift, other) = (0.125, short_policy("the next one", 9.5));
-    let mut holder = Holder::new(INSTANCE_LIFE, base.clone(), Without::Base, drift);
-    let offers = |number: u64, policy: Policy, grant: Option<Grant>| Beat {
-        life: INSTANCE_LIFE,
-        offer: Some((number, policy)),
+    let mut holder = LeaseHolder::new(
+        INSTANCE_LIFE,
+        base.clone(),
+        LeaseExpiryMode::BasePolicy,
+        drift,
+    );
+    let offers = |number: u64, policy: Policy, grant: Option<LeaseGrant>| Heartbeat {
+        incarnation: INSTANCE_LIFE,
+        offered_policy: Some((number, policy)),
         grant,
-        ..Beat::default()
+        ..Heartbeat::default()
     };
-    let grant = Grant {
-        number: 7,
-        asked: 2.0,
-        for_s: 8.0,
+    let grant = LeaseGrant {
+        version: 7,
+        requested_at: 2.0,
+        duration_seconds: 8.0,
     };
-    holder.heard(1.0, offers(7, filled_policy(), None), |_| Ok(()));
-    holder.heard(3.0, offers(9, other.clone(), Some(grant)), |_| Ok(()));
-    let handed_over = holder.pass(INSTANCE_LIFE + 1);
+    holder.handle_heartbeat(1.0, offers(7, filled_policy(), None), |_| Ok(()));
+    holder.handle_heartbeat(3.0, offers(9, other.clone(), Some(grant)), |_| Ok(()));
+    let handed_over = holder.begin_handover(INSTANCE_LIFE + 1);
     assert_message_pack("passed.bin", &handed_over);
-    assert_message_pack("passed_empty.bin", &Passed::default());
+    assert_message_pack("passed_empty.bin", &HandoverState::default());
 
     let golden = read_golden("passed.bin");
-    let decoded: Passed = rmp_serde::from_slice(&golden).expect("the golden file is decoded");
-    let mut successor = Holder::new(INSTANCE_LIFE + 2, base.clone(), Without::Base, drift);
-    successor.take(decoded);
-    let expected = Said {
-        life: INSTANCE_LIFE + 2,
-        asked: 4.0,
-        fenced: 6,
-        knows: vec![7, 9],
-        unfit: None,
-        acts: Some(7),
-        left_s: 5.0, // until 9.0: an eighth of eight seconds is held back for drift
-        base: base.fingerprint(),
-        wishes: None,
+    let decoded: HandoverState =
+        rmp_serde::from_slice(&golden).expect("the golden file is decoded");
+    let mut successor = LeaseHolder::new(
+        INSTANCE_LIFE + 2,
+        base.clone(),
+        LeaseExpiryMode::BasePolicy,
+        drift,
+    );
+    successor.resume(decoded);
+    let expected = InstanceStatus {
+        incarnation: INSTANCE_LIFE + 2,
+        reported_at: 4.0,
+        fenced_version: 6,
+        known_versions: vec![7, 9],
+        rejected_version: None,
+        effective_version: Some(7),
+        lease_remaining_seconds: 5.0, // until 9.0: an eighth of eight seconds is held back for drift
+        base_fingerprint: base.fingerprint(),
+        quota_requests: None,
     };
-    assert_eq!(successor.said(4.0), expected);
-    assert_eq!(*successor.policy(Acting::Held(7)), filled_policy());
-    assert_eq!(*successor.policy(Acting::Held(9)), other);
+    assert_eq!(successor.status(4.0), expected);
+    assert_eq!(
+        *successor.policy(EffectivePolicy::Leased(7)),
+        filled_policy()
+    );
+    assert_eq!(*successor.policy(EffectivePolicy::Leased(9)), other);
 }
--- a/crates/merlinshelf-quota/tests/golden.rs
+++ b/crates/merlinshelf-quota/tests/golden.rs
@@ -14,8 +14,8 @@
 use std::path::{Path, PathBuf};
 
 use merlinshelf_quota::{
-    Asked, Budgets, Claim, Given, Kind, Lease, Left, Phase, PlaceAsked, PlaceGiven, Share, Sight,
-    Spender, purse,
+    Budgets, CallKind, DependencyGrant, DependencyHealth, DependencyRequest, LeaseTerms, Phase,
+    QuotaClient, QuotaGrant, QuotaGrantBatch, QuotaRequest, QuotaRequestBatch, Remaining, reserve,
 };
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -79,77 +79,77 @@
 // Samples.
 
 /// What is asked of budgets: all kinds of calls, all phases and none.
-fn filled_request() -> Asked {
-    let claim = |token: u64| Claim {
-        life: INSTANCE_LIFE + token,
-        token,
-        need: 62,
-        worth: 6.25,
-        heard: (63, 64),
-        spent: 65,
+fn filled_request() -> QuotaRequestBatch {
+    let claim = |token: u64| QuotaRequest {
+        incarnation: INSTANCE_LIFE + token,
+        request_id: token,
+        calls_needed: 62,
+        priority_weight: 6.25,
+        acknowledged_grant: (63, 64),
+        calls_spent: 65,
     };
-    let place = |phase: Option<Phase>, number: u32| PlaceAsked {
-        sight: Sight {
-            instances: number,
-            failing: number + 1,
-            good: number + 2,
-            bad: number + 3,
+    let place = |phase: Option<Phase>, number: u32| DependencyRequest {
+        health: DependencyHealth {
+            calling_instances: number,
+            failing_instances: number + 1,
+            succeeded_calls: number + 2,
+            failed_calls: number + 3,
         },
         phase,
-        claims: BTreeMap::from([(Kind::First, claim(u64::from(number)))]),
+        requests: BTreeMap::from([(CallKind::FirstCall, claim(u64::from(number)))]),
     };
-    let all_kinds = PlaceAsked {
-        claims: BTreeMap::from([
-            (Kind::Again, claim(71)),
-            (Kind::Probes, claim(72)),
-            (Kind::First, claim(73)),
-            (Kind::Opened, claim(74)),
+    let all_kinds = DependencyRequest {
+        requests: BTreeMap::from([
+            (CallKind::Retry, claim(71)),
+            (CallKind::Probe, claim(72)),
+            (CallKind::FirstCall, claim(73)),
+            (CallKind::NewConnection, claim(74)),
         ]),
-        ..place(Some(Phase::Returns), 10)
+        ..place(Some(Phase::Recovering), 10)
     };
-    Asked {
-        life: INSTANCE_LIFE,
-        token: 52,
+    QuotaRequestBatch {
+        incarnation: INSTANCE_LIFE,
+        request_id: 52,
         zone: "erlangen".into(),
-        places: BTreeMap::from([
+        dependencies: BTreeMap::from([
             ("catalogue".into(), all_kinds),
-            ("assets".into(), place(Some(Phase::Well), 20)),
-            ("thumbs".into(), place(Some(Phase::Fails), 30)),
+            ("assets".into(), place(Some(Phase::Healthy), 20)),
+            ("thumbs".into(), place(Some(Phase::Failing), 30)),
             ("unheard".into(), place(None, 40)),
         ]),
     }
 }
 
 /// The answer to it: all kinds of calls, all phases and none.
-fn filled_response() -> Given {
-    let share = |calls: u32| Share {
-        life: INSTANCE_LIFE,
-        token: 82,
-        keeper: 83,
-        number: 84,
-        calls,
-        for_s: 1.75,
+fn filled_response() -> QuotaGrantBatch {
+    let share = |calls: u32| QuotaGrant {
+        incarnation: INSTANCE_LIFE,
+        request_id: 82,
+        allocator_id: 83,
+        grant_number: 84,
+        calls_per_second: calls,
+        duration_seconds: 1.75,
     };
-    let place = |phase: Option<Phase>, calls: u32| PlaceGiven {
+    let place = |phase: Option<Phase>, calls: u32| DependencyGrant {
         phase,
-        shares: BTreeMap::from([(Kind::First, share(calls))]),
+        grants: BTreeMap::from([(CallKind::FirstCall, share(calls))]),
     };
-    let all_kinds = PlaceGiven {
-        phase: Some(Phase::Returns),
-        shares: BTreeMap::from([
-            (Kind::Again, share(91)),
-            (Kind::Probes, share(92)),
-            (Kind::First, share(93)),
-            (Kind::Opened, share(94)),
+    let all_kinds = DependencyGrant {
+        phase: Some(Phase::Recovering),
+        grants: BTreeMap::from([
+            (CallKind::Retry, share(91)),
+            (CallKind::Probe, share(92)),
+            (CallKind::FirstCall, share(93)),
+            (CallKind::NewConnection, share(94)),
         ]),
     };
-    Given {
-        life: INSTANCE_LIFE,
-        token: 87,
-        places: BTreeMap::from([
+    QuotaGrantBatch {
+        incarnation: INSTANCE_LIFE,
+        request_id: 87,
+        dependencies: BTreeMap::from([
             ("catalogue".into(), all_kinds),
-            ("assets".into(), place(Some(Phase::Well), 95)),
-            ("thumbs".into(), place(Some(Phase::Fails), 96)),
+            ("assets".into(), place(Some(Phase::Healthy), 95)),
+            ("thumbs".into(), place(Some(Phase::Failing), 96)),
             ("unheard".into(), place(None, 97)),
         ]),
     }
@@ -161,16 +161,16 @@
 fn request_for_quota() {
     assert_json("asked.json", &filled_request());
     assert_message_pack("asked.bin", &filled_request());
-    assert_json("asked_empty.json", &Asked::default());
-    assert_message_pack("asked_empty.bin", &Asked::default());
+    assert_json("asked_empty.json", &QuotaRequestBatch::default());
+    assert_message_pack("asked_empty.bin", &QuotaRequestBatch::default());
 }
 
 #[test]
 fn grant_of_quota() {
     assert_json("given.json", &filled_response());
     assert_message_pack("given.bin", &filled_response());
-    assert_json("given_empty.json", &Given::default());
-    assert_message_pack("given_empty.bin", &Given::default());
+    assert_json("given_empty.json", &QuotaGrantBatch::default());
+    assert_message_pack("given_empty.bin", &QuotaGrantBatch::default());
 }
 
 /// What an older version does not know to say is taken as its default, and what a later one says beside it is passed over.
@@ -189,38 +189,39 @@
             assert_eq!(decoded, T::default(), "{name}");
         }
     }
-    assert_tolerant::<Asked>("Asked");
-    assert_tolerant::<PlaceAsked>("PlaceAsked");
-    assert_tolerant::<Given>("Given");
-    assert_tolerant::<PlaceGiven>("PlaceGiven");
-    assert_tolerant::<Sight>("Sight");
+    assert_tolerant::<QuotaRequestBatch>("Asked");
+    assert_tolerant::<DependencyRequest>("PlaceAsked");
+    assert_tolerant::<QuotaGrantBatch>("Given");
+    assert_tolerant::<DependencyGrant>("PlaceGiven");
+    assert_tolerant::<DependencyHealth>("Sight");
 }
 
 /// Agents of before there were counts of what was spent leave them out.
 #[test]
 fn claim_without_what_was_spent() {
-    let claim = Claim {
-        life: 11,
-        token: 12,
-        need: 13,
-        worth: 1.25,
-        heard: (14, 15),
-        spent: 0,
+    let claim = QuotaRequest {
+        incarnation: 11,
+        request_id: 12,
+        calls_needed: 13,
+        priority_weight: 1.25,
+        acknowledged_grant: (14, 15),
+        calls_spent: 0,
     };
     let golden = read_golden("claim_without_spent.json");
-    let decoded: Claim = serde_json::from_slice(&golden).expect("the golden file is decoded");
+    let decoded: QuotaRequest =
+        serde_json::from_slice(&golden).expect("the golden file is decoded");
     assert_eq!(decoded, claim);
 }
 
 /// As they stand in messages, policies, reports and names of files.
 #[test]
 fn names_of_kinds_and_phases() {
-    assert_json("kinds.json", &Kind::ALL.to_vec());
+    assert_json("kinds.json", &CallKind::ALL.to_vec());
     assert_json(
         "phases.json",
-        &vec![Phase::Well, Phase::Returns, Phase::Fails],
+        &vec![Phase::Healthy, Phase::Recovering, Phase::Failing],
     );
-    let names: Vec<&str> = Kind::ALL.into_iter().map(Kind::name).collect();
+    let names: Vec<&str> = CallKind::ALL.into_iter().map(CallKind::name).collect();
     let golden: Vec<String> = serde_json::from_slice(&read_golden("kinds.json")).expect("names");
     assert_eq!(names, golden);
 }
@@ -228,71 +229,77 @@
 // Handed over in an upgrade.
 
 /// Lets a client of budgets come by something to hand over in each of its fields.
-fn filled_spender() -> Spender {
-    let lease = Lease {
-        lease_s: 2.0,
+fn filled_spender() -> QuotaClient {
+    let lease = LeaseTerms {
+        lease_seconds: 2.0,
         drift: 0.0625,
     };
-    let kinds = [Kind::Again, Kind::Probes, Kind::First, Kind::Opened];
+    let kinds = [
+        CallKind::Retry,
+        CallKind::Probe,
+        CallKind::FirstCall,
+        CallKind::NewConnection,
+    ];
     let budgets = Budgets::from([
         (
             "catalogue".into(),
             kinds.into_iter().zip([24, 8, 240, 200]).collect(),
         ),
-        ("thumbs".into(), BTreeMap::from([(Kind::First, 5)])),
+        ("thumbs".into(), BTreeMap::from([(CallKind::FirstCall, 5)])),
     ]);
-    let mut spender = Spender::new(INSTANCE_LIFE, lease);
-    spender.bound(&budgets); // nobody looks at `thumbs`: it stays new
+    let mut spender = QuotaClient::new(INSTANCE_LIFE, lease);
+    spender.set_budgets(&budgets); // nobody looks at `thumbs`: it stays new
 
     // The first round: the dependency fails for all, and there is a share of each kind.
-    assert_eq!(spender.asks(10.0).token, 1);
-    let share = |kind: Kind, calls: u32| {
-        let share = Share {
-            life: INSTANCE_LIFE,
-            token: 1,
-            keeper: 31,
-            number: 40 + u64::from(calls),
-            calls,
-            for_s: 1.5,
+    assert_eq!(spender.request(10.0).request_id, 1);
+    let share = |kind: CallKind, calls: u32| {
+        let share = QuotaGrant {
+            incarnation: INSTANCE_LIFE,
+            request_id: 1,
+            allocator_id: 31,
+            grant_number: 40 + u64::from(calls),
+            calls_per_second: calls,
+            duration_seconds: 1.5,
         };
         (kind, share)
     };
-    let given = |token: u64, phase: Phase, shares: BTreeMap<Kind, Share>| Given {
-        life: INSTANCE_LIFE,
-        token,
-        places: BTreeMap::from([(
-            "catalogue".into(),
-            PlaceGiven {
-                phase: Some(phase),
-                shares,
-            },
-        )]),
-    };
+    let given =
+        |token: u64, phase: Phase, shares: BTreeMap<CallKind, QuotaGrant>| QuotaGrantBatch {
+            incarnation: INSTANCE_LIFE,
+            request_id: token,
+            dependencies: BTreeMap::from([(
+                "catalogue".into(),
+                DependencyGrant {
+                    phase: Some(phase),
+                    grants: shares,
+                },
+            )]),
+        };
     let shares = kinds.into_iter().zip([7, 3, 11, 5]);
     let shares = shares.map(|(kind, calls)| share(kind, calls)).collect();
-    spender.given(10.25, &given(1, Phase::Fails, shares), &mut || 0.5);
-    let left = spender.left(10.5, "catalogue");
-    assert!(left.closed && left.again == 7, "{left:?}");
-    spender.fails(10.5, "catalogue", true);
-    for kind in [Kind::Again, Kind::Opened] {
-        spender.wants(10.5, "catalogue", kind, 1.25);
-        spender.spent(10.5, "catalogue", kind, 2);
+    spender.handle_grants(10.25, &given(1, Phase::Failing, shares), &mut || 0.5);
+    let left = spender.remaining(10.5, "catalogue");
+    assert!(left.probes_only && left.retries == 7, "{left:?}");
+    spender.set_failing(10.5, "catalogue", true);
+    for kind in [CallKind::Retry, CallKind::NewConnection] {
+        spender.record_demand(10.5, "catalogue", kind, 1.25);
+        spender.record_spent(10.5, "catalogue", kind, 2);
     }
 
     // The second round: it returns, which nobody has looked at yet. The third one is not answered.
-    assert_eq!(spender.asks(10.75).token, 2);
-    let returns = given(2, Phase::Returns, BTreeMap::new());
-    spender.given(10.875, &returns, &mut || 0.5);
-    assert_eq!(spender.asks(11.0).token, 3);
+    assert_eq!(spender.request(10.75).request_id, 2);
+    let returns = given(2, Phase::Recovering, BTreeMap::new());
+    spender.handle_grants(10.875, &returns, &mut || 0.5);
+    assert_eq!(spender.request(11.0).request_id, 3);
     for kind in kinds {
-        spender.wants(11.125, "catalogue", kind, 2.5);
-        spender.wants(11.125, "catalogue", kind, 3.0);
-        spender.spent(11.125, "catalogue", kind, 1);
+        spender.record_demand(11.125, "catalogue", kind, 2.5);
+        spender.record_demand(11.125, "catalogue", kind, 3.0);
+        spender.record_spent(11.125, "catalogue", kind, 1);
     }
     for well in [true, false, false] {
-        spender.ended(11.25, "catalogue", well);
+        spender.record_call_end(11.25, "catalogue", well);
     }
-    spender.drew(11.25, "catalogue", Kind::First);
+    spender.record_reserve_draw(11.25, "catalogue", CallKind::FirstCall);
     spender
 }
 
@@ -300,44 +307,45 @@
 #[test]
 fn quota_that_a_successor_goes_on_with() {
     let mut predecessor = filled_spender();
-    let mut handed_over = predecessor.pass(INSTANCE_LIFE + 1);
+    let mut handed_over = predecessor.begin_handover(INSTANCE_LIFE + 1);
     let encoded = rmp_serde::to_vec_named(&handed_over).expect("it is encoded");
     let golden = assert_golden("spender.bin", &encoded);
-    let mut decoded: Spender = rmp_serde::from_slice(&golden).expect("the golden file is decoded");
+    let mut decoded: QuotaClient =
+        rmp_serde::from_slice(&golden).expect("the golden file is decoded");
     assert_eq!(format!("{decoded:#?}"), format!("{handed_over:#?}"));
     let again = rmp_serde::to_vec_named(&decoded).expect("it is encoded");
     assert_eq!(again, golden);
 
     // What it may still spend: of each share less what was spent within the last second or so, and the one call drawn.
-    let expected = Left {
-        closed: false,
-        opens: true,
-        again: 7 - 2 - 1,
+    let expected = Remaining {
+        probes_only: false,
+        reopened: true,
+        retries: 7 - 2 - 1,
         probes: 3 - 1,
-        first: 11 - 1 + 1,
+        first_calls: 11 - 1 + 1,
     };
     for spender in [&mut decoded, &mut handed_over] {
-        assert_eq!(spender.left(11.26, "catalogue"), expected);
-        assert_eq!(spender.may_open(11.26, "catalogue"), 5 - 2 - 1);
-        assert_eq!(spender.phase(11.26, "catalogue"), Some(Phase::Returns));
-        assert!(spender.bounds("thumbs"));
+        assert_eq!(spender.remaining(11.26, "catalogue"), expected);
+        assert_eq!(spender.remaining_connections(11.26, "catalogue"), 5 - 2 - 1);
+        assert_eq!(spender.phase(11.26, "catalogue"), Some(Phase::Recovering));
+        assert!(spender.has_budget("thumbs"));
     }
-    let asked = rmp_serde::to_vec_named(&decoded.asks(11.5)).expect("it is encoded");
-    let expected = rmp_serde::to_vec_named(&handed_over.asks(11.5)).expect("it is encoded");
+    let asked = rmp_serde::to_vec_named(&decoded.request(11.5)).expect("it is encoded");
+    let expected = rmp_serde::to_vec_named(&handed_over.request(11.5)).expect("it is encoded");
     assert_eq!(asked, expected);
 }
 
 /// Of a spender that holds nothing yet.
 #[test]
 fn quota_of_a_new_instance() {
-    let lease = Lease {
-        lease_s: 3.0,
+    let lease = LeaseTerms {
+        lease_seconds: 3.0,
         drift: 0.125,
     };
-    let spender = Spender::new(INSTANCE_LIFE, lease);
+    let spender = QuotaClient::new(INSTANCE_LIFE, lease);
     let encoded = rmp_serde::to_vec_named(&spender).expect("it is encoded");
     let golden = assert_golden("spender_new.bin", &encoded);
-    let decoded: Spender = rmp_serde::from_slice(&golden).expect("the golden file is decoded");
+    let decoded: QuotaClient = rmp_serde::from_slice(&golden).expect("the golden file is decoded");
     assert_eq!(format!("{decoded:#?}"), format!("{spender:#?}"));
 }
 
@@ -347,15 +355,15 @@
 #[test]
 fn file_of_what_a_host_has_set_aside() {
     let (calls, drift) = (3, 0.0625);
-    let first = purse::draw(&[], 1012.5, calls, drift).expect("one may be made");
-    let second = purse::draw(&first, 1012.75, calls, drift).expect("another one may be made");
+    let first = reserve::draw(&[], 1012.5, calls, drift).expect("one may be made");
+    let second = reserve::draw(&first, 1012.75, calls, drift).expect("another one may be made");
     let golden = assert_golden("purse.bin", &second);
     let moments: Vec<u8> = [1012.5_f64, 1012.75]
         .into_iter()
         .flat_map(f64::to_le_bytes)
         .collect();
     assert_eq!(golden, moments);
-    let third = purse::draw(&golden, 1013.0, calls, drift).expect("the last one may be made");
+    let third = reserve::draw(&golden, 1013.0, calls, drift).expect("the last one may be made");
     assert_eq!(third, [&golden[..], &1013.0_f64.to_le_bytes()].concat());
-    assert_eq!(purse::draw(&third, 1013.25, calls, drift), Err(None));
+    assert_eq!(reserve::draw(&third, 1013.25, calls, drift), Err(None));
 }
