--- a/crates/merlinshelf-agent/src/host.rs
+++ b/crates/merlinshelf-agent/src/host.rs
@@ -14,7 +14,7 @@
 use merlinshelf_backend::operator::Format;
 use merlinshelf_fleet::capacity::address;
 use merlinshelf_fleet::{Action, Fleet, FleetSpec, Identity, Report, State};
-use merlinshelf_protocol::control::{Question, Word};
+use merlinshelf_protocol::control::{ControlMessage, ControlRequest};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use rustix::process::Signal;
@@ -71,7 +71,7 @@
 }
 
 /// Where a tool's answers go.
-type Reply = UnboundedSender<(Word, Value)>;
+type Reply = UnboundedSender<(ControlMessage, Value)>;
 
 struct Agent {
     file: PathBuf,
@@ -453,8 +453,8 @@
                 };
                 let process = process.clone();
                 spawn_local(async move {
-                    let told = Talk::once(&control, Question::Drain, ANSWER_WITHIN).await;
-                    if !matches!(told, Ok((Word::Done, _))) {
+                    let told = Talk::once(&control, ControlRequest::Drain, ANSWER_WITHIN).await;
+                    if !matches!(told, Ok((ControlMessage::Done, _))) {
                         process.signal(Signal::TERM);
                     }
                 });
@@ -512,20 +512,22 @@
     }
 
     fn fleet_asked(&mut self, body: &Value, reply: Reply) {
-        let refused = |why: String| (Word::Refused, json!({ "text": why }));
+        let refused = |why: String| (ControlMessage::Refused, json!({ "text": why }));
         let now = self.now();
-        let say = |said: (Word, Value)| _ = reply.send(said);
+        let say = |said: (ControlMessage, Value)| _ = reply.send(said);
         let op = body["op"].as_str().unwrap_or("").to_owned();
         let selector = asked::selector(body);
         let done = |result: Result<(), merlinshelf_fleet::Refusal>| match result {
-            Ok(()) => (Word::Done, json!({ "text": "done" })),
+            Ok(()) => (ControlMessage::Done, json!({ "text": "done" })),
             Err(why) => refused(why.0),
         };
         match op.as_str() {
             "status" => match self.fleet.select(&selector) {
                 Ok(names) => {
                     let (pages, sum) = asked::status(&self.fleet, now, &names);
-                    pages.into_iter().for_each(|page| say((Word::More, page)));
+                    pages
+                        .into_iter()
+                        .for_each(|page| say((ControlMessage::More, page)));
                     for (agent, age, said) in self
                         .policy
                         .as_ref()
@@ -533,11 +535,11 @@
                         .unwrap_or_default()
                     {
                         say((
-                            Word::More,
+                            ControlMessage::More,
                             json!({ "agent": agent, "age_s": asked::round(age), "others": said["instances"] }),
                         ));
                     }
-                    say((Word::Done, sum));
+                    say((ControlMessage::Done, sum));
                 }
                 Err(why) => say(refused(why.0)),
             },
@@ -549,14 +551,17 @@
             },
             "watch" => self.watching.push(reply),
             "plan" => match self.fleet.plan() {
-                Some(plan) => say((Word::Done, asked::plan(plan))),
-                None => say((Word::Done, json!({ "plan": null }))),
+                Some(plan) => say((ControlMessage::Done, asked::plan(plan))),
+                None => say((ControlMessage::Done, json!({ "plan": null }))),
             },
             "pause" => say(done(self.fleet.pause())),
             "resume" => say(done(self.fleet.resume(now))),
             "abandon" => say(done(self.fleet.abandon())),
             "apply" => say(match self.apply() {
-                Ok(()) => (Word::Done, json!({ "text": "the file is read anew" })),
+                Ok(()) => (
+                    ControlMessage::Done,
+                    json!({ "text": "the file is read anew" }),
+                ),
                 Err(why) => refused(why),
             }),
             "scale" => {
@@ -575,9 +580,12 @@
                     for name in names {
                         let lines =
                             files::last_lines(&self.paths(&name).log, count).unwrap_or_default();
-                        say((Word::More, json!({ "name": name, "lines": lines })));
+                        say((
+                            ControlMessage::More,
+                            json!({ "name": name, "lines": lines }),
+                        ));
                     }
-                    say((Word::Done, json!({})));
+                    say((ControlMessage::Done, json!({})));
                 }
                 Err(why) => say(refused(why.0)),
             },
@@ -589,14 +597,14 @@
                         .iter()
                         .map(|of| json!({ "number": of.number, "at": of.at, "instance": of.instance, "text": of.text }))
                         .collect();
-                    say((Word::More, json!({ "events": page })));
+                    say((ControlMessage::More, json!({ "events": page })));
                 }
-                say((Word::Done, json!({})));
+                say((ControlMessage::Done, json!({})));
             }
             _ => match asked::command(body) {
                 Ok(Some(command)) if body["dry_run"] == true => {
                     match self.fleet.plan_for(&selector, &command) {
-                        Ok(plan) => say((Word::Done, asked::plan(&plan))),
+                        Ok(plan) => say((ControlMessage::Done, asked::plan(&plan))),
                         Err(why) => say(refused(why.0)),
                     }
                 }
@@ -605,7 +613,7 @@
                         self.following.push((number, reply, String::new()))
                     }
                     Ok(_) => say((
-                        Word::Done,
+                        ControlMessage::Done,
                         self.fleet.plan().map(asked::plan).unwrap_or_default(),
                     )),
                     Err(why) => say(refused(why.0)),
@@ -624,20 +632,26 @@
             self.following.retain_mut(|(number, reply, last)| {
                 if *number != plan.number {
                     let _ = reply.send((
-                        Word::Failed,
+                        ControlMessage::Failed,
                         json!({ "text": "another plan has taken its place" }),
                     ));
                     return false;
                 }
                 if plan.state.is_over() {
                     let well = plan.state == merlinshelf_fleet::PlanState::Done;
-                    let _ =
-                        reply.send((if well { Word::Done } else { Word::Failed }, shown.clone()));
+                    let _ = reply.send((
+                        if well {
+                            ControlMessage::Done
+                        } else {
+                            ControlMessage::Failed
+                        },
+                        shown.clone(),
+                    ));
                     return false;
                 }
                 if *last != text {
                     last.clone_from(&text);
-                    return reply.send((Word::More, shown.clone())).is_ok();
+                    return reply.send((ControlMessage::More, shown.clone())).is_ok();
                 }
                 !reply.is_closed()
             });
@@ -648,8 +662,8 @@
             for reply in std::mem::take(&mut self.watching) {
                 pages
                     .iter()
-                    .for_each(|page| _ = reply.send((Word::More, page.clone())));
-                let _ = reply.send((Word::Done, sum.clone()));
+                    .for_each(|page| _ = reply.send((ControlMessage::More, page.clone())));
+                let _ = reply.send((ControlMessage::Done, sum.clone()));
             }
         }
     }
@@ -657,8 +671,10 @@
 
 /// How whoever listens on a control socket stands; none where nobody says so in time.
 async fn reported(control: &Path) -> Option<Report> {
-    let answer = Talk::once(control, Question::Status, ANSWER_WITHIN).await;
-    let (_, said) = answer.ok().filter(|(word, _)| *word == Word::Done)?;
+    let answer = Talk::once(control, ControlRequest::Status, ANSWER_WITHIN).await;
+    let (_, said) = answer
+        .ok()
+        .filter(|(word, _)| *word == ControlMessage::Done)?;
     report(&said)
 }
 
@@ -683,12 +699,12 @@
 
 /// Asks an instance to hand over, to the end of it.
 async fn upgrade(control: &Path) -> Result<(), String> {
-    let talk = Talk::ask(control, Question::Upgrade, &json!({}), UPGRADE_WITHIN).await;
+    let talk = Talk::ask(control, ControlRequest::Upgrade, &json!({}), UPGRADE_WITHIN).await;
     let mut talk = talk.map_err(|error| error.to_string())?;
     loop {
         match talk.next().await {
-            Ok((Word::More, _)) => {}
-            Ok((Word::Done, _)) => return Ok(()),
+            Ok((ControlMessage::More, _)) => {}
+            Ok((ControlMessage::Done, _)) => return Ok(()),
             Ok((_, report)) => {
                 return Err(report["text"].as_str().unwrap_or("it failed").to_owned());
             }
@@ -697,7 +713,7 @@
                 sleep(Duration::from_millis(300)).await;
                 let status = timeout(
                     ANSWER_WITHIN,
-                    Talk::once(control, Question::Status, ANSWER_WITHIN),
+                    Talk::once(control, ControlRequest::Status, ANSWER_WITHIN),
                 )
                 .await;
                 return match status {
--- a/crates/merlinshelf-agent/src/links.rs
+++ b/crates/merlinshelf-agent/src/links.rs
@@ -8,7 +8,7 @@
 use log::{debug, warn};
 use merlinshelf_consensus::Message;
 use merlinshelf_policy::{Entry, HostLeaseRequest, HostLeaseResponse};
-use merlinshelf_protocol::control::{self, FORM, Question};
+use merlinshelf_protocol::control::{self, ControlRequest, PROTOCOL_VERSION};
 use serde::{Deserialize, Serialize};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -84,7 +84,7 @@
         let Some(way) = self.ways.get(to) else { return };
         let body = rmp_serde::to_vec_named(&(&self.name, word)).unwrap_or_default();
         let mut bytes = Vec::new();
-        control::ask(&mut bytes, Question::Council, &body);
+        control::ask(&mut bytes, ControlRequest::Consensus, &body);
         let _ = way.try_send(bytes); // full: it is not reached
     }
 
@@ -147,7 +147,7 @@
     loop {
         let used = match control::council(&come) {
             Ok(Some(((form, _, body), used))) => {
-                if form != FORM {
+                if form != PROTOCOL_VERSION {
                     return Err(io::Error::other(format!("form {form} is not spoken here")));
                 }
                 let said: (String, Peer) = rmp_serde::from_slice(body).map_err(io::Error::other)?;
--- a/crates/merlinshelf-agent/src/policy/asked.rs
+++ b/crates/merlinshelf-agent/src/policy/asked.rs
@@ -4,7 +4,7 @@
 
 use merlinshelf_policy::replicated_state::{ChangeOutcome, CompletedChange};
 use merlinshelf_policy::{Entry, Policy};
-use merlinshelf_protocol::control::Word;
+use merlinshelf_protocol::control::ControlMessage;
 use serde_json::{Value, json};
 use tokio::sync::mpsc::UnboundedSender;
 
@@ -17,7 +17,7 @@
 const TOLD_WITHIN: f64 = 4.0;
 
 /// Where a tool's answers go.
-type Reply = UnboundedSender<(Word, Value)>;
+type Reply = UnboundedSender<(ControlMessage, Value)>;
 
 /// A change that somebody waits for.
 pub(super) struct Pending {
@@ -53,7 +53,9 @@
     pub(super) fn put_parting(&mut self, now: f64) {
         for mut one in std::mem::take(&mut self.parting) {
             if !self.sits(&one.name) {
-                let _ = one.reply.send((Word::Done, json!({ "removed": one.name })));
+                let _ = one
+                    .reply
+                    .send((ControlMessage::Done, json!({ "removed": one.name })));
                 continue;
             }
             if now > one.since + TOLD_WITHIN {
@@ -61,7 +63,9 @@
                     "{} is a member still: no majority of the others is reached, or the file of the agent that leads names it",
                     one.name
                 );
-                let _ = one.reply.send((Word::Failed, json!({ "text": text })));
+                let _ = one
+                    .reply
+                    .send((ControlMessage::Failed, json!({ "text": text })));
                 continue;
             }
             if now >= one.put_at + PUT_AGAIN {
@@ -81,9 +85,14 @@
             let ledger = &self.seat.ledger;
             if let Some(ended) = ledger.outcome(&one.id) {
                 let held = ended.outcome == ChangeOutcome::Committed;
-                let _ = one
-                    .reply
-                    .send((if held { Word::Done } else { Word::Failed }, shown(ended)));
+                let _ = one.reply.send((
+                    if held {
+                        ControlMessage::Done
+                    } else {
+                        ControlMessage::Failed
+                    },
+                    shown(ended),
+                ));
                 continue;
             }
             if let Some(change) = ledger
@@ -93,7 +102,7 @@
                 && !one.wait
             {
                 let report = json!({ "number": change.version, "id": one.id, "state": "proposed" });
-                let _ = one.reply.send((Word::Done, report));
+                let _ = one.reply.send((ControlMessage::Done, report));
                 continue;
             }
             if now > one.since + patience {
@@ -111,7 +120,7 @@
                     one.id
                 );
                 let _ = one.reply.send((
-                    Word::Failed,
+                    ControlMessage::Failed,
                     json!({ "text": text, "id": one.id, "state": "unknown" }),
                 ));
                 continue;
@@ -137,22 +146,22 @@
     /// What a tool asks of policies.
     pub fn asked(&mut self, now: f64, body: &Value, reply: Reply) {
         let now = now * self.clock_rate;
-        let say = |word: Word, report: Value| _ = reply.send((word, report));
+        let say = |word: ControlMessage, report: Value| _ = reply.send((word, report));
         let ledger = &self.seat.ledger;
         match body["what"].as_str().unwrap_or("") {
-            "show" => say(Word::Done, self.show(now)),
-            "budgets" => say(Word::Done, self.show_budgets(now)),
+            "show" => say(ControlMessage::Done, self.show(now)),
+            "budgets" => say(ControlMessage::Done, self.show_budgets(now)),
             "history" => {
                 for ended in &ledger.completed_changes {
-                    say(Word::More, shown(ended));
+                    say(ControlMessage::More, shown(ended));
                 }
                 say(
-                    Word::Done,
+                    ControlMessage::Done,
                     json!({ "current": ledger.current_version, "under_way": ledger.pending_change.as_ref().map(|of| of.version) }),
                 );
             }
             "document" => say(
-                Word::Done,
+                ControlMessage::Done,
                 json!({ "number": ledger.current_version, "policy": ledger.policy, "base": self.of.base }),
             ),
             what @ ("propose" | "undo") => {
@@ -162,7 +171,7 @@
                             Ok(policy) => policy,
                             Err(error) => {
                                 return say(
-                                    Word::Refused,
+                                    ControlMessage::Refused,
                                     json!({ "text": format!("no policy: {error}") }),
                                 );
                             }
@@ -177,7 +186,10 @@
                         ..former.clone()
                     },
                     (_, None) => {
-                        return say(Word::Refused, json!({ "text": "nothing was changed yet" }));
+                        return say(
+                            ControlMessage::Refused,
+                            json!({ "text": "nothing was changed yet" }),
+                        );
                     }
                 };
                 let length = serde_json::to_vec(&policy).map_or(0, |bytes| bytes.len());
@@ -186,18 +198,21 @@
                     let text = format!(
                         "the document has {length} bytes, and {most} at the most are taken"
                     );
-                    return say(Word::Refused, json!({ "text": text }));
+                    return say(ControlMessage::Refused, json!({ "text": text }));
                 }
                 if let Err(report) = garde::Validate::validate(&policy) {
-                    return say(Word::Refused, json!({ "text": report.to_string().trim() }));
+                    return say(
+                        ControlMessage::Refused,
+                        json!({ "text": report.to_string().trim() }),
+                    );
                 }
                 if let Err(why) = self.budgets_fit(&policy.budgets) {
-                    return say(Word::Refused, json!({ "text": why }));
+                    return say(ControlMessage::Refused, json!({ "text": why }));
                 }
                 if body["dry_run"] == true {
                     let change = ledger.pending_change.as_ref().map(|of| of.version);
                     return say(
-                        Word::Done,
+                        ControlMessage::Done,
                         json!({
                             "would_be": ledger.last_version + 1, "in_place_of": ledger.current_version, "under_way": change,
                             "same": policy.fingerprint() == ledger.policy.fingerprint() && ledger.current_version > 0,
@@ -209,7 +224,7 @@
                     .filter(|id| !id.is_empty() && id.len() <= 64)
                 else {
                     return say(
-                        Word::Refused,
+                        ControlMessage::Refused,
                         json!({ "text": "a change needs an id of up to 64 characters" }),
                     );
                 };
@@ -227,7 +242,7 @@
                 if !ledger.knows_change(&id) && self.seat.leader().is_some() && body["wait"] != true
                 {
                     return say(
-                        Word::Refused,
+                        ControlMessage::Refused,
                         json!({ "text": format!("no change with id {id} is known"), "id": id }),
                     );
                 }
@@ -239,11 +254,11 @@
                     let text = format!(
                         "{name} stands in this agent's file: take it out of every agent's file, and start them anew, first"
                     );
-                    return say(Word::Refused, json!({ "text": text }));
+                    return say(ControlMessage::Refused, json!({ "text": text }));
                 }
                 if !self.sits(&name) {
                     return say(
-                        Word::Refused,
+                        ControlMessage::Refused,
                         json!({ "text": format!("{name} is no member") }),
                     );
                 }
@@ -255,7 +270,7 @@
                 });
             }
             other => say(
-                Word::Refused,
+                ControlMessage::Refused,
                 json!({ "text": format!("{other:?} is nothing that is done with policies") }),
             ),
         }
--- a/crates/merlinshelf-agent/src/policy/mod.rs
+++ b/crates/merlinshelf-agent/src/policy/mod.rs
@@ -16,7 +16,7 @@
 use merlinshelf_policy::{
     Bootstrap, Entry, HostLeaseManager, HostLeaseResponse, InstanceStatus, RolloutLeader,
 };
-use merlinshelf_protocol::control::{Question, Word};
+use merlinshelf_protocol::control::{ControlMessage, ControlRequest};
 use serde_json::{Value, json};
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 use tokio::task::spawn_local;
@@ -217,13 +217,13 @@
             spawn_local(async move {
                 let body = serde_json::to_value(&beat).unwrap_or_default();
                 let asked = async {
-                    Talk::ask(&control, Question::Policy, &body, BEAT_WITHIN)
+                    Talk::ask(&control, ControlRequest::Policy, &body, BEAT_WITHIN)
                         .await?
                         .next()
                         .await
                 };
                 let said = match tokio::time::timeout(BEAT_WITHIN, asked).await {
-                    Ok(Ok((Word::Done, said))) => {
+                    Ok(Ok((ControlMessage::Done, said))) => {
                         serde_json::from_value(said).map_err(|error| Some(error.to_string()))
                     }
                     Ok(Ok((_, report))) if report["text"] == "unreadable question" => {
--- a/crates/merlinshelf-agent/src/talk.rs
+++ b/crates/merlinshelf-agent/src/talk.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use merlinshelf_protocol::control::{self, FORM, Question, Word};
+use merlinshelf_protocol::control::{self, ControlMessage, ControlRequest, PROTOCOL_VERSION};
 use serde_json::{Value, json};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::UnixStream;
@@ -28,7 +28,7 @@
     /// Nobody listens there, or does not take the question.
     pub async fn ask(
         socket: &Path,
-        question: Question,
+        question: ControlRequest,
         body: &Value,
         patience: Duration,
     ) -> io::Result<Talk> {
@@ -51,12 +51,13 @@
     ///
     /// # Errors
     /// It ended, said nothing in time, or something else.
-    pub async fn next(&mut self) -> io::Result<(Word, Value)> {
+    pub async fn next(&mut self) -> io::Result<(ControlMessage, Value)> {
         loop {
             match control::word(&self.come) {
                 Ok(Some(((form, word, body), count))) => {
-                    if form != FORM {
-                        let text = format!("it speaks form {form}, this program form {FORM}");
+                    if form != PROTOCOL_VERSION {
+                        let text =
+                            format!("it speaks form {form}, this program form {PROTOCOL_VERSION}");
                         return Err(io::Error::other(text));
                     }
                     let report = serde_json::from_slice(body)?;
@@ -79,9 +80,9 @@
     /// As of `ask` and `next`.
     pub async fn once(
         socket: &Path,
-        question: Question,
+        question: ControlRequest,
         patience: Duration,
-    ) -> io::Result<(Word, Value)> {
+    ) -> io::Result<(ControlMessage, Value)> {
         Talk::ask(socket, question, &json!({}), patience)
             .await?
             .next()
@@ -100,7 +101,7 @@
     /// As of [`Talk::ask`].
     pub fn ask(
         socket: &Path,
-        question: Question,
+        question: ControlRequest,
         body: &Value,
         patience: Duration,
     ) -> io::Result<Blocking> {
@@ -111,7 +112,7 @@
 
     /// # Errors
     /// As of [`Talk::next`].
-    pub fn hear(&mut self) -> io::Result<(Word, Value)> {
+    pub fn hear(&mut self) -> io::Result<(ControlMessage, Value)> {
         self.runtime.block_on(self.talk.next())
     }
 }
--- a/crates/merlinshelf-backend/src/client/catalogue.rs
+++ b/crates/merlinshelf-backend/src/client/catalogue.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use log::{debug, warn};
-use merlinshelf_dependencies::Step;
+use merlinshelf_dependencies::Action;
 use merlinshelf_handover::{Flow, Key, Role, records};
 use merlinshelf_protocol::CallId;
 use merlinshelf_protocol::catalogue::{self, Reply};
@@ -249,14 +249,14 @@
         loop {
             let step = routing.borrow_mut().next();
             match step {
-                Some(Step::Attempt {
+                Some(Action::Attempt {
                     ticket,
                     attempt,
                     server,
                     wait,
                 }) => {
                     if self.tasks.len() >= self.most {
-                        let step = Step::Attempt {
+                        let step = Action::Attempt {
                             ticket,
                             attempt,
                             server,
@@ -289,7 +289,7 @@
                         }
                     }
                 }
-                Some(Step::GiveUp { attempt }) => {
+                Some(Action::GiveUp { attempt }) => {
                     self.held_attempts
                         .retain(|(_, call, _)| call.attempt != attempt);
                     let open = self
@@ -301,7 +301,7 @@
                         task.abort();
                     }
                 }
-                Some(Step::Over { .. }) => {}
+                Some(Action::Over { .. }) => {}
                 None => return,
             }
         }
--- a/crates/merlinshelf-backend/src/client/engine.rs
+++ b/crates/merlinshelf-backend/src/client/engine.rs
@@ -11,7 +11,7 @@
 use log::{debug, info, warn};
 use merlinshelf_handover::{Flow, Key, Role, records};
 use merlinshelf_protocol::Fault;
-use merlinshelf_protocol::engine::{self, Notice};
+use merlinshelf_protocol::engine::{self, EngineNotification};
 use rustix::net::{Shutdown, shutdown};
 use tokio::io::Interest;
 use tokio::net::TcpStream;
@@ -359,7 +359,7 @@
         let result = coming.read(|bytes| match engine::notice(bytes) {
             Ok(None) => Ok(0),
             // What was not agreed is not read as something else.
-            Ok(Some((Notice::Need { named: Some(_), .. }, _))) if !link.names => {
+            Ok(Some((EngineNotification::Need { named: Some(_), .. }, _))) if !link.names => {
                 Err(unreadable(Fault("a name that was not agreed"), bytes))
             }
             Ok(Some((notice, count))) => {
@@ -372,7 +372,7 @@
         result
     }
 
-    fn notice(&mut self, link: &mut Link, notice: &Notice) {
+    fn notice(&mut self, link: &mut Link, notice: &EngineNotification) {
         // A remark's number is nobody's business: were it ahead of the next notice's, that one would be lost.
         if let Some(number) = notice.number() {
             if number <= self.last {
@@ -383,7 +383,7 @@
         }
         let mut exchange = self.exchange.borrow_mut();
         match *notice {
-            Notice::Hello { warm, up_ms, names } => {
+            EngineNotification::Hello { warm, up_ms, names } => {
                 link.names = names && self.offer;
                 info!(
                     "the engine is up, {} for {up_ms} ms",
@@ -404,14 +404,14 @@
                 self.born = self.born.or(born);
                 exchange.engine_up(warm, up.as_secs_f64(), anew);
             }
-            Notice::Done {
+            EngineNotification::Done {
                 id,
                 end,
                 took_ms,
                 result,
                 ..
             } => exchange.ended(id, end, took_ms / 1e3, result),
-            Notice::Need {
+            EngineNotification::Need {
                 number,
                 id,
                 named,
@@ -420,12 +420,14 @@
                 let named = named.and_then(|name| std::str::from_utf8(name).ok());
                 exchange.wants_call(id, number, named, body);
             }
-            Notice::No { what } => match engine::refused(what) {
+            EngineNotification::No { what } => match engine::refused(what) {
                 Some((word, id)) => exchange.command_refused(word, id),
                 None => warn!("the engine refused {}", what.escape_ascii()),
             },
-            Notice::Note { text, .. } => info!("the engine notes: {}", text.escape_ascii()),
-            Notice::Stats { tag, ref gauges } => {
+            EngineNotification::Note { text, .. } => {
+                info!("the engine notes: {}", text.escape_ascii())
+            }
+            EngineNotification::Stats { tag, ref gauges } => {
                 let age = link
                     .asked
                     .take()
--- a/crates/merlinshelf-backend/src/client/mod.rs
+++ b/crates/merlinshelf-backend/src/client/mod.rs
@@ -2,7 +2,7 @@
 
 pub mod catalogue;
 pub mod engine;
-pub mod members;
+pub mod registration;
 
 use std::io;
 use std::net::SocketAddr;
--- a/crates/merlinshelf-backend/src/client/members.rs
+++ b/crates/merlinshelf-backend/src/client/registration.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use log::{debug, warn};
-use merlinshelf_protocol::members;
+use merlinshelf_protocol::registration;
 use tokio::net::TcpStream;
 use tokio::select;
 use tokio::time::{MissedTickBehavior, interval, timeout};
@@ -40,7 +40,7 @@
         }
         let up = !exchange.borrow().leaving();
         let mut going = Ring::default();
-        members::report(&mut going, &address.to_string(), &name, up);
+        registration::report(&mut going, &address.to_string(), &name, up);
         let outcome = match timeout(WAIT_MOST, once(address, kept.take(), going)).await {
             Ok(outcome) => outcome,
             Err(late) => Err(late.into()),
@@ -87,7 +87,7 @@
             return Err(io::ErrorKind::UnexpectedEof.into());
         }
         let mut answer = None;
-        coming.read(|bytes| match members::answer(bytes) {
+        coming.read(|bytes| match registration::answer(bytes) {
             Ok(None) => Ok(0),
             Ok(Some((one, count))) => {
                 answer = Some(one);
--- a/crates/merlinshelf-backend/src/control.rs
+++ b/crates/merlinshelf-backend/src/control.rs
@@ -12,7 +12,7 @@
 use log::{debug, info, warn};
 use merlinshelf_handover::predecessor::Progress;
 use merlinshelf_policy::{Heartbeat, InstanceStatus};
-use merlinshelf_protocol::control::{self, FORM, Question, Word};
+use merlinshelf_protocol::control::{self, ControlMessage, ControlRequest, PROTOCOL_VERSION};
 use serde_json::{Value, json};
 use tokio::net::{UnixListener, UnixStream};
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
@@ -45,7 +45,7 @@
     /// A beat of the host's agent; none where policies are off.
     Policy(Box<Heartbeat>, oneshot::Sender<Option<InstanceStatus>>),
     /// Something for an agent, and where its answers go: all but the last are `more`.
-    Fleet(Value, UnboundedSender<(Word, Value)>),
+    Fleet(Value, UnboundedSender<(ControlMessage, Value)>),
 }
 
 /// The open socket; dropping it closes it, and leaves what was asked already to its end.
@@ -149,46 +149,61 @@
     let (form, question, body) = match timeout(WORD_WITHIN, read(stream)).await? {
         Ok(read) => read,
         Err(error) if error.kind() == io::ErrorKind::InvalidData => {
-            return say(stream, Word::Failed, &json!({ "text": error.to_string() })).await;
+            return say(
+                stream,
+                ControlMessage::Failed,
+                &json!({ "text": error.to_string() }),
+            )
+            .await;
         }
         Err(error) => return Err(error),
     };
-    if form != FORM {
-        let text = format!("form {form} is not spoken here, form {FORM} is");
-        return say(stream, Word::Failed, &json!({ "text": text })).await;
+    if form != PROTOCOL_VERSION {
+        let text = format!("form {form} is not spoken here, form {PROTOCOL_VERSION} is");
+        return say(stream, ControlMessage::Failed, &json!({ "text": text })).await;
     }
     let gone = || io::Error::other("the process ends");
     match question {
-        Question::Status | Question::Drain => {
+        ControlRequest::Status | ControlRequest::Drain => {
             let (sender, answer) = oneshot::channel();
-            let ask = if question == Question::Status {
+            let ask = if question == ControlRequest::Status {
                 Asked::Status
             } else {
                 Asked::Drain
             };
             asked.send(ask(sender)).map_err(|_| gone())?;
             let answer = answer.await.map_err(|_| gone())?;
-            say(stream, Word::Done, &answer).await
+            say(stream, ControlMessage::Done, &answer).await
         }
-        Question::Knowledge => {
+        ControlRequest::Knowledge => {
             let (sender, pages) = oneshot::channel();
             asked.send(Asked::Knowledge(sender)).map_err(|_| gone())?;
             let Some(pages) = pages.await.map_err(|_| gone())? else {
-                return say(stream, Word::Refused, &json!({ "text": LEARNING_OFF })).await;
+                return say(
+                    stream,
+                    ControlMessage::Refused,
+                    &json!({ "text": LEARNING_OFF }),
+                )
+                .await;
             };
             for page in &pages {
-                say(stream, Word::More, page).await?;
+                say(stream, ControlMessage::More, page).await?;
             }
-            say(stream, Word::Done, &json!({ "pages": pages.len() })).await
+            say(
+                stream,
+                ControlMessage::Done,
+                &json!({ "pages": pages.len() }),
+            )
+            .await
         }
-        Question::Fleet => {
+        ControlRequest::Fleet => {
             let body: Value = serde_json::from_slice(&body).unwrap_or_default();
             let (sender, mut answers) = unbounded_channel();
             asked.send(Asked::Fleet(body, sender)).map_err(|_| gone())?;
             let answered = async {
                 while let Some((word, answer)) = answers.recv().await {
                     say(stream, word, &answer).await?;
-                    if word != Word::More {
+                    if word != ControlMessage::More {
                         return Ok(());
                     }
                 }
@@ -196,11 +211,16 @@
             };
             timeout(UPGRADE_WITHIN, answered).await?
         }
-        Question::Policy => {
+        ControlRequest::Policy => {
             let beat = match serde_json::from_slice(&body) {
                 Ok(beat) => beat,
                 Err(error) => {
-                    return say(stream, Word::Failed, &json!({ "text": error.to_string() })).await;
+                    return say(
+                        stream,
+                        ControlMessage::Failed,
+                        &json!({ "text": error.to_string() }),
+                    )
+                    .await;
                 }
             };
             let (sender, said) = oneshot::channel();
@@ -208,20 +228,29 @@
                 .send(Asked::Policy(beat, sender))
                 .map_err(|_| gone())?;
             match said.await.map_err(|_| gone())? {
-                Some(said) => say(stream, Word::Done, &serde_json::to_value(&said)?).await,
-                None => say(stream, Word::Refused, &json!({ "text": POLICY_OFF })).await,
+                Some(said) => {
+                    say(stream, ControlMessage::Done, &serde_json::to_value(&said)?).await
+                }
+                None => {
+                    say(
+                        stream,
+                        ControlMessage::Refused,
+                        &json!({ "text": POLICY_OFF }),
+                    )
+                    .await
+                }
             }
         }
         // What agents say to each other, on their own listener alone.
-        Question::Council => {
+        ControlRequest::Consensus => {
             say(
                 stream,
-                Word::Refused,
+                ControlMessage::Refused,
                 &json!({ "text": "no agent listens here" }),
             )
             .await
         }
-        Question::Forget => {
+        ControlRequest::Forget => {
             let body: Value = serde_json::from_slice(&body).unwrap_or_default();
             let origin = body["origin"].as_str().map(str::to_owned);
             let (sender, gone_by) = oneshot::channel();
@@ -229,11 +258,20 @@
                 .send(Asked::Forget(origin, sender))
                 .map_err(|_| gone())?;
             match gone_by.await.map_err(|_| gone())? {
-                Some(count) => say(stream, Word::Done, &json!({ "forgotten": count })).await,
-                None => say(stream, Word::Refused, &json!({ "text": LEARNING_OFF })).await,
+                Some(count) => {
+                    say(stream, ControlMessage::Done, &json!({ "forgotten": count })).await
+                }
+                None => {
+                    say(
+                        stream,
+                        ControlMessage::Refused,
+                        &json!({ "text": LEARNING_OFF }),
+                    )
+                    .await
+                }
             }
         }
-        Question::Upgrade => {
+        ControlRequest::Upgrade => {
             let (sender, progress) = unbounded_channel();
             asked.send(Asked::Upgrade(sender)).map_err(|_| gone())?;
             timeout(UPGRADE_WITHIN, report(stream, progress)).await?
@@ -244,13 +282,13 @@
 async fn report(stream: &UnixStream, mut progress: UnboundedReceiver<Progress>) -> io::Result<()> {
     while let Some(one) = progress.recv().await {
         let (word, stage) = match &one {
-            Progress::Starting => (Word::More, "starting"),
-            Progress::Ready => (Word::More, "ready"),
-            Progress::TookOver => (Word::More, "took_over"),
-            Progress::Done => (Word::Done, "done"),
-            Progress::Refused(_) => (Word::Refused, "refused"),
-            Progress::GivenUp(_) => (Word::Failed, "given_up"),
-            Progress::TakenBack(_) => (Word::Failed, "taken_back"),
+            Progress::Starting => (ControlMessage::More, "starting"),
+            Progress::Ready => (ControlMessage::More, "ready"),
+            Progress::TookOver => (ControlMessage::More, "took_over"),
+            Progress::Done => (ControlMessage::Done, "done"),
+            Progress::Refused(_) => (ControlMessage::Refused, "refused"),
+            Progress::GivenUp(_) => (ControlMessage::Failed, "given_up"),
+            Progress::TakenBack(_) => (ControlMessage::Failed, "taken_back"),
         };
         say(
             stream,
@@ -266,7 +304,7 @@
 }
 
 /// The question, once it has come whole.
-async fn read(stream: &UnixStream) -> io::Result<(u32, Question, Vec<u8>)> {
+async fn read(stream: &UnixStream) -> io::Result<(u32, ControlRequest, Vec<u8>)> {
     let mut come = Vec::new();
     loop {
         match control::question(&come) {
@@ -291,7 +329,7 @@
     }
 }
 
-async fn say(stream: &UnixStream, word: Word, report: &Value) -> io::Result<()> {
+async fn say(stream: &UnixStream, word: ControlMessage, report: &Value) -> io::Result<()> {
     let mut bytes: Vec<u8> = Vec::new();
     control::say(&mut bytes, word, report.to_string().as_bytes());
     let written = async {
--- a/crates/merlinshelf-backend/src/host/asked.rs
+++ b/crates/merlinshelf-backend/src/host/asked.rs
@@ -2,7 +2,7 @@
 
 use merlinshelf_handover::Successor;
 use merlinshelf_handover::predecessor::{Action, Progress};
-use merlinshelf_protocol::control::Word as ControlWord;
+use merlinshelf_protocol::control::ControlMessage as ControlWord;
 use serde_json::json;
 use tokio::sync::mpsc::UnboundedSender;
 
--- a/crates/merlinshelf-backend/src/instance.rs
+++ b/crates/merlinshelf-backend/src/instance.rs
@@ -263,7 +263,7 @@
         });
         let (shared, name) = (exchange.clone(), config.name.clone());
         let reporting = keep("reporting", move || {
-            client::members::report(watched.clone(), name.clone(), shared.clone())
+            client::registration::report(watched.clone(), name.clone(), shared.clone())
         });
         Instance {
             exchange,
--- a/crates/merlinshelf-backend/src/learning/peers.rs
+++ b/crates/merlinshelf-backend/src/learning/peers.rs
@@ -7,7 +7,7 @@
 
 use log::{debug, info, warn};
 use merlinshelf_gossip::Message;
-use merlinshelf_protocol::teaching::{Kind, MESSAGE_MOST, Reading, put_message};
+use merlinshelf_protocol::gossip::{Kind, MESSAGE_MOST, Reading, put_message};
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::sync::Notify;
--- a/crates/merlinshelf-backend/src/routing.rs
+++ b/crates/merlinshelf-backend/src/routing.rs
@@ -6,7 +6,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use merlinshelf_dependencies::{Ask, Dependencies, Effect, End, Ended, Report, Router, Step};
+use merlinshelf_dependencies::{
+    Action, AttemptOutcome, CallRequest, Dependencies, Effect, End, Report, Router,
+};
 use merlinshelf_policy::Policy;
 use merlinshelf_protocol::CallId;
 use merlinshelf_quota::{CallKind, Remaining};
@@ -28,7 +30,7 @@
     calls: HashMap<u64, (CallKey, Rc<[u8]>)>,
     tickets: HashMap<CallKey, u64>,
     /// Attempts to be made and given up.
-    todo: VecDeque<Step>,
+    todo: VecDeque<Action>,
     wake: Rc<Notify>,
 }
 
@@ -103,12 +105,12 @@
     }
 
     /// The next attempt to be made or given up.
-    pub fn next(&mut self) -> Option<Step> {
+    pub fn next(&mut self) -> Option<Action> {
         self.todo.pop_front()
     }
 
     /// There was no room for it yet.
-    pub fn put_back(&mut self, step: Step) {
+    pub fn put_back(&mut self, step: Action) {
         self.todo.push_front(step);
     }
 
@@ -127,7 +129,7 @@
         question: &Rc<[u8]>,
         wanted: &Wanted,
     ) {
-        let ask = Ask {
+        let ask = CallRequest {
             operation: &wanted.operation,
             place: wanted.place,
             named: wanted.named.as_deref(),
@@ -174,12 +176,12 @@
 
     /// An attempt has ended.
     pub fn ended(&mut self, exchange: &exchange::Shared, attempt: u64, called: &Called) {
-        let (ended, reply): (Ended, &[u8]) = match called {
-            Called::Succeeded(reply) => (Ended::Succeeded, reply),
-            Called::NeverRan => (Ended::Refused, b""),
-            Called::Failed | Called::Lesser { .. } => (Ended::Unknown, b""),
+        let (ended, reply): (AttemptOutcome, &[u8]) = match called {
+            Called::Succeeded(reply) => (AttemptOutcome::Succeeded, reply),
+            Called::NeverRan => (AttemptOutcome::Refused, b""),
+            Called::Failed | Called::Lesser { .. } => (AttemptOutcome::Unknown, b""),
         };
-        let again = ended != Ended::Succeeded;
+        let again = ended != AttemptOutcome::Succeeded;
         let of = self.router.at(attempt).map(str::to_owned);
         if let Some(name) = &of {
             exchange
@@ -204,7 +206,7 @@
         self.router.give_up(now, ticket, &mut || chance.random());
         // An attempt of it that has not been made yet need not be.
         self.todo
-            .retain(|step| !matches!(step, Step::Attempt { ticket: of, .. } if *of == ticket));
+            .retain(|step| !matches!(step, Action::Attempt { ticket: of, .. } if *of == ticket));
         self.follow(exchange, None);
         true
     }
@@ -256,7 +258,7 @@
     /// Ends are told at once, so that what a reply changes and that its line is gone can be noted together.
     fn follow(&mut self, exchange: &exchange::Shared, called: Option<&Called>) {
         while let Some(step) = self.router.next_step() {
-            let Step::Over { ticket, end } = step else {
+            let Action::Over { ticket, end } = step else {
                 self.todo.push_back(step);
                 self.wake.notify_one();
                 continue;
@@ -276,7 +278,7 @@
                     reply: Some(reply.clone()),
                     missing: missing.into(),
                 },
-                (End::Lesser { bytes, missing }, _) => Called::Lesser {
+                (End::Degraded { bytes, missing }, _) => Called::Lesser {
                     reply: bytes.map(Rc::from),
                     missing: missing.into(),
                 },
--- a/crates/merlinshelf-backend/tests/golden.rs
+++ b/crates/merlinshelf-backend/tests/golden.rs
@@ -17,7 +17,7 @@
 use merlinshelf_gossip::{GossipedObservation, Metric, Source, SourceStatus};
 use merlinshelf_handover::predecessor::Progress;
 use merlinshelf_policy::{Heartbeat, InstanceStatus, LeaseGrant};
-use merlinshelf_protocol::control::{self, Question, Word};
+use merlinshelf_protocol::control::{self, ControlMessage, ControlRequest};
 use serde_json::{Value, json};
 use tokio::sync::mpsc::{UnboundedReceiver, unbounded_channel};
 use tokio::task::{LocalSet, spawn_blocking};
@@ -46,12 +46,12 @@
     }
 }
 
-fn name_of(word: Word) -> &'static str {
+fn name_of(word: ControlMessage) -> &'static str {
     match word {
-        Word::More => "more",
-        Word::Done => "done",
-        Word::Failed => "failed",
-        Word::Refused => "refused",
+        ControlMessage::More => "more",
+        ControlMessage::Done => "done",
+        ControlMessage::Failed => "failed",
+        ControlMessage::Refused => "refused",
     }
 }
 
@@ -72,7 +72,7 @@
     Ok(answers)
 }
 
-fn encode(question: Question, body: &Value) -> Vec<u8> {
+fn encode(question: ControlRequest, body: &Value) -> Vec<u8> {
     let mut bytes: Vec<u8> = Vec::new();
     control::ask(&mut bytes, question, body.to_string().as_bytes());
     bytes
@@ -156,8 +156,8 @@
             }
             Asked::Fleet(body, replies) => {
                 assert_eq!(body, json!({ "fleet": 7 }));
-                let _ = replies.send((Word::More, json!({ "answer": 8 })));
-                let _ = replies.send((Word::Failed, json!({ "answer": 9 })));
+                let _ = replies.send((ControlMessage::More, json!({ "answer": 8 })));
+                let _ = replies.send((ControlMessage::Failed, json!({ "answer": 9 })));
             }
         }
     }
@@ -191,21 +191,24 @@
 #[tokio::test]
 async fn answers_at_the_control_socket() {
     let mut questions = vec![
-        ("status", encode(Question::Status, &json!({}))),
-        ("drain", encode(Question::Drain, &json!({}))),
-        ("knowledge", encode(Question::Knowledge, &json!({}))),
+        ("status", encode(ControlRequest::Status, &json!({}))),
+        ("drain", encode(ControlRequest::Drain, &json!({}))),
+        ("knowledge", encode(ControlRequest::Knowledge, &json!({}))),
         (
             "forget one",
-            encode(Question::Forget, &json!({ "origin": "n5" })),
+            encode(ControlRequest::Forget, &json!({ "origin": "n5" })),
         ),
-        ("forget all", encode(Question::Forget, &json!({}))),
-        ("policy", encode(Question::Policy, &heartbeat().0)),
-        ("fleet", encode(Question::Fleet, &json!({ "fleet": 7 }))),
-        ("council", encode(Question::Council, &json!({}))),
+        ("forget all", encode(ControlRequest::Forget, &json!({}))),
+        ("policy", encode(ControlRequest::Policy, &heartbeat().0)),
+        (
+            "fleet",
+            encode(ControlRequest::Fleet, &json!({ "fleet": 7 })),
+        ),
+        ("council", encode(ControlRequest::Consensus, &json!({}))),
         ("another form", b"ask 7 status 0\r\n\r\n".to_vec()),
         ("no question", b"ask 1 dance 0\r\n\r\n".to_vec()),
     ];
-    let upgrade = ("upgrade", encode(Question::Upgrade, &json!({})));
+    let upgrade = ("upgrade", encode(ControlRequest::Upgrade, &json!({})));
     questions.extend(std::iter::repeat_n(upgrade, upgrades().len()));
     golden_file::assert_json("control_answers", &answers("on", true, questions).await);
 }
@@ -213,9 +216,9 @@
 #[tokio::test]
 async fn answers_where_learning_and_policies_are_off() {
     let questions = vec![
-        ("knowledge", encode(Question::Knowledge, &json!({}))),
-        ("forget", encode(Question::Forget, &json!({}))),
-        ("policy", encode(Question::Policy, &heartbeat().0)),
+        ("knowledge", encode(ControlRequest::Knowledge, &json!({}))),
+        ("forget", encode(ControlRequest::Forget, &json!({}))),
+        ("policy", encode(ControlRequest::Policy, &heartbeat().0)),
     ];
     golden_file::assert_json(
         "control_answers_off",
@@ -244,7 +247,11 @@
 }
 
 /// Asks until the first answer is as it must be.
-fn ask_until(socket: &Path, question: Question, is_enough: impl Fn(&Value) -> bool) -> Vec<Value> {
+fn ask_until(
+    socket: &Path,
+    question: ControlRequest,
+    is_enough: impl Fn(&Value) -> bool,
+) -> Vec<Value> {
     let deadline = Instant::now() + PATIENCE;
     loop {
         let answers = exchange(socket, &encode(question, &json!({})));
@@ -323,11 +330,11 @@
     let instance = std::thread::spawn(move || serve(&start));
 
     let has_saved = |status: &Value| status["learning"]["saved"]["ago_s"].is_number();
-    let status = ask_until(&socket, Question::Status, has_saved);
-    let knowledge = ask_until(&socket, Question::Knowledge, |page| {
+    let status = ask_until(&socket, ControlRequest::Status, has_saved);
+    let knowledge = ask_until(&socket, ControlRequest::Knowledge, |page| {
         page["figures"].is_array()
     });
-    let drain = ask_until(&socket, Question::Drain, |_| true);
+    let drain = ask_until(&socket, ControlRequest::Drain, |_| true);
     assert_eq!(instance.join().expect("no panic"), Ok(0));
     let reports = json!({ "status": status, "knowledge": knowledge, "drain": drain });
     golden_file::assert_json("instance_reports", &without_figures(&reports));
--- a/crates/merlinshelf-backend/tests/golden_settings.rs
+++ b/crates/merlinshelf-backend/tests/golden_settings.rs
@@ -21,12 +21,12 @@
 };
 use merlinshelf_backend::{Start, serve};
 use merlinshelf_dependencies::Dependencies;
-use merlinshelf_dependencies::wanted::{Call, Dependency, Instead, Operation, ServerOf};
+use merlinshelf_dependencies::config::{Call, Dependency, Fallback, Operation, ServerConfig};
 use merlinshelf_gossip::store_format::{PersistedObservation, Record};
 use merlinshelf_gossip::{GossipedObservation, Metric, Source, SourceStatus};
 use merlinshelf_handover::predecessor::Progress;
 use merlinshelf_policy::{Heartbeat, InstanceStatus, LeaseExpiryMode, LeaseGrant, Policy};
-use merlinshelf_protocol::control::Word;
+use merlinshelf_protocol::control::ControlMessage;
 use merlinshelf_quota::{CallKind, QuotaGrantBatch};
 use serde_json::{Value, json};
 use tokio::runtime::Builder;
@@ -83,7 +83,7 @@
 /// A file with every field.
 fn filled_operator() -> Operator {
     let catalogue = Dependency {
-        servers: vec![ServerOf {
+        servers: vec![ServerConfig {
             address: "127.0.0.1:5441".into(),
             zone: "erlangen".into(),
             weight: 1.5,
@@ -97,7 +97,7 @@
         share: Some(0.25),
         needed: true,
         cost: 0.125,
-        instead: Instead::Kept { within_s: 60.5 },
+        instead: Fallback::Kept { within_s: 60.5 },
     };
     let page = Operation {
         calls: vec![call],
@@ -207,18 +207,18 @@
 
 /// What `deploy/operator.json5` says.
 fn example_operator() -> Operator {
-    let server = |address: &str, zone: &str| ServerOf {
+    let server = |address: &str, zone: &str| ServerConfig {
         address: address.into(),
         zone: zone.into(),
         weight: 1.0,
     };
-    let dependency = |servers: Vec<ServerOf>| Dependency {
+    let dependency = |servers: Vec<ServerConfig>| Dependency {
         servers,
         out_most: 0.5,
         subset: None,
         instead: None,
     };
-    let call = |to: &str, needed: bool, cost: f64, instead: Instead| Call {
+    let call = |to: &str, needed: bool, cost: f64, instead: Fallback| Call {
         to: to.into(),
         share: None,
         needed,
@@ -226,8 +226,8 @@
         instead,
     };
     let calls = vec![
-        call("catalogue", true, 0.0, Instead::Nothing),
-        call("thumbs", false, 0.2, Instead::Kept { within_s: 60.0 }),
+        call("catalogue", true, 0.0, Fallback::Nothing),
+        call("thumbs", false, 0.2, Fallback::Kept { within_s: 60.0 }),
     ];
     let thumbnail = Operation {
         calls,
@@ -553,9 +553,9 @@
             }
             (5, Asked::Fleet(body, reply)) => {
                 assert_eq!(body, json!({ "do": "status" }));
-                let more = (Word::More, json!({ "step": 1 }));
+                let more = (ControlMessage::More, json!({ "step": 1 }));
                 reply.send(more).expect("somebody listens");
-                let last = (Word::Failed, json!({ "text": "no such group" }));
+                let last = (ControlMessage::Failed, json!({ "text": "no such group" }));
                 reply.send(last).expect("somebody listens");
             }
             (turn, _) => panic!("question {turn} came as another one"),
--- a/crates/merlinshelf-cli/src/fleet.rs
+++ b/crates/merlinshelf-cli/src/fleet.rs
@@ -7,7 +7,7 @@
 
 use clap::{Args, Subcommand, ValueHint};
 use merlinshelf_agent::talk::Blocking as Talk;
-use merlinshelf_protocol::control::{Question, Word};
+use merlinshelf_protocol::control::{ControlMessage, ControlRequest};
 use serde_json::{Value, json};
 
 use crate::FAILED;
@@ -234,19 +234,23 @@
     body: &Value,
     within: Duration,
     mut each: impl FnMut(&Value),
-) -> io::Result<(Word, Value)> {
-    let mut talk = Talk::ask(agent, Question::Fleet, body, within)?;
+) -> io::Result<(ControlMessage, Value)> {
+    let mut talk = Talk::ask(agent, ControlRequest::Fleet, body, within)?;
     loop {
         match talk.hear()? {
-            (Word::More, said) => each(&said),
+            (ControlMessage::More, said) => each(&said),
             last => return Ok(last),
         }
     }
 }
 
-fn ended(agent: &Agent, last: io::Result<(Word, Value)>, done: impl FnOnce(&Value)) -> ExitCode {
+fn ended(
+    agent: &Agent,
+    last: io::Result<(ControlMessage, Value)>,
+    done: impl FnOnce(&Value),
+) -> ExitCode {
     match last {
-        Ok((Word::Done, report)) => {
+        Ok((ControlMessage::Done, report)) => {
             if agent.json {
                 tell!("{report}");
             } else {
@@ -254,7 +258,7 @@
             }
             ExitCode::SUCCESS
         }
-        Ok((Word::Failed, report)) if report["plan"].is_u64() => {
+        Ok((ControlMessage::Failed, report)) if report["plan"].is_u64() => {
             if agent.json {
                 tell!("{report}");
             } else {
@@ -373,7 +377,7 @@
     text
 }
 
-fn all(agent: &Path, body: &Value) -> io::Result<(Vec<Value>, (Word, Value))> {
+fn all(agent: &Path, body: &Value) -> io::Result<(Vec<Value>, (ControlMessage, Value))> {
     let mut instances = Vec::new();
     let last = ask(agent, body, WITHIN, |page| {
         for one in page["others"].as_array().into_iter().flatten() {
@@ -410,7 +414,7 @@
 fn watch(agent: &Agent) -> ExitCode {
     loop {
         match all(&agent.agent, &json!({ "op": "watch" })) {
-            Ok((instances, (Word::Done, sum))) => {
+            Ok((instances, (ControlMessage::Done, sum))) => {
                 if agent.json {
                     instances.iter().for_each(|one| tell!("{one}"));
                 } else {
--- a/crates/merlinshelf-cli/src/knowledge.rs
+++ b/crates/merlinshelf-cli/src/knowledge.rs
@@ -9,7 +9,7 @@
 use merlinshelf_agent::talk::Blocking as Talk;
 use merlinshelf_backend::learning::folder::{flaw_text, look};
 use merlinshelf_gossip::GossipedObservation;
-use merlinshelf_protocol::control::{Question, Word};
+use merlinshelf_protocol::control::{ControlMessage, ControlRequest};
 use serde_json::{Value, json};
 
 use crate::FAILED;
@@ -30,16 +30,16 @@
 
 /// All figures of a running instance.
 fn figures(socket: &Path) -> io::Result<Vec<Value>> {
-    let mut talk = Talk::ask(socket, Question::Knowledge, &json!({}), WITHIN)?;
+    let mut talk = Talk::ask(socket, ControlRequest::Knowledge, &json!({}), WITHIN)?;
     let mut all = Vec::new();
     loop {
         match talk.hear()? {
-            (Word::More, mut page) => {
+            (ControlMessage::More, mut page) => {
                 if let Some(page) = page["figures"].as_array_mut() {
                     all.append(page);
                 }
             }
-            (Word::Done, _) => return Ok(all),
+            (ControlMessage::Done, _) => return Ok(all),
             (_, report) => return Err(io::Error::other(text(&report))),
         }
     }
@@ -152,10 +152,12 @@
 pub fn forget(socket: &Path, origin: Option<&str>, as_json: bool) -> ExitCode {
     let body = origin.map_or_else(|| json!({}), |origin| json!({ "origin": origin }));
     let answer =
-        Talk::ask(socket, Question::Forget, &body, WITHIN).and_then(|mut talk| talk.hear());
+        Talk::ask(socket, ControlRequest::Forget, &body, WITHIN).and_then(|mut talk| talk.hear());
     match answer {
-        Ok((Word::Done, report)) if as_json => tell!("{report}"),
-        Ok((Word::Done, report)) => tell!("{} figures are forgotten", report["forgotten"]),
+        Ok((ControlMessage::Done, report)) if as_json => tell!("{report}"),
+        Ok((ControlMessage::Done, report)) => {
+            tell!("{} figures are forgotten", report["forgotten"])
+        }
         Ok((_, report)) => return failed(socket, &io::Error::other(text(&report)), as_json),
         Err(error) => return failed(socket, &error, as_json),
     }
--- a/crates/merlinshelf-cli/src/policy.rs
+++ b/crates/merlinshelf-cli/src/policy.rs
@@ -8,7 +8,7 @@
 use clap::{Args, Subcommand, ValueHint};
 use merlinshelf_backend::operator::read_as;
 use merlinshelf_policy::document::MAX_DOCUMENT_BYTES;
-use merlinshelf_protocol::control::Word;
+use merlinshelf_protocol::control::ControlMessage;
 use serde_json::{Value, json};
 
 use crate::FAILED;
@@ -213,7 +213,7 @@
         }
     });
     match last {
-        Ok((Word::Done, report)) => {
+        Ok((ControlMessage::Done, report)) => {
             if agent.json {
                 tell!("{report}")
             } else {
--- a/crates/merlinshelf-cli/src/remote.rs
+++ b/crates/merlinshelf-cli/src/remote.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use merlinshelf_agent::talk::Blocking as Talk;
-use merlinshelf_protocol::control::{Question, Word};
+use merlinshelf_protocol::control::{ControlMessage, ControlRequest};
 use serde_json::{Value, json};
 
 use crate::FAILED;
@@ -30,10 +30,10 @@
 }
 
 pub fn status(socket: &Path, as_json: bool, dependencies: bool) -> ExitCode {
-    let answer =
-        Talk::ask(socket, Question::Status, &json!({}), WITHIN).and_then(|mut talk| talk.hear());
+    let answer = Talk::ask(socket, ControlRequest::Status, &json!({}), WITHIN)
+        .and_then(|mut talk| talk.hear());
     match answer {
-        Ok((Word::Done, report)) if dependencies => {
+        Ok((ControlMessage::Done, report)) if dependencies => {
             let all = &report["dependencies"];
             if all.is_null() {
                 let why = "the operators' file of this instance names no dependencies";
@@ -46,7 +46,7 @@
             }
             ExitCode::SUCCESS
         }
-        Ok((Word::Done, report)) => {
+        Ok((ControlMessage::Done, report)) => {
             if as_json {
                 tell!("{report}");
             } else {
@@ -135,10 +135,10 @@
 }
 
 pub fn drain(socket: &Path, as_json: bool, wait: bool) -> ExitCode {
-    let answer =
-        Talk::ask(socket, Question::Drain, &json!({}), WITHIN).and_then(|mut talk| talk.hear());
+    let answer = Talk::ask(socket, ControlRequest::Drain, &json!({}), WITHIN)
+        .and_then(|mut talk| talk.hear());
     let report = match answer {
-        Ok((Word::Done, report)) => report,
+        Ok((ControlMessage::Done, report)) => report,
         Ok((_, report)) => return failed(socket, &io::Error::other(text(&report)), as_json),
         Err(error) => return failed(socket, &error, as_json),
     };
@@ -169,7 +169,7 @@
 
 pub fn upgrade(socket: &Path, as_json: bool) -> ExitCode {
     let began = Instant::now();
-    let talk = Talk::ask(socket, Question::Upgrade, &json!({}), UPGRADE_WITHIN);
+    let talk = Talk::ask(socket, ControlRequest::Upgrade, &json!({}), UPGRADE_WITHIN);
     let mut talk = match talk {
         Ok(talk) => talk,
         Err(error) => return failed(socket, &error, as_json),
@@ -181,13 +181,13 @@
         };
         if as_json {
             tell!("{report}");
-        } else if word != Word::More || io::stderr().is_terminal() {
+        } else if word != ControlMessage::More || io::stderr().is_terminal() {
             eprintln!("{:>6} ms  {}", began.elapsed().as_millis(), text(&report));
         }
         match word {
-            Word::More => {}
-            Word::Done => return ExitCode::SUCCESS,
-            Word::Failed | Word::Refused => return ExitCode::from(FAILED),
+            ControlMessage::More => {}
+            ControlMessage::Done => return ExitCode::SUCCESS,
+            ControlMessage::Failed | ControlMessage::Refused => return ExitCode::from(FAILED),
         }
     }
 }
--- a/crates/merlinshelf-cli/tests/dependencies.rs
+++ b/crates/merlinshelf-cli/tests/dependencies.rs
@@ -6,12 +6,12 @@
 use std::rc::Rc;
 use std::time::Duration;
 
+use merlinshelf_testbed::experiments::dependencies::play::{parts, section};
+use merlinshelf_testbed::experiments::upgrade::round;
+use merlinshelf_testbed::fakes::{Manners, Server};
 use merlinshelf_testbed::instance::{Instance, Setup};
 use merlinshelf_testbed::load::{Load, Playing};
 use merlinshelf_testbed::play::play_within;
-use merlinshelf_testbed::stand_in::{Manners, Server};
-use merlinshelf_testbed::trial::dependencies::play::{parts, section};
-use merlinshelf_testbed::trial::upgrade::round;
 use serde_json::Value;
 use tokio::time::{Instant, sleep};
 
--- a/crates/merlinshelf-cli/tests/fleet.rs
+++ b/crates/merlinshelf-cli/tests/fleet.rs
@@ -5,7 +5,7 @@
 use std::process::Command;
 use std::time::Duration;
 
-use merlinshelf_protocol::control::Word;
+use merlinshelf_protocol::control::ControlMessage;
 use merlinshelf_testbed::fleet::{Rig, sum};
 use merlinshelf_testbed::instance::signal;
 use merlinshelf_testbed::play::play_within;
@@ -31,7 +31,7 @@
     Ok(std::fs::canonicalize(copy)?.to_string_lossy().into_owned())
 }
 
-async fn last(rig: &Rig, body: Value) -> io::Result<(Word, Value)> {
+async fn last(rig: &Rig, body: Value) -> io::Result<(ControlMessage, Value)> {
     rig.ask(&body)
         .await?
         .pop()
@@ -60,7 +60,12 @@
             json!({ "op": "upgrade", "program": program, "wait": true }),
         )
         .await?;
-        assert_eq!(word, Word::Done, "{plan}\n{}", rig.history().await?);
+        assert_eq!(
+            word,
+            ControlMessage::Done,
+            "{plan}\n{}",
+            rig.history().await?
+        );
         assert_eq!(
             names_where(&rig, |one| one["program"] == program.as_str())
                 .await?
@@ -72,7 +77,12 @@
             json!({ "op": "drain", "slowest_first": true, "wait": true }),
         )
         .await?;
-        assert_eq!(word, Word::Done, "{plan}\n{}", rig.history().await?);
+        assert_eq!(
+            word,
+            ControlMessage::Done,
+            "{plan}\n{}",
+            rig.history().await?
+        );
         assert_eq!(rig.processes(), Vec::<u32>::new());
         let verdicts = rig.check(playing).await;
         let all = sum(&verdicts);
@@ -316,7 +326,7 @@
         std::fs::write(&file, wanted.to_string())?;
         let (word, why) = last(&rig, json!({ "op": "apply" })).await?;
         assert!(
-            word == Word::Refused
+            word == ControlMessage::Refused
                 && why["text"]
                     .as_str()
                     .is_some_and(|why| why.contains("groups.api.config")),
@@ -324,9 +334,15 @@
         );
         // And in bytes that are none of a file's.
         std::fs::write(&file, "{ folder: ")?;
-        assert_eq!(last(&rig, json!({ "op": "apply" })).await?.0, Word::Refused);
+        assert_eq!(
+            last(&rig, json!({ "op": "apply" })).await?.0,
+            ControlMessage::Refused
+        );
         std::fs::write(&file, text)?;
-        assert_eq!(last(&rig, json!({ "op": "apply" })).await?.0, Word::Done);
+        assert_eq!(
+            last(&rig, json!({ "op": "apply" })).await?.0,
+            ControlMessage::Done
+        );
         let (after, _) = rig.status().await?;
         assert_eq!(before[0]["process"], after[0]["process"]);
         Ok(())
@@ -347,7 +363,7 @@
             json!({ "op": "upgrade", "program": bad, "wait": true }),
         )
         .await?;
-        assert_eq!(word, Word::Failed, "{plan}");
+        assert_eq!(word, ControlMessage::Failed, "{plan}");
         let state = plan["state"].as_str().unwrap_or("").to_owned();
         assert!(
             state.contains("was not upgraded") && state.contains("status 9"),
--- a/crates/merlinshelf-cli/tests/learning.rs
+++ b/crates/merlinshelf-cli/tests/learning.rs
@@ -6,11 +6,11 @@
 use std::time::Duration;
 
 use merlinshelf_gossip::{GossipedObservation, Metric, Source, SourceStatus};
-use merlinshelf_protocol::control::{Question, Word};
+use merlinshelf_protocol::control::{ControlMessage, ControlRequest};
+use merlinshelf_testbed::experiments::learning::worth;
 use merlinshelf_testbed::instance::{Instance, Setup, peer_address, signal};
 use merlinshelf_testbed::load::{Load, Playing, Verdict};
 use merlinshelf_testbed::play::play_within;
-use merlinshelf_testbed::trial::learning::worth;
 use rustix::process::Signal;
 use serde_json::{Value, json};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -435,12 +435,12 @@
                 status["learning"]["standing"] == "steady"
             })
             .await?;
-        let mut talk = pupil.ask(Question::Upgrade).await?;
+        let mut talk = pupil.ask(ControlRequest::Upgrade).await?;
         loop {
             match talk.next().await? {
-                (Word::More, _) => {}
+                (ControlMessage::More, _) => {}
                 (word, report) => {
-                    assert_eq!(word, Word::Done, "{report}\n{}", pupil.log());
+                    assert_eq!(word, ControlMessage::Done, "{report}\n{}", pupil.log());
                     break;
                 }
             }
--- a/crates/merlinshelf-cli/tests/policy.rs
+++ b/crates/merlinshelf-cli/tests/policy.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use merlinshelf_agent::talk::Talk;
-use merlinshelf_protocol::control::{Question, Word};
+use merlinshelf_protocol::control::{ControlMessage, ControlRequest};
 use merlinshelf_testbed::installation::{
     Changed, Installation, Made, check, evidence, out_of_order, policy_of,
 };
@@ -43,7 +43,7 @@
     host: usize,
     sign: usize,
     id: &str,
-) -> io::Result<(Word, Value)> {
+) -> io::Result<(ControlMessage, Value)> {
     all.hosts[host]
         .policy(
             "propose",
@@ -64,7 +64,7 @@
             return Ok(Changed {
                 proposed,
                 sign,
-                held: *word == Word::Done,
+                held: *word == ControlMessage::Done,
             });
         }
         assert!(proposed.elapsed() < Duration::from_secs(20), "{asked:?}");
@@ -271,7 +271,7 @@
         let other = (leader + 1) % 3;
         all.set_links(leader, true, true, Fault::Held);
         let asked_alone = propose(&all, leader, 1, "alone").await?;
-        assert_eq!(asked_alone.0, Word::Failed);
+        assert_eq!(asked_alone.0, ControlMessage::Failed);
         assert!(
             asked_alone.1["text"]
                 .as_str()
@@ -289,7 +289,7 @@
         let nobody = propose(&all, 0, 2, "nobody").await?;
         assert_eq!(
             (nobody.0, &nobody.1["state"]),
-            (Word::Failed, &json!("unknown")),
+            (ControlMessage::Failed, &json!("unknown")),
             "{nobody:?}"
         );
         all.heal();
@@ -334,7 +334,7 @@
         let why = asked.1["why"].as_str().unwrap_or_default();
         assert_eq!(
             (asked.0, &asked.1["state"]),
-            (Word::Failed, &json!("refused"))
+            (ControlMessage::Failed, &json!("refused"))
         );
         assert!(
             why.contains("web.") && why.contains("unheard-of: there is no such operation"),
@@ -344,7 +344,7 @@
         let at = Instant::now();
         let (one, two) = tokio::join!(propose(&all, 0, 2, "first"), propose(&all, 2, 2, "second"));
         for said in [one?, two?] {
-            let held = said.0 == Word::Done;
+            let held = said.0 == ControlMessage::Done;
             let why = said.1["why"].as_str().unwrap_or_default();
             assert!(held || why.contains("is under way"), "{said:?}");
             changes.push(Changed {
@@ -378,7 +378,7 @@
             .await?;
         assert_eq!(
             (word, &said["state"]),
-            (Word::Done, &json!("held")),
+            (ControlMessage::Done, &json!("held")),
             "{said}"
         );
         let both = changes
@@ -503,7 +503,7 @@
                     Changed {
                         proposed,
                         sign,
-                        held: word == Word::Done,
+                        held: word == ControlMessage::Done,
                     },
                     died,
                 ));
@@ -562,7 +562,7 @@
         let (proposed, asked) = (Instant::now(), propose(&all, 1, 1, "too new").await?);
         assert_eq!(
             (asked.0, &asked.1["state"]),
-            (Word::Failed, &json!("refused")),
+            (ControlMessage::Failed, &json!("refused")),
             "{asked:?}"
         );
         let why = asked.1["why"].as_str().unwrap_or_default();
@@ -591,7 +591,7 @@
 async fn counter(all: &Installation, host: usize, place: u16, name: &str) -> io::Result<u64> {
     let asked = Talk::once(
         &all.hosts[host].control(place),
-        Question::Status,
+        ControlRequest::Status,
         Duration::from_secs(2),
     )
     .await?;
@@ -704,7 +704,7 @@
             .await?;
         assert_eq!(
             (asked.0, &asked.1["state"]),
-            (Word::Done, &json!("held")),
+            (ControlMessage::Done, &json!("held")),
             "{asked:?}"
         );
         changes.push(Changed {
@@ -791,7 +791,7 @@
             .await?;
         assert_eq!(
             (word, &removed["removed"]),
-            (Word::Done, &json!("h3")),
+            (ControlMessage::Done, &json!("h3")),
             "{removed}"
         );
         let members = |show: &Value| show["members"].as_object().map_or(0, serde_json::Map::len);
--- a/crates/merlinshelf-cli/tests/shares.rs
+++ b/crates/merlinshelf-cli/tests/shares.rs
@@ -5,16 +5,16 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use merlinshelf_protocol::control::Word;
+use merlinshelf_protocol::control::ControlMessage;
 use merlinshelf_testbed::budgets::{
     AGAIN, Door, FIRST, PROBES, aside, each_second, hold, most_within, policy, worst_second,
 };
+use merlinshelf_testbed::fakes::{Manners, Server};
 use merlinshelf_testbed::installation::{Installation, Made, check};
 use merlinshelf_testbed::instance::signal;
 use merlinshelf_testbed::link::Fault;
 use merlinshelf_testbed::load::{Load, Playing, Verdict};
 use merlinshelf_testbed::play::play_in_a_lane;
-use merlinshelf_testbed::stand_in::{Manners, Server};
 use rustix::process::Signal;
 use serde_json::{Value, json};
 use tokio::time::{Instant, sleep};
@@ -545,7 +545,7 @@
             let ask = json!({ "policy": { "budgets": budgets }, "id": why, "wait": true });
             let (word, said) = fleet.all.hosts[1].policy("propose", ask).await?;
             assert!(
-                word == Word::Refused
+                word == ControlMessage::Refused
                     && said["text"].as_str().is_some_and(|text| text.contains(why)),
                 "{said}"
             );
@@ -558,7 +558,11 @@
                 json!({ "policy": policy(&[("probes", 4)]), "id": "fewer", "wait": true }),
             )
             .await?;
-        assert_eq!((word, &said["number"]), (Word::Done, &json!(2)), "{said}");
+        assert_eq!(
+            (word, &said["number"]),
+            (ControlMessage::Done, &json!(2)),
+            "{said}"
+        );
         let held = Instant::now();
         pause(5.0).await;
         let all = fleet.since(known).calls;
--- a/crates/merlinshelf-cli/tests/upgrade.rs
+++ b/crates/merlinshelf-cli/tests/upgrade.rs
@@ -4,11 +4,11 @@
 use std::io;
 use std::time::Duration;
 
-use merlinshelf_protocol::control::{Question, Word};
+use merlinshelf_protocol::control::{ControlMessage, ControlRequest};
+use merlinshelf_testbed::experiments::upgrade::{self, Plan, round};
 use merlinshelf_testbed::instance::{Instance, Setup, signal};
 use merlinshelf_testbed::load::{Load, Playing, Verdict};
 use merlinshelf_testbed::play::play_within;
-use merlinshelf_testbed::trial::upgrade::{self, Plan, round};
 use rustix::process::Signal;
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::{Instant, sleep};
@@ -233,11 +233,11 @@
             ..setup()
         };
         let (instance, load, playing) = begin(&setup, 31).await?;
-        let mut talk = instance.ask(Question::Upgrade).await?;
+        let mut talk = instance.ask(ControlRequest::Upgrade).await?;
         let (word, report) = talk.next().await?;
         let text = report["text"].as_str().unwrap_or("");
         assert!(
-            word == Word::Refused && text.contains("descriptors, and 40 may be used"),
+            word == ControlMessage::Refused && text.contains("descriptors, and 40 may be used"),
             "{text}"
         );
         assert!(check(&instance, &load, playing).await.is_clean());
@@ -247,10 +247,10 @@
             ..self::setup()
         };
         let (instance, ..) = begin(&setup, 32).await?;
-        let (word, report) = instance.ask(Question::Upgrade).await?.next().await?;
+        let (word, report) = instance.ask(ControlRequest::Upgrade).await?.next().await?;
         let text = report["text"].as_str().unwrap_or("");
         assert!(
-            word == Word::Refused && text.contains("MB, and 16 may be used"),
+            word == ControlMessage::Refused && text.contains("MB, and 16 may be used"),
             "{text}"
         );
         Ok(())
@@ -267,33 +267,33 @@
         };
         let (instance, load, playing) = begin(&setup, 33).await?;
         instance.successor_is(&good())?;
-        let mut first = instance.ask(Question::Upgrade).await?;
+        let mut first = instance.ask(ControlRequest::Upgrade).await?;
         while first.next().await?.1["stage"] != "took_over" {}
         // The control socket is the successor's by now.
         while instance.status().await?["state"] != "watched" {}
-        let (word, report) = instance.ask(Question::Upgrade).await?.next().await?;
+        let (word, report) = instance.ask(ControlRequest::Upgrade).await?.next().await?;
         assert!(
-            word == Word::Refused
+            word == ControlMessage::Refused
                 && report["text"]
                     .as_str()
                     .is_some_and(|text| text.contains("watched"))
         );
-        assert_eq!(first.next().await?.0, Word::Done);
+        assert_eq!(first.next().await?.0, ControlMessage::Done);
         assert!(check(&instance, &load, playing).await.is_clean());
 
         // While the successor gets ready, it is the old one that turns it down.
         let (instance, load, playing) = begin(&self::setup(), 34).await?;
         instance.successor_is(&format!("sleep 0.4\n{}", good()))?;
-        let mut first = instance.ask(Question::Upgrade).await?;
+        let mut first = instance.ask(ControlRequest::Upgrade).await?;
         assert_eq!(first.next().await?.1["stage"], "starting");
-        let (word, report) = instance.ask(Question::Upgrade).await?.next().await?;
+        let (word, report) = instance.ask(ControlRequest::Upgrade).await?.next().await?;
         assert!(
-            word == Word::Refused
+            word == ControlMessage::Refused
                 && report["text"]
                     .as_str()
                     .is_some_and(|text| text.contains("under way"))
         );
-        while first.next().await?.0 != Word::Done {}
+        while first.next().await?.0 != ControlMessage::Done {}
         assert!(check(&instance, &load, playing).await.is_clean());
         Ok(())
     });
@@ -310,7 +310,7 @@
 ) -> io::Result<()> {
     let (mut instance, load, playing) = begin(&setup(), number).await?;
     instance.successor_is(program)?;
-    let mut talk = instance.ask(Question::Upgrade).await?;
+    let mut talk = instance.ask(ControlRequest::Upgrade).await?;
     while talk.next().await?.1["stage"] != stage {}
     if stage == "starting" {
         instance.logged("the successor", 1).await?;
@@ -394,7 +394,7 @@
     play(async {
         let (instance, load, playing) = begin(&setup(), 50).await?;
         instance.successor_is(&good())?;
-        let mut talk = instance.ask(Question::Upgrade).await?;
+        let mut talk = instance.ask(ControlRequest::Upgrade).await?;
         while talk.next().await?.1["stage"] != "took_over" {}
         signal(instance.processes()[0], Signal::KILL);
         let verdict = check(&instance, &load, playing).await;
@@ -422,7 +422,7 @@
             "export MERLINSHELF_FAULT=heir.taken:1:pause\n{}",
             good()
         ))?;
-        let mut talk = instance.ask(Question::Upgrade).await?;
+        let mut talk = instance.ask(ControlRequest::Upgrade).await?;
         while talk.next().await?.1["stage"] != "ready" {}
         instance.logged("fault heir.taken", 1).await?;
         signal(instance.processes()[0], Signal::KILL);
@@ -442,7 +442,7 @@
             "export MERLINSHELF_FAULT=heir.ready:1:pause\n{}",
             good()
         ))?;
-        let mut talk = instance.ask(Question::Upgrade).await?;
+        let mut talk = instance.ask(ControlRequest::Upgrade).await?;
         assert_eq!(talk.next().await?.1["stage"], "starting");
         instance.logged("fault heir.ready", 1).await?;
         signal(instance.processes()[0], Signal::KILL);
--- a/crates/merlinshelf-cli/tests/uwsgi.rs
+++ b/crates/merlinshelf-cli/tests/uwsgi.rs
@@ -4,10 +4,10 @@
 use std::io;
 use std::time::Duration;
 
+use merlinshelf_testbed::experiments::upgrade::round;
 use merlinshelf_testbed::instance::{Instance, Setup};
 use merlinshelf_testbed::load::{Front, Load};
 use merlinshelf_testbed::play::play_within;
-use merlinshelf_testbed::trial::upgrade::round;
 use merlinshelf_testbed::wire::{ask, ask_uwsgi};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
--- a/crates/merlinshelf-dependencies/src/attempts.rs
+++ b/crates/merlinshelf-dependencies/src/attempts.rs
@@ -14,7 +14,7 @@
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
+pub enum AttemptOutcome {
     Succeeded,
     /// It never reached the server: the connection was refused.
     NeverSent,
@@ -26,7 +26,7 @@
 
 /// Further attempts that each success pays for: a tenth keeps all attempts under 1.1 a call.
 const EACH_SUCCESS: f64 = 0.1;
-/// Attempts that may be saved up, and with how many one begins.
+/// RetryBudget that may be saved up, and with how many one begins.
 const SAVED_MOST: f64 = 10.0;
 /// The last calls by which the dependency as a whole is judged, and from which share of failures on it fails: while more than one in
 /// five still goes well, to hold them all back costs more than it saves.
@@ -38,15 +38,15 @@
 
 /// The budget of one dependency.
 #[derive(Clone, Debug)]
-pub struct Attempts {
+pub struct RetryBudget {
     saved: f64,
     last: VecDeque<bool>,
     durations: VecDeque<f64>,
 }
 
-impl Default for Attempts {
-    fn default() -> Attempts {
-        Attempts {
+impl Default for RetryBudget {
+    fn default() -> RetryBudget {
+        RetryBudget {
             saved: SAVED_MOST,
             last: VecDeque::new(),
             durations: VecDeque::new(),
@@ -61,10 +61,10 @@
     samples.push_back(value);
 }
 
-impl Attempts {
+impl RetryBudget {
     /// An attempt has ended, after so many seconds.
-    pub fn ended(&mut self, ended: Ended, took: f64) {
-        let well = ended == Ended::Succeeded;
+    pub fn ended(&mut self, ended: AttemptOutcome, took: f64) {
+        let well = ended == AttemptOutcome::Succeeded;
         keep(&mut self.last, well, LAST);
         if well {
             self.saved = (self.saved + EACH_SUCCESS).min(SAVED_MOST);
@@ -84,11 +84,11 @@
     }
 
     /// Whether it may be made again after this end; it is paid for at once.
-    pub fn again(&mut self, effect: Effect, ended: Ended) -> bool {
+    pub fn again(&mut self, effect: Effect, ended: AttemptOutcome) -> bool {
         let harmless = match ended {
-            Ended::Succeeded => false,
-            Ended::NeverSent | Ended::Refused => true,
-            Ended::Unknown => effect == Effect::Idempotent,
+            AttemptOutcome::Succeeded => false,
+            AttemptOutcome::NeverSent | AttemptOutcome::Refused => true,
+            AttemptOutcome::Unknown => effect == Effect::Idempotent,
         };
         harmless && self.pay()
     }
@@ -110,7 +110,7 @@
         effect == Effect::Idempotent && self.pay()
     }
 
-    /// Attempts that are left.
+    /// RetryBudget that are left.
     pub fn left(&self) -> f64 {
         self.saved
     }
--- a/crates/merlinshelf-dependencies/src/wanted.rs
+++ b/crates/merlinshelf-dependencies/src/config.rs
@@ -22,7 +22,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Dependency {
-    pub servers: Vec<ServerOf>,
+    pub servers: Vec<ServerConfig>,
     /// The part of the servers that may be out at one time, 0 to 1.
     #[serde(default = "half")]
     pub out_most: f64,
@@ -36,7 +36,7 @@
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct ServerOf {
+pub struct ServerConfig {
     pub address: String,
     #[serde(default)]
     pub zone: String,
@@ -68,13 +68,13 @@
     pub cost: f64,
     /// What the run gets where the call can't be had; the result is then marked as partial.
     #[serde(default)]
-    pub instead: Instead,
+    pub instead: Fallback,
 }
 
 /// In place of a reply that can't be had.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
-pub enum Instead {
+pub enum Fallback {
     /// Nothing: the run goes on without, or fails where the call is needed.
     #[default]
     Nothing,
@@ -168,7 +168,7 @@
                     }
                     shares += share;
                 }
-                if let Instead::Kept { within_s } = call.instead
+                if let Fallback::Kept { within_s } = call.instead
                     && !(within_s > 0.0 && within_s.is_finite())
                 {
                     whys.push(format!(
--- a/crates/merlinshelf-dependencies/src/counts.rs
+++ b/crates/merlinshelf-dependencies/src/counts.rs
@@ -12,7 +12,7 @@
     pub hedges: u64,
     pub hedges_won: u64,
     pub hedges_lost: u64,
-    /// Lesser answers, by whatever reason.
+    /// DegradedResult answers, by whatever reason.
     pub lesser: u64,
     /// Calls not made: no time, no room in time, nobody to ask, or the whole of it fails.
     pub not_made: u64,
--- a/crates/merlinshelf-dependencies/src/partial.rs
+++ b/crates/merlinshelf-dependencies/src/fallback.rs
@@ -3,7 +3,7 @@
 
 /// What the operators say of a call that can't be had.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Lesser {
+pub enum DegradedResult {
     /// The run fails without it.
     Needed,
     /// Nothing in its place.
@@ -16,25 +16,25 @@
 
 /// What a call came to.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Came {
+pub enum CallResult {
     Whole(Vec<u8>),
     /// A lesser answer, and whether there are bytes.
-    Lesser(Option<Vec<u8>>),
+    Degraded(Option<Vec<u8>>),
     /// The run can't go on.
     Failed,
 }
 
 /// In place of a reply that did not come; `kept` is the last good one with its age in seconds.
-pub fn instead(lesser: &Lesser, kept: Option<(&[u8], f64)>) -> Came {
+pub fn instead(lesser: &DegradedResult, kept: Option<(&[u8], f64)>) -> CallResult {
     match lesser {
-        Lesser::Needed => Came::Failed,
-        Lesser::Nothing => Came::Lesser(None),
-        Lesser::Fixed(bytes) => Came::Lesser(Some(bytes.clone())),
-        Lesser::Kept { within } => match kept {
+        DegradedResult::Needed => CallResult::Failed,
+        DegradedResult::Nothing => CallResult::Degraded(None),
+        DegradedResult::Fixed(bytes) => CallResult::Degraded(Some(bytes.clone())),
+        DegradedResult::Kept { within } => match kept {
             Some((bytes, age)) if (0.0..=*within).contains(&age) => {
-                Came::Lesser(Some(bytes.to_vec()))
+                CallResult::Degraded(Some(bytes.to_vec()))
             }
-            _ => Came::Failed,
+            _ => CallResult::Failed,
         },
     }
 }
--- a/crates/merlinshelf-dependencies/src/lib.rs
+++ b/crates/merlinshelf-dependencies/src/lib.rs
@@ -7,21 +7,21 @@
 
 pub mod attempts;
 pub mod budget;
+pub mod config;
 pub mod counts;
+pub mod fallback;
 pub mod limits;
-pub mod partial;
 pub mod report;
 pub mod router;
 pub mod servers;
 pub mod subset;
-pub mod wanted;
 
-pub use attempts::{Attempts, Effect, Ended};
+pub use attempts::{AttemptOutcome, Effect, RetryBudget};
 pub use budget::allowance;
-pub use limits::{Limit, Waiting};
-pub use partial::{Came, Lesser, Missing};
+pub use config::Dependencies;
+pub use fallback::{CallResult, DegradedResult, Missing};
+pub use limits::{ConcurrencyLimit, WaitQueue};
 pub use report::Report;
-pub use router::{Ask, End, Router, Step};
-pub use servers::{Outcome, Pool, Server, Standing};
+pub use router::{Action, CallRequest, End, Router};
+pub use servers::{Outcome, Pool, Server, ServerHealth};
 pub use subset::subset;
-pub use wanted::Dependencies;
--- a/crates/merlinshelf-dependencies/src/limits.rs
+++ b/crates/merlinshelf-dependencies/src/limits.rs
@@ -5,7 +5,7 @@
 
 /// A limit in the design's spirit: it rises while calls take little more than the least, and falls while they queue.
 #[derive(Clone, Debug)]
-pub struct Limit {
+pub struct ConcurrencyLimit {
     limit: f64,
     most: f64,
     recent: VecDeque<f64>,
@@ -31,10 +31,10 @@
 const HALVED: f64 = 0.5;
 const NO_QUEUE_FROM: f64 = 0.8;
 
-impl Limit {
-    pub fn new(first: f64, most: f64) -> Limit {
+impl ConcurrencyLimit {
+    pub fn new(first: f64, most: f64) -> ConcurrencyLimit {
         let most = most.max(1.0);
-        Limit {
+        ConcurrencyLimit {
             limit: first.clamp(1.0, most),
             most,
             recent: VecDeque::new(),
@@ -104,12 +104,12 @@
 
 /// Calls that wait for room, by operation.
 #[derive(Clone, Debug, Default)]
-pub struct Waiting {
+pub struct WaitQueue {
     queues: BTreeMap<usize, VecDeque<(u64, f64)>>,
     open: BTreeMap<usize, u32>,
 }
 
-impl Waiting {
+impl WaitQueue {
     /// A call of an operation waits, until this moment at the longest.
     pub fn wait(&mut self, operation: usize, call: u64, until: f64) {
         self.queues
--- a/crates/merlinshelf-dependencies/src/report.rs
+++ b/crates/merlinshelf-dependencies/src/report.rs
@@ -4,7 +4,7 @@
 
 use crate::counts::Counts;
 use crate::router::{Place, Router};
-use crate::servers::{Server, Standing};
+use crate::servers::{Server, ServerHealth};
 
 /// One server, for reports.
 #[derive(Clone, Debug, PartialEq, Serialize)]
@@ -39,9 +39,9 @@
     pub fn report(&self) -> Vec<Report> {
         let of_server = |place: &Place, server: &Server| {
             let (state, why) = match server.standing {
-                Standing::In => ("in", None),
-                Standing::Out { why, .. } => ("out", Some(why)),
-                Standing::OnTrial { .. } => ("on trial", None),
+                ServerHealth::In => ("in", None),
+                ServerHealth::Out { why, .. } => ("out", Some(why)),
+                ServerHealth::OnTrial { .. } => ("on trial", None),
             };
             ServerReport {
                 address: server.name.clone(),
--- a/crates/merlinshelf-dependencies/src/router.rs
+++ b/crates/merlinshelf-dependencies/src/router.rs
@@ -5,18 +5,18 @@
 
 use merlinshelf_quota::Remaining;
 
-use crate::attempts::{Attempts, Effect, Ended};
+use crate::attempts::{AttemptOutcome, Effect, RetryBudget};
 use crate::budget::allowance;
+use crate::config::{Call, Dependencies, Dependency, Fallback};
 use crate::counts::Counts;
-use crate::limits::{Limit, Waiting};
-use crate::partial::{Came, Lesser, instead};
+use crate::fallback::{CallResult, DegradedResult, instead};
+use crate::limits::{ConcurrencyLimit, WaitQueue};
 use crate::servers::{Outcome, Pool, Server};
 use crate::subset::subset;
-use crate::wanted::{Call, Dependencies, Dependency, Instead};
 
 /// One call that a run wants.
 #[derive(Clone, Debug)]
-pub struct Ask<'a> {
+pub struct CallRequest<'a> {
     pub operation: &'a str,
     /// Which call of its run it is, from 0.
     pub place: usize,
@@ -37,7 +37,7 @@
     /// The reply of the attempt that was reported last. `missing` names the dependency for which another one stood in.
     Reply { missing: Option<String> },
     /// A lesser answer: these bytes, or nothing in its place.
-    Lesser {
+    Degraded {
         bytes: Option<Vec<u8>>,
         missing: String,
     },
@@ -49,8 +49,8 @@
 
 /// What the host is to do.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Step {
-    /// Ask this server, telling it that so many seconds are waited; reported by `ended`.
+pub enum Action {
+    /// CallRequest this server, telling it that so many seconds are waited; reported by `ended`.
     Attempt {
         ticket: u64,
         attempt: u64,
@@ -95,12 +95,12 @@
 pub(crate) struct Place {
     wanted: Dependency,
     pub(crate) pool: Pool,
-    pub(crate) attempts: Attempts,
-    pub(crate) limit: Limit,
+    pub(crate) attempts: RetryBudget,
+    pub(crate) limit: ConcurrencyLimit,
     /// By server: one that bears less than its share gets less, whatever the whole bears.
-    pub(crate) limits: BTreeMap<String, Limit>,
-    pub(crate) waiting: Waiting,
-    /// Attempts that are open now, of all operations.
+    pub(crate) limits: BTreeMap<String, ConcurrencyLimit>,
+    pub(crate) waiting: WaitQueue,
+    /// RetryBudget that are open now, of all operations.
     pub(crate) open: usize,
     /// While the whole of it fails, no trial before this.
     trial_at: f64,
@@ -152,7 +152,7 @@
     by_attempt: BTreeMap<u64, u64>,
     kept: BTreeMap<(String, Vec<u8>), (Vec<u8>, f64)>,
     next: u64,
-    steps: VecDeque<Step>,
+    steps: VecDeque<Action>,
 }
 
 fn number_of(name: &str) -> u64 {
@@ -207,10 +207,10 @@
                     let place = Place {
                         wanted: of.clone(),
                         pool: Pool::new(now, &list, &wanted.zone, of.out_most),
-                        attempts: Attempts::default(),
-                        limit: Limit::new(LIMIT_FIRST, LIMIT_MOST),
+                        attempts: RetryBudget::default(),
+                        limit: ConcurrencyLimit::new(LIMIT_FIRST, LIMIT_MOST),
                         limits: BTreeMap::new(),
-                        waiting: Waiting::default(),
+                        waiting: WaitQueue::default(),
                         open: 0,
                         trial_at: now,
                         took: VecDeque::new(),
@@ -242,7 +242,7 @@
         Some((std::mem::replace(&mut place.left, left), fails))
     }
 
-    pub fn next_step(&mut self) -> Option<Step> {
+    pub fn next_step(&mut self) -> Option<Action> {
         self.steps.pop_front()
     }
 
@@ -284,11 +284,11 @@
     }
 
     /// A run wants a call that it `knows`. Its ticket.
-    pub fn ask(&mut self, now: f64, ask: &Ask, chance: &mut dyn FnMut() -> f64) -> u64 {
+    pub fn ask(&mut self, now: f64, ask: &CallRequest, chance: &mut dyn FnMut() -> f64) -> u64 {
         let number = self.next;
         self.next += 1;
         let Some(spec) = self.spec(ask.operation, ask.place, ask.named).cloned() else {
-            self.steps.push_back(Step::Over {
+            self.steps.push_back(Action::Over {
                 ticket: number,
                 end: End::NeverRan,
             });
@@ -318,7 +318,7 @@
     }
 
     /// Seconds that a call may take: its part of what is left, and no longer than the module says.
-    fn allowed(&self, ask: &Ask, spec: &Call) -> Option<f64> {
+    fn allowed(&self, ask: &CallRequest, spec: &Call) -> Option<f64> {
         let left = ask.left.unwrap_or(ask.wait);
         let usual = |call: &Call| {
             self.places
@@ -347,7 +347,7 @@
         let slowest = place
             .map(|place| place.took.iter().copied().fold(0.0, f64::max))
             .unwrap_or(0.0);
-        let has_lesser = !spec.needed || spec.instead != Instead::Nothing;
+        let has_lesser = !spec.needed || spec.instead != Fallback::Nothing;
         let patience = if has_lesser && slowest > 0.0 {
             LONGER * slowest
         } else {
@@ -473,7 +473,7 @@
         ticket.tried.push(server.clone());
         self.by_attempt.insert(attempt, number);
         let wait = (ticket.deadline - now).max(0.001);
-        self.steps.push_back(Step::Attempt {
+        self.steps.push_back(Action::Attempt {
             ticket: number,
             attempt,
             server,
@@ -487,14 +487,14 @@
         &mut self,
         now: f64,
         attempt: u64,
-        ended: Ended,
+        ended: AttemptOutcome,
         reply: &[u8],
         chance: &mut dyn FnMut() -> f64,
     ) {
         let Some(number) = self.by_attempt.get(&attempt).copied() else {
             return;
         };
-        let well = ended == Ended::Succeeded;
+        let well = ended == AttemptOutcome::Succeeded;
         let outcome = if well {
             Outcome::Succeeded
         } else {
@@ -506,7 +506,7 @@
         let Some(ticket) = self.tickets.get_mut(&number) else {
             return;
         };
-        ticket.unsure |= ended == Ended::Unknown;
+        ticket.unsure |= ended == AttemptOutcome::Unknown;
         let place = self.places.get_mut(&ticket.dependency);
         if well {
             if let Some(place) = place {
@@ -514,7 +514,7 @@
                 place.counts.hedges_won += u64::from(one.beside);
                 place.counts.hedges_lost += u64::from(!one.beside && !ticket.open.is_empty());
             }
-            if matches!(ticket.spec.instead, Instead::Kept { .. }) && ticket.wanted.is_none() {
+            if matches!(ticket.spec.instead, Fallback::Kept { .. }) && ticket.wanted.is_none() {
                 let key = (ticket.spec.to.clone(), ticket.question.clone());
                 self.kept.insert(key, (reply.to_vec(), now));
                 if self.kept.len() > KEPT_MOST {
@@ -557,7 +557,7 @@
         number: u64,
         attempt: u64,
         outcome: Outcome,
-        ended: Ended,
+        ended: AttemptOutcome,
     ) -> Option<Open> {
         self.by_attempt.remove(&attempt);
         let ticket = self.tickets.get_mut(&number)?;
@@ -572,7 +572,7 @@
             if outcome != Outcome::GivenUp {
                 place.attempts.ended(ended, took);
             }
-            if ended == Ended::Succeeded {
+            if ended == AttemptOutcome::Succeeded {
                 place.trial_at = now;
                 place.limit.ended(took, place.open);
                 let open = place
@@ -581,7 +581,7 @@
                     .map_or(0, |at| place.pool.servers()[at].open);
                 let limit = place.limits.entry(one.server.clone());
                 limit
-                    .or_insert_with(|| Limit::new(LIMIT_FIRST, LIMIT_MOST))
+                    .or_insert_with(|| ConcurrencyLimit::new(LIMIT_FIRST, LIMIT_MOST))
                     .ended(took, open as usize);
                 if place.took.len() == TOOK {
                     place.took.pop_front();
@@ -661,10 +661,12 @@
             return self.begin(now, number, chance);
         }
         let lesser = match &ticket.spec.instead {
-            _ if ticket.spec.needed && ticket.spec.instead == Instead::Nothing => Lesser::Needed,
-            Instead::Nothing => Lesser::Nothing,
-            Instead::Fixed(text) => Lesser::Fixed(text.clone().into_bytes()),
-            Instead::Kept { within_s } => Lesser::Kept { within: *within_s },
+            _ if ticket.spec.needed && ticket.spec.instead == Fallback::Nothing => {
+                DegradedResult::Needed
+            }
+            Fallback::Nothing => DegradedResult::Nothing,
+            Fallback::Fixed(text) => DegradedResult::Fixed(text.clone().into_bytes()),
+            Fallback::Kept { within_s } => DegradedResult::Kept { within: *within_s },
         };
         let key = (ticket.spec.to.clone(), ticket.question.clone());
         let kept = self
@@ -672,25 +674,25 @@
             .get(&key)
             .map(|(bytes, at)| (bytes.as_slice(), now - at));
         let end = match instead(&lesser, kept) {
-            Came::Lesser(bytes) => End::Lesser {
+            CallResult::Degraded(bytes) => End::Degraded {
                 bytes,
                 missing: ticket.spec.to.clone(),
             },
             // Nothing is kept: what is not needed is left out.
-            _ if !ticket.spec.needed => End::Lesser {
+            _ if !ticket.spec.needed => End::Degraded {
                 bytes: None,
                 missing: ticket.spec.to.clone(),
             },
             _ if ticket.unsure => End::Failed,
             _ => End::NeverRan,
         };
-        if matches!(end, End::Lesser { .. })
+        if matches!(end, End::Degraded { .. })
             && let Some(place) = self.places.get_mut(&ticket.spec.to)
         {
             place.counts.lesser += 1;
         }
         self.tickets.remove(&number);
-        self.steps.push_back(Step::Over {
+        self.steps.push_back(Action::Over {
             ticket: number,
             end,
         });
@@ -701,7 +703,7 @@
         self.give_up_attempts(now, number, Outcome::GivenUp);
         self.leave_room(now, number, chance);
         self.tickets.remove(&number);
-        self.steps.push_back(Step::Over {
+        self.steps.push_back(Action::Over {
             ticket: number,
             end,
         });
@@ -714,8 +716,8 @@
             .map(|ticket| ticket.open.clone())
             .unwrap_or_default();
         for Open { attempt, .. } in open {
-            self.close(now, number, attempt, outcome, Ended::Unknown);
-            self.steps.push_back(Step::GiveUp { attempt });
+            self.close(now, number, attempt, outcome, AttemptOutcome::Unknown);
+            self.steps.push_back(Action::GiveUp { attempt });
         }
     }
 
--- a/crates/merlinshelf-dependencies/src/servers.rs
+++ b/crates/merlinshelf-dependencies/src/servers.rs
@@ -16,7 +16,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Standing {
+pub enum ServerHealth {
     In,
     /// Out until then; how often in a row, and why.
     Out {
@@ -58,7 +58,7 @@
     pub name: String,
     pub zone: String,
     pub weight: f64,
-    pub standing: Standing,
+    pub standing: ServerHealth,
     pub open: u32,
     /// In since then, for the slow start.
     since: f64,
@@ -75,7 +75,7 @@
             name,
             zone,
             weight,
-            standing: Standing::In,
+            standing: ServerHealth::In,
             open: 0,
             since,
             samples: VecDeque::new(),
@@ -174,16 +174,16 @@
         let usual = self.usual().unwrap_or(0.01);
         let free = |place: &usize| !but.contains(place);
         for (place, server) in self.servers.iter_mut().enumerate() {
-            if let Standing::Out { until, times, .. } = server.standing
+            if let ServerHealth::Out { until, times, .. } = server.standing
                 && now >= until
             {
-                server.standing = Standing::OnTrial {
+                server.standing = ServerHealth::OnTrial {
                     times,
                     well: 0,
                     since: now,
                 };
             }
-            let on_trial = matches!(server.standing, Standing::OnTrial { .. });
+            let on_trial = matches!(server.standing, ServerHealth::OnTrial { .. });
             if on_trial && server.open == 0 && !but.contains(&place) {
                 server.open += 1;
                 return Some(place);
@@ -191,7 +191,7 @@
         }
         let usable: Vec<usize> = (0..self.servers.len())
             .filter(free)
-            .filter(|place| self.servers[*place].standing == Standing::In)
+            .filter(|place| self.servers[*place].standing == ServerHealth::In)
             .collect();
         let own: Vec<usize> = usable
             .iter()
@@ -234,7 +234,7 @@
             let of = self
                 .servers
                 .iter()
-                .filter(|one| one.standing == Standing::In);
+                .filter(|one| one.standing == ServerHealth::In);
             of.filter(|one| !well || one.failures() < 0.5)
                 .filter_map(Server::mean)
                 .collect()
@@ -249,7 +249,9 @@
             .iter()
             .enumerate()
             .filter(|(other, one)| {
-                *other != place && one.samples.len() >= JUDGED_FROM && one.standing == Standing::In
+                *other != place
+                    && one.samples.len() >= JUDGED_FROM
+                    && one.standing == ServerHealth::In
             })
             .map(|(_, one)| one)
             .collect();
@@ -265,7 +267,7 @@
         let room = self
             .servers
             .iter()
-            .filter(|one| one.standing != Standing::In)
+            .filter(|one| one.standing != ServerHealth::In)
             .count() as f64
             + 1.0
             <= self.out_most * self.servers.len() as f64;
@@ -284,7 +286,7 @@
             .push_back((took, well || outcome == Outcome::GivenUp));
         one.last = now;
         match one.standing {
-            Standing::OnTrial {
+            ServerHealth::OnTrial {
                 times,
                 well: before,
                 since,
@@ -296,16 +298,16 @@
                     // What it was before counts no more.
                     one.samples.clear();
                     one.since = now;
-                    Standing::In
+                    ServerHealth::In
                 } else {
-                    Standing::OnTrial {
+                    ServerHealth::OnTrial {
                         times,
                         well: before + 1,
                         since,
                     }
                 };
             }
-            Standing::In if room && one.samples.len() >= JUDGED_FROM => {
+            ServerHealth::In if room && one.samples.len() >= JUDGED_FROM => {
                 let slow = usual
                     .zip(one.mean())
                     .is_some_and(|(usual, own)| own > SLOWER * usual);
@@ -328,9 +330,9 @@
     }
 }
 
-fn out(now: f64, times: u32, why: &'static str) -> Standing {
+fn out(now: f64, times: u32, why: &'static str) -> ServerHealth {
     let pause = (PAUSE * 2_f64.powi(times.min(10) as i32 - 1)).min(PAUSE_MOST);
-    Standing::Out {
+    ServerHealth::Out {
         until: now + pause,
         times,
         why,
--- a/crates/merlinshelf-dependencies/tests/dependencies.rs
+++ b/crates/merlinshelf-dependencies/tests/dependencies.rs
@@ -2,10 +2,10 @@
 
 use std::collections::BTreeMap;
 
-use merlinshelf_dependencies::partial::instead;
+use merlinshelf_dependencies::fallback::instead;
 use merlinshelf_dependencies::{
-    Attempts, Came, Dependencies, Effect, Ended, Lesser, Limit, Missing, Outcome, Pool, Standing,
-    Waiting, allowance, subset,
+    AttemptOutcome, CallResult, ConcurrencyLimit, DegradedResult, Dependencies, Effect, Missing,
+    Outcome, Pool, RetryBudget, ServerHealth, WaitQueue, allowance, subset,
 };
 
 /// A small generator of chance, by seed.
@@ -94,7 +94,7 @@
     }
 
     fn is_in(&self, place: usize) -> bool {
-        self.pool.servers()[place].standing == Standing::In
+        self.pool.servers()[place].standing == ServerHealth::In
     }
 }
 
@@ -223,7 +223,7 @@
     }
     assert_eq!(
         one.servers()[0].standing,
-        Standing::In,
+        ServerHealth::In,
         "the last one is never taken out"
     );
     assert_eq!(
@@ -287,20 +287,20 @@
 
 #[test]
 fn attempts_stay_within_a_tenth_and_stop_where_the_dependency_fails() {
-    let mut attempts = Attempts::default();
+    let mut attempts = RetryBudget::default();
     // One in twenty fails: each is tried again, and the budget stays full.
     let mut further = 0;
     for call in 0..2000 {
         let well = call % 20 != 0;
         attempts.ended(
             if well {
-                Ended::Succeeded
+                AttemptOutcome::Succeeded
             } else {
-                Ended::Unknown
+                AttemptOutcome::Unknown
             },
             0.01,
         );
-        if !well && attempts.again(Effect::Idempotent, Ended::Unknown) {
+        if !well && attempts.again(Effect::Idempotent, AttemptOutcome::Unknown) {
             further += 1;
         }
     }
@@ -310,25 +310,27 @@
     let (mut calls, mut further) = (0, 0);
     for _ in 0..500 {
         calls += 1;
-        attempts.ended(Ended::Unknown, 0.01);
-        further += u32::from(attempts.again(Effect::Idempotent, Ended::Unknown));
+        attempts.ended(AttemptOutcome::Unknown, 0.01);
+        further += u32::from(attempts.again(Effect::Idempotent, AttemptOutcome::Unknown));
     }
     assert!(further <= 10, "{further} of {calls}");
     assert!(attempts.fails());
     // It recovers, and so does the budget.
-    (0..200).for_each(|_| attempts.ended(Ended::Succeeded, 0.01));
+    (0..200).for_each(|_| attempts.ended(AttemptOutcome::Succeeded, 0.01));
     assert!(!attempts.fails() && attempts.left() > 5.0);
 }
 
 #[test]
 fn what_may_have_taken_effect_is_never_made_again_where_that_matters() {
-    let mut attempts = Attempts::default();
-    assert!(!attempts.again(Effect::NonIdempotent, Ended::Unknown));
-    assert!(attempts.again(Effect::NonIdempotent, Ended::NeverSent));
-    assert!(attempts.again(Effect::NonIdempotent, Ended::Refused));
-    assert!(attempts.again(Effect::Idempotent, Ended::Unknown));
-    assert!(!attempts.again(Effect::Idempotent, Ended::Succeeded));
-    (0..100).for_each(|call| attempts.ended(Ended::Succeeded, 0.01 + 0.0001 * f64::from(call)));
+    let mut attempts = RetryBudget::default();
+    assert!(!attempts.again(Effect::NonIdempotent, AttemptOutcome::Unknown));
+    assert!(attempts.again(Effect::NonIdempotent, AttemptOutcome::NeverSent));
+    assert!(attempts.again(Effect::NonIdempotent, AttemptOutcome::Refused));
+    assert!(attempts.again(Effect::Idempotent, AttemptOutcome::Unknown));
+    assert!(!attempts.again(Effect::Idempotent, AttemptOutcome::Succeeded));
+    (0..100).for_each(|call| {
+        attempts.ended(AttemptOutcome::Succeeded, 0.01 + 0.0001 * f64::from(call))
+    });
     assert_eq!(attempts.hedge_after(Effect::NonIdempotent), None);
     assert!(!attempts.hedge(Effect::NonIdempotent));
     let after = attempts
@@ -339,8 +341,8 @@
 
 #[test]
 fn where_all_slow_alike_there_is_no_wave_of_second_calls() {
-    let mut attempts = Attempts::default();
-    (0..100).for_each(|_| attempts.ended(Ended::Succeeded, 0.010));
+    let mut attempts = RetryBudget::default();
+    (0..100).for_each(|_| attempts.ended(AttemptOutcome::Succeeded, 0.010));
     // Every call is slow from one moment on: each would be hedged, and the budget says no after a few.
     let mut hedged = 0;
     for _ in 0..300 {
@@ -351,13 +353,13 @@
         {
             hedged += 1;
         }
-        attempts.ended(Ended::Succeeded, 0.1);
+        attempts.ended(AttemptOutcome::Succeeded, 0.1);
     }
     assert!(hedged <= 20, "{hedged}");
 }
 
 /// A dependency that bears so many calls at once; with more all take longer in proportion.
-fn under_load(limit: &mut Limit, bears: f64, seconds: f64, swing: &mut (f64, f64)) {
+fn under_load(limit: &mut ConcurrencyLimit, bears: f64, seconds: f64, swing: &mut (f64, f64)) {
     let (mut now, mut open): (f64, Vec<(f64, f64)>) = (0.0, Vec::new());
     while now < seconds {
         now += 0.001;
@@ -379,7 +381,7 @@
 
 #[test]
 fn a_limit_finds_what_a_dependency_bears_and_swings_little() {
-    let mut limit = Limit::new(2.0, 200.0);
+    let mut limit = ConcurrencyLimit::new(2.0, 200.0);
     let mut swing = (f64::MAX, 0.0);
     under_load(&mut limit, 20.0, 20.0, &mut swing);
     // Between what is borne without a queue and three times that, where the queue can't be chance any more.
@@ -392,7 +394,7 @@
     under_load(&mut limit, 5.0, 10.0, &mut swing);
     assert!(limit.get() < 20.0, "{}", limit.get());
     // What is hardly used is not raised without end, and one call is always possible.
-    let mut idle = Limit::new(4.0, 1000.0);
+    let mut idle = ConcurrencyLimit::new(4.0, 1000.0);
     (0..5000).for_each(|_| idle.ended(0.01, 0));
     assert_eq!(idle.get(), 4.0);
     (0..5000).for_each(|number| idle.ended(if number < 8 { 0.001 } else { 0.5 }, 3));
@@ -401,7 +403,7 @@
 
 #[test]
 fn waiting_is_fair_between_operations_and_bounded_by_time() {
-    let mut waiting = Waiting::default();
+    let mut waiting = WaitQueue::default();
     (0..50).for_each(|call| waiting.wait(0, call, 1.0));
     (50..53).for_each(|call| waiting.wait(1, call, 1.0));
     let order: Vec<usize> = (0..8)
@@ -422,16 +424,22 @@
 
 #[test]
 fn a_part_that_is_missing_is_told_and_costs_what_it_was_said_to() {
-    assert_eq!(instead(&Lesser::Needed, Some((b"x", 0.0))), Came::Failed);
-    assert_eq!(instead(&Lesser::Nothing, None), Came::Lesser(None));
     assert_eq!(
-        instead(&Lesser::Fixed(b"-".to_vec()), None),
-        Came::Lesser(Some(b"-".to_vec()))
+        instead(&DegradedResult::Needed, Some((b"x", 0.0))),
+        CallResult::Failed
     );
-    let kept = Lesser::Kept { within: 10.0 };
+    assert_eq!(
+        instead(&DegradedResult::Nothing, None),
+        CallResult::Degraded(None)
+    );
+    assert_eq!(
+        instead(&DegradedResult::Fixed(b"-".to_vec()), None),
+        CallResult::Degraded(Some(b"-".to_vec()))
+    );
+    let kept = DegradedResult::Kept { within: 10.0 };
     assert_eq!(
         instead(&kept, Some((b"old", 9.0))),
-        Came::Lesser(Some(b"old".to_vec()))
+        CallResult::Degraded(Some(b"old".to_vec()))
     );
     for too_old in [
         Some((b"old".as_slice(), 10.5)),
@@ -439,7 +447,7 @@
         Some((b"old".as_slice(), f64::NAN)),
         None,
     ] {
-        assert_eq!(instead(&kept, too_old), Came::Failed, "{too_old:?}");
+        assert_eq!(instead(&kept, too_old), CallResult::Failed, "{too_old:?}");
     }
     let mut missing = Missing::default();
     assert_eq!((missing.is_partial(), missing.field()), (false, None));
--- a/crates/merlinshelf-dependencies/tests/golden.rs
+++ b/crates/merlinshelf-dependencies/tests/golden.rs
@@ -14,10 +14,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Path, PathBuf};
 
+use merlinshelf_dependencies::config::{Call, Dependency, Fallback, Operation, ServerConfig};
 use merlinshelf_dependencies::counts::Counts;
 use merlinshelf_dependencies::report::ServerReport;
-use merlinshelf_dependencies::wanted::{Call, Dependency, Instead, Operation, ServerOf};
-use merlinshelf_dependencies::{Ask, Dependencies, Effect, Ended, Report, Router, Step};
+use merlinshelf_dependencies::{
+    Action, AttemptOutcome, CallRequest, Dependencies, Effect, Report, Router,
+};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use serde_json::Value;
@@ -71,19 +73,19 @@
 
 #[test]
 fn settings_with_every_field() {
-    let server = |address: &str, zone: &str, weight: f64| ServerOf {
+    let server = |address: &str, zone: &str, weight: f64| ServerConfig {
         address: address.into(),
         zone: zone.into(),
         weight,
     };
-    let call = |to: &str, share: f64, needed: bool, cost: f64, instead: Instead| Call {
+    let call = |to: &str, share: f64, needed: bool, cost: f64, instead: Fallback| Call {
         to: to.into(),
         share: Some(share),
         needed,
         cost,
         instead,
     };
-    let fixed = Instead::Fixed("no picture".into());
+    let fixed = Fallback::Fixed("no picture".into());
     let expected = Dependencies {
         zone: "garching".into(),
         dependencies: BTreeMap::from([
@@ -114,14 +116,14 @@
                 "page".into(),
                 Operation {
                     calls: vec![
-                        call("catalogue", 0.25, true, 0.125, Instead::Nothing),
+                        call("catalogue", 0.25, true, 0.125, Fallback::Nothing),
                         call("thumbs", 0.3125, false, 0.1875, fixed),
                         call(
                             "thumbs",
                             0.4375,
                             false,
                             0.0625,
-                            Instead::Kept { within_s: 60.5 },
+                            Fallback::Kept { within_s: 60.5 },
                         ),
                     ],
                     at_once: false,
@@ -147,7 +149,7 @@
         dependencies: BTreeMap::from([(
             "catalogue".into(),
             Dependency {
-                servers: vec![ServerOf {
+                servers: vec![ServerConfig {
                     address: "127.0.0.1:5441".into(),
                     zone: String::new(),
                     weight: 1.0,
@@ -165,7 +167,7 @@
                     share: None,
                     needed: false,
                     cost: 0.0,
-                    instead: Instead::Nothing,
+                    instead: Fallback::Nothing,
                 }],
                 at_once: false,
             },
@@ -254,7 +256,7 @@
     let (mut now, mut attempts, mut states) = (0.0, 0, BTreeSet::new());
     for _ in 0..200 {
         for _ in 0..24 {
-            let ask = Ask {
+            let ask = CallRequest {
                 operation: "page",
                 place: 0,
                 named: None,
@@ -266,7 +268,7 @@
             router.ask(now, &ask, &mut || random.random());
         }
         while let Some(step) = router.next_step() {
-            let Step::Attempt {
+            let Action::Attempt {
                 attempt, server, ..
             } = step
             else {
@@ -274,9 +276,9 @@
             };
             attempts += 1;
             let (took, ended) = match server.as_str() {
-                "127.0.0.1:1" | "127.0.0.1:2" if attempts % 3 > 0 => (0.0, Ended::Refused),
-                "127.0.0.1:3" => (0.05, Ended::Succeeded),
-                _ => (0.0, Ended::Succeeded),
+                "127.0.0.1:1" | "127.0.0.1:2" if attempts % 3 > 0 => (0.0, AttemptOutcome::Refused),
+                "127.0.0.1:3" => (0.05, AttemptOutcome::Succeeded),
+                _ => (0.0, AttemptOutcome::Succeeded),
             };
             // While the attempt is open a server that is tried again shows as such.
             states.extend(states_of(&router));
--- a/crates/merlinshelf-dependencies/tests/router.rs
+++ b/crates/merlinshelf-dependencies/tests/router.rs
@@ -3,7 +3,9 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use merlinshelf_dependencies::{Ask, Dependencies, Effect, End, Ended, Router, Step};
+use merlinshelf_dependencies::{
+    Action, AttemptOutcome, CallRequest, Dependencies, Effect, End, Router,
+};
 use merlinshelf_quota::Remaining;
 use proptest::prelude::*;
 use rand::{RngExt, SeedableRng};
@@ -41,7 +43,7 @@
 }
 
 /// What a server does with a call at a time: after how long it ends, and how; nothing: never.
-type Does = fn(f64, &str) -> Option<(f64, Ended)>;
+type Does = fn(f64, &str) -> Option<(f64, AttemptOutcome)>;
 
 struct World {
     now: f64,
@@ -49,9 +51,9 @@
     chance: Chance,
     does: Does,
     /// Ends to come: when, attempt, how.
-    coming: Vec<(f64, u64, Ended)>,
+    coming: Vec<(f64, u64, AttemptOutcome)>,
     ends: BTreeMap<u64, End>,
-    /// Attempts by server and in all.
+    /// RetryBudget by server and in all.
     attempts: BTreeMap<String, u32>,
 }
 
@@ -70,7 +72,7 @@
 
     fn ask_as(&mut self, left: Option<f64>, effect: Effect, place: usize) -> u64 {
         let chance = &mut self.chance;
-        let ask = Ask {
+        let ask = CallRequest {
             operation: "page",
             place,
             named: None,
@@ -91,7 +93,7 @@
     fn steps(&mut self) {
         while let Some(step) = self.router.next_step() {
             match step {
-                Step::Attempt {
+                Action::Attempt {
                     attempt, server, ..
                 } => {
                     *self.attempts.entry(server.clone()).or_default() += 1;
@@ -99,8 +101,8 @@
                         self.coming.push((self.now + took, attempt, ended));
                     }
                 }
-                Step::GiveUp { attempt } => self.coming.retain(|(_, known, _)| *known != attempt),
-                Step::Over { ticket, end } => {
+                Action::GiveUp { attempt } => self.coming.retain(|(_, known, _)| *known != attempt),
+                Action::Over { ticket, end } => {
                     assert!(
                         self.ends.insert(ticket, end).is_none(),
                         "{ticket} ended twice"
@@ -160,9 +162,12 @@
     }
 }
 
-fn well(_: f64, server: &str) -> Option<(f64, Ended)> {
+fn well(_: f64, server: &str) -> Option<(f64, AttemptOutcome)> {
     // Not all alike, so that there is a slowest tenth.
-    Some((0.004 + 0.0001 * server.len() as f64, Ended::Succeeded))
+    Some((
+        0.004 + 0.0001 * server.len() as f64,
+        AttemptOutcome::Succeeded,
+    ))
 }
 
 #[test]
@@ -180,7 +185,7 @@
 #[test]
 fn one_that_never_answers_costs_few_calls_and_is_out_soon() {
     let mut world = World::new("{to: 'a'}", |_, server| {
-        (server != "127.0.0.1:3").then_some((0.004, Ended::Succeeded))
+        (server != "127.0.0.1:3").then_some((0.004, AttemptOutcome::Succeeded))
     });
     let (whole, all) = world.play(200.0, 20.0);
     assert!(whole * 100 >= all * 99, "{whole} of {all}");
@@ -191,7 +196,7 @@
 #[test]
 fn a_dependency_that_fails_as_a_whole_gets_fewer_calls_and_lesser_answers_come_at_once() {
     let mut world = World::new("{to: 'a', instead: {fixed: 'less'}}", |_, _| {
-        Some((0.003, Ended::Unknown))
+        Some((0.003, AttemptOutcome::Unknown))
     });
     let (whole, all) = world.play(200.0, 10.0);
     assert_eq!(whole, 0);
@@ -202,7 +207,7 @@
     );
     // Ten trials a second, once it was found to fail.
     assert!(world.attempts_in_all() < 200, "{}", world.attempts_in_all());
-    let lesser = End::Lesser {
+    let lesser = End::Degraded {
         bytes: Some(b"less".to_vec()),
         missing: "a".into(),
     };
@@ -216,7 +221,7 @@
 #[test]
 fn nobody_is_kept_waiting_where_the_whole_of_it_fails() {
     let mut world = World::new("{to: 'a', instead: {fixed: 'less'}}", |_, _| {
-        Some((0.02, Ended::Unknown))
+        Some((0.02, AttemptOutcome::Unknown))
     });
     // Far more than the limit, so that most wait for a turn.
     let asked: Vec<u64> = (0..400).map(|_| world.ask()).collect();
@@ -233,9 +238,9 @@
 fn all_of_one_fails_and_the_other_stands_in_marked() {
     let mut world = World::new("{to: 'c', needed: true}", |_, server| {
         Some(if server.starts_with("127.0.0.1:2") {
-            (0.001, Ended::NeverSent)
+            (0.001, AttemptOutcome::NeverSent)
         } else {
-            (0.004, Ended::Succeeded)
+            (0.004, AttemptOutcome::Succeeded)
         })
     });
     world.play(100.0, 2.0);
@@ -262,7 +267,7 @@
     world.until(3.0);
     assert_eq!(
         world.ends[&asked],
-        End::Lesser {
+        End::Degraded {
             bytes: Some(b"good".to_vec()),
             missing: "a".into()
         }
@@ -276,7 +281,7 @@
 #[test]
 fn what_has_forty_milliseconds_none_or_an_unknown_time_left() {
     let mut world = World::new("{to: 'a', needed: true}, {to: 'b'}", |_, _| {
-        Some((0.025, Ended::Succeeded))
+        Some((0.025, AttemptOutcome::Succeeded))
     });
     for place in [0, 1].repeat(40) {
         world.ask_as(None, Effect::Idempotent, place);
@@ -364,11 +369,11 @@
     FREE.set(0.0);
     let mut world = World::new("{to: 'a', needed: true}", |now, server| {
         if server != "127.0.0.1:2" {
-            return Some((0.004, Ended::Succeeded));
+            return Some((0.004, AttemptOutcome::Succeeded));
         }
         let end = FREE.get().max(now) + 0.004;
         FREE.set(end);
-        Some((end - now, Ended::Succeeded))
+        Some((end - now, AttemptOutcome::Succeeded))
     });
     let (whole, all) = world.play(2000.0, 8.0);
     assert!(whole * 1000 >= all * 999, "{whole} of {all}");
@@ -427,7 +432,7 @@
 
 #[derive(Clone, Debug)]
 enum Happens {
-    Ask {
+    CallRequest {
         idempotent: bool,
         left: f64,
     },
@@ -442,7 +447,7 @@
 
 fn happens() -> impl Strategy<Value = Happens> {
     prop_oneof![
-        4 => (any::<bool>(), 0.0..1.0_f64).prop_map(|(idempotent, left)| Happens::Ask { idempotent, left }),
+        4 => (any::<bool>(), 0.0..1.0_f64).prop_map(|(idempotent, left)| Happens::CallRequest { idempotent, left }),
         5 => (0..50_usize, 0..4_u8).prop_map(|(which, how)| Happens::Ends(which, how)),
         1 => (0..50_usize).prop_map(Happens::GiveUp),
         3 => (0.0..0.3_f64).prop_map(Happens::Time),
@@ -458,24 +463,24 @@
         let mut router = Router::new(0.0, wanted("{to: 'a', needed: true}"), "n1");
         let (mut now, mut chance) = (0.0, Chance::of(5));
         let mut calls: BTreeMap<u64, bool> = BTreeMap::new();
-        // Attempts that are open, with their call; calls of which an attempt may have taken effect.
+        // RetryBudget that are open, with their call; calls of which an attempt may have taken effect.
         let mut open: Vec<(u64, u64)> = Vec::new();
         let mut unsure: BTreeSet<u64> = BTreeSet::new();
         for one in all {
             match one {
-                Happens::Ask { idempotent, left } => {
+                Happens::CallRequest { idempotent, left } => {
                     let effect = if idempotent { Effect::Idempotent } else { Effect::NonIdempotent };
-                    let ask = Ask { operation: "page", place: 0, named: None, wait: 1.0, left: Some(left), effect, question: b"" };
+                    let ask = CallRequest { operation: "page", place: 0, named: None, wait: 1.0, left: Some(left), effect, question: b"" };
                     let ticket = router.ask(now, &ask, &mut || chance.next());
                     calls.insert(ticket, idempotent);
                 }
                 Happens::Ends(which, how) if !open.is_empty() => {
                     let (attempt, ticket) = open.remove(which % open.len());
-                    let ended = [Ended::Succeeded, Ended::NeverSent, Ended::Refused, Ended::Unknown][usize::from(how)];
-                    if ended == Ended::Unknown { unsure.insert(ticket); }
+                    let ended = [AttemptOutcome::Succeeded, AttemptOutcome::NeverSent, AttemptOutcome::Refused, AttemptOutcome::Unknown][usize::from(how)];
+                    if ended == AttemptOutcome::Unknown { unsure.insert(ticket); }
                     router.ended(now, attempt, ended, b"", &mut || chance.next());
                     // A late second word of it counts for nothing.
-                    router.ended(now, attempt, Ended::Succeeded, b"", &mut || chance.next());
+                    router.ended(now, attempt, AttemptOutcome::Succeeded, b"", &mut || chance.next());
                 }
                 Happens::GiveUp(which) if !calls.is_empty() => {
                     let ticket = *calls.keys().nth(which % calls.len()).expect("there are some");
@@ -500,7 +505,7 @@
             }
             while let Some(step) = router.next_step() {
                 match step {
-                    Step::Attempt { ticket, attempt, wait, .. } => {
+                    Action::Attempt { ticket, attempt, wait, .. } => {
                         prop_assert!(wait > 0.0 && wait <= 1.0);
                         let idempotent = calls.get(&ticket).copied();
                         prop_assert!(idempotent.is_some(), "an attempt of a call that is over");
@@ -509,12 +514,12 @@
                         prop_assert!(idempotent == Some(true) || (beside == 0 && !unsure.contains(&ticket)), "an effect may happen twice");
                         open.push((attempt, ticket));
                     }
-                    Step::GiveUp { attempt } => {
+                    Action::GiveUp { attempt } => {
                         let known = open.iter().find(|(one, _)| *one == attempt).copied();
                         open.retain(|(one, _)| *one != attempt);
                         unsure.extend(known.map(|(_, ticket)| ticket));
                     }
-                    Step::Over { ticket, end } => {
+                    Action::Over { ticket, end } => {
                         prop_assert!(calls.remove(&ticket).is_some(), "it ended twice, or nobody waited");
                         prop_assert!(!open.iter().any(|(_, of)| *of == ticket), "an attempt outlives its call");
                         prop_assert!(end != End::NeverRan || !unsure.contains(&ticket), "it may have run");
@@ -529,7 +534,7 @@
         now += 10.0;
         router.woken(now, &mut || chance.next());
         while let Some(step) = router.next_step() {
-            if let Step::Over { ticket, .. } = step { calls.remove(&ticket); }
+            if let Action::Over { ticket, .. } = step { calls.remove(&ticket); }
         }
         prop_assert!(calls.is_empty() && router.open() == 0);
     }
@@ -537,7 +542,7 @@
 
 #[test]
 fn what_a_fleet_has_left_bounds_calls_and_what_it_found_counts() {
-    let mut world = World::new("{to: 'a'}", |_, _| Some((0.005, Ended::Refused)));
+    let mut world = World::new("{to: 'a'}", |_, _| Some((0.005, AttemptOutcome::Refused)));
     let left = |first, again, probes| Remaining {
         first_calls: first,
         retries: again,
--- a/crates/merlinshelf-protocol/src/control.rs
+++ b/crates/merlinshelf-protocol/src/control.rs
@@ -13,13 +13,13 @@
 };
 
 /// The form that is spoken here.
-pub const FORM: u32 = 1;
+pub const PROTOCOL_VERSION: u32 = 1;
 /// The longest word of an agent to another: a snapshot of what they have decided.
-pub const COUNCIL_MOST: usize = 4 * 1024 * 1024;
+pub const MAX_CONSENSUS_BYTES: usize = 4 * 1024 * 1024;
 
 /// What may be asked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Question {
+pub enum ControlRequest {
     Status,
     Drain,
     Upgrade,
@@ -32,12 +32,12 @@
     /// A beat of the host's agent: what to act on, and how long (`merlinshelf-policy`).
     Policy,
     /// What one agent says to another, in MessagePack; nothing is said to it on the same connection.
-    Council,
+    Consensus,
 }
 
 /// How far what was asked for has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Word {
+pub enum ControlMessage {
     /// More follows.
     More,
     Done,
@@ -47,43 +47,43 @@
     Refused,
 }
 
-impl Question {
+impl ControlRequest {
     fn name(self) -> &'static str {
         match self {
-            Question::Status => "status",
-            Question::Drain => "drain",
-            Question::Upgrade => "upgrade",
-            Question::Knowledge => "knowledge",
-            Question::Forget => "forget",
-            Question::Fleet => "fleet",
-            Question::Policy => "policy",
-            Question::Council => "council",
+            ControlRequest::Status => "status",
+            ControlRequest::Drain => "drain",
+            ControlRequest::Upgrade => "upgrade",
+            ControlRequest::Knowledge => "knowledge",
+            ControlRequest::Forget => "forget",
+            ControlRequest::Fleet => "fleet",
+            ControlRequest::Policy => "policy",
+            ControlRequest::Consensus => "council",
         }
     }
 }
 
-impl Word {
+impl ControlMessage {
     fn name(self) -> &'static str {
         match self {
-            Word::More => "more",
-            Word::Done => "done",
-            Word::Failed => "failed",
-            Word::Refused => "refused",
+            ControlMessage::More => "more",
+            ControlMessage::Done => "done",
+            ControlMessage::Failed => "failed",
+            ControlMessage::Refused => "refused",
         }
     }
 }
 
 /// Reads a question off the front: its form, the question and its body.
-pub fn question(input: &[u8]) -> Front<(u32, Question, &[u8])> {
+pub fn question(input: &[u8]) -> Front<(u32, ControlRequest, &[u8])> {
     let words = alt((
-        "status".value(Question::Status),
-        "drain".value(Question::Drain),
-        "upgrade".value(Question::Upgrade),
-        "knowledge".value(Question::Knowledge),
-        "forget".value(Question::Forget),
-        "fleet".value(Question::Fleet),
-        "policy".value(Question::Policy),
-        "council".value(Question::Council),
+        "status".value(ControlRequest::Status),
+        "drain".value(ControlRequest::Drain),
+        "upgrade".value(ControlRequest::Upgrade),
+        "knowledge".value(ControlRequest::Knowledge),
+        "forget".value(ControlRequest::Forget),
+        "fleet".value(ControlRequest::Fleet),
+        "policy".value(ControlRequest::Policy),
+        "council".value(ControlRequest::Consensus),
     ));
     message(
         input,
@@ -95,23 +95,23 @@
 }
 
 /// Reads a question that one agent sends another off the front; its body may hold a part of their log.
-pub fn council(input: &[u8]) -> Front<(u32, Question, &[u8])> {
+pub fn council(input: &[u8]) -> Front<(u32, ControlRequest, &[u8])> {
     message(
         input,
         "ask ",
-        "council".value(Question::Council),
-        COUNCIL_MOST,
+        "council".value(ControlRequest::Consensus),
+        MAX_CONSENSUS_BYTES,
         Fault("unreadable word of an agent"),
     )
 }
 
 /// Reads what is said off the front: its form, the word and its body.
-pub fn word(input: &[u8]) -> Front<(u32, Word, &[u8])> {
+pub fn word(input: &[u8]) -> Front<(u32, ControlMessage, &[u8])> {
     let words = alt((
-        "more".value(Word::More),
-        "done".value(Word::Done),
-        "failed".value(Word::Failed),
-        "refused".value(Word::Refused),
+        "more".value(ControlMessage::More),
+        "done".value(ControlMessage::Done),
+        "failed".value(ControlMessage::Failed),
+        "refused".value(ControlMessage::Refused),
     ));
     message(input, "say ", words, BODY_MOST, Fault("unreadable answer"))
 }
@@ -136,18 +136,22 @@
     front(input, LINE_MOST + most, fault, whole)
 }
 
-pub fn ask(out: &mut impl Buffer, question: Question, body: &[u8]) {
+pub fn ask(out: &mut impl Buffer, question: ControlRequest, body: &[u8]) {
     put(
         out,
-        format_args!("ask {FORM} {} {}\r\n", question.name(), body.len()),
+        format_args!(
+            "ask {PROTOCOL_VERSION} {} {}\r\n",
+            question.name(),
+            body.len()
+        ),
         Some(body),
     );
 }
 
-pub fn say(out: &mut impl Buffer, word: Word, body: &[u8]) {
+pub fn say(out: &mut impl Buffer, word: ControlMessage, body: &[u8]) {
     put(
         out,
-        format_args!("say {FORM} {} {}\r\n", word.name(), body.len()),
+        format_args!("say {PROTOCOL_VERSION} {} {}\r\n", word.name(), body.len()),
         Some(body),
     );
 }
--- a/crates/merlinshelf-protocol/src/engine.rs
+++ b/crates/merlinshelf-protocol/src/engine.rs
@@ -28,7 +28,7 @@
 
 /// What the engine says. Only `Done` and `Need` have numbers that count.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Notice<'a> {
+pub enum EngineNotification<'a> {
     /// `names`: calls may name their dependency (`NAMES`), as was offered.
     Hello {
         warm: bool,
@@ -62,17 +62,19 @@
     },
 }
 
-impl Notice<'_> {
+impl EngineNotification<'_> {
     pub fn number(&self) -> Option<u64> {
         match self {
-            Notice::Done { number, .. } | Notice::Need { number, .. } => Some(*number),
+            EngineNotification::Done { number, .. } | EngineNotification::Need { number, .. } => {
+                Some(*number)
+            }
             _ => None,
         }
     }
 }
 
 /// Reads one notice off the front: the notice and its length, or nothing until more has come.
-pub fn notice(input: &[u8]) -> Front<Notice<'_>> {
+pub fn notice(input: &[u8]) -> Front<EngineNotification<'_>> {
     front(
         input,
         LINE_MOST + BODY_MOST,
@@ -81,14 +83,14 @@
     )
 }
 
-fn whole<'i>(input: &mut Bytes<'i>) -> ModalResult<Notice<'i>> {
+fn whole<'i>(input: &mut Bytes<'i>) -> ModalResult<EngineNotification<'i>> {
     let text = line(input)?;
     let (mut notice, length) = within(text, words)?;
     if let Some(length) = length {
         let bytes = body(length)(input)?;
         match &mut notice {
-            Notice::Done { result, .. } => *result = bytes,
-            Notice::Need { body, .. } => *body = bytes,
+            EngineNotification::Done { result, .. } => *result = bytes,
+            EngineNotification::Need { body, .. } => *body = bytes,
             _ => {}
         }
     }
@@ -96,7 +98,7 @@
 }
 
 /// One line, and the length of the body that follows it.
-fn words<'i>(input: &mut &'i [u8]) -> ModalResult<(Notice<'i>, Option<usize>)> {
+fn words<'i>(input: &mut &'i [u8]) -> ModalResult<(EngineNotification<'i>, Option<usize>)> {
     alt((hello, done, need, stats, no, note)).parse_next(input)
 }
 
@@ -113,15 +115,15 @@
         .parse_next(input)
 }
 
-fn hello<'i>(input: &mut &'i [u8]) -> ModalResult<(Notice<'i>, Option<usize>)> {
+fn hello<'i>(input: &mut &'i [u8]) -> ModalResult<(EngineNotification<'i>, Option<usize>)> {
     let state = alt(("WARM".value(true), "COLD".value(false)));
     let names = opt(preceded(" ", NAMES)).map(|names| names.is_some());
     let (warm, up_ms, names) =
         preceded("HELLO ", (word(state), millis, names)).parse_next(input)?;
-    Ok((Notice::Hello { warm, up_ms, names }, None))
+    Ok((EngineNotification::Hello { warm, up_ms, names }, None))
 }
 
-fn done<'i>(input: &mut &'i [u8]) -> ModalResult<(Notice<'i>, Option<usize>)> {
+fn done<'i>(input: &mut &'i [u8]) -> ModalResult<(EngineNotification<'i>, Option<usize>)> {
     let end = alt((
         "OK".value(End::Succeeded),
         "ERROR".value(End::Errored),
@@ -137,7 +139,7 @@
     );
     let (number, id, end, took_ms, length) = preceded("DONE ", fields).parse_next(input)?;
     Ok((
-        Notice::Done {
+        EngineNotification::Done {
             number,
             id,
             end,
@@ -148,7 +150,7 @@
     ))
 }
 
-fn need<'i>(input: &mut &'i [u8]) -> ModalResult<(Notice<'i>, Option<usize>)> {
+fn need<'i>(input: &mut &'i [u8]) -> ModalResult<(EngineNotification<'i>, Option<usize>)> {
     // A name begins with no digit, so that none passes for a length.
     let name = (
         take_while(1, AsChar::is_alpha),
@@ -162,7 +164,7 @@
     );
     let (number, id, named, length) = preceded("NEED ", fields).parse_next(input)?;
     Ok((
-        Notice::Need {
+        EngineNotification::Need {
             number,
             id,
             named,
@@ -172,22 +174,22 @@
     ))
 }
 
-fn stats<'i>(input: &mut &'i [u8]) -> ModalResult<(Notice<'i>, Option<usize>)> {
+fn stats<'i>(input: &mut &'i [u8]) -> ModalResult<(EngineNotification<'i>, Option<usize>)> {
     let gauges = repeat(0.., preceded(" ", float::<_, f64, _>));
     let (tag, gauges) = preceded("STATS ", (dec_uint, gauges)).parse_next(input)?;
-    Ok((Notice::Stats { tag, gauges }, None))
+    Ok((EngineNotification::Stats { tag, gauges }, None))
 }
 
-fn no<'i>(input: &mut &'i [u8]) -> ModalResult<(Notice<'i>, Option<usize>)> {
+fn no<'i>(input: &mut &'i [u8]) -> ModalResult<(EngineNotification<'i>, Option<usize>)> {
     preceded("NO ", rest)
-        .map(|what| (Notice::No { what }, None))
+        .map(|what| (EngineNotification::No { what }, None))
         .parse_next(input)
 }
 
-fn note<'i>(input: &mut &'i [u8]) -> ModalResult<(Notice<'i>, Option<usize>)> {
+fn note<'i>(input: &mut &'i [u8]) -> ModalResult<(EngineNotification<'i>, Option<usize>)> {
     let (number, text) = preceded("NOTE ", (dec_uint, rest)).parse_next(input)?;
     Ok((
-        Notice::Note {
+        EngineNotification::Note {
             number,
             text: text.trim_ascii_start(),
         },
--- a/crates/merlinshelf-protocol/src/teaching.rs
+++ b/crates/merlinshelf-protocol/src/gossip.rs
@@ -19,7 +19,7 @@
 use crate::{Buffer, Bytes, Fault, Front, LINE_MOST, front, line, put, within};
 
 /// The form that is spoken here.
-pub const FORM: u32 = 1;
+pub const PROTOCOL_VERSION: u32 = 1;
 /// The longest message there is.
 pub const MESSAGE_MOST: usize = (1 + MAX_UPDATES + MAX_OBSERVATIONS) * (LINE_MOST + 2);
 
@@ -71,7 +71,7 @@
     put(
         out,
         format_args!(
-            "{word} {FORM} {} {} {} {}\r\n",
+            "{word} {PROTOCOL_VERSION} {} {} {} {}\r\n",
             peer_words(from),
             standing.name(),
             u8::from(*wants),
@@ -184,7 +184,7 @@
     let whole = |input: &mut Bytes| -> ModalResult<Begun> {
         let text = line(input)?;
         let kind = alt(("ask".value(Kind::Ask), "tell".value(Kind::Tell)));
-        let form = dec_uint::<_, u32, _>.verify(|form| *form == FORM);
+        let form = dec_uint::<_, u32, _>.verify(|form| *form == PROTOCOL_VERSION);
         let counts = (
             dec_uint::<_, usize, _>.verify(|count| *count <= MAX_UPDATES),
             " ",
--- a/crates/merlinshelf-protocol/src/lib.rs
+++ b/crates/merlinshelf-protocol/src/lib.rs
@@ -5,8 +5,8 @@
 pub mod control;
 pub mod engine;
 pub mod fastcgi;
-pub mod members;
-pub mod teaching;
+pub mod gossip;
+pub mod registration;
 pub mod uwsgi;
 
 use std::fmt;
--- a/crates/merlinshelf-protocol/tests/control.rs
+++ b/crates/merlinshelf-protocol/tests/control.rs
@@ -1,11 +1,11 @@
 //! The control socket's words: whole, cut at every byte, garbled and endless.
 
-use merlinshelf_protocol::control::{Question, Word, ask, question, say, word};
+use merlinshelf_protocol::control::{ControlMessage, ControlRequest, ask, question, say, word};
 
 #[test]
 fn questions_and_words_come_back_as_they_were_said_however_they_are_cut() {
     let mut bytes: Vec<u8> = Vec::new();
-    ask(&mut bytes, Question::Upgrade, b"{\"a\":1}");
+    ask(&mut bytes, ControlRequest::Upgrade, b"{\"a\":1}");
     assert_eq!(bytes, b"ask 1 upgrade 7\r\n{\"a\":1}\r\n");
     for cut in 0..bytes.len() {
         assert_eq!(question(&bytes[..cut]), Ok(None), "cut at {cut}");
@@ -15,15 +15,15 @@
     assert_eq!(
         question(&bytes),
         Ok(Some((
-            (1, Question::Upgrade, b"{\"a\":1}".as_slice()),
+            (1, ControlRequest::Upgrade, b"{\"a\":1}".as_slice()),
             length
         )))
     );
     for (said, text) in [
-        (Word::More, "more"),
-        (Word::Done, "done"),
-        (Word::Failed, "failed"),
-        (Word::Refused, "refused"),
+        (ControlMessage::More, "more"),
+        (ControlMessage::Done, "done"),
+        (ControlMessage::Failed, "failed"),
+        (ControlMessage::Refused, "refused"),
     ] {
         let mut bytes: Vec<u8> = Vec::new();
         say(&mut bytes, said, b"\r\n");
@@ -42,7 +42,7 @@
 fn another_form_is_told_and_what_is_no_word_is_a_fault_at_once() {
     assert_eq!(
         question(b"ask 7 status 0\r\n\r\n"),
-        Ok(Some(((7, Question::Status, b"".as_slice()), 18)))
+        Ok(Some(((7, ControlRequest::Status, b"".as_slice()), 18)))
     );
     let faults: [&[u8]; 8] = [
         b"ask 1 dance 0\r\n\r\n",
--- a/crates/merlinshelf-protocol/tests/golden.rs
+++ b/crates/merlinshelf-protocol/tests/golden.rs
@@ -10,10 +10,10 @@
 use merlinshelf_gossip::{
     GossipedObservation, MembershipUpdate, Message, Metric, Source, SourceStatus, State,
 };
-use merlinshelf_protocol::control::{self, Question};
-use merlinshelf_protocol::engine::{self, End, Notice};
-use merlinshelf_protocol::teaching::{Kind, Reading, put_message};
-use merlinshelf_protocol::{CallId, Front, fastcgi, members, uwsgi};
+use merlinshelf_protocol::control::{self, ControlRequest};
+use merlinshelf_protocol::engine::{self, End, EngineNotification};
+use merlinshelf_protocol::gossip::{Kind, Reading, put_message};
+use merlinshelf_protocol::{CallId, Front, fastcgi, registration, uwsgi};
 
 const LIFE: u64 = 1_796_150_622_705;
 const STANDINGS: [SourceStatus; 4] = [
@@ -178,7 +178,7 @@
 /// A word of the control socket with the form's number and the body.
 type Framed<T> = (u32, T, Vec<u8>);
 
-const FORM: u32 = 1;
+const PROTOCOL_VERSION: u32 = 1;
 
 fn decode_framed<T>(
     mut rest: &[u8],
@@ -198,22 +198,23 @@
     let bodies: [&[u8]; 4] = [b"{\"of\":1}", b"", b"{\r\n\"of\":3}\r\n", b"\x81\xa2of\x04"];
     let bodies = bodies.into_iter().cycle().map(<[u8]>::to_vec);
     let all = words.iter().zip(bodies);
-    all.map(|(word, body)| (FORM, *word, body)).collect()
+    all.map(|(word, body)| (PROTOCOL_VERSION, *word, body))
+        .collect()
 }
 
 #[test]
 fn questions_at_the_control_socket() {
     let questions = framed(&[
-        Question::Status,
-        Question::Drain,
-        Question::Upgrade,
-        Question::Knowledge,
-        Question::Forget,
-        Question::Fleet,
-        Question::Policy,
-        Question::Council,
+        ControlRequest::Status,
+        ControlRequest::Drain,
+        ControlRequest::Upgrade,
+        ControlRequest::Knowledge,
+        ControlRequest::Forget,
+        ControlRequest::Fleet,
+        ControlRequest::Policy,
+        ControlRequest::Consensus,
     ]);
-    let encode = |questions: &Vec<Framed<Question>>| {
+    let encode = |questions: &Vec<Framed<ControlRequest>>| {
         let mut bytes: Vec<u8> = Vec::new();
         for (_, question, body) in questions {
             control::ask(&mut bytes, *question, body);
@@ -227,8 +228,8 @@
 /// What one agent says to another has a reader of its own.
 #[test]
 fn message_between_agents() {
-    let message = framed(&[Question::Council]);
-    let encode = |message: &Vec<Framed<Question>>| {
+    let message = framed(&[ControlRequest::Consensus]);
+    let encode = |message: &Vec<Framed<ControlRequest>>| {
         let mut bytes: Vec<u8> = Vec::new();
         control::ask(&mut bytes, message[0].1, &message[0].2);
         bytes
@@ -239,9 +240,14 @@
 
 #[test]
 fn answers_at_the_control_socket() {
-    use control::Word;
-    let words = framed(&[Word::More, Word::Done, Word::Failed, Word::Refused]);
-    let encode = |words: &Vec<Framed<Word>>| {
+    use control::ControlMessage;
+    let words = framed(&[
+        ControlMessage::More,
+        ControlMessage::Done,
+        ControlMessage::Failed,
+        ControlMessage::Refused,
+    ]);
+    let encode = |words: &Vec<Framed<ControlMessage>>| {
         let mut bytes: Vec<u8> = Vec::new();
         for (_, word, body) in words {
             control::say(&mut bytes, *word, body);
@@ -255,7 +261,7 @@
 #[test]
 fn report_that_an_instance_is_up() {
     let mut bytes: Vec<u8> = Vec::new();
-    members::report(&mut bytes, "127.0.0.1:8761", "n3", true);
+    registration::report(&mut bytes, "127.0.0.1:8761", "n3", true);
     golden_file::assert_encoded("registration_up", &bytes);
 }
 
@@ -263,7 +269,7 @@
 fn notice_of_a_run_that_failed() {
     let id = CallId::read(b"9b1f03aa5c7e2d41").expect("an id");
     let bytes = b"DONE 6 9b1f03aa5c7e2d41 ERROR 12.5 4\r\nfail\r\n";
-    let notice = Notice::Done {
+    let notice = EngineNotification::Done {
         number: 6,
         id,
         end: End::Errored,
--- a/crates/merlinshelf-protocol/tests/teaching.rs
+++ b/crates/merlinshelf-protocol/tests/teaching.rs
@@ -4,7 +4,7 @@
 use merlinshelf_gossip::{
     GossipedObservation, MembershipUpdate, Message, Metric, Source, SourceStatus, State,
 };
-use merlinshelf_protocol::teaching::{Kind, MESSAGE_MOST, Reading, put_message};
+use merlinshelf_protocol::gossip::{Kind, MESSAGE_MOST, Reading, put_message};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
--- a/crates/merlinshelf-protocol/tests/wire.rs
+++ b/crates/merlinshelf-protocol/tests/wire.rs
@@ -2,7 +2,7 @@
 
 use insta::assert_snapshot;
 use merlinshelf_protocol::fastcgi::{self, Piece, Records};
-use merlinshelf_protocol::{CallId, Front, catalogue, engine, members};
+use merlinshelf_protocol::{CallId, Front, catalogue, engine, registration};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
 
@@ -220,7 +220,7 @@
     engine::skip(&mut out, id, 12);
     engine::stat(&mut out, 3);
     catalogue::invoke(&mut out, id, 250, b"body");
-    members::report(&mut out, "127.0.0.1:8761", "n3", false);
+    registration::report(&mut out, "127.0.0.1:8761", "n3", false);
     assert_snapshot!(out.escape_ascii().to_string().replace("\\n", "\\n\n"));
     let bad = [
         &b"9b1f03aa5c7e2d4"[..],
@@ -262,7 +262,7 @@
         b"HTTP/1.1 204 No Content\r\n\r\nHTTP/1.1 503 Busy\r\ncontent-LENGTH: 3 \r\n\r\nnow\
         HTTP/1.1 204 \r\nConnection: close\r\nX: y\r\n\r\nHTTP/1.0 200 OK\r\n\r\n\
         HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nHTTP/2 200\r\n";
-    assert_snapshot!(messages(bytes, members::answer));
+    assert_snapshot!(messages(bytes, registration::answer));
 }
 
 /// Whole messages with bytes changed, cut out and put in: whatever comes, nothing panics or makes no end.
@@ -303,5 +303,5 @@
 fn notices_end(bytes: &[u8]) -> bool {
     engine::notice(bytes).is_err()
         | catalogue::reply(bytes).is_err()
-        | members::answer(bytes).is_err()
+        | registration::answer(bytes).is_err()
 }
--- a/crates/merlinshelf-testbed/src/budgets.rs
+++ b/crates/merlinshelf-testbed/src/budgets.rs
@@ -5,12 +5,12 @@
 use std::io;
 use std::time::Duration;
 
-use merlinshelf_protocol::control::Word;
+use merlinshelf_protocol::control::ControlMessage;
 use serde_json::{Value, json};
 use tokio::time::Instant;
 
+use crate::fakes::Server;
 use crate::installation::Installation;
-use crate::stand_in::Server;
 
 /// Budgets of the trials, calls a second of the whole fleet.
 pub const PROBES: usize = 8;
@@ -41,11 +41,11 @@
     for _ in 0..20 {
         let (word, said) = all.hosts[0].policy("propose", ask.clone()).await?;
         match (word, said["number"].as_u64()) {
-            (Word::Done, Some(number)) => return Ok(number),
+            (ControlMessage::Done, Some(number)) => return Ok(number),
             (_, Some(_)) => return Err(io::Error::other(said.to_string())),
             _ => {}
         }
-        if word == Word::Refused {
+        if word == ControlMessage::Refused {
             return Err(io::Error::other(said.to_string()));
         }
     }
--- a/crates/merlinshelf-testbed/src/demo.rs
+++ b/crates/merlinshelf-testbed/src/demo.rs
@@ -3,7 +3,7 @@
 use std::io;
 use std::time::Duration;
 
-use merlinshelf_protocol::control::{Question, Word};
+use merlinshelf_protocol::control::{ControlMessage, ControlRequest};
 use tokio::time::sleep;
 
 use crate::instance::{Instance, Setup};
@@ -25,12 +25,12 @@
     println!("20 connections send {} invocations a second", load.rate);
     sleep(Duration::from_secs(1)).await;
     println!("\nupgrade");
-    let mut talk = instance.ask(Question::Upgrade).await?;
+    let mut talk = instance.ask(ControlRequest::Upgrade).await?;
     let done = loop {
         let (word, report) = talk.next().await?;
         println!("  {}", report["text"].as_str().unwrap_or(""));
-        if word != Word::More {
-            break word == Word::Done;
+        if word != ControlMessage::More {
+            break word == ControlMessage::Done;
         }
     };
     let status = instance.status().await?;
--- a/crates/merlinshelf-testbed/src/trial/cost.rs
+++ b/crates/merlinshelf-testbed/src/experiments/cost.rs
@@ -6,7 +6,7 @@
 
 use merlinshelf_agent::talk::Talk;
 use merlinshelf_policy::{Heartbeat, InstanceStatus, LeaseGrant, Policy};
-use merlinshelf_protocol::control::Question;
+use merlinshelf_protocol::control::ControlRequest;
 use merlinshelf_quota::{Budgets, CATALOGUE, CallKind, FleetAllocator, HostAllocator, LeaseTerms};
 use serde_json::{Value, json};
 use tokio::task::spawn_local;
@@ -72,8 +72,13 @@
             quota_grants: house.take_grants(now, "i"),
         };
         let body = serde_json::to_value(&beat).unwrap_or_default();
-        if let Ok(mut talk) =
-            Talk::ask(&control, Question::Policy, &body, Duration::from_secs(1)).await
+        if let Ok(mut talk) = Talk::ask(
+            &control,
+            ControlRequest::Policy,
+            &body,
+            Duration::from_secs(1),
+        )
+        .await
             && let Ok((_, said)) = talk.next().await
             && let Ok(said) = serde_json::from_value::<InstanceStatus>(said)
         {
--- a/crates/merlinshelf-testbed/src/trial/dependencies/many.rs
+++ b/crates/merlinshelf-testbed/src/experiments/dependencies/many.rs
@@ -4,8 +4,8 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-use merlinshelf_dependencies::wanted::ServerOf;
-use merlinshelf_dependencies::{Ask, Dependencies, Effect, Ended, Router, Step};
+use merlinshelf_dependencies::config::ServerConfig;
+use merlinshelf_dependencies::{Action, AttemptOutcome, CallRequest, Dependencies, Effect, Router};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -57,7 +57,7 @@
 
     fn steps(&mut self, instance: usize) {
         while let Some(step) = self.routers[instance].next_step() {
-            if let Step::Attempt {
+            if let Action::Attempt {
                 attempt, server, ..
             } = step
             {
@@ -96,7 +96,7 @@
             let mut chance = || rng.random::<f64>();
             let instance = match what {
                 What::Ask(instance) => {
-                    let ask = Ask {
+                    let ask = CallRequest {
                         operation: "page",
                         place: 0,
                         named: None,
@@ -116,7 +116,13 @@
                     instance
                 }
                 What::Ends { instance, attempt } => {
-                    self.routers[instance].ended(now, attempt, Ended::Succeeded, b"", &mut chance);
+                    self.routers[instance].ended(
+                        now,
+                        attempt,
+                        AttemptOutcome::Succeeded,
+                        b"",
+                        &mut chance,
+                    );
                     instance
                 }
             };
@@ -129,7 +135,7 @@
 /// Steady load, then one server becomes ten times as slow.
 pub fn play(instances: usize, servers: usize, seed: u64) -> Many {
     let address = |place: usize| format!("127.0.{}.{}:5432", place / 250, 1 + place % 250);
-    let list = (0..servers).map(|place| ServerOf {
+    let list = (0..servers).map(|place| ServerConfig {
         address: address(place),
         zone: String::new(),
         weight: 1.0,
--- a/crates/merlinshelf-testbed/src/trial/dependencies/play.rs
+++ b/crates/merlinshelf-testbed/src/experiments/dependencies/play.rs
@@ -10,9 +10,9 @@
 use tokio::time::{Instant, sleep};
 
 use super::Plan;
+use crate::fakes::{Forward, Manners, Server, Way};
 use crate::instance::{Instance, Setup};
 use crate::load::{Load, Seen, Sent};
-use crate::stand_in::{Forward, Manners, Server, Way};
 
 /// Servers that fail from a moment on: a dependency, which of its servers, and what they do.
 #[derive(Clone, Copy, Debug)]
--- a/crates/merlinshelf-testbed/src/trial/fleet.rs
+++ b/crates/merlinshelf-testbed/src/experiments/fleet.rs
@@ -5,7 +5,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use merlinshelf_protocol::control::Word;
+use merlinshelf_protocol::control::ControlMessage;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use rustix::process::Signal;
@@ -65,7 +65,7 @@
     let until = Instant::now() + Duration::from_secs(120);
     loop {
         let said = rig.ask(&json!({ "op": "plan" })).await;
-        if let Some((Word::Done, plan)) = said.ok().and_then(|mut said| said.pop())
+        if let Some((ControlMessage::Done, plan)) = said.ok().and_then(|mut said| said.pop())
             && plan["over"] == true
         {
             return Ok(plan);
--- a/crates/merlinshelf-testbed/src/trial/learning/fleet.rs
+++ b/crates/merlinshelf-testbed/src/experiments/learning/fleet.rs
@@ -6,7 +6,7 @@
 use merlinshelf_admission::{LearnedOperation, LearnedState};
 use merlinshelf_gossip::gossip_node::{Action, GossipNode, Settings};
 use merlinshelf_gossip::{Message, Scope, State, membership};
-use merlinshelf_protocol::teaching::{Kind, put_message};
+use merlinshelf_protocol::gossip::{Kind, put_message};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
--- a/crates/merlinshelf-testbed/src/trial/learning/worth.rs
+++ b/crates/merlinshelf-testbed/src/experiments/learning/worth.rs
@@ -7,7 +7,7 @@
 
 use merlinshelf_gossip::{GossipedObservation, Metric, Source, SourceStatus};
 use merlinshelf_gossip::{MembershipUpdate, Message};
-use merlinshelf_protocol::teaching::{Kind, Reading, put_message};
+use merlinshelf_protocol::gossip::{Kind, Reading, put_message};
 use serde_json::{Value, json};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
--- a/crates/merlinshelf-testbed/src/trial/policy.rs
+++ b/crates/merlinshelf-testbed/src/experiments/policy.rs
@@ -6,7 +6,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use merlinshelf_protocol::control::Word;
+use merlinshelf_protocol::control::ControlMessage;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use rustix::process::Signal;
@@ -99,7 +99,7 @@
     while Instant::now() < until {
         for host in &all.hosts {
             let asked = host.policy("outcome", json!({ "id": id }));
-            if let Ok(Ok((Word::Done | Word::Failed, said))) =
+            if let Ok(Ok((ControlMessage::Done | ControlMessage::Failed, said))) =
                 timeout(Duration::from_millis(400), asked).await
                 && said["number"].is_u64()
                 && said["state"] != "proposed"
--- a/crates/merlinshelf-testbed/src/trial/policy_switch.rs
+++ b/crates/merlinshelf-testbed/src/experiments/policy_switch.rs
@@ -12,9 +12,9 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, MissedTickBehavior, interval, sleep};
 
+use crate::experiments::policy::Plan;
 use crate::installation::{Installation, SIGNS, check, policy_of};
 use crate::load::{Load, Playing};
-use crate::trial::policy::Plan;
 use crate::wire::ask;
 
 /// Without changes, so long before the first.
--- a/crates/merlinshelf-testbed/src/trial/restart.rs
+++ b/crates/merlinshelf-testbed/src/experiments/restart.rs
@@ -7,9 +7,9 @@
 use serde_json::{Value, json};
 use tokio::time::{Instant, sleep};
 
+use crate::experiments::upgrade::round;
 use crate::instance::{Instance, Setup};
 use crate::load::Load;
-use crate::trial::upgrade::round;
 
 #[derive(Clone, Debug)]
 pub struct Plan {
--- a/crates/merlinshelf-testbed/src/trial/shares.rs
+++ b/crates/merlinshelf-testbed/src/experiments/shares.rs
@@ -15,11 +15,11 @@
 
 use super::median;
 use crate::budgets::{Door, OPENED, PROBES, aside, hold, policy, worst_second};
+use crate::fakes::Manners;
 use crate::installation::{Installation, Made, check};
 use crate::instance::signal;
 use crate::link::Fault;
 use crate::load::{Load, Playing};
-use crate::stand_in::Manners;
 
 #[derive(Clone, Debug)]
 pub struct Plan {
--- a/crates/merlinshelf-testbed/src/trial/shares_loop.rs
+++ b/crates/merlinshelf-testbed/src/experiments/shares_loop.rs
@@ -9,9 +9,9 @@
 
 use super::shares::{Plan, Way};
 use crate::budgets::{hold, policy};
+use crate::fakes::Manners;
 use crate::installation::{Installation, Made, check};
 use crate::load::{Load, Playing};
-use crate::stand_in::Manners;
 
 /// The catalogue's: 20 ms a call, 8 at one time, so that it bears 400 a second.
 const BELOW: (Duration, usize) = (Duration::from_millis(20), 8);
--- a/crates/merlinshelf-testbed/src/trial/upgrade.rs
+++ b/crates/merlinshelf-testbed/src/experiments/upgrade.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use hdrhistogram::Histogram;
-use merlinshelf_protocol::control::{Question, Word};
+use merlinshelf_protocol::control::{ControlMessage, ControlRequest};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use rustix::process::Signal;
@@ -154,10 +154,10 @@
 /// Asks for an upgrade to a successor whose program is these lines of a shell, and says how it ended.
 pub async fn round(instance: &Instance, program: &str) -> io::Result<String> {
     instance.successor_is(program)?;
-    let mut talk = instance.ask(Question::Upgrade).await?;
+    let mut talk = instance.ask(ControlRequest::Upgrade).await?;
     loop {
         let (word, report) = talk.next().await?;
-        if word != Word::More {
+        if word != ControlMessage::More {
             return Ok(report["stage"].as_str().unwrap_or("").to_owned());
         }
     }
@@ -168,7 +168,7 @@
     instance.successor_is(&fate.program(setup))?;
     let started = instance.values("successor").len();
     let from = Instant::now();
-    let mut talk = instance.ask(Question::Upgrade).await?;
+    let mut talk = instance.ask(ControlRequest::Upgrade).await?;
     let mut ended = String::new();
     let mut together = (0, 0);
     loop {
@@ -176,20 +176,20 @@
         let now = instance.together();
         together = (now.0.max(together.0), now.1.max(together.1));
         match (word, report["stage"].as_str().unwrap_or(""), fate) {
-            (Word::More, "starting", Fate::KilledEarly(after)) => {
+            (ControlMessage::More, "starting", Fate::KilledEarly(after)) => {
                 sleep(Duration::from_millis(after)).await;
                 instance.logged_successor(started).await?;
                 instance.signal_newest(Signal::KILL);
             }
-            (Word::More, "took_over", Fate::Killed(after)) => {
+            (ControlMessage::More, "took_over", Fate::Killed(after)) => {
                 sleep(Duration::from_millis(after)).await;
                 instance.signal_newest(Signal::KILL);
             }
-            (Word::More, "took_over", Fate::Stopped(after)) => {
+            (ControlMessage::More, "took_over", Fate::Stopped(after)) => {
                 sleep(Duration::from_millis(after)).await;
                 instance.signal_newest(Signal::STOP);
             }
-            (Word::More, ..) => {}
+            (ControlMessage::More, ..) => {}
             (_, stage, _) => {
                 ended += stage;
                 break;
--- a/crates/merlinshelf-testbed/src/stand_in/mod.rs
+++ b/crates/merlinshelf-testbed/src/fakes/mod.rs
@@ -6,7 +6,7 @@
 mod engine;
 mod forward;
 mod lines;
-mod members;
+mod registration;
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -20,7 +20,7 @@
 pub use dependency::{Manners, Server};
 pub use engine::Engine;
 pub use forward::{Forward, Way};
-pub use members::Members;
+pub use registration::Members;
 
 /// How the stand-ins behave.
 #[derive(Clone, Debug)]
--- a/crates/merlinshelf-testbed/src/fleet.rs
+++ b/crates/merlinshelf-testbed/src/fleet.rs
@@ -9,17 +9,17 @@
 use std::time::Duration;
 
 use merlinshelf_agent::talk::Talk;
-use merlinshelf_protocol::control::{Question, Word};
+use merlinshelf_protocol::control::{ControlMessage, ControlRequest};
 use rustix::process::Signal;
 use serde_json::{Value, json};
 use tokio::net::TcpListener;
 use tokio::process::{Child, Command};
 use tokio::time::{Instant, sleep};
 
+use crate::fakes::{Catalogue, Engine, Members, Records, Shared};
 use crate::instance::{Setup, own_address_at, processes_where, signal};
 use crate::load::{Load, Playing, Verdict};
 use crate::script::EXAMPLE;
-use crate::stand_in::{Catalogue, Engine, Members, Records, Shared};
 
 const PATIENCE: Duration = Duration::from_secs(40);
 const LISTEN: u16 = 6600;
@@ -42,12 +42,12 @@
     socket: &Path,
     body: &Value,
     patience: Duration,
-) -> io::Result<Vec<(Word, Value)>> {
-    let mut talk = Talk::ask(socket, Question::Fleet, body, patience).await?;
+) -> io::Result<Vec<(ControlMessage, Value)>> {
+    let mut talk = Talk::ask(socket, ControlRequest::Fleet, body, patience).await?;
     let mut all = Vec::new();
     loop {
         let said = talk.next().await?;
-        let last = said.0 != Word::More;
+        let last = said.0 != ControlMessage::More;
         all.push(said);
         if last {
             return Ok(all);
@@ -177,7 +177,7 @@
     ///
     /// # Errors
     /// It does not answer.
-    pub async fn ask(&self, body: &Value) -> io::Result<Vec<(Word, Value)>> {
+    pub async fn ask(&self, body: &Value) -> io::Result<Vec<(ControlMessage, Value)>> {
         ask_agent(&self.socket(), body, PATIENCE * 4).await
     }
 
@@ -188,7 +188,9 @@
     pub async fn status(&self) -> io::Result<(Vec<Value>, Value)> {
         let said = self.ask(&json!({ "op": "status" })).await?;
         let (sum, pages) = said.split_last().ok_or(io::ErrorKind::UnexpectedEof)?;
-        let of = |page: &(Word, Value)| page.1["instances"].as_array().cloned().unwrap_or_default();
+        let of = |page: &(ControlMessage, Value)| {
+            page.1["instances"].as_array().cloned().unwrap_or_default()
+        };
         Ok((pages.iter().flat_map(of).collect(), sum.1.clone()))
     }
 
--- a/crates/merlinshelf-testbed/src/installation.rs
+++ b/crates/merlinshelf-testbed/src/installation.rs
@@ -9,19 +9,19 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use merlinshelf_protocol::control::Word;
+use merlinshelf_protocol::control::ControlMessage;
 use rustix::process::Signal;
 use serde_json::{Value, json};
 use tokio::net::TcpListener;
 use tokio::process::{Child, Command};
 use tokio::time::{Instant, sleep};
 
+use crate::fakes::{Catalogue, Engine, Members, Records, Server, Shared};
 use crate::fleet::{ask_agent, sum};
 use crate::instance::{Setup, own_address_at, processes_where, signal};
 use crate::link::{Fault, Link};
 use crate::load::{Load, Playing, Verdict};
 use crate::script::EXAMPLE;
-use crate::stand_in::{Catalogue, Engine, Members, Records, Server, Shared};
 
 const PATIENCE: Duration = Duration::from_secs(30);
 const LISTEN: u16 = 6600;
@@ -208,7 +208,7 @@
     ///
     /// # Errors
     /// It does not answer.
-    pub async fn ask(&self, body: &Value) -> io::Result<Vec<(Word, Value)>> {
+    pub async fn ask(&self, body: &Value) -> io::Result<Vec<(ControlMessage, Value)>> {
         ask_agent(&self.socket(), body, PATIENCE).await
     }
 
@@ -235,7 +235,7 @@
     ///
     /// # Errors
     /// It does not answer.
-    pub async fn policy(&self, what: &str, more: Value) -> io::Result<(Word, Value)> {
+    pub async fn policy(&self, what: &str, more: Value) -> io::Result<(ControlMessage, Value)> {
         let mut body = json!({ "op": "policy", "what": what });
         for (name, value) in more.as_object().into_iter().flatten() {
             body[name] = value.clone();
@@ -372,7 +372,7 @@
             host.start_agent(program)?;
         }
         if !made.council {
-            let serving = |said: &[(Word, Value)]| {
+            let serving = |said: &[(ControlMessage, Value)]| {
                 said.last()
                     .and_then(|(_, sum)| sum["states"]["serving"].as_u64())
                     == Some(made.instances.into())
--- a/crates/merlinshelf-testbed/src/instance.rs
+++ b/crates/merlinshelf-testbed/src/instance.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use merlinshelf_agent::talk::Talk;
-use merlinshelf_protocol::control::{Question, Word};
+use merlinshelf_protocol::control::{ControlMessage, ControlRequest};
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::{Value, json};
 use tokio::io::{AsyncBufReadExt, BufReader};
@@ -17,8 +17,8 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, timeout};
 
+use crate::fakes::{Catalogue, Engine, Manner, Members, Records, Shared};
 use crate::script::EXAMPLE;
-use crate::stand_in::{Catalogue, Engine, Manner, Members, Records, Shared};
 
 /// How long anything that must happen is waited for.
 const PATIENCE: Duration = Duration::from_secs(20);
@@ -318,7 +318,7 @@
         self.child.id().into_iter().chain(successors).collect()
     }
 
-    pub async fn ask(&self, question: Question) -> io::Result<Talk> {
+    pub async fn ask(&self, question: ControlRequest) -> io::Result<Talk> {
         Talk::ask(&self.control, question, &json!({}), PATIENCE).await
     }
 
@@ -326,7 +326,7 @@
     pub async fn status(&self) -> io::Result<Value> {
         let until = Instant::now() + PATIENCE;
         loop {
-            let answer = async { self.ask(Question::Status).await?.next().await };
+            let answer = async { self.ask(ControlRequest::Status).await?.next().await };
             match answer.await {
                 Ok((_, report)) => return Ok(report),
                 Err(error) if Instant::now() >= until => return Err(error),
@@ -438,9 +438,9 @@
 
     /// All figures that it knows.
     pub async fn figures(&self) -> io::Result<Vec<Value>> {
-        let mut talk = self.ask(Question::Knowledge).await?;
+        let mut talk = self.ask(ControlRequest::Knowledge).await?;
         let mut all = Vec::new();
-        while let (Word::More, mut page) = talk.next().await? {
+        while let (ControlMessage::More, mut page) = talk.next().await? {
             if let Some(page) = page["figures"].as_array_mut() {
                 all.append(page);
             }
@@ -456,7 +456,7 @@
 
     /// Tells it to leave, and waits until nobody answers at its control socket.
     pub async fn leave(&self) -> io::Result<()> {
-        self.ask(Question::Drain).await?.next().await?;
+        self.ask(ControlRequest::Drain).await?.next().await?;
         let until = Instant::now() + PATIENCE;
         while UnixStream::connect(&self.control).await.is_ok() {
             if Instant::now() >= until {
--- a/crates/merlinshelf-testbed/src/lib.rs
+++ b/crates/merlinshelf-testbed/src/lib.rs
@@ -4,6 +4,8 @@
 pub mod budgets;
 pub mod demo;
 pub mod disk;
+pub mod experiments;
+pub mod fakes;
 pub mod fleet;
 pub mod installation;
 pub mod instance;
@@ -11,7 +13,5 @@
 pub mod load;
 pub mod play;
 pub mod script;
-pub mod stand_in;
 pub mod standing;
-pub mod trial;
 pub mod wire;
--- a/crates/merlinshelf-testbed/src/load.rs
+++ b/crates/merlinshelf-testbed/src/load.rs
@@ -18,7 +18,7 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, sleep_until};
 
-use crate::stand_in::{Records, result_of};
+use crate::fakes::{Records, result_of};
 use crate::wire::{ask, ask_uwsgi};
 
 /// What the edge nodes send.
--- a/crates/merlinshelf-testbed/src/main.rs
+++ b/crates/merlinshelf-testbed/src/main.rs
@@ -6,9 +6,9 @@
 use std::time::Duration;
 
 use clap::{Parser, Subcommand};
+use merlinshelf_testbed::fakes::Manner;
 use merlinshelf_testbed::instance::Setup;
-use merlinshelf_testbed::stand_in::Manner;
-use merlinshelf_testbed::{demo, standing, trial};
+use merlinshelf_testbed::{demo, experiments, standing};
 use tokio::runtime::Builder;
 use tokio::task::LocalSet;
 
@@ -124,7 +124,7 @@
         rate: f64,
         /// This fault in every round, instead of by seed
         #[arg(long, value_enum)]
-        only: Option<trial::policy::Trouble>,
+        only: Option<experiments::policy::Trouble>,
         /// The way before there was a policy for all: a new file and a restart of one after the other, on one host
         #[arg(long)]
         by_restart: bool,
@@ -225,7 +225,7 @@
         against: Option<PathBuf>,
         /// Only this way
         #[arg(long)]
-        only: Option<trial::shares::Way>,
+        only: Option<experiments::shares::Way>,
         /// Messages, bytes, time and the worst second by size, in virtual time
         #[arg(long)]
         sizes: bool,
@@ -317,7 +317,7 @@
         } => {
             let setup = setup(found(program)?, 64, Duration::from_millis(800));
             let counted = Duration::from_secs(seconds);
-            let plan = trial::cost::Plan {
+            let plan = experiments::cost::Plan {
                 seed,
                 pairs,
                 rate,
@@ -327,7 +327,7 @@
                 policy,
             };
             local
-                .block_on(&runtime, trial::cost::run(&plan))
+                .block_on(&runtime, experiments::cost::run(&plan))
                 .map(|(_, clean)| clean)
         }
         Command::Trial {
@@ -340,14 +340,14 @@
                 },
         } => {
             let program = std::fs::canonicalize(found(program)?)?;
-            let plan = trial::uwsgi::Plan {
+            let plan = experiments::uwsgi::Plan {
                 seed,
                 seeds,
                 rate,
                 program,
             };
             local
-                .block_on(&runtime, trial::uwsgi::run(&plan))
+                .block_on(&runtime, experiments::uwsgi::run(&plan))
                 .map(|(_, clean)| clean)
         }
         Command::Trial {
@@ -361,14 +361,14 @@
                 },
         } => {
             let program = std::fs::canonicalize(found(program)?)?;
-            let plan = trial::dependencies::Plan {
+            let plan = experiments::dependencies::Plan {
                 seed,
                 rate,
                 at_once,
                 faults,
                 program,
             };
-            trial::dependencies::run(&plan).map(|(_, clean)| clean)
+            experiments::dependencies::run(&plan).map(|(_, clean)| clean)
         }
         Command::Trial {
             trial:
@@ -383,7 +383,7 @@
                 },
         } => {
             let program = std::fs::canonicalize(found(program)?)?;
-            let plan = trial::fleet::Plan {
+            let plan = experiments::fleet::Plan {
                 seed,
                 seeds,
                 instances,
@@ -393,7 +393,7 @@
                 program,
             };
             local
-                .block_on(&runtime, trial::fleet::run(&plan))
+                .block_on(&runtime, experiments::fleet::run(&plan))
                 .map(|(_, clean)| clean)
         }
         Command::Trial {
@@ -414,7 +414,7 @@
                 },
         } => {
             if sizes {
-                let (_, held) = trial::policy_size::run();
+                let (_, held) = experiments::policy_size::run();
                 return Ok(held);
             }
             let program = std::fs::canonicalize(found(program)?)?;
@@ -426,7 +426,7 @@
                 council,
                 ..Default::default()
             };
-            let plan = trial::policy::Plan {
+            let plan = experiments::policy::Plan {
                 seed,
                 seeds,
                 rounds,
@@ -437,15 +437,15 @@
             };
             if by_restart {
                 local
-                    .block_on(&runtime, trial::policy::by_restart(&plan))
+                    .block_on(&runtime, experiments::policy::by_restart(&plan))
                     .map(|_| true)
             } else if switch {
                 local
-                    .block_on(&runtime, trial::policy_switch::run(&plan))
+                    .block_on(&runtime, experiments::policy_switch::run(&plan))
                     .map(|(_, holds)| holds)
             } else {
                 local
-                    .block_on(&runtime, trial::policy::run(&plan))
+                    .block_on(&runtime, experiments::policy::run(&plan))
                     .map(|(_, clean)| clean)
             }
         }
@@ -464,10 +464,10 @@
                 },
         } => {
             if sizes {
-                return Ok(trial::shares_size::run(seed).1);
+                return Ok(experiments::shares_size::run(seed).1);
             }
             let program = std::fs::canonicalize(found(program)?)?;
-            let plan = trial::shares::Plan {
+            let plan = experiments::shares::Plan {
                 seed,
                 seeds,
                 instances,
@@ -478,11 +478,11 @@
             };
             if loops {
                 return local
-                    .block_on(&runtime, trial::shares_loop::run(&plan))
+                    .block_on(&runtime, experiments::shares_loop::run(&plan))
                     .map(|(_, clean)| clean);
             }
             local
-                .block_on(&runtime, trial::shares::run(&plan))
+                .block_on(&runtime, experiments::shares::run(&plan))
                 .map(|(_, clean)| clean)
         }
         Command::Trial {
@@ -498,7 +498,7 @@
                 },
         } => {
             let program = found(program)?;
-            let plan = trial::learning::Plan {
+            let plan = experiments::learning::Plan {
                 seed,
                 seeds,
                 at_once,
@@ -507,7 +507,7 @@
                 costs,
                 crashes,
             };
-            trial::learning::run(&plan).map(|(_, holds)| holds)
+            experiments::learning::run(&plan).map(|(_, holds)| holds)
         }
         Command::Trial {
             trial:
@@ -523,7 +523,7 @@
                 setup(found(program)?, 64, Duration::from_millis(800)),
                 Duration::from_secs(seconds),
             );
-            let plan = trial::restart::Plan {
+            let plan = experiments::restart::Plan {
                 seed,
                 rate,
                 against,
@@ -531,7 +531,7 @@
                 setup,
             };
             local
-                .block_on(&runtime, trial::restart::run(&plan))
+                .block_on(&runtime, experiments::restart::run(&plan))
                 .map(|(_, clean)| clean)
         }
         Command::Trial {
@@ -549,7 +549,7 @@
                 },
         } => {
             let setup = setup(found(program)?, 64, Duration::from_millis(watched_ms));
-            let plan = trial::upgrade::Plan {
+            let plan = experiments::upgrade::Plan {
                 seed,
                 rounds,
                 fail: fail.clamp(0.0, 1.0),
@@ -561,7 +561,7 @@
             println!(
                 "{rounds} upgrades by seed {seed}, {fail} of them failing, at {rate} invocations a second\n"
             );
-            let (line, clean) = local.block_on(&runtime, trial::upgrade::run(&plan))?;
+            let (line, clean) = local.block_on(&runtime, experiments::upgrade::run(&plan))?;
             if let Some(path) = json {
                 std::fs::write(path, line.to_string() + "\n")?;
             }
--- a/crates/merlinshelf-testbed/src/standing.rs
+++ b/crates/merlinshelf-testbed/src/standing.rs
@@ -6,7 +6,7 @@
 use serde_json::Value;
 use tokio::net::TcpListener;
 
-use crate::stand_in::{Catalogue, Engine, Manner, Members, Shared};
+use crate::fakes::{Catalogue, Engine, Manner, Members, Shared};
 use crate::wire::{ask as invocation, unix_ms};
 
 /// As many as may be open on one connection.
--- a/crates/merlinshelf-testbed/tests/fleet.rs
+++ b/crates/merlinshelf-testbed/tests/fleet.rs
@@ -2,7 +2,7 @@
 //! and one that answers nobody.
 
 use merlinshelf_gossip::{SourceStatus, State};
-use merlinshelf_testbed::trial::learning::fleet::{World, learnt};
+use merlinshelf_testbed::experiments::learning::fleet::{World, learnt};
 
 #[test]
 fn all_cold_at_once_teach_each_other_nothing_that_is_believed_much() {
--- a/crates/merlinshelf-testbed/tests/shares.rs
+++ b/crates/merlinshelf-testbed/tests/shares.rs
@@ -2,7 +2,7 @@
 //! keeper that does not wait.
 
 use merlinshelf_quota::CallKind;
-use merlinshelf_testbed::trial::shares_size::{Size, play};
+use merlinshelf_testbed::experiments::shares_size::{Size, play};
 
 fn size(instances: usize, probes: u32, first: u32) -> Size {
     let budgets = [
--- a/crates/merlinshelf-testbed/tests/store.rs
+++ b/crates/merlinshelf-testbed/tests/store.rs
@@ -4,7 +4,7 @@
 use merlinshelf_gossip::store_format::{FrameError, PersistedObservation};
 use merlinshelf_gossip::{GossipedObservation, Metric, Source, SourceStatus};
 use merlinshelf_testbed::disk::{Disk, Trouble};
-use merlinshelf_testbed::trial::learning::crashes;
+use merlinshelf_testbed::experiments::learning::crashes;
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
