--- a/crates/merlinshelf-adapter/src/main.rs
+++ b/crates/merlinshelf-adapter/src/main.rs
@@ -184,7 +184,7 @@
         let now = self.now_us as f64 / 1e6;
         match catch_unwind(|| AdmissionController::start(now, seed, settings)) {
             Ok(started) => {
-                let (shedder, decided) = started?;
+                let (shedder, decided) = started.map_err(|error| error.to_string())?;
                 let (numbers, names, free, released) = Default::default();
                 let mut instance = Instance {
                     shedder,
@@ -253,13 +253,13 @@
         };
         let shedder = &mut instance.shedder;
         let decided = catch_unwind(AssertUnwindSafe(|| match (kind, inv) {
-            ("SUBMIT", Some(inv)) => shedder.arrived(now, inv, arrival),
-            ("RESULT", Some(inv)) => shedder.ended(now, inv, outcome, span),
-            ("EXPIRED", Some(inv)) => shedder.caller_left(now, inv),
-            ("WANTS_CALL", Some(inv)) => shedder.wants_call(now, inv),
-            ("CALL_ENDED", Some(inv)) => shedder.call_ended(now, inv, outcome, span),
-            ("NOTICE", _) => shedder.leave(now, span),
-            ("ALARM", _) => shedder.woken(now, handle, &gauges),
+            ("SUBMIT", Some(inv)) => shedder.invocation_arrived(now, inv, arrival),
+            ("RESULT", Some(inv)) => shedder.run_ended(now, inv, outcome, span),
+            ("EXPIRED", Some(inv)) => shedder.caller_disconnected(now, inv),
+            ("WANTS_CALL", Some(inv)) => shedder.call_requested(now, inv),
+            ("CALL_ENDED", Some(inv)) => shedder.call_ended(now, inv, outcome),
+            ("NOTICE", _) => shedder.shutdown_requested(now, span),
+            ("ALARM", _) => shedder.timer_fired(now, handle, &gauges),
             _ => Decisions::default(),
         }));
         match decided {
@@ -280,8 +280,9 @@
     let mut put = |verb: &str, rest: std::fmt::Arguments| {
         let _ = writeln!(out, "{verb}\tBackend={name}\t{rest}");
     };
-    for (inv, away, last) in decided.rejected {
-        let (away, last) = (micros(away), u8::from(last));
+    for rejection in decided.rejected {
+        let (inv, away) = (rejection.invocation, micros(rejection.retry_after_seconds));
+        let last = u8::from(rejection.no_failover);
         put(
             "OVERLOAD_REPLY",
             format_args!("Job={}\tCoolDownUs={away}\tNoRetry={last}", job(inv)),
--- a/crates/merlinshelf-admission/src/controller/tests.rs
+++ b/crates/merlinshelf-admission/src/controller/tests.rs
@@ -1,6 +1,7 @@
 //! What can't be seen from outside: how much an instance keeps.
 
 use super::*;
+use crate::rules::Rule;
 
 fn read<'a>(settings: impl IntoIterator<Item = &'a (&'a str, &'a str)>) -> Settings {
     settings
@@ -34,7 +35,7 @@
         } else {
             u64::from(number)
         };
-        shedder.arrived(
+        shedder.invocation_arrived(
             now,
             0,
             Invocation {
@@ -43,11 +44,18 @@
                 ..Invocation::default()
             },
         );
-        shedder.woken(now, 0, &BTreeMap::new());
-        most = most.max(shedder.callers.len());
+        shedder.timer_fired(now, 0, &BTreeMap::new());
+        most = most.max(shedder.callers.last_arrivals.len());
     }
-    assert!(most <= 5_000 && shedder.callers.contains_key(&0), "{most}");
-    assert!(shedder.callers.len() <= 310, "{}", shedder.callers.len());
+    assert!(
+        most <= 5_000 && shedder.callers.last_arrivals.contains_key(&0),
+        "{most}"
+    );
+    assert!(
+        shedder.callers.last_arrivals.len() <= 310,
+        "{}",
+        shedder.callers.last_arrivals.len()
+    );
 }
 
 fn instance(extra: &[(&str, &str)]) -> AdmissionController {
@@ -92,9 +100,14 @@
 fn with_one_held(operation: usize, number: usize) -> AdmissionController {
     let mut shedder = instance(&[]);
     for running in 0..2 {
-        shedder.arrived(0.0, running, told(operation));
+        shedder.invocation_arrived(0.0, running, told(operation));
     }
-    assert_eq!(shedder.arrived(0.0, number, told(operation)).rejected, []);
+    assert_eq!(
+        shedder
+            .invocation_arrived(0.0, number, told(operation))
+            .rejected,
+        []
+    );
     shedder
 }
 
@@ -104,15 +117,15 @@
 fn whatever_is_given_up_is_answered_in_that_same_decision() {
     type Scene = fn() -> (AdmissionController, Decisions);
     let scenes: &[(&str, Scene)] = &[
-        ("answer what falls due", || {
+        ("answer before the deadline", || {
             let mut shedder = instance(&[("Classes.2.AimUs", "4000000")]);
-            shedder.arrived(0.0, 7, told(2));
-            let decided = shedder.woken(3.99, 0, &BTreeMap::new());
+            shedder.invocation_arrived(0.0, 7, told(2));
+            let decided = shedder.timer_fired(3.99, 0, &BTreeMap::new());
             (shedder, decided)
         }),
-        ("keep within memory", || {
+        ("stay within the memory limit", || {
             let mut shedder = instance(&[("FamilyInfo.HeapKb", "100")]);
-            let decided = shedder.arrived(
+            let decided = shedder.invocation_arrived(
                 0.0,
                 7,
                 Invocation {
@@ -122,25 +135,25 @@
             );
             (shedder, decided)
         }),
-        ("turn away after the grace", || {
+        ("reject arrivals after the drain grace", || {
             let mut shedder = instance(&[]);
-            shedder.leave(0.0, 5.0);
-            let decided = shedder.arrived(1.5, 7, told(0));
+            shedder.shutdown_requested(0.0, 5.0);
+            let decided = shedder.invocation_arrived(1.5, 7, told(0));
             (shedder, decided)
         }),
-        ("cut by group over the limit", || {
+        ("reject groups above the threshold", || {
             let mut shedder = instance(&[]);
-            shedder.woken(0.0, 0, &gauges(1.0));
+            shedder.timer_fired(0.0, 0, &gauges(1.0));
             for number in 0..2 {
-                shedder.arrived(0.0, number, told(0));
+                shedder.invocation_arrived(0.0, number, told(0));
             }
-            let decided = shedder.arrived(0.0, 7, told(0));
+            let decided = shedder.invocation_arrived(0.0, 7, told(0));
             (shedder, decided)
         }),
-        ("turn away what comes too late", || {
+        ("reject arrivals that miss their objective", || {
             let mut shedder = instance(&[]);
-            shedder.arrived(0.0, 0, told(0));
-            shedder.ended(
+            shedder.invocation_arrived(0.0, 0, told(0));
+            shedder.run_ended(
                 0.9,
                 0,
                 Outcome {
@@ -150,40 +163,40 @@
                 0.9,
             );
             for number in 1..3 {
-                shedder.arrived(0.9, number, told(0));
+                shedder.invocation_arrived(0.9, number, told(0));
             }
-            let decided = shedder.arrived(0.9, 7, told(0));
+            let decided = shedder.invocation_arrived(0.9, 7, told(0));
             (shedder, decided)
         }),
-        ("drop held work past its objective", || {
+        ("reject queued work past its objective", || {
             let mut shedder = with_one_held(0, 7);
-            shedder.woken(0.99, 0, &BTreeMap::new());
+            shedder.timer_fired(0.99, 0, &BTreeMap::new());
             assert!(
                 shedder.invocation(7).is_some(),
                 "meant to serve until its objective"
             );
-            let decided = shedder.woken(1.01, 0, &BTreeMap::new());
+            let decided = shedder.timer_fired(1.01, 0, &BTreeMap::new());
             (shedder, decided)
         }),
-        ("give up calls that lead nowhere", || {
+        ("fail runs whose call can't succeed", || {
             let mut shedder = instance(&[]);
-            shedder.arrived(0.0, 7, told(2));
-            shedder.wants_call(0.1, 7);
-            let decided = shedder.call_ended(0.2, 7, Outcome::default(), 0.1);
+            shedder.invocation_arrived(0.0, 7, told(2));
+            shedder.call_requested(0.1, 7);
+            let decided = shedder.call_ended(0.2, 7, Outcome::default());
             (shedder, decided)
         }),
     ];
     let others = [
-        "stop work that nobody waits for",
-        "join repeats",
+        "stop runs that nobody waits for",
+        "join repeats to the first attempt",
         "raise the limit while cores idle",
-        "hold the rest",
-        "leave out calls that come too late",
-        "call below within the share",
-        "start the best while cores are free",
-        "tell checks and callers",
+        "queue the rest",
+        "skip calls that would come too late",
+        "call downstream within the quota",
+        "start the best queued work while cores are free",
+        "advertise health and load",
     ];
-    for (name, ..) in RULES {
+    for Rule { name, .. } in RULES {
         let gives_up = scenes.iter().any(|(scene, _)| scene == name);
         assert!(
             gives_up != others.contains(name),
@@ -192,13 +205,16 @@
     }
     for (name, scene) in scenes {
         let (shedder, decided) = scene();
-        let refused = decided.rejected.iter().find(|answer| answer.0 == 7);
+        let refused = decided
+            .rejected
+            .iter()
+            .find(|rejection| rejection.invocation == 7);
         assert!(
             refused.is_some() || decided.failed.contains(&7),
             "{name}: {decided:?}"
         );
         assert!(
-            refused.is_none_or(|answer| answer.1 > 0.0),
+            refused.is_none_or(|rejection| rejection.retry_after_seconds > 0.0),
             "{name}: when to come back {decided:?}"
         );
         assert!(
@@ -216,19 +232,22 @@
         original: Some(7),
         ..told(1)
     };
-    assert_eq!(shedder.arrived(0.5, 8, repeat.clone()).joined, [8]);
-    let decided = shedder.woken(1.01, 0, &BTreeMap::new());
+    assert_eq!(
+        shedder.invocation_arrived(0.5, 8, repeat.clone()).joined,
+        [8]
+    );
+    let decided = shedder.timer_fired(1.01, 0, &BTreeMap::new());
     assert_eq!(
         decided
             .rejected
             .iter()
-            .map(|answer| answer.0)
+            .map(|rejection| rejection.invocation)
             .collect::<Vec<_>>(),
         [7]
     );
     assert_eq!((decided.failed, decided.evicted), (vec![8], vec![7]));
     // Its number may be handed out again: who waits for an answer of a run is not taken for its repeat.
-    shedder.arrived(
+    shedder.invocation_arrived(
         1.1,
         9,
         Invocation {
@@ -237,7 +256,7 @@
             ..told(1)
         },
     );
-    shedder.ended(
+    shedder.run_ended(
         1.2,
         0,
         Outcome {
@@ -246,7 +265,7 @@
         },
         1.2,
     );
-    let again = shedder.arrived(
+    let again = shedder.invocation_arrived(
         1.3,
         0,
         Invocation {
@@ -260,8 +279,8 @@
 #[test]
 fn a_repeat_read_with_word_that_the_first_ones_caller_left_unrun_starts_afresh() {
     let mut shedder = with_one_held(1, 7);
-    assert_eq!(shedder.caller_left(0.5, 7).evicted, [7]);
-    let decided = shedder.arrived(
+    assert_eq!(shedder.caller_disconnected(0.5, 7).evicted, [7]);
+    let decided = shedder.invocation_arrived(
         0.5,
         8,
         Invocation {
@@ -287,6 +306,7 @@
         ];
         AdmissionController::start(0.0, 1, read(&settings))
             .err()
+            .map(|error| error.to_string())
             .unwrap_or_default()
     };
     for (name, value) in [
@@ -323,13 +343,13 @@
     assert_eq!(
         (
             decided.notes.len(),
-            shedder.ops[0].idempotent,
-            shedder.ops[0].tokened
+            shedder.operations[0].settings.is_idempotent,
+            shedder.operations[0].settings.has_idempotency_key
         ),
         (2, false, false)
     );
-    shedder.arrived(0.0, 7, told(0));
-    let left = shedder.caller_left(0.1, 7);
+    shedder.invocation_arrived(0.0, 7, told(0));
+    let left = shedder.caller_disconnected(0.1, 7);
     assert_eq!(
         (left.stopped, shedder.invocation(7).is_some()),
         (vec![], true),
@@ -341,8 +361,12 @@
 fn long_runs_on_busy_cores_are_no_hang() {
     let mut shedder = with_one_held(0, 7);
     for (busy, healthy) in [(1.0, true), (0.1, false)] {
-        shedder.woken(if healthy { 0.97 } else { 0.98 }, 0, &gauges(busy));
-        assert_eq!(shedder.told.map(|told| told.0), Some(healthy), "{busy}");
+        shedder.timer_fired(if healthy { 0.97 } else { 0.98 }, 0, &gauges(busy));
+        assert_eq!(
+            shedder.advertisement.last.map(|last| last.is_healthy),
+            Some(healthy),
+            "{busy}"
+        );
     }
 }
 
@@ -353,9 +377,9 @@
             ("FamilyInfo.CallerIdleUs", "30000000"),
             ("Callers.MarksRetry", marks),
         ]);
-        shedder.woken(0.0, 0, &gauges(1.0));
-        shedder.arrived(0.0, 0, told(0));
-        shedder.ended(
+        shedder.timer_fired(0.0, 0, &gauges(1.0));
+        shedder.invocation_arrived(0.0, 0, told(0));
+        shedder.run_ended(
             0.3,
             0,
             Outcome {
@@ -367,12 +391,18 @@
         let mut last = false;
         for number in 0..60 {
             let now = 0.31 + 0.01 * number as f64;
-            shedder.woken(now, 0, &gauges(1.0));
+            shedder.timer_fired(now, 0, &gauges(1.0));
             let caller = number as u64;
-            let decided = shedder.arrived(now, number, Invocation { caller, ..told(0) });
-            last = decided.rejected.first().map_or(last, |answer| answer.2);
+            let decided = shedder.invocation_arrived(now, number, Invocation { caller, ..told(0) });
+            last = decided
+                .rejected
+                .first()
+                .map_or(last, |rejection| rejection.no_failover);
         }
-        (last, shedder.told.map(|told| told.2))
+        (
+            last,
+            shedder.advertisement.last.map(|last| last.idle_timeout),
+        )
     };
     assert_eq!(
         play("false"),
@@ -391,7 +421,7 @@
     let play = |marks: &str| {
         let mut shedder = instance(&[("Callers.MarksRetry", marks)]);
         let mut arrive = |number, budget| {
-            shedder.arrived(
+            shedder.invocation_arrived(
                 0.0,
                 number,
                 Invocation {
@@ -400,7 +430,7 @@
                     ..told(0)
                 },
             );
-            shedder.invs[number].request.is_retry
+            shedder.invocations[number].request.is_retry
         };
         [
             arrive(0, 3.9),
@@ -426,7 +456,7 @@
     ]);
     for (now, callers, each) in [(0.0, 0..4, 1.0), (2.0, 4..6, 2.0)] {
         for caller in callers {
-            shedder.arrived(
+            shedder.invocation_arrived(
                 now,
                 0,
                 Invocation {
@@ -436,10 +466,10 @@
                 },
             );
         }
-        shedder.woken(now + 0.3, 0, &gauges(0.5));
-        let value = Some(each * (1.0 - shedder.level));
+        shedder.timer_fired(now + 0.3, 0, &gauges(0.5));
+        let value = Some(each * (1.0 - shedder.advertisement.level));
         assert_eq!(
-            shedder.told.and_then(|told| told.1),
+            shedder.advertisement.last.and_then(|last| last.level),
             value,
             "twice a limit of two, by those here"
         );
--- /dev/null
+++ b/crates/merlinshelf-admission/src/handover.rs
@@ -0,0 +1,265 @@
+//! State that a host can pass on to a successor: the invocations in flight, and what was learned.
+//!
+//! It is written into the handover image by field name. A renamed field keeps its stored name by `#[serde(rename)]`;
+//! tests/golden.rs holds the bytes. See [`AdmissionController::learned_state`] and its siblings.
+
+use std::collections::{BTreeMap, VecDeque};
+
+use serde::{Deserialize, Serialize};
+
+use crate::Invocation;
+use crate::controller::AdmissionController;
+use crate::downstream::CallSpan;
+use crate::drain::Shutdown;
+use crate::estimator::Operation;
+
+/// How far an invocation has come.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+pub enum Stage {
+    /// Read, and not decided on yet.
+    #[default]
+    Read,
+    /// In the queue before the engine.
+    #[serde(rename = "Held")]
+    Queued,
+    /// On a core of the engine, or about to be.
+    Running,
+    /// Its run waits for leave to make a downstream call.
+    AtCall,
+    /// Its downstream call is open.
+    Calling,
+    /// It waits for the result of the invocation that it repeats.
+    Joined,
+}
+
+/// All that the controller keeps of one invocation. It is plain so that a host can pass it on to a successor. Times
+/// are seconds of the controller's clock.
+#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
+#[serde(default)]
+pub struct InvocationState {
+    /// What was known of it when it had been read.
+    #[serde(rename = "told")]
+    pub request: Invocation,
+    /// When it reached the machine.
+    #[serde(rename = "arrived")]
+    pub arrived_at: f64,
+    /// When its caller gives up.
+    #[serde(rename = "due")]
+    pub due_at: f64,
+    /// Until when its answer makes the latency objective.
+    #[serde(rename = "by")]
+    pub objective_deadline: f64,
+    /// How far it has come.
+    pub stage: Stage,
+    /// When it came to that stage.
+    #[serde(rename = "since")]
+    pub stage_entered_at: f64,
+    /// When its run was started.
+    #[serde(rename = "began")]
+    pub started_at: f64,
+    /// Seconds since `started_at` that were not spent on the cores.
+    #[serde(rename = "away")]
+    pub off_core_seconds: f64,
+    /// It has its final answer, or its caller has gone.
+    #[serde(rename = "answered")]
+    pub is_answered: bool,
+    /// Its run was asked to stop.
+    #[serde(rename = "stopping")]
+    pub is_stopping: bool,
+    /// Its run was started.
+    #[serde(rename = "ran")]
+    pub has_run: bool,
+    /// Repeats may find it in the table.
+    #[serde(rename = "entry")]
+    pub has_table_entry: bool,
+    /// It came over its customer's quota.
+    #[serde(rename = "over_share")]
+    pub exceeds_quota: bool,
+    /// Attempts of its downstream call.
+    pub calls: u32,
+    /// A call of it may have taken effect.
+    #[serde(rename = "unsure")]
+    pub has_uncertain_call: bool,
+}
+
+/// What was learned of one operation: the last few samples, the oldest first. Times are seconds.
+#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
+#[serde(default)]
+pub struct LearnedOperation {
+    /// Durations of runs without calls.
+    #[serde(rename = "runs")]
+    pub run_durations: VecDeque<f64>,
+    /// Hinted costs of those runs, 1 where there are no hints.
+    #[serde(rename = "costs")]
+    pub run_costs: VecDeque<f64>,
+    /// Time at downstream calls and waiting for them, by run.
+    #[serde(rename = "below")]
+    pub downstream_durations: VecDeque<f64>,
+    /// The lowest duration by unit of cost.
+    #[serde(rename = "lowest")]
+    pub lowest_duration: f64,
+    /// Runs that finish before the lowest duration is measured anew.
+    #[serde(rename = "until_probe")]
+    pub finishes_until_probe: f64,
+}
+
+/// What an instance has learned of the engine, of downstream calls and of its callers. Times are seconds of the
+/// controller's clock, durations seconds.
+#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
+#[serde(default)]
+pub struct LearnedState {
+    /// When the engine was started.
+    #[serde(rename = "born")]
+    pub engine_started_at: f64,
+    /// While shutting down: when the grace ends, and when the process must be gone.
+    #[serde(rename = "leave_at")]
+    pub shutdown_at: Option<(f64, f64)>,
+    /// By operation, in the order of the settings.
+    pub operations: Vec<LearnedOperation>,
+    /// The limit of invocations in flight.
+    #[serde(rename = "limit")]
+    pub concurrency_limit: f64,
+    /// Part of the cores that were busy, 0 to 1.
+    pub busy: f64,
+    /// When that was measured.
+    pub busy_at: f64,
+    /// What needed a core beside runs, by tick.
+    #[serde(rename = "others")]
+    pub other_work: VecDeque<f64>,
+    /// When a run last moved on.
+    #[serde(rename = "progress")]
+    pub last_progress_at: f64,
+    /// Start and end of the last downstream calls, of abandoned ones with their stay.
+    pub calls: VecDeque<(f64, f64)>,
+    /// Durations of the last downstream calls.
+    #[serde(rename = "call_times")]
+    pub call_durations: VecDeque<f64>,
+    /// The lowest mean of those durations.
+    #[serde(rename = "call_lowest")]
+    pub lowest_call_mean: f64,
+    /// Calls that end before the lowest mean is measured anew.
+    #[serde(rename = "call_probe")]
+    pub calls_until_probe: u32,
+    /// The limit of downstream calls at once, as a mean.
+    pub call_limit: f64,
+    /// Downstream calls that failed in a row.
+    pub call_failures: u32,
+    /// When the last one failed.
+    pub call_failed_at: f64,
+    /// The last arrivals of each customer, by its index in the settings.
+    #[serde(rename = "arrivals")]
+    pub arrivals_by_customer: BTreeMap<usize, VecDeque<f64>>,
+    /// When each caller came last.
+    #[serde(rename = "callers")]
+    pub last_arrivals: BTreeMap<u64, f64>,
+    /// After how long the callers of the last arrivals had come back.
+    #[serde(rename = "gaps")]
+    pub return_gaps: VecDeque<f64>,
+    /// 1 for each of the last arrivals that was a retry, else 0.
+    #[serde(rename = "agains")]
+    pub retry_marks: VecDeque<f64>,
+}
+
+impl AdmissionController {
+    /// What this instance has learned, for a successor on the same engine and clock.
+    pub fn learned_state(&self) -> LearnedState {
+        LearnedState {
+            engine_started_at: self.engine_started_at,
+            shutdown_at: self
+                .shutdown
+                .map(|shutdown| (shutdown.grace_ends_at, shutdown.stop_at)),
+            operations: self.operations.iter().map(learned_operation).collect(),
+            concurrency_limit: self.limit,
+            busy: self.load.busy,
+            busy_at: self.load.busy_at,
+            other_work: self.load.other_work.clone(),
+            last_progress_at: self.load.last_progress_at,
+            calls: self
+                .downstream
+                .calls
+                .iter()
+                .map(|call| (call.started_at, call.ended_at))
+                .collect(),
+            call_durations: self.downstream.durations.clone(),
+            lowest_call_mean: self.downstream.lowest_mean,
+            calls_until_probe: self.downstream.calls_until_probe,
+            call_limit: self.downstream.limit,
+            call_failures: self.downstream.consecutive_failures,
+            call_failed_at: self.downstream.last_failure_at,
+            arrivals_by_customer: self.callers.arrivals_by_customer.clone(),
+            last_arrivals: self.callers.last_arrivals.clone(),
+            return_gaps: self.callers.return_gaps.clone(),
+            retry_marks: self.callers.retry_marks.clone(),
+        }
+    }
+
+    /// Takes up what a predecessor on the same engine and clock had learned, right after the start.
+    pub fn restore_learned_state(&mut self, learned: LearnedState) {
+        for (operation, learned) in self.operations.iter_mut().zip(learned.operations) {
+            restore_operation(operation, learned);
+        }
+        self.engine_started_at = learned.engine_started_at;
+        self.shutdown = learned
+            .shutdown_at
+            .map(|(grace_ends_at, stop_at)| Shutdown {
+                grace_ends_at,
+                stop_at,
+            });
+        self.limit = learned.concurrency_limit.max(self.settings.cores());
+        self.load.busy = learned.busy;
+        self.load.busy_at = learned.busy_at;
+        self.load.other_work = learned.other_work;
+        self.load.last_progress_at = learned.last_progress_at;
+        let calls = learned.calls.into_iter();
+        self.downstream.calls = calls
+            .map(|(started_at, ended_at)| CallSpan {
+                started_at,
+                ended_at,
+            })
+            .collect();
+        self.downstream.durations = learned.call_durations;
+        self.downstream.lowest_mean = learned.lowest_call_mean;
+        self.downstream.calls_until_probe = learned.calls_until_probe;
+        self.downstream.limit = learned.call_limit;
+        self.downstream.consecutive_failures = learned.call_failures;
+        self.downstream.last_failure_at = learned.call_failed_at;
+        self.callers.arrivals_by_customer = learned.arrivals_by_customer;
+        self.callers.last_arrivals = learned.last_arrivals;
+        self.callers.return_gaps = learned.return_gaps;
+        self.callers.retry_marks = learned.retry_marks;
+    }
+
+    /// All that is kept of an invocation in flight.
+    pub fn invocation(&self, number: usize) -> Option<&InvocationState> {
+        self.invocations
+            .contains(number)
+            .then(|| &self.invocations[number])
+    }
+
+    /// Takes an invocation up where a predecessor left it, in the order of arrival. It is decided on with the next
+    /// event.
+    pub fn restore_invocation(&mut self, number: usize, mut state: InvocationState) {
+        state.request.operation = state.request.operation.min(self.operations.len() - 1);
+        self.invocations.insert(number, state);
+    }
+}
+
+fn learned_operation(operation: &Operation) -> LearnedOperation {
+    let samples = &operation.samples;
+    LearnedOperation {
+        run_durations: samples.run_durations.clone(),
+        run_costs: samples.run_costs.clone(),
+        downstream_durations: samples.downstream_durations.clone(),
+        lowest_duration: samples.lowest_duration,
+        finishes_until_probe: samples.finishes_until_probe,
+    }
+}
+
+fn restore_operation(operation: &mut Operation, learned: LearnedOperation) {
+    let samples = &mut operation.samples;
+    samples.run_durations = learned.run_durations;
+    samples.run_costs = learned.run_costs;
+    samples.downstream_durations = learned.downstream_durations;
+    samples.lowest_duration = learned.lowest_duration;
+    samples.finishes_until_probe = learned.finishes_until_probe;
+}
--- /dev/null
+++ b/crates/merlinshelf-admission/src/queue.rs
@@ -0,0 +1,72 @@
+//! The queue before the engine: what waits, and what starts next.
+
+use crate::controller::AdmissionController;
+use crate::{InvocationState, Stage};
+
+/// Behind a jam downstream, runs that can't do without their call may wait there up to this part of the cores.
+const JAMMED_PART: f64 = 0.5;
+
+impl AdmissionController {
+    pub(crate) fn find_newly_read(&self) -> Option<usize> {
+        self.invocations.newly_read()
+    }
+
+    pub(crate) fn enqueue(&mut self, number: usize) {
+        let span = self.table_span(&self.invocations[number]);
+        let invocation = &mut self.invocations[number];
+        invocation.stage = Stage::Queued;
+        invocation.has_table_entry = span > 0.0;
+        if span > 0.0 {
+            self.remember(number, span);
+        }
+    }
+
+    /// The queued invocation of the highest priority that fits, while cores are free for runs.
+    pub(crate) fn find_startable(&self) -> Option<usize> {
+        let running = self.invocations.running();
+        let at_calls = self
+            .invocations
+            .count(|invocation| matches!(invocation.stage, Stage::AtCall | Stage::Calling));
+        let cores_are_full = running as f64 >= self.cores_for_runs();
+        let is_crowded = (running + at_calls) as f64 >= self.survivable_concurrency();
+        if cores_are_full || is_crowded || self.is_hanging() {
+            return None;
+        }
+        let run_factor = self.settings.number("FamilyInfo.RunFactor", 1.0);
+        let free = self.free_kilobytes();
+        let is_jammed = self.is_jammed_downstream();
+        let fits = |invocation: &InvocationState| {
+            let settings = &self.operations[invocation.request.operation].settings;
+            let is_blocked = settings.needs_call() && is_jammed;
+            invocation.stage == Stage::Queued
+                && !is_blocked
+                && invocation.request.held_kilobytes * (run_factor - 1.0) <= free
+        };
+        self.invocations
+            .highest(fits, |invocation| self.priority_weight(invocation))
+    }
+
+    /// Whether more work that can't do without its call would only fill the memory.
+    fn is_jammed_downstream(&self) -> bool {
+        let is_stuck = |invocation: &InvocationState| {
+            let settings = &self.operations[invocation.request.operation].settings;
+            invocation.stage == Stage::AtCall && settings.value_without_call == 0.0
+        };
+        self.is_breaker_open()
+            || self.invocations.count(is_stuck) as f64 >= JAMMED_PART * self.settings.cores()
+    }
+
+    pub(crate) fn start_run(&mut self, number: usize) {
+        let now = self.now;
+        if self.invocations.running() == 0 {
+            self.load.last_progress_at = now;
+        }
+        let invocation = &mut self.invocations[number];
+        invocation.stage = Stage::Running;
+        invocation.started_at = now;
+        invocation.stage_entered_at = now;
+        invocation.has_run = true;
+        self.decisions.started.push(number);
+        self.record_decision(0.0);
+    }
+}
--- a/crates/merlinshelf-admission/tests/helpers/mod.rs
+++ b/crates/merlinshelf-admission/tests/helpers/mod.rs
@@ -85,70 +85,90 @@
     out
 }
 
+/// The fields that say something, timers and released numbers aside, each as `name: value;`.
+fn shown_fields(decisions: &Decisions) -> String {
+    let Decisions {
+        rejected,
+        failed,
+        stopped,
+        cached,
+        evicted,
+        joined,
+        started,
+        called,
+        degraded,
+        health,
+        level,
+        idle_timeout,
+        timers: _,
+        notes,
+        released: _,
+    } = decisions;
+    let rejected: Vec<(usize, f64, bool)> = rejected
+        .iter()
+        .map(|one| (one.invocation, one.retry_after_seconds, one.no_failover))
+        .collect();
+    let fields: [(&str, String); 13] = [
+        ("rejected", format!("{rejected:?}")),
+        ("failed", format!("{failed:?}")),
+        ("stopped", format!("{stopped:?}")),
+        ("cached", format!("{cached:?}")),
+        ("evicted", format!("{evicted:?}")),
+        ("joined", format!("{joined:?}")),
+        ("started", format!("{started:?}")),
+        ("called", format!("{called:?}")),
+        ("degraded", format!("{degraded:?}")),
+        ("health", format!("{health:?}")),
+        ("level", format!("{level:?}")),
+        ("idle_timeout", format!("{idle_timeout:?}")),
+        ("notes", format!("{notes:?}")),
+    ];
+    fields
+        .iter()
+        .filter(|(_, value)| value != "[]" && value != "None")
+        .map(|(name, value)| format!(" {name}: {value};"))
+        .collect()
+}
+
 impl Play {
     fn note(&mut self, what: &str, decided: &Decisions) {
-        let shown = Decisions {
-            timers: Vec::new(),
-            released: Vec::new(),
-            ..decided.clone()
-        };
-        let fields = rounded(
-            &format!("{shown:?}")
-                .replace("Decisions { ", "")
-                .replace(" }", ""),
-        );
-        let told: Vec<&str> = fields.split(", ").collect();
-        let mut line = String::new();
-        let mut depth = 0;
-        let mut field = String::new();
-        for part in told {
-            field.push_str(if field.is_empty() { "" } else { ", " });
-            field.push_str(part);
-            depth +=
-                part.matches(['[', '(']).count() as i32 - part.matches([']', ')']).count() as i32;
-            if depth == 0 {
-                if !field.ends_with(": []") && !field.ends_with("None") {
-                    line.push_str(&format!(" {field};"));
-                }
-                field.clear();
-            }
-        }
+        let line = rounded(&shown_fields(decided));
         self.trace.push_str(&format!("{what} ->{line}\n"));
     }
 
     pub fn arrive(&mut self, at: f64, inv: usize, told: Invocation) {
-        let decided = self.shedder.arrived(100.0 + at, inv, told);
+        let decided = self.shedder.invocation_arrived(100.0 + at, inv, told);
         self.note(&format!("{at:.2} arrives {inv}"), &decided);
     }
 
     pub fn end(&mut self, at: f64, inv: usize, outcome: Outcome, took: f64) {
-        let decided = self.shedder.ended(100.0 + at, inv, outcome, took);
+        let decided = self.shedder.run_ended(100.0 + at, inv, outcome, took);
         self.note(&format!("{at:.2} ends {inv}"), &decided);
     }
 
     pub fn wants(&mut self, at: f64, inv: usize) {
-        let decided = self.shedder.wants_call(100.0 + at, inv);
+        let decided = self.shedder.call_requested(100.0 + at, inv);
         self.note(&format!("{at:.2} wants a call {inv}"), &decided);
     }
 
     pub fn called(&mut self, at: f64, inv: usize, outcome: Outcome) {
-        let decided = self.shedder.call_ended(100.0 + at, inv, outcome, 0.0);
+        let decided = self.shedder.call_ended(100.0 + at, inv, outcome);
         self.note(&format!("{at:.2} call of {inv} ends"), &decided);
     }
 
     pub fn left(&mut self, at: f64, inv: usize) {
-        let decided = self.shedder.caller_left(100.0 + at, inv);
+        let decided = self.shedder.caller_disconnected(100.0 + at, inv);
         self.note(&format!("{at:.2} caller of {inv} left"), &decided);
     }
 
     pub fn leave(&mut self, at: f64, budget: f64) {
-        let decided = self.shedder.leave(100.0 + at, budget);
+        let decided = self.shedder.shutdown_requested(100.0 + at, budget);
         self.note(&format!("{at:.2} told to leave"), &decided);
     }
 
     pub fn wake(&mut self, at: f64, busy: f64) {
         let gauges = BTreeMap::from([("cpu_busy".to_owned(), busy)]);
-        let decided = self.shedder.woken(100.0 + at, 0, &gauges);
+        let decided = self.shedder.timer_fired(100.0 + at, 0, &gauges);
         self.note(&format!("{at:.2} woken, busy {busy}"), &decided);
     }
 }
--- a/crates/merlinshelf-admission/tests/traces.rs
+++ b/crates/merlinshelf-admission/tests/traces.rs
@@ -246,7 +246,7 @@
     for beat in 0..24 {
         let gauges = [("cpu_busy".to_owned(), 0.5), ("runnable".to_owned(), 1.5)].into();
         play.shedder
-            .woken(100.0 + 0.01 * f64::from(beat), 0, &gauges);
+            .timer_fired(100.0 + 0.01 * f64::from(beat), 0, &gauges);
     }
     for number in 0..4 {
         play.arrive(0.3, number, inv(0));
@@ -727,6 +727,7 @@
     insta::assert_snapshot!(
         merlinshelf_admission::AdmissionController::start(0.0, 1, settings)
             .err()
+            .map(|error| error.to_string())
             .unwrap_or_default()
     );
 }
@@ -739,7 +740,7 @@
 fn told_of_an_outage_below_the_first_call_is_a_trial_at_once_and_ends_it_if_it_goes_well() {
     for (weight, outcome) in [(0.6, OK), (0.6, LOST), (0.1, OK)] {
         let mut play = play(&[("FamilyInfo.CallShare", "20"), ("FamilyInfo.Cores", "8")]);
-        play.shedder.believe(PriorEstimates {
+        play.shedder.set_prior_estimates(PriorEstimates {
             call_failures: word(9.0, weight),
             ..PriorEstimates::default()
         });
@@ -749,7 +750,7 @@
         }
         play.called(0.03, 0, outcome);
         // Told again, it is no news any more.
-        play.shedder.believe(PriorEstimates {
+        play.shedder.set_prior_estimates(PriorEstimates {
             call_failures: word(12.0, weight),
             ..PriorEstimates::default()
         });
@@ -762,7 +763,7 @@
 #[test]
 fn what_is_told_of_runs_is_heeded_while_one_tries_it_and_dropped_once_that_was_twice_as_fast() {
     let mut play = play(&[]);
-    play.shedder.believe(PriorEstimates {
+    play.shedder.set_prior_estimates(PriorEstimates {
         run_durations: vec![None, None, word(5.0, 0.7)],
         ..PriorEstimates::default()
     });
@@ -785,11 +786,15 @@
         ..PriorEstimates::default()
     };
     let mut play = play(&[("FamilyInfo.CallShare", "20"), ("FamilyInfo.Cores", "2")]);
-    play.shedder.believe(told.clone());
-    let learnt = play.shedder.learnt();
+    play.shedder.set_prior_estimates(told.clone());
+    let learnt = play.shedder.learned_state();
     // Within what the settings allow, whatever is told.
     assert_eq!(
-        (learnt.limit, learnt.call_limit, learnt.call_lowest),
+        (
+            learnt.concurrency_limit,
+            learnt.call_limit,
+            learnt.lowest_call_mean
+        ),
         (4.0, 8.0, 0.004)
     );
     // What is told is not passed on as seen.
@@ -798,7 +803,7 @@
             .operations
             .iter()
             .all(|of| of.run_durations.is_empty())
-            && learnt.call_times.is_empty()
+            && learnt.call_durations.is_empty()
     );
     for number in 0..40 {
         let at = 0.1 * number as f64;
@@ -807,19 +812,19 @@
         play.called(at + 0.03, number, OK);
         play.end(at + 0.05, number, OK, 0.05);
     }
-    play.shedder.believe(told);
-    let learnt = play.shedder.learnt();
+    play.shedder.set_prior_estimates(told);
+    let learnt = play.shedder.learned_state();
     assert!(
-        (0.019..0.021).contains(&learnt.call_lowest),
+        (0.019..0.021).contains(&learnt.lowest_call_mean),
         "its own by now: {}",
-        learnt.call_lowest
+        learnt.lowest_call_mean
     );
     assert!(
         (0.029..0.031).contains(&learnt.operations[0].lowest_duration),
         "{}",
         learnt.operations[0].lowest_duration
     );
-    assert!(learnt.limit >= 2.0);
+    assert!(learnt.concurrency_limit >= 2.0);
 }
 
 #[test]
@@ -843,7 +848,7 @@
             play.called(at + 0.03, number, OK);
             play.end(at + 0.05, number, OK, 0.05);
         }
-        play.shedder.believe(beliefs);
+        play.shedder.set_prior_estimates(beliefs);
         play.trace.clear();
         for number in 10..20 {
             play.arrive(1.0, number, inv(0));
@@ -879,14 +884,23 @@
 fn what_a_fleet_has_left_bounds_calls_below() {
     let mut play = play(&[("FamilyInfo.CallShare", "50")]);
     let spend = |play: &mut Play, left: [u32; 3], closed: bool, opens: bool| {
-        let (over, fails) = play.shedder.spend(DownstreamQuota {
-            left,
-            closed,
-            opens,
+        let [first_calls, retries, probes] = left;
+        let usage = play.shedder.set_downstream_quota(DownstreamQuota {
+            first_calls,
+            retries,
+            probes,
+            probes_only: closed,
+            reopened: opens,
         });
+        let unused = [
+            usage.unused.first_calls,
+            usage.unused.retries,
+            usage.unused.probes,
+        ];
         play.trace.push_str(&format!(
-            "left over {:?}, fails {fails}\n",
-            over.left.map(|of| of.min(99))
+            "left over {:?}, fails {}\n",
+            unused.map(|calls| calls.min(99)),
+            usage.is_failing
         ));
     };
     play.arrive(0.01, 0, inv(0));
--- a/crates/merlinshelf-backend/src/exchange/arrivals.rs
+++ b/crates/merlinshelf-backend/src/exchange/arrivals.rs
@@ -103,7 +103,7 @@
             one.reply = None;
         }
         self.counters.unheard += 1;
-        self.decide(|shedder, now| shedder.caller_left(now, inv));
+        self.decide(|shedder, now| shedder.caller_disconnected(now, inv));
     }
 
     pub fn doors_open(&self) -> usize {
@@ -219,7 +219,7 @@
             self.hand.give_back(inv);
             return true;
         }
-        self.decide(|shedder, now| shedder.arrived(now, inv, told));
+        self.decide(|shedder, now| shedder.invocation_arrived(now, inv, told));
         true
     }
 
@@ -234,7 +234,7 @@
         if let Some(inv) = behind.into_iter().find(same) {
             self.counters.aborted += 1;
             self.answer(inv, Answer::Errored);
-            self.decide(|shedder, now| shedder.caller_left(now, inv));
+            self.decide(|shedder, now| shedder.caller_disconnected(now, inv));
         }
     }
 }
--- a/crates/merlinshelf-backend/src/exchange/budgets.rs
+++ b/crates/merlinshelf-backend/src/exchange/budgets.rs
@@ -269,7 +269,7 @@
         let Some(shedder) = &mut self.shedder else {
             return;
         };
-        let (over, fails) = shedder.spend(DownstreamQuota::default());
+        let usage = shedder.set_downstream_quota(DownstreamQuota::default());
         let waits = || {
             self.hand.all().into_iter().any(|inv| {
                 shedder
@@ -281,20 +281,21 @@
             call: wanting.call || waits(),
             ..wanting
         };
-        let [first, again, probes] = over.left;
         let over = Remaining {
-            first_calls: first,
-            retries: again,
-            probes,
+            first_calls: usage.unused.first_calls,
+            retries: usage.unused.retries,
+            probes: usage.unused.probes,
             ..Remaining::ALL
         };
         let left = spending
-            .renew(CATALOGUE, over, fails, wanting)
+            .renew(CATALOGUE, over, usage.is_failing, wanting)
             .unwrap_or(Remaining::ALL);
-        shedder.spend(DownstreamQuota {
-            left: [left.first_calls, left.retries, left.probes],
-            closed: left.probes_only,
-            opens: left.reopened,
+        shedder.set_downstream_quota(DownstreamQuota {
+            first_calls: left.first_calls,
+            retries: left.retries,
+            probes: left.probes,
+            probes_only: left.probes_only,
+            reopened: left.reopened,
         });
         self.count_budgets();
     }
--- a/crates/merlinshelf-backend/src/exchange/calls.rs
+++ b/crates/merlinshelf-backend/src/exchange/calls.rs
@@ -200,7 +200,7 @@
         self.note_end(outcome.succeeded, again);
         let wanting = Wanting { call: false, again };
         self.decide_on(wanting, |shedder, now| {
-            shedder.call_ended(now, inv, outcome, 0.0)
+            shedder.call_ended(now, inv, outcome)
         });
     }
 
--- a/crates/merlinshelf-backend/src/exchange/carry.rs
+++ b/crates/merlinshelf-backend/src/exchange/carry.rs
@@ -115,7 +115,7 @@
             .shedder
             .as_ref()
             .filter(|_| whole)
-            .map(AdmissionController::learnt);
+            .map(AdmissionController::learned_state);
         let fresh_start = self.settings.get("FamilyInfo.FreshStart").cloned();
         records::Instance {
             clock: self.seconds() - monotonic(),
@@ -328,9 +328,10 @@
         let Some(learnt) = instance.learnt.or(learnt) else {
             return;
         };
-        match AdmissionController::start(learnt.born, self.seed, self.settings.clone()) {
+        match AdmissionController::start(learnt.engine_started_at, self.seed, self.settings.clone())
+        {
             Ok((mut shedder, decided)) => {
-                shedder.take_up(learnt);
+                shedder.restore_learned_state(learnt);
                 self.shedder = Some(shedder);
                 self.carry_out(decided);
             }
@@ -416,7 +417,7 @@
             place: 0,
         });
         if let Some(shedder) = &mut self.shedder {
-            shedder.carry_on(inv, one.inv);
+            shedder.restore_invocation(inv, one.inv);
         }
         if let Some((command, sent)) = one.command {
             let command = match command {
--- a/crates/merlinshelf-backend/src/exchange/decisions.rs
+++ b/crates/merlinshelf-backend/src/exchange/decisions.rs
@@ -17,7 +17,7 @@
         let born = (self.seconds() - up).max(0.0);
         match catch_unwind(|| AdmissionController::start(born, seed, settings)) {
             Ok(Ok((mut shedder, decided))) => {
-                shedder.believe(self.beliefs.clone());
+                shedder.set_prior_estimates(self.beliefs.clone());
                 self.shedder = Some(shedder);
                 self.carry_out(decided);
             }
@@ -26,7 +26,7 @@
         }
         if let Some(stop) = self.leaving {
             let left = stop.saturating_duration_since(Instant::now()).as_secs_f64();
-            if !self.attempt(|shedder, now| shedder.leave(now, left)) {
+            if !self.attempt(|shedder, now| shedder.shutdown_requested(now, left)) {
                 self.shedder = None; // and everything is throttled until the end
             }
         }
@@ -83,7 +83,9 @@
 
     /// Carries out what was decided, in the order in which the interface lists it.
     pub(super) fn carry_out(&mut self, decided: Decisions) {
-        for (inv, away, last) in decided.rejected {
+        for rejection in decided.rejected {
+            let inv = rejection.invocation;
+            let (away, last) = (rejection.retry_after_seconds, rejection.no_failover);
             self.answer(inv, Answer::Throttled { away, last });
         }
         for inv in decided.failed {
--- a/crates/merlinshelf-backend/src/exchange/mod.rs
+++ b/crates/merlinshelf-backend/src/exchange/mod.rs
@@ -140,7 +140,8 @@
                 "settings: Classes.{place}.Effect: repeats can't be known on this wire"
             ));
         }
-        AdmissionController::start(0.0, seed, settings.clone())?;
+        AdmissionController::start(0.0, seed, settings.clone())
+            .map_err(|error| error.to_string())?;
         let operations = names
             .iter()
             .enumerate()
@@ -221,7 +222,7 @@
         self.left.notify_one();
         let left = stop.saturating_duration_since(Instant::now()).as_secs_f64();
         let late = late.as_secs_f64();
-        self.decide(|shedder, now| shedder.leave(now - late, left + late));
+        self.decide(|shedder, now| shedder.shutdown_requested(now - late, left + late));
     }
 
     pub fn leaving(&self) -> bool {
@@ -237,12 +238,12 @@
     pub fn learnt(&self) -> Option<(f64, LearnedState)> {
         self.shedder
             .as_ref()
-            .map(|shedder| (self.seconds(), shedder.learnt()))
+            .map(|shedder| (self.seconds(), shedder.learned_state()))
     }
 
     /// How long runs take lately, of all operations together, in ms.
     pub fn run_ms(&self) -> Option<f64> {
-        let learnt = self.shedder.as_ref()?.learnt();
+        let learnt = self.shedder.as_ref()?.learned_state();
         let all = || learnt.operations.iter().flat_map(|of| &of.run_durations);
         let count = all().count();
         (count > 0).then(|| all().sum::<f64>() * 1e3 / count as f64)
@@ -252,7 +253,7 @@
     pub fn believe(&mut self, beliefs: PriorEstimates) {
         if beliefs != self.beliefs {
             if let Some(shedder) = &mut self.shedder {
-                shedder.believe(beliefs.clone());
+                shedder.set_prior_estimates(beliefs.clone());
             }
             self.beliefs = beliefs;
         }
--- a/crates/merlinshelf-backend/src/exchange/policy.rs
+++ b/crates/merlinshelf-backend/src/exchange/policy.rs
@@ -119,7 +119,9 @@
             let settings = policy.settings(base)?;
             laid.fits(policy)?;
             budget::validate_against_reserve(&policy.budgets, &aside, None)?;
-            AdmissionController::start(0.0, seed, settings).map(|_| ())
+            AdmissionController::start(0.0, seed, settings)
+                .map(|_| ())
+                .map_err(|error| error.to_string())
         });
         self.mind_policy();
         if let Some(spending) = &mut self.spending {
@@ -197,11 +199,12 @@
         let Some(former) = self.shedder.take() else {
             return;
         };
-        let (seed, settings, learnt) = (self.seed, self.settings.clone(), former.learnt());
-        match catch_unwind(|| AdmissionController::start(learnt.born, seed, settings)) {
+        let (seed, settings, learnt) = (self.seed, self.settings.clone(), former.learned_state());
+        match catch_unwind(|| AdmissionController::start(learnt.engine_started_at, seed, settings))
+        {
             Ok(Ok((mut shedder, mut decided))) => {
-                shedder.take_up(learnt);
-                shedder.believe(self.beliefs.clone());
+                shedder.restore_learned_state(learnt);
+                shedder.set_prior_estimates(self.beliefs.clone());
                 let mut numbers: Vec<(u64, usize)> = self
                     .hand
                     .all()
@@ -211,7 +214,7 @@
                 numbers.sort_unstable();
                 for (_, inv) in numbers {
                     if let Some(it) = former.invocation(inv) {
-                        shedder.carry_on(inv, it.clone());
+                        shedder.restore_invocation(inv, it.clone());
                     }
                 }
                 decided.health = decided.health.filter(|good| *good != self.healthy);
--- a/crates/merlinshelf-backend/src/exchange/runs.rs
+++ b/crates/merlinshelf-backend/src/exchange/runs.rs
@@ -130,7 +130,7 @@
             never_ran: end == End::Moot,
             stopped: end == End::Stopped,
         };
-        self.decide(|shedder, now| shedder.ended(now, inv, outcome, took));
+        self.decide(|shedder, now| shedder.run_ended(now, inv, outcome, took));
     }
 
     /// A run waits for a call with this body, of the dependency that it names where that was agreed.
@@ -150,7 +150,7 @@
             call: true,
             again: false,
         };
-        self.decide_on(wanting, |shedder, now| shedder.wants_call(now, inv));
+        self.decide_on(wanting, |shedder, now| shedder.call_requested(now, inv));
     }
 
     pub(super) fn heard(&mut self, id: CallId) -> Option<usize> {
@@ -181,7 +181,7 @@
     }
 
     pub(super) fn wake(&mut self, handle: u64, gauges: &BTreeMap<String, f64>) {
-        self.decide(|shedder, now| shedder.woken(now, handle, gauges));
+        self.decide(|shedder, now| shedder.timer_fired(now, handle, gauges));
     }
 
     /// The engine did not carry out a command.
@@ -194,7 +194,7 @@
                 never_ran: true,
                 ..Outcome::default()
             };
-            self.decide(|shedder, now| shedder.ended(now, inv, outcome, 0.0));
+            self.decide(|shedder, now| shedder.run_ended(now, inv, outcome, 0.0));
         }
     }
 
@@ -217,7 +217,7 @@
             // A second one might reach the run's next call, where runs of this operation make more than one.
             Command::Feed { .. } if self.calls_again[operation] => {
                 if self.idempotent[operation] {
-                    self.decide(|shedder, now| shedder.wants_call(now, inv));
+                    self.decide(|shedder, now| shedder.call_requested(now, inv));
                 }
             }
             command => self.give(inv, command),
--- a/crates/merlinshelf-gossip/src/own_samples.rs
+++ b/crates/merlinshelf-gossip/src/own_samples.rs
@@ -62,7 +62,7 @@
                 });
             }
         };
-        let ran = now - learnt.progress;
+        let ran = now - learnt.last_progress_at;
         for (name, of) in self.operations.iter().zip(&learnt.operations) {
             let (took, cost) = (
                 of.run_durations.iter().sum::<f64>(),
@@ -98,28 +98,28 @@
             Metric::Limit {
                 engine: self.engine.clone(),
             },
-            learnt.limit,
+            learnt.concurrency_limit,
             runs,
             ran,
         );
         let dependency = || self.dependency.clone();
         let called = learnt.calls.back().map_or(5.0, |(_, end)| now - end);
-        let calls = learnt.call_times.len();
+        let calls = learnt.call_durations.len();
         add(
             Metric::CallRecent {
                 dependency: dependency(),
             },
-            mean(&learnt.call_times),
+            mean(&learnt.call_durations),
             calls,
             called,
         );
         // Of fewer the module has not taken its lowest yet.
-        if learnt.call_lowest > 0.0 && calls >= 8 {
+        if learnt.lowest_call_mean > 0.0 && calls >= 8 {
             add(
                 Metric::CallLowest {
                     dependency: dependency(),
                 },
-                learnt.call_lowest,
+                learnt.lowest_call_mean,
                 calls,
                 called,
             );
@@ -151,20 +151,20 @@
         }
         add(
             Metric::CallersAgain,
-            mean(&learnt.agains),
-            learnt.agains.len(),
+            mean(&learnt.retry_marks),
+            learnt.retry_marks.len(),
             ran,
         );
         if let Some(idle) = self.keep_idle {
             let back = learnt
-                .gaps
+                .return_gaps
                 .iter()
                 .filter(|gap| **gap <= idle as f64)
                 .count() as f64;
             add(
                 Metric::CallersBack,
-                back / learnt.gaps.len().max(1) as f64,
-                learnt.gaps.len(),
+                back / learnt.return_gaps.len().max(1) as f64,
+                learnt.return_gaps.len(),
                 ran,
             );
         }
--- a/crates/merlinshelf-gossip/tests/learner.rs
+++ b/crates/merlinshelf-gossip/tests/learner.rs
@@ -41,16 +41,16 @@
     };
     LearnedState {
         operations: vec![of(0.01), of(1.0)],
-        limit: 12.0,
-        progress: clock,
+        concurrency_limit: 12.0,
+        last_progress_at: clock,
         calls: [(clock - 0.02, clock)].into(),
-        call_times: all(0.02),
-        call_lowest: 0.015,
+        call_durations: all(0.02),
+        lowest_call_mean: 0.015,
         call_limit: 5.0,
         call_failures: failures,
         call_failed_at: clock,
-        agains: all(0.0),
-        gaps: all(2.0),
+        retry_marks: all(0.0),
+        return_gaps: all(2.0),
         ..LearnedState::default()
     }
 }
--- a/crates/merlinshelf-handover/tests/golden.rs
+++ b/crates/merlinshelf-handover/tests/golden.rs
@@ -41,28 +41,28 @@
         finishes_until_probe: first + 4.0,
     };
     LearnedState {
-        born: 11.5,
-        leave_at: Some((12.5, 13.5)),
+        engine_started_at: 11.5,
+        shutdown_at: Some((12.5, 13.5)),
         operations: vec![learned_of_operation(20.0), learned_of_operation(30.0)],
-        limit: 40.5,
+        concurrency_limit: 40.5,
         busy: 0.41,
         busy_at: 42.5,
-        others: VecDeque::from([43.5, 44.5]),
-        progress: 0.45,
+        other_work: VecDeque::from([43.5, 44.5]),
+        last_progress_at: 0.45,
         calls: VecDeque::from([(46.5, 47.5), (48.5, 49.5)]),
-        call_times: VecDeque::from([50.5, 51.5]),
-        call_lowest: 52.5,
-        call_probe: 53,
+        call_durations: VecDeque::from([50.5, 51.5]),
+        lowest_call_mean: 52.5,
+        calls_until_probe: 53,
         call_limit: 54.5,
         call_failures: 55,
         call_failed_at: 56.5,
-        arrivals: BTreeMap::from([
+        arrivals_by_customer: BTreeMap::from([
             (57, VecDeque::from([58.5, 59.5])),
             (60, VecDeque::from([61.5])),
         ]),
-        callers: BTreeMap::from([(62, 63.5), (u64::MAX - 64, 65.5)]),
-        gaps: VecDeque::from([66.5, 67.5]),
-        agains: VecDeque::from([68.5, 69.5]),
+        last_arrivals: BTreeMap::from([(62, 63.5), (u64::MAX - 64, 65.5)]),
+        return_gaps: VecDeque::from([66.5, 67.5]),
+        retry_marks: VecDeque::from([68.5, 69.5]),
     }
 }
 
--- a/crates/merlinshelf-testbed/src/experiments/learning/fleet.rs
+++ b/crates/merlinshelf-testbed/src/experiments/learning/fleet.rs
@@ -71,14 +71,14 @@
     };
     LearnedState {
         operations: (0..8).map(of).collect(),
-        limit: 16.0,
-        progress: clock,
+        concurrency_limit: 16.0,
+        last_progress_at: clock,
         calls: [(clock - 0.01, clock)].into(),
-        call_times: samples(0.004),
-        call_lowest: 0.003,
+        call_durations: samples(0.004),
+        lowest_call_mean: 0.003,
         call_limit: 4.0,
-        agains: samples(0.0),
-        gaps: samples(1.0),
+        retry_marks: samples(0.0),
+        return_gaps: samples(1.0),
         ..LearnedState::default()
     }
 }
