--- a/crates/merlinshelf-agent/tests/golden.rs
+++ b/crates/merlinshelf-agent/tests/golden.rs
@@ -15,15 +15,18 @@
 use std::path::Path;
 use std::time::Duration;
 
-use merlinshelf_consensus::{Council, Record as LogRecord, Step, Word, recover};
+use merlinshelf_consensus::{Action, Message, Record as LogRecord, Replica, recover};
 use merlinshelf_fleet::Record;
-use merlinshelf_fleet::record::Kept;
-use merlinshelf_gossip::log::{framed, unframed};
-use merlinshelf_policy::ledger::Stage;
+use merlinshelf_fleet::record::InstanceRecord;
+use merlinshelf_gossip::store_format::{framed, unframed};
+use merlinshelf_policy::replicated_state::Stage;
 use merlinshelf_policy::{
-    Beat, Entry, Founding, Grant, HostAsk, HostWord, Ledger, Policy, Prepared, Said,
+    Bootstrap, Entry, Heartbeat, HostLeaseRequest, HostLeaseResponse, InstanceStatus, LeaseGrant,
+    Policy, PrepareResult, ReplicatedState,
+};
+use merlinshelf_quota::{
+    CallKind, DependencyGrant, DependencyRequest, Phase, QuotaGrant, QuotaGrantBatch, QuotaRequest,
 };
-use merlinshelf_quota::{Claim, Given, Kind, Phase, PlaceAsked, PlaceGiven, Share};
 use serde_json::{Value, json};
 
 use support::agent::{Agent, FLEET_FILE, FakeInstance, Folder, own_address, own_host};
@@ -105,7 +108,7 @@
 
 // The replicated log.
 
-fn encode_state(state: &Ledger) -> Vec<u8> {
+fn encode_state(state: &ReplicatedState) -> Vec<u8> {
     rmp_serde::to_vec_named(state).expect("a state can be encoded")
 }
 
@@ -120,7 +123,7 @@
             "a change that is being fenced",
             replicated_state(Stage::Fencing),
         ),
-        ("before the bootstrap", Ledger::default()),
+        ("before the bootstrap", ReplicatedState::default()),
     ];
     golden::check_form("replicated_state.hex", &samples, encode_state, |bytes| {
         rmp_serde::from_slice(bytes).expect("a state")
@@ -141,29 +144,29 @@
     let samples = [
         (
             "bootstrap",
-            Entry::Found(Founding {
+            Entry::Bootstrap(Bootstrap {
                 lease_ms: 2_062,
-                base: 0x6363_6363_6363_6363,
+                base_fingerprint: 0x6363_6363_6363_6363,
             }),
         ),
         ("proposal", proposal()),
         (
             "decision for it",
             Entry::Decide {
-                number: 64,
-                hold: true,
-                why: Vec::new(),
+                version: 64,
+                accepted: true,
+                rejections: Vec::new(),
             },
         ),
         (
             "decision against it",
             Entry::Decide {
-                number: 65,
-                hold: false,
-                why,
+                version: 65,
+                accepted: false,
+                rejections: why,
             },
         ),
-        ("leases may be out", Entry::Open { number: 66 }),
+        ("leases may be out", Entry::Activate { version: 66 }),
     ];
     golden::check_form("log_entries.hex", &samples, encode_entry, decode_entry);
 }
@@ -172,32 +175,32 @@
 
 #[test]
 fn messages_between_agents() {
-    let lease_response = HostWord {
-        life: 0x1111_1111_1111_1111,
-        token: 112,
-        granted: 113,
-        given: Some(quota_grant()),
+    let lease_response = HostLeaseResponse {
+        incarnation: 0x1111_1111_1111_1111,
+        request_id: 112,
+        granted_version: 113,
+        quota_grants: Some(quota_grant()),
     };
-    let hello = Word::Hello {
-        ticket: 0xD1D1_D1D1_D1D1_D111,
-        seat: Some((41, 42)),
+    let hello = Message::Hello {
+        boot_id: 0xD1D1_D1D1_D1D1_D111,
+        slot: Some((41, 42)),
     };
     let samples = [
         ("message of the log", PeerMessage::Council(hello)),
         ("request for a lease", PeerMessage::Ask(lease_request())),
         (
             "request for a first lease",
-            PeerMessage::Ask(HostAsk {
+            PeerMessage::Ask(HostLeaseRequest {
                 host: "c".into(),
-                ..HostAsk::default()
+                ..HostLeaseRequest::default()
             }),
         ),
         ("response with a lease", PeerMessage::Word(lease_response)),
         (
             "response without budgets",
-            PeerMessage::Word(HostWord {
-                token: 114,
-                ..HostWord::default()
+            PeerMessage::Word(HostLeaseResponse {
+                request_id: 114,
+                ..HostLeaseResponse::default()
             }),
         ),
         ("proposal", PeerMessage::Propose(proposal())),
@@ -216,25 +219,26 @@
 
 #[test]
 fn heartbeats() {
-    let heartbeat = Beat {
-        life: 0x3131_3131_3131,
-        offer: Some((132, policy("an offered policy", 500))),
-        fence: 133,
-        grant: Some(Grant {
-            number: 134,
-            asked: 135.5,
-            for_s: 136.5,
+    let heartbeat = Heartbeat {
+        incarnation: 0x3131_3131_3131,
+        offered_policy: Some((132, policy("an offered policy", 500))),
+        fence_version: 133,
+        grant: Some(LeaseGrant {
+            version: 134,
+            requested_at: 135.5,
+            duration_seconds: 136.5,
         }),
-        given: Some(quota_grant()),
+        quota_grants: Some(quota_grant()),
     };
     // As the agent and its instances encode and decode them.
     let encoded = serde_json::to_value(&heartbeat).expect("a heartbeat can be encoded");
     let file = golden::check_json("heartbeat.json", &encoded);
-    let decoded: Beat = serde_json::from_slice(file.to_string().as_bytes()).expect("a heartbeat");
+    let decoded: Heartbeat =
+        serde_json::from_slice(file.to_string().as_bytes()).expect("a heartbeat");
     assert_eq!(decoded, heartbeat);
     let encoded = serde_json::to_value(instance_status()).expect("a response can be encoded");
     let file = golden::check_json("heartbeat_response.json", &encoded);
-    let decoded: Said = serde_json::from_value(file).expect("a response");
+    let decoded: InstanceStatus = serde_json::from_value(file).expect("a response");
     assert_eq!(decoded, instance_status());
 }
 
@@ -292,9 +296,9 @@
 }
 
 /// The last heartbeat that the instance got; its body must hold what the type encodes to and nothing else.
-fn last_heartbeat(instance: &FakeInstance) -> Option<Beat> {
+fn last_heartbeat(instance: &FakeInstance) -> Option<Heartbeat> {
     let body = instance.last_heartbeat()?;
-    let heartbeat: Beat = serde_json::from_slice(&body).expect("a heartbeat");
+    let heartbeat: Heartbeat = serde_json::from_slice(&body).expect("a heartbeat");
     let decoded: Value = serde_json::from_slice(&body).expect("JSON");
     let encoded = serde_json::to_value(&heartbeat).expect("a heartbeat can be encoded");
     // Read as JSON and as a number, a time may differ in its last digit.
@@ -321,16 +325,16 @@
         status,
         response,
     );
-    let serving = Kept {
+    let serving = InstanceRecord {
         identity: Some(instance.identity()),
         program: "/programs/web.0".into(),
-        ..Kept::default()
+        ..InstanceRecord::default()
     };
-    let down = Kept {
+    let down = InstanceRecord {
         program: "/programs/web.1".into(),
         down: true,
         crashes_in_a_row: 56,
-        ..Kept::default()
+        ..InstanceRecord::default()
     };
     let record = Record {
         instances: by_name([("web.0", serving), ("web.1", down)]),
@@ -359,65 +363,85 @@
     let agent = Agent::start(&folder, &spec);
 
     // It joins, is sent the state in a snapshot, and asks for a lease, with what its instance says of the policy that comes.
-    let prepared = Prepared {
-        number: 8,
-        ready: 0,
-        silent: 0,
-        unfit: vec![("web.0".into(), "it has no such operation".into())],
+    let prepared = PrepareResult {
+        version: 8,
+        ready_instances: 0,
+        silent_instances: 0,
+        rejections: vec![("web.0".into(), "it has no such operation".into())],
     };
     let request = peers.run_until("a request for a lease", |peers| {
         serve_as_leader(peers)
             .into_iter()
             .find_map(|message| match message {
-                PeerMessage::Ask(request) if request.prepared.as_ref() == Some(&prepared) => {
+                PeerMessage::Ask(request) if request.prepare_result.as_ref() == Some(&prepared) => {
                     Some(request)
                 }
                 _ => None,
             })
     });
-    assert_eq!((request.host.as_str(), request.service), ("c", (0, 0)));
+    assert_eq!(
+        (request.host.as_str(), request.service_counts),
+        ("c", (0, 0))
+    );
     // The fence is at 6 as soon as no lease of an earlier agent can be out any more.
-    assert!([0, 6].contains(&request.fenced), "{}", request.fenced);
-    assert!(request.life > 0 && request.token > 0);
-    let wishes = request.wishes.expect("it asks for budgets");
+    assert!(
+        [0, 6].contains(&request.fenced_version),
+        "{}",
+        request.fenced_version
+    );
+    assert!(request.incarnation > 0 && request.request_id > 0);
+    let wishes = request.quota_requests.expect("it asks for budgets");
     assert_eq!(
-        (wishes.zone.as_str(), wishes.life),
-        ("garching", request.life)
+        (wishes.zone.as_str(), wishes.incarnation),
+        ("garching", request.incarnation)
     );
     assert_eq!(
-        wishes.places.keys().collect::<Vec<_>>(),
+        wishes.dependencies.keys().collect::<Vec<_>>(),
         ["callers", "catalogue"]
     );
-    assert!(wishes.places["catalogue"].claims.keys().eq(&Kind::ALL));
+    assert!(
+        wishes.dependencies["catalogue"]
+            .requests
+            .keys()
+            .eq(&CallKind::ALL)
+    );
 
     // It is granted a lease and shares, and passes both on to its instance.
     let heartbeat = peers.run_until("a heartbeat with a lease and shares", |peers| {
         serve_as_leader(peers);
         let heartbeat = last_heartbeat(&instance)?;
         let phase = heartbeat
-            .given
+            .quota_grants
             .as_ref()
-            .and_then(|given| given.places.get("catalogue")?.phase);
-        (heartbeat.grant.is_some() && phase == Some(Phase::Fails)).then_some(heartbeat)
+            .and_then(|given| given.dependencies.get("catalogue")?.phase);
+        (heartbeat.grant.is_some() && phase == Some(Phase::Failing)).then_some(heartbeat)
     });
     let (grant, given) = (
         heartbeat.grant.expect("a lease"),
-        heartbeat.given.expect("shares"),
+        heartbeat.quota_grants.expect("shares"),
+    );
+    assert_eq!(
+        (heartbeat.incarnation, heartbeat.fence_version),
+        (instance_status().incarnation, 6)
     );
     assert_eq!(
-        (heartbeat.life, heartbeat.fence),
-        (instance_status().life, 6)
+        (grant.version, grant.requested_at),
+        (7, instance_status().reported_at)
     );
-    assert_eq!((grant.number, grant.asked), (7, instance_status().asked));
     assert_eq!(
-        heartbeat.offer,
+        heartbeat.offered_policy,
         Some((7, policy("the policy that holds", 100)))
     );
     assert_eq!(
-        (given.life, given.token),
-        (quota_request("").life, quota_request("").token)
+        (given.incarnation, given.request_id),
+        (quota_request("").incarnation, quota_request("").request_id)
+    );
+    assert!(
+        given.dependencies["catalogue"]
+            .grants
+            .keys()
+            .eq(&CallKind::ALL)
     );
-    assert!(given.places["catalogue"].shares.keys().eq(&Kind::ALL));
 
     // What its operators are shown, once all that was sent to it shows there.
     let new_policy = policy("a proposed policy", 400);
@@ -503,7 +527,13 @@
         }
         (proposed.is_some() && removed.is_some()).then_some(())
     });
-    let Some(Entry::Propose { id, policy, by, at }) = proposed else {
+    let Some(Entry::Propose {
+        change_id: id,
+        policy,
+        proposed_by: by,
+        proposed_at: at,
+    }) = proposed
+    else {
         panic!("{proposed:?} is no proposal");
     };
     assert_eq!(
@@ -517,9 +547,9 @@
     peers.tell(
         "a",
         "d",
-        Word::Hello {
-            ticket: 0xD0D0,
-            seat: None,
+        Message::Hello {
+            boot_id: 0xD0D0,
+            slot: None,
         },
     );
     let (members, restored) = peers.run_until("a snapshot in the agent's own log", |_| {
@@ -533,13 +563,13 @@
 
 /// The names of the members and the state that a replica begins with.
 fn restored_from(records: &[LogRecord]) -> Option<(Vec<String>, Vec<u8>)> {
-    let mut replica = Council::begin("c", &Default::default(), 1, 0, records).ok()?;
-    let state = std::iter::from_fn(|| replica.next_step()).find_map(|step| match step {
-        Step::Restore(_, state) => Some(state),
+    let mut replica = Replica::start("c", &Default::default(), 1, 0, records).ok()?;
+    let state = std::iter::from_fn(|| replica.poll_action()).find_map(|step| match step {
+        Action::Restore(_, state) => Some(state),
         _ => None,
     })?;
     let members = replica
-        .roll()
+        .membership()
         .members
         .values()
         .map(|member| member.name.clone());
@@ -547,39 +577,42 @@
 }
 
 /// The leader's answer to a request: a lease on policy 7, and shares where budgets were asked for.
-fn lease_response(request: &HostAsk) -> HostWord {
-    let share = |claim: &Claim| Share {
-        life: claim.life,
-        token: claim.token,
-        keeper: 3,
-        number: claim.token,
-        calls: 9,
-        for_s: 8.0,
+fn lease_response(request: &HostLeaseRequest) -> HostLeaseResponse {
+    let share = |claim: &QuotaRequest| QuotaGrant {
+        incarnation: claim.incarnation,
+        request_id: claim.request_id,
+        allocator_id: 3,
+        grant_number: claim.request_id,
+        calls_per_second: 9,
+        duration_seconds: 8.0,
     };
-    let place = |(name, of): (&String, &PlaceAsked)| {
+    let place = |(name, of): (&String, &DependencyRequest)| {
         let shares = of
-            .claims
+            .requests
             .iter()
             .map(|(kind, claim)| (*kind, share(claim)))
             .collect();
         (
             name.clone(),
-            PlaceGiven {
-                phase: Some(Phase::Fails),
-                shares,
+            DependencyGrant {
+                phase: Some(Phase::Failing),
+                grants: shares,
             },
         )
     };
-    let given = request.wishes.as_ref().map(|wishes| Given {
-        life: wishes.life,
-        token: wishes.token,
-        places: wishes.places.iter().map(place).collect(),
-    });
-    HostWord {
-        life: request.life,
-        token: request.token,
-        granted: 7,
-        given,
+    let given = request
+        .quota_requests
+        .as_ref()
+        .map(|wishes| QuotaGrantBatch {
+            incarnation: wishes.incarnation,
+            request_id: wishes.request_id,
+            dependencies: wishes.dependencies.iter().map(place).collect(),
+        });
+    HostLeaseResponse {
+        incarnation: request.incarnation,
+        request_id: request.request_id,
+        granted_version: 7,
+        quota_grants: given,
     }
 }
 
@@ -627,25 +660,35 @@
         }
         let received = std::mem::take(&mut peers.received);
         received.into_iter().find_map(|message| match message {
-            PeerMessage::Word(response) if response.given.is_some() => Some(response),
+            PeerMessage::Word(response) if response.quota_grants.is_some() => Some(response),
             _ => None,
         })
     });
-    let given = response.given.expect("shares");
+    let given = response.quota_grants.expect("shares");
     assert_eq!(
-        (response.life, response.token, response.granted),
-        (lease_request().life, 102, 0)
+        (
+            response.incarnation,
+            response.request_id,
+            response.granted_version
+        ),
+        (lease_request().incarnation, 102, 0)
     );
-    assert_eq!((given.life, given.token), (quota_request("").life, 79));
     assert_eq!(
-        given.places.keys().collect::<Vec<_>>(),
+        (given.incarnation, given.request_id),
+        (quota_request("").incarnation, 79)
+    );
+    assert_eq!(
+        given.dependencies.keys().collect::<Vec<_>>(),
         ["callers", "catalogue"]
     );
-    let shares = &given.places["catalogue"].shares;
-    assert!(shares.keys().eq(&Kind::ALL));
+    let shares = &given.dependencies["catalogue"].grants;
+    assert!(shares.keys().eq(&CallKind::ALL));
     assert_eq!(
-        (shares[&Kind::Again].life, shares[&Kind::Again].token),
-        (claim(100).life, claim(100).token)
+        (
+            shares[&CallKind::Retry].incarnation,
+            shares[&CallKind::Retry].request_id
+        ),
+        (claim(100).incarnation, claim(100).request_id)
     );
 
     assert!(
@@ -663,7 +706,9 @@
         if pace.is_due() && !entries.contains(&proposal()) {
             peers.send("b", &PeerMessage::Propose(proposal()));
         }
-        entries.contains(&Entry::Open { number: 1 }).then_some(())
+        entries
+            .contains(&Entry::Activate { version: 1 })
+            .then_some(())
     });
     // A message that is sent again may come into the log again, where it counts for nothing.
     let mut entries: Vec<Entry> = Vec::new();
@@ -672,27 +717,27 @@
             entries.push(entry);
         }
     }
-    let [Entry::Found(founding), proposed, decided, opened] = &entries[..] else {
+    let [Entry::Bootstrap(founding), proposed, decided, opened] = &entries[..] else {
         panic!("{entries:?}");
     };
     let base: Policy = serde_json::from_value(file["council"]["base"].clone()).expect("a policy");
     assert_eq!(
         *founding,
-        Founding {
+        Bootstrap {
             lease_ms: LEASE_MS,
-            base: base.fingerprint()
+            base_fingerprint: base.fingerprint()
         }
     );
     assert_eq!(*proposed, proposal());
     assert_eq!(
         *decided,
         Entry::Decide {
-            number: 1,
-            hold: true,
-            why: Vec::new()
+            version: 1,
+            accepted: true,
+            rejections: Vec::new()
         }
     );
-    assert_eq!(*opened, Entry::Open { number: 1 });
+    assert_eq!(*opened, Entry::Activate { version: 1 });
     let replies = peers.run_until("the end of the change in the replies", |_| {
         let history = agent.ask(&json!({ "op": "policy", "what": "history" }));
         (history.len() == 2).then(|| json!({ "policy history": history }))
@@ -712,7 +757,7 @@
         if pace.is_due() {
             peers.send("b", &PeerMessage::Remove("c".into()));
         }
-        (peers.membership("b").seat_of("c").is_none()).then_some(())
+        (peers.membership("b").slot_of("c").is_none()).then_some(())
     });
     assert_eq!(peers.membership("b").members.len(), 2);
 }
--- a/crates/merlinshelf-agent/tests/support/agent.rs
+++ b/crates/merlinshelf-agent/tests/support/agent.rs
@@ -11,7 +11,7 @@
 
 use merlinshelf_agent::talk::Blocking;
 use merlinshelf_fleet::Identity;
-use merlinshelf_protocol::control::{self, Question, Word};
+use merlinshelf_protocol::control::{self, ControlMessage, ControlRequest};
 use serde_json::{Value, json};
 
 use super::wait_for;
@@ -120,7 +120,7 @@
 
     /// Asks what operators' tools ask; nothing is waited for.
     pub fn begin_asking(&self, body: &Value) -> Blocking {
-        let asked = Blocking::ask(&self.socket, Question::Fleet, body, ANSWER_WITHIN);
+        let asked = Blocking::ask(&self.socket, ControlRequest::Fleet, body, ANSWER_WITHIN);
         asked.expect("the agent takes the question")
     }
 
@@ -131,11 +131,11 @@
         let mut replies = Vec::new();
         loop {
             let (word, mut report) = asked.hear().expect("the agent replies");
-            if word == Word::Refused && report["text"].is_string() {
+            if word == ControlMessage::Refused && report["text"].is_string() {
                 report["text"] = json!("TEXT");
             }
             replies.push(json!([format!("{word:?}").to_lowercase(), report]));
-            if word != Word::More {
+            if word != ControlMessage::More {
                 return replies;
             }
         }
@@ -194,12 +194,16 @@
                         continue;
                     };
                     let (name, answer) = match question {
-                        Question::Status => ("status", &status),
-                        Question::Policy => ("policy", &policy),
+                        ControlRequest::Status => ("status", &status),
+                        ControlRequest::Policy => ("policy", &policy),
                         other => panic!("{other:?} is not asked of an instance that serves"),
                     };
                     let mut said = Vec::new();
-                    control::say(&mut said, Word::Done, answer.to_string().as_bytes());
+                    control::say(
+                        &mut said,
+                        ControlMessage::Done,
+                        answer.to_string().as_bytes(),
+                    );
                     asked.lock().expect("no poison").insert(name, body.to_vec());
                     let _ = stream.write_all(&said);
                     break;
--- a/crates/merlinshelf-agent/tests/support/peers.rs
+++ b/crates/merlinshelf-agent/tests/support/peers.rs
@@ -7,9 +7,9 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::time::{Duration, Instant};
 
-use merlinshelf_consensus::{Council, Record, Roll, Step, Word};
-use merlinshelf_policy::{Entry, HostAsk, HostWord};
-use merlinshelf_protocol::control::{self, FORM, Question};
+use merlinshelf_consensus::{Action, Membership, Message, Record, Replica};
+use merlinshelf_policy::{Entry, HostLeaseRequest, HostLeaseResponse};
+use merlinshelf_protocol::control::{self, ControlRequest, PROTOCOL_VERSION};
 use serde::{Deserialize, Serialize};
 
 use super::PATIENCE;
@@ -17,9 +17,9 @@
 /// What agents send each other: the same variants as `merlinshelf-agent`'s own type, which is private.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PeerMessage {
-    Council(Word),
-    Ask(HostAsk),
-    Word(HostWord),
+    Council(Message),
+    Ask(HostLeaseRequest),
+    Word(HostLeaseResponse),
     Propose(Entry),
     Remove(String),
     Standing(String),
@@ -29,7 +29,7 @@
 pub fn encode(sender: &str, message: &PeerMessage) -> Vec<u8> {
     let body = rmp_serde::to_vec_named(&(sender, message)).expect("a message can be encoded");
     let mut bytes = Vec::new();
-    control::ask(&mut bytes, Question::Council, &body);
+    control::ask(&mut bytes, ControlRequest::Consensus, &body);
     bytes
 }
 
@@ -38,7 +38,7 @@
     let ((form, _, body), used) = control::council(bytes)
         .expect("a frame")
         .expect("a complete frame");
-    assert_eq!((form, used), (FORM, bytes.len()));
+    assert_eq!((form, used), (PROTOCOL_VERSION, bytes.len()));
     rmp_serde::from_slice(body).expect("a message between agents")
 }
 
@@ -49,14 +49,14 @@
 }
 
 /// One of the other agents.
-struct Replica {
-    council: Council,
+struct TestReplica {
+    council: Replica,
     disk: Vec<Record>,
 }
 
 /// All other agents together.
 pub struct Peers {
-    replicas: BTreeMap<String, Replica>,
+    replicas: BTreeMap<String, TestReplica>,
     /// The agent under test, and where it listens.
     agent: (String, String),
     connection: Option<TcpStream>,
@@ -96,9 +96,9 @@
         let agents: BTreeSet<String> = agents.iter().map(|name| (*name).to_owned()).collect();
         let ticket = 1_000 + self.replicas.len() as u64;
         let council =
-            Council::begin(name, &agents, ticket, 0, &disk).expect("the disk can be used");
+            Replica::start(name, &agents, ticket, 0, &disk).expect("the disk can be used");
         self.replicas
-            .insert(name.to_owned(), Replica { council, disk });
+            .insert(name.to_owned(), TestReplica { council, disk });
     }
 
     /// One ends; what is on its disk.
@@ -119,7 +119,7 @@
     }
 
     pub fn leader(&self) -> Option<&str> {
-        let leads = |replica: &Replica| replica.council.leads().is_some();
+        let leads = |replica: &TestReplica| replica.council.leading_term().is_some();
         self.replicas
             .iter()
             .find(|(_, replica)| leads(replica))
@@ -131,17 +131,17 @@
         self.replicas[name].council.leader()
     }
 
-    pub fn membership(&self, name: &str) -> &Roll {
-        self.replicas[name].council.roll()
+    pub fn membership(&self, name: &str) -> &Membership {
+        self.replicas[name].council.membership()
     }
 
     /// Tells one of them something, as if another one had.
-    pub fn tell(&mut self, name: &str, from: &str, message: Word) {
+    pub fn tell(&mut self, name: &str, from: &str, message: Message) {
         self.replicas
             .get_mut(name)
             .expect("it runs")
             .council
-            .heard(from, message);
+            .handle_message(from, message);
     }
 
     /// Sends bytes to the agent under test; they may be lost, as between agents at all times.
@@ -175,12 +175,12 @@
             match message {
                 PeerMessage::Council(message) => {
                     self.consensus_messages.insert(match &message {
-                        Word::Hello { .. } => "hello",
-                        Word::Welcome { .. } => "welcome",
-                        Word::Raft(_) => "raft",
+                        Message::Hello { .. } => "hello",
+                        Message::Welcome { .. } => "welcome",
+                        Message::Raft(_) => "raft",
                     });
                     if let Some(replica) = self.replicas.get_mut(&receiver) {
-                        replica.council.heard(&from, message);
+                        replica.council.handle_message(&from, message);
                     }
                 }
                 other => self.received.push(other),
@@ -201,18 +201,18 @@
         loop {
             let mut sent = Vec::new();
             for (name, replica) in &mut self.replicas {
-                if replica.council.is_long() {
+                if replica.council.needs_compaction() {
                     replica.council.compact(self.state.clone());
                 }
-                while let Some(step) = replica.council.next_step() {
+                while let Some(step) = replica.council.poll_action() {
                     match step {
-                        Step::Keep(records) => replica.disk.extend(records),
-                        Step::KeepAnew(records) => replica.disk = records,
-                        Step::Send(to, message) => sent.push((name.clone(), to, message)),
-                        Step::Apply(_, entry) => {
+                        Action::Append(records) => replica.disk.extend(records),
+                        Action::ReplaceLog(records) => replica.disk = records,
+                        Action::Send(to, message) => sent.push((name.clone(), to, message)),
+                        Action::Apply(_, entry) => {
                             self.applied.entry(name.clone()).or_default().push(entry)
                         }
-                        Step::Restore(..) | Step::Confirmed(_) => {}
+                        Action::Restore(..) | Action::LeadershipConfirmed(_) => {}
                     }
                 }
             }
@@ -223,7 +223,7 @@
                 if to == self.agent.0 {
                     self.send(&from, &PeerMessage::Council(message));
                 } else if let Some(replica) = self.replicas.get_mut(&to) {
-                    replica.council.heard(&from, message);
+                    replica.council.handle_message(&from, message);
                 }
             }
         }
--- a/crates/merlinshelf-agent/tests/support/samples.rs
+++ b/crates/merlinshelf-agent/tests/support/samples.rs
@@ -5,12 +5,18 @@
 
 use merlinshelf_fleet::history::History;
 use merlinshelf_fleet::plan::{Kind as PlanKind, Stage as TargetStage, Target};
-use merlinshelf_fleet::record::Kept;
+use merlinshelf_fleet::record::InstanceRecord;
 use merlinshelf_fleet::{Identity, Plan, PlanState, Record};
-use merlinshelf_policy::document::{DependencyOf, OperationOf};
-use merlinshelf_policy::ledger::{Change, Ended, Stage};
-use merlinshelf_policy::{Entry, Founding, HostAsk, Ledger, Policy, Prepared, Said, Verdict};
-use merlinshelf_quota::{Asked, Claim, Given, Kind, Phase, PlaceAsked, PlaceGiven, Share, Sight};
+use merlinshelf_policy::document::{DependencyPolicy, OperationPolicy};
+use merlinshelf_policy::replicated_state::{Change, CompletedChange, Stage};
+use merlinshelf_policy::{
+    Bootstrap, ChangeOutcome, Entry, HostLeaseRequest, InstanceStatus, Policy, PrepareResult,
+    ReplicatedState,
+};
+use merlinshelf_quota::{
+    CallKind, DependencyGrant, DependencyHealth, DependencyRequest, Phase, QuotaGrant,
+    QuotaGrantBatch, QuotaRequest, QuotaRequestBatch,
+};
 use serde_json::json;
 
 pub fn map<K: Ord, V, const N: usize>(entries: [(K, V); N]) -> BTreeMap<K, V> {
@@ -69,7 +75,7 @@
         state: PlanState::Stopped("abandoned".into()),
         at_once: 43,
     };
-    let first = Kept {
+    let first = InstanceRecord {
         // No process has a number as high as this.
         identity: Some(Identity {
             pid: 4_194_999,
@@ -80,7 +86,7 @@
         told: false,
         crashes_in_a_row: 34,
     };
-    let second = Kept {
+    let second = InstanceRecord {
         identity: None,
         program: "/programs/35".into(),
         down: true,
@@ -99,7 +105,7 @@
 
 pub fn policy(note: &str, seed: u32) -> Policy {
     let number = f64::from(seed);
-    let operation = OperationOf {
+    let operation = OperationPolicy {
         admit: Some(false),
         aim_ms: Some(1700.5 + number),
         worth: Some(2.5 + number),
@@ -107,10 +113,10 @@
         calls: by_name([("catalogue", 0.75)]),
     };
     let budgets = [
-        (Kind::Again, 121 + seed),
-        (Kind::Probes, 122 + seed),
-        (Kind::First, 123 + seed),
-        (Kind::Opened, 124 + seed),
+        (CallKind::Retry, 121 + seed),
+        (CallKind::Probe, 122 + seed),
+        (CallKind::FirstCall, 123 + seed),
+        (CallKind::NewConnection, 124 + seed),
     ];
     Policy {
         note: note.into(),
@@ -119,14 +125,14 @@
         call_share: Some(6.25 + number),
         dependencies: by_name([(
             "search",
-            DependencyOf {
+            DependencyPolicy {
                 out_most: Some(0.35),
                 subset: Some(4),
             },
         )]),
         budgets: by_name([
             ("catalogue", map(budgets)),
-            ("callers", map([(Kind::Opened, 125 + seed)])),
+            ("callers", map([(CallKind::NewConnection, 125 + seed)])),
         ]),
     }
 }
@@ -136,127 +142,134 @@
 pub const BASE_FINGERPRINT: u64 = 0xBA5E_BA5E_BA5E_BA52;
 
 /// The state of a log whose policy 7 holds, with change 8 under way.
-pub fn replicated_state(stage: Stage) -> Ledger {
-    let ended = |number, id: &str, verdict| Ended {
-        number,
-        id: id.into(),
+pub fn replicated_state(stage: Stage) -> ReplicatedState {
+    let ended = |number, id: &str, verdict| CompletedChange {
+        version: number,
+        change_id: id.into(),
         note: format!("note of {number}"),
-        by: format!("operator of {number}"),
-        at: 1_700_000_000.5 + number as f64,
-        verdict,
+        proposed_by: format!("operator of {number}"),
+        proposed_at: 1_700_000_000.5 + number as f64,
+        outcome: verdict,
     };
     let refusals = vec![
         ("host-1".to_owned(), "unfit".to_owned()),
         ("web.3".to_owned(), "too old".to_owned()),
     ];
-    Ledger {
-        founding: Some(Founding {
+    ReplicatedState {
+        bootstrap: Some(Bootstrap {
             lease_ms: LEASE_MS,
-            base: BASE_FINGERPRINT,
+            base_fingerprint: BASE_FINGERPRINT,
         }),
-        last: 9,
-        current: 7,
+        last_version: 9,
+        current_version: 7,
         policy: policy("the policy that holds", 100),
-        former: Some((5, policy("the policy before it", 200))),
-        change: Some(Change {
-            number: 8,
-            id: "change-8".into(),
+        previous: Some((5, policy("the policy before it", 200))),
+        pending_change: Some(Change {
+            version: 8,
+            change_id: "change-8".into(),
             policy: policy("the policy that comes", 300),
-            by: "operator of 8".into(),
-            at: 1_700_000_008.5,
+            proposed_by: "operator of 8".into(),
+            proposed_at: 1_700_000_008.5,
             stage,
         }),
-        ended: VecDeque::from([
-            ended(6, "change-6", Verdict::Refused(refusals)),
-            ended(7, "change-7", Verdict::Held),
+        completed_changes: VecDeque::from([
+            ended(6, "change-6", ChangeOutcome::Rejected(refusals)),
+            ended(7, "change-7", ChangeOutcome::Committed),
         ]),
     }
 }
 
 pub fn proposal() -> Entry {
     Entry::Propose {
-        id: "change-61".into(),
+        change_id: "change-61".into(),
         policy: Box::new(policy("a proposed policy", 400)),
-        by: "operator of 61".into(),
-        at: 1_700_000_061.5,
+        proposed_by: "operator of 61".into(),
+        proposed_at: 1_700_000_061.5,
     }
 }
 
-pub fn claim(seed: u32) -> Claim {
-    Claim {
-        life: 0x7100_0000_0000 + u64::from(seed),
-        token: 72 + u64::from(seed),
-        need: 73 + seed,
-        worth: 74.5 + f64::from(seed),
-        heard: (75 + u64::from(seed), 76 + u64::from(seed)),
-        spent: 77 + seed,
+pub fn claim(seed: u32) -> QuotaRequest {
+    QuotaRequest {
+        incarnation: 0x7100_0000_0000 + u64::from(seed),
+        request_id: 72 + u64::from(seed),
+        calls_needed: 73 + seed,
+        priority_weight: 74.5 + f64::from(seed),
+        acknowledged_grant: (75 + u64::from(seed), 76 + u64::from(seed)),
+        calls_spent: 77 + seed,
     }
 }
 
 /// What is asked of budgets: of every kind and phase.
-pub fn quota_request(zone: &str) -> Asked {
-    let sight = |seed: u32| Sight {
-        instances: 81 + seed,
-        failing: 82 + seed,
-        good: 83 + seed,
-        bad: 84 + seed,
+pub fn quota_request(zone: &str) -> QuotaRequestBatch {
+    let sight = |seed: u32| DependencyHealth {
+        calling_instances: 81 + seed,
+        failing_instances: 82 + seed,
+        succeeded_calls: 83 + seed,
+        failed_calls: 84 + seed,
     };
-    let place = |seed, phase, claims| PlaceAsked {
-        sight: sight(seed),
+    let place = |seed, phase, claims| DependencyRequest {
+        health: sight(seed),
         phase,
-        claims,
+        requests: claims,
     };
-    let claims = Kind::ALL
+    let claims = CallKind::ALL
         .iter()
         .zip(1..)
         .map(|(kind, place)| (*kind, claim(place * 100)))
         .collect();
-    Asked {
-        life: 0x7800_0000_0078,
-        token: 79,
+    QuotaRequestBatch {
+        incarnation: 0x7800_0000_0078,
+        request_id: 79,
         zone: zone.into(),
-        places: by_name([
+        dependencies: by_name([
             (
                 "callers",
-                place(20, Some(Phase::Well), map([(Kind::Opened, claim(10))])),
+                place(
+                    20,
+                    Some(Phase::Healthy),
+                    map([(CallKind::NewConnection, claim(10))]),
+                ),
+            ),
+            ("catalogue", place(0, Some(Phase::Failing), claims)),
+            (
+                "search",
+                place(30, Some(Phase::Recovering), BTreeMap::new()),
             ),
-            ("catalogue", place(0, Some(Phase::Fails), claims)),
-            ("search", place(30, Some(Phase::Returns), BTreeMap::new())),
             ("index", place(40, None, BTreeMap::new())),
         ]),
     }
 }
 
-pub fn quota_grant() -> Given {
-    let share = |seed: u32| Share {
-        life: 0x9100_0000_0000 + u64::from(seed),
-        token: 92 + u64::from(seed),
-        keeper: 93 + u64::from(seed),
-        number: 94 + u64::from(seed),
-        calls: 95 + seed,
-        for_s: 96.5 + f64::from(seed),
+pub fn quota_grant() -> QuotaGrantBatch {
+    let share = |seed: u32| QuotaGrant {
+        incarnation: 0x9100_0000_0000 + u64::from(seed),
+        request_id: 92 + u64::from(seed),
+        allocator_id: 93 + u64::from(seed),
+        grant_number: 94 + u64::from(seed),
+        calls_per_second: 95 + seed,
+        duration_seconds: 96.5 + f64::from(seed),
     };
-    let shares = Kind::ALL
+    let shares = CallKind::ALL
         .iter()
         .zip(1..)
         .map(|(kind, place)| (*kind, share(place * 100)))
         .collect();
-    Given {
-        life: 0x9700_0000_0097,
-        token: 98,
-        places: by_name([
+    QuotaGrantBatch {
+        incarnation: 0x9700_0000_0097,
+        request_id: 98,
+        dependencies: by_name([
             (
                 "catalogue",
-                PlaceGiven {
-                    phase: Some(Phase::Returns),
-                    shares,
+                DependencyGrant {
+                    phase: Some(Phase::Recovering),
+                    grants: shares,
                 },
             ),
             (
                 "search",
-                PlaceGiven {
+                DependencyGrant {
                     phase: None,
-                    shares: BTreeMap::new(),
+                    grants: BTreeMap::new(),
                 },
             ),
         ]),
@@ -264,20 +277,20 @@
 }
 
 /// What host `b` asks of the leader.
-pub fn lease_request() -> HostAsk {
-    HostAsk {
+pub fn lease_request() -> HostLeaseRequest {
+    HostLeaseRequest {
         host: "b".into(),
-        life: 0x1010_1010_1010_1010,
-        token: 102,
-        fenced: 103,
-        prepared: Some(Prepared {
-            number: 104,
-            ready: 105,
-            silent: 106,
-            unfit: vec![("web.1".into(), "it knows no policies".into())],
+        incarnation: 0x1010_1010_1010_1010,
+        request_id: 102,
+        fenced_version: 103,
+        prepare_result: Some(PrepareResult {
+            version: 104,
+            ready_instances: 105,
+            silent_instances: 106,
+            rejections: vec![("web.1".into(), "it knows no policies".into())],
         }),
-        service: (107, 108),
-        wishes: Some(quota_request("garching")),
+        service_counts: (107, 108),
+        quota_requests: Some(quota_request("garching")),
     }
 }
 
@@ -294,16 +307,16 @@
     .to_string()
 }
 
-pub fn instance_status() -> Said {
-    Said {
-        life: 0x2121_2121_2121,
-        asked: 122.5,
-        fenced: 6,
-        knows: vec![4, 5],
-        unfit: Some((8, "it has no such operation".into())),
-        acts: Some(5),
-        left_s: 123.5,
-        base: BASE_FINGERPRINT,
-        wishes: Some(quota_request("")),
+pub fn instance_status() -> InstanceStatus {
+    InstanceStatus {
+        incarnation: 0x2121_2121_2121,
+        reported_at: 122.5,
+        fenced_version: 6,
+        known_versions: vec![4, 5],
+        rejected_version: Some((8, "it has no such operation".into())),
+        effective_version: Some(5),
+        lease_remaining_seconds: 123.5,
+        base_fingerprint: BASE_FINGERPRINT,
+        quota_requests: Some(quota_request("")),
     }
 }
--- a/crates/merlinshelf-consensus/tests/golden.rs
+++ b/crates/merlinshelf-consensus/tests/golden.rs
@@ -10,7 +10,8 @@
 use std::path::Path;
 
 use merlinshelf_consensus::{
-    Council, HEAD, Known, Member, Record, Roll, State, Step, Word, recover,
+    Action, BootstrapState, FILE_HEADER, Member, Membership, Message, PeerProgress, Record,
+    Replica, recover,
 };
 use protobuf::Message as _;
 use raft::prelude::{ConfChange, ConfChangeType, ConfState, Entry, EntryType, Snapshot};
@@ -93,16 +94,16 @@
 #[test]
 fn log_file() {
     let records = vec![
-        Record::Seat {
+        Record::VoterSlot {
             id: 11,
-            life: 0x1200_0000_0012,
+            incarnation: 0x1200_0000_0012,
         },
-        Record::Met {
+        Record::PeerSlot {
             id: 13,
-            life: 14,
-            ticket: 0xF5F5_F5F5_F5F5_F515,
+            incarnation: 14,
+            boot_id: 0xF5F5_F5F5_F5F5_F515,
         },
-        Record::Hard {
+        Record::HardState {
             term: 16,
             vote: 17,
             commit: 0x1_0000_0018,
@@ -110,8 +111,8 @@
         Record::Entry(ByteBuf::from(b"an entry".to_vec())),
         Record::Snapshot(ByteBuf::from(b"a snapshot".to_vec())),
     ];
-    let mut encoded = HEAD.to_vec();
-    encoded.extend(records.iter().flat_map(Record::framed));
+    let mut encoded = FILE_HEADER.to_vec();
+    encoded.extend(records.iter().flat_map(Record::encode_frame));
     let samples = [Sample {
         label: "head and one record of each variant",
         value: records,
@@ -126,58 +127,58 @@
 
 #[test]
 fn messages_between_agents() {
-    let known = Known {
-        life: Some(31),
+    let known = PeerProgress {
+        incarnation: Some(31),
         term: 32,
         index: 0x3300_0000_0033,
         replaced: true,
         leader: Some(34),
     };
-    let welcome = |state, own, known, seat| Word::Welcome {
-        ticket: 0xE1E1_E1E1_E1E1_E121,
+    let welcome = |state, own, known, seat| Message::Welcome {
+        boot_id: 0xE1E1_E1E1_E1E1_E121,
         state,
-        own,
-        known,
-        seat,
+        responder_slot: own,
+        progress: known,
+        reserved_slot: seat,
     };
     let samples = [
         (
             "hello with a seat",
-            Word::Hello {
-                ticket: 0xD1D1_D1D1_D1D1_D111,
-                seat: Some((41, 42)),
+            Message::Hello {
+                boot_id: 0xD1D1_D1D1_D1D1_D111,
+                slot: Some((41, 42)),
             },
         ),
         (
             "hello without a seat",
-            Word::Hello {
-                ticket: 43,
-                seat: None,
+            Message::Hello {
+                boot_id: 43,
+                slot: None,
             },
         ),
         (
             "welcome of a seated agent",
-            welcome(State::Seated, Some(22), known, Some(23)),
+            welcome(BootstrapState::Established, Some(22), known, Some(23)),
         ),
         (
             "welcome of an empty agent",
-            welcome(State::Empty, None, Known::default(), None),
+            welcome(BootstrapState::Empty, None, PeerProgress::default(), None),
         ),
         (
             "welcome of a fresh agent",
             welcome(
-                State::Fresh,
+                BootstrapState::Fresh,
                 Some(24),
-                Known {
+                PeerProgress {
                     term: 35,
-                    ..Known::default()
+                    ..PeerProgress::default()
                 },
                 None,
             ),
         ),
         (
             "raft message",
-            Word::Raft(ByteBuf::from(b"a message of raft".to_vec())),
+            Message::Raft(ByteBuf::from(b"a message of raft".to_vec())),
         ),
     ];
     // As `merlinshelf-agent` sends them, inside its own envelope.
@@ -199,8 +200,8 @@
 const TICKET_OF_C: u64 = 0xC0C0_C0C0_C0C0_C0C3;
 
 /// A replica whose steps are carried out in memory.
-struct Replica {
-    council: Council,
+struct TestReplica {
+    council: Replica,
     /// What is on its disk now.
     disk: Vec<Record>,
     /// All that was ever put there.
@@ -208,12 +209,12 @@
     restored: Option<(u64, Vec<u8>)>,
 }
 
-impl Replica {
-    fn begin(name: &str, agents: &[&str], ticket: u64, disk: Vec<Record>) -> Replica {
+impl TestReplica {
+    fn begin(name: &str, agents: &[&str], ticket: u64, disk: Vec<Record>) -> TestReplica {
         let agents: BTreeSet<String> = agents.iter().map(|name| (*name).to_owned()).collect();
         let council =
-            Council::begin(name, &agents, ticket, 0, &disk).expect("the disk can be used");
-        Replica {
+            Replica::start(name, &agents, ticket, 0, &disk).expect("the disk can be used");
+        TestReplica {
             council,
             disk,
             written: Vec::new(),
@@ -222,25 +223,25 @@
     }
 
     /// Carries out all steps; what is to be sent, and to whom.
-    fn carry_out(&mut self) -> Vec<(String, Word)> {
+    fn carry_out(&mut self) -> Vec<(String, Message)> {
         let mut sent = Vec::new();
         loop {
-            if self.council.is_long() {
+            if self.council.needs_compaction() {
                 self.council.compact(APPLICATION_STATE.to_vec());
             }
-            match self.council.next_step() {
+            match self.council.poll_action() {
                 None => return sent,
-                Some(Step::Keep(records)) => {
+                Some(Action::Append(records)) => {
                     self.written.extend(records.clone());
                     self.disk.extend(records);
                 }
-                Some(Step::KeepAnew(records)) => {
+                Some(Action::ReplaceLog(records)) => {
                     self.written.extend(records.clone());
                     self.disk = records;
                 }
-                Some(Step::Send(to, word)) => sent.push((to, word)),
-                Some(Step::Restore(index, state)) => self.restored = Some((index, state)),
-                Some(Step::Apply(..) | Step::Confirmed(_)) => {}
+                Some(Action::Send(to, word)) => sent.push((to, word)),
+                Some(Action::Restore(index, state)) => self.restored = Some((index, state)),
+                Some(Action::Apply(..) | Action::LeadershipConfirmed(_)) => {}
             }
         }
     }
@@ -272,9 +273,9 @@
 
 /// Ticks the replicas and passes their messages on until something holds; messages to others are lost.
 fn run_until(
-    replicas: &mut BTreeMap<&str, Replica>,
+    replicas: &mut BTreeMap<&str, TestReplica>,
     what: &str,
-    holds: impl Fn(&BTreeMap<&str, Replica>) -> bool,
+    holds: impl Fn(&BTreeMap<&str, TestReplica>) -> bool,
 ) {
     for _ in 0..1_000 {
         if holds(replicas) {
@@ -284,20 +285,20 @@
             .values_mut()
             .for_each(|replica| replica.council.tick());
         loop {
-            let carry_out = |(name, replica): (&&str, &mut Replica)| {
+            let carry_out = |(name, replica): (&&str, &mut TestReplica)| {
                 let sent = replica.carry_out();
                 sent.into_iter()
                     .map(|(to, word)| (name.to_string(), to, word))
                     .collect::<Vec<_>>()
             };
-            let sent: Vec<(String, String, Word)> =
+            let sent: Vec<(String, String, Message)> =
                 replicas.iter_mut().flat_map(carry_out).collect();
             if sent.is_empty() {
                 break;
             }
             for (from, to, word) in sent {
                 if let Some(receiver) = replicas.get_mut(to.as_str()) {
-                    receiver.council.heard(&from, word);
+                    receiver.council.handle_message(&from, word);
                 }
             }
         }
@@ -306,44 +307,51 @@
 }
 
 /// What a replica alone in its installation has on its disk.
-fn bootstrapped_alone() -> Replica {
-    let mut replicas = BTreeMap::from([("a", Replica::begin("a", &["a"], 0xA1, Vec::new()))]);
+fn bootstrapped_alone() -> TestReplica {
+    let mut replicas = BTreeMap::from([("a", TestReplica::begin("a", &["a"], 0xA1, Vec::new()))]);
     run_until(&mut replicas, "a leader", |replicas| {
-        replicas["a"].council.leads().is_some()
+        replicas["a"].council.leading_term().is_some()
     });
     replicas.remove("a").expect("it runs")
 }
 
 /// The leader after a second replica has joined, and a third one has joined and was removed.
-fn leader_after_membership_changes() -> Replica {
+fn leader_after_membership_changes() -> TestReplica {
     let alone = bootstrapped_alone();
     let agents = ["a", "b", "c"];
     let mut replicas = BTreeMap::from([
-        ("a", Replica::begin("a", &agents, 0xA2, alone.disk)),
-        ("b", Replica::begin("b", &agents, TICKET_OF_B, Vec::new())),
+        ("a", TestReplica::begin("a", &agents, 0xA2, alone.disk)),
+        (
+            "b",
+            TestReplica::begin("b", &agents, TICKET_OF_B, Vec::new()),
+        ),
     ]);
-    let member_counts = |replicas: &BTreeMap<&str, Replica>| {
+    let member_counts = |replicas: &BTreeMap<&str, TestReplica>| {
         replicas
             .values()
-            .map(|replica| replica.council.roll().members.len())
+            .map(|replica| replica.council.membership().members.len())
             .collect::<Vec<_>>()
     };
     run_until(&mut replicas, "two members", |replicas| {
         member_counts(replicas) == [2, 2]
     });
-    let hello = Word::Hello {
-        ticket: TICKET_OF_C,
-        seat: None,
+    let hello = Message::Hello {
+        boot_id: TICKET_OF_C,
+        slot: None,
     };
     replicas
         .get_mut("a")
         .expect("it runs")
         .council
-        .heard("c", hello);
+        .handle_message("c", hello);
     run_until(&mut replicas, "three members", |replicas| {
         member_counts(replicas) == [3, 3]
     });
-    replicas.get_mut("a").expect("it runs").council.remove("c");
+    replicas
+        .get_mut("a")
+        .expect("it runs")
+        .council
+        .remove_member("c");
     run_until(&mut replicas, "two members again", |replicas| {
         member_counts(replicas) == [2, 2]
     });
@@ -356,7 +364,7 @@
 fn member(name: &str, ticket: u64) -> Member {
     Member {
         name: name.into(),
-        ticket,
+        boot_id: ticket,
     }
 }
 
@@ -381,13 +389,13 @@
 fn snapshot_payload() {
     let alone = bootstrapped_alone();
     let leader = leader_after_membership_changes();
-    let bootstrap = Roll {
+    let bootstrap = Membership {
         members: BTreeMap::from([(1, member("a", 0))]),
-        highest: 1,
+        highest_slot: 1,
     };
-    let changed = Roll {
+    let changed = Membership {
         members: BTreeMap::from([(1, member("a", 0)), (2, member("b", TICKET_OF_B))]),
-        highest: 3,
+        highest_slot: 3,
     };
     let samples = [
         Sample {
@@ -404,19 +412,22 @@
     check_form("snapshot_payload.hex", &samples, |payload| {
         let index = 51;
         let disk = vec![
-            Record::Seat { id: 1, life: 1 },
+            Record::VoterSlot {
+                id: 1,
+                incarnation: 1,
+            },
             snapshot_record(payload, index, &[1, 2]),
-            Record::Hard {
+            Record::HardState {
                 term: 1,
                 vote: 0,
                 commit: index,
             },
         ];
-        let mut replica = Replica::begin("a", &["a", "b"], 0xA3, disk);
+        let mut replica = TestReplica::begin("a", &["a", "b"], 0xA3, disk);
         replica.carry_out();
         let (restored_index, state) = replica.restored.expect("a restored state");
         assert_eq!(restored_index, index);
-        (replica.council.roll().clone(), state)
+        (replica.council.membership().clone(), state)
     });
 }
 
@@ -457,21 +468,24 @@
                 .into(),
         );
         let disk = vec![
-            Record::Seat { id: 1, life: 1 },
+            Record::VoterSlot {
+                id: 1,
+                incarnation: 1,
+            },
             snapshot_record(&bootstrap, 1, &[1]),
             Record::Entry(ByteBuf::from(
                 entry.write_to_bytes().expect("an entry can be encoded"),
             )),
-            Record::Hard {
+            Record::HardState {
                 term: 1,
                 vote: 0,
                 commit: 2,
             },
         ];
-        let mut replicas = BTreeMap::from([("a", Replica::begin("a", &["a"], 0xA4, disk))]);
+        let mut replicas = BTreeMap::from([("a", TestReplica::begin("a", &["a"], 0xA4, disk))]);
         run_until(&mut replicas, "a second member", |replicas| {
-            replicas["a"].council.roll().members.len() == 2
+            replicas["a"].council.membership().members.len() == 2
         });
-        replicas["a"].council.roll().members[&2].clone()
+        replicas["a"].council.membership().members[&2].clone()
     });
 }
--- a/crates/merlinshelf-fleet/tests/golden.rs
+++ b/crates/merlinshelf-fleet/tests/golden.rs
@@ -11,13 +11,13 @@
 use std::path::{Path, PathBuf};
 
 use garde::Validate;
+use merlinshelf_fleet::fleet_spec::{Change, ConsensusConfig, Restarts};
 use merlinshelf_fleet::history::History;
 use merlinshelf_fleet::plan::{Kind, Stage, Target};
-use merlinshelf_fleet::record::Kept;
-use merlinshelf_fleet::wanted::{Change, CouncilOf, Restarts};
-use merlinshelf_fleet::{Group, Host, Identity, Plan, PlanState, Record, State, Wanted};
-use merlinshelf_policy::document::{DependencyOf, OperationOf};
-use merlinshelf_policy::{Policy, Without};
+use merlinshelf_fleet::record::InstanceRecord;
+use merlinshelf_fleet::{FleetSpec, Group, Host, Identity, Plan, PlanState, Record, State};
+use merlinshelf_policy::document::{DependencyPolicy, OperationPolicy};
+use merlinshelf_policy::{LeaseExpiryMode, Policy};
 use merlinshelf_quota as quota;
 use serde_json::{Value, json};
 
@@ -153,7 +153,7 @@
         instances: BTreeMap::from([
             (
                 "web.0".to_owned(),
-                Kept {
+                InstanceRecord {
                     identity: Some(Identity {
                         pid: 31,
                         started: 0x3200_0000_0032,
@@ -166,7 +166,7 @@
             ),
             (
                 "web.1".to_owned(),
-                Kept {
+                InstanceRecord {
                     identity: None,
                     program: "/programs/35".into(),
                     down: false,
@@ -246,8 +246,8 @@
 }
 
 /// Reads a golden `fleet.json5` as the agent does.
-fn read_spec(file: &str) -> Wanted {
-    let spec: Wanted =
+fn read_spec(file: &str) -> FleetSpec {
+    let spec: FleetSpec =
         json5::from_str(&read_golden(file)).unwrap_or_else(|error| panic!("{file}: {error}"));
     spec.validate()
         .unwrap_or_else(|report| panic!("{file}: {report}"));
@@ -260,7 +260,7 @@
 
 #[test]
 fn fleet_spec_with_every_key() {
-    let thumbnail = OperationOf {
+    let thumbnail = OperationPolicy {
         admit: Some(false),
         aim_ms: Some(1700.5),
         worth: Some(2.5),
@@ -268,10 +268,10 @@
         calls: map([("catalogue".to_owned(), 0.75)]),
     };
     let catalogue = [
-        (quota::Kind::Again, 21),
-        (quota::Kind::Probes, 22),
-        (quota::Kind::First, 23),
-        (quota::Kind::Opened, 24),
+        (quota::CallKind::Retry, 21),
+        (quota::CallKind::Probe, 22),
+        (quota::CallKind::FirstCall, 23),
+        (quota::CallKind::NewConnection, 24),
     ];
     let base = Policy {
         note: "the base policy".into(),
@@ -280,17 +280,20 @@
         call_share: Some(6.25),
         dependencies: map([(
             "search".to_owned(),
-            DependencyOf {
+            DependencyPolicy {
                 out_most: Some(0.35),
                 subset: Some(4),
             },
         )]),
         budgets: map([
             ("catalogue".to_owned(), map(catalogue)),
-            ("callers".to_owned(), map([(quota::Kind::Opened, 25)])),
+            (
+                "callers".to_owned(),
+                map([(quota::CallKind::NewConnection, 25)]),
+            ),
         ]),
     };
-    let council = CouncilOf {
+    let council = ConsensusConfig {
         name: "b".into(),
         listen: "127.0.0.1:7701".into(),
         agents: map([
@@ -302,7 +305,7 @@
         drift: 0.03,
         zone: "garching".into(),
         base,
-        without: Without::TurnAway,
+        without: LeaseExpiryMode::RejectAll,
         watch_ms: 4400,
         worse: 0.06,
     };
@@ -322,7 +325,7 @@
         memory_mb: 65,
         descriptors: 385,
     };
-    let expected = Wanted {
+    let expected = FleetSpec {
         folder: "run/fleet".into(),
         host: Host {
             memory_mb: 2048,
@@ -352,7 +355,7 @@
 
 #[test]
 fn fleet_spec_with_defaults() {
-    let council = CouncilOf {
+    let council = ConsensusConfig {
         name: "a".into(),
         listen: "127.0.0.1:7700".into(),
         agents: map([("a".to_owned(), "127.0.0.1:7700".to_owned())]),
@@ -360,7 +363,7 @@
         drift: 0.02,
         zone: String::new(),
         base: Policy::default(),
-        without: Without::Base,
+        without: LeaseExpiryMode::BasePolicy,
         watch_ms: 0,
         worse: 0.05,
     };
@@ -377,7 +380,7 @@
         memory_mb: 64,
         descriptors: 384,
     };
-    let expected = Wanted {
+    let expected = FleetSpec {
         folder: "run/fleet".into(),
         host: Host {
             memory_mb: 16_384,
@@ -425,7 +428,7 @@
         assert!(text.contains(key), "{key}");
         let renamed = text.replacen(key, &format!("unknown_{key}"), 1);
         assert!(
-            json5::from_str::<Wanted>(&renamed).is_err(),
+            json5::from_str::<FleetSpec>(&renamed).is_err(),
             "unknown_{key} is read"
         );
     }
