--- a/crates/merlinshelf-admission/src/advertisement.rs
+++ b/crates/merlinshelf-admission/src/advertisement.rs
@@ -1,4 +1,4 @@
-//! What callers and health checks are told of this instance.
+//! What this instance advertises to callers and health checks.
 
 use crate::callers::LEAST_IDLE_TIMEOUT;
 use crate::controller::AdmissionController;
@@ -24,7 +24,7 @@
     pub idle_timeout: f64,
 }
 
-/// The level that callers are told, and what it follows.
+/// The advertised level, and what it follows.
 #[derive(Default)]
 pub(crate) struct Advertisement {
     /// The arrivals since the last look: whether each was rejected.
@@ -104,8 +104,9 @@
         }
     }
 
-    /// Callers that came within the time for which they heed a value. Not all there are: a hundredth for each rejected
-    /// just those who knew this instance. Harm: callers that come back all at once may each have that many.
+    /// Callers that came within the time for which they heed a value. Not all there are: a
+    /// hundredth for each rejected just those who knew this instance. Harm: callers that come back
+    /// all at once may each have that many.
     fn heeding_callers(&self) -> f64 {
         let heeded = self.settings.seconds("FamilyInfo.HeededUs", 1.0);
         self.callers.count_since(self.now - heeded)
--- a/crates/merlinshelf-admission/src/callers.rs
+++ b/crates/merlinshelf-admission/src/callers.rs
@@ -5,11 +5,12 @@
 use crate::controller::AdmissionController;
 use crate::samples::{are_few, push};
 
-/// Callers over which those that have not come lately are forgotten, and what "lately" is then, in seconds.
+/// Callers over which those that have not come lately are forgotten, and what "lately" is then, in
+/// seconds.
 const MANY_CALLERS: usize = 4096;
 const MANY_CALLERS_IDLE: f64 = 1.0;
-/// Idle connections stay for this part of the callers' own idle time while half of the callers come back. A fifth
-/// measured: quiet days lose to connections opened anew.
+/// Idle connections stay for this part of the callers' own idle time while half of the callers come
+/// back. A fifth measured: quiet days lose to connections opened anew.
 const IDLE_DIVISOR: f64 = 3.0;
 const RETURNING_PART: f64 = 0.5;
 /// The shortest idle timeout, seconds.
@@ -28,8 +29,8 @@
     pub last_arrivals: BTreeMap<u64, f64>,
     /// After how long the callers of the last arrivals had come back.
     pub return_gaps: VecDeque<f64>,
-    /// 1 for each of the last arrivals that was a retry, else 0. Where callers mark none: 1 for each of the last
-    /// decisions that was a rejection.
+    /// 1 for each of the last arrivals that was a retry, else 0. Where callers mark none: 1 for
+    /// each of the last decisions that was a rejection.
     pub retry_marks: VecDeque<f64>,
     pub arrivals_by_customer: BTreeMap<usize, VecDeque<f64>>,
     pub offered_work: VecDeque<OfferedWork>,
@@ -72,7 +73,8 @@
 }
 
 impl AdmissionController {
-    /// What the last arrivals ask for, as a part of what the cores can do, whatever is then decided.
+    /// What the last arrivals ask for, as a part of what the cores can do, whatever is then
+    /// decided.
     fn offered_load(&self) -> f64 {
         let offered = &self.callers.offered_work;
         let since = offered
@@ -87,11 +89,12 @@
         work / (self.settings.cores() * since)
     }
 
-    /// How long idle connections stay open, seconds: a third of the callers' own idle time while half of the last
-    /// callers had come back within that time, else hardly at all. That keeps the table from filling with callers who
-    /// don't come back; harm: a few busy ones open anew. All of it where arrivals ask for more than the cores can do
-    /// and no mark tells retries: a full table rejects at no cost, while opening a connection takes a seventh of a
-    /// run. Harm: lost in a short rush.
+    /// How long idle connections stay open, seconds: a third of the callers' own idle time while
+    /// half of the last callers had come back within that time, else hardly at all. That keeps the
+    /// table from filling with callers who don't come back; harm: a few busy ones open anew. All of
+    /// it where arrivals ask for more than the cores can do and no mark tells retries: a full table
+    /// rejects at no cost, while opening a connection takes a seventh of a run. Harm: lost in a
+    /// short rush.
     pub(crate) fn idle_timeout(&mut self) -> f64 {
         let caller_idle = self.settings.seconds("FamilyInfo.CallerIdleUs", 0.0);
         let remembered = if self.callers.last_arrivals.len() > MANY_CALLERS {
--- a/crates/merlinshelf-admission/src/controller.rs
+++ b/crates/merlinshelf-admission/src/controller.rs
@@ -35,9 +35,10 @@
 
 /// Decides what a backend admits, queues, runs, calls downstream, rejects, and advertises.
 ///
-/// A host calls one method for each event, with the clock in seconds, and carries out the [`Decisions`] that come
-/// back. A method records the event; then the rules are evaluated until none applies. It does no I/O, reads no clock
-/// and draws from a seeded generator alone, so that the same events yield the same decisions.
+/// A host calls one method for each event, with the clock in seconds, and carries out the
+/// [`Decisions`] that come back. A method records the event; then the rules are evaluated until
+/// none applies. It does no I/O, reads no clock and draws from a seeded generator alone, so that
+/// the same events yield the same decisions.
 #[derive(Default)]
 pub struct AdmissionController {
     pub(crate) settings: SettingsReader,
@@ -147,8 +148,8 @@
         self.decide()
     }
 
-    /// A run, or the invocation that a repeat had joined, has ended. `lasted` is its duration in seconds, calls
-    /// included.
+    /// A run, or the invocation that a repeat had joined, has ended. `lasted` is its duration in
+    /// seconds, calls included.
     pub fn run_ended(
         &mut self,
         now: f64,
@@ -234,8 +235,8 @@
         self.decide()
     }
 
-    /// A timer has fired; gauges of the engine come with it, by name. One tick keeps all that waits on the clock
-    /// moving.
+    /// A timer has fired; gauges of the engine come with it, by name. One tick keeps all that waits
+    /// on the clock moving.
     pub fn timer_fired(
         &mut self,
         now: f64,
@@ -255,8 +256,8 @@
         self.decide()
     }
 
-    /// Sets what a fleet's budgets leave for downstream calls until the next time, and what the fleet knows of the
-    /// dependency. Returns what became of the quota before.
+    /// Sets what a fleet's budgets leave for downstream calls until the next time, and what the
+    /// fleet knows of the dependency. Returns what became of the quota before.
     pub fn set_downstream_quota(&mut self, quota: DownstreamQuota) -> DownstreamUsage {
         let state = &mut self.downstream;
         let is_failing = state.is_failing();
@@ -296,9 +297,7 @@
 
     /// A number from 0 to 1.
     pub(crate) fn random(&mut self) -> f64 {
-        self.random
-            .as_mut()
-            .map_or(0.5, |generator| generator.random())
+        self.random.as_mut().map_or(0.5, RngExt::random)
     }
 }
 
--- a/crates/merlinshelf-admission/src/controller/tests.rs
+++ b/crates/merlinshelf-admission/src/controller/tests.rs
@@ -1,4 +1,4 @@
-//! What can't be seen from outside: how much an instance keeps.
+//! Tests of what can't be seen from outside: remembered callers, names of rules, settings.
 
 use super::*;
 use crate::rules::Rule;
@@ -20,10 +20,11 @@
         ("Classes.count", "1"),
         ("FamilyInfo.CallerIdleUs", "30000000"),
     ];
-    let (mut shedder, _) =
+    let (mut controller, _) =
         AdmissionController::start(0.0, 1, read(&settings)).expect("settings that are read");
     let mut most = 0;
-    // Two a millisecond for a while, then ten a second; one comes back all the time and stays known.
+    // Two a millisecond for a while, then ten a second; one comes back all the time and stays
+    // known.
     for number in 0..20_000u32 {
         let now = if number < 16_000 {
             f64::from(number) / 2e3
@@ -35,7 +36,7 @@
         } else {
             u64::from(number)
         };
-        shedder.invocation_arrived(
+        controller.invocation_arrived(
             now,
             0,
             Invocation {
@@ -44,17 +45,17 @@
                 ..Invocation::default()
             },
         );
-        shedder.timer_fired(now, 0, &BTreeMap::new());
-        most = most.max(shedder.callers.last_arrivals.len());
+        controller.timer_fired(now, 0, &BTreeMap::new());
+        most = most.max(controller.callers.last_arrivals.len());
     }
     assert!(
-        most <= 5_000 && shedder.callers.last_arrivals.contains_key(&0),
+        most <= 5_000 && controller.callers.last_arrivals.contains_key(&0),
         "{most}"
     );
     assert!(
-        shedder.callers.last_arrivals.len() <= 310,
+        controller.callers.last_arrivals.len() <= 310,
         "{}",
-        shedder.callers.last_arrivals.len()
+        controller.callers.last_arrivals.len()
     );
 }
 
@@ -87,7 +88,7 @@
         .0
 }
 
-fn told(operation: usize) -> Invocation {
+fn invocation(operation: usize) -> Invocation {
     Invocation {
         operation,
         held_kilobytes: 50.0,
@@ -96,64 +97,66 @@
     }
 }
 
-/// Both cores busy with runs 0 and 1 of the operation, and `number` held, which does not decide anything yet.
-fn with_one_held(operation: usize, number: usize) -> AdmissionController {
-    let mut shedder = instance(&[]);
+/// Both cores busy with runs 0 and 1 of the operation, and `number` queued, which does not decide
+/// anything yet.
+fn with_one_queued(operation: usize, number: usize) -> AdmissionController {
+    let mut controller = instance(&[]);
     for running in 0..2 {
-        shedder.invocation_arrived(0.0, running, told(operation));
+        controller.invocation_arrived(0.0, running, invocation(operation));
     }
     assert_eq!(
-        shedder
-            .invocation_arrived(0.0, number, told(operation))
+        controller
+            .invocation_arrived(0.0, number, invocation(operation))
             .rejected,
         []
     );
-    shedder
+    controller
 }
 
-/// What a rule that gives up has ceased to mean to serve is answered in that same decision: no rule may keep it
-/// until near its client timeout.
+/// What a rule that gives up has ceased to mean to serve is answered in that same decision: no rule
+/// may keep it until near its caller's timeout.
 #[test]
+#[expect(clippy::too_many_lines, reason = "a table of one scene a rule")]
 fn whatever_is_given_up_is_answered_in_that_same_decision() {
     type Scene = fn() -> (AdmissionController, Decisions);
     let scenes: &[(&str, Scene)] = &[
         ("answer before the deadline", || {
-            let mut shedder = instance(&[("Classes.2.AimUs", "4000000")]);
-            shedder.invocation_arrived(0.0, 7, told(2));
-            let decided = shedder.timer_fired(3.99, 0, &BTreeMap::new());
-            (shedder, decided)
+            let mut controller = instance(&[("Classes.2.AimUs", "4000000")]);
+            controller.invocation_arrived(0.0, 7, invocation(2));
+            let decisions = controller.timer_fired(3.99, 0, &BTreeMap::new());
+            (controller, decisions)
         }),
         ("stay within the memory limit", || {
-            let mut shedder = instance(&[("FamilyInfo.HeapKb", "100")]);
-            let decided = shedder.invocation_arrived(
+            let mut controller = instance(&[("FamilyInfo.HeapKb", "100")]);
+            let decisions = controller.invocation_arrived(
                 0.0,
                 7,
                 Invocation {
                     held_kilobytes: 95.0,
-                    ..told(0)
+                    ..invocation(0)
                 },
             );
-            (shedder, decided)
+            (controller, decisions)
         }),
         ("reject arrivals after the drain grace", || {
-            let mut shedder = instance(&[]);
-            shedder.shutdown_requested(0.0, 5.0);
-            let decided = shedder.invocation_arrived(1.5, 7, told(0));
-            (shedder, decided)
+            let mut controller = instance(&[]);
+            controller.shutdown_requested(0.0, 5.0);
+            let decisions = controller.invocation_arrived(1.5, 7, invocation(0));
+            (controller, decisions)
         }),
         ("reject groups above the threshold", || {
-            let mut shedder = instance(&[]);
-            shedder.timer_fired(0.0, 0, &gauges(1.0));
+            let mut controller = instance(&[]);
+            controller.timer_fired(0.0, 0, &gauges(1.0));
             for number in 0..2 {
-                shedder.invocation_arrived(0.0, number, told(0));
+                controller.invocation_arrived(0.0, number, invocation(0));
             }
-            let decided = shedder.invocation_arrived(0.0, 7, told(0));
-            (shedder, decided)
+            let decisions = controller.invocation_arrived(0.0, 7, invocation(0));
+            (controller, decisions)
         }),
         ("reject arrivals that miss their objective", || {
-            let mut shedder = instance(&[]);
-            shedder.invocation_arrived(0.0, 0, told(0));
-            shedder.run_ended(
+            let mut controller = instance(&[]);
+            controller.invocation_arrived(0.0, 0, invocation(0));
+            controller.run_ended(
                 0.9,
                 0,
                 Outcome {
@@ -163,30 +166,30 @@
                 0.9,
             );
             for number in 1..3 {
-                shedder.invocation_arrived(0.9, number, told(0));
+                controller.invocation_arrived(0.9, number, invocation(0));
             }
-            let decided = shedder.invocation_arrived(0.9, 7, told(0));
-            (shedder, decided)
+            let decisions = controller.invocation_arrived(0.9, 7, invocation(0));
+            (controller, decisions)
         }),
         ("reject queued work past its objective", || {
-            let mut shedder = with_one_held(0, 7);
-            shedder.timer_fired(0.99, 0, &BTreeMap::new());
+            let mut controller = with_one_queued(0, 7);
+            controller.timer_fired(0.99, 0, &BTreeMap::new());
             assert!(
-                shedder.invocation(7).is_some(),
+                controller.invocation(7).is_some(),
                 "meant to serve until its objective"
             );
-            let decided = shedder.timer_fired(1.01, 0, &BTreeMap::new());
-            (shedder, decided)
+            let decisions = controller.timer_fired(1.01, 0, &BTreeMap::new());
+            (controller, decisions)
         }),
         ("fail runs whose call can't succeed", || {
-            let mut shedder = instance(&[]);
-            shedder.invocation_arrived(0.0, 7, told(2));
-            shedder.call_requested(0.1, 7);
-            let decided = shedder.call_ended(0.2, 7, Outcome::default());
-            (shedder, decided)
+            let mut controller = instance(&[]);
+            controller.invocation_arrived(0.0, 7, invocation(2));
+            controller.call_requested(0.1, 7);
+            let decisions = controller.call_ended(0.2, 7, Outcome::default());
+            (controller, decisions)
         }),
     ];
-    let others = [
+    let serving = [
         "stop runs that nobody waits for",
         "join repeats to the first attempt",
         "raise the limit while cores idle",
@@ -199,64 +202,67 @@
     for Rule { name, .. } in RULES {
         let gives_up = scenes.iter().any(|(scene, _)| scene == name);
         assert!(
-            gives_up != others.contains(name),
+            gives_up != serving.contains(name),
             "{name}: played here, or sorted among those that serve"
         );
     }
     for (name, scene) in scenes {
-        let (shedder, decided) = scene();
-        let refused = decided
+        let (controller, decisions) = scene();
+        let rejection = decisions
             .rejected
             .iter()
             .find(|rejection| rejection.invocation == 7);
         assert!(
-            refused.is_some() || decided.failed.contains(&7),
-            "{name}: {decided:?}"
+            rejection.is_some() || decisions.failed.contains(&7),
+            "{name}: {decisions:?}"
         );
         assert!(
-            refused.is_none_or(|rejection| rejection.retry_after_seconds > 0.0),
-            "{name}: when to come back {decided:?}"
+            rejection.is_none_or(|rejection| rejection.retry_after_seconds > 0.0),
+            "{name}: when to come back {decisions:?}"
         );
         assert!(
-            shedder.invocation(7).is_none_or(|it| it.is_answered),
-            "{name}: nothing is owed any more"
+            controller
+                .invocation(7)
+                .is_none_or(|state| state.is_answered),
+            "{name}: no answer is owed any more"
         );
     }
 }
 
 #[test]
-fn repeats_that_joined_what_is_given_up_unrun_hear_so_in_that_same_decision() {
-    let mut shedder = with_one_held(1, 7);
+fn repeats_that_joined_an_invocation_given_up_before_its_run_are_answered_in_that_same_decision() {
+    let mut controller = with_one_queued(1, 7);
     let repeat = Invocation {
         is_repeat: true,
         original: Some(7),
-        ..told(1)
+        ..invocation(1)
     };
     assert_eq!(
-        shedder.invocation_arrived(0.5, 8, repeat.clone()).joined,
+        controller.invocation_arrived(0.5, 8, repeat.clone()).joined,
         [8]
     );
-    let decided = shedder.timer_fired(1.01, 0, &BTreeMap::new());
+    let decisions = controller.timer_fired(1.01, 0, &BTreeMap::new());
     assert_eq!(
-        decided
+        decisions
             .rejected
             .iter()
             .map(|rejection| rejection.invocation)
             .collect::<Vec<_>>(),
         [7]
     );
-    assert_eq!((decided.failed, decided.evicted), (vec![8], vec![7]));
-    // Its number may be handed out again: who waits for an answer of a run is not taken for its repeat.
-    shedder.invocation_arrived(
+    assert_eq!((decisions.failed, decisions.evicted), (vec![8], vec![7]));
+    // Its number may be handed out again: who waits for an answer of a run is not taken for its
+    // repeat.
+    controller.invocation_arrived(
         1.1,
         9,
         Invocation {
             is_repeat: true,
             original: Some(0),
-            ..told(1)
+            ..invocation(1)
         },
     );
-    shedder.run_ended(
+    controller.run_ended(
         1.2,
         0,
         Outcome {
@@ -265,39 +271,42 @@
         },
         1.2,
     );
-    let again = shedder.invocation_arrived(
+    let rejected_arrival = controller.invocation_arrived(
         1.3,
         0,
         Invocation {
             held_kilobytes: 99_999.0,
-            ..told(0)
+            ..invocation(0)
         },
     );
-    assert_eq!((again.rejected.len(), again.failed), (1, vec![]));
+    assert_eq!(
+        (rejected_arrival.rejected.len(), rejected_arrival.failed),
+        (1, vec![])
+    );
 }
 
 #[test]
-fn a_repeat_read_with_word_that_the_first_ones_caller_left_unrun_starts_afresh() {
-    let mut shedder = with_one_held(1, 7);
-    assert_eq!(shedder.caller_disconnected(0.5, 7).evicted, [7]);
-    let decided = shedder.invocation_arrived(
+fn a_repeat_read_together_with_the_first_caller_s_disconnect_starts_afresh() {
+    let mut controller = with_one_queued(1, 7);
+    assert_eq!(controller.caller_disconnected(0.5, 7).evicted, [7]);
+    let decisions = controller.invocation_arrived(
         0.5,
         8,
         Invocation {
             is_repeat: true,
             original: Some(7),
-            ..told(1)
+            ..invocation(1)
         },
     );
     assert_eq!(
-        (decided.joined, decided.cached.len()),
+        (decisions.joined, decisions.cached.len()),
         (vec![], 1),
-        "nothing has run: it is held for itself"
+        "nothing has run: it is queued for itself"
     );
 }
 
 #[test]
-fn settings_that_the_second_rule_rests_on_are_never_read_as_the_harmless_ones() {
+fn settings_that_at_most_once_rests_on_are_never_read_as_harmless_ones() {
     let start = |name: &str, value: &str| {
         let settings = [
             ("Classes.count", "1"),
@@ -322,18 +331,18 @@
     }
     assert!(
         start("FamilyInfo.Cores", "2").contains("Classes.0.MemorySpanUs"),
-        "no window to keep tokens for"
+        "no window to keep keys for"
     );
     assert_eq!(start("Classes.0.MemorySpanUs", "5000000"), "");
-    // No known word: named at the start and taken for the strictest.
+    // Not a known word: named at the start and taken for the strictest.
     let settings = [
         ("Classes.count", "1"),
         ("Classes.0.Effect", "idempotent-ish"),
         ("FamilyInfo.Halt", "kill"),
     ];
-    let (mut shedder, decided) =
+    let (mut controller, decisions) =
         AdmissionController::start(0.0, 1, read(&settings)).expect("it starts");
-    for (note, name) in decided
+    for (note, name) in decisions
         .notes
         .iter()
         .zip(["Classes.0.Effect", "FamilyInfo.Halt"])
@@ -342,16 +351,16 @@
     }
     assert_eq!(
         (
-            decided.notes.len(),
-            shedder.operations[0].settings.is_idempotent,
-            shedder.operations[0].settings.has_idempotency_key
+            decisions.notes.len(),
+            controller.operations[0].settings.is_idempotent,
+            controller.operations[0].settings.has_idempotency_key
         ),
         (2, false, false)
     );
-    shedder.invocation_arrived(0.0, 7, told(0));
-    let left = shedder.caller_disconnected(0.1, 7);
+    controller.invocation_arrived(0.0, 7, invocation(0));
+    let after_disconnect = controller.caller_disconnected(0.1, 7);
     assert_eq!(
-        (left.stopped, shedder.invocation(7).is_some()),
+        (after_disconnect.stopped, controller.invocation(7).is_some()),
         (vec![], true),
         "what runs is not stopped"
     );
@@ -359,11 +368,11 @@
 
 #[test]
 fn long_runs_on_busy_cores_are_no_hang() {
-    let mut shedder = with_one_held(0, 7);
+    let mut controller = with_one_queued(0, 7);
     for (busy, healthy) in [(1.0, true), (0.1, false)] {
-        shedder.timer_fired(if healthy { 0.97 } else { 0.98 }, 0, &gauges(busy));
+        controller.timer_fired(if healthy { 0.97 } else { 0.98 }, 0, &gauges(busy));
         assert_eq!(
-            shedder.advertisement.last.map(|last| last.is_healthy),
+            controller.advertisement.last.map(|last| last.is_healthy),
             Some(healthy),
             "{busy}"
         );
@@ -371,15 +380,15 @@
 }
 
 #[test]
-fn unmarked_further_tries_show_by_refusals_and_keep_connections() {
+fn unmarked_retries_show_by_rejections_and_keep_connections() {
     let play = |marks: &str| {
-        let mut shedder = instance(&[
+        let mut controller = instance(&[
             ("FamilyInfo.CallerIdleUs", "30000000"),
             ("Callers.MarksRetry", marks),
         ]);
-        shedder.timer_fired(0.0, 0, &gauges(1.0));
-        shedder.invocation_arrived(0.0, 0, told(0));
-        shedder.run_ended(
+        controller.timer_fired(0.0, 0, &gauges(1.0));
+        controller.invocation_arrived(0.0, 0, invocation(0));
+        controller.run_ended(
             0.3,
             0,
             Outcome {
@@ -391,46 +400,53 @@
         let mut last = false;
         for number in 0..60 {
             let now = 0.31 + 0.01 * number as f64;
-            shedder.timer_fired(now, 0, &gauges(1.0));
+            controller.timer_fired(now, 0, &gauges(1.0));
             let caller = number as u64;
-            let decided = shedder.invocation_arrived(now, number, Invocation { caller, ..told(0) });
-            last = decided
+            let decisions = controller.invocation_arrived(
+                now,
+                number,
+                Invocation {
+                    caller,
+                    ..invocation(0)
+                },
+            );
+            last = decisions
                 .rejected
                 .first()
                 .map_or(last, |rejection| rejection.no_failover);
         }
         (
             last,
-            shedder.advertisement.last.map(|last| last.idle_timeout),
+            controller.advertisement.last.map(|last| last.idle_timeout),
         )
     };
     assert_eq!(
         play("false"),
         (true, Some(30.0)),
-        "all refuse: no try elsewhere, nobody new let in"
+        "all reject: no failover, no new connections"
     );
     assert_eq!(
         play("true"),
         (false, Some(0.01)),
-        "no try was marked as a further one: others have room"
+        "no attempt was marked as a retry: others have room"
     );
 }
 
 #[test]
-fn a_passed_time_well_under_the_longest_lately_tells_an_unmarked_further_try() {
+fn a_caller_timeout_well_under_the_longest_lately_marks_a_retry() {
     let play = |marks: &str| {
-        let mut shedder = instance(&[("Callers.MarksRetry", marks)]);
+        let mut controller = instance(&[("Callers.MarksRetry", marks)]);
         let mut arrive = |number, budget| {
-            shedder.invocation_arrived(
+            controller.invocation_arrived(
                 0.0,
                 number,
                 Invocation {
                     caller_timeout: Some(budget),
                     age: 0.1,
-                    ..told(0)
+                    ..invocation(0)
                 },
             );
-            shedder.invocations[number].request.is_retry
+            controller.invocations[number].request.is_retry
         };
         [
             arrive(0, 3.9),
@@ -443,33 +459,33 @@
     assert_eq!(
         play("true"),
         [false; 4],
-        "where tries are marked the mark alone counts"
+        "where retries are marked the mark alone counts"
     );
 }
 
 #[test]
 fn an_allowance_is_divided_by_the_callers_that_are_here() {
-    let mut shedder = instance(&[
+    let mut controller = instance(&[
         ("FamilyInfo.Say", "allowance"),
         ("FamilyInfo.HeededUs", "1000000"),
         ("FamilyInfo.ClientsTotal", "1000"),
     ]);
     for (now, callers, each) in [(0.0, 0..4, 1.0), (2.0, 4..6, 2.0)] {
         for caller in callers {
-            shedder.invocation_arrived(
+            controller.invocation_arrived(
                 now,
                 0,
                 Invocation {
                     caller,
                     caller_timeout: Some(0.0),
-                    ..told(0)
+                    ..invocation(0)
                 },
             );
         }
-        shedder.timer_fired(now + 0.3, 0, &gauges(0.5));
-        let value = Some(each * (1.0 - shedder.advertisement.level));
+        controller.timer_fired(now + 0.3, 0, &gauges(0.5));
+        let value = Some(each * (1.0 - controller.advertisement.level));
         assert_eq!(
-            shedder.advertisement.last.and_then(|last| last.level),
+            controller.advertisement.last.and_then(|last| last.level),
             value,
             "twice a limit of two, by those here"
         );
--- a/crates/merlinshelf-admission/src/deadline.rs
+++ b/crates/merlinshelf-admission/src/deadline.rs
@@ -1,13 +1,16 @@
-//! Deadlines: when a caller must have its answer, and what can't make its latency objective any more.
+//! Deadlines: when a caller must have its answer, and what can't make its latency objective any
+//! more.
 
 use crate::controller::{ANSWER_MARGIN_SECONDS, AdmissionController};
 use crate::estimator::Operation;
 use crate::samples::push;
 use crate::{Invocation, InvocationState, Stage};
 
-/// The part of its objective that a retry has spent elsewhere, where no timeout tells. 0 measured: worse.
+/// The part of its objective that a retry has spent elsewhere, where no timeout tells. 0 measured:
+/// worse.
 const RETRY_SPENT_PART: f64 = 0.4;
-/// An unmarked arrival whose caller waits less than this part of the longest wait lately is a retry.
+/// An unmarked arrival whose caller waits less than this part of the longest wait lately is a
+/// retry.
 const RETRY_TIMEOUT_PART: f64 = 0.75;
 /// The part of the expected service that queued work must still have. 1 measured: no better.
 const QUEUED_SERVICE_PART: f64 = 0.7;
@@ -20,8 +23,8 @@
     pub objective: f64,
 }
 
-/// The deadlines of an arrival. A retry has spent a part of its objective elsewhere, less where its caller's timeout
-/// shows so.
+/// The deadlines of an arrival. A retry has spent a part of its objective elsewhere, less where its
+/// caller's timeout shows so.
 pub(crate) fn deadlines_of(request: &Invocation, operation: &Operation, now: f64) -> Deadlines {
     let settings = &operation.settings;
     let arrived_at = now - request.age;
@@ -46,8 +49,8 @@
 }
 
 impl AdmissionController {
-    /// Where callers do not mark retries, their timeouts tell: first attempts wait alike, retries with what remains.
-    /// Harm: callers that wait less than others are taken for retries.
+    /// Where callers do not mark retries, their timeouts tell: first attempts wait alike, retries
+    /// with what remains. Harm: callers that wait less than others are taken for retries.
     pub(crate) fn detect_unmarked_retry(&mut self, request: &mut Invocation) {
         let Some(timeout) = request.caller_timeout.filter(|_| !self.marks_retries) else {
             return;
@@ -61,7 +64,8 @@
         request.is_retry = at_arrival < RETRY_TIMEOUT_PART * longest;
     }
 
-    /// When an invocation must be answered: by its caller's deadline, and before this process stops.
+    /// When an invocation must be answered: by its caller's deadline, and before this process
+    /// stops.
     pub(crate) fn due_at(&self, invocation: &InvocationState) -> f64 {
         self.shutdown.map_or(invocation.due_at, |shutdown| {
             invocation
@@ -77,9 +81,9 @@
         })
     }
 
-    /// An arrival that can't make its objective behind the better work in flight. A first attempt is rejected even
-    /// with cores idle, since others may be faster (harm: else it is lost); one run of an operation stays, to see
-    /// whether that still holds.
+    /// An arrival that can't make its objective behind the better work in flight. A first attempt
+    /// is rejected even with cores idle, since others may be faster (harm: else it is lost); one
+    /// run of an operation stays, to see whether that still holds.
     pub(crate) fn find_too_late(&self) -> Option<usize> {
         let number = self.invocations.newly_read()?;
         let arrival = &self.invocations[number];
@@ -106,7 +110,8 @@
         (ends_at > arrival.objective_deadline).then_some(number)
     }
 
-    /// Core seconds that remain of runs, and of queued work with at least the priority of an arrival.
+    /// Core seconds that remain of runs, and of queued work with at least the priority of an
+    /// arrival.
     fn work_ahead_of(&self, arrival: &InvocationState) -> f64 {
         let ahead = |invocation: &InvocationState| match invocation.stage {
             Stage::Running => {
@@ -120,7 +125,8 @@
         self.invocations.all().map(ahead).sum()
     }
 
-    /// Queued work that can't make its objective any more: of no value, or of little while more is queued.
+    /// Queued work that can't make its objective any more: of no value, or of little while more is
+    /// queued.
     pub(crate) fn find_misses_objective(&self) -> Option<usize> {
         let queued = self
             .invocations
--- a/crates/merlinshelf-admission/src/deduplication.rs
+++ b/crates/merlinshelf-admission/src/deduplication.rs
@@ -5,7 +5,8 @@
 use crate::controller::AdmissionController;
 use crate::{InvocationState, Stage};
 
-/// Reads are kept for others to join only while the table takes less than the memory divided by this.
+/// Reads are kept for others to join only while the table takes less than the memory divided by
+/// this.
 const TABLE_MEMORY_DIVISOR: f64 = 5.0;
 /// An entry outlives the last possible repeat by this, seconds.
 const WINDOW_MARGIN: f64 = 0.001;
@@ -21,15 +22,18 @@
 #[derive(Default)]
 pub(crate) struct RepeatTable {
     pub entries: VecDeque<RepeatEntry>,
-    /// Released without a run at this very time: a repeat read together with that news starts afresh.
+    /// Released without a run at this very time: a repeat read together with that news starts
+    /// afresh.
     pub released_unrun: Vec<usize>,
 }
 
 impl RepeatTable {
+    /// Forgets an invocation.
     pub fn remove(&mut self, invocation: usize) {
         self.entries.retain(|entry| entry.invocation != invocation);
     }
 
+    /// Drops what no repeat can come for any more.
     pub fn expire(&mut self, now: f64) {
         self.entries.retain(|entry| entry.expires_at > now);
     }
@@ -47,8 +51,9 @@
         self.decisions.joined.push(number);
     }
 
-    /// For how long an arrival is kept in the table, seconds: one with an idempotency key for its window, a read with
-    /// a subject until due where answers may serve others and the table leaves most of the memory to work.
+    /// For how long an arrival is kept in the table, seconds: one with an idempotency key for its
+    /// window, a read with a subject until due where answers may serve others and the table leaves
+    /// most of the memory to work.
     pub(crate) fn table_span(&self, invocation: &InvocationState) -> f64 {
         let settings = &self.operations[invocation.request.operation].settings;
         if settings.has_idempotency_key {
@@ -77,9 +82,9 @@
         self.decisions.cached.push((number, span));
     }
 
-    /// The controller has done with an invocation. What has not run leaves the table too, so that a later attempt of
-    /// it starts afresh. Repeats that wait for its result are answered now if there is none; its number may be handed
-    /// out again.
+    /// The controller has done with an invocation. What has not run leaves the table too, so that a
+    /// later attempt of it starts afresh. Repeats that wait for its result are answered now if
+    /// there is none; its number may be handed out again.
     pub(crate) fn release(&mut self, number: usize) {
         let invocation = &self.invocations[number];
         let is_unrun = !invocation.has_run && invocation.stage != Stage::Joined;
--- a/crates/merlinshelf-admission/src/downstream.rs
+++ b/crates/merlinshelf-admission/src/downstream.rs
@@ -1,4 +1,5 @@
-//! Downstream calls: their quota, their own Vegas limit, the circuit breaker, which run calls and which does without.
+//! Downstream calls: their quota, their own Vegas limit, the circuit breaker, which run calls and
+//! which does without.
 
 use std::cell::LazyCell;
 use std::collections::VecDeque;
@@ -16,23 +17,25 @@
 /// Attempts of one run.
 const ATTEMPTS_MOST: u32 = 3;
 
-/// The part of its quota that an instance uses, guarding against what others' cold starts add. 0.5 measured: too few
-/// calls.
+/// The part of its quota that an instance uses, guarding against what others' cold starts add. 0.5
+/// measured: too few calls.
 const QUOTA_PART: f64 = 0.8;
-/// The limit starts at this part of the quota. The dependency slows well before its quota is full: half of it at the
-/// start let all backends jam it together before they had samples; a quarter took long to rise where it had room.
+/// The limit starts at this part of the quota. The dependency slows well before its quota is full:
+/// half of it at the start let all backends jam it together before they had samples; a quarter took
+/// long to rise where it had room.
 pub(crate) const START_PART: f64 = 0.4;
-/// The limit falls to this part of the quota, but not under one call. A tenth fitted no call and shut some for good.
+/// The limit falls to this part of the quota, but not under one call. A tenth fitted no call and
+/// shut some for good.
 const FLOOR_PART: f64 = 0.25;
 /// The limit moves by this part of itself.
 const LIMIT_STEP: f64 = 0.05;
-/// Bounds of the part of a mean call that counts as time in a queue. The mean of 8 calls strays by a third and the
-/// lowest of many means of 24 lies as far under: twice that may be chance (0.4 held a free dependency's calls back),
-/// three times is not.
+/// Bounds of the part of a mean call that counts as time in a queue. The mean of 8 calls strays by
+/// a third and the lowest of many means of 24 lies as far under: twice that may be chance (0.4 held
+/// a free dependency's calls back), three times is not.
 const ALPHA: f64 = 0.5;
 const BETA: f64 = 0.67;
-/// The recent mean is of the calls of the last seconds; where they are few, of the last eight: a full window would be
-/// ten seconds old on a small backend.
+/// The recent mean is of the calls of the last seconds; where they are few, of the last eight: a
+/// full window would be ten seconds old on a small backend.
 const RECENT_SECONDS: f64 = 2.0;
 const RECENT_LEAST: usize = 8;
 /// Calls until the lowest mean is measured anew: a minute or so. Not tuned.
@@ -46,7 +49,8 @@
 const MEAN_CALLS_OF_ROOM: f64 = 4.0;
 /// Stays of an abandoned call that the window holds at the least.
 const STAYS_IN_WINDOW: f64 = 3.0;
-/// A call that can be skipped may take this part of the time, so that what skipping earns is still earned.
+/// A call that can be skipped may take this part of the time, so that what skipping earns is still
+/// earned.
 const SKIPPABLE_TIMEOUT_PART: f64 = 0.7;
 /// The shortest timeout of a call, seconds.
 const LEAST_CALL_TIMEOUT: f64 = 0.02;
@@ -80,13 +84,15 @@
 }
 
 impl DownstreamState {
+    /// Whether so many calls failed in a row that the breaker is open.
     pub fn is_failing(&self) -> bool {
         self.consecutive_failures >= BREAKER_FAILURES
     }
 }
 
 impl AdmissionController {
-    /// A run leaves its call, or the wait for one: by its end, without one, or because it ends itself.
+    /// A run leaves its call, or the wait for one: by its end, without one, or because it ends
+    /// itself.
     pub(crate) fn leave_call(&mut self, number: usize, outcome: Outcome) {
         let now = self.now;
         let invocation = &mut self.invocations[number];
@@ -125,8 +131,9 @@
         }
     }
 
-    /// The Vegas update for calls: guards against a dependency that is slow, shrunken or crowded by whomever. Harm: it
-    /// holds calls back after the dependency has turned slower for good, until the lowest mean is measured anew.
+    /// The Vegas update for calls: guards against a dependency that is slow, shrunken or crowded by
+    /// whomever. Harm: it holds calls back after the dependency has turned slower for good, until
+    /// the lowest mean is measured anew.
     fn record_call_duration(&mut self, duration: f64) {
         let now = self.now;
         let quota = self.settings.call_quota();
@@ -156,7 +163,8 @@
         state.limit = moved.clamp(call_limit_floor(quota), QUOTA_PART * quota);
     }
 
-    /// Time that calls have taken over the last `span` seconds, open ones too, abandoned ones with their stay.
+    /// Time that calls have taken over the last `span` seconds, open ones too, abandoned ones with
+    /// their stay.
     fn call_seconds(&self, span: f64) -> f64 {
         let from = self.now - span;
         let within = |start: f64, end: f64| (end - start.max(from)).max(0.0);
@@ -169,8 +177,8 @@
             .sum()
     }
 
-    /// The window that the settings name, seconds, or a longer one where the quota is so small that its time would
-    /// hold no call.
+    /// The window that the settings name, seconds, or a longer one where the quota is so small that
+    /// its time would hold no call.
     pub(crate) fn call_window(&self) -> f64 {
         let quota = self.settings.call_quota().max(1e-6);
         let stay = self.settings.seconds("FamilyInfo.StaysForUs", 0.0);
@@ -188,9 +196,10 @@
         self.call_seconds(span) > part * span * self.downstream.limit
     }
 
-    /// Seconds that a call may take: what the quota leaves in its window, less a part for what others' cold starts
-    /// add and one stay; none over the limit on calls. Under one call the limit is a mean over a fifth of the window:
-    /// that guards against hundreds of backends that always keep one, or burst together.
+    /// Seconds that a call may take: what the quota leaves in its window, less a part for what
+    /// others' cold starts add and one stay; none over the limit on calls. Under one call the limit
+    /// is a mean over a fifth of the window: that guards against hundreds of backends that always
+    /// keep one, or burst together.
     fn call_room(&self) -> f64 {
         let quota = self.settings.call_quota() * QUOTA_PART;
         let window = self.call_window();
@@ -228,7 +237,8 @@
         open >= most.max(1.0)
     }
 
-    /// In a window longer than the configured one backends take turns by seed: together they keep to the configured.
+    /// In a window longer than the configured one backends take turns by seed: together they keep
+    /// to the configured.
     fn is_own_turn(&self, window: f64) -> bool {
         let configured = self.configured_call_window().max(1e-6);
         let turns = (window / configured).ceil() as u64; // 1 or more
@@ -236,8 +246,8 @@
         turn.is_multiple_of(turns)
     }
 
-    /// After five failures in a row one trial call at a time, each after a pause; and nothing that the fleet's budgets
-    /// do not leave.
+    /// After five failures in a row one trial call at a time, each after a pause; and nothing that
+    /// the fleet's budgets do not leave.
     pub(crate) fn is_breaker_open(&self) -> bool {
         let state = &self.downstream;
         if !state.is_failing() {
@@ -251,7 +261,8 @@
         waits || state.quota.probes == 0
     }
 
-    /// Whether a run may make another attempt: never after one that may have taken effect, unless that does no harm.
+    /// Whether a run may make another attempt: never after one that may have taken effect, unless
+    /// that does no harm.
     fn may_call(&self, invocation: &InvocationState) -> bool {
         let settings = &self.operations[invocation.request.operation].settings;
         let may_repeat = settings.is_idempotent || !invocation.has_uncertain_call;
@@ -261,7 +272,8 @@
             && (is_first || self.downstream.quota.retries > 0)
     }
 
-    /// A run that waits for a call which can't come any more, or for an answer that is worth nothing any more.
+    /// A run that waits for a call which can't come any more, or for an answer that is worth
+    /// nothing any more.
     pub(crate) fn find_lost_call(&self) -> Option<usize> {
         self.invocations.first(|invocation| {
             let settings = &self.operations[invocation.request.operation].settings;
@@ -274,8 +286,9 @@
         })
     }
 
-    /// A run that does better without its call. What holds for all of them is found out once: with hundreds waiting
-    /// each would look through all others, until nothing but this was done any more.
+    /// A run that does better without its call. What holds for all of them is found out once: with
+    /// hundreds waiting each would look through all others, until nothing but this was done any
+    /// more.
     pub(crate) fn find_skippable_call(&self) -> Option<usize> {
         let is_breaker_open = LazyCell::new(|| self.is_breaker_open());
         let is_rest_kept = LazyCell::new(|| self.keeps_calls_for_needs());
--- a/crates/merlinshelf-admission/src/estimator.rs
+++ b/crates/merlinshelf-admission/src/estimator.rs
@@ -9,7 +9,8 @@
 
 /// A prior estimate is dropped once own runs differ from it by this factor.
 const PRIOR_DIFFERS_BY: f64 = 2.0;
-/// A run that lasts longer than the expected duration by this factor counts though it has not ended.
+/// A run that lasts longer than the expected duration by this factor counts though it has not
+/// ended.
 const OVERDUE_FACTOR: f64 = 2.0;
 /// A hint is stretched by no more than this while the engine is warming up.
 const LEAST_WARM_UP: f64 = 0.1;
@@ -32,21 +33,24 @@
     pub downstream_durations: VecDeque<f64>,
     /// How long callers would wait, at arrival.
     pub caller_timeouts: VecDeque<f64>,
-    /// The lowest duration by unit of cost, and how many more runs finish before it is measured anew.
+    /// The lowest duration by unit of cost, and how many more runs finish before it is measured
+    /// anew.
     pub lowest_duration: f64,
     pub finishes_until_probe: f64,
 }
 
 impl AdmissionController {
-    /// Measures anew what runs of each operation take by unit of cost; before each round of decisions.
+    /// Measures anew what runs of each operation take by unit of cost; before each round of
+    /// decisions.
     pub(crate) fn update_run_rates(&mut self) {
         self.run_rates = (0..self.operations.len())
             .map(|operation| self.run_rate(operation))
             .collect();
     }
 
-    /// Expected duration of an operation's run by unit of cost. Runs that now last twice as long count too: sudden
-    /// slowness shows before one of them ends. Harm: a long run by chance makes the next one look long.
+    /// Expected duration of an operation's run by unit of cost. Runs that now last twice as long
+    /// count too: sudden slowness shows before one of them ends. Harm: a long run by chance makes
+    /// the next one look long.
     fn run_rate(&self, operation: usize) -> f64 {
         let samples = &self.operations[operation].samples;
         let prior = weigh_prior(samples.run_durations.len(), self.prior_run(operation));
@@ -78,8 +82,9 @@
         self.now - invocation.started_at - invocation.off_core_seconds
     }
 
-    /// Expected time on a core. Without samples the hint counts, stretched while the engine is warming up: that keeps
-    /// successors from taking more than they can do in a rush. Harm: fast ones reject.
+    /// Expected time on a core. Without samples the hint counts, stretched while the engine is
+    /// warming up: that keeps successors from taking more than they can do in a rush. Harm: fast
+    /// ones reject.
     pub(crate) fn expected_run(&self, invocation: &InvocationState) -> f64 {
         let operation = invocation.request.operation;
         let samples = &self.operations[operation].samples;
@@ -98,8 +103,9 @@
         self.expected_run(invocation) + mean(&samples.downstream_durations)
     }
 
-    /// What others say of an operation, as long as it counts: not once own runs differ from it by two, and of an
-    /// operation not seen yet only while a run tries one of these. Else a lie would keep it from ever running.
+    /// What others say of an operation, as long as it counts: not once own runs differ from it by
+    /// two, and of an operation not seen yet only while a run tries one of these. Else a lie would
+    /// keep it from ever running.
     fn prior_run(&self, operation: usize) -> Option<PriorEstimate> {
         let prior = (*self.prior_estimates.run_durations.get(operation)?)?;
         let samples = &self.operations[operation].samples;
--- a/crates/merlinshelf-admission/src/handover.rs
+++ b/crates/merlinshelf-admission/src/handover.rs
@@ -1,7 +1,8 @@
 //! State that a host can pass on to a successor: the invocations in flight, and what was learned.
 //!
-//! It is written into the handover image by field name. A renamed field keeps its stored name by `#[serde(rename)]`;
-//! tests/golden.rs holds the bytes. See [`AdmissionController::learned_state`] and its siblings.
+//! It is written into the handover image by field name. A renamed field keeps its stored name by
+//! `#[serde(rename)]`; tests/golden.rs holds the bytes. See [`AdmissionController::learned_state`]
+//! and its siblings.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -32,8 +33,8 @@
     Joined,
 }
 
-/// All that the controller keeps of one invocation. It is plain so that a host can pass it on to a successor. Times
-/// are seconds of the controller's clock.
+/// All that the controller keeps of one invocation. It is plain so that a host can pass it on to a
+/// successor. Times are seconds of the controller's clock.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct InvocationState {
@@ -103,8 +104,8 @@
     pub finishes_until_probe: f64,
 }
 
-/// What an instance has learned of the engine, of downstream calls and of its callers. Times are seconds of the
-/// controller's clock, durations seconds.
+/// What an instance has learned of the engine, of downstream calls and of its callers. Times are
+/// seconds of the controller's clock, durations seconds.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct LearnedState {
@@ -236,8 +237,8 @@
             .then(|| &self.invocations[number])
     }
 
-    /// Takes an invocation up where a predecessor left it, in the order of arrival. It is decided on with the next
-    /// event.
+    /// Takes an invocation up where a predecessor left it, in the order of arrival. It is decided
+    /// on with the next event.
     pub fn restore_invocation(&mut self, number: usize, mut state: InvocationState) {
         state.request.operation = state.request.operation.min(self.operations.len() - 1);
         self.invocations.insert(number, state);
--- a/crates/merlinshelf-admission/src/interface.rs
+++ b/crates/merlinshelf-admission/src/interface.rs
@@ -62,8 +62,8 @@
     pub no_failover: bool,
 }
 
-/// What a host carries out after an event, field by field in this order. Numbers are those of invocations, times are
-/// seconds from now.
+/// What a host carries out after an event, field by field in this order. Numbers are those of
+/// invocations, times are seconds from now.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Decisions {
     /// Refused without having run.
@@ -84,13 +84,15 @@
     pub called: Vec<(usize, f64)>,
     /// Runs that go on without their downstream call.
     pub degraded: Vec<usize>,
-    /// Health, good or not, where it has changed; health checks are answered from what was last said here.
+    /// Health, good or not, where it has changed; health checks are answered from what was last
+    /// said here.
     pub health: Option<bool>,
     /// The load value that goes out with answers, where it has changed.
     pub level: Option<f64>,
     /// Idle time after which connections are closed, where it has changed.
     pub idle_timeout: Option<f64>,
-    /// When to call [`timer_fired`](crate::AdmissionController::timer_fired), and the handle to pass.
+    /// When to call [`timer_fired`](crate::AdmissionController::timer_fired), and the handle to
+    /// pass.
     pub timers: Vec<(f64, u64)>,
     /// Lines for the operators' log.
     pub notes: Vec<String>,
@@ -98,8 +100,8 @@
     pub released: Vec<usize>,
 }
 
-/// What the budgets of a fleet leave one instance for downstream calls at this moment, and how the dependency fares
-/// for all. The default bounds nothing.
+/// What the budgets of a fleet leave one instance for downstream calls at this moment, and how the
+/// dependency fares for all. The default bounds nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DownstreamQuota {
     /// First attempts.
--- a/crates/merlinshelf-admission/src/invocations.rs
+++ b/crates/merlinshelf-admission/src/invocations.rs
@@ -13,6 +13,7 @@
 }
 
 impl InvocationTable {
+    /// Adds an invocation as the last arrival, under a number that is free.
     pub fn insert(&mut self, number: usize, state: InvocationState) {
         let length = self.states.len().max(number + 1);
         self.states.resize_with(length, InvocationState::default);
@@ -20,18 +21,22 @@
         self.live.push(number);
     }
 
+    /// Frees a number.
     pub fn remove(&mut self, number: usize) {
         self.live.retain(|&other| other != number);
     }
 
+    /// Whether a number is in use.
     pub fn contains(&self, number: usize) -> bool {
         self.live.contains(&number)
     }
 
+    /// All in flight, by arrival.
     pub fn all(&self) -> impl Iterator<Item = &InvocationState> {
         self.live.iter().map(|&number| &self.states[number])
     }
 
+    /// Those that match, by arrival.
     pub fn matching(
         &self,
         predicate: impl Fn(&InvocationState) -> bool,
@@ -39,6 +44,7 @@
         self.all().filter(move |invocation| predicate(invocation))
     }
 
+    /// How many match.
     pub fn count(&self, predicate: impl Fn(&InvocationState) -> bool) -> usize {
         self.matching(predicate).count()
     }
@@ -51,8 +57,8 @@
             .find(|&number| predicate(&self.states[number]))
     }
 
-    /// The number of the one with the highest priority of those that match; of equals, the one whose objective comes
-    /// first.
+    /// The number of the one with the highest priority of those that match; of equals, the one
+    /// whose objective comes first.
     pub fn highest(
         &self,
         predicate: impl Fn(&InvocationState) -> bool,
@@ -80,6 +86,7 @@
         self.first(|invocation| invocation.stage == Stage::Read)
     }
 
+    /// Runs on the cores.
     pub fn running(&self) -> usize {
         self.count(|invocation| invocation.stage == Stage::Running)
     }
--- a/crates/merlinshelf-admission/src/limiter.rs
+++ b/crates/merlinshelf-admission/src/limiter.rs
@@ -1,19 +1,22 @@
 //! The concurrency limit: TCP Vegas on the duration of runs.
 //!
-//! Source: the load shedding guide of Quarkus, 2.1 (docs/design.md). Each finished run is held against the lowest
-//! duration seen; the part by which it is longer is taken for time in a queue. The limit rises while that queue is
-//! short and falls while it is long.
+//! Source: the load shedding guide of Quarkus, 2.1 (docs/design.md). Each finished run is held
+//! against the lowest duration seen; the part by which it is longer is taken for time in a queue.
+//! The limit rises while that queue is short and falls while it is long.
 
 use crate::controller::AdmissionController;
 use crate::samples::push;
 
-/// Bounds of the queue, as multiples of log10 of the limit. The guide's 3 and 6 take every run above the shortest for
-/// a queue; durations here vary by more than half their mean, which alone makes seven tenths of the limit look queued.
+/// Bounds of the queue, as multiples of log10 of the limit. The guide's 3 and 6 take every run
+/// above the shortest for a queue; durations here vary by more than half their mean, which alone
+/// makes seven tenths of the limit look queued.
 const ALPHA: f64 = 8.0;
 const BETA: f64 = 16.0;
-/// Finished runs, as a multiple of the limit, after which the lowest duration is measured anew: the guide's factor.
+/// Finished runs, as a multiple of the limit, after which the lowest duration is measured anew: the
+/// guide's factor.
 const PROBE_FACTOR: f64 = 30.0;
-/// A tenth less than the settings allow, since the platform takes the mean over finer steps than a tick.
+/// A tenth less than the settings allow, since the platform takes the mean over finer steps than a
+/// tick.
 const SURVIVABLE_PART: f64 = 0.9;
 
 /// A run that has finished well. Times are seconds.
@@ -28,8 +31,8 @@
 }
 
 impl AdmissionController {
-    /// The Vegas update at the end of a run. The duration is taken by unit of hinted cost, so that a long invocation
-    /// does not read as a queue.
+    /// The Vegas update at the end of a run. The duration is taken by unit of hinted cost, so that
+    /// a long invocation does not read as a queue.
     pub(crate) fn record_run(&mut self, run: &FinishedRun) {
         let limit = self.limit;
         let most = self.survivable_concurrency();
@@ -64,8 +67,8 @@
         self.limit = raised.min(self.survivable_concurrency());
     }
 
-    /// How many may be on the cores or about to come back to them: what the settings say that an engine survives,
-    /// less while it is warming up.
+    /// How many may be on the cores or about to come back to them: what the settings say that an
+    /// engine survives, less while it is warming up.
     pub(crate) fn survivable_concurrency(&self) -> f64 {
         let multiple = self.settings.number("Rules.FallMultiple", 2.0);
         let crowd = self.settings.cores() * (1.0 + (multiple - 1.0) * self.warm_up_factor());
--- a/crates/merlinshelf-admission/src/load.rs
+++ b/crates/merlinshelf-admission/src/load.rs
@@ -32,8 +32,8 @@
 }
 
 impl AdmissionController {
-    /// The part of the cores that is busy. All of them where the gauge is old, or falls because work has stopped while
-    /// reading goes on: the threshold must not then admit everything.
+    /// The part of the cores that is busy. All of them where the gauge is old, or falls because
+    /// work has stopped while reading goes on: the threshold must not then admit everything.
     pub(crate) fn cpu_load(&self) -> f64 {
         if self.load.is_stale(self.now) || self.is_hanging() {
             1.0
@@ -42,8 +42,9 @@
         }
     }
 
-    /// Every core has a run, none has moved for three mean runs, and the gauge has fallen: two long runs on two cores
-    /// move as little, but keep them busy. Harm: rejections through a long pause of the engine.
+    /// Every core has a run, none has moved for three mean runs, and the gauge has fallen: two long
+    /// runs on two cores move as little, but keep them busy. Harm: rejections through a long pause
+    /// of the engine.
     pub(crate) fn is_hanging(&self) -> bool {
         let mean_runs = self
             .operations
@@ -58,8 +59,9 @@
         is_idle && stands_still && self.invocations.running() as f64 >= self.cores_for_runs()
     }
 
-    /// Cores that reading and the like leave to runs. Past their number all runs slow each other down, so that this
-    /// counts in what costs much to read, and floods of health checks and connections.
+    /// Cores that reading and the like leave to runs. Past their number all runs slow each other
+    /// down, so that this counts in what costs much to read, and floods of health checks and
+    /// connections.
     pub(crate) fn cores_for_runs(&self) -> f64 {
         let cores = self.settings.cores();
         (cores - mean(&self.load.other_work)).max(LEAST_PART_FOR_RUNS * cores)
--- a/crates/merlinshelf-admission/src/prior.rs
+++ b/crates/merlinshelf-admission/src/prior.rs
@@ -1,7 +1,9 @@
-//! Prior estimates: what others say of the servers behind and of callers, where own samples are missing or few.
+//! Prior estimates: what others say of the servers behind and of callers, where own samples are
+//! missing or few.
 //!
-//! Limits start from them and move by own samples alone; durations count beside the first few own samples (see
-//! `samples`). Without them, and so on the platform, nothing here acts (docs/design.md).
+//! Limits start from them and move by own samples alone; durations count beside the first few own
+//! samples (see `samples`). Without them, and so on the platform, nothing here acts
+//! (docs/design.md).
 
 use crate::controller::AdmissionController;
 use crate::downstream::{BREAKER_FAILURES, BREAKER_PAUSE, START_PART, call_limit_floor};
--- a/crates/merlinshelf-admission/src/priority.rs
+++ b/crates/merlinshelf-admission/src/priority.rs
@@ -1,4 +1,5 @@
-//! Priority load shedding: cohort groups, the rejection threshold, quotas of customers, priority weights.
+//! Priority load shedding: cohort groups, the rejection threshold, quotas of customers, priority
+//! weights.
 //!
 //! Source: the load shedding guide of Quarkus, 2.2 (docs/design.md).
 
@@ -13,11 +14,11 @@
 /// Bits of a hash that number a cohort are its highest ones.
 const COHORT_SHIFT: u32 = 57;
 const SECONDS_PER_HOUR: f64 = 3600.0;
-/// What a retry's priority weight is of a first attempt's: it keeps retries from taking the cores of first attempts.
-/// Harm: one that was rejected at once waits longer. 0.2 measured: no better.
+/// What a retry's priority weight is of a first attempt's: it keeps retries from taking the cores
+/// of first attempts. Harm: one that was rejected at once waits longer. 0.2 measured: no better.
 const RETRY_WEIGHT: f64 = 0.5;
-/// A customer is over its quota once its rate is so many deviations above it: a few arrivals at one of hundreds of
-/// backends say little.
+/// A customer is over its quota once its rate is so many deviations above it: a few arrivals at one
+/// of hundreds of backends say little.
 const QUOTA_DEVIATIONS: f64 = 2.0;
 
 impl AdmissionController {
@@ -34,8 +35,8 @@
             .filter(|&number| sheds && self.cohort_group(number) > rejection_threshold(load))
     }
 
-    /// The cohort group of an invocation, from 1. The instance's seed goes into the cohort, so that no caller is shut
-    /// out on all servers for the same hour.
+    /// The cohort group of an invocation, from 1. The instance's seed goes into the cohort, so that
+    /// no caller is shut out on all servers for the same hour.
     fn cohort_group(&self, number: usize) -> f64 {
         let invocation = &self.invocations[number];
         let rank = if invocation.exceeds_quota {
@@ -71,8 +72,8 @@
         value * (retry * quota) / work
     }
 
-    /// Records an arrival of a customer. Whether it is over the customer's quota: by chance, in proportion, once the
-    /// customer clearly is over it here.
+    /// Records an arrival of a customer. Whether it is over the customer's quota: by chance, in
+    /// proportion, once the customer clearly is over it here.
     pub(crate) fn record_customer_arrival(&mut self, customer: usize) -> bool {
         let setting = format!("Tenants.{customer}.QuotaPerS");
         let quota = self.settings.number(&setting, 0.0);
--- a/crates/merlinshelf-admission/src/queue.rs
+++ b/crates/merlinshelf-admission/src/queue.rs
@@ -3,7 +3,8 @@
 use crate::controller::AdmissionController;
 use crate::{InvocationState, Stage};
 
-/// Behind a jam downstream, runs that can't do without their call may wait there up to this part of the cores.
+/// Behind a jam downstream, runs that can't do without their call may wait there up to this part of
+/// the cores.
 const JAMMED_PART: f64 = 0.5;
 
 impl AdmissionController {
--- a/crates/merlinshelf-admission/src/retry_after.rs
+++ b/crates/merlinshelf-admission/src/retry_after.rs
@@ -4,15 +4,18 @@
 use crate::samples::{mean_with_prior, push};
 use crate::{Rejection, Stage};
 
-/// Part of retries among the last arrivals over which callers are asked not to try elsewhere: all reject then.
-/// It keeps storms of retries from growing. Harm: work is lost where other servers have room.
+/// Part of retries among the last arrivals over which callers are asked not to try elsewhere: all
+/// reject then. It keeps storms of retries from growing. Harm: work is lost where other servers
+/// have room.
 const RETRY_STORM_PART: f64 = 0.15;
-/// Retry-After is drawn between a quarter and three quarters of the time that the work in flight takes.
+/// Retry-After is drawn between a quarter and three quarters of the time that the work in flight
+/// takes.
 const RETRY_AFTER_LEAST_PART: f64 = 0.25;
 const RETRY_AFTER_SPREAD: f64 = 0.5;
 
 impl AdmissionController {
-    /// The final answer to what can't be served: rejected if it has not run, else failed, as is a repeat.
+    /// The final answer to what can't be served: rejected if it has not run, else failed, as is a
+    /// repeat.
     pub(crate) fn give_up(&mut self, number: usize) {
         let now = self.now;
         let invocation = &mut self.invocations[number];
@@ -22,7 +25,8 @@
         }
         invocation.is_answered = true;
         if matches!(invocation.stage, Stage::AtCall | Stage::Calling) {
-            // Its time at the call counts, else a slow dependency shows only in the calls that it let through.
+            // Its time at the call counts, else a slow dependency shows only in the calls that it
+            // let through.
             let downstream = invocation.off_core_seconds + now - invocation.stage_entered_at;
             let operation = &mut self.operations[invocation.request.operation];
             push(&mut operation.samples.downstream_durations, downstream);
@@ -52,8 +56,9 @@
         self.release(number);
     }
 
-    /// After how long a caller may come back: about half the time that the work in flight takes, drawn, so that
-    /// callers do not return in a wave; as late as settings allow where no sooner return could help.
+    /// After how long a caller may come back: about half the time that the work in flight takes,
+    /// drawn, so that callers do not return in a wave; as late as settings allow where no sooner
+    /// return could help.
     fn retry_after(&mut self, is_switched_off: bool) -> f64 {
         let most = if self.settings.text("Allowed.RetryAfter") == "true" {
             self.settings.seconds("Allowed.MaxRetryAfterUs", 0.0)
@@ -74,7 +79,8 @@
         }
     }
 
-    /// Where callers do not mark retries, the part of decisions that were rejections stands in for that of retries.
+    /// Where callers do not mark retries, the part of decisions that were rejections stands in for
+    /// that of retries.
     pub(crate) fn record_decision(&mut self, rejected: f64) {
         if !self.marks_retries {
             push(&mut self.callers.retry_marks, rejected);
--- a/crates/merlinshelf-admission/src/rules.rs
+++ b/crates/merlinshelf-admission/src/rules.rs
@@ -1,8 +1,8 @@
 //! The decisions in their order of precedence.
 //!
-//! After each event the table is gone through from the top until no rule applies. A rule's condition picks an
-//! invocation, its effect moves that invocation on (answered, queued, started, called) or settles a value, so that
-//! the evaluation ends.
+//! After each event the table is gone through from the top until no rule applies. A rule's
+//! condition picks an invocation, its effect moves that invocation on (answered, queued, started,
+//! called) or settles a value, so that the evaluation ends.
 
 use crate::controller::AdmissionController;
 
--- a/crates/merlinshelf-admission/src/samples.rs
+++ b/crates/merlinshelf-admission/src/samples.rs
@@ -32,7 +32,8 @@
     pub samples: f64,
 }
 
-/// What a prior estimate counts beside so many own samples: as three at the most, nothing beside eight.
+/// What a prior estimate counts beside so many own samples: as three at the most, nothing beside
+/// eight.
 pub(crate) fn weigh_prior(own_samples: usize, prior: Option<PriorEstimate>) -> WeightedPrior {
     match prior {
         Some(prior) if own_samples < PRIOR_UNTIL => WeightedPrior {
--- a/crates/merlinshelf-admission/src/settings.rs
+++ b/crates/merlinshelf-admission/src/settings.rs
@@ -52,13 +52,15 @@
 
 const MICROSECONDS: f64 = 1e6;
 
-/// Reads settings by name. Parsing is repeated at each use: a policy may replace the settings at any time.
+/// Reads settings by name. Parsing is repeated at each use: a policy may replace the settings at
+/// any time.
 #[derive(Default)]
 pub(crate) struct SettingsReader(Settings);
 
 impl SettingsReader {
-    /// Checks what will be read later. Words that are not known are returned as lines for the log: an unknown effect
-    /// is taken for `non_idempotent` and an unknown halt for none, the strictest reading of each.
+    /// Checks what will be read later. Words that are not known are returned as lines for the log:
+    /// an unknown effect is taken for `non_idempotent` and an unknown halt for none, the strictest
+    /// reading of each.
     ///
     /// # Errors
     /// The first setting, by name, that is to be a number and is not.
@@ -97,7 +99,8 @@
             .unwrap_or(absent)
     }
 
-    /// A time that the settings give in microseconds, in seconds; `absent`, in seconds, where there is none.
+    /// A time that the settings give in microseconds, in seconds; `absent`, in seconds, where there
+    /// is none.
     pub fn seconds(&self, name: &str, absent: f64) -> f64 {
         self.0
             .get(name)
@@ -115,7 +118,8 @@
         self.number("FamilyInfo.Cores", 1.0).max(1.0)
     }
 
-    /// Mean number of downstream calls that this instance may have open; infinite where the settings name none.
+    /// Mean number of downstream calls that this instance may have open; infinite where the
+    /// settings name none.
     pub fn call_quota(&self) -> f64 {
         self.number("FamilyInfo.CallShare", f64::INFINITY)
     }
@@ -148,7 +152,8 @@
     pub late_value: f64,
     /// For how long a repeat of an arrival may come.
     pub idempotency_window: f64,
-    /// Part of the value that an answer without its downstream call has; 0 where it can't do without.
+    /// Part of the value that an answer without its downstream call has; 0 where it can't do
+    /// without.
     pub value_without_call: f64,
     /// It makes downstream calls.
     pub makes_calls: bool,
--- a/crates/merlinshelf-admission/tests/golden.rs
+++ b/crates/merlinshelf-admission/tests/golden.rs
@@ -1,9 +1,10 @@
-//! The types of this package that outlive a process, held to golden files: what a handover image carries of one
-//! invocation and of what an instance has learnt, in MessagePack with field names as the image writes it.
+//! The types of this package that outlive a process, held to golden files: what a handover image
+//! carries of one invocation and of what an instance has learnt, in MessagePack with field names as
+//! the image writes it.
 //!
-//! Every field of a sample has a value of its own that is not its default, so that a field that is lost, swapped or
-//! renamed on the wire shows. The files hold bytes as programs in the field wrote them: where a test fails, the code is
-//! to be mended, not the file.
+//! Every field of a sample has a value of its own that is not its default, so that a field that is
+//! lost, swapped or renamed on the wire shows. The files hold bytes as programs in the field wrote
+//! them: where a test fails, the code is to be mended, not the file.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -143,8 +144,8 @@
     golden_file::assert_form("defaults", &nothing, encode, decode);
 }
 
-/// Golden files: `tests/golden/NAME.hex`, sixteen bytes a line, each line with its offset, the bytes in hexadecimal and
-/// the same bytes as text.
+/// Golden files: `tests/golden/NAME.hex`, sixteen bytes a line, each line with its offset, the
+/// bytes in hexadecimal and the same bytes as text.
 mod golden_file {
     use std::fmt::Write as _;
     use std::path::{Path, PathBuf};
@@ -187,8 +188,9 @@
             .collect()
     }
 
-    /// The bytes of a golden file, which must be there. With `GOLDEN_WRITE=1` in the environment a file that is missing
-    /// is written from `encoded`; one that is there is never changed, since bytes in the field don't change either.
+    /// The bytes of a golden file, which must be there. With `GOLDEN_WRITE=1` in the environment a
+    /// file that is missing is written from `encoded`; one that is there is never changed, since
+    /// bytes in the field don't change either.
     pub fn read(name: &str, encoded: &[u8]) -> Vec<u8> {
         let path = path_of(name);
         if std::env::var_os("GOLDEN_WRITE").is_some_and(|value| value == "1") && !path.exists() {
@@ -212,7 +214,8 @@
         );
     }
 
-    /// Asserts that the golden bytes are decoded to exactly this value, and the value encoded to the golden bytes.
+    /// Asserts that the golden bytes are decoded to exactly this value, and the value encoded to
+    /// the golden bytes.
     pub fn assert_form<T: std::fmt::Debug + PartialEq>(
         name: &str,
         value: &T,
--- a/crates/merlinshelf-admission/tests/helpers/mod.rs
+++ b/crates/merlinshelf-admission/tests/helpers/mod.rs
@@ -1,11 +1,11 @@
-//! Plays calls to one instance and keeps a line of trace for each that decided something.
+//! Plays calls to one instance and keeps a line of trace for each that decisions something.
 
 use std::collections::BTreeMap;
 
 use merlinshelf_admission::{AdmissionController, Decisions, Invocation, Outcome, Settings};
 
 pub struct Play {
-    pub shedder: AdmissionController,
+    pub controller: AdmissionController,
     pub trace: String,
 }
 
@@ -25,7 +25,8 @@
     stopped: false,
 };
 
-/// Two cores and three operations: 0 idempotent and skippable, 1 tokened, 2 non-idempotent.
+/// Two cores and three operations: 0 idempotent and skippable, 1 with an idempotency key, 2
+/// non-idempotent.
 pub fn play(extra: &[(&str, &str)]) -> Play {
     let mut settings = Settings::new();
     let base = [
@@ -51,20 +52,21 @@
     for (name, value) in base.iter().chain(extra) {
         settings.insert((*name).to_owned(), (*value).to_owned());
     }
-    for op in 0..3 {
+    for operation in 0..3 {
         settings
-            .entry(format!("Classes.{op}.AimUs"))
+            .entry(format!("Classes.{operation}.AimUs"))
             .or_insert("1000000".into());
         settings
-            .entry(format!("Classes.{op}.DeadlineUs"))
+            .entry(format!("Classes.{operation}.DeadlineUs"))
             .or_insert("2000000".into());
     }
-    let (shedder, decided) = AdmissionController::start(100.0, 7, settings).expect("good settings");
+    let (controller, decisions) =
+        AdmissionController::start(100.0, 7, settings).expect("good settings");
     let mut play = Play {
-        shedder,
+        controller,
         trace: String::new(),
     };
-    play.note("start", &decided);
+    play.note("start", &decisions);
     play
 }
 
@@ -72,14 +74,14 @@
 fn rounded(text: &str) -> String {
     let mut after_point = None;
     let mut out = String::new();
-    for c in text.replace("-0.0", "0.0").chars() {
-        after_point = match (after_point, c) {
+    for character in text.replace("-0.0", "0.0").chars() {
+        after_point = match (after_point, character) {
             (_, '.') => Some(0),
             (Some(digits), '0'..='9') => Some(digits + 1),
             _ => None,
         };
         if after_point.unwrap_or(0) <= 3 {
-            out.push(c);
+            out.push(character);
         }
     }
     out
@@ -106,7 +108,13 @@
     } = decisions;
     let rejected: Vec<(usize, f64, bool)> = rejected
         .iter()
-        .map(|one| (one.invocation, one.retry_after_seconds, one.no_failover))
+        .map(|rejection| {
+            (
+                rejection.invocation,
+                rejection.retry_after_seconds,
+                rejection.no_failover,
+            )
+        })
         .collect();
     let fields: [(&str, String); 13] = [
         ("rejected", format!("{rejected:?}")),
@@ -131,49 +139,56 @@
 }
 
 impl Play {
-    fn note(&mut self, what: &str, decided: &Decisions) {
-        let line = rounded(&shown_fields(decided));
+    fn note(&mut self, what: &str, decisions: &Decisions) {
+        let line = rounded(&shown_fields(decisions));
         self.trace.push_str(&format!("{what} ->{line}\n"));
     }
 
-    pub fn arrive(&mut self, at: f64, inv: usize, told: Invocation) {
-        let decided = self.shedder.invocation_arrived(100.0 + at, inv, told);
-        self.note(&format!("{at:.2} arrives {inv}"), &decided);
+    pub fn arrive(&mut self, at: f64, number: usize, request: Invocation) {
+        let decisions = self
+            .controller
+            .invocation_arrived(100.0 + at, number, request);
+        self.note(&format!("{at:.2} arrives {number}"), &decisions);
     }
 
-    pub fn end(&mut self, at: f64, inv: usize, outcome: Outcome, took: f64) {
-        let decided = self.shedder.run_ended(100.0 + at, inv, outcome, took);
-        self.note(&format!("{at:.2} ends {inv}"), &decided);
+    pub fn end_run(&mut self, at: f64, number: usize, outcome: Outcome, duration: f64) {
+        let decisions = self
+            .controller
+            .run_ended(100.0 + at, number, outcome, duration);
+        self.note(&format!("{at:.2} ends {number}"), &decisions);
     }
 
-    pub fn wants(&mut self, at: f64, inv: usize) {
-        let decided = self.shedder.call_requested(100.0 + at, inv);
-        self.note(&format!("{at:.2} wants a call {inv}"), &decided);
+    pub fn request_call(&mut self, at: f64, number: usize) {
+        let decisions = self.controller.call_requested(100.0 + at, number);
+        self.note(&format!("{at:.2} requests a call {number}"), &decisions);
     }
 
-    pub fn called(&mut self, at: f64, inv: usize, outcome: Outcome) {
-        let decided = self.shedder.call_ended(100.0 + at, inv, outcome);
-        self.note(&format!("{at:.2} call of {inv} ends"), &decided);
+    pub fn end_call(&mut self, at: f64, number: usize, outcome: Outcome) {
+        let decisions = self.controller.call_ended(100.0 + at, number, outcome);
+        self.note(&format!("{at:.2} call of {number} ends"), &decisions);
     }
 
-    pub fn left(&mut self, at: f64, inv: usize) {
-        let decided = self.shedder.caller_disconnected(100.0 + at, inv);
-        self.note(&format!("{at:.2} caller of {inv} left"), &decided);
+    pub fn disconnect(&mut self, at: f64, number: usize) {
+        let decisions = self.controller.caller_disconnected(100.0 + at, number);
+        self.note(
+            &format!("{at:.2} caller of {number} disconnected"),
+            &decisions,
+        );
     }
 
-    pub fn leave(&mut self, at: f64, budget: f64) {
-        let decided = self.shedder.shutdown_requested(100.0 + at, budget);
-        self.note(&format!("{at:.2} told to leave"), &decided);
+    pub fn shut_down(&mut self, at: f64, stop_seconds: f64) {
+        let decisions = self.controller.shutdown_requested(100.0 + at, stop_seconds);
+        self.note(&format!("{at:.2} begins graceful shutdown"), &decisions);
     }
 
-    pub fn wake(&mut self, at: f64, busy: f64) {
+    pub fn tick(&mut self, at: f64, busy: f64) {
         let gauges = BTreeMap::from([("cpu_busy".to_owned(), busy)]);
-        let decided = self.shedder.timer_fired(100.0 + at, 0, &gauges);
-        self.note(&format!("{at:.2} woken, busy {busy}"), &decided);
+        let decisions = self.controller.timer_fired(100.0 + at, 0, &gauges);
+        self.note(&format!("{at:.2} timer, busy {busy}"), &decisions);
     }
 }
 
-pub fn inv(operation: usize) -> Invocation {
+pub fn invocation(operation: usize) -> Invocation {
     Invocation {
         operation,
         held_kilobytes: 50.0,
