--- a/crates/merlinshelf-backend/src/client/catalogue.rs
+++ b/crates/merlinshelf-backend/src/client/catalogue.rs
@@ -337,14 +337,15 @@
 
     /// Goes on with a call that another process has begun.
     fn resume(&mut self, (socket, stream, record): Resumed) {
-        let (Some(id), Ok(address)) = (CallId::read(&record.id), record.address.parse()) else {
+        let (Some(id), Ok(address)) = (CallId::read(&record.invocation_id), record.address.parse())
+        else {
             return;
         };
         let Flow {
-            taken,
-            given,
-            coming,
-            going,
+            read_bytes: taken,
+            written_bytes: given,
+            read_buffer: coming,
+            write_buffer: going,
         } = record.flow;
         let line = Line {
             socket,
@@ -353,14 +354,14 @@
             coming: Ring::resumed(coming, taken),
             going: Ring::resumed(going, given),
             carried: record
-                .carried
+                .carried_invocation_ids
                 .iter()
                 .filter_map(|id| CallId::read(id))
                 .collect(),
             idle_since: Instant::now(),
         };
         // To whichever server it goes, its end is the call's.
-        let (key, exchange) = ((id, record.number, 0), self.exchange.clone());
+        let (key, exchange) = ((id, record.call_index, 0), self.exchange.clone());
         let task = async move {
             (
                 key,
@@ -579,18 +580,18 @@
     fn record(&self, (id, number, _): Attempt) -> records::DownstreamConnectionRecord {
         records::DownstreamConnectionRecord {
             address: self.address.to_string(),
-            id: ByteBuf::from(id.as_bytes()),
-            number,
-            carried: self
+            invocation_id: ByteBuf::from(id.as_bytes()),
+            call_index: number,
+            carried_invocation_ids: self
                 .carried
                 .iter()
                 .map(|id| ByteBuf::from(id.as_bytes()))
                 .collect(),
             flow: Flow {
-                taken: self.coming.moved(),
-                given: self.going.moved(),
-                coming: self.coming.to_vec(),
-                going: self.going.to_vec(),
+                read_bytes: self.coming.moved(),
+                written_bytes: self.going.moved(),
+                read_buffer: self.coming.to_vec(),
+                write_buffer: self.going.to_vec(),
             },
         }
     }
--- a/crates/merlinshelf-backend/src/client/engine.rs
+++ b/crates/merlinshelf-backend/src/client/engine.rs
@@ -199,9 +199,11 @@
     /// Goes on where another process stood.
     fn resume(&mut self, (record, socket): Resumed) -> Option<Link> {
         let now = Instant::now();
-        (self.last, self.tag) = (record.last, record.tag);
+        (self.last, self.tag) = (record.last_notification, record.last_request_tag);
         let age = |born: f64| Duration::from_secs_f64((monotonic() - born).clamp(0.0, 1e6));
-        self.born = record.born.and_then(|born| now.checked_sub(age(born)));
+        self.born = record
+            .engine_started_at
+            .and_then(|born| now.checked_sub(age(born)));
         // The next question's answer proves that they were read, if the link holds; else its break says what to do.
         let proof = self.tag + 1;
         let inherited = self.exchange.borrow_mut().inherited();
@@ -211,10 +213,10 @@
             .collect();
         let (socket, stream, address) = (socket?, record.stream?, record.address.parse().ok()?);
         let Flow {
-            taken,
-            given,
-            coming,
-            going,
+            read_bytes: taken,
+            written_bytes: given,
+            read_buffer: coming,
+            write_buffer: going,
         } = record.flow;
         Some(Link {
             socket,
@@ -222,10 +224,10 @@
             address,
             coming: Ring::resumed(coming, taken),
             going: Ring::resumed(going, given),
-            hello: record.hello,
-            caught_up: record.caught_up,
-            names: record.names,
-            asked: record.asked.then_some(now),
+            hello: record.is_greeted,
+            caught_up: record.is_caught_up,
+            names: record.names_dependencies,
+            asked: record.is_request_pending.then_some(now),
             ask_at: now,
         })
     }
@@ -233,23 +235,23 @@
     fn record(&self, link: Option<&Link>) -> records::EngineConnectionRecord {
         let now = Instant::now();
         let flow = |link: &Link| Flow {
-            taken: link.coming.moved(),
-            given: link.going.moved(),
-            coming: link.coming.to_vec(),
-            going: link.going.to_vec(),
+            read_bytes: link.coming.moved(),
+            written_bytes: link.going.moved(),
+            read_buffer: link.coming.to_vec(),
+            write_buffer: link.going.to_vec(),
         };
         records::EngineConnectionRecord {
             stream: link.map(|link| link.stream),
             address: link
                 .map(|link| link.address.to_string())
                 .unwrap_or_default(),
-            last: self.last,
-            tag: self.tag,
-            asked: link.is_some_and(|link| link.asked.is_some()),
-            hello: link.is_some_and(|link| link.hello),
-            caught_up: link.is_some_and(|link| link.caught_up),
-            names: link.is_some_and(|link| link.names),
-            born: self
+            last_notification: self.last,
+            last_request_tag: self.tag,
+            is_request_pending: link.is_some_and(|link| link.asked.is_some()),
+            is_greeted: link.is_some_and(|link| link.hello),
+            is_caught_up: link.is_some_and(|link| link.caught_up),
+            names_dependencies: link.is_some_and(|link| link.names),
+            engine_started_at: self
                 .born
                 .map(|born| monotonic() - now.saturating_duration_since(born).as_secs_f64()),
             flow: link.map(flow).unwrap_or_default(),
--- a/crates/merlinshelf-backend/src/control.rs
+++ b/crates/merlinshelf-backend/src/control.rs
@@ -284,11 +284,11 @@
         let (word, stage) = match &one {
             Progress::Starting => (ControlMessage::More, "starting"),
             Progress::Ready => (ControlMessage::More, "ready"),
-            Progress::TookOver => (ControlMessage::More, "took_over"),
-            Progress::Done => (ControlMessage::Done, "done"),
-            Progress::Refused(_) => (ControlMessage::Refused, "refused"),
-            Progress::GivenUp(_) => (ControlMessage::Failed, "given_up"),
-            Progress::TakenBack(_) => (ControlMessage::Failed, "taken_back"),
+            Progress::Activated => (ControlMessage::More, "took_over"),
+            Progress::Completed => (ControlMessage::Done, "done"),
+            Progress::Rejected(_) => (ControlMessage::Refused, "refused"),
+            Progress::Aborted(_) => (ControlMessage::Failed, "given_up"),
+            Progress::Recovered(_) => (ControlMessage::Failed, "taken_back"),
         };
         say(
             stream,
@@ -296,7 +296,7 @@
             &json!({ "stage": stage, "text": one.to_string() }),
         )
         .await?;
-        if one.is_last() {
+        if one.is_final() {
             break;
         }
     }
--- a/crates/merlinshelf-backend/src/exchange/carry.rs
+++ b/crates/merlinshelf-backend/src/exchange/carry.rs
@@ -79,7 +79,7 @@
         let (mut image, mut passed) = (Transaction::default(), Passed::new());
         let mut instance = self.instance(true);
         let (policy, shares) = self.pass_policy();
-        (instance.policy, instance.shares) = (ByteBuf::from(policy), ByteBuf::from(shares));
+        (instance.policy, instance.quota) = (ByteBuf::from(policy), ByteBuf::from(shares));
         image.put(Key::Instance, &instance);
         for number in self.hand.all() {
             if let Some((key, record)) = self.invocation(number) {
@@ -118,28 +118,28 @@
             .map(AdmissionController::learnt);
         let fresh_start = self.settings.get("FamilyInfo.FreshStart").cloned();
         records::Instance {
-            clock: self.seconds() - monotonic(),
+            clock_offset_seconds: self.seconds() - monotonic(),
             operations: self.names.iter().map(|name| name.to_string()).collect(),
             next_stream: self.next_stream,
-            healthy: self.healthy,
-            trim_after: self.trim_after.as_secs_f64(),
-            stop: self.leaving.map(|stop| {
+            is_healthy: self.healthy,
+            idle_timeout_seconds: self.trim_after.as_secs_f64(),
+            drain_deadline_at: self.leaving.map(|stop| {
                 monotonic()
                     + stop
                         .saturating_duration_since(tokio::time::Instant::now())
                         .as_secs_f64()
             }),
             fresh_start,
-            calls_again: self.calls_again.clone(),
+            repeats_calls: self.calls_again.clone(),
             counters: self.counters.by_name(),
-            learnt,
-            knowledge: ByteBuf::from(if whole {
+            learned: learnt,
+            gossip: ByteBuf::from(if whole {
                 self.knowledge.clone()
             } else {
                 Vec::new()
             }),
             policy: ByteBuf::new(),
-            shares: ByteBuf::new(),
+            quota: ByteBuf::new(),
         }
     }
 
@@ -177,21 +177,21 @@
         let record = records::Invocation {
             operation: one.operation,
             body: bytes(&one.body),
-            reply,
-            need: one
+            response_target: reply,
+            call_notification: one
                 .need
                 .as_ref()
                 .map(|(number, body)| (*number, bytes(body))),
-            named: one.named.as_deref().map(str::to_owned),
-            wanted: one.wanted,
-            missing: one.missing.iter().map(|part| part.to_string()).collect(),
-            calls: one.calls,
-            calling_until: one.calling_until.filter(|_| one.calling).map(until),
-            begun: one.begun,
-            heard: one.heard,
+            dependency: one.named.as_deref().map(str::to_owned),
+            requested_calls: one.wanted,
+            missing_parts: one.missing.iter().map(|part| part.to_string()).collect(),
+            call_count: one.calls,
+            call_deadline_at: one.calling_until.filter(|_| one.calling).map(until),
+            has_started: one.begun,
+            notification_count: one.heard,
             command,
-            place: one.place,
-            inv,
+            arrival_order: one.place,
+            state: inv,
         };
         let mut id = [0; 16];
         id.copy_from_slice(one.id.as_bytes());
@@ -309,23 +309,23 @@
         });
         self.next_stream = numbers.fold(self.next_stream, u64::max);
         let (now, since_origin) = (monotonic(), self.origin.elapsed());
-        self.epoch = instance.clock + now - since_origin.as_secs_f64();
+        self.epoch = instance.clock_offset_seconds + now - since_origin.as_secs_f64();
         self.next_stream = self.next_stream.max(instance.next_stream);
-        self.healthy = instance.healthy;
-        self.trim_after = super::idle_time(instance.trim_after);
+        self.healthy = instance.is_healthy;
+        self.trim_after = super::idle_time(instance.idle_timeout_seconds);
         self.counters.set(&instance.counters);
-        if instance.calls_again.len() == self.calls_again.len() {
-            self.calls_again = instance.calls_again;
+        if instance.repeats_calls.len() == self.calls_again.len() {
+            self.calls_again = instance.repeats_calls;
         }
         if let Some(fresh) = instance.fresh_start {
             self.settings.insert("FamilyInfo.FreshStart".into(), fresh);
         }
-        if let Some(stop) = instance.stop {
+        if let Some(stop) = instance.drain_deadline_at {
             let left = Duration::from_secs_f64((stop - now).clamp(0.0, 1e6));
             self.leaving = Some(tokio::time::Instant::now() + left);
         }
-        self.knowledge = instance.knowledge.into_vec();
-        let Some(learnt) = instance.learnt.or(learnt) else {
+        self.knowledge = instance.gossip.into_vec();
+        let Some(learnt) = instance.learned.or(learnt) else {
             return;
         };
         match AdmissionController::start(learnt.born, self.seed, self.settings.clone()) {
@@ -362,13 +362,13 @@
                 _ => {}
             }
         }
-        invocations.sort_by_key(|(_, one)| one.place);
+        invocations.sort_by_key(|(_, one)| one.arrival_order);
         let called: HashSet<(&[u8], usize)> = lines
             .iter()
-            .map(|line| (line.id.as_slice(), line.number))
+            .map(|line| (line.invocation_id.as_slice(), line.call_index))
             .collect();
         for (id, one) in invocations {
-            let called = called.contains(&(id.as_bytes() as &[u8], one.calls));
+            let called = called.contains(&(id.as_bytes() as &[u8], one.call_count));
             self.carry_on(id, one, &doors, called, now);
         }
     }
@@ -385,17 +385,17 @@
             return error!("{id} can't be carried on: operation {}", one.operation);
         }
         let until = one
-            .calling_until
+            .call_deadline_at
             .map(|until| Duration::from_secs_f64((until - now).clamp(0.001, 3600.0)));
-        let reply = one.reply.and_then(|(stream, tag)| {
+        let reply = one.response_target.and_then(|(stream, tag)| {
             Some(Reply {
                 door: *doors.get(&stream)?,
                 tag,
             })
         });
-        let unheard = reply.is_none() && one.reply.is_some();
+        let unheard = reply.is_none() && one.response_target.is_some();
         let need = one
-            .need
+            .call_notification
             .map(|(number, body)| (number, body.as_slice().into()));
         let inv = self.hand.take(InHand {
             id,
@@ -403,20 +403,20 @@
             body: one.body.as_slice().into(),
             reply,
             need,
-            named: one.named.map(Rc::from),
-            wanted: one.wanted,
-            missing: one.missing.into_iter().map(Rc::from).collect(),
+            named: one.dependency.map(Rc::from),
+            wanted: one.requested_calls,
+            missing: one.missing_parts.into_iter().map(Rc::from).collect(),
             due: None,
-            calls: one.calls,
+            calls: one.call_count,
             calling: until.is_some(),
-            begun: one.begun,
-            heard: one.heard,
+            begun: one.has_started,
+            heard: one.notification_count,
             calling_until: until.map(|until| self.origin.elapsed() + until),
             command: None,
             place: 0,
         });
         if let Some(shedder) = &mut self.shedder {
-            shedder.carry_on(inv, one.inv);
+            shedder.carry_on(inv, one.state);
         }
         if let Some((command, sent)) = one.command {
             let command = match command {
@@ -432,7 +432,8 @@
                 records::Command::Skip(need) => Command::Skip { id, need },
             };
             if sent {
-                self.inherited.push((command.clone(), one.heard));
+                self.inherited
+                    .push((command.clone(), one.notification_count));
                 if let Some(known) = self.hand.get(inv) {
                     known.command = Some((command, true));
                 }
@@ -442,7 +443,7 @@
         }
         if let Some(until) = until {
             let at = self.origin.elapsed() + until;
-            self.set_alarm(at, Alarm::Call(id, one.calls));
+            self.set_alarm(at, Alarm::Call(id, one.call_count));
             let body = self
                 .hand
                 .look(inv)
@@ -453,7 +454,7 @@
                 let (wait, wanted) = (until.as_secs_f64(), self.wanted(inv));
                 self.orders.push(Order::Invoke {
                     id,
-                    number: one.calls,
+                    number: one.call_count,
                     wait,
                     body,
                     wanted,
@@ -501,8 +502,8 @@
                 records::Answer::Partial(ByteBuf::from(result.as_ref()), missing.to_string())
             }
             Answer::Throttled { away, last } => records::Answer::Throttled {
-                away: *away,
-                last: *last,
+                retry_after_seconds: *away,
+                forbids_failover: *last,
             },
             Answer::Errored => records::Answer::Errored,
             Answer::Unknown => records::Answer::Unknown,
@@ -517,7 +518,10 @@
             records::Answer::Partial(result, missing) => {
                 Answer::Partial(result.as_slice().into(), missing.into())
             }
-            records::Answer::Throttled { away, last } => Answer::Throttled { away, last },
+            records::Answer::Throttled {
+                retry_after_seconds: away,
+                forbids_failover: last,
+            } => Answer::Throttled { away, last },
             records::Answer::Errored => Answer::Errored,
             records::Answer::Unknown => Answer::Unknown,
         }
--- a/crates/merlinshelf-backend/src/host/asked.rs
+++ b/crates/merlinshelf-backend/src/host/asked.rs
@@ -58,7 +58,7 @@
             Asked::Upgrade(progress) => {
                 let lacking = self.lacking();
                 let before = self.asked.replace(progress);
-                self.keeper.upgrade(self.now(), lacking);
+                self.keeper.start_upgrade(self.now(), lacking);
                 if let (true, Some(before)) = (self.guard.is_some(), before) {
                     // The one under way is still told; the new one hears that it is turned down.
                     self.refuse_second(before);
@@ -69,8 +69,8 @@
 
     /// Turns down who asked second, and goes on telling who asked first.
     fn refuse_second(&mut self, first: UnboundedSender<Progress>) {
-        while let Some(step) = self.keeper.next_step() {
-            if let (Action::Tell(progress), Some(second)) = (step, self.asked.take()) {
+        while let Some(step) = self.keeper.poll_action() {
+            if let (Action::Report(progress), Some(second)) = (step, self.asked.take()) {
                 let _ = second.send(progress);
             }
         }
@@ -85,7 +85,7 @@
         let Some(upgrade) = &self.operator.upgrade else {
             return Some("upgrades are off: the operators' file has no `upgrade`".into());
         };
-        if self.heir.as_ref().is_some_and(Successor::notes) {
+        if self.heir.as_ref().is_some_and(Successor::is_recording) {
             return Some("it has only just taken over and is still watched".into());
         }
         if self.leaving.is_some() {
@@ -117,10 +117,10 @@
             .as_ref()
             .map(|instance| instance.exchange.borrow());
         let state = match &self.heir {
-            Some(heir) if heir.notes() => "watched",
+            Some(heir) if heir.is_recording() => "watched",
             _ if self.leaving.is_some() => "leaving",
             _ if self.waiting.is_some() => "waiting",
-            _ => self.keeper.name(),
+            _ => self.keeper.state_name(),
         };
         json!({
             "name": self.config.name,
--- a/crates/merlinshelf-backend/src/host/handing.rs
+++ b/crates/merlinshelf-backend/src/host/handing.rs
@@ -21,8 +21,8 @@
 impl Host {
     pub(super) async fn keeper_step(&mut self, step: Action) -> io::Result<Option<i32>> {
         match step {
-            Action::Start => self.start_successor(),
-            Action::Say(word) => {
+            Action::StartSuccessor => self.start_successor(),
+            Action::Send(word) => {
                 if let Some(guard) = &self.guard
                     && let Err(error) = guard.channel.send(&word, &[]).await
                 {
@@ -32,11 +32,11 @@
             Action::Freeze => {
                 self.control = None;
                 match self.freeze().await {
-                    Ok(()) => self.keeper.frozen(self.now()),
-                    Err(why) => self.keeper.not_frozen(&why),
+                    Ok(()) => self.keeper.freeze_completed(self.now()),
+                    Err(why) => self.keeper.freeze_failed(&why),
                 }
             }
-            Action::Pass => {
+            Action::Transfer => {
                 let patience = self.operator.upgrade.clone().unwrap_or_default().taken();
                 let passed = match &self.guard {
                     Some(guard) => timeout(patience, guard.pass())
@@ -45,46 +45,46 @@
                     None => Err(io::Error::other("there is no successor")),
                 };
                 match passed {
-                    Ok(count) => self.keeper.passed(count),
-                    Err(error) => self.keeper.not_passed(&error.to_string()),
+                    Ok(count) => self.keeper.transfer_completed(count),
+                    Err(error) => self.keeper.transfer_failed(&error.to_string()),
                 }
             }
-            Action::Yield => info!(
+            Action::ReleaseOwnership => info!(
                 "the successor {} has everything and is watched",
                 self.successor()
             ),
-            Action::Kill => {
+            Action::KillSuccessor => {
                 if let Some(guard) = &self.guard {
                     warn!("the successor {} is killed", guard.id());
                     guard.kill();
                 }
             }
-            Action::Resume | Action::TakeBack => self.take_back()?,
-            Action::Tell(progress) => {
+            Action::Resume | Action::Recover => self.take_back()?,
+            Action::Report(progress) => {
                 info!("upgrade: {progress}");
                 if let Some(asked) = &self.asked {
                     let _ = asked.send(progress.clone());
-                    if progress.is_last() && !matches!(progress, Progress::Done) {
+                    if progress.is_final() && !matches!(progress, Progress::Completed) {
                         self.asked = None;
                     }
                 }
             }
-            Action::LeaveNow { stop } => self.leave(stop),
-            Action::ReloadNow => self.reload(),
-            Action::End => return Ok(Some(0)),
-            Action::EndAs { status } => return Ok(Some(status)),
+            Action::Drain { deadline: stop } => self.leave(stop),
+            Action::Reload => self.reload(),
+            Action::Exit => return Ok(Some(0)),
+            Action::ExitWithStatus { status } => return Ok(Some(status)),
         }
         Ok(None)
     }
 
     pub(super) async fn heir_step(&mut self, step: successor::Action) -> io::Result<()> {
         match step {
-            successor::Action::Say(word) => {
+            successor::Action::Send(word) => {
                 match word {
                     Message::Hello { .. } => fault::point("heir.hello"),
                     Message::Ready => fault::point("heir.ready"),
-                    Message::Taken => fault::point("heir.taken"),
-                    Message::Beat => fault::point("heir.beat"),
+                    Message::Restored => fault::point("heir.taken"),
+                    Message::Heartbeat => fault::point("heir.beat"),
                     _ => {}
                 }
                 if let Some(elder) = &self.elder {
@@ -92,7 +92,7 @@
                     let _ = elder.send(&word, &[]).await;
                 }
             }
-            successor::Action::Take => {
+            successor::Action::Restore => {
                 let now = self.now();
                 let taken = self.take_over();
                 let Some(heir) = &mut self.heir else {
@@ -101,12 +101,12 @@
                 match taken {
                     Ok(prepared) => {
                         self.prepared = Some(prepared);
-                        heir.taken(now);
+                        heir.restore_completed(now);
                     }
-                    Err(error) => heir.not_taken(&error.to_string()),
+                    Err(error) => heir.restore_failed(&error.to_string()),
                 }
             }
-            successor::Action::Serve => {
+            successor::Action::Activate => {
                 fault::point("heir.serve");
                 if let Some(prepared) = self.prepared.take() {
                     let (edges, lines, hand) = prepared.sums();
@@ -120,16 +120,16 @@
                 }
                 self.try_control();
             }
-            successor::Action::Free => {
+            successor::Action::StopRecording => {
                 info!("the predecessor watches no longer");
                 self.elder = None;
                 if let Some(instance) = &self.instance {
                     instance.exchange.borrow_mut().note_no_more();
                 }
             }
-            successor::Action::Leave { stop } => self.leave(stop),
+            successor::Action::Drain { deadline: stop } => self.leave(stop),
             successor::Action::Reload => self.reload(),
-            successor::Action::End { why } => return Err(io::Error::other(why)),
+            successor::Action::Exit { reason: why } => return Err(io::Error::other(why)),
         }
         Ok(())
     }
@@ -150,7 +150,7 @@
                 info!(successor = guard.id(); "the successor {} starts", guard.id());
                 (self.guard, self.cut) = (Some(guard), false);
             }
-            Err(error) => self.keeper.not_started(&error.to_string()),
+            Err(error) => self.keeper.start_failed(&error.to_string()),
         }
     }
 
@@ -238,7 +238,7 @@
         self.hold_policy(&mut exchange).map_err(io::Error::other)?;
         let instance: Option<records::Instance> = image.get(Key::Instance);
         match instance.filter(|_| !takes_back) {
-            Some(instance) => exchange.take_policy(&instance.policy, &instance.shares),
+            Some(instance) => exchange.take_policy(&instance.policy, &instance.quota),
             // What its successor held may be fenced by now: it holds nothing until its agent says so.
             None => exchange.begin_without_policy(),
         }
--- a/crates/merlinshelf-backend/src/host/mod.rs
+++ b/crates/merlinshelf-backend/src/host/mod.rs
@@ -102,10 +102,10 @@
 /// Tells the old process that this one can't take over.
 async fn refuse(elder: OwnedFd, why: &str) {
     let mut heir = Successor::new(Duration::ZERO, VERSION);
-    heir.refuse(why);
+    heir.decline(why);
     if let Ok(channel) = Channel::new(elder) {
-        while let Some(step) = heir.next_step() {
-            if let successor::Action::Say(word) = step {
+        while let Some(step) = heir.poll_action() {
+            if let successor::Action::Send(word) = step {
                 let _ = channel.send(&word, &[]).await;
             }
         }
@@ -181,9 +181,9 @@
         let upgrade = operator.upgrade.clone().unwrap_or_default();
         let patience = StageTimeouts {
             ready: upgrade.ready(),
-            taken: upgrade.taken(),
-            watched: upgrade.watched(),
-            silent: upgrade.silent(),
+            takeover: upgrade.taken(),
+            probation: upgrade.watched(),
+            heartbeat: upgrade.silent(),
         };
         let elder = elder.map(Channel::new).transpose()?;
         Ok(Host {
@@ -288,8 +288,8 @@
 
     async fn next_event(&mut self) -> Event {
         let wake = [
-            self.keeper.wake_at(),
-            self.heir.as_ref().and_then(Successor::wake_at),
+            self.keeper.next_timeout(),
+            self.heir.as_ref().and_then(Successor::next_timeout),
         ];
         let wake = wake.into_iter().flatten().min().map(|at| self.began + at);
         let wake = wake
@@ -328,7 +328,7 @@
         match event {
             Event::ToLeave => return self.told_to_leave(),
             Event::Left => return Some(0),
-            Event::Reload if self.heir.as_ref().is_some_and(Successor::owns) => self.reload(),
+            Event::Reload if self.heir.as_ref().is_some_and(Successor::is_owner) => self.reload(),
             Event::Reload => self.keeper.reload(),
             Event::Counters => {
                 if let Some(instance) = &self.instance {
@@ -341,14 +341,15 @@
             }
             Event::Asked(asked) => self.asked_for(asked),
             Event::FromSuccessor(Ok((word, descriptors))) => {
-                if let (Message::Opened { role }, Some(guard)) = (&word, &mut self.guard) {
+                if let (Message::ConnectionOpened { role }, Some(guard)) = (&word, &mut self.guard)
+                {
                     guard.opened(*role, descriptors);
                 }
                 let followed = self.guard.as_mut().map_or(Ok(()), Guard::follow);
-                self.keeper.heard(now, word);
+                self.keeper.handle_message(now, word);
                 if let Err(error) = followed {
                     self.keeper
-                        .cut_off(&format!("its notes can't be read: {error}"));
+                        .channel_failed(&format!("its notes can't be read: {error}"));
                 }
             }
             Event::FromSuccessor(Err(error)) => {
@@ -359,39 +360,39 @@
                 };
                 if !ended {
                     self.keeper
-                        .cut_off(&format!("the channel to the successor ended: {error}"));
+                        .channel_failed(&format!("the channel to the successor ended: {error}"));
                 }
             }
             Event::SuccessorEnded => {
                 let status = self.guard.as_mut().and_then(Guard::reap);
-                let served = self.keeper.serves();
+                let served = self.keeper.is_serving();
                 for word in self
                     .guard
                     .as_mut()
                     .map(Guard::last_words)
                     .unwrap_or_default()
                 {
-                    self.keeper.heard(now, word);
+                    self.keeper.handle_message(now, word);
                 }
-                self.keeper.died(status);
+                self.keeper.successor_exited(status);
                 if served {
                     self.guard = None; // it never held anything
                 }
             }
             Event::FromElder(Ok((word, descriptors))) => {
-                if let Message::Pass { roles } = &word {
+                if let Message::Descriptors { roles } = &word {
                     fault::point("heir.pass");
                     self.inherited
                         .extend(roles.iter().copied().zip(descriptors));
                 }
                 if let Some(heir) = &mut self.heir {
-                    heir.heard(now, word);
+                    heir.handle_message(now, word);
                 }
             }
             Event::FromElder(Err(_)) => {
                 self.elder = None;
                 if let Some(heir) = &mut self.heir {
-                    heir.alone(now);
+                    heir.predecessor_exited(now);
                 }
             }
             Event::ToPass(Passing {
@@ -402,21 +403,21 @@
                 if let Some(elder) = &self.elder {
                     // An error is the predecessor's end, which is seen by itself.
                     let _ = elder
-                        .send(&Message::Opened { role }, &[descriptor.as_fd()])
+                        .send(&Message::ConnectionOpened { role }, &[descriptor.as_fd()])
                         .await;
                 }
                 let _ = passed.send(());
             }
             Event::Woken => {
-                self.keeper.woken(now);
+                self.keeper.handle_timeout(now);
                 if let Some(heir) = &mut self.heir {
-                    heir.woken(now);
-                    if let (true, Some(instance)) = (heir.notes(), &self.instance) {
+                    heir.handle_timeout(now);
+                    if let (true, Some(instance)) = (heir.is_recording(), &self.instance) {
                         let mut exchange = instance.exchange.borrow_mut();
                         exchange.secure_instance();
                         if exchange.unread_notes() > UNREAD_MOST {
                             warn!("the predecessor reads no notes: it goes on without it");
-                            heir.unread();
+                            heir.detach();
                         }
                     }
                 }
@@ -431,10 +432,10 @@
         }
         let stop = monotonic() + self.config.stop.as_secs_f64();
         match &mut self.heir {
-            Some(heir) if heir.owns() => heir.left(stop),
+            Some(heir) if heir.is_owner() => heir.drain(stop),
             // The predecessor sees its end and goes on.
             Some(_) => return Some(1),
-            None => self.keeper.leave(stop),
+            None => self.keeper.drain(stop),
         }
         None
     }
@@ -442,11 +443,11 @@
     /// Carries out all that is to be done; the process's status where it ends.
     async fn carry_out(&mut self) -> io::Result<Option<i32>> {
         loop {
-            if let Some(step) = self.keeper.next_step() {
+            if let Some(step) = self.keeper.poll_action() {
                 if let Some(status) = self.keeper_step(step).await? {
                     return Ok(Some(status));
                 }
-            } else if let Some(step) = self.heir.as_mut().and_then(Successor::next_step) {
+            } else if let Some(step) = self.heir.as_mut().and_then(Successor::poll_action) {
                 self.heir_step(step).await?;
             } else {
                 return Ok(None);
--- a/crates/merlinshelf-backend/src/instance.rs
+++ b/crates/merlinshelf-backend/src/instance.rs
@@ -132,14 +132,16 @@
         if let Some(mut record) = record {
             let live = socket.and_then(|socket| {
                 let settled = settle(&socket, &mut record.flow, true)?;
-                prepared.link_discards = settled.discard;
+                prepared.link_discards = settled.discard_bytes;
                 into_stream(socket)
             });
             prepared.link = Some((record, live));
         }
         for (role, socket) in passed {
             match role {
-                Role::ClientConnection(stream) if !image.gone(Key::ClientConnection(stream)) => {
+                Role::ClientConnection(stream)
+                    if !image.is_removed(Key::ClientConnection(stream)) =>
+                {
                     // One of which nothing was noted was only just taken in.
                     let mut record: records::ClientConnectionRecord =
                         image.get(Key::ClientConnection(stream)).unwrap_or_default();
@@ -218,7 +220,7 @@
         let doors_most = server::doors_most(config.sockets, calls_most);
         let server = Server::new(exchange.clone(), doors_most, uwsgi);
         for (socket, door, record, settled) in edges {
-            match discard(&socket, settled.discard) {
+            match discard(&socket, settled.discard_bytes) {
                 Ok(()) => server.resume(socket, door, record),
                 Err(error) => warn!("a connection can't be gone on with: {error}"),
             }
@@ -233,7 +235,7 @@
         let lines = lines
             .into_iter()
             .filter_map(|(socket, stream, record, settled)| {
-                discard(&socket, settled.discard)
+                discard(&socket, settled.discard_bytes)
                     .ok()
                     .map(|()| (socket, stream, record))
             });
@@ -378,7 +380,7 @@
     opened_here: bool,
 ) -> Option<Reconciliation> {
     match kernel::counts(socket, opened_here) {
-        Ok(counts) => match flow.settle(counts) {
+        Ok(counts) => match flow.reconcile(counts) {
             Ok(settled) => Some(settled),
             Err(torn) => {
                 error!("a connection can't be gone on with: {torn:?}");
--- a/crates/merlinshelf-backend/src/journal.rs
+++ b/crates/merlinshelf-backend/src/journal.rs
@@ -142,6 +142,6 @@
             image.get::<ResponseQueueRecord>(Key::ResponseQueue(99 % 7)),
             Some(answers(20_000))
         );
-        assert!(image.gone(Key::ResponseQueue(100 % 7)));
+        assert!(image.is_removed(Key::ResponseQueue(100 % 7)));
     }
 }
--- a/crates/merlinshelf-backend/src/server/assembly.rs
+++ b/crates/merlinshelf-backend/src/server/assembly.rs
@@ -115,9 +115,9 @@
     pub fn records(&self) -> Vec<records::Partial> {
         let record = |(tag, partial): (&u16, &Partial)| records::Partial {
             tag: *tag,
-            keep: partial.keep,
+            keeps_connection: partial.keep,
             params: partial.params.clone().into(),
-            params_done: partial.params_done,
+            has_all_params: partial.params_done,
             body: partial.body.clone().into(),
         };
         self.0.iter().map(record).collect()
@@ -127,9 +127,9 @@
     pub fn resume(&mut self, record: records::Partial, place: Place) {
         let records::Partial {
             tag,
-            keep,
+            keeps_connection: keep,
             params,
-            params_done,
+            has_all_params: params_done,
             body,
         } = record;
         let (params, body) = (params.into_vec(), body.into_vec());
--- a/crates/merlinshelf-backend/src/server/connection.rs
+++ b/crates/merlinshelf-backend/src/server/connection.rs
@@ -126,24 +126,25 @@
         let mut connection =
             Connection::new(socket, exchange, seat, door, (connections_most, uwsgi));
         let Flow {
-            taken,
-            given,
-            coming,
-            going,
+            read_bytes: taken,
+            written_bytes: given,
+            read_buffer: coming,
+            write_buffer: going,
         } = record.flow;
         (connection.coming, connection.going) =
             (Ring::resumed(coming, taken), Ring::resumed(going, given));
-        connection.codec = Codec::resumed((record.front, record.record), uwsgi);
+        connection.codec = Codec::resumed((record.protocol, record.partial_record), uwsgi);
         for partial in record.partials {
             let place = exchange
                 .borrow()
                 .keep_place(partial.params.len() + partial.body.len());
             connection.assembly.resume(partial, place);
         }
-        connection.open = record.open.into_iter().collect();
-        (connection.astray, connection.faults) = (record.astray, record.faults);
-        connection.said = Said::from_number(record.said);
-        (connection.read_closed, connection.last_word) = (record.read_closed, record.last_word);
+        connection.open = record.unanswered.into_iter().collect();
+        (connection.astray, connection.faults) = (record.unassigned_bytes, record.faults);
+        connection.said = Said::from_number(record.received_kind);
+        (connection.read_closed, connection.last_word) =
+            (record.is_read_closed, record.closes_after_write);
         connection.resumed = true;
         let partly = connection.codec.within() || !connection.coming.is_empty();
         if connection.said > Said::Nothing && !partly {
@@ -157,20 +158,20 @@
         let (front, record) = self.codec.state();
         records::ClientConnectionRecord {
             flow: Flow {
-                taken: self.coming.moved(),
-                given: self.going.moved(),
-                coming: self.coming.to_vec(),
-                going: self.going.to_vec(),
+                read_bytes: self.coming.moved(),
+                written_bytes: self.going.moved(),
+                read_buffer: self.coming.to_vec(),
+                write_buffer: self.going.to_vec(),
             },
-            record,
-            front,
+            partial_record: record,
+            protocol: front,
             partials: self.assembly.records(),
-            open: self.open.iter().map(|(tag, keep)| (*tag, *keep)).collect(),
-            astray: self.astray,
+            unanswered: self.open.iter().map(|(tag, keep)| (*tag, *keep)).collect(),
+            unassigned_bytes: self.astray,
             faults: self.faults,
-            said: self.said as u8,
-            read_closed: self.read_closed,
-            last_word: self.last_word,
+            received_kind: self.said as u8,
+            is_read_closed: self.read_closed,
+            closes_after_write: self.last_word,
         }
     }
 
--- a/crates/merlinshelf-backend/src/upgrade/channel.rs
+++ b/crates/merlinshelf-backend/src/upgrade/channel.rs
@@ -130,12 +130,15 @@
         let theirs = Channel::new(theirs).expect("an end");
         let (mut near, far) = UnixStream::pair().expect("a pair");
         let roles: Vec<Role> = (0..BATCH as u64).map(Role::ClientConnection).collect();
-        let word = Message::Pass { roles };
+        let word = Message::Descriptors { roles };
         theirs
             .send(&word, &[far.as_fd(); BATCH])
             .await
             .expect("it is taken");
-        theirs.send(&Message::Beat, &[]).await.expect("it is taken");
+        theirs
+            .send(&Message::Heartbeat, &[])
+            .await
+            .expect("it is taken");
         drop((theirs, far));
         let (come, descriptors) = ours.receive().await.expect("a word");
         assert_eq!((come, descriptors.len()), (word, BATCH));
@@ -146,7 +149,7 @@
             .expect("it is the one that was passed");
         assert_eq!(
             (&text, ours.receive_now().map(|(word, _)| word)),
-            (b"here", Some(Message::Beat))
+            (b"here", Some(Message::Heartbeat))
         );
         assert!(ours.receive().await.is_err(), "the end of the channel");
     }
--- a/crates/merlinshelf-backend/src/upgrade/guard.rs
+++ b/crates/merlinshelf-backend/src/upgrade/guard.rs
@@ -116,7 +116,7 @@
         let instance: Option<records::Instance> = image.get(Key::Instance);
         let mut passed = frozen.passed;
         passed.insert(Role::Listener, listener);
-        let learnt = instance.and_then(|instance| instance.learnt);
+        let learnt = instance.and_then(|instance| instance.learned);
         let follower = Follower::new(self.journal.try_clone()?);
         self.held = Some(Held {
             image,
@@ -146,7 +146,7 @@
         for batch in all.chunks(BATCH) {
             let (roles, descriptors): (Vec<Role>, Vec<BorrowedFd>) = batch.iter().copied().unzip();
             self.channel
-                .send(&Message::Pass { roles }, &descriptors)
+                .send(&Message::Descriptors { roles }, &descriptors)
                 .await?;
         }
         Ok(all.len())
@@ -166,7 +166,7 @@
             return Ok(());
         };
         held.follower.follow(&mut held.image)?;
-        for key in held.image.take_gone() {
+        for key in held.image.take_removed() {
             match key {
                 Key::ClientConnection(stream) => {
                     _ = held.passed.remove(&Role::ClientConnection(stream))
@@ -198,8 +198,8 @@
         let mut last = Vec::new();
         while let Some((word, descriptors)) = self.channel.receive_now() {
             match word {
-                Message::Opened { role } => self.opened(role, descriptors),
-                Message::Unwatched | Message::Leaves { .. } => last.push(word),
+                Message::ConnectionOpened { role } => self.opened(role, descriptors),
+                Message::Detached | Message::Draining { .. } => last.push(word),
                 _ => {}
             }
         }
--- a/crates/merlinshelf-backend/src/upgrade/kernel.rs
+++ b/crates/merlinshelf-backend/src/upgrade/kernel.rs
@@ -4,7 +4,7 @@
 use std::mem::size_of;
 use std::os::fd::{AsFd, AsRawFd};
 
-use merlinshelf_handover::Kernel;
+use merlinshelf_handover::KernelByteCounts;
 
 /// Places in the kernel's `tcp_info`, which only ever grows at its end: state, bytes acknowledged, bytes received.
 const STATE: usize = 0;
@@ -15,7 +15,7 @@
 const RESET: u8 = 7;
 
 /// The counts at one moment: they are asked for until nothing moved in between.
-pub fn counts(socket: &impl AsFd, opened_here: bool) -> io::Result<Kernel> {
+pub fn counts(socket: &impl AsFd, opened_here: bool) -> io::Result<KernelByteCounts> {
     let mut before = info(socket)?;
     for _ in 0..100 {
         let unread = rustix::io::ioctl_fionread(socket)?;
@@ -27,13 +27,13 @@
                 return Err(io::ErrorKind::ConnectionReset.into());
             }
             let ended = ENDED.contains(&state);
-            return Ok(Kernel {
-                received,
-                unread,
-                ended,
-                acknowledged,
-                unacknowledged,
-                opened_here,
+            return Ok(KernelByteCounts {
+                received_bytes: received,
+                unread_bytes: unread,
+                is_closed_by_peer: ended,
+                acknowledged_bytes: acknowledged,
+                unacknowledged_bytes: unacknowledged,
+                is_opened_locally: opened_here,
             });
         }
         before = after;
@@ -94,8 +94,12 @@
         let (mut taken, _) = listener.accept().expect("it");
         let sums = |socket: &TcpStream, here: bool| {
             let of = counts(socket, here).expect("counts");
-            let out = of.acknowledged + of.unacknowledged - u64::from(of.opened_here);
-            (of.received - of.unread - u64::from(of.ended), out)
+            let out =
+                of.acknowledged_bytes + of.unacknowledged_bytes - u64::from(of.is_opened_locally);
+            (
+                of.received_bytes - of.unread_bytes - u64::from(of.is_closed_by_peer),
+                out,
+            )
         };
         assert_eq!((sums(&opened, true), sums(&taken, false)), ((0, 0), (0, 0)));
         opened.write_all(&[1; 100]).expect("room");
@@ -106,7 +110,7 @@
             ((0, 100), (40, 7))
         );
         opened.shutdown(Shutdown::Write).expect("an end");
-        while !counts(&taken, false).expect("counts").ended {}
+        while !counts(&taken, false).expect("counts").is_closed_by_peer {}
         assert_eq!(sums(&taken, false), (40, 7));
         taken.read_exact(&mut [0; 60]).expect("bytes");
         assert_eq!(
--- a/crates/merlinshelf-backend/tests/golden.rs
+++ b/crates/merlinshelf-backend/tests/golden.rs
@@ -113,16 +113,16 @@
 
 /// Every way in which an upgrade may go.
 fn upgrades() -> Vec<Vec<Progress>> {
-    let begun = [Progress::Starting, Progress::Ready, Progress::TookOver];
+    let begun = [Progress::Starting, Progress::Ready, Progress::Activated];
     let until = |stages: usize, end: Progress| {
         let begun = begun[..stages].iter().cloned();
         begun.chain([end]).collect()
     };
     vec![
-        until(3, Progress::Done),
-        until(0, Progress::Refused("upgrades are off".into())),
-        until(1, Progress::GivenUp("not ready in time".into())),
-        until(3, Progress::TakenBack("it died".into())),
+        until(3, Progress::Completed),
+        until(0, Progress::Rejected("upgrades are off".into())),
+        until(1, Progress::Aborted("not ready in time".into())),
+        until(3, Progress::Recovered("it died".into())),
     ]
 }
 
--- a/crates/merlinshelf-backend/tests/golden_settings.rs
+++ b/crates/merlinshelf-backend/tests/golden_settings.rs
@@ -437,19 +437,19 @@
         vec![
             Progress::Starting,
             Progress::Ready,
-            Progress::TookOver,
-            Progress::Done,
+            Progress::Activated,
+            Progress::Completed,
         ],
-        vec![Progress::Refused("it is leaving".into())],
+        vec![Progress::Rejected("it is leaving".into())],
         vec![
             Progress::Starting,
-            Progress::GivenUp("it was not ready".into()),
+            Progress::Aborted("it was not ready".into()),
         ],
         vec![
             Progress::Starting,
             Progress::Ready,
-            Progress::TookOver,
-            Progress::TakenBack("it was silent".into()),
+            Progress::Activated,
+            Progress::Recovered("it was silent".into()),
         ],
     ];
     let mut coming = ways.clone().into_iter();
--- a/crates/merlinshelf-handover/src/image.rs
+++ b/crates/merlinshelf-handover/src/image.rs
@@ -177,7 +177,7 @@
     }
 
     /// Whether that thing was there and is gone.
-    pub fn gone(&self, key: Key) -> bool {
+    pub fn is_removed(&self, key: Key) -> bool {
         self.records.get(&key).is_some_and(Option::is_none)
     }
 
@@ -190,7 +190,7 @@
     }
 
     /// Takes out the keys that are gone: what they stood for is known to be closed.
-    pub fn take_gone(&mut self) -> Vec<Key> {
+    pub fn take_removed(&mut self) -> Vec<Key> {
         let gone: Vec<Key> = self
             .records
             .iter()
@@ -204,7 +204,7 @@
     }
 
     /// Bytes of all records.
-    pub fn size(&self) -> usize {
+    pub fn size_bytes(&self) -> usize {
         self.records.values().flatten().map(Vec::len).sum()
     }
 }
--- a/crates/merlinshelf-handover/src/lib.rs
+++ b/crates/merlinshelf-handover/src/lib.rs
@@ -12,7 +12,7 @@
 pub mod records;
 pub mod successor;
 
-pub use flow::{ByteCountMismatch, Flow, Kernel, Reconciliation};
+pub use flow::{ByteCountMismatch, Flow, KernelByteCounts, Reconciliation};
 pub use image::{Image, Key, Transaction};
 pub use messages::{Message, Role, SUPPORTED_FORMATS};
 pub use predecessor::Predecessor;
--- a/crates/merlinshelf-handover/src/predecessor.rs
+++ b/crates/merlinshelf-handover/src/predecessor.rs
@@ -8,7 +8,7 @@
 use std::fmt;
 use std::time::Duration;
 
-use crate::messages::{Message, Moment, form};
+use crate::messages::{Message, MonotonicSeconds, select_format};
 
 /// How long each stage may take. All are the operator's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -16,42 +16,42 @@
     /// From the start of the successor until it is ready, its configuration read.
     pub ready: Duration,
     /// From the freeze until it has taken everything: nobody is served meanwhile.
-    pub taken: Duration,
+    pub takeover: Duration,
     /// How long it is watched after it took over.
-    pub watched: Duration,
+    pub probation: Duration,
     /// A successor whose main loop does not turn for so long hangs.
-    pub silent: Duration,
+    pub heartbeat: Duration,
 }
 
 /// What the host is to do, in this order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start the successor's process; reported by `started` or `not_started`.
-    Start,
+    StartSuccessor,
     /// Say something to it.
-    Say(Message),
+    Send(Message),
     /// Stop serving and make the image; reported by `frozen` or `not_frozen`.
     Freeze,
     /// Hand over image and descriptors; reported by `passed` or `not_passed`.
-    Pass,
+    Transfer,
     /// Give up what only the owner may hold: the successor serves from now on.
-    Yield,
+    ReleaseOwnership,
     /// Kill the successor; reported by `died`.
-    Kill,
+    KillSuccessor,
     /// Serve again from the image as it was frozen.
     Resume,
     /// Serve again from the image and all that the dead successor noted.
-    TakeBack,
+    Recover,
     /// Tell who asked how it stands.
-    Tell(Progress),
+    Report(Progress),
     /// The notice to leave is heeded by this process itself.
-    LeaveNow { stop: Moment },
+    Drain { deadline: MonotonicSeconds },
     /// The configuration is read anew by this process itself.
-    ReloadNow,
+    Reload,
     /// End this process: the successor has everything.
-    End,
+    Exit,
     /// End this process as the successor did, which was told to leave.
-    EndAs { status: i32 },
+    ExitWithStatus { status: i32 },
 }
 
 /// How an upgrade stands, for who asked for it.
@@ -59,14 +59,14 @@
 pub enum Progress {
     Starting,
     Ready,
-    TookOver,
-    Done,
+    Activated,
+    Completed,
     /// Turned down before anything was touched.
-    Refused(String),
+    Rejected(String),
     /// Given up before the successor took over; nothing was lost.
-    GivenUp(String),
+    Aborted(String),
     /// The successor failed after it took over, and everything was taken back.
-    TakenBack(String),
+    Recovered(String),
 }
 
 impl fmt::Display for Progress {
@@ -74,21 +74,21 @@
         match self {
             Progress::Starting => out.write_str("the successor starts"),
             Progress::Ready => out.write_str("the successor is ready"),
-            Progress::TookOver => out.write_str("the successor serves and is watched"),
-            Progress::Done => out.write_str("done"),
-            Progress::Refused(why) => write!(out, "refused: {why}"),
-            Progress::GivenUp(why) => write!(out, "given up before the take-over: {why}"),
-            Progress::TakenBack(why) => write!(out, "taken back: {why}"),
+            Progress::Activated => out.write_str("the successor serves and is watched"),
+            Progress::Completed => out.write_str("done"),
+            Progress::Rejected(why) => write!(out, "refused: {why}"),
+            Progress::Aborted(why) => write!(out, "given up before the take-over: {why}"),
+            Progress::Recovered(why) => write!(out, "taken back: {why}"),
         }
     }
 }
 
 impl Progress {
     /// Whether nothing more follows.
-    pub fn is_last(&self) -> bool {
+    pub fn is_final(&self) -> bool {
         !matches!(
             self,
-            Progress::Starting | Progress::Ready | Progress::TookOver
+            Progress::Starting | Progress::Ready | Progress::Activated
         )
     }
 }
@@ -116,7 +116,7 @@
     Watching {
         heard: Duration,
         since: Duration,
-        leaves: Option<Moment>,
+        leaves: Option<MonotonicSeconds>,
     },
     /// The successor was killed and is waited for: why, and from where to go on.
     Killing {
@@ -144,7 +144,7 @@
     patience: StageTimeouts,
     state: State,
     /// The notice to leave, where it came while this process could not heed it.
-    leave: Option<Moment>,
+    leave: Option<MonotonicSeconds>,
     reload: bool,
     steps: VecDeque<Action>,
 }
@@ -161,26 +161,26 @@
     }
 
     /// The next thing to do, if there is one.
-    pub fn next_step(&mut self) -> Option<Action> {
+    pub fn poll_action(&mut self) -> Option<Action> {
         self.steps.pop_front()
     }
 
     /// When it wants to be woken though nothing happens.
-    pub fn wake_at(&self) -> Option<Duration> {
+    pub fn next_timeout(&self) -> Option<Duration> {
         match &self.state {
             State::Starting { until, .. }
             | State::Freezing { until }
             | State::Passing { until }
             | State::Taking { until } => Some(*until),
             State::Watching { heard, since, .. } => {
-                Some((*heard + self.patience.silent).min(*since + self.watched_most()))
+                Some((*heard + self.patience.heartbeat).min(*since + self.watched_most()))
             }
             State::Serving | State::Killing { .. } | State::Ended => None,
         }
     }
 
     /// Whether this process may touch connections, engine and catalogue.
-    pub fn owns(&self) -> bool {
+    pub fn is_owner(&self) -> bool {
         match &self.state {
             State::Serving
             | State::Starting { .. }
@@ -193,7 +193,7 @@
     }
 
     /// Whether this process serves: it owns all and nothing is frozen.
-    pub fn serves(&self) -> bool {
+    pub fn is_serving(&self) -> bool {
         matches!(
             self.state,
             State::Serving
@@ -206,12 +206,12 @@
     }
 
     /// Whether an upgrade is under way.
-    pub fn is_busy(&self) -> bool {
+    pub fn has_upgrade_in_progress(&self) -> bool {
         self.state != State::Serving
     }
 
     /// The state in one word, for reports.
-    pub fn name(&self) -> &'static str {
+    pub fn state_name(&self) -> &'static str {
         match &self.state {
             State::Serving => "serving",
             State::Starting { greeted: false, .. } => "starting",
@@ -226,7 +226,7 @@
     }
 
     /// An upgrade is asked for. `lacking` says why there is no room for two processes, where there is none.
-    pub fn upgrade(&mut self, now: Duration, lacking: Option<String>) {
+    pub fn start_upgrade(&mut self, now: Duration, lacking: Option<String>) {
         let refusal = match (&self.state, self.leave, lacking) {
             (State::Serving, None, None) => None,
             (State::Serving, None, Some(lacking)) => Some(lacking),
@@ -234,131 +234,139 @@
             _ => Some("an upgrade is under way".to_owned()),
         };
         if let Some(why) = refusal {
-            return self.tell(Progress::Refused(why));
+            return self.tell(Progress::Rejected(why));
         }
         self.state = State::Starting {
             greeted: false,
             until: now + self.patience.ready,
         };
         self.tell(Progress::Starting);
-        self.steps.push_back(Action::Start);
+        self.steps.push_back(Action::StartSuccessor);
     }
 
     /// The successor's process could not be started.
-    pub fn not_started(&mut self, why: &str) {
+    pub fn start_failed(&mut self, why: &str) {
         if matches!(self.state, State::Starting { .. }) {
             self.state = State::Serving;
-            self.tell(Progress::GivenUp(why.to_owned()));
+            self.tell(Progress::Aborted(why.to_owned()));
         }
     }
 
     /// The successor said something.
-    pub fn heard(&mut self, now: Duration, word: Message) {
+    pub fn handle_message(&mut self, now: Duration, word: Message) {
         match (&mut self.state, word) {
-            (State::Starting { greeted, until: _ }, Message::Hello { forms, program })
-                if !*greeted =>
-            {
-                match form(&forms) {
-                    Some(form) => {
-                        *greeted = true;
-                        self.steps.push_back(Action::Say(Message::Form { form }));
-                    }
-                    None => self.fail(
-                        format!("{program} speaks only forms {forms:?}"),
-                        Held::Service,
-                    ),
+            (
+                State::Starting { greeted, until: _ },
+                Message::Hello {
+                    format_versions: forms,
+                    program,
+                },
+            ) if !*greeted => match select_format(&forms) {
+                Some(version) => {
+                    *greeted = true;
+                    self.steps
+                        .push_back(Action::Send(Message::FormatSelected { version }));
                 }
-            }
+                None => self.fail(
+                    format!("{program} speaks only forms {forms:?}"),
+                    Held::Service,
+                ),
+            },
             (State::Starting { greeted: true, .. }, Message::Ready) => {
                 self.state = State::Freezing {
-                    until: now + self.patience.taken,
+                    until: now + self.patience.takeover,
                 };
                 self.tell(Progress::Ready);
                 self.steps.push_back(Action::Freeze);
             }
-            (State::Taking { .. }, Message::Taken) => {
+            (State::Taking { .. }, Message::Restored) => {
                 self.state = State::Watching {
                     heard: now,
                     since: now,
                     leaves: None,
                 };
-                self.steps.extend([Action::Yield, Action::Say(Message::Go)]);
-                self.tell(Progress::TookOver);
+                self.steps
+                    .extend([Action::ReleaseOwnership, Action::Send(Message::Activate)]);
+                self.tell(Progress::Activated);
                 if let Some(stop) = self.leave {
                     self.pass_on_leave(stop);
                 }
                 if std::mem::take(&mut self.reload) {
-                    self.steps.push_back(Action::Say(Message::Reload));
+                    self.steps.push_back(Action::Send(Message::Reload));
                 }
             }
-            (State::Watching { heard, .. }, Message::Beat | Message::Opened { .. }) => *heard = now,
-            (State::Watching { heard, leaves, .. }, Message::Leaves { stop }) => {
+            (
+                State::Watching { heard, .. },
+                Message::Heartbeat | Message::ConnectionOpened { .. },
+            ) => *heard = now,
+            (State::Watching { heard, leaves, .. }, Message::Draining { deadline: stop }) => {
                 *heard = now;
                 // The first notice counts.
                 let stop = leaves.map_or(stop, |known: f64| known.min(stop));
                 *leaves = Some(stop);
                 self.leave = Some(stop);
             }
-            (State::Watching { leaves: None, .. }, Message::Steady) => {
+            (State::Watching { leaves: None, .. }, Message::ProbationCompleted) => {
                 self.state = State::Ended;
-                self.steps.push_back(Action::Say(Message::Released));
-                self.tell(Progress::Done);
-                self.steps.push_back(Action::End);
+                self.steps.push_back(Action::Send(Message::Released));
+                self.tell(Progress::Completed);
+                self.steps.push_back(Action::Exit);
             }
             // This process was asleep; nothing here can be gone on with.
-            (State::Watching { .. }, Message::Unwatched) => {
+            (State::Watching { .. }, Message::Detached) => {
                 self.state = State::Ended;
-                self.tell(Progress::Done);
-                self.steps.push_back(Action::End);
+                self.tell(Progress::Completed);
+                self.steps.push_back(Action::Exit);
             }
             // One that leaves is watched to its end.
-            (State::Watching { heard, .. }, Message::Steady) => *heard = now,
-            (_, Message::Refuse { why }) => self.failed(why),
+            (State::Watching { heard, .. }, Message::ProbationCompleted) => *heard = now,
+            (_, Message::Declined { reason: why }) => self.failed(why),
             // Late, doubled or out of place: it says nothing that counts now.
             _ => {}
         }
     }
 
     /// The image is made.
-    pub fn frozen(&mut self, now: Duration) {
+    pub fn freeze_completed(&mut self, now: Duration) {
         if let State::Freezing { until } = self.state {
             if now >= until {
                 return self.fail("freezing took too long".into(), Held::Frozen);
             }
             self.state = State::Passing { until };
-            self.steps.push_back(Action::Pass);
+            self.steps.push_back(Action::Transfer);
         }
     }
 
     /// It could not be made; service goes on.
-    pub fn not_frozen(&mut self, why: &str) {
+    pub fn freeze_failed(&mut self, why: &str) {
         if matches!(self.state, State::Freezing { .. }) {
             self.fail(why.to_owned(), Held::Frozen);
         }
     }
 
     /// Image and descriptors were handed over.
-    pub fn passed(&mut self, count: usize) {
+    pub fn transfer_completed(&mut self, count: usize) {
         if let State::Passing { until } = self.state {
             self.state = State::Taking { until };
-            self.steps.push_back(Action::Say(Message::Passed { count }));
+            self.steps
+                .push_back(Action::Send(Message::TransferCompleted { count }));
         }
     }
 
-    pub fn not_passed(&mut self, why: &str) {
+    pub fn transfer_failed(&mut self, why: &str) {
         if matches!(self.state, State::Passing { .. }) {
             self.fail(why.to_owned(), Held::Frozen);
         }
     }
 
     /// The channel to the successor is broken: it has ended or is about to.
-    pub fn cut_off(&mut self, why: &str) {
+    pub fn channel_failed(&mut self, why: &str) {
         self.failed(why.to_owned());
     }
 
     /// The successor's process has ended, by itself or killed; seen in the process table, so that it touches nothing
     /// any more.
-    pub fn died(&mut self, status: Option<i32>) {
+    pub fn successor_exited(&mut self, status: Option<i32>) {
         let ended = match status {
             Some(status) => format!("the successor ended with status {status}"),
             None => "the successor was killed".to_owned(),
@@ -366,56 +374,56 @@
         match std::mem::replace(&mut self.state, State::Serving) {
             State::Ended => self.state = State::Ended,
             State::Serving => {}
-            State::Starting { .. } => self.tell(Progress::GivenUp(ended)),
+            State::Starting { .. } => self.tell(Progress::Aborted(ended)),
             State::Freezing { .. } | State::Passing { .. } | State::Taking { .. } => {
                 self.steps.push_back(Action::Resume);
-                self.tell(Progress::GivenUp(ended));
+                self.tell(Progress::Aborted(ended));
             }
             // It was told to leave, and did as it was told.
             State::Watching {
                 leaves: Some(_), ..
             } if status == Some(0) => {
                 self.state = State::Ended;
-                self.tell(Progress::Done);
-                self.steps.push_back(Action::EndAs { status: 0 });
+                self.tell(Progress::Completed);
+                self.steps.push_back(Action::ExitWithStatus { status: 0 });
             }
             State::Watching { .. } => {
-                self.steps.push_back(Action::TakeBack);
-                self.tell(Progress::TakenBack(ended));
+                self.steps.push_back(Action::Recover);
+                self.tell(Progress::Recovered(ended));
             }
             State::Killing { why, held } => match held {
-                Held::Service => self.tell(Progress::GivenUp(why)),
+                Held::Service => self.tell(Progress::Aborted(why)),
                 Held::Frozen => {
                     self.steps.push_back(Action::Resume);
-                    self.tell(Progress::GivenUp(why));
+                    self.tell(Progress::Aborted(why));
                 }
                 Held::Copies => {
-                    self.steps.push_back(Action::TakeBack);
-                    self.tell(Progress::TakenBack(why));
+                    self.steps.push_back(Action::Recover);
+                    self.tell(Progress::Recovered(why));
                 }
             },
         }
         if self.state == State::Serving {
             if let Some(stop) = self.leave {
-                self.steps.push_back(Action::LeaveNow { stop });
+                self.steps.push_back(Action::Drain { deadline: stop });
             }
             if std::mem::take(&mut self.reload) {
-                self.steps.push_back(Action::ReloadNow);
+                self.steps.push_back(Action::Reload);
             }
         }
     }
 
     /// The notice to leave came to this process, which must be gone by then. The first one counts.
-    pub fn leave(&mut self, stop: Moment) {
+    pub fn drain(&mut self, stop: MonotonicSeconds) {
         if self.leave.is_some() {
             return;
         }
         self.leave = Some(stop);
         match &self.state {
-            State::Serving => self.steps.push_back(Action::LeaveNow { stop }),
+            State::Serving => self.steps.push_back(Action::Drain { deadline: stop }),
             State::Starting { .. } => {
                 self.fail("the notice to leave came".into(), Held::Service);
-                self.steps.push_back(Action::LeaveNow { stop });
+                self.steps.push_back(Action::Drain { deadline: stop });
             }
             State::Freezing { .. } | State::Passing { .. } | State::Taking { .. } => {
                 self.fail("the notice to leave came".into(), Held::Frozen);
@@ -424,15 +432,16 @@
             State::Killing {
                 held: Held::Service,
                 ..
-            } => self.steps.push_back(Action::LeaveNow { stop }),
+            } => self.steps.push_back(Action::Drain { deadline: stop }),
             State::Killing { .. } | State::Ended => {}
         }
     }
 
-    fn pass_on_leave(&mut self, stop: Moment) {
+    fn pass_on_leave(&mut self, stop: MonotonicSeconds) {
         if let State::Watching { leaves, .. } = &mut self.state {
             *leaves = Some(stop);
-            self.steps.push_back(Action::Say(Message::Leave { stop }));
+            self.steps
+                .push_back(Action::Send(Message::Drain { deadline: stop }));
         }
     }
 
@@ -445,9 +454,9 @@
                 held: Held::Service,
                 ..
             } => {
-                self.steps.push_back(Action::ReloadNow);
+                self.steps.push_back(Action::Reload);
             }
-            State::Watching { .. } => self.steps.push_back(Action::Say(Message::Reload)),
+            State::Watching { .. } => self.steps.push_back(Action::Send(Message::Reload)),
             State::Freezing { .. }
             | State::Passing { .. }
             | State::Taking { .. }
@@ -457,8 +466,8 @@
     }
 
     /// A moment that it asked for has come.
-    pub fn woken(&mut self, now: Duration) {
-        let due = self.wake_at().is_some_and(|at| now >= at);
+    pub fn handle_timeout(&mut self, now: Duration) {
+        let due = self.next_timeout().is_some_and(|at| now >= at);
         if !due {
             return;
         }
@@ -476,7 +485,7 @@
                 );
             }
             State::Watching { heard, .. } => {
-                let why = if now >= *heard + self.patience.silent {
+                let why = if now >= *heard + self.patience.heartbeat {
                     "the successor hangs"
                 } else {
                     "the successor does not become steady"
@@ -493,7 +502,7 @@
             State::Watching {
                 leaves: Some(_), ..
             } => Duration::from_secs(24 * 3600),
-            _ => self.patience.watched * 2 + self.patience.silent,
+            _ => self.patience.probation * 2 + self.patience.heartbeat,
         }
     }
 
@@ -512,10 +521,10 @@
     /// It must be gone before anything else happens.
     fn fail(&mut self, why: String, held: Held) {
         self.state = State::Killing { why, held };
-        self.steps.push_back(Action::Kill);
+        self.steps.push_back(Action::KillSuccessor);
     }
 
     fn tell(&mut self, progress: Progress) {
-        self.steps.push_back(Action::Tell(progress));
+        self.steps.push_back(Action::Report(progress));
     }
 }
--- a/crates/merlinshelf-handover/src/records.rs
+++ b/crates/merlinshelf-handover/src/records.rs
@@ -14,28 +14,36 @@
 #[serde(default)]
 pub struct Instance {
     /// The module's clock less the monotonic one.
-    pub clock: f64,
+    #[serde(rename = "clock")]
+    pub clock_offset_seconds: f64,
     /// The operations by name, in the order in which invocations number them.
     pub operations: Vec<String>,
     pub next_stream: u64,
-    pub healthy: bool,
+    #[serde(rename = "healthy")]
+    pub is_healthy: bool,
     /// Idle time after which connections close, seconds.
-    pub trim_after: f64,
+    #[serde(rename = "trim_after")]
+    pub idle_timeout_seconds: f64,
     /// When the process must be gone, once it leaves.
-    pub stop: Option<f64>,
+    #[serde(rename = "stop")]
+    pub drain_deadline_at: Option<f64>,
     /// What the engine said of its start, other than the settings.
     pub fresh_start: Option<String>,
     /// By operation, whether a run was ever seen to make more than one call.
-    pub calls_again: Vec<bool>,
+    #[serde(rename = "calls_again")]
+    pub repeats_calls: Vec<bool>,
     pub counters: BTreeMap<String, u64>,
     /// None while the engine was never up.
-    pub learnt: Option<LearnedState>,
-    /// What is known of the servers behind and from whom, in the form of its file (`merlinshelf-gossip`).
-    pub knowledge: ByteBuf,
+    #[serde(rename = "learnt")]
+    pub learned: Option<LearnedState>,
+    /// What is known of the servers behind and from whom, in the format of its file (`merlinshelf-gossip`).
+    #[serde(rename = "knowledge")]
+    pub gossip: ByteBuf,
     /// The lease on a policy and the documents (`merlinshelf-policy`), for a successor alone: empty in what is noted.
     pub policy: ByteBuf,
     /// What is held of the fleet's budgets (`merlinshelf-quota`), for a successor alone as well.
-    pub shares: ByteBuf,
+    #[serde(rename = "shares")]
+    pub quota: ByteBuf,
 }
 
 /// The engine's link.
@@ -46,16 +54,23 @@
     pub stream: Option<u64>,
     pub address: String,
     /// The number of the last notice that was read.
-    pub last: u64,
+    #[serde(rename = "last")]
+    pub last_notification: u64,
     /// The last question asked, and whether its answer is awaited.
-    pub tag: u64,
-    pub asked: bool,
-    pub hello: bool,
-    pub caught_up: bool,
+    #[serde(rename = "tag")]
+    pub last_request_tag: u64,
+    #[serde(rename = "asked")]
+    pub is_request_pending: bool,
+    #[serde(rename = "hello")]
+    pub is_greeted: bool,
+    #[serde(rename = "caught_up")]
+    pub is_caught_up: bool,
     /// Calls may name their dependency.
-    pub names: bool,
+    #[serde(rename = "names")]
+    pub names_dependencies: bool,
     /// When the engine was started, monotonic seconds.
-    pub born: Option<f64>,
+    #[serde(rename = "born")]
+    pub engine_started_at: Option<f64>,
     pub flow: Flow,
 }
 
@@ -64,9 +79,11 @@
 #[serde(default)]
 pub struct Partial {
     pub tag: u16,
-    pub keep: bool,
+    #[serde(rename = "keep")]
+    pub keeps_connection: bool,
     pub params: ByteBuf,
-    pub params_done: bool,
+    #[serde(rename = "params_done")]
+    pub has_all_params: bool,
     pub body: ByteBuf,
 }
 
@@ -76,17 +93,24 @@
 pub struct ClientConnectionRecord {
     pub flow: Flow,
     /// The record that has come in part: kind, id, bytes of content and of padding still to come.
-    pub record: (u8, u16, usize, usize),
+    #[serde(rename = "record")]
+    pub partial_record: (u8, u16, usize, usize),
     /// What it speaks: 0 FastCGI, 1 uwsgi, 2 nothing yet.
-    pub front: u8,
+    #[serde(rename = "front")]
+    pub protocol: u8,
     pub partials: Vec<Partial>,
     /// Read and not answered yet: its tag, and whether the connection is kept after it.
-    pub open: Vec<(u16, bool)>,
-    pub astray: usize,
+    #[serde(rename = "open")]
+    pub unanswered: Vec<(u16, bool)>,
+    #[serde(rename = "astray")]
+    pub unassigned_bytes: usize,
     pub faults: u32,
-    pub said: u8,
-    pub read_closed: bool,
-    pub last_word: bool,
+    #[serde(rename = "said")]
+    pub received_kind: u8,
+    #[serde(rename = "read_closed")]
+    pub is_read_closed: bool,
+    #[serde(rename = "last_word")]
+    pub closes_after_write: bool,
 }
 
 /// A final answer on its way to a connection.
@@ -96,8 +120,10 @@
     /// Succeeded without these parts.
     Partial(ByteBuf, String),
     Throttled {
-        away: f64,
-        last: bool,
+        #[serde(rename = "away")]
+        retry_after_seconds: f64,
+        #[serde(rename = "last")]
+        forbids_failover: bool,
     },
     Errored,
     Unknown,
@@ -115,11 +141,14 @@
 #[serde(default)]
 pub struct DownstreamConnectionRecord {
     pub address: String,
-    pub id: ByteBuf,
+    #[serde(rename = "id")]
+    pub invocation_id: ByteBuf,
     /// Which call of its invocation it is.
-    pub number: usize,
+    #[serde(rename = "number")]
+    pub call_index: usize,
     /// All invocations whose calls it has carried.
-    pub carried: Vec<ByteBuf>,
+    #[serde(rename = "carried")]
+    pub carried_invocation_ids: Vec<ByteBuf>,
     pub flow: Flow,
 }
 
@@ -138,21 +167,32 @@
     pub operation: usize,
     pub body: ByteBuf,
     /// The connection and the tag there that wait for its answer.
-    pub reply: Option<(u64, u16)>,
+    #[serde(rename = "reply")]
+    pub response_target: Option<(u64, u16)>,
     /// The last notice that asked for a call: its number and the call's body.
-    pub need: Option<(u64, ByteBuf)>,
+    #[serde(rename = "need")]
+    pub call_notification: Option<(u64, ByteBuf)>,
     /// The dependency that the last notice named, how many calls its run has wanted, and the parts its result is without.
-    pub named: Option<String>,
-    pub wanted: usize,
-    pub missing: Vec<String>,
-    pub calls: usize,
+    #[serde(rename = "named")]
+    pub dependency: Option<String>,
+    #[serde(rename = "wanted")]
+    pub requested_calls: usize,
+    #[serde(rename = "missing")]
+    pub missing_parts: Vec<String>,
+    #[serde(rename = "calls")]
+    pub call_count: usize,
     /// When its open call is given up, monotonic seconds.
-    pub calling_until: Option<f64>,
-    pub begun: bool,
-    pub heard: u64,
+    #[serde(rename = "calling_until")]
+    pub call_deadline_at: Option<f64>,
+    #[serde(rename = "begun")]
+    pub has_started: bool,
+    #[serde(rename = "heard")]
+    pub notification_count: u64,
     /// With the command, whether it was put on the link.
     pub command: Option<(Command, bool)>,
     /// In which order it came.
-    pub place: u64,
-    pub inv: InvocationState,
+    #[serde(rename = "place")]
+    pub arrival_order: u64,
+    #[serde(rename = "inv")]
+    pub state: InvocationState,
 }
--- a/crates/merlinshelf-handover/src/successor.rs
+++ b/crates/merlinshelf-handover/src/successor.rs
@@ -4,7 +4,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use crate::messages::{Message, Moment, SUPPORTED_FORMATS};
+use crate::messages::{Message, MonotonicSeconds, SUPPORTED_FORMATS};
 
 /// Between two words that its main loop turns.
 const BEAT: Duration = Duration::from_millis(50);
@@ -15,21 +15,21 @@
 /// What the host is to do, in this order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    Say(Message),
+    Send(Message),
     /// Make all live that was passed, touching nothing yet; reported by `taken` or `not_taken`.
-    Take,
+    Restore,
     /// Serve, and note every change before it shows.
-    Serve,
+    Activate,
     /// Nothing needs to be noted any more.
-    Free,
+    StopRecording,
     /// Leave by then.
-    Leave {
-        stop: Moment,
+    Drain {
+        deadline: MonotonicSeconds,
     },
     Reload,
     /// End without having touched anything.
-    End {
-        why: String,
+    Exit {
+        reason: String,
     },
 }
 
@@ -67,22 +67,22 @@
 impl Successor {
     pub fn new(watched: Duration, program: &str) -> Successor {
         let hello = Message::Hello {
-            forms: SUPPORTED_FORMATS.to_vec(),
+            format_versions: SUPPORTED_FORMATS.to_vec(),
             program: program.to_owned(),
         };
         Successor {
             watched,
             state: State::Greeting,
             leaves: false,
-            steps: VecDeque::from([Action::Say(hello)]),
+            steps: VecDeque::from([Action::Send(hello)]),
         }
     }
 
-    pub fn next_step(&mut self) -> Option<Action> {
+    pub fn poll_action(&mut self) -> Option<Action> {
         self.steps.pop_front()
     }
 
-    pub fn wake_at(&self) -> Option<Duration> {
+    pub fn next_timeout(&self) -> Option<Duration> {
         match self.state {
             State::Watched { beat, .. } => Some(beat + BEAT),
             _ => None,
@@ -90,52 +90,54 @@
     }
 
     /// Whether this process may touch connections, engine and catalogue.
-    pub fn owns(&self) -> bool {
+    pub fn is_owner(&self) -> bool {
         matches!(self.state, State::Watched { .. } | State::Free)
     }
 
     /// Whether changes must be noted before they show.
-    pub fn notes(&self) -> bool {
+    pub fn is_recording(&self) -> bool {
         matches!(self.state, State::Watched { .. })
     }
 
     /// It can't take over.
-    pub fn refuse(&mut self, why: &str) {
-        if !self.owns() {
+    pub fn decline(&mut self, why: &str) {
+        if !self.is_owner() {
             self.state = State::Ended;
-            self.steps.push_back(Action::Say(Message::Refuse {
-                why: why.to_owned(),
+            self.steps.push_back(Action::Send(Message::Declined {
+                reason: why.to_owned(),
             }));
-            self.steps.push_back(Action::End {
-                why: why.to_owned(),
+            self.steps.push_back(Action::Exit {
+                reason: why.to_owned(),
             });
         }
     }
 
-    pub fn heard(&mut self, now: Duration, word: Message) {
+    pub fn handle_message(&mut self, now: Duration, word: Message) {
         match (&mut self.state, word) {
-            (State::Greeting, Message::Form { form }) if SUPPORTED_FORMATS.contains(&form) => {
+            (State::Greeting, Message::FormatSelected { version })
+                if SUPPORTED_FORMATS.contains(&version) =>
+            {
                 self.state = State::Receiving { come: 0 };
-                self.steps.push_back(Action::Say(Message::Ready));
+                self.steps.push_back(Action::Send(Message::Ready));
             }
-            (State::Greeting, Message::Form { form }) => {
-                self.refuse(&format!("form {form} is not spoken here"));
+            (State::Greeting, Message::FormatSelected { version }) => {
+                self.decline(&format!("form {version} is not spoken here"));
             }
-            (State::Receiving { come }, Message::Pass { roles }) => *come += roles.len(),
-            (State::Receiving { come }, Message::Passed { count }) => {
+            (State::Receiving { come }, Message::Descriptors { roles }) => *come += roles.len(),
+            (State::Receiving { come }, Message::TransferCompleted { count }) => {
                 if *come == count {
                     self.state = State::Taking { alone: false };
-                    self.steps.push_back(Action::Take);
+                    self.steps.push_back(Action::Restore);
                 } else {
                     let why = format!("{come} of {count} descriptors have come");
-                    self.refuse(&why);
+                    self.decline(&why);
                 }
             }
-            (State::Waiting, Message::Go) => self.serve(now),
+            (State::Waiting, Message::Activate) => self.serve(now),
             (State::Watched { .. }, Message::Released) => self.free(),
-            (State::Watched { .. }, Message::Leave { stop }) if !self.leaves => {
+            (State::Watched { .. }, Message::Drain { deadline: stop }) if !self.leaves => {
                 self.leaves = true;
-                self.steps.push_back(Action::Leave { stop });
+                self.steps.push_back(Action::Drain { deadline: stop });
             }
             (State::Watched { .. }, Message::Reload) => self.steps.push_back(Action::Reload),
             _ => {}
@@ -143,24 +145,24 @@
     }
 
     /// All that was passed is live.
-    pub fn taken(&mut self, now: Duration) {
+    pub fn restore_completed(&mut self, now: Duration) {
         if let State::Taking { alone } = self.state {
             self.state = State::Waiting;
             if alone {
-                return self.alone(now);
+                return self.predecessor_exited(now);
             }
-            self.steps.push_back(Action::Say(Message::Taken));
+            self.steps.push_back(Action::Send(Message::Restored));
         }
     }
 
-    pub fn not_taken(&mut self, why: &str) {
+    pub fn restore_failed(&mut self, why: &str) {
         if matches!(self.state, State::Taking { .. }) {
-            self.refuse(why);
+            self.decline(why);
         }
     }
 
     /// The old process is gone: seen by the end of the channel, which it closes in no other way before `Released`.
-    pub fn alone(&mut self, now: Duration) {
+    pub fn predecessor_exited(&mut self, now: Duration) {
         match self.state {
             // All is here, and nobody else can serve it.
             State::Waiting => {
@@ -173,8 +175,8 @@
             State::Taking { .. } => self.state = State::Taking { alone: true },
             State::Greeting | State::Receiving { .. } => {
                 self.state = State::Ended;
-                self.steps.push_back(Action::End {
-                    why: "the old process is gone".into(),
+                self.steps.push_back(Action::Exit {
+                    reason: "the old process is gone".into(),
                 });
             }
         }
@@ -182,17 +184,18 @@
 
     /// This process itself was told to leave. The one who watches hears of it before anything else does: whoever saw this
     /// process leave finds it leaving after its death, too.
-    pub fn left(&mut self, stop: Moment) {
-        if !self.leaves && self.owns() {
+    pub fn drain(&mut self, stop: MonotonicSeconds) {
+        if !self.leaves && self.is_owner() {
             self.leaves = true;
             if matches!(self.state, State::Watched { .. }) {
-                self.steps.push_back(Action::Say(Message::Leaves { stop }));
+                self.steps
+                    .push_back(Action::Send(Message::Draining { deadline: stop }));
             }
-            self.steps.push_back(Action::Leave { stop });
+            self.steps.push_back(Action::Drain { deadline: stop });
         }
     }
 
-    pub fn woken(&mut self, now: Duration) {
+    pub fn handle_timeout(&mut self, now: Duration) {
         if let State::Watched {
             since,
             beat,
@@ -204,22 +207,22 @@
             }
             *beat = now;
             if now >= *since + self.watched + RELEASED_WITHIN && !self.leaves {
-                return self.unread();
+                return self.detach();
             }
             let word = if now >= *since + self.watched && !*steady && !self.leaves {
                 *steady = true;
-                Message::Steady
+                Message::ProbationCompleted
             } else {
-                Message::Beat
+                Message::Heartbeat
             };
-            self.steps.push_back(Action::Say(word));
+            self.steps.push_back(Action::Send(word));
         }
     }
 
     /// Nobody reads its notes any more: it goes on alone.
-    pub fn unread(&mut self) {
-        if self.notes() {
-            self.steps.push_back(Action::Say(Message::Unwatched));
+    pub fn detach(&mut self) {
+        if self.is_recording() {
+            self.steps.push_back(Action::Send(Message::Detached));
             self.free();
         }
     }
@@ -230,11 +233,11 @@
             beat: now,
             steady: false,
         };
-        self.steps.push_back(Action::Serve);
+        self.steps.push_back(Action::Activate);
     }
 
     fn free(&mut self) {
         self.state = State::Free;
-        self.steps.push_back(Action::Free);
+        self.steps.push_back(Action::StopRecording);
     }
 }
--- a/crates/merlinshelf-handover/tests/golden.rs
+++ b/crates/merlinshelf-handover/tests/golden.rs
@@ -25,10 +25,10 @@
 
 fn flow(name: &str, first: u64) -> Flow {
     Flow {
-        taken: first,
-        given: first + 1,
-        coming: format!("{name} coming").into_bytes(),
-        going: format!("{name} going").into_bytes(),
+        read_bytes: first,
+        written_bytes: first + 1,
+        read_buffer: format!("{name} coming").into_bytes(),
+        write_buffer: format!("{name} going").into_bytes(),
     }
 }
 
@@ -68,19 +68,19 @@
 
 fn instance() -> Instance {
     Instance {
-        clock: -1234.5,
+        clock_offset_seconds: -1234.5,
         operations: vec!["thumbnail".into(), "transcript-search".into()],
         next_stream: 70_001,
-        healthy: true,
-        trim_after: 29.5,
-        stop: Some(5678.25),
+        is_healthy: true,
+        idle_timeout_seconds: 29.5,
+        drain_deadline_at: Some(5678.25),
         fresh_start: Some("true".into()),
-        calls_again: vec![true, false, true],
+        repeats_calls: vec![true, false, true],
         counters: BTreeMap::from([("connections".into(), 71), ("runs".into(), 72)]),
-        learnt: Some(learned_state()),
-        knowledge: bytes("the store of observations"),
+        learned: Some(learned_state()),
+        gossip: bytes("the store of observations"),
         policy: bytes("the lease on a policy"),
-        shares: bytes("the shares of budgets"),
+        quota: bytes("the shares of budgets"),
     }
 }
 
@@ -88,13 +88,13 @@
     EngineConnectionRecord {
         stream: Some(81),
         address: "127.0.0.1:9300".into(),
-        last: 82,
-        tag: 83,
-        asked: true,
-        hello: true,
-        caught_up: true,
-        names: true,
-        born: Some(84.5),
+        last_notification: 82,
+        last_request_tag: 83,
+        is_request_pending: true,
+        is_greeted: true,
+        is_caught_up: true,
+        names_dependencies: true,
+        engine_started_at: Some(84.5),
         flow: flow("link", 85),
     }
 }
@@ -102,30 +102,30 @@
 fn edge() -> ClientConnectionRecord {
     ClientConnectionRecord {
         flow: flow("edge", 91),
-        record: (93, 94, 95, 96),
-        front: 2,
+        partial_record: (93, 94, 95, 96),
+        protocol: 2,
         partials: vec![
             Partial {
                 tag: 97,
-                keep: true,
+                keeps_connection: true,
                 params: bytes("first params"),
-                params_done: true,
+                has_all_params: true,
                 body: bytes("first body"),
             },
             Partial {
                 tag: 98,
-                keep: false,
+                keeps_connection: false,
                 params: bytes("second params"),
-                params_done: false,
+                has_all_params: false,
                 body: bytes("second body"),
             },
         ],
-        open: vec![(99, true), (100, false)],
-        astray: 101,
+        unanswered: vec![(99, true), (100, false)],
+        unassigned_bytes: 101,
         faults: 102,
-        said: 103,
-        read_closed: true,
-        last_word: true,
+        received_kind: 103,
+        is_read_closed: true,
+        closes_after_write: true,
     }
 }
 
@@ -141,15 +141,15 @@
             (
                 113,
                 Answer::Throttled {
-                    away: 0.75,
-                    last: true,
+                    retry_after_seconds: 0.75,
+                    forbids_failover: true,
                 },
             ),
             (
                 114,
                 Answer::Throttled {
-                    away: 1.5,
-                    last: false,
+                    retry_after_seconds: 1.5,
+                    forbids_failover: false,
                 },
             ),
             (115, Answer::Errored),
@@ -161,9 +161,9 @@
 fn line() -> DownstreamConnectionRecord {
     DownstreamConnectionRecord {
         address: "127.0.0.1:5432".into(),
-        id: bytes("9b1f03aa5c7e2d41"),
-        number: 121,
-        carried: vec![bytes("9b1f03aa5c7e2d42"), bytes("9b1f03aa5c7e2d43")],
+        invocation_id: bytes("9b1f03aa5c7e2d41"),
+        call_index: 121,
+        carried_invocation_ids: vec![bytes("9b1f03aa5c7e2d42"), bytes("9b1f03aa5c7e2d43")],
         flow: flow("line", 122),
     }
 }
@@ -172,18 +172,18 @@
     Invocation {
         operation: 131,
         body: bytes("body"),
-        reply: Some((132, 133)),
-        need: Some((134, bytes("body of a call"))),
-        named: Some("thumbs-2".into()),
-        wanted: 135,
-        missing: vec!["captions".into(), "chapters".into()],
-        calls: 136,
-        calling_until: Some(137.5),
-        begun: true,
-        heard: 138,
+        response_target: Some((132, 133)),
+        call_notification: Some((134, bytes("body of a call"))),
+        dependency: Some("thumbs-2".into()),
+        requested_calls: 135,
+        missing_parts: vec!["captions".into(), "chapters".into()],
+        call_count: 136,
+        call_deadline_at: Some(137.5),
+        has_started: true,
+        notification_count: 138,
         command: Some((Command::Feed(bytes("reply of a call")), true)),
-        place: 139,
-        inv: InvocationState {
+        arrival_order: 139,
+        state: InvocationState {
             request: AdmissionInvocation {
                 operation: 140,
                 customer: 141,
@@ -315,7 +315,7 @@
     ];
     let record = |command, stage| Invocation {
         command,
-        inv: InvocationState {
+        state: InvocationState {
             stage,
             ..InvocationState::default()
         },
@@ -388,7 +388,7 @@
     let mut image = image(&golden_file::read("transactions", &written));
     assert_eq!(image.keys().collect::<Vec<_>>(), [kept]);
     assert_eq!(image.get(kept), Some(flow("kept", 167)));
-    assert_eq!(image.take_gone(), keys);
+    assert_eq!(image.take_removed(), keys);
 }
 
 fn encode_datagrams(messages: &[Message]) -> Vec<u8> {
@@ -420,21 +420,21 @@
 fn datagrams_of_the_successor() {
     let messages = vec![
         Message::Hello {
-            forms: vec![1, 174],
+            format_versions: vec![1, 174],
             program: "merlinshelf 0.1.0".into(),
         },
-        Message::Refuse {
-            why: "no room".into(),
+        Message::Declined {
+            reason: "no room".into(),
         },
         Message::Ready,
-        Message::Taken,
-        Message::Opened {
+        Message::Restored,
+        Message::ConnectionOpened {
             role: Role::ClientConnection(175),
         },
-        Message::Beat,
-        Message::Steady,
-        Message::Leaves { stop: 176.5 },
-        Message::Unwatched,
+        Message::Heartbeat,
+        Message::ProbationCompleted,
+        Message::Draining { deadline: 176.5 },
+        Message::Detached,
     ];
     golden_file::assert_form(
         "datagrams_of_successor",
@@ -447,12 +447,12 @@
 #[test]
 fn datagrams_of_the_old_process() {
     let messages = vec![
-        Message::Form { form: 181 },
-        Message::Pass { roles: roles() },
-        Message::Passed { count: 182 },
-        Message::Go,
+        Message::FormatSelected { version: 181 },
+        Message::Descriptors { roles: roles() },
+        Message::TransferCompleted { count: 182 },
+        Message::Activate,
         Message::Released,
-        Message::Leave { stop: 183.5 },
+        Message::Drain { deadline: 183.5 },
         Message::Reload,
     ];
     golden_file::assert_form(
@@ -463,7 +463,7 @@
     );
 }
 
-/// The golden files are of this form; a program that speaks another one needs files of its own beside them.
+/// The golden files are of this format version; a program that speaks another one needs files of its own beside them.
 #[test]
 fn form_of_the_golden_files_is_spoken() {
     assert_eq!(SUPPORTED_FORMATS, [1]);
--- a/crates/merlinshelf-handover/tests/walks.rs
+++ b/crates/merlinshelf-handover/tests/walks.rs
@@ -9,7 +9,8 @@
     Answer, ClientConnectionRecord, Invocation, ResponseQueueRecord,
 };
 use merlinshelf_handover::{
-    ByteCountMismatch, Flow, Image, Kernel, Key, Message, Successor, Transaction, successor,
+    ByteCountMismatch, Flow, Image, KernelByteCounts, Key, Message, Successor, Transaction,
+    successor,
 };
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -20,9 +21,9 @@
 
 const PATIENCE: StageTimeouts = StageTimeouts {
     ready: ms(1000),
-    taken: ms(200),
-    watched: ms(500),
-    silent: ms(300),
+    takeover: ms(200),
+    probation: ms(500),
+    heartbeat: ms(300),
 };
 
 #[derive(Clone, Debug)]
@@ -94,27 +95,29 @@
     }
 
     fn keeper_steps(&mut self) {
-        while let Some(step) = self.old.as_mut().and_then(Predecessor::next_step) {
+        while let Some(step) = self.old.as_mut().and_then(Predecessor::poll_action) {
             let _ = writeln!(self.trace, "{:?} old {step:?}", self.now);
             let (now, Some(old)) = (self.now, &mut self.old) else {
                 return;
             };
             match step {
-                Action::Start => {
-                    self.heir = Some(Successor::new(PATIENCE.watched, "next"));
+                Action::StartSuccessor => {
+                    self.heir = Some(Successor::new(PATIENCE.probation, "next"));
                     (self.ended, self.hangs) = (None, false);
                     self.to_old.clear();
                 }
-                Action::Say(word) => self.to_heir.push_back(word),
+                Action::Send(word) => self.to_heir.push_back(word),
                 Action::Freeze => {
                     assert!(self.old_serves, "frozen without serving\n{}", self.trace);
                     self.old_serves = false;
-                    old.frozen(now);
+                    old.freeze_completed(now);
                 }
-                Action::Pass if std::mem::take(&mut self.transfer_fails) => old.not_passed("torn"),
-                Action::Pass => old.passed(0),
-                Action::Kill => self.end_heir(None),
-                Action::Resume | Action::TakeBack => {
+                Action::Transfer if std::mem::take(&mut self.transfer_fails) => {
+                    old.transfer_failed("torn")
+                }
+                Action::Transfer => old.transfer_completed(0),
+                Action::KillSuccessor => self.end_heir(None),
+                Action::Resume | Action::Recover => {
                     assert!(
                         self.heir.is_none(),
                         "taken up before its end was seen\n{}",
@@ -123,16 +126,16 @@
                     assert!(!self.old_serves, "taken up twice\n{}", self.trace);
                     self.old_serves = true;
                 }
-                Action::LeaveNow { .. } => {
+                Action::Drain { .. } => {
                     assert!(self.old_serves, "leaves without serving\n{}", self.trace);
                     self.left = true;
                 }
-                Action::ReloadNow => assert!(
+                Action::Reload => assert!(
                     self.old_serves,
                     "reads anew without serving\n{}",
                     self.trace
                 ),
-                Action::End | Action::EndAs { .. } => {
+                Action::Exit | Action::ExitWithStatus { .. } => {
                     assert!(!self.old_serves, "ends while it serves\n{}", self.trace);
                     assert!(
                         self.heir.is_some() || self.left,
@@ -141,28 +144,28 @@
                     );
                     self.old = None;
                 }
-                Action::Yield | Action::Tell(_) => {}
+                Action::ReleaseOwnership | Action::Report(_) => {}
             }
         }
     }
 
     fn heir_steps(&mut self) {
         let now = self.now;
-        while let Some(step) = self.heir.as_mut().and_then(Successor::next_step) {
+        while let Some(step) = self.heir.as_mut().and_then(Successor::poll_action) {
             let _ = writeln!(self.trace, "{now:?} new {step:?}");
             let Some(heir) = &mut self.heir else { return };
             match step {
-                successor::Action::Say(word) => self.to_old.push_back(word),
-                successor::Action::Take if std::mem::take(&mut self.taking_fails) => {
-                    heir.not_taken("torn")
+                successor::Action::Send(word) => self.to_old.push_back(word),
+                successor::Action::Restore if std::mem::take(&mut self.taking_fails) => {
+                    heir.restore_failed("torn")
                 }
-                successor::Action::Take => heir.taken(now),
-                successor::Action::Serve => {
+                successor::Action::Restore => heir.restore_completed(now),
+                successor::Action::Activate => {
                     assert!(!self.old_serves, "both serve\n{}", self.trace);
                     self.heir_serves = true;
                 }
-                successor::Action::Leave { .. } => self.left = true,
-                successor::Action::End { .. } => {
+                successor::Action::Drain { .. } => self.left = true,
+                successor::Action::Exit { .. } => {
                     assert!(
                         !self.heir_serves,
                         "ends with everything in hand\n{}",
@@ -170,7 +173,7 @@
                     );
                     self.end_heir(Some(1));
                 }
-                successor::Action::Free | successor::Action::Reload => {}
+                successor::Action::StopRecording | successor::Action::Reload => {}
             }
         }
     }
@@ -184,15 +187,15 @@
                 self.heir_steps();
                 while let Some(word) = self.to_heir.pop_front() {
                     if let Some(heir) = &mut self.heir {
-                        heir.heard(now, word);
+                        heir.handle_message(now, word);
                     }
                     self.heir_steps();
                 }
                 if let Some(heir) = &mut self.heir {
                     if self.old.is_none() {
-                        heir.alone(now);
+                        heir.predecessor_exited(now);
                     }
-                    heir.woken(now);
+                    heir.handle_timeout(now);
                 }
                 self.heir_steps();
                 if self.heir_serves && self.left {
@@ -200,11 +203,13 @@
                 }
             }
             if let Some(old) = &mut self.old {
-                self.to_old.drain(..).for_each(|word| old.heard(now, word));
+                self.to_old
+                    .drain(..)
+                    .for_each(|word| old.handle_message(now, word));
                 if let Some(status) = self.ended.take() {
-                    old.died(status);
+                    old.successor_exited(status);
                 }
-                old.woken(now);
+                old.handle_timeout(now);
             }
             self.keeper_steps();
             if (self.hangs || self.to_heir.is_empty())
@@ -225,7 +230,7 @@
             self.idle_since = None;
         } else {
             let since = *self.idle_since.get_or_insert(self.now);
-            let most = PATIENCE.taken + ms(240); // two turns of the walk's longest
+            let most = PATIENCE.takeover + ms(240); // two turns of the walk's longest
             assert!(
                 self.now - since <= most,
                 "nobody serves since {since:?}\n{}",
@@ -239,14 +244,14 @@
         let now = self.now;
         match (what, &mut self.old, &mut self.heir) {
             (Happens::Turn(passes), ..) => self.now += ms(*passes),
-            (Happens::Upgrade, Some(old), _) => old.upgrade(now, None),
+            (Happens::Upgrade, Some(old), _) => old.start_upgrade(now, None),
             (Happens::SuccessorDies, ..) => self.end_heir(None),
             (Happens::SuccessorHangs, _, Some(_)) => self.hangs = true,
             // Only where somebody can go on: else its end is the end of the service, with or without upgrades.
-            (Happens::OldDies, _, Some(heir)) if heir.owns() && !self.hangs => self.old = None,
-            (Happens::Leave, Some(old), _) => old.leave(70.0),
-            (Happens::SuccessorLeaves, _, Some(heir)) if heir.owns() && !self.hangs => {
-                heir.left(70.0);
+            (Happens::OldDies, _, Some(heir)) if heir.is_owner() && !self.hangs => self.old = None,
+            (Happens::Leave, Some(old), _) => old.drain(70.0),
+            (Happens::SuccessorLeaves, _, Some(heir)) if heir.is_owner() && !self.hangs => {
+                heir.drain(70.0);
                 self.left = true;
             }
             (Happens::Reload, Some(old), _) => old.reload(),
@@ -273,7 +278,7 @@
         let alive = world.old.is_some() || world.heir.is_some();
         let served = world.old_serves || world.heir_serves;
         prop_assert!(!alive || world.left || served, "nobody serves\n{}", world.trace);
-        let busy = world.old.as_ref().is_some_and(Predecessor::is_busy);
+        let busy = world.old.as_ref().is_some_and(Predecessor::has_upgrade_in_progress);
         prop_assert!(!busy || world.left, "an upgrade without an end\n{}", world.trace);
     }
 
@@ -333,26 +338,26 @@
         let written = given + more as u64;
         let acknowledged = acknowledged.min(written);
         let bytes: Vec<u8> = (0..going).map(|at| at as u8).collect();
-        let mut flow = Flow { taken: taken_out + ahead, given, coming: Vec::new(), going: bytes.clone() };
-        let kernel = Kernel {
-            received: came + u64::from(ended),
-            unread: came - taken_out,
-            ended,
-            acknowledged: acknowledged + u64::from(opened_here),
-            unacknowledged: written - acknowledged,
-            opened_here,
+        let mut flow = Flow { read_bytes: taken_out + ahead, written_bytes: given, read_buffer: Vec::new(), write_buffer: bytes.clone() };
+        let kernel = KernelByteCounts {
+            received_bytes: came + u64::from(ended),
+            unread_bytes: came - taken_out,
+            is_closed_by_peer: ended,
+            acknowledged_bytes: acknowledged + u64::from(opened_here),
+            unacknowledged_bytes: written - acknowledged,
+            is_opened_locally: opened_here,
         };
-        let settled = flow.settle(kernel).expect("they belong together");
-        prop_assert_eq!((settled.discard as u64, settled.given), (ahead, more));
-        prop_assert_eq!((flow.given, flow.going), (written, bytes[more..].to_vec()));
+        let settled = flow.reconcile(kernel).expect("they belong together");
+        prop_assert_eq!((settled.discard_bytes as u64, settled.written_bytes), (ahead, more));
+        prop_assert_eq!((flow.written_bytes, flow.write_buffer), (written, bytes[more..].to_vec()));
         // What was taken out or written and never noted is told.
         if taken_out > 0 {
-            let mut lost = Flow { taken: taken_out - 1, given, ..Flow::default() };
-            prop_assert_eq!(lost.settle(kernel), Err(ByteCountMismatch::Lost(1)));
+            let mut lost = Flow { read_bytes: taken_out - 1, written_bytes: given, ..Flow::default() };
+            prop_assert_eq!(lost.reconcile(kernel), Err(ByteCountMismatch::UnrecordedRead(1)));
         }
         if written > 0 {
-            let mut unknown = Flow { taken: taken_out, given: written - 1, ..Flow::default() };
-            prop_assert_eq!(unknown.settle(kernel), Err(ByteCountMismatch::Unknown(1)));
+            let mut unknown = Flow { read_bytes: taken_out, written_bytes: written - 1, ..Flow::default() };
+            prop_assert_eq!(unknown.reconcile(kernel), Err(ByteCountMismatch::UnrecordedWrite(1)));
         }
     }
 }
@@ -390,7 +395,7 @@
         known,
         Invocation {
             operation: 2,
-            calls: 1,
+            call_count: 1,
             ..Invocation::default()
         }
     );
