--- a/crates/merlinshelf-backend/src/server/connection.rs
+++ b/crates/merlinshelf-backend/src/server/connection.rs
@@ -133,7 +133,7 @@
         } = record.flow;
         (connection.coming, connection.going) =
             (Ring::resumed(coming, taken), Ring::resumed(going, given));
-        connection.codec = Codec::resumed((record.protocol, record.partial_record), uwsgi);
+        connection.codec = Codec::resumed((record.protocol, record.partial_record.into()), uwsgi);
         for partial in record.partials {
             let place = exchange
                 .borrow()
@@ -163,7 +163,7 @@
                 read_buffer: self.coming.to_vec(),
                 write_buffer: self.going.to_vec(),
             },
-            partial_record: record,
+            partial_record: record.into(),
             protocol: front,
             partials: self.assembly.records(),
             unanswered: self.open.iter().map(|(tag, keep)| (*tag, *keep)).collect(),
--- a/crates/merlinshelf-handover/src/flow.rs
+++ b/crates/merlinshelf-handover/src/flow.rs
@@ -1,108 +1,129 @@
-//! One connection's bytes: what was taken from it and given to it, held against what the kernel counted.
+//! The bytes of one connection: what the process that serves it has recorded, reconciled with what the kernel counted.
 
 use serde::{Deserialize, Serialize};
+use thiserror::Error;
 
-/// How far one connection has come, by the process that serves it. Counts are bytes since the connection stood.
+/// How far one connection has come, as recorded by the process that serves it. Counts are bytes since the connection
+/// was established. Names in `#[serde(rename = "...")]` are those stored and stay.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Flow {
-    /// Taken into account, those still in `coming` among them.
+    /// Bytes that were read, those still in `read_buffer` included.
     #[serde(rename = "taken")]
     pub read_bytes: u64,
-    /// Handed to the kernel.
+    /// Bytes that were written to the kernel.
     #[serde(rename = "given")]
     pub written_bytes: u64,
-    /// Taken, and not made anything of yet.
-    #[serde(with = "serde_bytes")]
-    #[serde(rename = "coming")]
+    /// Read and not processed yet.
+    #[serde(with = "serde_bytes", rename = "coming")]
     pub read_buffer: Vec<u8>,
-    /// Still to be handed to the kernel.
-    #[serde(with = "serde_bytes")]
-    #[serde(rename = "going")]
+    /// Not written to the kernel yet.
+    #[serde(with = "serde_bytes", rename = "going")]
     pub write_buffer: Vec<u8>,
 }
 
-/// What the kernel says of a connection at one moment.
+/// What the kernel reports of a connection at one moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct KernelByteCounts {
-    /// Bytes that came in order (`tcpi_bytes_received`), and of those what nobody has read (`SIOCINQ`).
+    /// Bytes received in order (`tcpi_bytes_received`).
     pub received_bytes: u64,
+    /// Of these, bytes that nobody has read (`SIOCINQ`).
     pub unread_bytes: u64,
-    /// The far end has ended its direction, which is counted as one byte more.
+    /// The peer has closed its direction, which `received_bytes` counts as one byte more.
     pub is_closed_by_peer: bool,
-    /// Bytes that the far end has acknowledged (`tcpi_bytes_acked`), and what was given and not acknowledged yet
-    /// (`SIOCOUTQ`).
+    /// Bytes that the peer has acknowledged (`tcpi_bytes_acked`).
     pub acknowledged_bytes: u64,
+    /// Bytes written and not acknowledged yet (`SIOCOUTQ`).
     pub unacknowledged_bytes: u64,
-    /// This side has opened the connection, whose opening is counted as one byte more.
+    /// This side has opened the connection, which `acknowledged_bytes` counts as one byte more.
     pub is_opened_locally: bool,
 }
 
-/// What is left to do for a connection once both agree.
+impl KernelByteCounts {
+    /// Bytes that were read out of the kernel.
+    fn read_bytes(&self) -> u64 {
+        let unread = self.unread_bytes + u64::from(self.is_closed_by_peer);
+        self.received_bytes.saturating_sub(unread)
+    }
+
+    /// Bytes that were written into the kernel.
+    fn written_bytes(&self) -> u64 {
+        let written = self.acknowledged_bytes + self.unacknowledged_bytes;
+        written.saturating_sub(u64::from(self.is_opened_locally))
+    }
+}
+
+/// What remains to be done for a connection once record and kernel agree.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Reconciliation {
-    /// Bytes at the front of what the kernel holds that were taken into account already.
+    /// Bytes at the front of the kernel's receive buffer that were recorded as read already.
     pub discard_bytes: usize,
-    /// Bytes of `going` that the kernel had been given.
+    /// Bytes of the recorded `write_buffer` that the kernel has already.
     pub written_bytes: usize,
 }
 
-/// The two don't belong together: the connection can't be gone on with.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+/// Record and kernel contradict each other: the connection can't be continued.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ByteCountMismatch {
-    /// The kernel handed out bytes that were never noted.
+    /// More was read out of the kernel than recorded, by so many bytes.
+    #[error("{0} bytes were read and never recorded")]
     UnrecordedRead(u64),
-    /// More was noted than can still lie in the kernel.
+    /// More was recorded as read than can still lie in the kernel, by so many bytes.
+    #[error("{0} bytes were recorded as read that the kernel has not received")]
     RecordedReadMissing(u64),
-    /// The kernel was given bytes that were never noted.
+    /// More was written to the kernel than recorded, by so many bytes.
+    #[error("{0} bytes were written and never recorded")]
     UnrecordedWrite(u64),
-    /// It was given less than noted.
+    /// Less was written to the kernel than recorded, by so many bytes.
+    #[error("{0} bytes were recorded as written that the kernel does not have")]
     RecordedWriteMissing(u64),
 }
 
 impl Flow {
-    /// Settles what a process that died may have done after its last note: it noted what it saw before it took it out
-    /// of the kernel, and what it was about to write before it wrote.
+    /// Reconciles what a process that died may have done after its last record: it recorded what it saw before it
+    /// took it out of the kernel, and what it was about to write before it wrote.
+    ///
+    /// # Errors
+    /// The counts can't be those of the same connection; the flow is unchanged then.
     pub fn reconcile(
         &mut self,
         kernel: KernelByteCounts,
     ) -> Result<Reconciliation, ByteCountMismatch> {
-        let handed_out = kernel
-            .received_bytes
-            .saturating_sub(kernel.unread_bytes + u64::from(kernel.is_closed_by_peer));
-        let discard = match self.read_bytes.checked_sub(handed_out) {
-            None => {
-                return Err(ByteCountMismatch::UnrecordedRead(
-                    handed_out - self.read_bytes,
-                ));
-            }
-            Some(ahead) if ahead > kernel.unread_bytes => {
-                return Err(ByteCountMismatch::RecordedReadMissing(
-                    ahead - kernel.unread_bytes,
-                ));
-            }
-            Some(ahead) => ahead as usize,
-        };
-        let given = (kernel.acknowledged_bytes + kernel.unacknowledged_bytes)
-            .saturating_sub(u64::from(kernel.is_opened_locally));
-        let more = match given.checked_sub(self.written_bytes) {
-            None => {
-                return Err(ByteCountMismatch::RecordedWriteMissing(
-                    self.written_bytes - given,
-                ));
-            }
-            Some(more) if more > self.write_buffer.len() as u64 => {
-                return Err(ByteCountMismatch::UnrecordedWrite(
-                    more - self.write_buffer.len() as u64,
-                ));
-            }
-            Some(more) => more as usize,
-        };
-        self.write_buffer.drain(..more);
-        self.written_bytes = given;
+        let discard_bytes = self.bytes_to_discard(kernel)?;
+        let written_bytes = self.bytes_written_since(kernel)?;
+        self.write_buffer.drain(..written_bytes);
+        self.written_bytes = kernel.written_bytes();
         Ok(Reconciliation {
-            discard_bytes: discard,
-            written_bytes: more,
+            discard_bytes,
+            written_bytes,
         })
     }
+
+    /// Bytes that were recorded as read and still lie in the kernel.
+    fn bytes_to_discard(&self, kernel: KernelByteCounts) -> Result<usize, ByteCountMismatch> {
+        let read_from_kernel = kernel.read_bytes();
+        let Some(ahead) = self.read_bytes.checked_sub(read_from_kernel) else {
+            let unrecorded = read_from_kernel - self.read_bytes;
+            return Err(ByteCountMismatch::UnrecordedRead(unrecorded));
+        };
+        if ahead > kernel.unread_bytes {
+            let missing = ahead - kernel.unread_bytes;
+            return Err(ByteCountMismatch::RecordedReadMissing(missing));
+        }
+        Ok(ahead as usize)
+    }
+
+    /// Bytes of the write buffer that were written after the last record.
+    fn bytes_written_since(&self, kernel: KernelByteCounts) -> Result<usize, ByteCountMismatch> {
+        let written_to_kernel = kernel.written_bytes();
+        let Some(ahead) = written_to_kernel.checked_sub(self.written_bytes) else {
+            let missing = self.written_bytes - written_to_kernel;
+            return Err(ByteCountMismatch::RecordedWriteMissing(missing));
+        };
+        let buffered = self.write_buffer.len() as u64;
+        if ahead > buffered {
+            return Err(ByteCountMismatch::UnrecordedWrite(ahead - buffered));
+        }
+        Ok(ahead as usize)
+    }
 }
--- a/crates/merlinshelf-handover/src/image.rs
+++ b/crates/merlinshelf-handover/src/image.rs
@@ -1,166 +1,207 @@
-//! An image of an instance: records by key, changed by whole transactions, as bytes that two versions can share.
+//! An image of an instance: records by key, changed by atomic transactions, as bytes that two versions can share.
 //!
 //! A transaction is `MSH1`, the length of what follows (u32, big endian), then its entries. Each entry is its kind
-//! (u8), 16 bytes of name, a length (u32), and so many bytes of a record in MessagePack; the length `u32::MAX` means that
-//! the thing is gone. Entries of a kind that is not known are passed over.
+//! (u8), 16 bytes of name, a length (u32), and so many bytes of a record in MessagePack; the length `u32::MAX` means
+//! that the record was removed. Entries of an unknown kind are skipped.
 
 use std::collections::BTreeMap;
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
+use thiserror::Error;
 
 const MAGIC: [u8; 4] = *b"MSH1";
-const HEAD: usize = 8;
-const ENTRY_HEAD: usize = 1 + 16 + 4;
-const GONE: u32 = u32::MAX;
+const TRANSACTION_HEADER_BYTES: usize = 8;
+const NAME_BYTES: usize = 16;
+const ENTRY_HEADER_BYTES: usize = 1 + NAME_BYTES + 4;
+/// The length that marks a removal.
+const REMOVED: u32 = u32::MAX;
 /// No transaction is longer: an image of a full table of invocations at their largest is a fraction of it.
-const TRANSACTION_MOST: usize = 256 * 1024 * 1024;
+const MAX_TRANSACTION_BYTES: usize = 256 * 1024 * 1024;
 
 /// What a record is about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Key {
+    /// The instance itself.
     Instance,
+    /// The connection to the engine.
     EngineConnection,
-    /// An edge node's connection, and the answers that wait for it.
+    /// An edge node's connection, by its stream number.
     ClientConnection(u64),
+    /// The responses that wait for a client connection, by the same stream number.
     ResponseQueue(u64),
-    /// A connection to the catalogue.
+    /// A connection to the catalogue or a dependency, by its stream number.
     DownstreamConnection(u64),
     /// An invocation, by its id.
     Invocation([u8; 16]),
 }
 
 impl Key {
-    fn parts(self) -> (u8, [u8; 16]) {
-        let number = |number: u64| {
-            let mut name = [0; 16];
-            name[8..].copy_from_slice(&number.to_be_bytes());
-            name
-        };
+    /// The kind and the name under which the key is encoded.
+    fn encode(self) -> (u8, [u8; NAME_BYTES]) {
         match self {
-            Key::Instance => (1, [0; 16]),
-            Key::EngineConnection => (2, [0; 16]),
-            Key::ClientConnection(of) => (3, number(of)),
-            Key::ResponseQueue(of) => (4, number(of)),
-            Key::DownstreamConnection(of) => (5, number(of)),
+            Key::Instance => (1, [0; NAME_BYTES]),
+            Key::EngineConnection => (2, [0; NAME_BYTES]),
+            Key::ClientConnection(stream) => (3, encode_stream(stream)),
+            Key::ResponseQueue(stream) => (4, encode_stream(stream)),
+            Key::DownstreamConnection(stream) => (5, encode_stream(stream)),
             Key::Invocation(id) => (6, id),
         }
     }
 
-    fn read(kind: u8, name: [u8; 16]) -> Option<Key> {
-        let mut low = [0; 8];
-        low.copy_from_slice(&name[8..]);
-        let number = u64::from_be_bytes(low);
-        Some(match kind {
-            1 => Key::Instance,
-            2 => Key::EngineConnection,
-            3 => Key::ClientConnection(number),
-            4 => Key::ResponseQueue(number),
-            5 => Key::DownstreamConnection(number),
-            6 => Key::Invocation(name),
-            _ => return None,
-        })
+    /// The key of an entry; `None` for a kind that only a later version knows.
+    fn decode(kind: u8, name: [u8; NAME_BYTES]) -> Option<Key> {
+        let stream = decode_stream(name);
+        match kind {
+            1 => Some(Key::Instance),
+            2 => Some(Key::EngineConnection),
+            3 => Some(Key::ClientConnection(stream)),
+            4 => Some(Key::ResponseQueue(stream)),
+            5 => Some(Key::DownstreamConnection(stream)),
+            6 => Some(Key::Invocation(name)),
+            _ => None,
+        }
     }
 }
 
-/// Why bytes are no image.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct DecodeError(pub &'static str);
+/// A stream number stands in the last 8 bytes of a name.
+fn encode_stream(stream: u64) -> [u8; NAME_BYTES] {
+    let mut name = [0; NAME_BYTES];
+    name[8..].copy_from_slice(&stream.to_be_bytes());
+    name
+}
 
-impl std::fmt::Display for DecodeError {
-    fn fmt(&self, out: &mut std::fmt::Formatter) -> std::fmt::Result {
-        out.write_str(self.0)
-    }
+fn decode_stream(name: [u8; NAME_BYTES]) -> u64 {
+    let mut low = [0; 8];
+    low.copy_from_slice(&name[8..]);
+    u64::from_be_bytes(low)
+}
+
+/// Why bytes are no image.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+pub enum DecodeError {
+    /// The bytes don't begin with the magic of a transaction.
+    #[error("no transaction where one must begin")]
+    MissingMagic,
+    /// A transaction says that it is longer than any can be.
+    #[error("a transaction of an impossible length")]
+    ExcessiveLength {
+        /// The length that it says.
+        bytes: usize,
+    },
+    /// A transaction ends within the header of an entry.
+    #[error("an entry that is cut short")]
+    TruncatedEntry,
+    /// A transaction ends within a record.
+    #[error("a record that is cut short")]
+    TruncatedRecord,
+    /// The bytes of a record don't decode to its type.
+    #[error("the record of {key:?} can't be decoded: {reason}")]
+    InvalidRecord {
+        /// Which record.
+        key: Key,
+        /// What the decoder says.
+        reason: String,
+    },
 }
 
-/// Changes that count together or not at all.
+/// Changes that are applied together or not at all.
 #[derive(Clone, Debug, Default)]
 pub struct Transaction {
     bytes: Vec<u8>,
 }
 
 impl Transaction {
+    /// Adds or replaces a record.
     pub fn put(&mut self, key: Key, record: &impl Serialize) {
-        // A record is a plain structure; what can't be written would be a fault of this crate.
+        // Records are plain structures, whose encoding into memory can't fail; one that did would stay as it was.
         if let Ok(record) = rmp_serde::to_vec_named(record) {
-            self.entry(key, record.len() as u32, &record);
+            self.push_entry(key, record.len() as u32, &record);
         }
     }
 
+    /// Removes a record.
     pub fn remove(&mut self, key: Key) {
-        self.entry(key, GONE, b"");
+        self.push_entry(key, REMOVED, b"");
     }
 
-    fn entry(&mut self, key: Key, length: u32, record: &[u8]) {
+    fn push_entry(&mut self, key: Key, length: u32, record: &[u8]) {
         if self.bytes.is_empty() {
             self.bytes.extend(MAGIC);
-            self.bytes.extend([0; 4]);
+            self.bytes.extend([0; 4]); // the length, known in `take`
         }
-        let (kind, name) = key.parts();
+        let (kind, name) = key.encode();
         self.bytes.push(kind);
         self.bytes.extend(name);
         self.bytes.extend(length.to_be_bytes());
         self.bytes.extend(record);
     }
 
+    /// Whether it contains no change.
     pub fn is_empty(&self) -> bool {
         self.bytes.is_empty()
     }
 
-    /// The whole transaction, to be written in one go. It is empty afterwards.
+    /// The encoded transaction, to be written at once. It is empty afterwards.
     pub fn take(&mut self) -> Vec<u8> {
         let mut bytes = std::mem::take(&mut self.bytes);
         if !bytes.is_empty() {
-            let length = (bytes.len() - HEAD) as u32;
-            bytes[4..HEAD].copy_from_slice(&length.to_be_bytes());
+            let length = (bytes.len() - TRANSACTION_HEADER_BYTES) as u32;
+            bytes[4..TRANSACTION_HEADER_BYTES].copy_from_slice(&length.to_be_bytes());
         }
         bytes
     }
 }
 
-/// Records by key, undecoded until asked for; of those that are gone the keys, as far as they were ever there.
+/// Records by key, each decoded when it is requested. Of removed records the keys stay until `take_removed`.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Image {
     records: BTreeMap<Key, Option<Vec<u8>>>,
 }
 
 impl Image {
-    /// Applies all whole transactions at the front of the bytes and says how many bytes they are: what is behind
-    /// them was being written when its writer ended, and never happened.
+    /// Applies all complete transactions at the front of the bytes, and returns how many bytes these are. An
+    /// incomplete one behind them was being written when its writer ended, and never happened.
+    ///
+    /// # Errors
+    /// What is no transaction; those before it were applied.
     pub fn apply(&mut self, bytes: &[u8]) -> Result<usize, DecodeError> {
-        let mut used = 0;
-        while let Some((head, rest)) = bytes[used..].split_at_checked(HEAD) {
-            if head[..4] != MAGIC {
-                return Err(DecodeError("no transaction where one must begin"));
+        let mut applied_bytes = 0;
+        while let Some((header, rest)) =
+            bytes[applied_bytes..].split_at_checked(TRANSACTION_HEADER_BYTES)
+        {
+            if header[..4] != MAGIC {
+                return Err(DecodeError::MissingMagic);
             }
-            let length = number(&head[4..]) as usize;
-            if length > TRANSACTION_MOST {
-                return Err(DecodeError("a transaction of an impossible length"));
+            let length = decode_u32(&header[4..]) as usize;
+            if length > MAX_TRANSACTION_BYTES {
+                return Err(DecodeError::ExcessiveLength { bytes: length });
             }
             let Some(entries) = rest.get(..length) else {
                 break;
             };
-            self.entries(entries)?;
-            used += HEAD + length;
+            self.apply_entries(entries)?;
+            applied_bytes += TRANSACTION_HEADER_BYTES + length;
         }
-        Ok(used)
+        Ok(applied_bytes)
     }
 
-    fn entries(&mut self, mut entries: &[u8]) -> Result<(), DecodeError> {
-        // First the whole of it is read, so that a spoilt one changes nothing.
+    fn apply_entries(&mut self, mut entries: &[u8]) -> Result<(), DecodeError> {
+        // All entries are decoded first, so that a corrupt transaction changes nothing.
         let mut changes = Vec::new();
         while !entries.is_empty() {
-            let Some((head, rest)) = entries.split_at_checked(ENTRY_HEAD) else {
-                return Err(DecodeError("an entry that is cut short"));
+            let Some((header, rest)) = entries.split_at_checked(ENTRY_HEADER_BYTES) else {
+                return Err(DecodeError::TruncatedEntry);
             };
-            let mut name = [0; 16];
-            name.copy_from_slice(&head[1..17]);
-            let (key, length) = (Key::read(head[0], name), number(&head[17..]));
+            let mut name = [0; NAME_BYTES];
+            name.copy_from_slice(&header[1..=NAME_BYTES]);
+            let key = Key::decode(header[0], name);
+            let length = decode_u32(&header[1 + NAME_BYTES..]);
             let record = match length {
-                GONE => None,
+                REMOVED => None,
                 length => Some(
                     rest.get(..length as usize)
-                        .ok_or(DecodeError("a record that is cut short"))?,
+                        .ok_or(DecodeError::TruncatedRecord)?,
                 ),
             };
             entries = &rest[record.map_or(0, <[u8]>::len)..];
@@ -170,18 +211,32 @@
         Ok(())
     }
 
-    /// The record under that key, if it is there and can be read.
+    /// The record under that key; `None` where there is none.
+    ///
+    /// # Errors
+    /// The record can't be decoded.
+    pub fn decode<T: DeserializeOwned>(&self, key: Key) -> Result<Option<T>, DecodeError> {
+        let Some(Some(bytes)) = self.records.get(&key) else {
+            return Ok(None);
+        };
+        let invalid = |error: rmp_serde::decode::Error| DecodeError::InvalidRecord {
+            key,
+            reason: error.to_string(),
+        };
+        rmp_serde::from_slice(bytes).map(Some).map_err(invalid)
+    }
+
+    /// The record under that key, if it is there and can be decoded. Where the difference matters, use `decode`.
     pub fn get<T: DeserializeOwned>(&self, key: Key) -> Option<T> {
-        let bytes = self.records.get(&key)?.as_ref()?;
-        rmp_serde::from_slice(bytes).ok()
+        self.decode(key).ok().flatten()
     }
 
-    /// Whether that thing was there and is gone.
+    /// Whether the record was there and has been removed.
     pub fn is_removed(&self, key: Key) -> bool {
         self.records.get(&key).is_some_and(Option::is_none)
     }
 
-    /// What is there, in the order of kinds and names.
+    /// The keys of all records, in the order of kinds and names.
     pub fn keys(&self) -> impl Iterator<Item = Key> + '_ {
         self.records
             .iter()
@@ -189,27 +244,28 @@
             .map(|(key, _)| *key)
     }
 
-    /// Takes out the keys that are gone: what they stood for is known to be closed.
+    /// Forgets which records were removed, and returns their keys: what they described is known to be closed.
     pub fn take_removed(&mut self) -> Vec<Key> {
-        let gone: Vec<Key> = self
+        let removed: Vec<Key> = self
             .records
             .iter()
             .filter(|(_, record)| record.is_none())
             .map(|(key, _)| *key)
             .collect();
-        for key in &gone {
+        for key in &removed {
             self.records.remove(key);
         }
-        gone
+        removed
     }
 
-    /// Bytes of all records.
+    /// The bytes of all records.
     pub fn size_bytes(&self) -> usize {
         self.records.values().flatten().map(Vec::len).sum()
     }
 }
 
-fn number(bytes: &[u8]) -> u32 {
+/// The first four bytes, big endian.
+fn decode_u32(bytes: &[u8]) -> u32 {
     bytes
         .iter()
         .take(4)
--- a/crates/merlinshelf-handover/src/records.rs
+++ b/crates/merlinshelf-handover/src/records.rs
@@ -1,5 +1,8 @@
-//! What an image holds, a record for each thing. Every field has a default, and unknown ones are passed over, so
-//! that a later program can add to them.
+//! The records of an image, one for each connection, invocation and so on.
+//!
+//! Records pass between versions in MessagePack, written by field name. Every field has a default and unknown ones are
+//! skipped, so that a later version can add some. Names in `#[serde(rename = "...")]` are those stored and stay.
+//! Points in time (`..._at`) are seconds of the machine's monotonic clock, which both processes read alike.
 
 use std::collections::BTreeMap;
 
@@ -9,190 +12,271 @@
 
 use crate::flow::Flow;
 
-/// The instance as a whole. Moments are seconds of the machine's monotonic clock, which both processes read alike.
+/// The instance itself.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Instance {
-    /// The module's clock less the monotonic one.
+    /// The clock of the admission controller less the monotonic clock.
     #[serde(rename = "clock")]
     pub clock_offset_seconds: f64,
     /// The operations by name, in the order in which invocations number them.
     pub operations: Vec<String>,
+    /// The number of the next connection.
     pub next_stream: u64,
+    /// What health checks were answered last.
     #[serde(rename = "healthy")]
     pub is_healthy: bool,
-    /// Idle time after which connections close, seconds.
+    /// Idle time after which client connections close, in seconds.
     #[serde(rename = "trim_after")]
     pub idle_timeout_seconds: f64,
-    /// When the process must be gone, once it leaves.
+    /// When the process must have exited, while it shuts down.
     #[serde(rename = "stop")]
     pub drain_deadline_at: Option<f64>,
-    /// What the engine said of its start, other than the settings.
+    /// The engine's `FamilyInfo.FreshStart`, where it differs from the settings.
     pub fresh_start: Option<String>,
-    /// By operation, whether a run was ever seen to make more than one call.
+    /// By operation, whether a run was ever observed to make more than one downstream call.
     #[serde(rename = "calls_again")]
     pub repeats_calls: Vec<bool>,
+    /// The counters by name.
     pub counters: BTreeMap<String, u64>,
-    /// None while the engine was never up.
+    /// The estimates of the admission controller; `None` before the engine was first connected.
     #[serde(rename = "learnt")]
     pub learned: Option<LearnedState>,
-    /// What is known of the servers behind and from whom, in the format of its file (`merlinshelf-gossip`).
+    /// The store of observations, in the format of its file (`merlinshelf-gossip`).
     #[serde(rename = "knowledge")]
     pub gossip: ByteBuf,
-    /// The lease on a policy and the documents (`merlinshelf-policy`), for a successor alone: empty in what is noted.
+    /// The policy lease and the policies (`merlinshelf-policy`), for a successor alone: empty in a journal, since
+    /// recovery must not revive a lease that may be fenced by then.
     pub policy: ByteBuf,
-    /// What is held of the fleet's budgets (`merlinshelf-quota`), for a successor alone as well.
+    /// The quota leases (`merlinshelf-quota`), for a successor alone as well.
     #[serde(rename = "shares")]
     pub quota: ByteBuf,
 }
 
-/// The engine's link.
+/// The connection to the engine.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct EngineConnectionRecord {
-    /// The connection's number among those that passed; none where it is down.
+    /// The connection's stream number; `None` while it is down.
     pub stream: Option<u64>,
+    /// The engine's address.
     pub address: String,
-    /// The number of the last notice that was read.
+    /// The number of the last notification that was read.
     #[serde(rename = "last")]
     pub last_notification: u64,
-    /// The last question asked, and whether its answer is awaited.
+    /// The tag of the last request.
     #[serde(rename = "tag")]
     pub last_request_tag: u64,
+    /// Whether its response is awaited.
     #[serde(rename = "asked")]
     pub is_request_pending: bool,
+    /// Whether the engine has sent its greeting.
     #[serde(rename = "hello")]
     pub is_greeted: bool,
+    /// Whether the notifications missed while disconnected were all received.
     #[serde(rename = "caught_up")]
     pub is_caught_up: bool,
-    /// Calls may name their dependency.
+    /// Whether the engine names the dependency of a call.
     #[serde(rename = "names")]
     pub names_dependencies: bool,
-    /// When the engine was started, monotonic seconds.
+    /// When the engine was started.
     #[serde(rename = "born")]
     pub engine_started_at: Option<f64>,
+    /// The bytes of the connection.
     pub flow: Flow,
 }
 
-/// An invocation that is being read on an edge node's connection.
+/// An invocation that is being read on a client connection.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Partial {
+    /// Its request id on the connection.
     pub tag: u16,
+    /// Whether the connection stays open after the response.
     #[serde(rename = "keep")]
     pub keeps_connection: bool,
+    /// The parameters received so far.
     pub params: ByteBuf,
+    /// Whether these are all.
     #[serde(rename = "params_done")]
     pub has_all_params: bool,
+    /// The body received so far.
     pub body: ByteBuf,
 }
 
-/// An edge node's connection.
+/// A protocol record that has been received in part.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(from = "PartialRecordFields", into = "PartialRecordFields")]
+pub struct PartialRecord {
+    /// Its kind.
+    pub kind: u8,
+    /// The request id that it belongs to.
+    pub id: u16,
+    /// Bytes of content still to be received.
+    pub content_bytes: usize,
+    /// Bytes of padding still to be received.
+    pub padding_bytes: usize,
+}
+
+/// As a partial record is stored and as the parser has it: kind, id, bytes of content, bytes of padding.
+type PartialRecordFields = (u8, u16, usize, usize);
+
+impl From<PartialRecordFields> for PartialRecord {
+    fn from((kind, id, content_bytes, padding_bytes): PartialRecordFields) -> PartialRecord {
+        PartialRecord {
+            kind,
+            id,
+            content_bytes,
+            padding_bytes,
+        }
+    }
+}
+
+impl From<PartialRecord> for PartialRecordFields {
+    fn from(record: PartialRecord) -> PartialRecordFields {
+        (
+            record.kind,
+            record.id,
+            record.content_bytes,
+            record.padding_bytes,
+        )
+    }
+}
+
+/// The connection of an edge node.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ClientConnectionRecord {
+    /// The bytes of the connection.
     pub flow: Flow,
-    /// The record that has come in part: kind, id, bytes of content and of padding still to come.
+    /// The protocol record that is being received.
     #[serde(rename = "record")]
-    pub partial_record: (u8, u16, usize, usize),
-    /// What it speaks: 0 FastCGI, 1 uwsgi, 2 nothing yet.
+    pub partial_record: PartialRecord,
+    /// The protocol: 0 FastCGI, 1 uwsgi, 2 not known yet.
     #[serde(rename = "front")]
     pub protocol: u8,
+    /// The invocations that are being read.
     pub partials: Vec<Partial>,
-    /// Read and not answered yet: its tag, and whether the connection is kept after it.
+    /// Invocations read and not answered yet: the request id, and whether the connection stays open after the response.
     #[serde(rename = "open")]
     pub unanswered: Vec<(u16, bool)>,
+    /// Bytes received since the last complete invocation that belong to none.
     #[serde(rename = "astray")]
     pub unassigned_bytes: usize,
+    /// Protocol errors since the last success.
     pub faults: u32,
+    /// The most significant that was received complete: 0 nothing, 1 a health check, 2 an invocation.
     #[serde(rename = "said")]
     pub received_kind: u8,
+    /// The client has closed its direction.
     #[serde(rename = "read_closed")]
     pub is_read_closed: bool,
+    /// The connection closes once everything is written.
     #[serde(rename = "last_word")]
     pub closes_after_write: bool,
 }
 
-/// A final answer on its way to a connection.
+/// A final response on its way to a connection.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Answer {
+    /// The result.
     Succeeded(ByteBuf),
-    /// Succeeded without these parts.
+    /// The result, and a list of the parts that are missing from it.
     Partial(ByteBuf, String),
+    /// Rejected under load.
     Throttled {
+        /// How long the caller should stay away; 0 where nothing is advised.
         #[serde(rename = "away")]
         retry_after_seconds: f64,
+        /// The caller should not try another server either.
         #[serde(rename = "last")]
         forbids_failover: bool,
     },
+    /// The invocation failed.
     Errored,
+    /// The engine knows no such invocation.
     Unknown,
 }
 
-/// Answers that wait for a connection to take them, by tag.
+/// Responses that wait to be written to a client connection.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ResponseQueueRecord {
+    /// Each with its request id.
     pub answers: Vec<(u16, Answer)>,
 }
 
-/// A connection to the catalogue with an open call.
+/// A connection to the catalogue or a dependency, with a call in progress.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct DownstreamConnectionRecord {
+    /// The server's address.
     pub address: String,
+    /// The invocation that makes the call.
     #[serde(rename = "id")]
     pub invocation_id: ByteBuf,
-    /// Which call of its invocation it is.
+    /// Which call of its invocation it is, counted from 1.
     #[serde(rename = "number")]
     pub call_index: usize,
-    /// All invocations whose calls it has carried.
+    /// All invocations whose calls the connection has carried.
     #[serde(rename = "carried")]
     pub carried_invocation_ids: Vec<ByteBuf>,
+    /// The bytes of the connection.
     pub flow: Flow,
 }
 
-/// The last command given about an invocation, as long as the engine is not known to have read it.
+/// The last command to the engine about an invocation, until the engine is known to have read it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Command {
+    /// Run it.
     Run,
+    /// Continue its run with the response of a call.
     Feed(ByteBuf),
+    /// Continue its run without the call of this number.
     Skip(u64),
 }
 
-/// An invocation in hand.
+/// An invocation in flight.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Invocation {
+    /// Its operation, by position in `Instance::operations`.
     pub operation: usize,
+    /// Its body.
     pub body: ByteBuf,
-    /// The connection and the tag there that wait for its answer.
+    /// The stream number and the request id that its response goes to; `None` once it was answered.
     #[serde(rename = "reply")]
     pub response_target: Option<(u64, u16)>,
-    /// The last notice that asked for a call: its number and the call's body.
+    /// The last notification that requested a downstream call: its number and the call's body.
     #[serde(rename = "need")]
     pub call_notification: Option<(u64, ByteBuf)>,
-    /// The dependency that the last notice named, how many calls its run has wanted, and the parts its result is without.
+    /// The dependency that this notification named.
     #[serde(rename = "named")]
     pub dependency: Option<String>,
+    /// How many calls its run has requested.
     #[serde(rename = "wanted")]
     pub requested_calls: usize,
+    /// The parts that are missing from its result.
     #[serde(rename = "missing")]
     pub missing_parts: Vec<String>,
+    /// How many calls were made.
     #[serde(rename = "calls")]
     pub call_count: usize,
-    /// When its open call is given up, monotonic seconds.
+    /// When its call in progress is abandoned; `None` while there is none.
     #[serde(rename = "calling_until")]
     pub call_deadline_at: Option<f64>,
+    /// Whether a run of it was ever started.
     #[serde(rename = "begun")]
     pub has_started: bool,
+    /// How many notifications the engine has sent about it.
     #[serde(rename = "heard")]
     pub notification_count: u64,
-    /// With the command, whether it was put on the link.
+    /// The last command, and whether it was written to the engine connection.
     pub command: Option<(Command, bool)>,
-    /// In which order it came.
+    /// Its position in the order of arrival.
     #[serde(rename = "place")]
     pub arrival_order: u64,
+    /// Its state in the admission controller.
     #[serde(rename = "inv")]
     pub state: InvocationState,
 }
--- a/crates/merlinshelf-handover/src/successor.rs
+++ b/crates/merlinshelf-handover/src/successor.rs
@@ -1,243 +1,269 @@
-//! The successor's side: it gets ready, takes what it is passed, serves when told to, notes all it does while it is
-//! watched, and is on its own from then on.
+//! The successor's side of a handover: it gets ready, restores what is transferred to it, serves once it is activated,
+//! records everything it does during its probation, and is independent from then on.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use crate::messages::{Message, MonotonicSeconds, SUPPORTED_FORMATS};
 
-/// Between two words that its main loop turns.
-const BEAT: Duration = Duration::from_millis(50);
-/// An old process that does not release a steady successor for so long is asleep: notes that nobody reads would fill the
-/// memory.
-const RELEASED_WITHIN: Duration = Duration::from_secs(10);
+/// Between two heartbeats of its main loop.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(50);
+/// A predecessor that does not release a successor for so long after its probation is asleep: a journal that nobody
+/// reads would fill the memory.
+const RELEASE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What the host is to do, in this order.
+/// What the successor's host carries out, in the order in which it is polled.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
+    /// Send a message to the predecessor.
     Send(Message),
-    /// Make all live that was passed, touching nothing yet; reported by `taken` or `not_taken`.
+    /// Restore everything that was transferred, touching nothing yet; reported by `restore_completed` or
+    /// `restore_failed`.
     Restore,
-    /// Serve, and note every change before it shows.
+    /// Serve, and record every change before its effect shows.
     Activate,
-    /// Nothing needs to be noted any more.
+    /// Nothing needs to be recorded any more.
     StopRecording,
-    /// Leave by then.
+    /// Begin the graceful shutdown of this process.
     Drain {
+        /// When the process must have exited.
         deadline: MonotonicSeconds,
     },
+    /// Reload the configuration.
     Reload,
-    /// End without having touched anything.
+    /// Exit without having touched anything.
     Exit {
+        /// Why, as text for operators.
         reason: String,
     },
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
+    /// `Hello` was sent.
     Greeting,
-    /// So many descriptors have come so far.
-    Receiving {
-        come: usize,
-    },
-    Taking {
-        alone: bool,
-    },
-    /// All is taken; the word to go on is waited for.
-    Waiting,
-    Watched {
-        since: Duration,
-        beat: Duration,
-        steady: bool,
-    },
-    Free,
+    /// Descriptors are being received, so many so far.
+    Receiving { descriptors: usize },
+    /// What was received is being restored. The predecessor may have exited meanwhile.
+    Restoring { has_predecessor_exited: bool },
+    /// Everything is restored, and `Activate` is awaited.
+    AwaitingActivation,
+    /// It serves, and records what it does.
+    Probation(Probation),
+    /// It serves and is observed by nobody.
+    Independent,
+    /// It can't take over.
     Ended,
 }
 
-/// The successor's state machine. It is made once its configuration is read: the first word says that it can go on.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+struct Probation {
+    activated_at: Duration,
+    last_heartbeat_at: Duration,
+    /// `ProbationCompleted` was sent.
+    is_completed: bool,
+}
+
+/// The successor's state machine. It is created once the configuration is read: its first message says that this
+/// process could take over.
 #[derive(Debug)]
 pub struct Successor {
-    /// How long it is to be watched.
-    watched: Duration,
+    /// How long the probation is.
+    probation: Duration,
     state: State,
-    leaves: bool,
-    steps: VecDeque<Action>,
+    is_draining: bool,
+    actions: VecDeque<Action>,
 }
 
 impl Successor {
-    pub fn new(watched: Duration, program: &str) -> Successor {
+    /// A successor with this length of probation; `program` is its name and version for the predecessor's log.
+    pub fn new(probation: Duration, program: &str) -> Successor {
         let hello = Message::Hello {
             format_versions: SUPPORTED_FORMATS.to_vec(),
             program: program.to_owned(),
         };
         Successor {
-            watched,
+            probation,
             state: State::Greeting,
-            leaves: false,
-            steps: VecDeque::from([Action::Send(hello)]),
+            is_draining: false,
+            actions: VecDeque::from([Action::Send(hello)]),
         }
     }
 
+    /// The next action, if there is one.
     pub fn poll_action(&mut self) -> Option<Action> {
-        self.steps.pop_front()
+        self.actions.pop_front()
     }
 
+    /// When `handle_timeout` has to be called though nothing happens.
     pub fn next_timeout(&self) -> Option<Duration> {
         match self.state {
-            State::Watched { beat, .. } => Some(beat + BEAT),
+            State::Probation(probation) => Some(probation.last_heartbeat_at + HEARTBEAT_INTERVAL),
             _ => None,
         }
     }
 
     /// Whether this process may touch connections, engine and catalogue.
     pub fn is_owner(&self) -> bool {
-        matches!(self.state, State::Watched { .. } | State::Free)
+        matches!(self.state, State::Probation(_) | State::Independent)
     }
 
-    /// Whether changes must be noted before they show.
+    /// Whether changes must be recorded before their effect shows.
     pub fn is_recording(&self) -> bool {
-        matches!(self.state, State::Watched { .. })
+        matches!(self.state, State::Probation(_))
     }
 
-    /// It can't take over.
-    pub fn decline(&mut self, why: &str) {
-        if !self.is_owner() {
-            self.state = State::Ended;
-            self.steps.push_back(Action::Send(Message::Declined {
-                reason: why.to_owned(),
-            }));
-            self.steps.push_back(Action::Exit {
-                reason: why.to_owned(),
-            });
+    /// This process can't take over.
+    pub fn decline(&mut self, reason: &str) {
+        if self.is_owner() {
+            return;
         }
+        self.state = State::Ended;
+        let reason = reason.to_owned();
+        self.actions.push_back(Action::Send(Message::Declined {
+            reason: reason.clone(),
+        }));
+        self.actions.push_back(Action::Exit { reason });
     }
 
-    pub fn handle_message(&mut self, now: Duration, word: Message) {
-        match (&mut self.state, word) {
+    /// A message was received from the predecessor. One that is out of place is ignored.
+    pub fn handle_message(&mut self, now: Duration, message: Message) {
+        match (&mut self.state, message) {
             (State::Greeting, Message::FormatSelected { version })
                 if SUPPORTED_FORMATS.contains(&version) =>
             {
-                self.state = State::Receiving { come: 0 };
-                self.steps.push_back(Action::Send(Message::Ready));
+                self.state = State::Receiving { descriptors: 0 };
+                self.actions.push_back(Action::Send(Message::Ready));
             }
             (State::Greeting, Message::FormatSelected { version }) => {
                 self.decline(&format!("form {version} is not spoken here"));
             }
-            (State::Receiving { come }, Message::Descriptors { roles }) => *come += roles.len(),
-            (State::Receiving { come }, Message::TransferCompleted { count }) => {
-                if *come == count {
-                    self.state = State::Taking { alone: false };
-                    self.steps.push_back(Action::Restore);
+            (State::Receiving { descriptors }, Message::Descriptors { roles }) => {
+                *descriptors += roles.len();
+            }
+            (State::Receiving { descriptors }, Message::TransferCompleted { count }) => {
+                if *descriptors == count {
+                    self.state = State::Restoring {
+                        has_predecessor_exited: false,
+                    };
+                    self.actions.push_back(Action::Restore);
                 } else {
-                    let why = format!("{come} of {count} descriptors have come");
-                    self.decline(&why);
+                    let reason = format!("{descriptors} of {count} descriptors have come");
+                    self.decline(&reason);
                 }
             }
-            (State::Waiting, Message::Activate) => self.serve(now),
-            (State::Watched { .. }, Message::Released) => self.free(),
-            (State::Watched { .. }, Message::Drain { deadline: stop }) if !self.leaves => {
-                self.leaves = true;
-                self.steps.push_back(Action::Drain { deadline: stop });
+            (State::AwaitingActivation, Message::Activate) => self.activate(now),
+            (State::Probation(_), Message::Released) => self.stop_recording(),
+            (State::Probation(_), Message::Drain { deadline }) if !self.is_draining => {
+                self.is_draining = true;
+                self.actions.push_back(Action::Drain { deadline });
             }
-            (State::Watched { .. }, Message::Reload) => self.steps.push_back(Action::Reload),
+            (State::Probation(_), Message::Reload) => self.actions.push_back(Action::Reload),
             _ => {}
         }
     }
 
-    /// All that was passed is live.
+    /// Everything that was transferred has been restored.
     pub fn restore_completed(&mut self, now: Duration) {
-        if let State::Taking { alone } = self.state {
-            self.state = State::Waiting;
-            if alone {
+        if let State::Restoring {
+            has_predecessor_exited,
+        } = self.state
+        {
+            self.state = State::AwaitingActivation;
+            if has_predecessor_exited {
                 return self.predecessor_exited(now);
             }
-            self.steps.push_back(Action::Send(Message::Restored));
+            self.actions.push_back(Action::Send(Message::Restored));
         }
     }
 
-    pub fn restore_failed(&mut self, why: &str) {
-        if matches!(self.state, State::Taking { .. }) {
-            self.decline(why);
+    /// What was transferred can't be restored.
+    pub fn restore_failed(&mut self, reason: &str) {
+        if matches!(self.state, State::Restoring { .. }) {
+            self.decline(reason);
         }
     }
 
-    /// The old process is gone: seen by the end of the channel, which it closes in no other way before `Released`.
+    /// The predecessor is gone: observed by the end of the channel, which it closes in no other way before `Released`.
     pub fn predecessor_exited(&mut self, now: Duration) {
         match self.state {
-            // All is here, and nobody else can serve it.
-            State::Waiting => {
-                self.serve(now);
-                self.free();
+            // Everything is here, and nobody else can serve it.
+            State::AwaitingActivation => {
+                self.activate(now);
+                self.stop_recording();
+            }
+            State::Probation(_) => self.stop_recording(),
+            State::Independent | State::Ended => {}
+            // Decided once it is known whether everything can be restored.
+            State::Restoring { .. } => {
+                self.state = State::Restoring {
+                    has_predecessor_exited: true,
+                };
             }
-            State::Watched { .. } => self.free(),
-            State::Free | State::Ended => {}
-            // Decided when it is known whether all can be taken.
-            State::Taking { .. } => self.state = State::Taking { alone: true },
             State::Greeting | State::Receiving { .. } => {
                 self.state = State::Ended;
-                self.steps.push_back(Action::Exit {
+                self.actions.push_back(Action::Exit {
                     reason: "the old process is gone".into(),
                 });
             }
         }
     }
 
-    /// This process itself was told to leave. The one who watches hears of it before anything else does: whoever saw this
-    /// process leave finds it leaving after its death, too.
-    pub fn drain(&mut self, stop: MonotonicSeconds) {
-        if !self.leaves && self.is_owner() {
-            self.leaves = true;
-            if matches!(self.state, State::Watched { .. }) {
-                self.steps
-                    .push_back(Action::Send(Message::Draining { deadline: stop }));
-            }
-            self.steps.push_back(Action::Drain { deadline: stop });
+    /// This process itself was notified to shut down. The predecessor learns of it before anybody else can: if this
+    /// process dies after a client has seen it drain, the predecessor drains as well.
+    pub fn drain(&mut self, deadline: MonotonicSeconds) {
+        if self.is_draining || !self.is_owner() {
+            return;
+        }
+        self.is_draining = true;
+        if self.is_recording() {
+            self.actions
+                .push_back(Action::Send(Message::Draining { deadline }));
         }
+        self.actions.push_back(Action::Drain { deadline });
     }
 
+    /// Time has passed. Sends the next heartbeat once it is due.
     pub fn handle_timeout(&mut self, now: Duration) {
-        if let State::Watched {
-            since,
-            beat,
-            steady,
-        } = &mut self.state
-        {
-            if now < *beat + BEAT {
-                return;
-            }
-            *beat = now;
-            if now >= *since + self.watched + RELEASED_WITHIN && !self.leaves {
-                return self.detach();
-            }
-            let word = if now >= *since + self.watched && !*steady && !self.leaves {
-                *steady = true;
-                Message::ProbationCompleted
-            } else {
-                Message::Heartbeat
-            };
-            self.steps.push_back(Action::Send(word));
+        let State::Probation(probation) = &mut self.state else {
+            return;
+        };
+        if now < probation.last_heartbeat_at + HEARTBEAT_INTERVAL {
+            return;
+        }
+        probation.last_heartbeat_at = now;
+        let probation_end = probation.activated_at + self.probation;
+        if now >= probation_end + RELEASE_TIMEOUT && !self.is_draining {
+            return self.detach();
         }
+        let message = if now >= probation_end && !probation.is_completed && !self.is_draining {
+            probation.is_completed = true;
+            Message::ProbationCompleted
+        } else {
+            Message::Heartbeat
+        };
+        self.actions.push_back(Action::Send(message));
     }
 
-    /// Nobody reads its notes any more: it goes on alone.
+    /// The predecessor does not read the journal any more: this process continues alone.
     pub fn detach(&mut self) {
         if self.is_recording() {
-            self.steps.push_back(Action::Send(Message::Detached));
-            self.free();
+            self.actions.push_back(Action::Send(Message::Detached));
+            self.stop_recording();
         }
     }
 
-    fn serve(&mut self, now: Duration) {
-        self.state = State::Watched {
-            since: now,
-            beat: now,
-            steady: false,
-        };
-        self.steps.push_back(Action::Activate);
+    fn activate(&mut self, now: Duration) {
+        self.state = State::Probation(Probation {
+            activated_at: now,
+            last_heartbeat_at: now,
+            is_completed: false,
+        });
+        self.actions.push_back(Action::Activate);
     }
 
-    fn free(&mut self) {
-        self.state = State::Free;
-        self.steps.push_back(Action::StopRecording);
+    fn stop_recording(&mut self) {
+        self.state = State::Independent;
+        self.actions.push_back(Action::StopRecording);
     }
 }
--- a/crates/merlinshelf-handover/tests/golden.rs
+++ b/crates/merlinshelf-handover/tests/golden.rs
@@ -1,5 +1,5 @@
-//! What passes between an instance and its successor, held to golden files: the transactions of an image with every kind
-//! of record, and the datagrams of the channel between the two processes.
+//! What is transferred between an instance and its successor, compared with golden files: the transactions of an image
+//! with every kind of record, and the datagrams of the channel between the two processes.
 //!
 //! Every field of a sample has a value of its own that is not its default, so that a field that is lost, swapped or
 //! renamed on the wire shows. The files hold bytes as programs in the field wrote them: where a test fails, the code is
@@ -12,7 +12,7 @@
 };
 use merlinshelf_handover::records::{
     Answer, ClientConnectionRecord, Command, DownstreamConnectionRecord, EngineConnectionRecord,
-    Instance, Invocation, Partial, ResponseQueueRecord,
+    Instance, Invocation, Partial, PartialRecord, ResponseQueueRecord,
 };
 use merlinshelf_handover::{Flow, Image, Key, Message, Role, SUPPORTED_FORMATS, Transaction};
 use serde::Serialize;
@@ -84,7 +84,7 @@
     }
 }
 
-fn link() -> EngineConnectionRecord {
+fn engine_connection() -> EngineConnectionRecord {
     EngineConnectionRecord {
         stream: Some(81),
         address: "127.0.0.1:9300".into(),
@@ -99,10 +99,15 @@
     }
 }
 
-fn edge() -> ClientConnectionRecord {
+fn client_connection() -> ClientConnectionRecord {
     ClientConnectionRecord {
         flow: flow("edge", 91),
-        partial_record: (93, 94, 95, 96),
+        partial_record: PartialRecord {
+            kind: 93,
+            id: 94,
+            content_bytes: 95,
+            padding_bytes: 96,
+        },
         protocol: 2,
         partials: vec![
             Partial {
@@ -129,8 +134,8 @@
     }
 }
 
-/// With every kind of answer.
-fn door() -> ResponseQueueRecord {
+/// With every kind of response.
+fn response_queue() -> ResponseQueueRecord {
     ResponseQueueRecord {
         answers: vec![
             (111, Answer::Succeeded(bytes("complete result"))),
@@ -158,7 +163,7 @@
     }
 }
 
-fn line() -> DownstreamConnectionRecord {
+fn downstream_connection() -> DownstreamConnectionRecord {
     DownstreamConnectionRecord {
         address: "127.0.0.1:5432".into(),
         invocation_id: bytes("9b1f03aa5c7e2d41"),
@@ -232,7 +237,7 @@
     image
 }
 
-/// All records of an image that holds one kind of them.
+/// All records of an image that contains one kind of them.
 fn records<T: DeserializeOwned>(bytes: &[u8]) -> Vec<(Key, T)> {
     let image = image(bytes);
     let record = |key| image.get(key).expect("a record that can be decoded");
@@ -243,7 +248,7 @@
     name: &str,
     expected: Vec<(Key, T)>,
 ) {
-    golden_file::assert_form(name, &expected, |all| transaction(all), records);
+    golden_file::assert_golden(name, &expected, |all| transaction(all), records);
 }
 
 #[test]
@@ -252,31 +257,37 @@
 }
 
 #[test]
-fn record_of_the_engines_link() {
-    assert_records("link", vec![(Key::EngineConnection, link())]);
+fn record_of_the_engine_connection() {
+    assert_records("link", vec![(Key::EngineConnection, engine_connection())]);
 }
 
 #[test]
-fn record_of_an_edge_nodes_connection() {
+fn record_of_a_client_connection() {
     assert_records(
         "edge",
-        vec![(Key::ClientConnection(0x0102_0304_0506_0708), edge())],
+        vec![(
+            Key::ClientConnection(0x0102_0304_0506_0708),
+            client_connection(),
+        )],
     );
 }
 
 #[test]
-fn record_of_answers_that_wait() {
+fn record_of_a_response_queue() {
     assert_records(
         "door",
-        vec![(Key::ResponseQueue(0x1112_1314_1516_1718), door())],
+        vec![(Key::ResponseQueue(0x1112_1314_1516_1718), response_queue())],
     );
 }
 
 #[test]
-fn record_of_a_connection_to_the_catalogue() {
+fn record_of_a_downstream_connection() {
     assert_records(
         "line",
-        vec![(Key::DownstreamConnection(0x2122_2324_2526_2728), line())],
+        vec![(
+            Key::DownstreamConnection(0x2122_2324_2526_2728),
+            downstream_connection(),
+        )],
     );
 }
 
@@ -325,9 +336,9 @@
     assert_records("invocations_by_command", records.into());
 }
 
-/// What is not there takes the same bytes as ever, too.
+/// Default values are encoded to the same bytes as ever, too.
 #[test]
-fn records_of_nothing() {
+fn records_with_default_values() {
     let mut written = Transaction::default();
     written.put(Key::Instance, &Instance::default());
     written.put(Key::EngineConnection, &EngineConnectionRecord::default());
@@ -364,7 +375,7 @@
     );
 }
 
-/// An image and the notes behind it: two transactions, the second of which takes a thing of each kind away.
+/// An image and the journal behind it: two transactions, the second of which removes a record of each kind.
 #[test]
 fn transactions_with_removals() {
     let keys = [
@@ -375,19 +386,19 @@
         Key::DownstreamConnection(163),
         Key::Invocation(*b"9b1f03aa5c7e2d61"),
     ];
-    let kept = Key::DownstreamConnection(164);
+    let remaining = Key::DownstreamConnection(164);
     let mut put = Transaction::default();
     keys.iter()
         .for_each(|key| put.put(*key, &flow("gone", 165)));
-    put.put(kept, &flow("kept", 167));
+    put.put(remaining, &flow("kept", 167));
     let mut removed = Transaction::default();
     keys.iter().for_each(|key| removed.remove(*key));
     let written = [put.take(), removed.take()].concat();
 
     golden_file::assert_encoded("transactions", &written);
     let mut image = image(&golden_file::read("transactions", &written));
-    assert_eq!(image.keys().collect::<Vec<_>>(), [kept]);
-    assert_eq!(image.get(kept), Some(flow("kept", 167)));
+    assert_eq!(image.keys().collect::<Vec<_>>(), [remaining]);
+    assert_eq!(image.get(remaining), Some(flow("kept", 167)));
     assert_eq!(image.take_removed(), keys);
 }
 
@@ -436,7 +447,7 @@
         Message::Draining { deadline: 176.5 },
         Message::Detached,
     ];
-    golden_file::assert_form(
+    golden_file::assert_golden(
         "datagrams_of_successor",
         &messages,
         |messages| encode_datagrams(messages),
@@ -445,7 +456,7 @@
 }
 
 #[test]
-fn datagrams_of_the_old_process() {
+fn datagrams_of_the_predecessor() {
     let messages = vec![
         Message::FormatSelected { version: 181 },
         Message::Descriptors { roles: roles() },
@@ -455,7 +466,7 @@
         Message::Drain { deadline: 183.5 },
         Message::Reload,
     ];
-    golden_file::assert_form(
+    golden_file::assert_golden(
         "datagrams_of_predecessor",
         &messages,
         |messages| encode_datagrams(messages),
@@ -463,9 +474,9 @@
     );
 }
 
-/// The golden files are of this format version; a program that speaks another one needs files of its own beside them.
+/// The golden files are of this format version; one that supports another needs files of its own beside them.
 #[test]
-fn form_of_the_golden_files_is_spoken() {
+fn format_of_the_golden_files_is_supported() {
     assert_eq!(SUPPORTED_FORMATS, [1]);
 }
 
@@ -477,7 +488,7 @@
 
     const BYTES_PER_LINE: usize = 16;
 
-    fn path_of(name: &str) -> PathBuf {
+    fn golden_path(name: &str) -> PathBuf {
         Path::new(env!("CARGO_MANIFEST_DIR"))
             .join("tests/golden")
             .join(name)
@@ -516,7 +527,7 @@
     /// The bytes of a golden file, which must be there. With `GOLDEN_WRITE=1` in the environment a file that is missing
     /// is written from `encoded`; one that is there is never changed, since bytes in the field don't change either.
     pub fn read(name: &str, encoded: &[u8]) -> Vec<u8> {
-        let path = path_of(name);
+        let path = golden_path(name);
         if std::env::var_os("GOLDEN_WRITE").is_some_and(|value| value == "1") && !path.exists() {
             std::fs::create_dir_all(path.parent().expect("a folder")).expect("a folder");
             std::fs::write(&path, format_bytes(encoded)).expect("a file that can be written");
@@ -539,7 +550,7 @@
     }
 
     /// Asserts that the golden bytes are decoded to exactly this value, and the value encoded to the golden bytes.
-    pub fn assert_form<T: std::fmt::Debug + PartialEq>(
+    pub fn assert_golden<T: std::fmt::Debug + PartialEq>(
         name: &str,
         value: &T,
         encode: impl Fn(&T) -> Vec<u8>,
--- /dev/null
+++ b/crates/merlinshelf-handover/tests/image.rs
@@ -0,0 +1,94 @@
+//! Images and journals that are torn, corrupt or of a later version.
+
+use merlinshelf_handover::records::{
+    Answer, ClientConnectionRecord, Invocation, ResponseQueueRecord,
+};
+use merlinshelf_handover::{Image, Key, Transaction};
+use proptest::prelude::*;
+use proptest::test_runner::RngSeed;
+
+proptest! {
+    #![proptest_config(ProptestConfig { cases: 2000, failure_persistence: None, rng_seed: RngSeed::Fixed(18), ..ProptestConfig::default() })]
+
+    /// Torn at any byte, a journal is as if its last transaction had never begun.
+    #[test]
+    fn a_torn_journal_is_read_up_to_its_last_complete_transaction(
+        changes in proptest::collection::vec((0u64..5, proptest::option::of(0usize..200)), 1..20),
+        torn_at in 0usize..4000,
+    ) {
+        let mut bytes = Vec::new();
+        let mut states = vec![(0, Image::default())];
+        for (stream, length) in &changes {
+            let mut transaction = Transaction::default();
+            match length {
+                Some(length) => {
+                    let answer = Answer::Succeeded(vec![7; *length].into());
+                    transaction.put(Key::ResponseQueue(*stream), &ResponseQueueRecord { answers: vec![(1, answer)] });
+                    transaction.put(Key::ClientConnection(*stream), &ClientConnectionRecord { faults: *length as u32, ..ClientConnectionRecord::default() });
+                }
+                None => transaction.remove(Key::ResponseQueue(*stream)),
+            }
+            let written = transaction.take();
+            let mut image = states.last().map(|(_, image)| image.clone()).unwrap_or_default();
+            image.apply(&written).expect("a complete transaction");
+            bytes.extend(written);
+            states.push((bytes.len(), image));
+        }
+        let torn_at = torn_at.min(bytes.len());
+        let mut image = Image::default();
+        let applied_bytes = image.apply(&bytes[..torn_at]).expect("a torn end is ignored");
+        let complete = states.iter().rev().find(|(end, _)| *end <= torn_at).expect("the first is empty");
+        prop_assert_eq!((applied_bytes, &image), (complete.0, &complete.1));
+        image.apply(&bytes[applied_bytes..]).expect("the rest");
+        prop_assert_eq!(Some(&image), states.last().map(|(_, image)| image));
+    }
+
+    /// Arbitrary bytes cause no panic and are no image.
+    #[test]
+    fn bytes_that_are_no_journal_are_rejected(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
+        let mut image = Image::default();
+        if !bytes.starts_with(b"MSH1") {
+            prop_assert!(image.apply(&bytes).is_err() || bytes.len() < 8);
+            prop_assert_eq!(image, Image::default());
+        }
+    }
+}
+
+#[test]
+fn a_record_of_a_later_version_is_decoded_as_far_as_it_is_known() {
+    #[derive(serde::Serialize)]
+    struct LaterInvocation {
+        operation: usize,
+        colour: String,
+        calls: usize,
+    }
+    let mut transaction = Transaction::default();
+    let key = Key::Invocation(*b"0123456789abcdef");
+    transaction.put(
+        key,
+        &LaterInvocation {
+            operation: 2,
+            colour: "red".into(),
+            calls: 1,
+        },
+    );
+    let mut bytes = transaction.take();
+    // And an entry of a kind that this version does not know.
+    bytes.extend([99; 17]);
+    bytes.extend(3u32.to_be_bytes());
+    bytes.extend(b"new");
+    let length = (bytes.len() - 8) as u32;
+    bytes[4..8].copy_from_slice(&length.to_be_bytes());
+    let mut image = Image::default();
+    assert_eq!(image.apply(&bytes), Ok(bytes.len()));
+    assert_eq!(image.keys().collect::<Vec<_>>(), [key]);
+    let known: Invocation = image.get(key).expect("a record");
+    assert_eq!(
+        known,
+        Invocation {
+            operation: 2,
+            call_count: 1,
+            ..Invocation::default()
+        }
+    );
+}
