--- a/crates/merlinshelf-agent/src/files.rs
+++ b/crates/merlinshelf-agent/src/files.rs
@@ -4,7 +4,7 @@
 use std::os::unix::fs::symlink;
 use std::path::{Path, PathBuf};
 
-use merlinshelf_backend::operator::read_as;
+use merlinshelf_backend::operator::parse_json5;
 use merlinshelf_fleet::capacity::{self, address};
 use merlinshelf_fleet::{FleetSpec, Instance};
 use serde_json::{Value, json};
@@ -24,7 +24,7 @@
     let file = std::fs::File::open(path).map_err(|error| named(format!(" {error}")))?;
     io::Read::read_to_string(&mut io::Read::take(file, FILE_MOST), &mut text)
         .map_err(|error| named(format!(" {error}")))?;
-    let mut wanted: FleetSpec = read_as(&text).map_err(named)?;
+    let mut wanted: FleetSpec = parse_json5(&text).map_err(named)?;
     let base = path.parent().unwrap_or(Path::new("."));
     wanted.folder = std::path::absolute(base.join(&wanted.folder))
         .map_err(|error| named(format!(" folder: {error}")))?;
--- a/crates/merlinshelf-agent/src/host.rs
+++ b/crates/merlinshelf-agent/src/host.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use log::{info, warn};
-use merlinshelf_backend::control::{self, Asked};
+use merlinshelf_backend::control::{self, PendingRequest};
 use merlinshelf_backend::logger;
 use merlinshelf_backend::operator::Format;
 use merlinshelf_fleet::capacity::address;
@@ -494,20 +494,20 @@
         self.fleet.apply(now, wanted).map_err(|refusal| refusal.0)
     }
 
-    fn asked(&mut self, asked: Asked) {
+    fn asked(&mut self, asked: PendingRequest) {
         match asked {
-            Asked::Fleet(body, reply) => self.fleet_asked(&body, reply),
-            Asked::Status(reply) => {
+            PendingRequest::Fleet(body, reply) => self.fleet_asked(&body, reply),
+            PendingRequest::Status(reply) => {
                 let names: Vec<String> =
                     self.fleet.instances().map(|one| one.name.clone()).collect();
                 _ = reply.send(asked::status(&self.fleet, self.now(), &names).1);
             }
             // Words for instances, dropped unanswered: their asker sees the end of it.
-            Asked::Drain(_)
-            | Asked::Upgrade(_)
-            | Asked::Knowledge(_)
-            | Asked::Forget(..)
-            | Asked::Policy(..) => {}
+            PendingRequest::Drain(_)
+            | PendingRequest::Upgrade(_)
+            | PendingRequest::Knowledge(_)
+            | PendingRequest::Forget(..)
+            | PendingRequest::Policy(..) => {}
         }
     }
 
--- a/crates/merlinshelf-agent/src/policy/mod.rs
+++ b/crates/merlinshelf-agent/src/policy/mod.rs
@@ -430,7 +430,7 @@
 /// Where tests let an agent die, by what it is about to do and for which policy.
 fn point(what: &str, number: u64) {
     if cfg!(debug_assertions) {
-        fault::of_any(&format!("agent.{what}.{number}"));
+        fault::injection_point_in_any_process(&format!("agent.{what}.{number}"));
     }
 }
 
--- a/crates/merlinshelf-backend/src/client/catalogue.rs
+++ b/crates/merlinshelf-backend/src/client/catalogue.rs
@@ -25,7 +25,7 @@
 use super::{Watched, connect, unreadable};
 use crate::exchange::{CallNumber, Called, Deposit, Order, Shared, pass};
 use crate::fault;
-use crate::ring::{Moved, Ring};
+use crate::ring::{IoProgress, Ring};
 use crate::routing;
 
 /// How long a connection is kept idle. The far end closes or forgets idle ones, and a call that meets this has
@@ -66,7 +66,7 @@
     /// The exchange knows already.
     Told,
     /// Everything stops where it stands: the line was handed in, or the call is made elsewhere.
-    Frozen,
+    FrozenInstance,
 }
 
 /// Which attempt of which call: of a plain call there is one.
@@ -351,8 +351,8 @@
             socket,
             stream,
             address,
-            coming: Ring::resumed(coming, taken),
-            going: Ring::resumed(going, given),
+            coming: Ring::restore(coming, taken),
+            going: Ring::restore(going, given),
             carried: record
                 .carried_invocation_ids
                 .iter()
@@ -378,7 +378,7 @@
             let mut line = self.idle.remove(place)?;
             // What has come on it since belongs to no call, and its far end may have closed it.
             match line.coming.fill(&line.socket) {
-                Ok(Moved::Blocked) => return Some(line),
+                Ok(IoProgress::Blocked) => return Some(line),
                 _ => debug!(
                     "an idle line is gone after {} ms",
                     line.idle_since.elapsed().as_millis()
@@ -390,7 +390,7 @@
 
     fn ended(&mut self, ended: Result<(Attempt, Made), JoinError>) {
         match ended {
-            Ok((key, Made::Frozen | Made::Told)) => _ = self.open.remove(&key),
+            Ok((key, Made::FrozenInstance | Made::Told)) => _ = self.open.remove(&key),
             Ok((key, Made::Ended(called, line))) => {
                 let awaited = self.open.remove(&key).is_some();
                 self.idle.extend(
@@ -445,7 +445,7 @@
         None => {
             let connected = select! {
                 connected = open(address, exchange) => connected,
-                Ok(_) = freezing.wait_for(|frozen| *frozen) => return Made::Frozen,
+                Ok(_) = freezing.wait_for(|frozen| *frozen) => return Made::FrozenInstance,
             };
             match connected {
                 Ok(line) => line,
@@ -522,7 +522,7 @@
         exchange: exchange.clone(),
     };
     let Some(line) = held.line.as_mut() else {
-        return Made::Frozen;
+        return Made::FrozenInstance;
     };
     let ended = line.call(call, exchange).await;
     if let Err(error) = &ended {
@@ -532,7 +532,7 @@
     match ended {
         Ok(None) => {
             let Some(line) = held.line.take() else {
-                return Made::Frozen;
+                return Made::FrozenInstance;
             };
             let (stream, record) = (line.stream, line.record(call));
             match line.socket.into_std() {
@@ -541,7 +541,7 @@
                     .deposit(Deposit::Line(stream, record, socket)),
                 Err(error) => warn!("a line to the catalogue can't be handed in: {error}"),
             }
-            Made::Frozen
+            Made::FrozenInstance
         }
         ended => {
             let whole = ended.is_ok();
@@ -588,8 +588,8 @@
                 .map(|id| ByteBuf::from(id.as_bytes()))
                 .collect(),
             flow: Flow {
-                read_bytes: self.coming.moved(),
-                written_bytes: self.going.moved(),
+                read_bytes: self.coming.transferred_bytes(),
+                written_bytes: self.going.transferred_bytes(),
                 read_buffer: self.coming.to_vec(),
                 write_buffer: self.going.to_vec(),
             },
@@ -622,8 +622,8 @@
             if !self.going.is_empty() {
                 self.secure(call, exchange);
             }
-            let blocked = self.going.drain(&self.socket)? == Moved::Blocked;
-            fault::point("line.written");
+            let blocked = self.going.drain(&self.socket)? == IoProgress::Blocked;
+            fault::injection_point("line.written");
             let interest = if blocked {
                 Interest::READABLE | Interest::WRITABLE
             } else {
@@ -636,7 +636,7 @@
             }
             let noted = exchange.borrow().notes();
             let fill = if noted { Ring::peek } else { Ring::fill };
-            if fill(&mut self.coming, &self.socket)? == Moved::Ended {
+            if fill(&mut self.coming, &self.socket)? == IoProgress::Closed {
                 return Err(io::ErrorKind::UnexpectedEof.into());
             }
             if let Some(called) = self.take_in(call.0, exchange)? {
@@ -644,8 +644,8 @@
             }
             if noted {
                 self.secure(call, exchange);
-                fault::point("line.noted");
-                self.coming.taken_out(&self.socket)?;
+                fault::injection_point("line.noted");
+                self.coming.discard_peeked(&self.socket)?;
             }
         }
     }
--- a/crates/merlinshelf-backend/src/client/engine.rs
+++ b/crates/merlinshelf-backend/src/client/engine.rs
@@ -21,7 +21,7 @@
 use super::{Watched, connect, unreadable};
 use crate::exchange::{Command, Deposit, Shared, monotonic, pass};
 use crate::fault;
-use crate::ring::{Moved, Ring};
+use crate::ring::{IoProgress, Ring};
 
 /// From one attempt at a link to the next: one that stood for longer is replaced at once, since the cores run dry
 /// meanwhile.
@@ -110,13 +110,13 @@
                     );
                     select! {
                         biased;
-                        Ok(_) = freezing.wait_for(|frozen| *frozen) => End::Frozen,
+                        Ok(_) = freezing.wait_for(|frozen| *frozen) => End::FrozenInstance,
                         reason = run => End::Broken(reason.err().unwrap_or(io::ErrorKind::UnexpectedEof.into())),
-                        link = moved => { next = Some(link); End::Moved }
+                        link = moved => { next = Some(link); End::IoProgress }
                     }
                 };
                 match ended {
-                    End::Frozen => return engine.deposit(Some(link)),
+                    End::FrozenInstance => return engine.deposit(Some(link)),
                     End::Broken(reason) => {
                         warn!(
                             "the engine's link broke after notice {}: {reason}",
@@ -125,7 +125,9 @@
                         engine.offer = engine.exchange.borrow().names_dependencies()
                             && (link.hello || !engine.offer);
                     }
-                    End::Moved => info!("the engine's link moves after notice {}", engine.last),
+                    End::IoProgress => {
+                        info!("the engine's link moves after notice {}", engine.last)
+                    }
                 }
                 engine.close(&link);
             }
@@ -142,9 +144,9 @@
 
 /// Why a link is served no longer.
 enum End {
-    Frozen,
+    FrozenInstance,
     Broken(io::Error),
-    Moved,
+    IoProgress,
 }
 
 /// Waits until the engine is at another address, and for a connection to it.
@@ -222,8 +224,8 @@
             socket,
             stream,
             address,
-            coming: Ring::resumed(coming, taken),
-            going: Ring::resumed(going, given),
+            coming: Ring::restore(coming, taken),
+            going: Ring::restore(going, given),
             hello: record.is_greeted,
             caught_up: record.is_caught_up,
             names: record.names_dependencies,
@@ -235,8 +237,8 @@
     fn record(&self, link: Option<&Link>) -> records::EngineConnectionRecord {
         let now = Instant::now();
         let flow = |link: &Link| Flow {
-            read_bytes: link.coming.moved(),
-            written_bytes: link.going.moved(),
+            read_bytes: link.coming.transferred_bytes(),
+            written_bytes: link.going.transferred_bytes(),
             read_buffer: link.coming.to_vec(),
             write_buffer: link.going.to_vec(),
         };
@@ -291,8 +293,8 @@
             if !link.going.is_empty() {
                 self.secure(Some(link));
             }
-            let blocked = link.going.drain(&link.socket)? == Moved::Blocked;
-            fault::point("link.written");
+            let blocked = link.going.drain(&link.socket)? == IoProgress::Blocked;
+            fault::injection_point("link.written");
             let interest = if blocked {
                 Interest::READABLE | Interest::WRITABLE
             } else {
@@ -308,14 +310,14 @@
             let noted = self.exchange.borrow().notes();
             let fill = if noted { Ring::peek } else { Ring::fill };
             let came = fill(&mut link.coming, &link.socket)?;
-            if came == Moved::Ended {
+            if came == IoProgress::Closed {
                 return Ok(());
             }
             self.take_in(link)?;
-            if noted && came == Moved::Some {
+            if noted && came == IoProgress::Advanced {
                 self.secure(Some(link));
-                fault::point("link.noted");
-                link.coming.taken_out(&link.socket)?;
+                fault::injection_point("link.noted");
+                link.coming.discard_peeked(&link.socket)?;
             }
             self.ask(link)?;
         }
--- a/crates/merlinshelf-backend/src/client/registration.rs
+++ b/crates/merlinshelf-backend/src/client/registration.rs
@@ -12,7 +12,7 @@
 
 use super::{Watched, connect, unreadable};
 use crate::exchange::Shared;
-use crate::ring::{Moved, Ring};
+use crate::ring::{IoProgress, Ring};
 
 /// The service drops a name after 3 s without a report: three may be late or lost.
 const EVERY: Duration = Duration::from_millis(700);
@@ -20,7 +20,7 @@
 
 /// Reports for as long as the program runs.
 pub async fn report(mut peers: Watched, name: String, exchange: Shared) {
-    let mut address = peers.borrow_and_update().members;
+    let mut address = peers.borrow_and_update().registration;
     let left = exchange.borrow().left();
     let mut ticks = interval(EVERY);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -31,7 +31,7 @@
             _ = ticks.tick() => {}
             () = left.notified() => {}
             Ok(()) = peers.changed() => {
-                let now = peers.borrow_and_update().members;
+                let now = peers.borrow_and_update().registration;
                 if now == address {
                     continue;
                 }
@@ -73,17 +73,17 @@
 ) -> io::Result<Option<TcpStream>> {
     let mut coming = Ring::default();
     // One that the far end has closed since is seen here and replaced.
-    let alive = kept.filter(|socket| matches!(coming.fill(socket), Ok(Moved::Blocked)));
+    let alive = kept.filter(|socket| matches!(coming.fill(socket), Ok(IoProgress::Blocked)));
     let socket = match alive {
         Some(socket) => socket,
         None => connect(address).await?,
     };
-    while going.drain(&socket)? == Moved::Blocked {
+    while going.drain(&socket)? == IoProgress::Blocked {
         socket.writable().await?;
     }
     loop {
         socket.readable().await?;
-        if coming.fill(&socket)? == Moved::Ended {
+        if coming.fill(&socket)? == IoProgress::Closed {
             return Err(io::ErrorKind::UnexpectedEof.into());
         }
         let mut answer = None;
--- a/crates/merlinshelf-backend/src/config.rs
+++ b/crates/merlinshelf-backend/src/config.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Peers {
     pub engine: SocketAddr,
-    pub members: SocketAddr,
+    pub registration: SocketAddr,
     pub catalogue: SocketAddr,
 }
 
@@ -23,7 +23,7 @@
     pub peers: Peers,
     pub seed: u64,
     /// From the notice to leave until the process is killed.
-    pub stop: Duration,
+    pub drain_timeout: Duration,
     pub memory_mb: u64,
     pub sockets: usize,
     pub settings: Settings,
@@ -43,7 +43,7 @@
         let text = std::fs::File::open(path)
             .and_then(read)
             .map_err(|error| named(error.to_string()))?;
-        Config::read(&text).map_err(named)
+        Config::parse(&text).map_err(named)
     }
 
     /// What a file read later says otherwise and can't be heeded before the next start.
@@ -51,7 +51,7 @@
         let same = [
             ("name", self.name == later.name),
             ("listen", self.listen == later.listen),
-            ("stop_ms", self.stop == later.stop),
+            ("stop_ms", self.drain_timeout == later.drain_timeout),
             (
                 "limits",
                 (self.memory_mb, self.sockets) == (later.memory_mb, later.sockets),
@@ -65,7 +65,7 @@
     }
 
     /// Reads the text of the file. What can't be used is named.
-    pub fn read(text: &str) -> Result<Config, String> {
+    pub fn parse(text: &str) -> Result<Config, String> {
         let whole: Value =
             serde_json::from_str(text).map_err(|error| format!("no JSON: {error}"))?;
         let whole = whole.as_object().ok_or("the configuration is no object")?;
@@ -90,12 +90,12 @@
             listen: address(whole, "listen")?,
             peers: Peers {
                 engine: address(whole, "engine")?,
-                members: address(whole, "members")?,
+                registration: address(whole, "members")?,
                 catalogue: address(whole, "backend")?,
             },
             seed: u64::from_str_radix(seed, 16)
                 .map_err(|_| format!("seed: {seed:?} is not hexadecimal"))?,
-            stop: Duration::from_secs_f64(positive(whole, "stop_ms")?.min(1e9) / 1e3),
+            drain_timeout: Duration::from_secs_f64(positive(whole, "stop_ms")?.min(1e9) / 1e3),
             memory_mb: positive(limits, "memory_mb")? as u64,
             sockets: positive(limits, "sockets")? as usize,
             settings,
@@ -177,9 +177,9 @@
 
     #[test]
     fn settings_read_as_in_the_benchs_first_message() {
-        let config = Config::read(EXAMPLE).expect("the example can be read");
+        let config = Config::parse(EXAMPLE).expect("the example can be read");
         assert_eq!(
-            (config.seed, config.stop),
+            (config.seed, config.drain_timeout),
             (0x8c1f_30d2_7a5b_e964, Duration::from_millis(3200))
         );
         let lines: Vec<String> = config
@@ -204,7 +204,7 @@
             ("\"name\": \"n0\"", "\"name\": \"a b\""),
             ("\"settings\"", "\"set\""),
         ];
-        let read = changes.map(|(from, to)| Config::read(&EXAMPLE.replacen(from, to, 1)).err());
+        let read = changes.map(|(from, to)| Config::parse(&EXAMPLE.replacen(from, to, 1)).err());
         insta::assert_snapshot!(format!("{read:#?}"));
     }
 }
--- a/crates/merlinshelf-backend/src/control.rs
+++ b/crates/merlinshelf-backend/src/control.rs
@@ -34,7 +34,7 @@
 const PAUSE: Duration = Duration::from_millis(50);
 
 /// A question to the process, and where its answer goes.
-pub enum Asked {
+pub enum PendingRequest {
     Status(oneshot::Sender<Value>),
     Drain(oneshot::Sender<Value>),
     Upgrade(UnboundedSender<Progress>),
@@ -60,7 +60,7 @@
 }
 
 /// Opens the socket in place of one that nobody listens on, or of this process's predecessor's.
-pub fn open(path: &Path, asked: UnboundedSender<Asked>) -> io::Result<Control> {
+pub fn open(path: &Path, asked: UnboundedSender<PendingRequest>) -> io::Result<Control> {
     let named = |error: io::Error| {
         io::Error::new(
             error.kind(),
@@ -95,7 +95,7 @@
     BlockingStream::connect(path).is_ok()
 }
 
-async fn accept(listener: UnixListener, asked: UnboundedSender<Asked>) {
+async fn accept(listener: UnixListener, asked: UnboundedSender<PendingRequest>) {
     let clients = Rc::new(Cell::new(0));
     loop {
         let stream = match listener.accept().await {
@@ -145,7 +145,7 @@
     }
 }
 
-async fn attend(stream: &UnixStream, asked: UnboundedSender<Asked>) -> io::Result<()> {
+async fn attend(stream: &UnixStream, asked: UnboundedSender<PendingRequest>) -> io::Result<()> {
     let (form, question, body) = match timeout(WORD_WITHIN, read(stream)).await? {
         Ok(read) => read,
         Err(error) if error.kind() == io::ErrorKind::InvalidData => {
@@ -167,9 +167,9 @@
         ControlRequest::Status | ControlRequest::Drain => {
             let (sender, answer) = oneshot::channel();
             let ask = if question == ControlRequest::Status {
-                Asked::Status
+                PendingRequest::Status
             } else {
-                Asked::Drain
+                PendingRequest::Drain
             };
             asked.send(ask(sender)).map_err(|_| gone())?;
             let answer = answer.await.map_err(|_| gone())?;
@@ -177,7 +177,9 @@
         }
         ControlRequest::Knowledge => {
             let (sender, pages) = oneshot::channel();
-            asked.send(Asked::Knowledge(sender)).map_err(|_| gone())?;
+            asked
+                .send(PendingRequest::Knowledge(sender))
+                .map_err(|_| gone())?;
             let Some(pages) = pages.await.map_err(|_| gone())? else {
                 return say(
                     stream,
@@ -199,7 +201,9 @@
         ControlRequest::Fleet => {
             let body: Value = serde_json::from_slice(&body).unwrap_or_default();
             let (sender, mut answers) = unbounded_channel();
-            asked.send(Asked::Fleet(body, sender)).map_err(|_| gone())?;
+            asked
+                .send(PendingRequest::Fleet(body, sender))
+                .map_err(|_| gone())?;
             let answered = async {
                 while let Some((word, answer)) = answers.recv().await {
                     say(stream, word, &answer).await?;
@@ -225,7 +229,7 @@
             };
             let (sender, said) = oneshot::channel();
             asked
-                .send(Asked::Policy(beat, sender))
+                .send(PendingRequest::Policy(beat, sender))
                 .map_err(|_| gone())?;
             match said.await.map_err(|_| gone())? {
                 Some(said) => {
@@ -255,7 +259,7 @@
             let origin = body["origin"].as_str().map(str::to_owned);
             let (sender, gone_by) = oneshot::channel();
             asked
-                .send(Asked::Forget(origin, sender))
+                .send(PendingRequest::Forget(origin, sender))
                 .map_err(|_| gone())?;
             match gone_by.await.map_err(|_| gone())? {
                 Some(count) => {
@@ -273,7 +277,9 @@
         }
         ControlRequest::Upgrade => {
             let (sender, progress) = unbounded_channel();
-            asked.send(Asked::Upgrade(sender)).map_err(|_| gone())?;
+            asked
+                .send(PendingRequest::Upgrade(sender))
+                .map_err(|_| gone())?;
             timeout(UPGRADE_WITHIN, report(stream, progress)).await?
         }
     }
--- a/crates/merlinshelf-backend/src/exchange/budgets.rs
+++ b/crates/merlinshelf-backend/src/exchange/budgets.rs
@@ -19,7 +19,7 @@
 use serde_json::{Value, json};
 
 use super::{Exchange, monotonic};
-use crate::operator::PolicyOf;
+use crate::operator::PolicySettings;
 
 /// Between two looks at what the host has set aside, seconds: where there is nothing, each call that is wanted would look.
 const LOOK_EVERY: f64 = 0.005;
@@ -51,7 +51,7 @@
 }
 
 impl Spending {
-    pub(super) fn new(life: u64, seed: u64, of: &PolicyOf) -> Spending {
+    pub(super) fn new(life: u64, seed: u64, of: &PolicySettings) -> Spending {
         let lease = LeaseTerms {
             lease_seconds: of.lease_ms as f64 / 1e3,
             drift: of.drift,
--- a/crates/merlinshelf-backend/src/exchange/carry.rs
+++ b/crates/merlinshelf-backend/src/exchange/carry.rs
@@ -219,7 +219,7 @@
 
     /// Memory that notes take which the predecessor has not read, in bytes.
     pub fn unread_notes(&self) -> u64 {
-        self.journal.as_ref().map_or(0, Journal::unread)
+        self.journal.as_ref().map_or(0, Journal::unread_bytes)
     }
 
     /// Puts a part's own record with what is noted next.
--- a/crates/merlinshelf-backend/src/exchange/policy.rs
+++ b/crates/merlinshelf-backend/src/exchange/policy.rs
@@ -11,7 +11,7 @@
 
 use super::budgets::Spending;
 use super::{Exchange, Wanting, monotonic, unix_ms};
-use crate::operator::PolicyOf;
+use crate::operator::PolicySettings;
 
 /// What else is laid under a policy: told whenever it is another one. Whether it could be is asked first.
 pub trait Laid {
@@ -39,7 +39,7 @@
     ///
     /// # Errors
     /// The base policy does not fit this instance.
-    pub fn hold_policy(&mut self, of: &PolicyOf, laid: Box<dyn Laid>) -> Result<(), String> {
+    pub fn hold_policy(&mut self, of: &PolicySettings, laid: Box<dyn Laid>) -> Result<(), String> {
         let base = std::mem::take(&mut self.settings);
         let settings = of
             .base
--- a/crates/merlinshelf-backend/src/exchange/tests.rs
+++ b/crates/merlinshelf-backend/src/exchange/tests.rs
@@ -41,7 +41,7 @@
 
 impl Play {
     fn start() -> Play {
-        let config = Config::read(EXAMPLE).expect("the example can be read");
+        let config = Config::parse(EXAMPLE).expect("the example can be read");
         let exchange =
             Exchange::new(config.settings, config.seed, 192).expect("settings that are read");
         let shared = Rc::new(RefCell::new(exchange));
@@ -296,7 +296,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn what_comes_before_the_engine_or_too_late_is_throttled_at_once() {
-    let config = Config::read(EXAMPLE).expect("the example can be read");
+    let config = Config::parse(EXAMPLE).expect("the example can be read");
     let exchange =
         Exchange::new(config.settings, config.seed, 192).expect("settings that are read");
     let shared = Rc::new(RefCell::new(exchange));
--- a/crates/merlinshelf-backend/src/fault.rs
+++ b/crates/merlinshelf-backend/src/fault.rs
@@ -3,17 +3,17 @@
 /// Fails here if `MERLINSHELF_FAULT` says so: `POINT:TIMES:HOW`, at that pass of the point; `how` is `abort`, `exit`,
 /// `hang`, or `pause` for half a second. In successors alone: the variable is passed on from who comes before.
 #[cfg(debug_assertions)]
-pub(crate) fn point(name: &str) {
+pub(crate) fn injection_point(name: &str) {
     use std::sync::OnceLock;
     static SUCCESSOR: OnceLock<bool> = OnceLock::new();
     if *SUCCESSOR.get_or_init(|| std::env::var_os(crate::upgrade::channel::HANDOVER).is_some()) {
-        of_any(name);
+        injection_point_in_any_process(name);
     }
 }
 
 /// The same in any process.
 #[cfg(debug_assertions)]
-pub fn of_any(name: &str) {
+pub fn injection_point_in_any_process(name: &str) {
     use std::sync::OnceLock;
     use std::sync::atomic::{AtomicU64, Ordering};
     static FAULT: OnceLock<Option<(String, u64, String)>> = OnceLock::new();
@@ -42,7 +42,7 @@
 }
 
 #[cfg(not(debug_assertions))]
-pub(crate) fn point(_: &str) {}
+pub(crate) fn injection_point(_: &str) {}
 
 #[cfg(not(debug_assertions))]
-pub fn of_any(_: &str) {}
+pub fn injection_point_in_any_process(_: &str) {}
--- a/crates/merlinshelf-backend/src/instance.rs
+++ b/crates/merlinshelf-backend/src/instance.rs
@@ -73,13 +73,13 @@
 }
 
 /// What was frozen: the image, and all that the process holds open for it.
-pub struct Frozen {
+pub struct FrozenInstance {
     pub image: Transaction,
     pub passed: Passed,
 }
 
 /// All that another process left, made live and not yet set going.
-pub struct Prepared {
+pub struct RestoredInstance {
     exchange: Shared,
     listener: Rc<Listening>,
     edges: Vec<(
@@ -100,10 +100,10 @@
     pub broken: usize,
 }
 
-impl Prepared {
+impl RestoredInstance {
     /// A fresh start.
-    pub fn fresh(exchange: Shared, listener: Listening) -> Prepared {
-        Prepared {
+    pub fn fresh(exchange: Shared, listener: Listening) -> RestoredInstance {
+        RestoredInstance {
             exchange,
             listener: Rc::new(listener),
             edges: Vec::new(),
@@ -122,9 +122,9 @@
         image: &Image,
         mut passed: Passed,
         learnt: Option<LearnedState>,
-    ) -> io::Result<Prepared> {
+    ) -> io::Result<RestoredInstance> {
         exchange.suits(image).map_err(io::Error::other)?;
-        let mut prepared = Prepared::fresh(Rc::new(RefCell::new(exchange)), listener);
+        let mut prepared = RestoredInstance::fresh(Rc::new(RefCell::new(exchange)), listener);
         let record: Option<records::EngineConnectionRecord> = image.get(Key::EngineConnection);
         let socket = record
             .as_ref()
@@ -202,7 +202,7 @@
         routing: Option<routing::Shared>,
         uwsgi: bool,
     ) -> Instance {
-        let Prepared {
+        let RestoredInstance {
             exchange,
             listener,
             edges,
@@ -275,7 +275,7 @@
             accepting,
             handing_in: vec![engine, calling],
             _others: vec![the_clock, reporting],
-            stop: config.stop,
+            stop: config.drain_timeout,
         }
     }
 }
@@ -331,7 +331,7 @@
     }
 
     /// Stops everything where it stands and takes it down. The listener stays with the caller.
-    pub async fn freeze(self) -> Result<(Frozen, Rc<Listening>), &'static str> {
+    pub async fn freeze(self) -> Result<(FrozenInstance, Rc<Listening>), &'static str> {
         let Instance {
             exchange,
             listener,
@@ -355,7 +355,7 @@
             .await
             .map_err(|_| "a part does not stop")?;
         let (image, passed) = exchange.borrow_mut().take_image();
-        Ok((Frozen { image, passed }, listener))
+        Ok((FrozenInstance { image, passed }, listener))
     }
 }
 
--- a/crates/merlinshelf-backend/src/journal.rs
+++ b/crates/merlinshelf-backend/src/journal.rs
@@ -30,7 +30,7 @@
     }
 
     /// Memory that notes take which nobody has read yet, in bytes.
-    pub fn unread(&self) -> u64 {
+    pub fn unread_bytes(&self) -> u64 {
         self.file.metadata().map_or(0, |state| {
             std::os::unix::fs::MetadataExt::blocks(&state) * 512
         })
@@ -58,7 +58,7 @@
 }
 
 /// The reading end.
-pub struct Follower {
+pub struct JournalReader {
     file: File,
     /// Up to where whole transactions were read.
     read: u64,
@@ -69,9 +69,9 @@
 /// Read at one go.
 const GULP: usize = 64 * 1024;
 
-impl Follower {
-    pub fn new(file: OwnedFd) -> Follower {
-        Follower {
+impl JournalReader {
+    pub fn new(file: OwnedFd) -> JournalReader {
+        JournalReader {
             file: file.into(),
             read: 0,
             gulp: vec![0; GULP],
@@ -122,7 +122,7 @@
         let copy = file.try_clone().expect("a copy");
         let size = |file: &OwnedFd| rustix::fs::fstat(file).expect("a state").st_blocks;
         let (mut journal, mut image) = (Journal::new(file), Image::default());
-        let mut follower = Follower::new(copy.try_clone().expect("a copy"));
+        let mut follower = JournalReader::new(copy.try_clone().expect("a copy"));
         let answers = |count: usize| ResponseQueueRecord {
             answers: vec![(
                 1,
--- a/crates/merlinshelf-backend/src/logger.rs
+++ b/crates/merlinshelf-backend/src/logger.rs
@@ -95,7 +95,7 @@
 /// The part of the program that a module belongs to: its own name, or the program's for what holds all together.
 fn part(target: &str) -> &str {
     match target.rsplit("::").next().unwrap_or("") {
-        "host" | "instance" | "guard" | "control" => "merlinshelf",
+        "process" | "instance" | "successor_guard" | "startup_wait" | "control" => "merlinshelf",
         "folder" | "peers" => "learning",
         part => part,
     }
--- a/crates/merlinshelf-backend/src/operator.rs
+++ b/crates/merlinshelf-backend/src/operator.rs
@@ -37,13 +37,14 @@
     pub dependencies: Option<Dependencies>,
     /// One policy for all instances of an installation, changed in service by its agents; absent: off.
     #[garde(dive)]
-    pub policy: Option<PolicyOf>,
+    pub policy: Option<PolicySettings>,
 }
 
 /// How an instance takes part in the policy for all.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields, default)]
-pub struct PolicyOf {
+#[schemars(rename = "PolicyOf")]
+pub struct PolicySettings {
     /// What is served by without a lease: the same for the whole installation, for good.
     #[garde(dive)]
     pub base: Policy,
@@ -68,9 +69,9 @@
     pub aside: Option<PathBuf>,
 }
 
-impl Default for PolicyOf {
-    fn default() -> PolicyOf {
-        PolicyOf {
+impl Default for PolicySettings {
+    fn default() -> PolicySettings {
+        PolicySettings {
             base: Policy::default(),
             without: LeaseExpiryMode::default(),
             drift: 0.02,
@@ -224,13 +225,14 @@
     pub share: f64,
     /// Who teaches whom; absent: nobody is asked and nobody is taught.
     #[garde(dive)]
-    pub peers: Option<PeersOfLearning>,
+    pub peers: Option<GossipPeers>,
 }
 
 /// Other instances.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
-pub struct PeersOfLearning {
+#[schemars(rename = "PeersOfLearning")]
+pub struct GossipPeers {
     /// The address at which others ask this one: on the loopback interface, since nothing is encrypted yet.
     #[garde(custom(loopback))]
     pub listen: String,
@@ -310,7 +312,7 @@
         let read = std::fs::File::open(path)
             .and_then(|file| io_read(file, &mut text))
             .map_err(|error| error.to_string());
-        let whole = read.and_then(|()| Operator::read(&text));
+        let whole = read.and_then(|()| Operator::parse(&text));
         whole.map_err(|why| format!("{}:{why}", path.display()))
     }
 
@@ -318,8 +320,8 @@
     ///
     /// # Errors
     /// `LINE:COLUMN: FIELD: WHY` for what is no JSON5 or no such field, `LINE: FIELD: WHY` for what is out of range.
-    pub fn read(text: &str) -> Result<Operator, String> {
-        read_as(text)
+    pub fn parse(text: &str) -> Result<Operator, String> {
+        parse_json5(text)
     }
 
     /// The schema that the file is held to, as JSON.
@@ -333,7 +335,7 @@
 ///
 /// # Errors
 /// As of `Operator::read`.
-pub fn read_as<T>(text: &str) -> Result<T, String>
+pub fn parse_json5<T>(text: &str) -> Result<T, String>
 where
     T: serde::de::DeserializeOwned + Validate,
     T::Context: Default,
@@ -386,12 +388,12 @@
 
     #[test]
     fn the_example_is_read_and_its_schema_is_the_one_that_is_kept() {
-        let operator = Operator::read(EXAMPLE).expect("the example can be read");
+        let operator = Operator::parse(EXAMPLE).expect("the example can be read");
         let upgrade = operator.upgrade.expect("it switches upgrades on");
         assert_eq!((upgrade.watched_ms, upgrade.silent_ms), (2_000, 1_000));
         let learning = operator.learning.expect("it switches learning on");
         assert_eq!(learning.peers.expect("peers").seeds.len(), 2);
-        assert_eq!(Operator::read("{}"), Ok(Operator::default()));
+        assert_eq!(Operator::parse("{}"), Ok(Operator::default()));
         // `merlinshelf check --schema > deploy/operator.schema.json` makes it anew.
         assert_eq!(
             Operator::schema(),
@@ -422,7 +424,7 @@
             "{policy: {without: 'nothing'}}",
             "{policy: {drift: 0.5, base: {tenants: {a: 0.7, b: 0.7}}}}",
         ];
-        let read = texts.map(|text| Operator::read(text).err().unwrap_or_default());
+        let read = texts.map(|text| Operator::parse(text).err().unwrap_or_default());
         insta::assert_snapshot!(read.join("\n"));
     }
 }
--- a/crates/merlinshelf-backend/src/host/asked.rs
+++ b/crates/merlinshelf-backend/src/process/asked.rs
@@ -6,16 +6,16 @@
 use serde_json::json;
 use tokio::sync::mpsc::UnboundedSender;
 
-use super::{Host, VERSION};
-use crate::control::Asked;
+use super::{Process, VERSION};
+use crate::control::PendingRequest;
 use crate::counters;
 use crate::learning::Learning;
 
-impl Host {
-    pub(super) fn asked_for(&mut self, asked: Asked) {
+impl Process {
+    pub(super) fn asked_for(&mut self, asked: PendingRequest) {
         match asked {
-            Asked::Status(reply) => _ = reply.send(self.status()),
-            Asked::Drain(reply) => {
+            PendingRequest::Status(reply) => _ = reply.send(self.status()),
+            PendingRequest::Drain(reply) => {
                 let before = self.leaving.is_some();
                 let status = self.told_to_leave();
                 let said = if before {
@@ -24,19 +24,19 @@
                     "told to leave"
                 };
                 let _ = reply.send(json!({
-                    "told": !before, "text": said, "stop_ms": self.config.stop.as_millis() as u64, "status": status,
+                    "told": !before, "text": said, "stop_ms": self.config.drain_timeout.as_millis() as u64, "status": status,
                 }));
             }
-            Asked::Knowledge(reply) => {
+            PendingRequest::Knowledge(reply) => {
                 _ = reply.send(self.learning.as_ref().map(Learning::knowledge));
             }
-            Asked::Fleet(_, reply) => {
+            PendingRequest::Fleet(_, reply) => {
                 _ = reply.send((
                     ControlWord::Refused,
                     json!({ "text": "an instance listens here, not an agent" }),
                 ));
             }
-            Asked::Policy(beat, reply) => {
+            PendingRequest::Policy(beat, reply) => {
                 let exchange = match (&self.instance, &self.waiting) {
                     (Some(instance), _) => Some(instance.exchange.clone()),
                     (None, Some(waiting)) => Some(waiting.exchange.clone()),
@@ -48,14 +48,14 @@
                 _ = reply
                     .send(exchange.and_then(|exchange| exchange.borrow_mut().policy_heard(*beat)));
             }
-            Asked::Forget(origin, reply) => {
+            PendingRequest::Forget(origin, reply) => {
                 _ = reply.send(
                     self.learning
                         .as_mut()
                         .map(|learning| learning.forget(origin.as_deref())),
                 );
             }
-            Asked::Upgrade(progress) => {
+            PendingRequest::Upgrade(progress) => {
                 let lacking = self.lacking();
                 let before = self.asked.replace(progress);
                 self.keeper.start_upgrade(self.now(), lacking);
--- a/crates/merlinshelf-backend/src/host/handing.rs
+++ b/crates/merlinshelf-backend/src/process/handing.rs
@@ -10,15 +10,15 @@
 use merlinshelf_handover::{Image, Key, Message, Role, records, successor};
 use tokio::time::{Instant, timeout};
 
-use super::{Host, load};
+use super::{Process, load};
 use crate::exchange::{Exchange, Passed};
 use crate::fault;
-use crate::instance::Prepared;
+use crate::instance::RestoredInstance;
 use crate::journal::Journal;
 use crate::server;
-use crate::upgrade::guard::Guard;
+use crate::upgrade::successor_guard::SuccessorGuard;
 
-impl Host {
+impl Process {
     pub(super) async fn keeper_step(&mut self, step: Action) -> io::Result<Option<i32>> {
         match step {
             Action::StartSuccessor => self.start_successor(),
@@ -81,10 +81,10 @@
         match step {
             successor::Action::Send(word) => {
                 match word {
-                    Message::Hello { .. } => fault::point("heir.hello"),
-                    Message::Ready => fault::point("heir.ready"),
-                    Message::Restored => fault::point("heir.taken"),
-                    Message::Heartbeat => fault::point("heir.beat"),
+                    Message::Hello { .. } => fault::injection_point("heir.hello"),
+                    Message::Ready => fault::injection_point("heir.ready"),
+                    Message::Restored => fault::injection_point("heir.taken"),
+                    Message::Heartbeat => fault::injection_point("heir.beat"),
                     _ => {}
                 }
                 if let Some(elder) = &self.elder {
@@ -107,7 +107,7 @@
                 }
             }
             successor::Action::Activate => {
-                fault::point("heir.serve");
+                fault::injection_point("heir.serve");
                 if let Some(prepared) = self.prepared.take() {
                     let (edges, lines, hand) = prepared.sums();
                     info!(
@@ -135,7 +135,7 @@
     }
 
     fn successor(&self) -> u32 {
-        self.guard.as_ref().map_or(0, Guard::id)
+        self.guard.as_ref().map_or(0, SuccessorGuard::id)
     }
 
     fn start_successor(&mut self) {
@@ -145,7 +145,7 @@
             .as_ref()
             .and_then(|upgrade| upgrade.program.clone());
         let program = named.map_or_else(own_program, Ok);
-        match program.and_then(Guard::start) {
+        match program.and_then(SuccessorGuard::start) {
             Ok(guard) => {
                 info!(successor = guard.id(); "the successor {} starts", guard.id());
                 (self.guard, self.cut) = (Some(guard), false);
@@ -200,7 +200,7 @@
     }
 
     /// What a predecessor has handed over, live and not yet set going.
-    pub(super) fn take_over(&mut self) -> io::Result<Prepared> {
+    pub(super) fn take_over(&mut self) -> io::Result<RestoredInstance> {
         let mut passed = std::mem::take(&mut self.inherited);
         let missing = |what: &str| io::Error::other(format!("{what} did not come"));
         let image = passed
@@ -228,7 +228,7 @@
         mut passed: Passed,
         learnt: Option<merlinshelf_admission::LearnedState>,
         takes_back: bool,
-    ) -> io::Result<Prepared> {
+    ) -> io::Result<RestoredInstance> {
         let listener = passed
             .remove(&Role::Listener)
             .ok_or_else(|| io::Error::other("no listener came"))?;
@@ -242,7 +242,7 @@
             // What its successor held may be fenced by now: it holds nothing until its agent says so.
             None => exchange.begin_without_policy(),
         }
-        Prepared::carried(
+        RestoredInstance::carried(
             exchange,
             server::listening(listener)?,
             image,
--- a/crates/merlinshelf-backend/src/host/mod.rs
+++ b/crates/merlinshelf-backend/src/process/mod.rs
@@ -25,19 +25,19 @@
 use tokio::time::{Instant, sleep_until, timeout};
 
 use crate::config::{Config, Peers};
-use crate::control::{self, Asked, Control};
+use crate::control::{self, Control, PendingRequest};
 use crate::counters;
 use crate::exchange::{Exchange, Passed, Passing, monotonic};
 use crate::fault;
-use crate::instance::{Instance, Prepared};
+use crate::instance::{Instance, RestoredInstance};
 use crate::learning::Learning;
 use crate::logger;
 use crate::operator::Operator;
 use crate::routing::{self, LaidOver, Routing};
 use crate::server;
+use crate::startup_wait::StartupWait;
 use crate::upgrade::channel::Channel;
-use crate::upgrade::guard::Guard;
-use crate::waiting::Waiting;
+use crate::upgrade::successor_guard::SuccessorGuard;
 
 /// What a process is started with.
 #[derive(Clone, Debug)]
@@ -66,7 +66,7 @@
     let elder = Channel::inherited()
         .transpose()
         .map_err(|error| error.to_string())?;
-    fault::point("heir.start");
+    fault::injection_point("heir.start");
     let runtime = Builder::new_current_thread()
         .enable_all()
         .build()
@@ -85,7 +85,7 @@
     };
     logger::start(operator.log.level(), operator.log.format);
     let result = LocalSet::new().block_on(&runtime, async {
-        let host = Host::new(start.clone(), config, operator, elder)?;
+        let host = Process::new(start.clone(), config, operator, elder)?;
         host.run(exchange).await
     });
     logger::finish();
@@ -114,7 +114,7 @@
 
 type Leaving = Pin<Box<dyn Future<Output = ()>>>;
 
-struct Host {
+struct Process {
     start: Start,
     config: Config,
     operator: Operator,
@@ -128,11 +128,11 @@
     /// As the operators' file has them.
     dependencies: Rc<RefCell<Option<Dependencies>>>,
     /// A fresh start that waits to hear which policy holds.
-    waiting: Option<Waiting>,
+    waiting: Option<StartupWait>,
     leaving: Option<Leaving>,
     // towards a successor
     keeper: Predecessor,
-    guard: Option<Guard>,
+    guard: Option<SuccessorGuard>,
     /// The channel to it has ended.
     cut: bool,
     asked: Option<UnboundedSender<Progress>>,
@@ -142,11 +142,14 @@
     predecessor: Option<u32>,
     elder: Option<Channel>,
     inherited: Passed,
-    prepared: Option<Prepared>,
+    prepared: Option<RestoredInstance>,
     passing: (UnboundedSender<Passing>, UnboundedReceiver<Passing>),
     // from outside
     control: Option<Control>,
-    requests: (UnboundedSender<Asked>, UnboundedReceiver<Asked>),
+    requests: (
+        UnboundedSender<PendingRequest>,
+        UnboundedReceiver<PendingRequest>,
+    ),
     signals: Signals,
 }
 
@@ -163,7 +166,7 @@
     Left,
     Reload,
     Counters,
-    Asked(Asked),
+    PendingRequest(PendingRequest),
     FromSuccessor(io::Result<(Message, Vec<OwnedFd>)>),
     SuccessorEnded,
     FromElder(io::Result<(Message, Vec<OwnedFd>)>),
@@ -171,13 +174,13 @@
     Woken,
 }
 
-impl Host {
+impl Process {
     fn new(
         start: Start,
         config: Config,
         operator: Operator,
         elder: Option<OwnedFd>,
-    ) -> io::Result<Host> {
+    ) -> io::Result<Process> {
         let upgrade = operator.upgrade.clone().unwrap_or_default();
         let patience = StageTimeouts {
             ready: upgrade.ready(),
@@ -186,7 +189,7 @@
             heartbeat: upgrade.silent(),
         };
         let elder = elder.map(Channel::new).transpose()?;
-        Ok(Host {
+        Ok(Process {
             heir: elder
                 .as_ref()
                 .map(|_| Successor::new(upgrade.watched(), VERSION)),
@@ -246,7 +249,7 @@
                 .policy
                 .as_ref()
                 .map(|policy| Duration::from_millis(policy.wait_ms));
-            let waiting = Waiting::new(
+            let waiting = StartupWait::new(
                 exchange,
                 bound,
                 Instant::now() + heard_by.unwrap_or_default(),
@@ -296,7 +299,7 @@
             .into_iter()
             .chain(self.waiting.as_ref().map(|waiting| waiting.until))
             .min();
-        let Host {
+        let Process {
             leaving,
             guard,
             cut,
@@ -318,7 +321,7 @@
             _ = signals.hup.recv() => Event::Reload,
             _ = signals.usr1.recv() => Event::Counters,
             () = done(leaving) => Event::Left,
-            Some(asked) = requests.1.recv() => Event::Asked(asked),
+            Some(asked) = requests.1.recv() => Event::PendingRequest(asked),
             () = sleep_until(wake.unwrap_or_else(Instant::now)), if wake.is_some() => Event::Woken,
         }
     }
@@ -339,13 +342,13 @@
                     );
                 }
             }
-            Event::Asked(asked) => self.asked_for(asked),
+            Event::PendingRequest(asked) => self.asked_for(asked),
             Event::FromSuccessor(Ok((word, descriptors))) => {
                 if let (Message::ConnectionOpened { role }, Some(guard)) = (&word, &mut self.guard)
                 {
                     guard.opened(*role, descriptors);
                 }
-                let followed = self.guard.as_mut().map_or(Ok(()), Guard::follow);
+                let followed = self.guard.as_mut().map_or(Ok(()), SuccessorGuard::follow);
                 self.keeper.handle_message(now, word);
                 if let Err(error) = followed {
                     self.keeper
@@ -364,12 +367,12 @@
                 }
             }
             Event::SuccessorEnded => {
-                let status = self.guard.as_mut().and_then(Guard::reap);
+                let status = self.guard.as_mut().and_then(SuccessorGuard::reap);
                 let served = self.keeper.is_serving();
                 for word in self
                     .guard
                     .as_mut()
-                    .map(Guard::last_words)
+                    .map(SuccessorGuard::last_words)
                     .unwrap_or_default()
                 {
                     self.keeper.handle_message(now, word);
@@ -381,7 +384,7 @@
             }
             Event::FromElder(Ok((word, descriptors))) => {
                 if let Message::Descriptors { roles } = &word {
-                    fault::point("heir.pass");
+                    fault::injection_point("heir.pass");
                     self.inherited
                         .extend(roles.iter().copied().zip(descriptors));
                 }
@@ -430,7 +433,7 @@
         if self.waiting.is_some() {
             return Some(0); // nobody could come in yet
         }
-        let stop = monotonic() + self.config.stop.as_secs_f64();
+        let stop = monotonic() + self.config.drain_timeout.as_secs_f64();
         match &mut self.heir {
             Some(heir) if heir.is_owner() => heir.drain(stop),
             // The predecessor sees its end and goes on.
@@ -489,7 +492,7 @@
         let Peers {
             engine,
             catalogue,
-            members,
+            registration: members,
         } = later.peers;
         info!(
             "configuration read anew: engine {engine}, catalogue {catalogue}, membership {members}"
@@ -539,7 +542,7 @@
     }
 
     /// Takes the first invocations.
-    fn begin(&mut self, waiting: Waiting) -> io::Result<()> {
+    fn begin(&mut self, waiting: StartupWait) -> io::Result<()> {
         let prepared = waiting.begin(&self.config.name)?;
         info!("{} listens on {}", self.config.name, self.config.listen);
         self.instance = Some(self.set_going(prepared));
@@ -547,7 +550,7 @@
         Ok(())
     }
 
-    fn set_going(&self, prepared: Prepared) -> Instance {
+    fn set_going(&self, prepared: RestoredInstance) -> Instance {
         prepared.go(
             &self.config,
             self.peers,
@@ -579,7 +582,7 @@
     }
 }
 
-async fn ended(guard: Option<&Guard>) {
+async fn ended(guard: Option<&SuccessorGuard>) {
     match guard {
         Some(guard) => guard.ended().await,
         None => std::future::pending().await,
--- a/crates/merlinshelf-backend/src/ring.rs
+++ b/crates/merlinshelf-backend/src/ring.rs
@@ -24,12 +24,12 @@
 
 /// How one go at a socket went.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Moved {
-    Some,
+pub enum IoProgress {
+    Advanced,
     /// Nothing can be had or taken just now.
     Blocked,
     /// The far end has closed its direction.
-    Ended,
+    Closed,
 }
 
 impl Ring {
@@ -67,7 +67,7 @@
     }
 
     /// One that goes on where another process left it: what is in it, and how much was moved before.
-    pub fn resumed(bytes: Vec<u8>, moved: u64) -> Ring {
+    pub fn restore(bytes: Vec<u8>, moved: u64) -> Ring {
         Ring {
             bytes: bytes.into(),
             moved,
@@ -76,7 +76,7 @@
     }
 
     /// Bytes that came in from the socket or went out to it, since the connection stood.
-    pub fn moved(&self) -> u64 {
+    pub fn transferred_bytes(&self) -> u64 {
         self.moved
     }
 
@@ -86,7 +86,7 @@
 
     /// Takes in what the socket has, up to one gulp, and leaves it in the kernel until `taken_out`: whoever takes
     /// up this connection after a crash finds it there.
-    pub fn peek(&mut self, socket: &TcpStream) -> io::Result<Moved> {
+    pub fn peek(&mut self, socket: &TcpStream) -> io::Result<IoProgress> {
         let look =
             |gulp: &mut [u8]| Ok(recv(socket, gulp, RecvFlags::DONTWAIT | RecvFlags::PEEK)?.0);
         let before = self.moved;
@@ -96,7 +96,7 @@
     }
 
     /// The same of what the kernel holds at this moment.
-    pub fn peek_now(&mut self, socket: &TcpStream) -> io::Result<Moved> {
+    pub fn peek_now(&mut self, socket: &TcpStream) -> io::Result<IoProgress> {
         let before = self.moved;
         let flow =
             self.take(|gulp| Ok(recv(socket, gulp, RecvFlags::DONTWAIT | RecvFlags::PEEK)?.0))?;
@@ -105,46 +105,49 @@
     }
 
     /// Takes out of the kernel what was looked at.
-    pub fn taken_out(&mut self, socket: &TcpStream) -> io::Result<()> {
+    pub fn discard_peeked(&mut self, socket: &TcpStream) -> io::Result<()> {
         discard(socket, std::mem::take(&mut self.peeked))
     }
 
     /// Takes in what the socket has, up to one gulp, as far as the runtime knows of it.
-    pub fn fill(&mut self, socket: &TcpStream) -> io::Result<Moved> {
+    pub fn fill(&mut self, socket: &TcpStream) -> io::Result<IoProgress> {
         self.take(|gulp| socket.try_read(gulp))
     }
 
     /// Takes in what the kernel holds at this moment, up to one gulp: the runtime's remembered readiness may be
     /// older than the last bytes.
-    pub fn fill_now(&mut self, socket: &TcpStream) -> io::Result<Moved> {
+    pub fn fill_now(&mut self, socket: &TcpStream) -> io::Result<IoProgress> {
         self.take(|gulp| Ok(recv(socket, gulp, RecvFlags::DONTWAIT)?.0))
     }
 
-    fn take(&mut self, read: impl FnOnce(&mut [u8]) -> io::Result<usize>) -> io::Result<Moved> {
+    fn take(
+        &mut self,
+        read: impl FnOnce(&mut [u8]) -> io::Result<usize>,
+    ) -> io::Result<IoProgress> {
         let mut gulp = [0; GULP];
         match read(&mut gulp) {
-            Ok(0) => Ok(Moved::Ended),
+            Ok(0) => Ok(IoProgress::Closed),
             Ok(count) => {
                 self.bytes.extend(&gulp[..count]);
                 self.moved += count as u64;
-                Ok(Moved::Some)
+                Ok(IoProgress::Advanced)
             }
             Err(error)
                 if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) =>
             {
-                Ok(Moved::Blocked)
+                Ok(IoProgress::Blocked)
             }
             Err(error) => Err(error),
         }
     }
 
     /// Hands the socket as much as it takes, as far as the runtime knows of it.
-    pub fn drain(&mut self, socket: &TcpStream) -> io::Result<Moved> {
+    pub fn drain(&mut self, socket: &TcpStream) -> io::Result<IoProgress> {
         self.give(|bytes| socket.try_write(bytes))
     }
 
     /// Hands the socket as much as the kernel takes at this moment.
-    pub fn drain_now(&mut self, socket: &TcpStream) -> io::Result<Moved> {
+    pub fn drain_now(&mut self, socket: &TcpStream) -> io::Result<IoProgress> {
         self.give(|bytes| {
             Ok(send(
                 socket,
@@ -154,20 +157,25 @@
         })
     }
 
-    fn give(&mut self, mut write: impl FnMut(&[u8]) -> io::Result<usize>) -> io::Result<Moved> {
+    fn give(
+        &mut self,
+        mut write: impl FnMut(&[u8]) -> io::Result<usize>,
+    ) -> io::Result<IoProgress> {
         while !self.bytes.is_empty() {
             match write(self.bytes.as_slices().0) {
-                Ok(0) => return Ok(Moved::Ended),
+                Ok(0) => return Ok(IoProgress::Closed),
                 Ok(count) => {
                     self.moved += count as u64;
                     self.consume(count);
                 }
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
-                Err(error) if error.kind() == ErrorKind::WouldBlock => return Ok(Moved::Blocked),
+                Err(error) if error.kind() == ErrorKind::WouldBlock => {
+                    return Ok(IoProgress::Blocked);
+                }
                 Err(error) => return Err(error),
             }
         }
-        Ok(Moved::Some)
+        Ok(IoProgress::Advanced)
     }
 }
 
--- a/crates/merlinshelf-backend/src/server/connection.rs
+++ b/crates/merlinshelf-backend/src/server/connection.rs
@@ -26,7 +26,7 @@
 use super::table::{Said, Seat};
 use crate::exchange::{Answer, Deposit, Door, Place, Reply, Shared, pass};
 use crate::fault;
-use crate::ring::{Moved, Ring};
+use crate::ring::{IoProgress, Ring};
 
 /// Invocations that may be open on one connection: the page's number.
 const OPEN_MOST: usize = 32;
@@ -132,7 +132,7 @@
             write_buffer: going,
         } = record.flow;
         (connection.coming, connection.going) =
-            (Ring::resumed(coming, taken), Ring::resumed(going, given));
+            (Ring::restore(coming, taken), Ring::restore(going, given));
         connection.codec = Codec::resumed((record.protocol, record.partial_record.into()), uwsgi);
         for partial in record.partials {
             let place = exchange
@@ -158,8 +158,8 @@
         let (front, record) = self.codec.state();
         records::ClientConnectionRecord {
             flow: Flow {
-                read_bytes: self.coming.moved(),
-                written_bytes: self.going.moved(),
+                read_bytes: self.coming.transferred_bytes(),
+                written_bytes: self.going.transferred_bytes(),
                 read_buffer: self.coming.to_vec(),
                 write_buffer: self.going.to_vec(),
             },
@@ -262,7 +262,7 @@
             let writes = !self.going.is_empty();
             let blocked = self.drain()?;
             if writes {
-                fault::point("edge.written");
+                fault::injection_point("edge.written");
             }
             if (self.read_closed || self.last_word) && self.at_rest() {
                 return Ok(());
@@ -344,10 +344,10 @@
 
     fn drain_by(
         &mut self,
-        drain: impl FnOnce(&mut Ring, &TcpStream) -> io::Result<Moved>,
+        drain: impl FnOnce(&mut Ring, &TcpStream) -> io::Result<IoProgress>,
     ) -> io::Result<bool> {
         let before = self.going.len();
-        let blocked = drain(&mut self.going, &self.socket)? == Moved::Blocked;
+        let blocked = drain(&mut self.going, &self.socket)? == IoProgress::Blocked;
         let since = self
             .stuck_since
             .filter(|_| self.going.len() == before)
@@ -431,30 +431,30 @@
         let read = self.read_by(Ring::peek)?;
         self.secure();
         if read {
-            fault::point("edge.noted");
+            fault::injection_point("edge.noted");
         }
-        self.coming.taken_out(&self.socket)?;
+        self.coming.discard_peeked(&self.socket)?;
         Ok(read)
     }
 
     fn read_last_noted(&mut self) -> io::Result<bool> {
         let read = self.read_by(Ring::peek_now)?;
         self.secure();
-        self.coming.taken_out(&self.socket)?;
+        self.coming.discard_peeked(&self.socket)?;
         Ok(read)
     }
 
     fn read_by(
         &mut self,
-        fill: impl FnOnce(&mut Ring, &TcpStream) -> io::Result<Moved>,
+        fill: impl FnOnce(&mut Ring, &TcpStream) -> io::Result<IoProgress>,
     ) -> io::Result<bool> {
         match fill(&mut self.coming, &self.socket)? {
-            Moved::Blocked => return Ok(false),
-            Moved::Ended => {
+            IoProgress::Blocked => return Ok(false),
+            IoProgress::Closed => {
                 self.stop_reading();
                 return Ok(false);
             }
-            Moved::Some => self.idle_since = Instant::now(),
+            IoProgress::Advanced => self.idle_since = Instant::now(),
         }
         let fault = match self.take_in() {
             Err(fault) => fault,
@@ -734,7 +734,7 @@
     let mut passed = 0;
     while passed <= ASTRAY_MOST {
         socket.readable().await?;
-        if coming.fill(&socket)? == Moved::Ended {
+        if coming.fill(&socket)? == IoProgress::Closed {
             break;
         }
         passed += coming.len();
--- a/crates/merlinshelf-backend/src/waiting.rs
+++ b/crates/merlinshelf-backend/src/startup_wait.rs
@@ -9,19 +9,19 @@
 use tokio::time::Instant;
 
 use crate::exchange::{Exchange, Shared};
-use crate::instance::Prepared;
+use crate::instance::RestoredInstance;
 use crate::server::Bound;
 
-pub struct Waiting {
+pub struct StartupWait {
     pub exchange: Shared,
     bound: Bound,
     /// From then on nobody is waited for.
     pub until: Instant,
 }
 
-impl Waiting {
-    pub fn new(exchange: Exchange, bound: Bound, until: Instant) -> Waiting {
-        Waiting {
+impl StartupWait {
+    pub fn new(exchange: Exchange, bound: Bound, until: Instant) -> StartupWait {
+        StartupWait {
             exchange: Rc::new(RefCell::new(exchange)),
             bound,
             until,
@@ -37,11 +37,11 @@
     ///
     /// # Errors
     /// The address was taken meanwhile.
-    pub fn begin(self, name: &str) -> io::Result<Prepared> {
+    pub fn begin(self, name: &str) -> io::Result<RestoredInstance> {
         if !self.exchange.borrow().policy_began() {
             warn!("no agent says which policy holds: {name} begins without a lease");
             self.exchange.borrow_mut().begin_without_policy();
         }
-        Ok(Prepared::fresh(self.exchange, self.bound.listen()?))
+        Ok(RestoredInstance::fresh(self.exchange, self.bound.listen()?))
     }
 }
--- a/crates/merlinshelf-backend/src/upgrade/mod.rs
+++ b/crates/merlinshelf-backend/src/upgrade/mod.rs
@@ -2,5 +2,5 @@
 //! an old process keeps over its successor. What is decided stands in `merlinshelf-handover`.
 
 pub mod channel;
-pub mod guard;
 pub mod kernel;
+pub mod successor_guard;
--- a/crates/merlinshelf-backend/src/upgrade/guard.rs
+++ b/crates/merlinshelf-backend/src/upgrade/successor_guard.rs
@@ -16,11 +16,11 @@
 
 use super::channel::{BATCH, Channel, HANDOVER};
 use crate::exchange::Passed;
-use crate::instance::Frozen;
-use crate::journal::{Follower, memory_file};
+use crate::instance::FrozenInstance;
+use crate::journal::{JournalReader, memory_file};
 
 /// The successor, from its start to its end or release.
-pub struct Guard {
+pub struct SuccessorGuard {
     child: Child,
     /// Readable once the process has ended: never another one that got its number.
     process: AsyncFd<OwnedFd>,
@@ -37,12 +37,12 @@
     /// Copies of all that was handed over or opened since, by what it is.
     passed: Passed,
     learnt: Option<LearnedState>,
-    follower: Follower,
+    follower: JournalReader,
 }
 
-impl Guard {
+impl SuccessorGuard {
     /// Starts the program with this process's own arguments.
-    pub fn start(program: PathBuf) -> io::Result<Guard> {
+    pub fn start(program: PathBuf) -> io::Result<SuccessorGuard> {
         let (file, journal) = (
             memory_file("merlinshelf-image")?,
             memory_file("merlinshelf-journal")?,
@@ -67,7 +67,7 @@
                 Ok(unsafe { AsyncFd::register_with_interest(process, Interest::READABLE) }?)
             });
         match watched {
-            Ok(process) => Ok(Guard {
+            Ok(process) => Ok(SuccessorGuard {
                 child,
                 process,
                 channel,
@@ -107,7 +107,7 @@
     }
 
     /// Keeps what was frozen, whatever becomes of it, and writes it down for the successor.
-    pub fn hold(&mut self, mut frozen: Frozen, listener: OwnedFd) -> io::Result<()> {
+    pub fn hold(&mut self, mut frozen: FrozenInstance, listener: OwnedFd) -> io::Result<()> {
         let bytes = frozen.image.take();
         let mut image = Image::default();
         let read = image
@@ -117,7 +117,7 @@
         let mut passed = frozen.passed;
         passed.insert(Role::Listener, listener);
         let learnt = instance.and_then(|instance| instance.learned);
-        let follower = Follower::new(self.journal.try_clone()?);
+        let follower = JournalReader::new(self.journal.try_clone()?);
         self.held = Some(Held {
             image,
             passed,
@@ -217,7 +217,7 @@
     }
 }
 
-impl Drop for Guard {
+impl Drop for SuccessorGuard {
     fn drop(&mut self) {
         // Nobody else gives the process back to the kernel; one that was released is no child to wait for.
         let _ = self.child.try_wait();
--- a/crates/merlinshelf-backend/tests/golden.rs
+++ b/crates/merlinshelf-backend/tests/golden.rs
@@ -10,7 +10,7 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use merlinshelf_backend::control::{Asked, open};
+use merlinshelf_backend::control::{PendingRequest, open};
 use merlinshelf_backend::learning::folder;
 use merlinshelf_backend::{Start, serve};
 use merlinshelf_gossip::store_format::{self, PersistedObservation, Record};
@@ -127,22 +127,22 @@
 }
 
 /// Answers in place of an instance, whose learning and policies are on or off.
-async fn answer_all(mut asked: UnboundedReceiver<Asked>, is_on: bool) {
+async fn answer_all(mut asked: UnboundedReceiver<PendingRequest>, is_on: bool) {
     let mut upgrades = upgrades().into_iter();
     while let Some(asked) = asked.recv().await {
         match asked {
-            Asked::Status(reply) => _ = reply.send(json!({ "status": 1 })),
-            Asked::Drain(reply) => _ = reply.send(json!({ "drain": 2 })),
-            Asked::Upgrade(progress) => {
+            PendingRequest::Status(reply) => _ = reply.send(json!({ "status": 1 })),
+            PendingRequest::Drain(reply) => _ = reply.send(json!({ "drain": 2 })),
+            PendingRequest::Upgrade(progress) => {
                 for stage in upgrades.next().expect("another upgrade") {
                     let _ = progress.send(stage);
                 }
             }
-            Asked::Knowledge(reply) => {
+            PendingRequest::Knowledge(reply) => {
                 let pages = vec![json!({ "page": 3 }), json!({ "page": 4 })];
                 let _ = reply.send(is_on.then_some(pages));
             }
-            Asked::Forget(origin, reply) => {
+            PendingRequest::Forget(origin, reply) => {
                 let count = match origin.as_deref() {
                     Some("n5") => 5,
                     Some(other) => panic!("another origin than was named: {other}"),
@@ -150,11 +150,11 @@
                 };
                 let _ = reply.send(is_on.then_some(count));
             }
-            Asked::Policy(beat, reply) => {
+            PendingRequest::Policy(beat, reply) => {
                 assert_eq!(*beat, heartbeat().1);
                 let _ = reply.send(is_on.then(status_of_policy));
             }
-            Asked::Fleet(body, replies) => {
+            PendingRequest::Fleet(body, replies) => {
                 assert_eq!(body, json!({ "fleet": 7 }));
                 let _ = replies.send((ControlMessage::More, json!({ "answer": 8 })));
                 let _ = replies.send((ControlMessage::Failed, json!({ "answer": 9 })));
--- a/crates/merlinshelf-backend/tests/golden_settings.rs
+++ b/crates/merlinshelf-backend/tests/golden_settings.rs
@@ -15,9 +15,10 @@
 use std::thread::{JoinHandle, sleep, spawn};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use merlinshelf_backend::control::{self, Asked};
+use merlinshelf_backend::control::{self, PendingRequest};
 use merlinshelf_backend::operator::{
-    Control, Format, Learning, Level, Log, Operator, PeersOfLearning, PolicyOf, Upgrade, read_as,
+    Control, Format, GossipPeers, Learning, Level, Log, Operator, PolicySettings, Upgrade,
+    parse_json5,
 };
 use merlinshelf_backend::{Start, serve};
 use merlinshelf_dependencies::Dependencies;
@@ -71,10 +72,10 @@
 
 /// An operators' file, which must be read as `expected`, and still after it was written and read once more.
 fn assert_operator_file(name: &str, expected: &Operator) {
-    let decoded = Operator::read(&read_golden_text(name)).expect("the golden file is read");
+    let decoded = Operator::parse(&read_golden_text(name)).expect("the golden file is read");
     assert_eq!(decoded, *expected, "{name}");
     let encoded = serde_json::to_string(expected).expect("it is encoded");
-    let decoded = Operator::read(&encoded).expect("it is read again");
+    let decoded = Operator::parse(&encoded).expect("it is read again");
     assert_eq!(decoded, *expected, "{name}, written anew");
 }
 
@@ -132,7 +133,7 @@
             folder: Some("/var/lib/merlinshelf/n7".into()),
             save_ms: 5_005,
             share: 0.0625,
-            peers: Some(PeersOfLearning {
+            peers: Some(GossipPeers {
                 listen: "127.0.0.1:7400".into(),
                 seeds: vec!["127.0.0.1:7401".into()],
             }),
@@ -143,7 +144,7 @@
             dependencies: BTreeMap::from([("catalogue".into(), catalogue)]),
             operations: BTreeMap::from([("page".into(), page)]),
         }),
-        policy: Some(PolicyOf {
+        policy: Some(PolicySettings {
             base,
             without: LeaseExpiryMode::RejectAll,
             drift: 0.03125,
@@ -185,14 +186,14 @@
             folder: None,
             save_ms: 5_000,
             share: 0.01,
-            peers: Some(PeersOfLearning {
+            peers: Some(GossipPeers {
                 listen: "127.0.0.1:7400".into(),
                 seeds: Vec::new(),
             }),
         }),
         uwsgi: false,
         dependencies: Some(Dependencies::default()),
-        policy: Some(PolicyOf {
+        policy: Some(PolicySettings {
             base: Policy::default(),
             without: LeaseExpiryMode::BasePolicy,
             drift: 0.02,
@@ -202,7 +203,7 @@
         }),
     };
     assert_operator_file("operator_short.json5", &expected);
-    assert_eq!(Operator::read("{}"), Ok(Operator::default()));
+    assert_eq!(Operator::parse("{}"), Ok(Operator::default()));
 }
 
 /// What `deploy/operator.json5` says.
@@ -256,7 +257,7 @@
             folder: Some("/var/lib/merlinshelf/n0".into()),
             save_ms: 5_000,
             share: 0.01,
-            peers: Some(PeersOfLearning {
+            peers: Some(GossipPeers {
                 listen: "127.0.0.1:7400".into(),
                 seeds: vec!["127.0.0.1:7401".into(), "127.0.0.1:7402".into()],
             }),
@@ -288,7 +289,7 @@
 fn operator_file_of_the_example() {
     assert_operator_file("operator_example.json5", &example_operator());
     let shown = include_str!("../../../deploy/operator.json5");
-    assert_eq!(Operator::read(shown), Ok(example_operator()));
+    assert_eq!(Operator::parse(shown), Ok(example_operator()));
 }
 
 /// Editors hold the file to it; `merlinshelf check --schema > deploy/operator.schema.json` makes it anew.
@@ -305,18 +306,18 @@
 fn words_of_the_operator_file() {
     let levels = ["error", "warn", "info", "debug"].map(|word| {
         let text = format!("{{log: {{level: '{word}'}}}}");
-        Operator::read(&text).expect(word).log.level
+        Operator::parse(&text).expect(word).log.level
     });
     let expected = [Level::Error, Level::Warn, Level::Info, Level::Debug];
     assert_eq!(levels, expected.map(Some));
     let formats = ["text", "json"].map(|word| {
         let text = format!("{{log: {{format: '{word}'}}}}");
-        Operator::read(&text).expect(word).log.format
+        Operator::parse(&text).expect(word).log.format
     });
     assert_eq!(formats, [Format::Text, Format::Json]);
     let modes = ["base", "turn_away"].map(|word| {
         let text = format!("{{policy: {{without: '{word}'}}}}");
-        let operator = Operator::read(&text).expect(word);
+        let operator = Operator::parse(&text).expect(word);
         operator.policy.expect("a policy").without
     });
     assert_eq!(
@@ -328,7 +329,7 @@
 /// A policy is read from operators' files in the same way as the operators' file itself.
 #[test]
 fn policy_file_as_operators_write_it() {
-    let kept: Policy = read_as(&read_golden_text("policy_file.json5")).expect("it is read");
+    let kept: Policy = parse_json5(&read_golden_text("policy_file.json5")).expect("it is read");
     let budgets = BTreeMap::from([(
         "callers".into(),
         BTreeMap::from([(CallKind::NewConnection, 500)]),
@@ -408,7 +409,7 @@
 fn ask_answerer(
     name: &str,
     questions: &[String],
-    mut answer: impl FnMut(Asked),
+    mut answer: impl FnMut(PendingRequest),
 ) -> Vec<Vec<Value>> {
     let folder = Folder::new(name);
     let socket = folder.0.join("control");
@@ -455,7 +456,7 @@
     let mut coming = ways.clone().into_iter();
     let questions = vec![question("upgrade", "{}"); ways.len()];
     let replies = ask_answerer("upgrade", &questions, |asked| {
-        let Asked::Upgrade(progress) = asked else {
+        let PendingRequest::Upgrade(progress) = asked else {
             panic!("an upgrade was asked for");
         };
         for one in coming.next().expect("no more questions than ways") {
@@ -503,7 +504,7 @@
     let mut answers = [None, Some(said)].into_iter();
     let questions = vec![question("policy", &body); 2];
     let replies = ask_answerer("policy", &questions, |asked| {
-        let Asked::Policy(heard, reply) = asked else {
+        let PendingRequest::Policy(heard, reply) = asked else {
             panic!("a heartbeat came");
         };
         assert_eq!(*heard, beat);
@@ -538,20 +539,20 @@
     let replies = ask_answerer("knowledge", &questions, |asked| {
         turn += 1;
         match (turn, asked) {
-            (1, Asked::Knowledge(reply)) => reply.send(None).expect("somebody listens"),
-            (2, Asked::Knowledge(reply)) => {
+            (1, PendingRequest::Knowledge(reply)) => reply.send(None).expect("somebody listens"),
+            (2, PendingRequest::Knowledge(reply)) => {
                 let pages = vec![json!({ "page": 1 }), json!({ "page": 2 })];
                 reply.send(Some(pages)).expect("somebody listens");
             }
-            (3, Asked::Forget(origin, reply)) => {
+            (3, PendingRequest::Forget(origin, reply)) => {
                 assert_eq!(origin.as_deref(), Some("n4"));
                 reply.send(Some(17)).expect("somebody listens");
             }
-            (4, Asked::Forget(origin, reply)) => {
+            (4, PendingRequest::Forget(origin, reply)) => {
                 assert_eq!(origin, None);
                 reply.send(None).expect("somebody listens");
             }
-            (5, Asked::Fleet(body, reply)) => {
+            (5, PendingRequest::Fleet(body, reply)) => {
                 assert_eq!(body, json!({ "do": "status" }));
                 let more = (ControlMessage::More, json!({ "step": 1 }));
                 reply.send(more).expect("somebody listens");
--- a/crates/merlinshelf-cli/src/policy.rs
+++ b/crates/merlinshelf-cli/src/policy.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use clap::{Args, Subcommand, ValueHint};
-use merlinshelf_backend::operator::read_as;
+use merlinshelf_backend::operator::parse_json5;
 use merlinshelf_policy::document::MAX_DOCUMENT_BYTES;
 use merlinshelf_protocol::control::ControlMessage;
 use serde_json::{Value, json};
@@ -103,7 +103,7 @@
             " it is longer than the {MAX_DOCUMENT_BYTES} bytes that a policy may have"
         )));
     }
-    read_as(&text).map_err(named)
+    parse_json5(&text).map_err(named)
 }
 
 fn new_id() -> String {
