--- a/crates/merlinshelf-backend/src/client/engine.rs
+++ b/crates/merlinshelf-backend/src/client/engine.rs
@@ -21,7 +21,7 @@
 use super::{Watched, connect, unreadable};
 use crate::exchange::{Command, Deposit, Shared, monotonic, pass};
 use crate::fault;
-use crate::ring::{Moved, Ring};
+use crate::ring::{IoProgress, Ring};
 
 /// From one attempt at a link to the next: one that stood for longer is replaced at once, since the cores run dry
 /// meanwhile.
@@ -110,13 +110,13 @@
                     );
                     select! {
                         biased;
-                        Ok(_) = freezing.wait_for(|frozen| *frozen) => End::Frozen,
+                        Ok(_) = freezing.wait_for(|frozen| *frozen) => End::FrozenInstance,
                         reason = run => End::Broken(reason.err().unwrap_or(io::ErrorKind::UnexpectedEof.into())),
-                        link = moved => { next = Some(link); End::Moved }
+                        link = moved => { next = Some(link); End::IoProgress }
                     }
                 };
                 match ended {
-                    End::Frozen => return engine.deposit(Some(link)),
+                    End::FrozenInstance => return engine.deposit(Some(link)),
                     End::Broken(reason) => {
                         warn!(
                             "the engine's link broke after notice {}: {reason}",
@@ -125,7 +125,9 @@
                         engine.offer = engine.exchange.borrow().names_dependencies()
                             && (link.hello || !engine.offer);
                     }
-                    End::Moved => info!("the engine's link moves after notice {}", engine.last),
+                    End::IoProgress => {
+                        info!("the engine's link moves after notice {}", engine.last)
+                    }
                 }
                 engine.close(&link);
             }
@@ -142,9 +144,9 @@
 
 /// Why a link is served no longer.
 enum End {
-    Frozen,
+    FrozenInstance,
     Broken(io::Error),
-    Moved,
+    IoProgress,
 }
 
 /// Waits until the engine is at another address, and for a connection to it.
@@ -199,9 +201,11 @@
     /// Goes on where another process stood.
     fn resume(&mut self, (record, socket): Resumed) -> Option<Link> {
         let now = Instant::now();
-        (self.last, self.tag) = (record.last, record.tag);
+        (self.last, self.tag) = (record.last_notification, record.last_request_tag);
         let age = |born: f64| Duration::from_secs_f64((monotonic() - born).clamp(0.0, 1e6));
-        self.born = record.born.and_then(|born| now.checked_sub(age(born)));
+        self.born = record
+            .engine_started_at
+            .and_then(|born| now.checked_sub(age(born)));
         // The next question's answer proves that they were read, if the link holds; else its break says what to do.
         let proof = self.tag + 1;
         let inherited = self.exchange.borrow_mut().inherited();
@@ -211,21 +215,21 @@
             .collect();
         let (socket, stream, address) = (socket?, record.stream?, record.address.parse().ok()?);
         let Flow {
-            taken,
-            given,
-            coming,
-            going,
+            read_bytes: taken,
+            written_bytes: given,
+            read_buffer: coming,
+            write_buffer: going,
         } = record.flow;
         Some(Link {
             socket,
             stream,
             address,
-            coming: Ring::resumed(coming, taken),
-            going: Ring::resumed(going, given),
-            hello: record.hello,
-            caught_up: record.caught_up,
-            names: record.names,
-            asked: record.asked.then_some(now),
+            coming: Ring::restore(coming, taken),
+            going: Ring::restore(going, given),
+            hello: record.is_greeted,
+            caught_up: record.is_caught_up,
+            names: record.names_dependencies,
+            asked: record.is_request_pending.then_some(now),
             ask_at: now,
         })
     }
@@ -233,23 +237,23 @@
     fn record(&self, link: Option<&Link>) -> records::EngineConnectionRecord {
         let now = Instant::now();
         let flow = |link: &Link| Flow {
-            taken: link.coming.moved(),
-            given: link.going.moved(),
-            coming: link.coming.to_vec(),
-            going: link.going.to_vec(),
+            read_bytes: link.coming.transferred_bytes(),
+            written_bytes: link.going.transferred_bytes(),
+            read_buffer: link.coming.to_vec(),
+            write_buffer: link.going.to_vec(),
         };
         records::EngineConnectionRecord {
             stream: link.map(|link| link.stream),
             address: link
                 .map(|link| link.address.to_string())
                 .unwrap_or_default(),
-            last: self.last,
-            tag: self.tag,
-            asked: link.is_some_and(|link| link.asked.is_some()),
-            hello: link.is_some_and(|link| link.hello),
-            caught_up: link.is_some_and(|link| link.caught_up),
-            names: link.is_some_and(|link| link.names),
-            born: self
+            last_notification: self.last,
+            last_request_tag: self.tag,
+            is_request_pending: link.is_some_and(|link| link.asked.is_some()),
+            is_greeted: link.is_some_and(|link| link.hello),
+            is_caught_up: link.is_some_and(|link| link.caught_up),
+            names_dependencies: link.is_some_and(|link| link.names),
+            engine_started_at: self
                 .born
                 .map(|born| monotonic() - now.saturating_duration_since(born).as_secs_f64()),
             flow: link.map(flow).unwrap_or_default(),
@@ -289,8 +293,8 @@
             if !link.going.is_empty() {
                 self.secure(Some(link));
             }
-            let blocked = link.going.drain(&link.socket)? == Moved::Blocked;
-            fault::point("link.written");
+            let blocked = link.going.drain(&link.socket)? == IoProgress::Blocked;
+            fault::injection_point("link.written");
             let interest = if blocked {
                 Interest::READABLE | Interest::WRITABLE
             } else {
@@ -306,14 +310,14 @@
             let noted = self.exchange.borrow().notes();
             let fill = if noted { Ring::peek } else { Ring::fill };
             let came = fill(&mut link.coming, &link.socket)?;
-            if came == Moved::Ended {
+            if came == IoProgress::Closed {
                 return Ok(());
             }
             self.take_in(link)?;
-            if noted && came == Moved::Some {
+            if noted && came == IoProgress::Advanced {
                 self.secure(Some(link));
-                fault::point("link.noted");
-                link.coming.taken_out(&link.socket)?;
+                fault::injection_point("link.noted");
+                link.coming.discard_peeked(&link.socket)?;
             }
             self.ask(link)?;
         }
--- a/crates/merlinshelf-backend/src/instance.rs
+++ b/crates/merlinshelf-backend/src/instance.rs
@@ -73,13 +73,13 @@
 }
 
 /// What was frozen: the image, and all that the process holds open for it.
-pub struct Frozen {
+pub struct FrozenInstance {
     pub image: Transaction,
     pub passed: Passed,
 }
 
 /// All that another process left, made live and not yet set going.
-pub struct Prepared {
+pub struct RestoredInstance {
     exchange: Shared,
     listener: Rc<Listening>,
     edges: Vec<(
@@ -100,10 +100,10 @@
     pub broken: usize,
 }
 
-impl Prepared {
+impl RestoredInstance {
     /// A fresh start.
-    pub fn fresh(exchange: Shared, listener: Listening) -> Prepared {
-        Prepared {
+    pub fn fresh(exchange: Shared, listener: Listening) -> RestoredInstance {
+        RestoredInstance {
             exchange,
             listener: Rc::new(listener),
             edges: Vec::new(),
@@ -122,9 +122,9 @@
         image: &Image,
         mut passed: Passed,
         learnt: Option<LearnedState>,
-    ) -> io::Result<Prepared> {
+    ) -> io::Result<RestoredInstance> {
         exchange.suits(image).map_err(io::Error::other)?;
-        let mut prepared = Prepared::fresh(Rc::new(RefCell::new(exchange)), listener);
+        let mut prepared = RestoredInstance::fresh(Rc::new(RefCell::new(exchange)), listener);
         let record: Option<records::EngineConnectionRecord> = image.get(Key::EngineConnection);
         let socket = record
             .as_ref()
@@ -132,14 +132,16 @@
         if let Some(mut record) = record {
             let live = socket.and_then(|socket| {
                 let settled = settle(&socket, &mut record.flow, true)?;
-                prepared.link_discards = settled.discard;
+                prepared.link_discards = settled.discard_bytes;
                 into_stream(socket)
             });
             prepared.link = Some((record, live));
         }
         for (role, socket) in passed {
             match role {
-                Role::ClientConnection(stream) if !image.gone(Key::ClientConnection(stream)) => {
+                Role::ClientConnection(stream)
+                    if !image.is_removed(Key::ClientConnection(stream)) =>
+                {
                     // One of which nothing was noted was only just taken in.
                     let mut record: records::ClientConnectionRecord =
                         image.get(Key::ClientConnection(stream)).unwrap_or_default();
@@ -200,7 +202,7 @@
         routing: Option<routing::Shared>,
         uwsgi: bool,
     ) -> Instance {
-        let Prepared {
+        let RestoredInstance {
             exchange,
             listener,
             edges,
@@ -218,7 +220,7 @@
         let doors_most = server::doors_most(config.sockets, calls_most);
         let server = Server::new(exchange.clone(), doors_most, uwsgi);
         for (socket, door, record, settled) in edges {
-            match discard(&socket, settled.discard) {
+            match discard(&socket, settled.discard_bytes) {
                 Ok(()) => server.resume(socket, door, record),
                 Err(error) => warn!("a connection can't be gone on with: {error}"),
             }
@@ -233,7 +235,7 @@
         let lines = lines
             .into_iter()
             .filter_map(|(socket, stream, record, settled)| {
-                discard(&socket, settled.discard)
+                discard(&socket, settled.discard_bytes)
                     .ok()
                     .map(|()| (socket, stream, record))
             });
@@ -273,7 +275,7 @@
             accepting,
             handing_in: vec![engine, calling],
             _others: vec![the_clock, reporting],
-            stop: config.stop,
+            stop: config.drain_timeout,
         }
     }
 }
@@ -329,7 +331,7 @@
     }
 
     /// Stops everything where it stands and takes it down. The listener stays with the caller.
-    pub async fn freeze(self) -> Result<(Frozen, Rc<Listening>), &'static str> {
+    pub async fn freeze(self) -> Result<(FrozenInstance, Rc<Listening>), &'static str> {
         let Instance {
             exchange,
             listener,
@@ -353,7 +355,7 @@
             .await
             .map_err(|_| "a part does not stop")?;
         let (image, passed) = exchange.borrow_mut().take_image();
-        Ok((Frozen { image, passed }, listener))
+        Ok((FrozenInstance { image, passed }, listener))
     }
 }
 
@@ -378,7 +380,7 @@
     opened_here: bool,
 ) -> Option<Reconciliation> {
     match kernel::counts(socket, opened_here) {
-        Ok(counts) => match flow.settle(counts) {
+        Ok(counts) => match flow.reconcile(counts) {
             Ok(settled) => Some(settled),
             Err(torn) => {
                 error!("a connection can't be gone on with: {torn:?}");
--- a/crates/merlinshelf-backend/src/host/handing.rs
+++ b/crates/merlinshelf-backend/src/process/handing.rs
@@ -10,19 +10,19 @@
 use merlinshelf_handover::{Image, Key, Message, Role, records, successor};
 use tokio::time::{Instant, timeout};
 
-use super::{Host, load};
+use super::{Process, load};
 use crate::exchange::{Exchange, Passed};
 use crate::fault;
-use crate::instance::Prepared;
+use crate::instance::RestoredInstance;
 use crate::journal::Journal;
 use crate::server;
-use crate::upgrade::guard::Guard;
+use crate::upgrade::successor_guard::SuccessorGuard;
 
-impl Host {
+impl Process {
     pub(super) async fn keeper_step(&mut self, step: Action) -> io::Result<Option<i32>> {
         match step {
-            Action::Start => self.start_successor(),
-            Action::Say(word) => {
+            Action::StartSuccessor => self.start_successor(),
+            Action::Send(word) => {
                 if let Some(guard) = &self.guard
                     && let Err(error) = guard.channel.send(&word, &[]).await
                 {
@@ -32,11 +32,11 @@
             Action::Freeze => {
                 self.control = None;
                 match self.freeze().await {
-                    Ok(()) => self.keeper.frozen(self.now()),
-                    Err(why) => self.keeper.not_frozen(&why),
+                    Ok(()) => self.keeper.freeze_completed(self.now()),
+                    Err(why) => self.keeper.freeze_failed(&why),
                 }
             }
-            Action::Pass => {
+            Action::Transfer => {
                 let patience = self.operator.upgrade.clone().unwrap_or_default().taken();
                 let passed = match &self.guard {
                     Some(guard) => timeout(patience, guard.pass())
@@ -45,46 +45,46 @@
                     None => Err(io::Error::other("there is no successor")),
                 };
                 match passed {
-                    Ok(count) => self.keeper.passed(count),
-                    Err(error) => self.keeper.not_passed(&error.to_string()),
+                    Ok(count) => self.keeper.transfer_completed(count),
+                    Err(error) => self.keeper.transfer_failed(&error.to_string()),
                 }
             }
-            Action::Yield => info!(
+            Action::ReleaseOwnership => info!(
                 "the successor {} has everything and is watched",
                 self.successor()
             ),
-            Action::Kill => {
+            Action::KillSuccessor => {
                 if let Some(guard) = &self.guard {
                     warn!("the successor {} is killed", guard.id());
                     guard.kill();
                 }
             }
-            Action::Resume | Action::TakeBack => self.take_back()?,
-            Action::Tell(progress) => {
+            Action::Resume | Action::Recover => self.take_back()?,
+            Action::Report(progress) => {
                 info!("upgrade: {progress}");
                 if let Some(asked) = &self.asked {
                     let _ = asked.send(progress.clone());
-                    if progress.is_last() && !matches!(progress, Progress::Done) {
+                    if progress.is_final() && !matches!(progress, Progress::Completed) {
                         self.asked = None;
                     }
                 }
             }
-            Action::LeaveNow { stop } => self.leave(stop),
-            Action::ReloadNow => self.reload(),
-            Action::End => return Ok(Some(0)),
-            Action::EndAs { status } => return Ok(Some(status)),
+            Action::Drain { deadline: stop } => self.leave(stop),
+            Action::Reload => self.reload(),
+            Action::Exit => return Ok(Some(0)),
+            Action::ExitWithStatus { status } => return Ok(Some(status)),
         }
         Ok(None)
     }
 
     pub(super) async fn heir_step(&mut self, step: successor::Action) -> io::Result<()> {
         match step {
-            successor::Action::Say(word) => {
+            successor::Action::Send(word) => {
                 match word {
-                    Message::Hello { .. } => fault::point("heir.hello"),
-                    Message::Ready => fault::point("heir.ready"),
-                    Message::Taken => fault::point("heir.taken"),
-                    Message::Beat => fault::point("heir.beat"),
+                    Message::Hello { .. } => fault::injection_point("heir.hello"),
+                    Message::Ready => fault::injection_point("heir.ready"),
+                    Message::Restored => fault::injection_point("heir.taken"),
+                    Message::Heartbeat => fault::injection_point("heir.beat"),
                     _ => {}
                 }
                 if let Some(elder) = &self.elder {
@@ -92,7 +92,7 @@
                     let _ = elder.send(&word, &[]).await;
                 }
             }
-            successor::Action::Take => {
+            successor::Action::Restore => {
                 let now = self.now();
                 let taken = self.take_over();
                 let Some(heir) = &mut self.heir else {
@@ -101,13 +101,13 @@
                 match taken {
                     Ok(prepared) => {
                         self.prepared = Some(prepared);
-                        heir.taken(now);
+                        heir.restore_completed(now);
                     }
-                    Err(error) => heir.not_taken(&error.to_string()),
+                    Err(error) => heir.restore_failed(&error.to_string()),
                 }
             }
-            successor::Action::Serve => {
-                fault::point("heir.serve");
+            successor::Action::Activate => {
+                fault::injection_point("heir.serve");
                 if let Some(prepared) = self.prepared.take() {
                     let (edges, lines, hand) = prepared.sums();
                     info!(
@@ -120,22 +120,22 @@
                 }
                 self.try_control();
             }
-            successor::Action::Free => {
+            successor::Action::StopRecording => {
                 info!("the predecessor watches no longer");
                 self.elder = None;
                 if let Some(instance) = &self.instance {
                     instance.exchange.borrow_mut().note_no_more();
                 }
             }
-            successor::Action::Leave { stop } => self.leave(stop),
+            successor::Action::Drain { deadline: stop } => self.leave(stop),
             successor::Action::Reload => self.reload(),
-            successor::Action::End { why } => return Err(io::Error::other(why)),
+            successor::Action::Exit { reason: why } => return Err(io::Error::other(why)),
         }
         Ok(())
     }
 
     fn successor(&self) -> u32 {
-        self.guard.as_ref().map_or(0, Guard::id)
+        self.guard.as_ref().map_or(0, SuccessorGuard::id)
     }
 
     fn start_successor(&mut self) {
@@ -145,12 +145,12 @@
             .as_ref()
             .and_then(|upgrade| upgrade.program.clone());
         let program = named.map_or_else(own_program, Ok);
-        match program.and_then(Guard::start) {
+        match program.and_then(SuccessorGuard::start) {
             Ok(guard) => {
                 info!(successor = guard.id(); "the successor {} starts", guard.id());
                 (self.guard, self.cut) = (Some(guard), false);
             }
-            Err(error) => self.keeper.not_started(&error.to_string()),
+            Err(error) => self.keeper.start_failed(&error.to_string()),
         }
     }
 
@@ -200,7 +200,7 @@
     }
 
     /// What a predecessor has handed over, live and not yet set going.
-    pub(super) fn take_over(&mut self) -> io::Result<Prepared> {
+    pub(super) fn take_over(&mut self) -> io::Result<RestoredInstance> {
         let mut passed = std::mem::take(&mut self.inherited);
         let missing = |what: &str| io::Error::other(format!("{what} did not come"));
         let image = passed
@@ -228,7 +228,7 @@
         mut passed: Passed,
         learnt: Option<merlinshelf_admission::LearnedState>,
         takes_back: bool,
-    ) -> io::Result<Prepared> {
+    ) -> io::Result<RestoredInstance> {
         let listener = passed
             .remove(&Role::Listener)
             .ok_or_else(|| io::Error::other("no listener came"))?;
@@ -238,11 +238,11 @@
         self.hold_policy(&mut exchange).map_err(io::Error::other)?;
         let instance: Option<records::Instance> = image.get(Key::Instance);
         match instance.filter(|_| !takes_back) {
-            Some(instance) => exchange.take_policy(&instance.policy, &instance.shares),
+            Some(instance) => exchange.take_policy(&instance.policy, &instance.quota),
             // What its successor held may be fenced by now: it holds nothing until its agent says so.
             None => exchange.begin_without_policy(),
         }
-        Prepared::carried(
+        RestoredInstance::carried(
             exchange,
             server::listening(listener)?,
             image,
--- a/crates/merlinshelf-backend/src/host/mod.rs
+++ b/crates/merlinshelf-backend/src/process/mod.rs
@@ -25,19 +25,19 @@
 use tokio::time::{Instant, sleep_until, timeout};
 
 use crate::config::{Config, Peers};
-use crate::control::{self, Asked, Control};
+use crate::control::{self, Control, PendingRequest};
 use crate::counters;
 use crate::exchange::{Exchange, Passed, Passing, monotonic};
 use crate::fault;
-use crate::instance::{Instance, Prepared};
+use crate::instance::{Instance, RestoredInstance};
 use crate::learning::Learning;
 use crate::logger;
 use crate::operator::Operator;
 use crate::routing::{self, LaidOver, Routing};
 use crate::server;
+use crate::startup_wait::StartupWait;
 use crate::upgrade::channel::Channel;
-use crate::upgrade::guard::Guard;
-use crate::waiting::Waiting;
+use crate::upgrade::successor_guard::SuccessorGuard;
 
 /// What a process is started with.
 #[derive(Clone, Debug)]
@@ -66,7 +66,7 @@
     let elder = Channel::inherited()
         .transpose()
         .map_err(|error| error.to_string())?;
-    fault::point("heir.start");
+    fault::injection_point("heir.start");
     let runtime = Builder::new_current_thread()
         .enable_all()
         .build()
@@ -85,7 +85,7 @@
     };
     logger::start(operator.log.level(), operator.log.format);
     let result = LocalSet::new().block_on(&runtime, async {
-        let host = Host::new(start.clone(), config, operator, elder)?;
+        let host = Process::new(start.clone(), config, operator, elder)?;
         host.run(exchange).await
     });
     logger::finish();
@@ -102,10 +102,10 @@
 /// Tells the old process that this one can't take over.
 async fn refuse(elder: OwnedFd, why: &str) {
     let mut heir = Successor::new(Duration::ZERO, VERSION);
-    heir.refuse(why);
+    heir.decline(why);
     if let Ok(channel) = Channel::new(elder) {
-        while let Some(step) = heir.next_step() {
-            if let successor::Action::Say(word) = step {
+        while let Some(step) = heir.poll_action() {
+            if let successor::Action::Send(word) = step {
                 let _ = channel.send(&word, &[]).await;
             }
         }
@@ -114,7 +114,7 @@
 
 type Leaving = Pin<Box<dyn Future<Output = ()>>>;
 
-struct Host {
+struct Process {
     start: Start,
     config: Config,
     operator: Operator,
@@ -128,11 +128,11 @@
     /// As the operators' file has them.
     dependencies: Rc<RefCell<Option<Dependencies>>>,
     /// A fresh start that waits to hear which policy holds.
-    waiting: Option<Waiting>,
+    waiting: Option<StartupWait>,
     leaving: Option<Leaving>,
     // towards a successor
     keeper: Predecessor,
-    guard: Option<Guard>,
+    guard: Option<SuccessorGuard>,
     /// The channel to it has ended.
     cut: bool,
     asked: Option<UnboundedSender<Progress>>,
@@ -142,11 +142,14 @@
     predecessor: Option<u32>,
     elder: Option<Channel>,
     inherited: Passed,
-    prepared: Option<Prepared>,
+    prepared: Option<RestoredInstance>,
     passing: (UnboundedSender<Passing>, UnboundedReceiver<Passing>),
     // from outside
     control: Option<Control>,
-    requests: (UnboundedSender<Asked>, UnboundedReceiver<Asked>),
+    requests: (
+        UnboundedSender<PendingRequest>,
+        UnboundedReceiver<PendingRequest>,
+    ),
     signals: Signals,
 }
 
@@ -163,7 +166,7 @@
     Left,
     Reload,
     Counters,
-    Asked(Asked),
+    PendingRequest(PendingRequest),
     FromSuccessor(io::Result<(Message, Vec<OwnedFd>)>),
     SuccessorEnded,
     FromElder(io::Result<(Message, Vec<OwnedFd>)>),
@@ -171,22 +174,22 @@
     Woken,
 }
 
-impl Host {
+impl Process {
     fn new(
         start: Start,
         config: Config,
         operator: Operator,
         elder: Option<OwnedFd>,
-    ) -> io::Result<Host> {
+    ) -> io::Result<Process> {
         let upgrade = operator.upgrade.clone().unwrap_or_default();
         let patience = StageTimeouts {
             ready: upgrade.ready(),
-            taken: upgrade.taken(),
-            watched: upgrade.watched(),
-            silent: upgrade.silent(),
+            takeover: upgrade.taken(),
+            probation: upgrade.watched(),
+            heartbeat: upgrade.silent(),
         };
         let elder = elder.map(Channel::new).transpose()?;
-        Ok(Host {
+        Ok(Process {
             heir: elder
                 .as_ref()
                 .map(|_| Successor::new(upgrade.watched(), VERSION)),
@@ -246,7 +249,7 @@
                 .policy
                 .as_ref()
                 .map(|policy| Duration::from_millis(policy.wait_ms));
-            let waiting = Waiting::new(
+            let waiting = StartupWait::new(
                 exchange,
                 bound,
                 Instant::now() + heard_by.unwrap_or_default(),
@@ -288,15 +291,15 @@
 
     async fn next_event(&mut self) -> Event {
         let wake = [
-            self.keeper.wake_at(),
-            self.heir.as_ref().and_then(Successor::wake_at),
+            self.keeper.next_timeout(),
+            self.heir.as_ref().and_then(Successor::next_timeout),
         ];
         let wake = wake.into_iter().flatten().min().map(|at| self.began + at);
         let wake = wake
             .into_iter()
             .chain(self.waiting.as_ref().map(|waiting| waiting.until))
             .min();
-        let Host {
+        let Process {
             leaving,
             guard,
             cut,
@@ -318,7 +321,7 @@
             _ = signals.hup.recv() => Event::Reload,
             _ = signals.usr1.recv() => Event::Counters,
             () = done(leaving) => Event::Left,
-            Some(asked) = requests.1.recv() => Event::Asked(asked),
+            Some(asked) = requests.1.recv() => Event::PendingRequest(asked),
             () = sleep_until(wake.unwrap_or_else(Instant::now)), if wake.is_some() => Event::Woken,
         }
     }
@@ -328,7 +331,7 @@
         match event {
             Event::ToLeave => return self.told_to_leave(),
             Event::Left => return Some(0),
-            Event::Reload if self.heir.as_ref().is_some_and(Successor::owns) => self.reload(),
+            Event::Reload if self.heir.as_ref().is_some_and(Successor::is_owner) => self.reload(),
             Event::Reload => self.keeper.reload(),
             Event::Counters => {
                 if let Some(instance) = &self.instance {
@@ -339,16 +342,17 @@
                     );
                 }
             }
-            Event::Asked(asked) => self.asked_for(asked),
+            Event::PendingRequest(asked) => self.asked_for(asked),
             Event::FromSuccessor(Ok((word, descriptors))) => {
-                if let (Message::Opened { role }, Some(guard)) = (&word, &mut self.guard) {
+                if let (Message::ConnectionOpened { role }, Some(guard)) = (&word, &mut self.guard)
+                {
                     guard.opened(*role, descriptors);
                 }
-                let followed = self.guard.as_mut().map_or(Ok(()), Guard::follow);
-                self.keeper.heard(now, word);
+                let followed = self.guard.as_mut().map_or(Ok(()), SuccessorGuard::follow);
+                self.keeper.handle_message(now, word);
                 if let Err(error) = followed {
                     self.keeper
-                        .cut_off(&format!("its notes can't be read: {error}"));
+                        .channel_failed(&format!("its notes can't be read: {error}"));
                 }
             }
             Event::FromSuccessor(Err(error)) => {
@@ -359,39 +363,39 @@
                 };
                 if !ended {
                     self.keeper
-                        .cut_off(&format!("the channel to the successor ended: {error}"));
+                        .channel_failed(&format!("the channel to the successor ended: {error}"));
                 }
             }
             Event::SuccessorEnded => {
-                let status = self.guard.as_mut().and_then(Guard::reap);
-                let served = self.keeper.serves();
+                let status = self.guard.as_mut().and_then(SuccessorGuard::reap);
+                let served = self.keeper.is_serving();
                 for word in self
                     .guard
                     .as_mut()
-                    .map(Guard::last_words)
+                    .map(SuccessorGuard::last_words)
                     .unwrap_or_default()
                 {
-                    self.keeper.heard(now, word);
+                    self.keeper.handle_message(now, word);
                 }
-                self.keeper.died(status);
+                self.keeper.successor_exited(status);
                 if served {
                     self.guard = None; // it never held anything
                 }
             }
             Event::FromElder(Ok((word, descriptors))) => {
-                if let Message::Pass { roles } = &word {
-                    fault::point("heir.pass");
+                if let Message::Descriptors { roles } = &word {
+                    fault::injection_point("heir.pass");
                     self.inherited
                         .extend(roles.iter().copied().zip(descriptors));
                 }
                 if let Some(heir) = &mut self.heir {
-                    heir.heard(now, word);
+                    heir.handle_message(now, word);
                 }
             }
             Event::FromElder(Err(_)) => {
                 self.elder = None;
                 if let Some(heir) = &mut self.heir {
-                    heir.alone(now);
+                    heir.predecessor_exited(now);
                 }
             }
             Event::ToPass(Passing {
@@ -402,21 +406,21 @@
                 if let Some(elder) = &self.elder {
                     // An error is the predecessor's end, which is seen by itself.
                     let _ = elder
-                        .send(&Message::Opened { role }, &[descriptor.as_fd()])
+                        .send(&Message::ConnectionOpened { role }, &[descriptor.as_fd()])
                         .await;
                 }
                 let _ = passed.send(());
             }
             Event::Woken => {
-                self.keeper.woken(now);
+                self.keeper.handle_timeout(now);
                 if let Some(heir) = &mut self.heir {
-                    heir.woken(now);
-                    if let (true, Some(instance)) = (heir.notes(), &self.instance) {
+                    heir.handle_timeout(now);
+                    if let (true, Some(instance)) = (heir.is_recording(), &self.instance) {
                         let mut exchange = instance.exchange.borrow_mut();
                         exchange.secure_instance();
                         if exchange.unread_notes() > UNREAD_MOST {
                             warn!("the predecessor reads no notes: it goes on without it");
-                            heir.unread();
+                            heir.detach();
                         }
                     }
                 }
@@ -429,12 +433,12 @@
         if self.waiting.is_some() {
             return Some(0); // nobody could come in yet
         }
-        let stop = monotonic() + self.config.stop.as_secs_f64();
+        let stop = monotonic() + self.config.drain_timeout.as_secs_f64();
         match &mut self.heir {
-            Some(heir) if heir.owns() => heir.left(stop),
+            Some(heir) if heir.is_owner() => heir.drain(stop),
             // The predecessor sees its end and goes on.
             Some(_) => return Some(1),
-            None => self.keeper.leave(stop),
+            None => self.keeper.drain(stop),
         }
         None
     }
@@ -442,11 +446,11 @@
     /// Carries out all that is to be done; the process's status where it ends.
     async fn carry_out(&mut self) -> io::Result<Option<i32>> {
         loop {
-            if let Some(step) = self.keeper.next_step() {
+            if let Some(step) = self.keeper.poll_action() {
                 if let Some(status) = self.keeper_step(step).await? {
                     return Ok(Some(status));
                 }
-            } else if let Some(step) = self.heir.as_mut().and_then(Successor::next_step) {
+            } else if let Some(step) = self.heir.as_mut().and_then(Successor::poll_action) {
                 self.heir_step(step).await?;
             } else {
                 return Ok(None);
@@ -488,7 +492,7 @@
         let Peers {
             engine,
             catalogue,
-            members,
+            registration: members,
         } = later.peers;
         info!(
             "configuration read anew: engine {engine}, catalogue {catalogue}, membership {members}"
@@ -538,7 +542,7 @@
     }
 
     /// Takes the first invocations.
-    fn begin(&mut self, waiting: Waiting) -> io::Result<()> {
+    fn begin(&mut self, waiting: StartupWait) -> io::Result<()> {
         let prepared = waiting.begin(&self.config.name)?;
         info!("{} listens on {}", self.config.name, self.config.listen);
         self.instance = Some(self.set_going(prepared));
@@ -546,7 +550,7 @@
         Ok(())
     }
 
-    fn set_going(&self, prepared: Prepared) -> Instance {
+    fn set_going(&self, prepared: RestoredInstance) -> Instance {
         prepared.go(
             &self.config,
             self.peers,
@@ -578,7 +582,7 @@
     }
 }
 
-async fn ended(guard: Option<&Guard>) {
+async fn ended(guard: Option<&SuccessorGuard>) {
     match guard {
         Some(guard) => guard.ended().await,
         None => std::future::pending().await,
--- a/crates/merlinshelf-backend/src/server/connection.rs
+++ b/crates/merlinshelf-backend/src/server/connection.rs
@@ -26,7 +26,7 @@
 use super::table::{Said, Seat};
 use crate::exchange::{Answer, Deposit, Door, Place, Reply, Shared, pass};
 use crate::fault;
-use crate::ring::{Moved, Ring};
+use crate::ring::{IoProgress, Ring};
 
 /// Invocations that may be open on one connection: the page's number.
 const OPEN_MOST: usize = 32;
@@ -126,24 +126,25 @@
         let mut connection =
             Connection::new(socket, exchange, seat, door, (connections_most, uwsgi));
         let Flow {
-            taken,
-            given,
-            coming,
-            going,
+            read_bytes: taken,
+            written_bytes: given,
+            read_buffer: coming,
+            write_buffer: going,
         } = record.flow;
         (connection.coming, connection.going) =
-            (Ring::resumed(coming, taken), Ring::resumed(going, given));
-        connection.codec = Codec::resumed((record.front, record.record), uwsgi);
+            (Ring::restore(coming, taken), Ring::restore(going, given));
+        connection.codec = Codec::resumed((record.protocol, record.partial_record.into()), uwsgi);
         for partial in record.partials {
             let place = exchange
                 .borrow()
                 .keep_place(partial.params.len() + partial.body.len());
             connection.assembly.resume(partial, place);
         }
-        connection.open = record.open.into_iter().collect();
-        (connection.astray, connection.faults) = (record.astray, record.faults);
-        connection.said = Said::from_number(record.said);
-        (connection.read_closed, connection.last_word) = (record.read_closed, record.last_word);
+        connection.open = record.unanswered.into_iter().collect();
+        (connection.astray, connection.faults) = (record.unassigned_bytes, record.faults);
+        connection.said = Said::from_number(record.received_kind);
+        (connection.read_closed, connection.last_word) =
+            (record.is_read_closed, record.closes_after_write);
         connection.resumed = true;
         let partly = connection.codec.within() || !connection.coming.is_empty();
         if connection.said > Said::Nothing && !partly {
@@ -157,20 +158,20 @@
         let (front, record) = self.codec.state();
         records::ClientConnectionRecord {
             flow: Flow {
-                taken: self.coming.moved(),
-                given: self.going.moved(),
-                coming: self.coming.to_vec(),
-                going: self.going.to_vec(),
+                read_bytes: self.coming.transferred_bytes(),
+                written_bytes: self.going.transferred_bytes(),
+                read_buffer: self.coming.to_vec(),
+                write_buffer: self.going.to_vec(),
             },
-            record,
-            front,
+            partial_record: record.into(),
+            protocol: front,
             partials: self.assembly.records(),
-            open: self.open.iter().map(|(tag, keep)| (*tag, *keep)).collect(),
-            astray: self.astray,
+            unanswered: self.open.iter().map(|(tag, keep)| (*tag, *keep)).collect(),
+            unassigned_bytes: self.astray,
             faults: self.faults,
-            said: self.said as u8,
-            read_closed: self.read_closed,
-            last_word: self.last_word,
+            received_kind: self.said as u8,
+            is_read_closed: self.read_closed,
+            closes_after_write: self.last_word,
         }
     }
 
@@ -261,7 +262,7 @@
             let writes = !self.going.is_empty();
             let blocked = self.drain()?;
             if writes {
-                fault::point("edge.written");
+                fault::injection_point("edge.written");
             }
             if (self.read_closed || self.last_word) && self.at_rest() {
                 return Ok(());
@@ -343,10 +344,10 @@
 
     fn drain_by(
         &mut self,
-        drain: impl FnOnce(&mut Ring, &TcpStream) -> io::Result<Moved>,
+        drain: impl FnOnce(&mut Ring, &TcpStream) -> io::Result<IoProgress>,
     ) -> io::Result<bool> {
         let before = self.going.len();
-        let blocked = drain(&mut self.going, &self.socket)? == Moved::Blocked;
+        let blocked = drain(&mut self.going, &self.socket)? == IoProgress::Blocked;
         let since = self
             .stuck_since
             .filter(|_| self.going.len() == before)
@@ -430,30 +431,30 @@
         let read = self.read_by(Ring::peek)?;
         self.secure();
         if read {
-            fault::point("edge.noted");
+            fault::injection_point("edge.noted");
         }
-        self.coming.taken_out(&self.socket)?;
+        self.coming.discard_peeked(&self.socket)?;
         Ok(read)
     }
 
     fn read_last_noted(&mut self) -> io::Result<bool> {
         let read = self.read_by(Ring::peek_now)?;
         self.secure();
-        self.coming.taken_out(&self.socket)?;
+        self.coming.discard_peeked(&self.socket)?;
         Ok(read)
     }
 
     fn read_by(
         &mut self,
-        fill: impl FnOnce(&mut Ring, &TcpStream) -> io::Result<Moved>,
+        fill: impl FnOnce(&mut Ring, &TcpStream) -> io::Result<IoProgress>,
     ) -> io::Result<bool> {
         match fill(&mut self.coming, &self.socket)? {
-            Moved::Blocked => return Ok(false),
-            Moved::Ended => {
+            IoProgress::Blocked => return Ok(false),
+            IoProgress::Closed => {
                 self.stop_reading();
                 return Ok(false);
             }
-            Moved::Some => self.idle_since = Instant::now(),
+            IoProgress::Advanced => self.idle_since = Instant::now(),
         }
         let fault = match self.take_in() {
             Err(fault) => fault,
@@ -733,7 +734,7 @@
     let mut passed = 0;
     while passed <= ASTRAY_MOST {
         socket.readable().await?;
-        if coming.fill(&socket)? == Moved::Ended {
+        if coming.fill(&socket)? == IoProgress::Closed {
             break;
         }
         passed += coming.len();
--- a/crates/merlinshelf-backend/src/upgrade/guard.rs
+++ b/crates/merlinshelf-backend/src/upgrade/successor_guard.rs
@@ -16,11 +16,11 @@
 
 use super::channel::{BATCH, Channel, HANDOVER};
 use crate::exchange::Passed;
-use crate::instance::Frozen;
-use crate::journal::{Follower, memory_file};
+use crate::instance::FrozenInstance;
+use crate::journal::{JournalReader, memory_file};
 
 /// The successor, from its start to its end or release.
-pub struct Guard {
+pub struct SuccessorGuard {
     child: Child,
     /// Readable once the process has ended: never another one that got its number.
     process: AsyncFd<OwnedFd>,
@@ -37,12 +37,12 @@
     /// Copies of all that was handed over or opened since, by what it is.
     passed: Passed,
     learnt: Option<LearnedState>,
-    follower: Follower,
+    follower: JournalReader,
 }
 
-impl Guard {
+impl SuccessorGuard {
     /// Starts the program with this process's own arguments.
-    pub fn start(program: PathBuf) -> io::Result<Guard> {
+    pub fn start(program: PathBuf) -> io::Result<SuccessorGuard> {
         let (file, journal) = (
             memory_file("merlinshelf-image")?,
             memory_file("merlinshelf-journal")?,
@@ -67,7 +67,7 @@
                 Ok(unsafe { AsyncFd::register_with_interest(process, Interest::READABLE) }?)
             });
         match watched {
-            Ok(process) => Ok(Guard {
+            Ok(process) => Ok(SuccessorGuard {
                 child,
                 process,
                 channel,
@@ -107,7 +107,7 @@
     }
 
     /// Keeps what was frozen, whatever becomes of it, and writes it down for the successor.
-    pub fn hold(&mut self, mut frozen: Frozen, listener: OwnedFd) -> io::Result<()> {
+    pub fn hold(&mut self, mut frozen: FrozenInstance, listener: OwnedFd) -> io::Result<()> {
         let bytes = frozen.image.take();
         let mut image = Image::default();
         let read = image
@@ -116,8 +116,8 @@
         let instance: Option<records::Instance> = image.get(Key::Instance);
         let mut passed = frozen.passed;
         passed.insert(Role::Listener, listener);
-        let learnt = instance.and_then(|instance| instance.learnt);
-        let follower = Follower::new(self.journal.try_clone()?);
+        let learnt = instance.and_then(|instance| instance.learned);
+        let follower = JournalReader::new(self.journal.try_clone()?);
         self.held = Some(Held {
             image,
             passed,
@@ -146,7 +146,7 @@
         for batch in all.chunks(BATCH) {
             let (roles, descriptors): (Vec<Role>, Vec<BorrowedFd>) = batch.iter().copied().unzip();
             self.channel
-                .send(&Message::Pass { roles }, &descriptors)
+                .send(&Message::Descriptors { roles }, &descriptors)
                 .await?;
         }
         Ok(all.len())
@@ -166,7 +166,7 @@
             return Ok(());
         };
         held.follower.follow(&mut held.image)?;
-        for key in held.image.take_gone() {
+        for key in held.image.take_removed() {
             match key {
                 Key::ClientConnection(stream) => {
                     _ = held.passed.remove(&Role::ClientConnection(stream))
@@ -198,8 +198,8 @@
         let mut last = Vec::new();
         while let Some((word, descriptors)) = self.channel.receive_now() {
             match word {
-                Message::Opened { role } => self.opened(role, descriptors),
-                Message::Unwatched | Message::Leaves { .. } => last.push(word),
+                Message::ConnectionOpened { role } => self.opened(role, descriptors),
+                Message::Detached | Message::Draining { .. } => last.push(word),
                 _ => {}
             }
         }
@@ -217,7 +217,7 @@
     }
 }
 
-impl Drop for Guard {
+impl Drop for SuccessorGuard {
     fn drop(&mut self) {
         // Nobody else gives the process back to the kernel; one that was released is no child to wait for.
         let _ = self.child.try_wait();
