--- a/crates/merlinshelf-agent/src/policy/asked.rs
+++ b/crates/merlinshelf-agent/src/policy/asked.rs
@@ -314,7 +314,7 @@
         json!({
             "agent": self.of.name, "council": self.seat.standing(), "leader": self.seat.leader(), "members": members,
             "current": ledger.current_version, "note": ledger.policy.note, "under_way": change,
-            "lease": lease.map(|(number, left)| json!({ "number": number, "left_s": left })),
+            "lease": lease.map(|lease| json!({ "number": lease.version, "left_s": lease.remaining_seconds })),
             "lease_ms": ledger.bootstrap.as_ref().map(|of| of.lease_ms), "instances": instances,
         })
     }
--- a/crates/merlinshelf-agent/src/policy/budgets.rs
+++ b/crates/merlinshelf-agent/src/policy/budgets.rs
@@ -145,6 +145,7 @@
     /// Budgets that leave less than each host has set aside.
     pub(super) fn budgets_fit(&self, budgets: &Budgets) -> Result<(), String> {
         budget::validate_against_reserve(budgets, &self.of.base.budgets, Some(self.hosts()))
+            .map_err(|error| error.to_string())
     }
 
     /// All of it, for operators.
--- a/crates/merlinshelf-agent/src/policy/mod.rs
+++ b/crates/merlinshelf-agent/src/policy/mod.rs
@@ -145,7 +145,7 @@
                 {
                     self.warden.request_soon();
                 }
-                self.warden.instance_responded(now, &name, said);
+                self.warden.instance_responded(&name, said);
             }
             Happened::Beat(name, Err(why)) => self.warden.instance_unreachable(&name, why),
         }
@@ -158,8 +158,8 @@
             .insert(name.to_owned(), (invocations, succeeded));
         let before = before.filter(|before| before.0 <= invocations && before.1 <= succeeded);
         if let Some(before) = before {
-            self.warden.service_counts.0 += invocations - before.0;
-            self.warden.service_counts.1 += succeeded - before.1;
+            self.warden.service_counts.invocations += invocations - before.0;
+            self.warden.service_counts.succeeded += succeeded - before.1;
         }
     }
 
@@ -282,9 +282,11 @@
                     self.log(news);
                     match news {
                         ReplicatedEvent::Bootstrapped(_) => {}
-                        ReplicatedEvent::Proposed(number) => point("proposed", *number),
-                        ReplicatedEvent::Decided(number, _) => point("decided", *number),
-                        ReplicatedEvent::Committed(number) => point("held", *number),
+                        ReplicatedEvent::Proposed { version: number } => point("proposed", *number),
+                        ReplicatedEvent::Decided {
+                            version: number, ..
+                        } => point("decided", *number),
+                        ReplicatedEvent::Committed { version: number } => point("held", *number),
                     }
                 }
                 self.warden.state_changed(now, &self.seat.ledger);
@@ -320,13 +322,19 @@
             ReplicatedEvent::Bootstrapped(founding) => {
                 info!(lease_ms = founding.lease_ms; "policy: founded, leases of {} ms", founding.lease_ms)
             }
-            ReplicatedEvent::Proposed(number) => {
+            ReplicatedEvent::Proposed { version: number } => {
                 info!(number = number; "policy {number}: proposed")
             }
-            ReplicatedEvent::Decided(number, true) => {
+            ReplicatedEvent::Decided {
+                version: number,
+                accepted: true,
+            } => {
                 info!(number = number; "policy {number}: decided, it holds")
             }
-            ReplicatedEvent::Decided(number, false) => {
+            ReplicatedEvent::Decided {
+                version: number,
+                accepted: false,
+            } => {
                 let ended = ledger
                     .completed_changes
                     .iter()
@@ -335,7 +343,9 @@
                 let why = ended.map(|ended| why(&ended.outcome)).unwrap_or_default();
                 info!(number = number; "policy {number}: refused: {why}");
             }
-            ReplicatedEvent::Committed(number) => info!(number = number; "policy {number}: held"),
+            ReplicatedEvent::Committed { version: number } => {
+                info!(number = number; "policy {number}: held")
+            }
         }
     }
 
@@ -398,13 +408,18 @@
                     version: number, ..
                 }) => point("decides", *number),
                 Action::Propose(Entry::Activate { version: number }) => point("opens", *number),
-                Action::Respond(_, word) => point("grants", word.granted_version),
-                Action::ConfirmLeadership(_) | Action::Propose(_) => {}
+                Action::Respond { response: word, .. } => point("grants", word.granted_version),
+                Action::ConfirmLeadership { .. } | Action::Propose(_) => {}
             }
             match step {
-                Action::ConfirmLeadership(number) => self.seat.confirm(now, number),
+                Action::ConfirmLeadership {
+                    confirmation_id: number,
+                } => self.seat.confirm(now, number),
                 Action::Propose(entry) => _ = self.seat.propose(now, &entry),
-                Action::Respond(host, mut word) => {
+                Action::Respond {
+                    host,
+                    response: mut word,
+                } => {
                     word.quota_grants = self.budgeting.granted(now, &host, word.request_id);
                     if host == self.of.name {
                         self.heard_of_lease(now, &word);
@@ -439,7 +454,7 @@
         ChangeOutcome::Committed => String::new(),
         ChangeOutcome::Rejected(by) => by
             .iter()
-            .map(|(who, why)| format!("{who}: {why}"))
+            .map(|rejection| format!("{}: {}", rejection.rejected_by, rejection.reason))
             .collect::<Vec<_>>()
             .join("; "),
     }
--- a/crates/merlinshelf-backend/src/exchange/policy.rs
+++ b/crates/merlinshelf-backend/src/exchange/policy.rs
@@ -44,6 +44,7 @@
         let settings = of
             .base
             .settings(&base)
+            .map_err(|mismatch| mismatch.to_string())
             .and_then(|settings| laid.fits(&of.base).map(|()| settings));
         let settings = settings.map_err(|why| format!("policy.base: {why}"));
         let life = life();
@@ -119,7 +120,8 @@
             let settings = policy.settings(base)?;
             laid.fits(policy)?;
             budget::validate_against_reserve(&policy.budgets, &aside, None)?;
-            AdmissionController::start(0.0, seed, settings).map(|_| ())
+            AdmissionController::start(0.0, seed, settings)?;
+            Ok(())
         });
         self.mind_policy();
         if let Some(spending) = &mut self.spending {
--- a/crates/merlinshelf-backend/src/routing.rs
+++ b/crates/merlinshelf-backend/src/routing.rs
@@ -45,7 +45,10 @@
 
 impl exchange::Laid for LaidOver {
     fn fits(&self, policy: &Policy) -> Result<(), String> {
-        policy.dependencies(self.own.borrow().as_ref()).map(|_| ())
+        policy
+            .dependencies(self.own.borrow().as_ref())
+            .map(|_| ())
+            .map_err(|mismatch| mismatch.to_string())
     }
 
     fn lay(&self, policy: &Policy) {
--- a/crates/merlinshelf-policy/src/fingerprint.rs
+++ b/crates/merlinshelf-policy/src/fingerprint.rs
@@ -1,6 +1,6 @@
-//! The fingerprint by which two policy documents are told apart.
+//! The fingerprint that distinguishes policy documents.
 //!
-//! It is kept in the agents' replicated log and compared between versions of the program, so the text that it is computed
+//! It is stored in the agents' replicated log and compared between versions of the program, so the text that it is computed
 //! over is a stored format. The first version took that text from its `Debug` output; the type and variant names of that
 //! version are therefore written here by hand, and must not follow a renaming.
 
@@ -12,7 +12,7 @@
 use crate::document::{DependencyPolicy, OperationPolicy, Policy};
 
 impl Policy {
-    /// A number that differs between documents that differ in anything but their note.
+    /// A hash of everything but the note.
     pub fn fingerprint(&self) -> u64 {
         let Policy {
             note: _,
@@ -26,7 +26,7 @@
         let dependencies = map_values(dependencies, DependencyText);
         let mut text = format!("{operations:?}{tenants:?}{call_share:?}{dependencies:?}");
         if !budgets.is_empty() {
-            // A document without budgets keeps the fingerprint that versions before budgets gave it.
+            // A document without budgets has the fingerprint that versions without budgets compute.
             text += &format!("{:?}", budgets_text(budgets));
         }
         let reversed: Vec<u8> = text.bytes().rev().collect();
--- a/crates/merlinshelf-policy/src/host_lease_manager.rs
+++ b/crates/merlinshelf-policy/src/host_lease_manager.rs
@@ -1,377 +1,377 @@
-//! A host's part: one lease from the agent that leads, out of which its instances get theirs, none ending later; and who of
-//! them may still act on what.
+//! A host's part: one lease from the leading agent, out of which the host's instances get theirs, none of which ends later;
+//! and which of them may still act on which version.
 
-use std::collections::{BTreeMap, VecDeque};
+use std::collections::{BTreeMap, BTreeSet};
 
+use merlinshelf_quota::PendingRequests;
+use merlinshelf_quota::lease;
+
+use crate::Drift;
 use crate::document::Policy;
+use crate::instance_record::{InstanceRecord, PrepareResponse, select_offer};
 use crate::messages::{
     Heartbeat, HostLeaseRequest, HostLeaseResponse, InstanceStatus, LeaseGrant, PrepareResult,
+    Rejection, ServiceCounts,
 };
-use crate::replicated_state::{ReplicatedState, Stage};
-use crate::{Drift, over_by};
-
-/// An instance that does not say what it thinks of a document for so long is left out of the count, seconds.
-const SILENT_S: f64 = 0.5;
-/// Parts of a lease between two askings for it, and between two beats to an instance.
-const RENEWALS: f64 = 8.0;
-/// Questions whose answers are waited for.
-const ASKS_MOST: usize = 16;
-
-#[derive(Clone, Debug, Default)]
-struct Seen {
-    said: Option<InstanceStatus>,
-    /// It can't be asked at all, and why.
-    refuses: Option<String>,
-    beat_at: f64,
-    /// A beat is under way.
-    waits: bool,
-    /// There is something that it should hear before its next turn.
-    urgent: bool,
-    /// The lowest number that it may hold a lease on unless it said otherwise since, and until when by this host's clock.
-    may: Option<(u64, f64)>,
+use crate::replicated_state::ReplicatedState;
+
+/// Instances that have not responded to a document by then are not waited for, seconds.
+const PREPARE_TIMEOUT_SECONDS: f64 = 0.5;
+/// How often a lease is renewed, and an instance gets a heartbeat, in the duration of a lease.
+const RENEWALS_PER_LEASE: f64 = 8.0;
+
+/// A host's lease: every instance's lease on this version expires no later.
+#[derive(Clone, Copy, Debug, PartialEq)]
+struct HostLease {
+    version: u64,
+    /// By this host's clock, in seconds.
+    expires_at: f64,
+}
+
+impl HostLease {
+    fn is_valid(&self, now: f64) -> bool {
+        now < self.expires_at
+    }
+}
+
+/// A host's lease at a moment, for reports.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct HostLeaseReport {
+    /// The version that it is on; 0 is the base policy.
+    pub version: u64,
+    /// How long it still lasts, in seconds.
+    pub remaining_seconds: f64,
+}
+
+/// A document that the instances are to validate.
+#[derive(Clone, Copy, Debug)]
+struct Preparation {
+    version: u64,
+    /// Since when this host has known it.
+    started_at: f64,
 }
 
-/// The state machine of one agent towards its instances. `now` is the agent's own clock in seconds.
+/// What a host reports to the leading agent; where it changes, the next request is sent at once.
+#[derive(Clone, Debug, Default, PartialEq)]
+struct Progress {
+    fenced_version: u64,
+    prepare_result: Option<PrepareResult>,
+}
+
+/// The state machine of one agent towards its instances. `now` is the agent's own monotonic clock in seconds.
 #[derive(Clone, Debug)]
 pub struct HostLeaseManager {
     host: String,
-    life: u64,
+    incarnation: u64,
     drift: Drift,
-    /// The fingerprint of the base policy: of the file until the installation is founded, then the agreed one.
-    base: u64,
-    /// When this agent began, as far as it matters.
-    began: Option<f64>,
-    /// None until the installation is founded.
-    lease_s: Option<f64>,
-    /// The lease of this host: on what, until when.
-    lease: Option<(u64, f64)>,
-    fence: u64,
+    /// That of the agent's file until the installation is bootstrapped, then the agreed one.
+    base_fingerprint: u64,
+    /// When this agent was first driven.
+    started_at: Option<f64>,
+    /// `None` until the installation is bootstrapped.
+    lease_seconds: Option<f64>,
+    lease: Option<HostLease>,
+    fence_version: u64,
     documents: Vec<(u64, Policy)>,
-    /// The document that instances are to judge, and since when it is known here.
-    judged: Option<(u64, f64)>,
-    asks: VecDeque<(u64, f64)>,
-    token: u64,
-    asked_at: f64,
-    told: (u64, Option<PrepareResult>),
-    instances: BTreeMap<String, Seen>,
-    pub service_counts: (u64, u64),
+    preparation: Option<Preparation>,
+    pending_requests: PendingRequests,
+    last_request_id: u64,
+    requested_at: f64,
+    reported: Progress,
+    instances: BTreeMap<String, InstanceRecord>,
+    /// The service of all instances, which the agent counts and which is reported with each request.
+    pub service_counts: ServiceCounts,
 }
 
 impl HostLeaseManager {
-    /// An agent that begins. `life` is a number that no other process of the agent has, `base` the fingerprint of the
-    /// base policy of its file.
-    pub fn new(host: &str, life: u64, base: u64, drift: Drift) -> HostLeaseManager {
+    /// An agent that starts. `incarnation` identifies the process among all of the agent's, `base_fingerprint` is that of the
+    /// base policy in its file.
+    pub fn new(
+        host: &str,
+        incarnation: u64,
+        base_fingerprint: u64,
+        drift: Drift,
+    ) -> HostLeaseManager {
         HostLeaseManager {
             host: host.to_owned(),
-            life,
+            incarnation,
             drift,
-            base,
-            began: None,
-            lease_s: None,
+            base_fingerprint,
+            started_at: None,
+            lease_seconds: None,
             lease: None,
-            fence: 0,
+            fence_version: 0,
             documents: Vec::new(),
-            judged: None,
-            asks: VecDeque::new(),
-            token: 0,
-            asked_at: f64::NEG_INFINITY,
-            told: (0, None),
+            preparation: None,
+            pending_requests: PendingRequests::default(),
+            last_request_id: 0,
+            requested_at: f64::NEG_INFINITY,
+            reported: Progress::default(),
             instances: BTreeMap::new(),
-            service_counts: (0, 0),
+            service_counts: ServiceCounts::default(),
         }
     }
 
-    /// What is decided by now, as far as this host's log has it.
-    pub fn state_changed(&mut self, now: f64, ledger: &ReplicatedState) {
-        self.began.get_or_insert(now);
-        if let Some(founding) = &ledger.bootstrap {
-            // What was agreed counts, whatever this agent's file says by now.
-            (self.lease_s, self.base) = (
-                Some(founding.lease_ms as f64 / 1e3),
-                founding.base_fingerprint,
-            );
+    /// The replicated state has changed, as far as this host's log has it.
+    pub fn state_changed(&mut self, now: f64, state: &ReplicatedState) {
+        self.started_at.get_or_insert(now);
+        if let Some(bootstrap) = &state.bootstrap {
+            // What was agreed counts, whatever this agent's file contains by now.
+            self.lease_seconds = Some(bootstrap.lease_seconds());
+            self.base_fingerprint = bootstrap.base_fingerprint;
+        }
+        let fence_changed = self.update_fence(state.fence_version());
+        let documents_changed = self.update_documents(state);
+        let preparation_changed = self.update_preparation(now, state);
+        if fence_changed || documents_changed || preparation_changed {
+            self.heartbeat_soon();
         }
-        let (fence, before) = (ledger.fence_version(), self.fence);
-        self.fence = self.fence.max(fence);
+    }
+
+    fn update_fence(&mut self, fence_version: u64) -> bool {
+        let has_changed = fence_version != self.fence_version;
+        self.fence_version = self.fence_version.max(fence_version);
         self.lease = self
             .lease
-            .filter(|(number, _)| *number == 0 || *number > self.fence);
-        let change = ledger.pending_change.as_ref();
-        let numbers = [
-            Some(ledger.current_version),
-            change.map(|change| change.version),
-        ];
-        let known = numbers
+            .filter(|lease| lease.version == 0 || lease.version > self.fence_version);
+        has_changed
+    }
+
+    fn update_documents(&mut self, state: &ReplicatedState) -> bool {
+        let pending_version = state.pending_change.as_ref().map(|change| change.version);
+        let documents: Vec<(u64, Policy)> = [Some(state.current_version), pending_version]
             .into_iter()
             .flatten()
-            .filter_map(|of| Some((of, ledger.policy_for_version(of)?.clone())));
-        let known: Vec<(u64, Policy)> = known.collect();
-        let judged = change
-            .filter(|change| change.stage == Stage::Preparing)
-            .map(|change| change.version);
-        let same = self.judged.map(|(number, _)| number) == judged;
-        if !same {
-            self.judged = judged.map(|number| (number, now));
-        }
-        if fence != before || known != self.documents || !same {
-            self.heartbeat_soon();
+            .filter_map(|version| Some((version, state.policy_for_version(version)?.clone())))
+            .collect();
+        let has_changed = documents != self.documents;
+        self.documents = documents;
+        has_changed
+    }
+
+    fn update_preparation(&mut self, now: f64, state: &ReplicatedState) -> bool {
+        let version = state.preparing_change().map(|change| change.version);
+        if self.preparation.map(|preparation| preparation.version) == version {
+            return false;
         }
-        self.documents = known;
+        self.preparation = version.map(|version| Preparation {
+            version,
+            started_at: now,
+        });
+        true
     }
 
-    /// The instances that have a process now. Of a process that is new here nothing is known: it may hold a lease that an
-    /// agent before this one gave it.
+    /// The instances that have a process now. Nothing is known of a process that is new here: an earlier agent may have
+    /// granted it a lease.
     pub fn set_instances<'a>(&mut self, now: f64, names: impl Iterator<Item = &'a String>) {
-        let names: std::collections::BTreeSet<&String> = names.collect();
-        self.began.get_or_insert(now);
-        let lease = self.lease_s.unwrap_or(0.0);
-        // One whose process is gone acts on nothing. One that is merely out of sight is still named.
+        let names: BTreeSet<&String> = names.collect();
+        self.started_at.get_or_insert(now);
+        let lease_seconds = self.lease_seconds.unwrap_or(0.0);
+        // One whose process has ended acts on nothing. One that is merely unreachable is still named.
         self.instances.retain(|name, _| names.contains(name));
         for name in names {
-            self.instances.entry(name.clone()).or_insert_with(|| Seen {
-                urgent: true,
-                may: Some((0, over_by(now, lease, self.drift))),
-                beat_at: f64::NEG_INFINITY,
-                ..Seen::default()
-            });
+            self.instances
+                .entry(name.clone())
+                .or_insert_with(|| InstanceRecord::new(now, lease_seconds, self.drift));
         }
     }
 
-    fn beat_every(&self) -> f64 {
-        self.lease_s.unwrap_or(1.0) / RENEWALS
-    }
-
-    /// The next beat that is due, and to whom. Each is reported by `said` or `silent`.
+    /// The next heartbeat that is due, with the instance that it goes to. The caller reports the result of each by
+    /// [`instance_responded`](Self::instance_responded) or [`instance_unreachable`](Self::instance_unreachable).
     pub fn poll_heartbeat(&mut self, now: f64) -> Option<(String, Heartbeat)> {
-        self.lease_s?;
-        let every = self.beat_every();
-        let due = |one: &Seen| !one.waits && (one.urgent || now >= one.beat_at + every);
-        let (name, one) = self.instances.iter_mut().find(|(_, one)| due(one))?;
-        (one.beat_at, one.waits, one.urgent) = (now, true, false);
-        let mut beat = Heartbeat {
-            fence_version: self.fence,
+        let interval_seconds = self.lease_seconds? / RENEWALS_PER_LEASE;
+        let lease = self.valid_lease(now);
+        let (name, instance) = self
+            .instances
+            .iter_mut()
+            .find(|(_, instance)| instance.is_heartbeat_due(now, interval_seconds))?;
+        instance.heartbeat_sent(now);
+        let mut heartbeat = Heartbeat {
+            fence_version: self.fence_version,
             ..Heartbeat::default()
         };
-        if let Some(said) = one
-            .said
-            .as_ref()
-            .filter(|said| said.base_fingerprint == self.base)
-        {
-            beat.incarnation = said.incarnation;
-            let lease = self.lease.filter(|(_, until)| now < *until);
-            let granted = lease.map(|(number, _)| number);
-            let lacks = |number: &u64| !said.known_versions.contains(number);
-            let refused = |number: &u64| {
-                said.rejected_version
-                    .as_ref()
-                    .is_some_and(|(of, _)| of == number)
-            };
-            let first = self
-                .documents
-                .iter()
-                .find(|(number, _)| Some(*number) == granted && lacks(number));
-            let other = self
-                .documents
-                .iter()
-                .rev()
-                .find(|(number, _)| lacks(number) && !refused(number));
-            beat.offered_policy = first.or(other).cloned();
-            if let Some((number, until)) = lease {
-                beat.grant = Some(LeaseGrant {
-                    version: number,
-                    requested_at: said.reported_at,
-                    duration_seconds: until - now,
-                });
-                if number > 0 {
-                    // Whoever was granted this number holds nothing below it: that was given back before, by all.
-                    let until = over_by(now, until - now, self.drift);
-                    let before = one.may.map_or(until, |(_, before)| before);
-                    one.may = Some((number, until.max(before)));
-                }
-            }
+        let Some(status) = instance.status_on_base(self.base_fingerprint) else {
+            return Some((name.clone(), heartbeat));
+        };
+        heartbeat.incarnation = status.incarnation;
+        let leased_version = lease.map(|lease| lease.version);
+        heartbeat.offered_policy = select_offer(&self.documents, status, leased_version).cloned();
+        heartbeat.grant = lease.map(|lease| LeaseGrant {
+            version: lease.version,
+            requested_at: status.reported_at,
+            duration_seconds: lease.expires_at - now,
+        });
+        if let Some(grant) = &heartbeat.grant {
+            instance.lease_granted(now, grant, self.drift);
         }
-        Some((name.clone(), beat))
+        Some((name.clone(), heartbeat))
     }
 
-    /// An instance's answer to its beat.
-    pub fn instance_responded(&mut self, _now: f64, name: &str, said: InstanceStatus) {
-        let Some(one) = self.instances.get_mut(name) else {
-            return;
-        };
-        (one.waits, one.refuses) = (false, None);
-        let granted = self.lease.map(|(number, _)| number).unwrap_or(0);
-        let other_life = one
-            .said
-            .as_ref()
-            .is_none_or(|before| before.incarnation != said.incarnation);
-        let behind = said.effective_version != Some(granted) && self.lease.is_some();
-        // A new process, or one that has not got what holds: told at once, but not without end.
-        one.urgent |= other_life
-            || behind
-                && one
-                    .said
-                    .as_ref()
-                    .is_none_or(|before| before.known_versions != said.known_versions);
-        one.said = Some(said);
+    fn valid_lease(&self, now: f64) -> Option<HostLease> {
+        self.lease.filter(|lease| lease.is_valid(now))
+    }
+
+    /// An instance responded to a heartbeat.
+    pub fn instance_responded(&mut self, name: &str, status: InstanceStatus) {
+        let leased_version = self.lease.map(|lease| lease.version);
+        if let Some(instance) = self.instances.get_mut(name) {
+            instance.responded(status, leased_version);
+        }
     }
 
-    /// It did not answer; with a reason where it said that it can't.
-    pub fn instance_unreachable(&mut self, name: &str, refuses: Option<String>) {
-        if let Some(one) = self.instances.get_mut(name) {
-            one.waits = false;
-            one.refuses = refuses.or(one.refuses.take());
+    /// An instance did not respond to a heartbeat; with a reason where it reported that it cannot.
+    pub fn instance_unreachable(&mut self, name: &str, refusal: Option<String>) {
+        if let Some(instance) = self.instances.get_mut(name) {
+            instance.unreachable(refusal);
         }
     }
 
-    /// There is something that whoever leads should hear now.
+    /// There is something that the leading agent should learn now.
     pub fn request_soon(&mut self) {
-        self.asked_at = f64::NEG_INFINITY;
+        self.requested_at = f64::NEG_INFINITY;
     }
 
-    /// There is something that all instances should hear now.
+    /// There is something that all instances should learn now.
     pub fn heartbeat_soon(&mut self) {
-        self.instances
-            .values_mut()
-            .for_each(|one| one.urgent = true);
+        for instance in self.instances.values_mut() {
+            instance.set_urgent();
+        }
     }
 
-    /// Everything up to this number is acted on by nobody here any more.
+    /// No instance of this host acts on a version up to this one any more.
     pub fn fenced_version(&self, now: f64) -> u64 {
-        let held = |one: &Seen| {
-            let acked = one
-                .said
-                .as_ref()
-                .is_some_and(|said| said.fenced_version >= self.fence);
-            !acked
-                && one
-                    .may
-                    .is_some_and(|(number, until)| number <= self.fence && now < until)
-        };
-        // An agent before this one may have had an instance that this one has not found: its lease is over by then.
-        let lease = self.lease_s.unwrap_or(0.0);
-        let young = self
-            .began
-            .is_none_or(|began| now < over_by(began, lease, self.drift));
-        if young || self.instances.values().any(held) {
-            self.told.0.min(self.fence)
+        let may_act = self
+            .instances
+            .values()
+            .any(|instance| instance.may_act_below(now, self.fence_version));
+        if self.may_have_unknown_leases(now) || may_act {
+            self.reported.fenced_version.min(self.fence_version)
         } else {
-            self.fence
+            self.fence_version
         }
     }
 
-    /// What the instances say to the document that is judged, once all have or are late.
+    /// Whether an instance that this agent has not found may still have a lease that an earlier agent granted.
+    fn may_have_unknown_leases(&self, now: f64) -> bool {
+        let lease_seconds = self.lease_seconds.unwrap_or(0.0);
+        self.started_at.is_none_or(|started_at| {
+            now < lease::grantor_expiry(started_at, lease_seconds, self.drift)
+        })
+    }
+
+    /// The instances' verdict on the document that is being prepared: once all have responded or are late, or one rejects it.
     pub fn prepare_result(&self, now: f64) -> Option<PrepareResult> {
-        let (number, since) = self.judged?;
-        let mut prepared = PrepareResult {
-            version: number,
+        let preparation = self.preparation?;
+        let mut result = PrepareResult {
+            version: preparation.version,
             ..PrepareResult::default()
         };
-        let mut waits = false;
-        for (name, one) in &self.instances {
-            let said = one.said.as_ref();
-            let unfit = said
-                .and_then(|said| said.rejected_version.clone())
-                .filter(|(of, _)| *of == number)
-                .map(|(_, why)| why);
-            let other = said
-                .filter(|said| said.base_fingerprint != self.base)
-                .map(|_| "its base policy is another".to_owned());
-            if let Some(why) = unfit.or(other).or(one.refuses.clone()) {
-                prepared.rejections.push((name.clone(), why));
-            } else if said.is_some_and(|said| said.known_versions.contains(&number)) {
-                prepared.ready_instances += 1;
-            } else if now >= since + SILENT_S {
-                prepared.silent_instances += 1;
-            } else {
-                waits = true;
+        let has_timed_out = now >= preparation.started_at + PREPARE_TIMEOUT_SECONDS;
+        for (name, instance) in &self.instances {
+            match instance.prepare_response(preparation.version, self.base_fingerprint) {
+                PrepareResponse::Ready => result.ready_instances += 1,
+                PrepareResponse::Rejected(reason) => result.rejections.push(Rejection {
+                    rejected_by: name.clone(),
+                    reason,
+                }),
+                PrepareResponse::Pending => result.silent_instances += 1,
             }
         }
-        (!waits || !prepared.rejections.is_empty()).then_some(prepared)
+        let is_complete = result.silent_instances == 0 || has_timed_out;
+        if !has_timed_out {
+            // While there is time nobody counts as silent.
+            result.silent_instances = 0;
+        }
+        (is_complete || !result.rejections.is_empty()).then_some(result)
     }
 
-    /// What the one that leads is to be asked now, where that is due or something has come about.
+    /// The request to the leading agent, where it is due or there is progress to report.
     pub fn poll_lease_request(&mut self, now: f64) -> Option<HostLeaseRequest> {
-        let lease_s = self.lease_s?;
-        let told = (self.fenced_version(now), self.prepare_result(now));
-        let lacks = self
-            .lease
-            .is_none_or(|(number, until)| now >= until || number <= self.fence && self.fence > 0);
-        let every = if lacks {
-            lease_s / RENEWALS / 2.0
+        let renewal_seconds = self.lease_seconds? / RENEWALS_PER_LEASE;
+        let progress = Progress {
+            fenced_version: self.fenced_version(now),
+            prepare_result: self.prepare_result(now),
+        };
+        let interval_seconds = if self.needs_lease(now) {
+            renewal_seconds / 2.0
         } else {
-            lease_s / RENEWALS
+            renewal_seconds
         };
-        if told == self.told && now < self.asked_at + every {
+        if progress == self.reported && now < self.requested_at + interval_seconds {
             return None;
         }
-        self.told = told;
-        self.asked_at = now;
-        self.token += 1;
-        if self.asks.len() == ASKS_MOST {
-            self.asks.pop_front();
-        }
-        self.asks.push_back((self.token, now));
+        self.reported = progress;
+        self.requested_at = now;
+        self.last_request_id += 1;
+        self.pending_requests.record(self.last_request_id, now);
         Some(HostLeaseRequest {
             host: self.host.clone(),
-            incarnation: self.life,
-            request_id: self.token,
-            fenced_version: self.told.0,
-            prepare_result: self.told.1.clone(),
+            incarnation: self.incarnation,
+            request_id: self.last_request_id,
+            fenced_version: self.reported.fenced_version,
+            prepare_result: self.reported.prepare_result.clone(),
             service_counts: self.service_counts,
             quota_requests: None,
         })
     }
 
-    /// A lease of the one that leads; counted from when it was asked for.
-    pub fn handle_lease_response(&mut self, now: f64, word: &HostLeaseResponse) {
-        let (
-            Some(lease_s),
-            HostLeaseResponse {
-                incarnation: life,
-                request_id: token,
-                granted_version: number,
-                ..
-            },
-        ) = (self.lease_s, word)
-        else {
+    /// Whether the host has no lease on a version that may be acted on.
+    fn needs_lease(&self, now: f64) -> bool {
+        self.valid_lease(now)
+            .is_none_or(|lease| self.fence_version > 0 && lease.version <= self.fence_version)
+    }
+
+    /// The leading agent's response; the lease counts from when it was requested.
+    pub fn handle_lease_response(&mut self, now: f64, response: &HostLeaseResponse) {
+        if response.incarnation != self.incarnation {
+            return;
+        }
+        let requested_at = self.pending_requests.sent_at(response.request_id);
+        let (Some(lease_seconds), Some(requested_at)) = (self.lease_seconds, requested_at) else {
             return;
         };
-        let asked = self
-            .asks
-            .iter()
-            .find(|(of, _)| of == token && *life == self.life);
-        let Some((_, asked)) = asked else { return };
-        let until = asked + lease_s * (1.0 - self.drift);
-        let known = *number == 0 || self.documents.iter().any(|(of, _)| of == number);
-        let fits = if *number == 0 {
-            self.fence == 0
-        } else {
-            *number > self.fence
+        let lease = HostLease {
+            version: response.granted_version,
+            expires_at: lease::holder_expiry(requested_at, lease_seconds, self.drift),
         };
-        let later = self
-            .lease
-            .is_none_or(|(of, before)| *number > of || *number == of && until > before);
-        if !(known && fits && later && now < until) {
+        if !(self.may_accept(lease.version) && self.is_later(&lease) && lease.is_valid(now)) {
             return;
         }
-        if self
-            .lease
-            .is_none_or(|(of, before)| of != *number || now >= before)
-        {
+        let is_renewal = self
+            .valid_lease(now)
+            .is_some_and(|current| current.version == lease.version);
+        if !is_renewal {
             self.heartbeat_soon();
         }
-        self.lease = Some((*number, until));
+        self.lease = Some(lease);
     }
 
-    /// This host's lease, on what and for how long still; for reports.
-    pub fn lease(&self, now: f64) -> Option<(u64, f64)> {
-        self.lease
-            .filter(|(_, until)| now < *until)
-            .map(|(number, until)| (number, until - now))
+    /// Whether a lease on this version may be accepted: its document is known here, and it is not fenced.
+    fn may_accept(&self, version: u64) -> bool {
+        if version == 0 {
+            return self.fence_version == 0;
+        }
+        let is_known = self.documents.iter().any(|(known, _)| *known == version);
+        is_known && version > self.fence_version
+    }
+
+    fn is_later(&self, lease: &HostLease) -> bool {
+        self.lease.is_none_or(|current| {
+            lease.version > current.version
+                || lease.version == current.version && lease.expires_at > current.expires_at
+        })
+    }
+
+    /// This host's lease, for reports.
+    pub fn lease(&self, now: f64) -> Option<HostLeaseReport> {
+        self.valid_lease(now).map(|lease| HostLeaseReport {
+            version: lease.version,
+            remaining_seconds: lease.expires_at - now,
+        })
     }
 
-    /// What an instance last said; for reports.
+    /// An instance's last status, for reports.
     pub fn instance_status(&self, name: &str) -> Option<&InstanceStatus> {
-        self.instances.get(name)?.said.as_ref()
+        self.instances.get(name)?.status()
     }
 }
--- a/crates/merlinshelf-policy/src/lease_holder.rs
+++ b/crates/merlinshelf-policy/src/lease_holder.rs
@@ -1,36 +1,42 @@
-//! An instance's part: documents that it has, one lease, and what it acts on at a given moment.
+//! An instance's part: the documents that it has stored, its lease, and which policy it acts on at a given time.
 
 use std::collections::BTreeMap;
 
 use merlinshelf_admission::Settings;
+use merlinshelf_quota::lease;
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
 use crate::Drift;
 use crate::document::Policy;
-use crate::messages::{Heartbeat, InstanceStatus};
+use crate::error::{PolicyMismatch, PolicyRejection};
+use crate::messages::{Heartbeat, InstanceStatus, LeaseGrant};
 
-/// Documents that are kept: the one that is acted on, the next one, and one to spare.
-const KNOWN_MOST: usize = 3;
+/// How many documents are stored: the one that is acted on, the next one, and one to spare.
+const MAX_KNOWN_POLICIES: usize = 3;
 
-/// What is done without a lease.
+// The encoded names are those of the operators' file, and the comments are the descriptions in its schema.
+/// What an instance does without a lease.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum LeaseExpiryMode {
-    /// Served by the base policy.
+    /// Serve by the base policy.
     #[default]
     #[serde(rename = "base")]
     BasePolicy,
-    /// Turned away, with when to come back.
+    /// Reject all invocations, with a Retry-After.
     #[serde(rename = "turn_away")]
     RejectAll,
 }
 
-/// What an instance acts on.
+/// The policy that an instance acts on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EffectivePolicy {
+    /// The base policy.
     Base,
+    /// The document of this version, by a lease.
     Leased(u64),
+    /// None: all invocations are rejected.
     RejectAll,
 }
 
@@ -38,11 +44,19 @@
 struct Lease {
     #[serde(rename = "number")]
     version: u64,
+    /// By the instance's clock, in seconds.
     #[serde(rename = "until")]
     expires_at: f64,
 }
 
-/// What a successor goes on with: its clock is the same as its predecessor's.
+impl Lease {
+    fn is_valid(&self, now: f64) -> bool {
+        now < self.expires_at
+    }
+}
+
+/// What a successor process continues with; it runs on the same monotonic clock. It is encoded in the handover image, so the
+/// names that older versions use are preserved by `#[serde(rename)]`.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct HandoverState {
@@ -53,170 +67,229 @@
     known_policies: BTreeMap<u64, Policy>,
 }
 
-/// The state machine. `now` is its own clock in seconds, which only goes forward.
+#[derive(Clone, Debug)]
+struct RejectedVersion {
+    version: u64,
+    rejection: PolicyRejection,
+}
+
+/// The state machine of an instance. `now` is its own monotonic clock in seconds.
 #[derive(Clone, Debug)]
 pub struct LeaseHolder {
-    life: u64,
+    incarnation: u64,
     drift: Drift,
-    without: LeaseExpiryMode,
-    base: Policy,
-    known: BTreeMap<u64, Policy>,
-    unfit: Option<(u64, String)>,
-    fenced: u64,
+    expiry_mode: LeaseExpiryMode,
+    base_policy: Policy,
+    known_policies: BTreeMap<u64, Policy>,
+    rejected_version: Option<RejectedVersion>,
+    fenced_version: u64,
     lease: Option<Lease>,
-    /// Whether it ever had a lease, or is to wait for none any more.
-    began: bool,
+    /// Whether it ever had a lease, or no longer waits for one.
+    is_ready: bool,
 }
 
 impl LeaseHolder {
-    /// A process that begins, without a lease. `life` is a number that no other process of the instance has, not 0.
-    pub fn new(life: u64, base: Policy, without: LeaseExpiryMode, drift: Drift) -> LeaseHolder {
+    /// A process that starts, without a lease. `incarnation` identifies it among all processes of the instance and is not 0.
+    pub fn new(
+        incarnation: u64,
+        base_policy: Policy,
+        expiry_mode: LeaseExpiryMode,
+        drift: Drift,
+    ) -> LeaseHolder {
         LeaseHolder {
-            life,
+            incarnation,
             drift,
-            without,
-            base,
-            known: BTreeMap::new(),
-            unfit: None,
-            fenced: 0,
+            expiry_mode,
+            base_policy,
+            known_policies: BTreeMap::new(),
+            rejected_version: None,
+            fenced_version: 0,
             lease: None,
-            began: false,
+            is_ready: false,
         }
     }
 
-    /// What is passed to a successor. From here on this one acts on nothing that it held: it can only come back by
-    /// taking back, when the successor may long have given its lease up.
-    pub fn begin_handover(&mut self, life: u64) -> HandoverState {
-        self.life = life;
+    /// Gives the lease to a successor, and continues as a new incarnation. It has no lease from here on: if the handover is
+    /// aborted, the successor may long have fenced what this one would act on.
+    pub fn begin_handover(&mut self, next_incarnation: u64) -> HandoverState {
+        self.incarnation = next_incarnation;
         HandoverState {
             lease: self.lease.take(),
-            fenced_version: self.fenced,
-            known_policies: self.known.clone(),
+            fenced_version: self.fenced_version,
+            known_policies: self.known_policies.clone(),
         }
     }
 
-    /// Goes on with what a predecessor passed.
-    pub fn resume(&mut self, passed: HandoverState) {
-        (self.lease, self.fenced, self.known) =
-            (passed.lease, passed.fenced_version, passed.known_policies);
-        self.began = true;
+    /// Continues with a predecessor's state.
+    pub fn resume(&mut self, state: HandoverState) {
+        self.lease = state.lease;
+        self.fenced_version = state.fenced_version;
+        self.known_policies = state.known_policies;
+        self.is_ready = true;
     }
 
-    /// What it acts on. Asked before anything is decided, after what is decided on was read.
+    /// The policy that it acts on. To be called before each decision, after the input of the decision was read: a process that
+    /// was stopped in between finds its lease expired.
     pub fn effective_policy(&self, now: f64) -> EffectivePolicy {
-        match (&self.lease, self.without) {
-            (Some(lease), _) if now < lease.expires_at => EffectivePolicy::Leased(lease.version),
-            (_, LeaseExpiryMode::BasePolicy) => EffectivePolicy::Base,
-            (_, LeaseExpiryMode::RejectAll) => EffectivePolicy::RejectAll,
+        match self.lease {
+            Some(lease) if lease.is_valid(now) => EffectivePolicy::Leased(lease.version),
+            _ => match self.expiry_mode {
+                LeaseExpiryMode::BasePolicy => EffectivePolicy::Base,
+                LeaseExpiryMode::RejectAll => EffectivePolicy::RejectAll,
+            },
         }
     }
 
-    /// Whether it has heard which policy holds, so that it may take its first invocation.
+    /// Whether it may admit its first invocation: it has learned which policy is in force, or waits no longer.
     pub fn is_ready(&self) -> bool {
-        self.began
+        self.is_ready
     }
 
-    /// Nobody is waited for any more.
+    /// It waits for a lease no longer.
     pub fn stop_waiting(&mut self) {
-        self.began = true;
+        self.is_ready = true;
     }
 
-    /// The document that it acts on; the base policy where it acts on none.
-    pub fn policy(&self, acting: EffectivePolicy) -> &Policy {
-        match acting {
-            EffectivePolicy::Leased(number) => self.known.get(&number).unwrap_or(&self.base),
-            _ => &self.base,
+    /// The document of an effective policy; the base policy where there is none.
+    pub fn policy(&self, effective: EffectivePolicy) -> &Policy {
+        match effective {
+            EffectivePolicy::Leased(version) => self
+                .known_policies
+                .get(&version)
+                .unwrap_or(&self.base_policy),
+            EffectivePolicy::Base | EffectivePolicy::RejectAll => &self.base_policy,
         }
     }
 
-    /// The base policy, of which each host has its part of budgets set aside.
+    /// The base policy, whose budgets are what each host has reserved.
     pub fn base_policy(&self) -> &Policy {
-        &self.base
+        &self.base_policy
     }
 
-    /// Settings under what it acts on.
+    /// The settings under an effective policy.
     ///
     /// # Errors
-    /// As of [`Policy::settings`]; what is held was found to fit before.
-    pub fn settings(&self, acting: EffectivePolicy, base: &Settings) -> Result<Settings, String> {
-        self.policy(acting).settings(base)
+    /// Those of [`Policy::settings`]; a stored document was validated before.
+    pub fn settings(
+        &self,
+        effective: EffectivePolicy,
+        base: &Settings,
+    ) -> Result<Settings, PolicyMismatch> {
+        self.policy(effective).settings(base)
     }
 
-    /// A beat of its agent, and what is said to it. `fits` is whether it can use a document.
+    /// Handles a heartbeat of its agent; the result is the response. `validate` checks whether the instance can use a document.
     pub fn handle_heartbeat(
         &mut self,
         now: f64,
-        beat: Heartbeat,
-        fits: impl FnOnce(&Policy) -> Result<(), String>,
+        heartbeat: Heartbeat,
+        validate: impl FnOnce(&Policy) -> Result<(), PolicyRejection>,
     ) -> InstanceStatus {
-        if beat.incarnation == self.life {
-            if let Some((number, policy)) = beat.offered_policy
-                && self.known.get(&number) != Some(&policy)
-            {
-                match fits(&policy) {
-                    Ok(()) => {
-                        self.known.insert(number, policy);
-                        self.unfit = self.unfit.take().filter(|(of, _)| *of != number);
-                        let keep = self.lease.map(|lease| lease.version);
-                        while self.known.len() > KNOWN_MOST {
-                            let Some(oldest) =
-                                self.known.keys().copied().find(|of| Some(*of) != keep)
-                            else {
-                                break;
-                            };
-                            self.known.remove(&oldest);
-                        }
-                    }
-                    Err(why) => self.unfit = Some((number, why)),
-                }
+        if heartbeat.incarnation == self.incarnation {
+            if let Some((version, policy)) = heartbeat.offered_policy {
+                self.store_offer(version, policy, validate);
             }
-            self.fence(beat.fence_version);
-            if let Some(grant) = beat.grant {
-                // It counts from when it was asked for: one that lay somewhere may be over already.
-                let until = grant.requested_at + grant.duration_seconds * (1.0 - self.drift);
-                let known = grant.version > 0 && self.known.contains_key(&grant.version);
-                if grant.version > self.fenced && known && grant.requested_at <= now {
-                    self.fence(grant.version - 1);
-                    let longer = self.lease.is_none_or(|lease| {
-                        lease.version < grant.version || lease.expires_at < until
-                    });
-                    if longer && until > now {
-                        self.lease = Some(Lease {
-                            version: grant.version,
-                            expires_at: until,
-                        });
-                        self.began = true;
-                    }
-                }
-                // The base policy is what holds: nothing else has to be waited for.
-                self.began |= grant.version == 0;
+            self.fence(heartbeat.fence_version);
+            if let Some(grant) = heartbeat.grant {
+                self.handle_grant(now, &grant);
             }
         }
         self.status(now)
     }
 
-    fn fence(&mut self, number: u64) {
-        self.fenced = self.fenced.max(number);
-        self.lease = self.lease.filter(|lease| lease.version > self.fenced);
+    fn store_offer(
+        &mut self,
+        version: u64,
+        policy: Policy,
+        validate: impl FnOnce(&Policy) -> Result<(), PolicyRejection>,
+    ) {
+        if self.known_policies.get(&version) == Some(&policy) {
+            return;
+        }
+        if let Err(rejection) = validate(&policy) {
+            self.rejected_version = Some(RejectedVersion { version, rejection });
+            return;
+        }
+        self.known_policies.insert(version, policy);
+        self.rejected_version
+            .take_if(|rejected| rejected.version == version);
+        self.discard_oldest_policies();
+    }
+
+    /// Discards the oldest documents beyond those that are stored, but never that of the lease.
+    fn discard_oldest_policies(&mut self) {
+        let leased_version = self.lease.map(|lease| lease.version);
+        while self.known_policies.len() > MAX_KNOWN_POLICIES {
+            let oldest = self
+                .known_policies
+                .keys()
+                .copied()
+                .find(|version| Some(*version) != leased_version);
+            let Some(oldest) = oldest else {
+                return;
+            };
+            self.known_policies.remove(&oldest);
+        }
+    }
+
+    fn handle_grant(&mut self, now: f64, grant: &LeaseGrant) {
+        if grant.version == 0 {
+            // The base policy is in force: there is no lease to wait for.
+            self.is_ready = true;
+            return;
+        }
+        let is_known = self.known_policies.contains_key(&grant.version);
+        let is_fenced = grant.version <= self.fenced_version;
+        let is_requested = grant.requested_at <= now;
+        if !is_known || is_fenced || !is_requested {
+            return;
+        }
+        self.fence(grant.version - 1);
+        // It counts from when it was requested: a grant that was delayed on its way may have expired already.
+        let lease = Lease {
+            version: grant.version,
+            expires_at: lease::holder_expiry(
+                grant.requested_at,
+                grant.duration_seconds,
+                self.drift,
+            ),
+        };
+        let is_later = self.lease.is_none_or(|current| {
+            current.version < lease.version || current.expires_at < lease.expires_at
+        });
+        if is_later && lease.is_valid(now) {
+            self.lease = Some(lease);
+            self.is_ready = true;
+        }
+    }
+
+    fn fence(&mut self, version: u64) {
+        self.fenced_version = self.fenced_version.max(version);
+        self.lease = self
+            .lease
+            .filter(|lease| lease.version > self.fenced_version);
     }
 
+    /// What it reports to its agent.
     pub fn status(&self, now: f64) -> InstanceStatus {
-        let acting = self.effective_policy(now);
         InstanceStatus {
-            incarnation: self.life,
+            incarnation: self.incarnation,
             reported_at: now,
-            fenced_version: self.fenced,
-            known_versions: self.known.keys().copied().collect(),
-            rejected_version: self.unfit.clone(),
-            effective_version: match acting {
+            fenced_version: self.fenced_version,
+            known_versions: self.known_policies.keys().copied().collect(),
+            rejected_version: self
+                .rejected_version
+                .as_ref()
+                .map(|rejected| (rejected.version, rejected.rejection.to_string())),
+            effective_version: match self.effective_policy(now) {
                 EffectivePolicy::Base => Some(0),
-                EffectivePolicy::Leased(number) => Some(number),
+                EffectivePolicy::Leased(version) => Some(version),
                 EffectivePolicy::RejectAll => None,
             },
             lease_remaining_seconds: self
                 .lease
                 .map_or(0.0, |lease| (lease.expires_at - now).max(0.0)),
-            base_fingerprint: self.base.fingerprint(),
+            base_fingerprint: self.base_policy.fingerprint(),
             quota_requests: None,
         }
     }
--- a/crates/merlinshelf-policy/src/messages.rs
+++ b/crates/merlinshelf-policy/src/messages.rs
@@ -1,5 +1,8 @@
-//! What instances, agents and the agent that leads say to each other. Times are seconds of the sender's own clock, which
-//! only goes forward; nothing is compared with another's clock.
+//! The messages between instances, agents and the leading agent.
+//!
+//! Every time is in seconds of the sender's own monotonic clock and is never compared with another clock: a receiver only
+//! sends it back. Fields are encoded by name; the names that older versions use are preserved by `#[serde(rename)]`,
+//! pairs are arrays of two, and a missing field is its default.
 
 use serde::{Deserialize, Serialize};
 
@@ -11,18 +14,19 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Heartbeat {
-    /// The life of the process that it is meant for, as that process last said; 0 where none is known yet. Another one
-    /// takes nothing from it.
+    /// The incarnation that it is meant for, as that process last reported it; 0 while none is known. A process of another
+    /// incarnation ignores the contents.
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// A document to be checked and kept, with its number.
+    /// A document to validate and store, with its version.
     #[serde(rename = "offer")]
     pub offered_policy: Option<(u64, Policy)>,
-    /// Nothing up to this number is to be acted on any more.
+    /// No version up to this one may be acted on any more.
     #[serde(rename = "fence")]
     pub fence_version: u64,
+    /// A new or renewed lease.
     pub grant: Option<LeaseGrant>,
-    /// The answer to what the instance asked of budgets.
+    /// The response to the instance's quota requests.
     #[serde(skip_serializing_if = "Option::is_none")]
     #[serde(rename = "given")]
     pub quota_grants: Option<QuotaGrantBatch>,
@@ -32,11 +36,13 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct LeaseGrant {
+    /// The policy version that the instance may act on; 0 is the base policy.
     #[serde(rename = "number")]
     pub version: u64,
-    /// The moment of the instance's clock that it last told; the lease counts from there.
+    /// The instance's clock in its last status, in seconds; the lease counts from there.
     #[serde(rename = "asked")]
     pub requested_at: f64,
+    /// How long the lease lasts from `requested_at`, in seconds.
     #[serde(rename = "for_s")]
     pub duration_seconds: f64,
 }
@@ -45,87 +51,145 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct InstanceStatus {
-    /// A number that no other process of the instance has.
+    /// Identifies this process among all processes of the instance.
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// Its clock.
+    /// The instance's clock when it reported, in seconds.
     #[serde(rename = "asked")]
     pub reported_at: f64,
-    /// It acts on nothing up to this number, and never will.
+    /// The instance acts on no version up to this one, and never will.
     #[serde(rename = "fenced")]
     pub fenced_version: u64,
-    /// Numbers whose documents it has and can use.
+    /// Versions whose documents it has validated and stored.
     #[serde(rename = "knows")]
     pub known_versions: Vec<u64>,
-    /// One that it can't use, and why.
+    /// A version that it cannot use, and the reason.
     #[serde(rename = "unfit")]
     pub rejected_version: Option<(u64, String)>,
-    /// What it acts on now; 0 is the base policy, none is turning away.
+    /// The version that it acts on: 0 is the base policy, `None` means that it rejects all invocations.
     #[serde(rename = "acts")]
     pub effective_version: Option<u64>,
+    /// How long its lease still lasts, in seconds; 0 without a lease.
     #[serde(rename = "left_s")]
     pub lease_remaining_seconds: f64,
     /// The fingerprint of its base policy.
     #[serde(rename = "base")]
     pub base_fingerprint: u64,
-    /// What it asks of budgets; none where it knows none.
+    /// Its quota requests; `None` where it has no budgets.
     #[serde(skip_serializing_if = "Option::is_none")]
     #[serde(rename = "wishes")]
     pub quota_requests: Option<QuotaRequestBatch>,
 }
 
-/// From an agent to the one that leads.
+/// From an agent to the leading agent.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct HostLeaseRequest {
+    /// The name of the requesting agent's host.
     pub host: String,
-    /// A number that no other process of the agent has.
+    /// Identifies this process among all processes of the agent.
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// Which question it is; the lease counts from when it was sent.
+    /// Identifies this request within the incarnation; the lease counts from when it was sent.
     #[serde(rename = "token")]
     pub request_id: u64,
-    /// Nothing on this host acts on a number up to this one.
+    /// Nothing on this host acts on a version up to this one.
     #[serde(rename = "fenced")]
     pub fenced_version: u64,
+    /// The verdict of the host's instances on the pending document, once it is complete.
     #[serde(rename = "prepared")]
     pub prepare_result: Option<PrepareResult>,
-    /// Invocations and how many of them succeeded, of all instances, since they were first seen.
+    /// The service of all instances of the host.
     #[serde(rename = "service")]
-    pub service_counts: (u64, u64),
-    /// What it asks of budgets.
+    pub service_counts: ServiceCounts,
+    /// The host's quota requests.
     #[serde(rename = "wishes")]
     pub quota_requests: Option<QuotaRequestBatch>,
 }
 
-/// What the instances of a host say to a document.
+/// Invocations that were served, counted since the agent first saw each instance. Encoded as an array of two.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(from = "(u64, u64)", into = "(u64, u64)")]
+pub struct ServiceCounts {
+    /// All invocations.
+    pub invocations: u64,
+    /// Those of them that succeeded.
+    pub succeeded: u64,
+}
+
+impl From<(u64, u64)> for ServiceCounts {
+    fn from((invocations, succeeded): (u64, u64)) -> ServiceCounts {
+        ServiceCounts {
+            invocations,
+            succeeded,
+        }
+    }
+}
+
+impl From<ServiceCounts> for (u64, u64) {
+    fn from(counts: ServiceCounts) -> (u64, u64) {
+        (counts.invocations, counts.succeeded)
+    }
+}
+
+/// The verdict of a host's instances on a document.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct PrepareResult {
+    /// The version of the document.
     #[serde(rename = "number")]
     pub version: u64,
-    /// Who can use it, and who did not answer in time.
+    /// How many instances have validated and stored it.
     #[serde(rename = "ready")]
     pub ready_instances: u32,
+    /// How many instances did not respond in time.
     #[serde(rename = "silent")]
     pub silent_instances: u32,
-    /// Who can't, and why.
+    /// The instances that cannot use it.
     #[serde(rename = "unfit")]
-    pub rejections: Vec<(String, String)>,
+    pub rejections: Vec<Rejection>,
+}
+
+/// Why a document was rejected. Encoded as an array of two.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(from = "(String, String)", into = "(String, String)")]
+pub struct Rejection {
+    /// The instance that cannot use the document, or the proposer of a change that came while another was pending.
+    pub rejected_by: String,
+    /// The reason, for operators.
+    pub reason: String,
+}
+
+impl From<(String, String)> for Rejection {
+    fn from((rejected_by, reason): (String, String)) -> Rejection {
+        Rejection {
+            rejected_by,
+            reason,
+        }
+    }
+}
+
+impl From<Rejection> for (String, String) {
+    fn from(rejection: Rejection) -> (String, String) {
+        (rejection.rejected_by, rejection.reason)
+    }
 }
 
-/// From the agent that leads to another one.
+/// From the leading agent to another agent.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct HostLeaseResponse {
+    /// The incarnation of the request.
     #[serde(rename = "life")]
     pub incarnation: u64,
+    /// The request that is answered.
     #[serde(rename = "token")]
     pub request_id: u64,
-    /// A lease on this number, as long as is agreed for the installation.
+    /// The version that the host's lease is on. Its duration is the installation's, see
+    /// [`Bootstrap`](crate::Bootstrap).
     #[serde(rename = "granted")]
     pub granted_version: u64,
-    /// The answer to what this question asked of budgets.
+    /// The response to the request's quota requests.
     #[serde(rename = "given")]
     pub quota_grants: Option<QuotaGrantBatch>,
 }
--- a/crates/merlinshelf-policy/src/replicated_state.rs
+++ b/crates/merlinshelf-policy/src/replicated_state.rs
@@ -1,283 +1,357 @@
-//! What the agents have decided together: entries of their log, applied in its order, the same on all of them.
+//! The state that the agents replicate: the entries of their log, and what applying them in order results in. It is the
+//! same on every agent (a replicated state machine, as in Ongaro's Raft thesis).
+//!
+//! Entries and snapshots are stored; the names that older versions use are preserved by `#[serde(rename)]`.
 
 use std::collections::VecDeque;
 
 use serde::{Deserialize, Serialize};
 
 use crate::document::Policy;
+use crate::messages::Rejection;
 
-/// CompletedChange changes that are remembered, and that can be asked for by their id.
-const ENDED_MOST: usize = 200;
+/// How many completed changes are remembered and can be looked up by their id.
+const MAX_COMPLETED_CHANGES: usize = 200;
 
-/// What is agreed for the installation once and for all.
+/// What is agreed for the installation once, by its first entry.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Bootstrap {
-    /// How long a lease is, in milliseconds.
+    /// The duration of a lease, in milliseconds.
     pub lease_ms: u64,
     /// The fingerprint of the base policy.
     #[serde(rename = "base")]
     pub base_fingerprint: u64,
 }
 
+impl Bootstrap {
+    /// The duration of a lease, in seconds.
+    pub(crate) fn lease_seconds(&self) -> f64 {
+        self.lease_ms as f64 / 1e3
+    }
+}
+
 /// An entry of the log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Entry {
-    /// Only the first one counts.
+    /// Bootstraps the installation. Only the first one takes effect.
     #[serde(rename = "Found")]
     Bootstrap(Bootstrap),
-    /// A change. `id` is whoever asks' own; one that is known already is the same change. `at` is Unix time, for reports.
+    /// Proposes a change of the policy.
     Propose {
+        /// Chosen by the proposer; a change whose id is known already is the same change.
         #[serde(rename = "id")]
         change_id: String,
+        /// The new document.
         policy: Box<Policy>,
+        /// Who proposed it, for reports.
         #[serde(rename = "by")]
         proposed_by: String,
+        /// Unix time in seconds, for reports.
         #[serde(rename = "at")]
         proposed_at: f64,
     },
-    /// The first one of a change counts.
+    /// Accepts or rejects the pending change. Only the first one of a change takes effect.
     Decide {
+        /// The version of the change.
         #[serde(rename = "number")]
         version: u64,
+        /// Whether it will come into force.
         #[serde(rename = "hold")]
         accepted: bool,
+        /// Why it was rejected.
         #[serde(rename = "why")]
-        rejections: Vec<(String, String)>,
+        rejections: Vec<Rejection>,
     },
-    /// Leases on it may be out.
+    /// Brings an accepted change into force: from here on leases on it may be granted.
     #[serde(rename = "Open")]
     Activate {
+        /// The version of the change.
         #[serde(rename = "number")]
         version: u64,
     },
 }
 
-/// How far a change has come.
+/// The stage of a pending change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Stage {
+    /// Instances validate and store the document.
     Preparing,
-    /// It is decided that it holds; nothing acts on it yet.
+    /// It is accepted; older versions are being fenced, and nothing acts on it yet.
     Fencing,
 }
 
-/// The change under way.
+/// The pending change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Change {
+    /// The version that the document has or will have.
     #[serde(rename = "number")]
     pub version: u64,
+    /// The proposer's id of the change.
     #[serde(rename = "id")]
     pub change_id: String,
+    /// The new document.
     pub policy: Policy,
+    /// Who proposed it.
     #[serde(rename = "by")]
     pub proposed_by: String,
+    /// Unix time in seconds.
     #[serde(rename = "at")]
     pub proposed_at: f64,
+    /// Its stage.
     pub stage: Stage,
 }
 
-/// How a change ended.
+impl Change {
+    fn complete(self, outcome: ChangeOutcome) -> CompletedChange {
+        CompletedChange {
+            version: self.version,
+            change_id: self.change_id,
+            note: self.policy.note,
+            proposed_by: self.proposed_by,
+            proposed_at: self.proposed_at,
+            outcome,
+        }
+    }
+}
+
+/// The outcome of a change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ChangeOutcome {
+    /// It came into force.
     #[serde(rename = "Held")]
     Committed,
-    /// By whom and why.
+    /// It was rejected, for these reasons.
     #[serde(rename = "Refused")]
-    Rejected(Vec<(String, String)>),
+    Rejected(Vec<Rejection>),
 }
 
-/// A change that is over.
+/// A change that is complete.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CompletedChange {
+    /// The version that the document got.
     #[serde(rename = "number")]
     pub version: u64,
+    /// The proposer's id of the change.
     #[serde(rename = "id")]
     pub change_id: String,
+    /// The note of the document.
     pub note: String,
+    /// Who proposed it.
     #[serde(rename = "by")]
     pub proposed_by: String,
+    /// Unix time in seconds.
     #[serde(rename = "at")]
     pub proposed_at: f64,
+    /// Its outcome.
     #[serde(rename = "verdict")]
     pub outcome: ChangeOutcome,
 }
 
-/// What becomes known with an entry.
+/// The effect of an entry.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ReplicatedEvent {
+    /// The installation was bootstrapped.
     Bootstrapped(Bootstrap),
-    Proposed(u64),
-    /// It is decided that it holds, or that it does not.
-    Decided(u64, bool),
-    Committed(u64),
+    /// A change is pending.
+    Proposed {
+        /// The version that it got.
+        version: u64,
+    },
+    /// The pending change was accepted or rejected.
+    Decided {
+        /// The version of the change.
+        version: u64,
+        /// Whether it will come into force.
+        accepted: bool,
+    },
+    /// A change came into force.
+    Committed {
+        /// The version that is now in force.
+        version: u64,
+    },
 }
 
 /// The state that all agents have in common.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ReplicatedState {
+    /// What was agreed for the installation; `None` before its first entry.
     #[serde(rename = "founding")]
     pub bootstrap: Option<Bootstrap>,
-    /// The highest number that was given to a change.
+    /// The highest version that any change got.
     #[serde(rename = "last")]
     pub last_version: u64,
-    /// The number that holds, its document, and the one that held before it.
+    /// The version in force; 0 is the base policy.
     #[serde(rename = "current")]
     pub current_version: u64,
+    /// The document in force.
     pub policy: Policy,
+    /// The version that was in force before it, with its document.
     #[serde(rename = "former")]
     pub previous: Option<(u64, Policy)>,
+    /// The pending change; there is one at most.
     #[serde(rename = "change")]
     pub pending_change: Option<Change>,
+    /// The last completed changes, oldest first.
     #[serde(rename = "ended")]
     pub completed_changes: VecDeque<CompletedChange>,
 }
 
 impl ReplicatedState {
-    /// Applies an entry. What it changes nothing by is no news.
+    /// Applies an entry; `None` where it has no effect.
     pub fn apply(&mut self, entry: Entry) -> Option<ReplicatedEvent> {
         match entry {
-            Entry::Bootstrap(founding) => {
-                if self.bootstrap.is_some() {
-                    return None;
-                }
-                self.bootstrap = Some(founding.clone());
-                Some(ReplicatedEvent::Bootstrapped(founding))
-            }
+            Entry::Bootstrap(bootstrap) => self.apply_bootstrap(bootstrap),
             Entry::Propose {
-                change_id: id,
+                change_id,
                 policy,
-                proposed_by: by,
-                proposed_at: at,
-            } => {
-                if self.bootstrap.is_none() || self.knows_change(&id) {
-                    return None;
-                }
-                self.last_version += 1;
-                let number = self.last_version;
-                if let Some(other) = &self.pending_change {
-                    let why = format!("change {} is under way", other.version);
-                    let verdict = ChangeOutcome::Rejected(vec![(by.clone(), why)]);
-                    self.end(CompletedChange {
-                        version: number,
-                        change_id: id,
-                        note: policy.note,
-                        proposed_by: by,
-                        proposed_at: at,
-                        outcome: verdict,
-                    });
-                    return Some(ReplicatedEvent::Decided(number, false));
-                }
-                self.pending_change = Some(Change {
-                    version: number,
-                    change_id: id,
-                    policy: *policy,
-                    proposed_by: by,
-                    proposed_at: at,
-                    stage: Stage::Preparing,
-                });
-                Some(ReplicatedEvent::Proposed(number))
-            }
+                proposed_by,
+                proposed_at,
+            } => self.apply_proposal(Change {
+                version: self.last_version + 1,
+                change_id,
+                policy: *policy,
+                proposed_by,
+                proposed_at,
+                stage: Stage::Preparing,
+            }),
+            Entry::Decide {
+                version,
+                accepted: true,
+                ..
+            } => self.apply_acceptance(version),
             Entry::Decide {
-                version: number,
-                accepted: hold,
-                rejections: why,
-            } => {
-                let change = self.pending_change.take_if(|change| {
-                    change.version == number && change.stage == Stage::Preparing
-                })?;
-                if hold {
-                    self.pending_change = Some(Change {
-                        stage: Stage::Fencing,
-                        ..change
-                    });
-                } else {
-                    self.over(change, ChangeOutcome::Rejected(why));
-                }
-                Some(ReplicatedEvent::Decided(number, hold))
-            }
-            Entry::Activate { version: number } => {
-                let change = self
-                    .pending_change
-                    .take_if(|change| change.version == number && change.stage == Stage::Fencing)?;
-                let before = std::mem::replace(&mut self.policy, change.policy.clone());
-                self.previous =
-                    Some((std::mem::replace(&mut self.current_version, number), before));
-                self.over(change, ChangeOutcome::Committed);
-                Some(ReplicatedEvent::Committed(number))
-            }
+                version,
+                accepted: false,
+                rejections,
+            } => self.apply_rejection(version, rejections),
+            Entry::Activate { version } => self.apply_activation(version),
+        }
+    }
+
+    fn apply_bootstrap(&mut self, bootstrap: Bootstrap) -> Option<ReplicatedEvent> {
+        if self.bootstrap.is_some() {
+            return None;
         }
+        self.bootstrap = Some(bootstrap.clone());
+        Some(ReplicatedEvent::Bootstrapped(bootstrap))
     }
 
-    fn over(&mut self, change: Change, verdict: ChangeOutcome) {
-        let Change {
-            version: number,
-            change_id: id,
-            policy,
-            proposed_by: by,
-            proposed_at: at,
-            ..
-        } = change;
-        self.end(CompletedChange {
-            version: number,
-            change_id: id,
-            note: policy.note,
-            proposed_by: by,
-            proposed_at: at,
-            outcome: verdict,
+    fn apply_proposal(&mut self, change: Change) -> Option<ReplicatedEvent> {
+        if self.bootstrap.is_none() || self.knows_change(&change.change_id) {
+            return None;
+        }
+        let version = change.version;
+        self.last_version = version;
+        if let Some(pending) = &self.pending_change {
+            let rejection = Rejection {
+                rejected_by: change.proposed_by.clone(),
+                reason: format!("change {} is under way", pending.version),
+            };
+            self.record_completed(change.complete(ChangeOutcome::Rejected(vec![rejection])));
+            return Some(ReplicatedEvent::Decided {
+                version,
+                accepted: false,
+            });
+        }
+        self.pending_change = Some(change);
+        Some(ReplicatedEvent::Proposed { version })
+    }
+
+    fn apply_acceptance(&mut self, version: u64) -> Option<ReplicatedEvent> {
+        let change = self.take_pending(version, Stage::Preparing)?;
+        self.pending_change = Some(Change {
+            stage: Stage::Fencing,
+            ..change
         });
+        Some(ReplicatedEvent::Decided {
+            version,
+            accepted: true,
+        })
     }
 
-    fn end(&mut self, ended: CompletedChange) {
-        if self.completed_changes.len() == ENDED_MOST {
+    fn apply_rejection(
+        &mut self,
+        version: u64,
+        rejections: Vec<Rejection>,
+    ) -> Option<ReplicatedEvent> {
+        let change = self.take_pending(version, Stage::Preparing)?;
+        self.record_completed(change.complete(ChangeOutcome::Rejected(rejections)));
+        Some(ReplicatedEvent::Decided {
+            version,
+            accepted: false,
+        })
+    }
+
+    fn apply_activation(&mut self, version: u64) -> Option<ReplicatedEvent> {
+        let change = self.take_pending(version, Stage::Fencing)?;
+        let previous_policy = std::mem::replace(&mut self.policy, change.policy.clone());
+        let previous_version = std::mem::replace(&mut self.current_version, version);
+        self.previous = Some((previous_version, previous_policy));
+        self.record_completed(change.complete(ChangeOutcome::Committed));
+        Some(ReplicatedEvent::Committed { version })
+    }
+
+    fn take_pending(&mut self, version: u64, stage: Stage) -> Option<Change> {
+        self.pending_change
+            .take_if(|change| change.version == version && change.stage == stage)
+    }
+
+    fn record_completed(&mut self, completed: CompletedChange) {
+        if self.completed_changes.len() == MAX_COMPLETED_CHANGES {
             self.completed_changes.pop_front();
         }
-        self.completed_changes.push_back(ended);
+        self.completed_changes.push_back(completed);
+    }
+
+    fn pending_in(&self, stage: Stage) -> Option<&Change> {
+        self.pending_change
+            .as_ref()
+            .filter(|change| change.stage == stage)
+    }
+
+    /// The pending change where instances are still to validate it.
+    pub(crate) fn preparing_change(&self) -> Option<&Change> {
+        self.pending_in(Stage::Preparing)
+    }
+
+    /// The pending change where it is accepted and older versions are being fenced.
+    pub(crate) fn fencing_change(&self) -> Option<&Change> {
+        self.pending_in(Stage::Fencing)
     }
 
     /// Whether a change with this id was ever proposed, as far as is remembered.
-    pub fn knows_change(&self, id: &str) -> bool {
+    pub fn knows_change(&self, change_id: &str) -> bool {
         self.pending_change
             .as_ref()
-            .is_some_and(|change| change.change_id == id)
-            || self.outcome(id).is_some()
+            .is_some_and(|change| change.change_id == change_id)
+            || self.outcome(change_id).is_some()
     }
 
-    /// How the change with this id ended.
-    pub fn outcome(&self, id: &str) -> Option<&CompletedChange> {
+    /// The completed change with this id.
+    pub fn outcome(&self, change_id: &str) -> Option<&CompletedChange> {
         self.completed_changes
             .iter()
             .rev()
-            .find(|ended| ended.change_id == id)
+            .find(|completed| completed.change_id == change_id)
     }
 
-    /// Nothing up to this number may be acted on any more.
+    /// No version up to this one may be acted on any more.
     pub fn fence_version(&self) -> u64 {
-        let fencing = self
-            .pending_change
-            .as_ref()
-            .filter(|change| change.stage == Stage::Fencing);
-        fencing
+        self.fencing_change()
             .map_or(self.current_version, |change| change.version)
             .saturating_sub(1)
     }
 
-    /// The document with this number, where leases on it may be out or come to be.
-    pub fn policy_for_version(&self, number: u64) -> Option<&Policy> {
-        let change = self
+    /// The document of a version that leases are or may soon be granted on; `None` for other versions and for 0.
+    pub(crate) fn policy_for_version(&self, version: u64) -> Option<&Policy> {
+        let pending = self
             .pending_change
             .as_ref()
-            .filter(|change| change.version == number)
-            .map(|change| &change.policy);
-        change.or_else(|| (self.current_version == number && number > 0).then_some(&self.policy))
-    }
-
-    /// What instances should have: the document that is being changed to, else the one that holds.
-    pub fn offered_policy(&self) -> Option<(u64, &Policy)> {
-        let change = self
-            .pending_change
-            .as_ref()
-            .map(|change| (change.version, &change.policy));
-        change
-            .or_else(|| (self.current_version > 0).then_some((self.current_version, &self.policy)))
+            .filter(|change| change.version == version);
+        match pending {
+            Some(change) => Some(&change.policy),
+            None => (self.current_version == version && version > 0).then_some(&self.policy),
+        }
     }
 }
--- a/crates/merlinshelf-policy/src/rollout_leader.rs
+++ b/crates/merlinshelf-policy/src/rollout_leader.rs
@@ -1,327 +1,407 @@
-//! The part of the agent that leads: it grants leases to hosts, and takes a change from its proposal to its end. All that
-//! must outlive it stands in the ledger; whoever leads next goes on from there.
+//! The leading agent's part: grants leases to hosts and takes a change from its proposal to its end.
+//!
+//! Whatever must outlive this agent is in the [`ReplicatedState`]; the next leader continues from there. A lease is granted
+//! only after a majority confirmed the leadership since the lease was requested (the read-index rule of the Raft thesis,
+//! section 6.4), and a change is activated only when every host has fenced the older versions or its lease has expired (Gray &
+//! Cheriton, "Leases", 1989).
 
 use std::collections::{BTreeMap, VecDeque};
 
-use crate::messages::{HostLeaseRequest, HostLeaseResponse, PrepareResult};
-use crate::replicated_state::{
-    Bootstrap, ChangeOutcome, Entry, ReplicatedEvent, ReplicatedState, Stage,
-};
-use crate::{Drift, over_by};
+use merlinshelf_quota::lease;
 
-/// Hosts that have not judged a document by then are left out of the count, seconds.
-const PREPARED_WITHIN: f64 = 0.9;
-/// A proposal that has not come back as an entry by then is made again, seconds.
-const AGAIN_AFTER: f64 = 0.4;
-/// Between two looks at the service, seconds, and how many are kept.
-const LOOK_EVERY: f64 = 0.25;
-const LOOKS_MOST: usize = 480;
-/// Fewer invocations than these say nothing of a service.
-const ENOUGH: u64 = 50;
+use crate::Drift;
+use crate::messages::{HostLeaseRequest, HostLeaseResponse, PrepareResult, Rejection};
+use crate::replicated_state::{Bootstrap, ChangeOutcome, Entry, ReplicatedEvent, ReplicatedState};
+use crate::service_history::{ServiceHistory, ServiceRatio};
 
-/// What the host of this state machine is to do, in this order.
+/// Hosts that have not reported on a document by then are not waited for, seconds.
+const PREPARE_TIMEOUT_SECONDS: f64 = 0.9;
+/// A proposal that has not come back as an entry, and a confirmation that has not come back, is retried after this, seconds.
+const RETRY_AFTER_SECONDS: f64 = 0.4;
+
+/// Who proposes a change that rolls back to the previous policy. It is stored with the change.
+pub const ROLLBACK_PROPOSER: &str = "the watch after a change";
+
+/// What the caller of the state machine is to do, in this order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Have a majority confirm that this agent still leads; reported by `confirmed` with the number.
-    ConfirmLeadership(u64),
+    /// Have a majority confirm that this agent still leads; reported by [`RolloutLeader::leadership_confirmed`].
+    ConfirmLeadership {
+        /// Identifies the confirmation; they are numbered in order.
+        confirmation_id: u64,
+    },
+    /// Append an entry to the log.
     Propose(Entry),
-    Respond(String, HostLeaseResponse),
+    /// Send a response to a host.
+    Respond {
+        /// The name of the host.
+        host: String,
+        /// The response to its last request.
+        response: HostLeaseResponse,
+    },
 }
 
-/// How service is watched after a change.
+/// How the service is compared before and after a change.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServiceWatch {
-    /// So long before and after, seconds; 0: not at all.
+    /// The time that is looked at before and after the change, in seconds; 0 switches the comparison off.
     pub window_seconds: f64,
-    /// By how much the succeeded share may be less.
+    /// By how much the ratio of succeeded invocations may fall before the change is rolled back, 0 to 1.
     pub tolerated_loss: f64,
 }
 
+/// What is known of a host since this agent was elected.
 #[derive(Clone, Debug, Default)]
 struct Host {
-    fenced: u64,
-    prepared: Option<PrepareResult>,
-    /// Until when a lease that was granted here may be held.
-    until: f64,
-    /// The last question, and the confirmation that it waits for.
-    asked: Option<(HostLeaseResponse, u64)>,
-    /// One that was asked before a majority confirmed.
-    confirmed: Option<HostLeaseResponse>,
-    /// What it said first and last of its instances' service.
-    service: (u64, u64),
+    fenced_version: u64,
+    prepare_result: Option<PrepareResult>,
+    /// When the last lease that was granted here has expired for sure.
+    lease_expires_at: f64,
+    unconfirmed_request: Option<UnconfirmedRequest>,
+    /// The response to a request that a majority has confirmed the leadership for.
+    confirmed_response: Option<HostLeaseResponse>,
+}
+
+impl Host {
+    fn prepare_result_for(&self, version: u64) -> Option<&PrepareResult> {
+        self.prepare_result
+            .as_ref()
+            .filter(|result| result.version == version)
+    }
+}
+
+#[derive(Clone, Debug)]
+struct UnconfirmedRequest {
+    response: HostLeaseResponse,
+    /// The first confirmation that was requested after this request came.
+    confirmation_id: u64,
+}
+
+#[derive(Clone, Debug)]
+struct PendingConfirmation {
+    confirmation_id: u64,
+    requested_at: f64,
+}
+
+#[derive(Clone, Copy, Debug)]
+struct Preparation {
+    version: u64,
+    started_at: f64,
+}
+
+#[derive(Clone, Debug)]
+struct Proposal {
+    entry: Entry,
+    proposed_at: f64,
+}
+
+/// A committed change whose service is compared with that before it.
+#[derive(Clone, Copy, Debug)]
+struct WatchedChange {
+    version: u64,
+    committed_at: f64,
+    ratio_before: ServiceRatio,
 }
 
-/// The state machine. `now` is the agent's own clock in seconds.
+/// The state machine. `now` is the agent's own monotonic clock in seconds.
 #[derive(Clone, Debug)]
 pub struct RolloutLeader {
-    founding: Bootstrap,
+    bootstrap: Bootstrap,
     drift: Drift,
     watch: ServiceWatch,
-    /// When every lease that was granted before this agent was elected is over.
-    elected_over: f64,
+    /// When every lease that an earlier leader granted has expired.
+    earlier_leases_expire_at: f64,
     hosts: BTreeMap<String, Host>,
-    /// The number of the next confirmation, and of the one under way with its moment.
-    confirm: u64,
-    confirming: Option<(u64, f64)>,
-    /// The number that was opened here.
-    opened: u64,
-    /// Since when a document is judged.
-    judged: Option<(u64, f64)>,
-    /// What was proposed last, and when.
-    proposed: Option<(Entry, f64)>,
-    looks: VecDeque<(f64, u64, u64)>,
-    /// The change that is watched, since when, and the share before it.
-    watched: Option<(u64, f64, f64)>,
-    steps: VecDeque<Action>,
+    next_confirmation_id: u64,
+    pending_confirmation: Option<PendingConfirmation>,
+    /// The version that this agent proposed to activate; 0 for none.
+    activated_version: u64,
+    preparation: Option<Preparation>,
+    last_proposal: Option<Proposal>,
+    service_history: ServiceHistory,
+    watched_change: Option<WatchedChange>,
+    actions: VecDeque<Action>,
 }
 
 impl RolloutLeader {
-    /// An agent that was elected at `now`, over these hosts.
+    /// Starts at the election, at `now`, with the hosts that may have leases.
     pub fn elected(
         now: f64,
-        founding: Bootstrap,
+        bootstrap: Bootstrap,
         drift: Drift,
         watch: ServiceWatch,
         hosts: impl Iterator<Item = String>,
     ) -> RolloutLeader {
-        let lease_s = founding.lease_ms as f64 / 1e3;
         RolloutLeader {
-            elected_over: over_by(now, lease_s, drift),
-            founding,
+            earlier_leases_expire_at: lease::grantor_expiry(now, bootstrap.lease_seconds(), drift),
+            bootstrap,
             drift,
             watch,
             hosts: hosts.map(|name| (name, Host::default())).collect(),
-            confirm: 1,
-            confirming: None,
-            opened: 0,
-            judged: None,
-            proposed: None,
-            looks: VecDeque::new(),
-            watched: None,
-            steps: VecDeque::new(),
+            next_confirmation_id: 1,
+            pending_confirmation: None,
+            activated_version: 0,
+            preparation: None,
+            last_proposal: None,
+            service_history: ServiceHistory::default(),
+            watched_change: None,
+            actions: VecDeque::new(),
         }
     }
 
+    /// The next action.
     pub fn poll_action(&mut self) -> Option<Action> {
-        self.steps.pop_front()
+        self.actions.pop_front()
     }
 
-    fn lease_s(&self) -> f64 {
-        self.founding.lease_ms as f64 / 1e3
-    }
-
-    /// A host asks for its lease, and says how far it is.
+    /// A host requests its lease and reports its progress.
     pub fn handle_lease_request(
         &mut self,
         now: f64,
-        ask: HostLeaseRequest,
-        ledger: &ReplicatedState,
+        request: HostLeaseRequest,
+        state: &ReplicatedState,
     ) {
-        let host = self.hosts.entry(ask.host).or_default();
-        (host.fenced, host.prepared, host.service) =
-            (ask.fenced_version, ask.prepare_result, ask.service_counts);
-        host.asked = Some((
-            HostLeaseResponse {
-                incarnation: ask.incarnation,
-                request_id: ask.request_id,
+        self.service_history
+            .update_host(&request.host, request.service_counts);
+        let host = self.hosts.entry(request.host).or_default();
+        host.fenced_version = request.fenced_version;
+        host.prepare_result = request.prepare_result;
+        host.unconfirmed_request = Some(UnconfirmedRequest {
+            response: HostLeaseResponse {
+                incarnation: request.incarnation,
+                request_id: request.request_id,
                 ..HostLeaseResponse::default()
             },
-            self.confirm,
-        ));
-        self.advance(now, ledger);
+            confirmation_id: self.next_confirmation_id,
+        });
+        self.advance(now, state);
     }
 
-    /// A majority has confirmed that this agent leads, after the confirmation was asked for.
-    pub fn leadership_confirmed(&mut self, now: f64, number: u64, ledger: &ReplicatedState) {
-        self.confirming = self.confirming.filter(|(of, _)| *of > number);
+    /// A majority has confirmed that this agent leads, after this confirmation was requested.
+    pub fn leadership_confirmed(
+        &mut self,
+        now: f64,
+        confirmation_id: u64,
+        state: &ReplicatedState,
+    ) {
+        self.pending_confirmation
+            .take_if(|pending| pending.confirmation_id <= confirmation_id);
         for host in self.hosts.values_mut() {
-            if let Some((word, _)) = host.asked.take_if(|(_, waits_for)| *waits_for <= number) {
-                host.confirmed = Some(word);
+            let confirmed = host
+                .unconfirmed_request
+                .take_if(|request| request.confirmation_id <= confirmation_id);
+            if let Some(request) = confirmed {
+                host.confirmed_response = Some(request.response);
             }
         }
-        self.advance(now, ledger);
+        self.advance(now, state);
+    }
+
+    /// An entry was applied.
+    pub fn state_changed(&mut self, now: f64, event: &ReplicatedEvent, state: &ReplicatedState) {
+        if let ReplicatedEvent::Committed { version } = event {
+            let ratio_before = self
+                .service_history
+                .success_ratio(now - self.watch.window_seconds, now);
+            self.watched_change = ratio_before.map(|ratio_before| WatchedChange {
+                version: *version,
+                committed_at: now,
+                ratio_before,
+            });
+        }
+        self.advance(now, state);
     }
 
-    /// Something was decided, or time has gone on.
-    pub fn advance(&mut self, now: f64, ledger: &ReplicatedState) {
-        if self.hosts.values().any(|host| host.asked.is_some())
-            && self
-                .confirming
-                .is_none_or(|(_, since)| now >= since + AGAIN_AFTER)
-        {
-            self.steps
-                .push_back(Action::ConfirmLeadership(self.confirm));
-            self.confirming = Some((self.confirm, now));
-            self.confirm += 1;
+    /// Time has passed.
+    pub fn advance(&mut self, now: f64, state: &ReplicatedState) {
+        self.request_confirmation(now);
+        if state.bootstrap.is_none() {
+            self.propose(now, Entry::Bootstrap(self.bootstrap.clone()));
+            return;
         }
-        if ledger.bootstrap.is_none() {
-            return self.propose(now, Entry::Bootstrap(self.founding.clone()));
+        if let Some(change) = state.preparing_change() {
+            self.decide_when_prepared(now, change.version);
         }
-        if let Some(change) = &ledger.pending_change {
-            match change.stage {
-                Stage::Preparing => self.judge(now, change.version),
-                Stage::Fencing => self.fence(now, change.version, ledger.fence_version()),
-            }
+        if let Some(change) = state.fencing_change() {
+            self.activate_when_fenced(now, change.version, state.fence_version());
         }
-        self.look(now, ledger);
-        self.grant(now, ledger);
+        self.compare_service(now, state);
+        self.grant_leases(now, state);
     }
 
-    /// An entry has come back.
-    pub fn state_changed(&mut self, now: f64, news: &ReplicatedEvent, ledger: &ReplicatedState) {
-        if let ReplicatedEvent::Committed(number) = news {
-            let before = self.share(now - self.watch.window_seconds, now);
-            self.watched = before.map(|share| (*number, now, share));
+    fn request_confirmation(&mut self, now: f64) {
+        let is_needed = self
+            .hosts
+            .values()
+            .any(|host| host.unconfirmed_request.is_some());
+        let is_due = self
+            .pending_confirmation
+            .as_ref()
+            .is_none_or(|pending| now >= pending.requested_at + RETRY_AFTER_SECONDS);
+        if !is_needed || !is_due {
+            return;
         }
-        self.advance(now, ledger);
+        let confirmation_id = self.next_confirmation_id;
+        self.next_confirmation_id += 1;
+        self.actions
+            .push_back(Action::ConfirmLeadership { confirmation_id });
+        self.pending_confirmation = Some(PendingConfirmation {
+            confirmation_id,
+            requested_at: now,
+        });
     }
 
-    /// Once, and again where it was lost on its way into the log.
+    /// Proposes an entry, and retries where it was lost on its way into the log.
     fn propose(&mut self, now: f64, entry: Entry) {
-        let under_way = self
-            .proposed
-            .as_ref()
-            .is_some_and(|(of, at)| *of == entry && now < at + AGAIN_AFTER);
-        if !under_way {
-            self.proposed = Some((entry.clone(), now));
-            self.steps.push_back(Action::Propose(entry));
+        let is_under_way = self.last_proposal.as_ref().is_some_and(|proposal| {
+            proposal.entry == entry && now < proposal.proposed_at + RETRY_AFTER_SECONDS
+        });
+        if is_under_way {
+            return;
         }
+        self.last_proposal = Some(Proposal {
+            entry: entry.clone(),
+            proposed_at: now,
+        });
+        self.actions.push_back(Action::Propose(entry));
     }
 
-    fn judge(&mut self, now: f64, number: u64) {
-        let since = match self.judged {
-            Some((of, since)) if of == number => since,
-            _ => self.judged.insert((number, now)).1,
-        };
-        let judged = |host: &Host| {
-            host.prepared
-                .as_ref()
-                .is_some_and(|of| of.version == number)
-        };
-        let unfit = self
+    fn decide_when_prepared(&mut self, now: f64, version: u64) {
+        let started_at = self.preparation_started_at(now, version);
+        let rejections: Vec<Rejection> = self
             .hosts
             .values()
-            .filter(|host| judged(host))
-            .filter_map(|host| host.prepared.as_ref());
-        let why: Vec<(String, String)> = unfit.flat_map(|of| of.rejections.clone()).collect();
-        if !why.is_empty() {
-            self.propose(
-                now,
-                Entry::Decide {
-                    version: number,
-                    accepted: false,
-                    rejections: why,
-                },
-            );
-        } else if self.hosts.values().all(judged) || now >= since + PREPARED_WITHIN {
-            self.propose(
-                now,
-                Entry::Decide {
-                    version: number,
-                    accepted: true,
-                    rejections: why,
-                },
-            );
+            .filter_map(|host| host.prepare_result_for(version))
+            .flat_map(|result| result.rejections.clone())
+            .collect();
+        let accepted = rejections.is_empty();
+        let is_complete = self
+            .hosts
+            .values()
+            .all(|host| host.prepare_result_for(version).is_some());
+        if accepted && !is_complete && now < started_at + PREPARE_TIMEOUT_SECONDS {
+            return;
         }
+        self.propose(
+            now,
+            Entry::Decide {
+                version,
+                accepted,
+                rejections,
+            },
+        );
+    }
+
+    fn preparation_started_at(&mut self, now: f64, version: u64) -> f64 {
+        let current = self
+            .preparation
+            .filter(|preparation| preparation.version == version);
+        let preparation = current.unwrap_or(Preparation {
+            version,
+            started_at: now,
+        });
+        self.preparation = Some(preparation);
+        preparation.started_at
     }
 
-    fn fence(&mut self, now: f64, number: u64, fence: u64) {
-        let over = |host: &Host| host.fenced >= fence || now >= host.until.max(self.elected_over);
-        if self.opened == number || self.hosts.values().all(over) {
-            self.opened = number;
-            self.propose(now, Entry::Activate { version: number });
+    fn activate_when_fenced(&mut self, now: f64, version: u64, fence_version: u64) {
+        let earlier_leases_expire_at = self.earlier_leases_expire_at;
+        let is_fenced = |host: &Host| {
+            host.fenced_version >= fence_version
+                || now >= host.lease_expires_at.max(earlier_leases_expire_at)
+        };
+        if self.activated_version == version || self.hosts.values().all(is_fenced) {
+            self.activated_version = version;
+            self.propose(now, Entry::Activate { version });
         }
     }
 
-    /// Leases for all who asked before a majority confirmed, on what holds; on nothing while all are fenced.
-    fn grant(&mut self, now: f64, ledger: &ReplicatedState) {
-        let fencing = ledger
-            .pending_change
-            .as_ref()
-            .filter(|change| change.stage == Stage::Fencing);
-        let granted = match fencing {
-            Some(change) if change.version != self.opened => return,
+    /// Grants leases for all requests that the leadership was confirmed for. No lease is granted while hosts are being fenced.
+    fn grant_leases(&mut self, now: f64, state: &ReplicatedState) {
+        let granted_version = match state.fencing_change() {
+            Some(change) if change.version != self.activated_version => return,
             Some(change) => change.version,
-            None => ledger.current_version,
+            None => state.current_version,
         };
-        let until = over_by(now, self.lease_s(), self.drift);
+        let expires_at = lease::grantor_expiry(now, self.bootstrap.lease_seconds(), self.drift);
         for (name, host) in &mut self.hosts {
-            if let Some(word) = host.confirmed.take() {
-                host.until = until;
-                self.steps.push_back(Action::Respond(
-                    name.clone(),
-                    HostLeaseResponse {
-                        granted_version: granted,
-                        ..word
-                    },
-                ));
-            }
+            let Some(response) = host.confirmed_response.take() else {
+                continue;
+            };
+            host.lease_expires_at = expires_at;
+            self.actions.push_back(Action::Respond {
+                host: name.clone(),
+                response: HostLeaseResponse {
+                    granted_version,
+                    ..response
+                },
+            });
         }
     }
 
-    /// Looks at the service of all, and brings the former policy back where the last change made it worse.
-    fn look(&mut self, now: f64, ledger: &ReplicatedState) {
-        if self
-            .looks
-            .back()
-            .is_some_and(|(at, ..)| now < at + LOOK_EVERY)
-        {
+    /// Samples the service, and rolls the last change back where it made the service worse.
+    fn compare_service(&mut self, now: f64, state: &ReplicatedState) {
+        if !self.service_history.sample(now) || self.watch.window_seconds <= 0.0 {
             return;
         }
-        let sum = |of: fn(&Host) -> u64| self.hosts.values().map(of).sum::<u64>();
-        let look = (now, sum(|host| host.service.0), sum(|host| host.service.1));
-        if self.looks.len() == LOOKS_MOST {
-            self.looks.pop_front();
-        }
-        self.looks.push_back(look);
-        let Some((number, since, before)) =
-            self.watched.filter(|_| self.watch.window_seconds > 0.0)
-        else {
+        let window_seconds = self.watch.window_seconds;
+        let due = self
+            .watched_change
+            .take_if(|watched| now >= watched.committed_at + window_seconds);
+        let Some(watched) = due else {
             return;
         };
-        if now < since + self.watch.window_seconds {
-            return;
-        }
-        self.watched = None;
-        let last = ledger
-            .completed_changes
-            .iter()
-            .rev()
-            .find(|ended| ended.version == number && ended.outcome == ChangeOutcome::Committed);
-        let brought_back = last.is_none_or(|ended| ended.proposed_by == ROLLBACK_PROPOSER);
-        let (Some(after), Some((_, former)), false) =
-            (self.share(since, now), &ledger.previous, brought_back)
-        else {
+        let ratio_after = self
+            .service_history
+            .success_ratio(watched.committed_at, now);
+        let Some(ratio_after) = ratio_after else {
             return;
         };
-        if ledger.current_version == number && after + self.watch.tolerated_loss < before {
-            let mut policy = former.clone();
-            policy.note = format!("back from {number}: served {after:.3}, before it {before:.3}");
-            let (id, by) = (format!("back-from-{number}"), ROLLBACK_PROPOSER.to_owned());
-            self.propose(
-                now,
-                Entry::Propose {
-                    change_id: id,
-                    policy: Box::new(policy),
-                    proposed_by: by,
-                    proposed_at: 0.0,
-                },
-            );
+        let is_worse = ratio_after + self.watch.tolerated_loss < watched.ratio_before;
+        if is_worse && state.current_version == watched.version && !is_rollback(watched, state) {
+            self.propose_rollback(now, watched, ratio_after, state);
         }
     }
 
-    /// The succeeded share of what came between two moments; none where that was too little to tell.
-    fn share(&self, from: f64, until: f64) -> Option<f64> {
-        let within: Vec<_> = self
-            .looks
-            .iter()
-            .filter(|(at, ..)| *at >= from - 1e-9 && *at <= until + 1e-9)
-            .collect();
-        let (first, last) = (within.first()?, within.last()?);
-        let (came, succeeded) = (last.1.checked_sub(first.1)?, last.2.checked_sub(first.2)?);
-        (came >= ENOUGH).then(|| succeeded as f64 / came as f64)
+    fn propose_rollback(
+        &mut self,
+        now: f64,
+        watched: WatchedChange,
+        ratio_after: ServiceRatio,
+        state: &ReplicatedState,
+    ) {
+        let Some((_, previous_policy)) = &state.previous else {
+            return;
+        };
+        let WatchedChange {
+            version,
+            ratio_before,
+            ..
+        } = watched;
+        // The note and the id are stored and shown to operators: their text stays as it is.
+        let mut policy = previous_policy.clone();
+        policy.note =
+            format!("back from {version}: served {ratio_after:.3}, before it {ratio_before:.3}");
+        self.propose(
+            now,
+            Entry::Propose {
+                change_id: format!("back-from-{version}"),
+                policy: Box::new(policy),
+                proposed_by: ROLLBACK_PROPOSER.to_owned(),
+                proposed_at: 0.0,
+            },
+        );
     }
 }
 
-/// By whom a change is that brings the former policy back.
-pub const ROLLBACK_PROPOSER: &str = "the watch after a change";
+/// Whether a change was itself a rollback, or is remembered no more: neither is rolled back.
+fn is_rollback(watched: WatchedChange, state: &ReplicatedState) -> bool {
+    state
+        .completed_changes
+        .iter()
+        .rev()
+        .find(|completed| {
+            completed.version == watched.version && completed.outcome == ChangeOutcome::Committed
+        })
+        .is_none_or(|completed| completed.proposed_by == ROLLBACK_PROPOSER)
+}
--- /dev/null
+++ b/crates/merlinshelf-policy/tests/model/world.rs
@@ -0,0 +1,527 @@
+//! The simulated installation: agents, instances, their clocks, a log, and messages on their way.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use merlinshelf_policy::messages::{
+    Heartbeat, HostLeaseRequest, HostLeaseResponse, InstanceStatus,
+};
+use merlinshelf_policy::replicated_state::{Bootstrap, Entry, ReplicatedState};
+use merlinshelf_policy::rollout_leader::{Action, RolloutLeader, ServiceWatch};
+use merlinshelf_policy::{HostLeaseManager, LeaseExpiryMode, LeaseHolder, Policy};
+use rand::{RngExt, SeedableRng};
+use rand_pcg::Pcg64Mcg;
+
+pub const LEASE_SECONDS: f64 = 2.0;
+pub const DRIFT: f64 = 0.03;
+const TICK_SECONDS: f64 = 0.01;
+const NO_WATCH: ServiceWatch = ServiceWatch {
+    window_seconds: 0.0,
+    tolerated_loss: 1.0,
+};
+
+/// A bug that is seeded to show that the checks find it.
+#[derive(Clone, Copy, PartialEq)]
+pub enum SeededBug {
+    None,
+    /// An instance counts its lease from the arrival of the grant.
+    LeaseFromArrival,
+    /// A leader grants leases without a confirmation that it still leads.
+    UnconfirmedLeader,
+    /// An agent that starts assumes that no instance has a lease.
+    ForgottenLeases,
+}
+
+/// Whether messages are lost or delayed and processes fail.
+#[derive(Clone, Copy, PartialEq)]
+pub enum Faults {
+    Off,
+    On,
+}
+
+pub enum Message {
+    Heartbeat {
+        agent: usize,
+        instance: String,
+        heartbeat: Heartbeat,
+    },
+    InstanceStatus {
+        agent: usize,
+        instance: String,
+        status: InstanceStatus,
+    },
+    LeaseRequest {
+        to: usize,
+        request: HostLeaseRequest,
+    },
+    LeaseResponse {
+        from: usize,
+        to: usize,
+        response: HostLeaseResponse,
+    },
+}
+
+struct MessageInFlight {
+    arrives_at: f64,
+    message: Message,
+}
+
+/// A process's clock, which drifts from true time.
+pub struct Clock {
+    rate: f64,
+    offset_seconds: f64,
+}
+
+impl Clock {
+    pub fn read(&self, true_time: f64) -> f64 {
+        self.offset_seconds + self.rate * true_time
+    }
+}
+
+/// An agent's role while it believes that it leads.
+pub struct Leadership {
+    pub leader: RolloutLeader,
+    /// The term in which it was elected.
+    pub term: u64,
+}
+
+pub struct Agent {
+    pub clock: Clock,
+    pub is_up: bool,
+    /// How many entries of the log it has applied.
+    applied_entries: usize,
+    pub state: ReplicatedState,
+    pub lease_manager: HostLeaseManager,
+    pub leadership: Option<Leadership>,
+    pub is_partitioned: bool,
+}
+
+pub struct Instance {
+    pub clock: Clock,
+    pub lease_holder: LeaseHolder,
+    pub is_stopped: bool,
+    /// All versions that it acted on.
+    pub effective_versions: BTreeSet<u64>,
+}
+
+pub struct World {
+    pub rng: Pcg64Mcg,
+    /// True time, in seconds.
+    pub time: f64,
+    pub seeded_bug: SeededBug,
+    pub log: Vec<Entry>,
+    /// The true term; only its leader's confirmations and proposals succeed.
+    term: u64,
+    leader: usize,
+    pub agents: Vec<Agent>,
+    pub instances: BTreeMap<String, Instance>,
+    in_flight: Vec<MessageInFlight>,
+    last_incarnation: u64,
+    pub highest_effective_version: u64,
+    pub proposed_changes: u64,
+    pub violations: Vec<String>,
+    /// Distinct states that were visited, as text.
+    pub visited_states: BTreeSet<String>,
+    pub longest_change_seconds: f64,
+}
+
+pub fn sample_policy(number: u64) -> Policy {
+    Policy {
+        note: format!("the {number}th"),
+        call_share: Some(1.0 + number as f64),
+        ..Policy::default()
+    }
+}
+
+pub fn bootstrap() -> Bootstrap {
+    Bootstrap {
+        lease_ms: (LEASE_SECONDS * 1e3) as u64,
+        base_fingerprint: Policy::default().fingerprint(),
+    }
+}
+
+fn agent_name(agent: usize) -> String {
+    format!("a{agent}")
+}
+
+fn random_clock(rng: &mut Pcg64Mcg) -> Clock {
+    Clock {
+        rate: 1.0 + rng.random_range(-0.01..0.01),
+        offset_seconds: rng.random_range(0.0..1e6),
+    }
+}
+
+fn new_lease_manager(agent: usize, incarnation: u64) -> HostLeaseManager {
+    let base_fingerprint = Policy::default().fingerprint();
+    HostLeaseManager::new(&agent_name(agent), incarnation, base_fingerprint, DRIFT)
+}
+
+fn new_lease_holder(incarnation: u64) -> LeaseHolder {
+    LeaseHolder::new(
+        incarnation,
+        Policy::default(),
+        LeaseExpiryMode::BasePolicy,
+        DRIFT,
+    )
+}
+
+impl World {
+    pub fn new(
+        seed: u64,
+        seeded_bug: SeededBug,
+        agent_count: usize,
+        instances_per_agent: usize,
+    ) -> World {
+        let mut rng = Pcg64Mcg::seed_from_u64(seed);
+        let agents = (0..agent_count)
+            .map(|agent| Agent {
+                clock: random_clock(&mut rng),
+                is_up: true,
+                applied_entries: 0,
+                state: ReplicatedState::default(),
+                lease_manager: new_lease_manager(agent, agent as u64 + 1),
+                leadership: None,
+                is_partitioned: false,
+            })
+            .collect();
+        let instances = (0..agent_count * instances_per_agent)
+            .map(|index| {
+                let agent = index / instances_per_agent;
+                let name = format!("{}.{}", agent_name(agent), index % instances_per_agent);
+                let instance = Instance {
+                    clock: random_clock(&mut rng),
+                    lease_holder: new_lease_holder(1000 + index as u64),
+                    is_stopped: false,
+                    effective_versions: BTreeSet::new(),
+                };
+                (name, instance)
+            })
+            .collect();
+        let mut world = World {
+            rng: Pcg64Mcg::seed_from_u64(seed ^ 0x5eed),
+            time: 0.0,
+            seeded_bug,
+            log: Vec::new(),
+            term: 0,
+            leader: 0,
+            agents,
+            instances,
+            in_flight: Vec::new(),
+            last_incarnation: 5000,
+            highest_effective_version: 0,
+            proposed_changes: 0,
+            violations: Vec::new(),
+            visited_states: BTreeSet::new(),
+            longest_change_seconds: 0.0,
+        };
+        world.elect(0);
+        world
+    }
+
+    /// Elects a leader. The former one still believes that it leads.
+    pub fn elect(&mut self, agent: usize) {
+        self.term += 1;
+        self.leader = agent;
+        self.apply_entries(agent, usize::MAX);
+        let names = (0..self.agents.len()).map(agent_name);
+        let elected = &mut self.agents[agent];
+        let now = elected.clock.read(self.time);
+        elected.leadership = Some(Leadership {
+            leader: RolloutLeader::elected(now, bootstrap(), DRIFT, NO_WATCH, names),
+            term: self.term,
+        });
+    }
+
+    fn apply_entries(&mut self, agent: usize, max_entries: usize) {
+        let agent = &mut self.agents[agent];
+        let now = agent.clock.read(self.time);
+        let until = self
+            .log
+            .len()
+            .min(agent.applied_entries.saturating_add(max_entries));
+        while agent.applied_entries < until {
+            let event = agent.state.apply(self.log[agent.applied_entries].clone());
+            agent.applied_entries += 1;
+            agent.lease_manager.state_changed(now, &agent.state);
+            if let (Some(event), Some(leadership)) = (event, &mut agent.leadership) {
+                leadership.leader.state_changed(now, &event, &agent.state);
+            }
+        }
+    }
+
+    fn send(&mut self, message: Message, faults: Faults) {
+        let has_faults = faults == Faults::On;
+        if has_faults && self.rng.random_bool(0.05) {
+            return;
+        }
+        let is_late = has_faults && self.rng.random_bool(0.03);
+        let longest_delay_seconds = if is_late { 5.0 } else { 0.03 };
+        let delay_seconds = self.rng.random_range(0.0..longest_delay_seconds);
+        self.in_flight.push(MessageInFlight {
+            arrives_at: self.time + delay_seconds,
+            message,
+        });
+    }
+
+    pub fn step(&mut self, faults: Faults) {
+        self.time += TICK_SECONDS;
+        let (due, later): (Vec<_>, Vec<_>) = std::mem::take(&mut self.in_flight)
+            .into_iter()
+            .partition(|in_flight| in_flight.arrives_at <= self.time);
+        self.in_flight = later;
+        for in_flight in due {
+            self.deliver(in_flight.message, faults);
+        }
+        for agent in 0..self.agents.len() {
+            self.drive_agent(agent, faults);
+        }
+        self.check_instances();
+        if faults == Faults::On {
+            self.inject_faults();
+        }
+    }
+
+    fn deliver(&mut self, message: Message, faults: Faults) {
+        match message {
+            Message::Heartbeat {
+                agent,
+                instance,
+                heartbeat,
+            } => self.deliver_heartbeat(agent, instance, heartbeat, faults),
+            Message::InstanceStatus {
+                agent,
+                instance,
+                status,
+            } => self.agents[agent]
+                .lease_manager
+                .instance_responded(&instance, status),
+            Message::LeaseRequest { to, request } => self.deliver_request(to, request),
+            Message::LeaseResponse { from, to, response } => {
+                let agent = &mut self.agents[to];
+                let now = agent.clock.read(self.time);
+                if agent.is_up && (!agent.is_partitioned || from == to) {
+                    agent.lease_manager.handle_lease_response(now, &response);
+                }
+            }
+        }
+    }
+
+    fn deliver_heartbeat(
+        &mut self,
+        agent: usize,
+        name: String,
+        mut heartbeat: Heartbeat,
+        faults: Faults,
+    ) {
+        let Some(instance) = self.instances.get_mut(&name) else {
+            return;
+        };
+        if instance.is_stopped {
+            // It stays in the socket until the instance continues.
+            self.in_flight.push(MessageInFlight {
+                arrives_at: self.time + TICK_SECONDS,
+                message: Message::Heartbeat {
+                    agent,
+                    instance: name,
+                    heartbeat,
+                },
+            });
+            return;
+        }
+        let now = instance.clock.read(self.time);
+        if let (SeededBug::LeaseFromArrival, Some(grant)) = (self.seeded_bug, &mut heartbeat.grant)
+        {
+            grant.requested_at = now;
+        }
+        let status = instance
+            .lease_holder
+            .handle_heartbeat(now, heartbeat, |_| Ok(()));
+        let response = Message::InstanceStatus {
+            agent,
+            instance: name,
+            status,
+        };
+        self.send(response, faults);
+    }
+
+    fn deliver_request(&mut self, to: usize, request: HostLeaseRequest) {
+        let agent = &mut self.agents[to];
+        let now = agent.clock.read(self.time);
+        // No agent is partitioned from itself.
+        let is_reachable = !agent.is_partitioned || request.host == agent_name(to);
+        if !agent.is_up || !is_reachable {
+            return;
+        }
+        if let Some(leadership) = &mut agent.leadership {
+            leadership
+                .leader
+                .handle_lease_request(now, request, &agent.state);
+        }
+    }
+
+    fn drive_agent(&mut self, agent: usize, faults: Faults) {
+        if !self.agents[agent].is_up {
+            return;
+        }
+        let is_partitioned = self.agents[agent].is_partitioned;
+        if !is_partitioned && self.rng.random_bool(0.5) {
+            let max_entries = if faults == Faults::On { 1 } else { 11 };
+            self.apply_entries(agent, max_entries);
+        }
+        let mut outgoing = self.poll_heartbeats(agent);
+        outgoing.extend(self.poll_request(agent));
+        outgoing.extend(self.drive_leader(agent));
+        for message in outgoing {
+            self.send(message, faults);
+        }
+        self.step_down_when_outdated(agent);
+        // Now and then an agent gives up waiting for the responses to its heartbeats.
+        if self.rng.random_bool(0.02) {
+            for name in self.instance_names(agent) {
+                self.agents[agent]
+                    .lease_manager
+                    .instance_unreachable(&name, None);
+            }
+        }
+    }
+
+    fn instance_names(&self, agent: usize) -> Vec<String> {
+        let prefix = format!("{}.", agent_name(agent));
+        self.instances
+            .keys()
+            .filter(|name| name.starts_with(&prefix))
+            .cloned()
+            .collect()
+    }
+
+    fn poll_heartbeats(&mut self, agent: usize) -> Vec<Message> {
+        let names = self.instance_names(agent);
+        let driven = &mut self.agents[agent];
+        let now = driven.clock.read(self.time);
+        driven.lease_manager.set_instances(now, names.iter());
+        std::iter::from_fn(|| driven.lease_manager.poll_heartbeat(now))
+            .map(|(instance, heartbeat)| Message::Heartbeat {
+                agent,
+                instance,
+                heartbeat,
+            })
+            .collect()
+    }
+
+    /// The agent's request, to the one that it believes to lead: now and then that is a former leader.
+    fn poll_request(&mut self, agent: usize) -> Option<Message> {
+        let leader = self.leader;
+        let polled = &mut self.agents[agent];
+        let now = polled.clock.read(self.time);
+        let request = polled.lease_manager.poll_lease_request(now)?;
+        let leads_partition = polled.is_partitioned && polled.leadership.is_some();
+        if polled.is_partitioned && !leads_partition {
+            return None;
+        }
+        let former_leader = (0..self.agents.len())
+            .find(|other| *other != leader && self.agents[*other].leadership.is_some());
+        let believed_leader = former_leader
+            .filter(|_| self.rng.random_bool(0.3))
+            .unwrap_or(leader);
+        let to = if leads_partition {
+            agent
+        } else {
+            believed_leader
+        };
+        Some(Message::LeaseRequest { to, request })
+    }
+
+    /// Carries out the actions of an agent that believes that it leads; the result is its responses.
+    fn drive_leader(&mut self, agent: usize) -> Vec<Message> {
+        let truly_leads = self.truly_leads(agent);
+        let driven = &mut self.agents[agent];
+        let now = driven.clock.read(self.time);
+        let Some(leadership) = &mut driven.leadership else {
+            return Vec::new();
+        };
+        let leader = &mut leadership.leader;
+        leader.advance(now, &driven.state);
+        // Only what is to be done by now: a confirmation adds actions that are carried out in the next step.
+        let actions: Vec<Action> = std::iter::from_fn(|| leader.poll_action()).collect();
+        let is_confirmed = truly_leads || self.seeded_bug == SeededBug::UnconfirmedLeader;
+        let mut responses = Vec::new();
+        for action in actions {
+            match action {
+                Action::ConfirmLeadership { confirmation_id } if is_confirmed => {
+                    leader.leadership_confirmed(now, confirmation_id, &driven.state);
+                }
+                Action::Propose(entry) if truly_leads => self.log.push(entry),
+                Action::Respond { host, response } => responses.push(Message::LeaseResponse {
+                    from: agent,
+                    to: host[1..].parse().expect("the number of an agent"),
+                    response,
+                }),
+                Action::ConfirmLeadership { .. } | Action::Propose(_) => {}
+            }
+        }
+        responses
+    }
+
+    fn truly_leads(&self, agent: usize) -> bool {
+        let agent = &self.agents[agent];
+        let is_current = agent
+            .leadership
+            .as_ref()
+            .is_some_and(|leadership| leadership.term == self.term);
+        is_current && !agent.is_partitioned
+    }
+
+    /// A former leader that is reachable learns of the later term in time.
+    fn step_down_when_outdated(&mut self, agent: usize) {
+        let is_outdated = self.agents[agent].leadership.is_some()
+            && !self.truly_leads(agent)
+            && !self.agents[agent].is_partitioned;
+        if is_outdated && self.rng.random_bool(0.01) {
+            self.agents[agent].leadership = None;
+        }
+    }
+
+    pub fn next_incarnation(&mut self) -> u64 {
+        self.last_incarnation += 1;
+        self.last_incarnation
+    }
+
+    pub fn stop_agent(&mut self, agent: usize) {
+        let agent = &mut self.agents[agent];
+        agent.is_up = false;
+        agent.leadership = None;
+    }
+
+    /// Starts an agent anew; with [`SeededBug::ForgottenLeases`] it assumes that no instance has a lease.
+    pub fn start_agent(&mut self, agent: usize, incarnation: u64, seeded_bug: SeededBug) {
+        let names = self.instance_names(agent);
+        let started = &mut self.agents[agent];
+        let now = started.clock.read(self.time);
+        started.is_up = true;
+        started.lease_manager = new_lease_manager(agent, incarnation);
+        if seeded_bug == SeededBug::ForgottenLeases {
+            // As if the agent and its instances had started long ago.
+            let long_ago = now - 3.0 * LEASE_SECONDS;
+            started.lease_manager.set_instances(long_ago, names.iter());
+        }
+        started.lease_manager.state_changed(now, &started.state);
+    }
+
+    pub fn restart_instance(&mut self, name: &str) {
+        let incarnation = self.next_incarnation();
+        if let Some(instance) = self.instances.get_mut(name) {
+            instance.lease_holder = new_lease_holder(incarnation);
+            instance.is_stopped = false;
+        }
+    }
+
+    pub fn propose_change(&mut self) {
+        self.proposed_changes += 1;
+        let number = self.proposed_changes;
+        self.log.push(Entry::Propose {
+            change_id: format!("p{number}"),
+            policy: Box::new(sample_policy(number)),
+            proposed_by: "operator".into(),
+            proposed_at: 0.0,
+        });
+    }
+}
--- a/crates/merlinshelf-quota/src/budget.rs
+++ b/crates/merlinshelf-quota/src/budget.rs
@@ -4,6 +4,7 @@
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
+use thiserror::Error;
 
 /// What is spent beyond ordinary first calls.
 #[derive(
@@ -61,30 +62,100 @@
 /// More calls a second than any dependency bears.
 pub const MAX_CALLS_PER_SECOND: u32 = 1_000_000;
 
+/// A budget that cannot be.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+pub enum BudgetError {
+    /// [`CALLERS`] has a budget for something else than connections.
+    #[error("{CALLERS}.{}: of callers only what is opened has a budget", kind.name())]
+    NotForCallers {
+        /// The kind that has a budget.
+        kind: CallKind,
+    },
+    /// The rate is 0 or higher than [`MAX_CALLS_PER_SECOND`].
+    #[error(
+        "{dependency}.{}: {calls_per_second} is not from 1 to {MAX_CALLS_PER_SECOND} calls a second",
+        kind.name()
+    )]
+    OutOfRange {
+        /// The dependency's name.
+        dependency: String,
+        /// The kind of calls.
+        kind: CallKind,
+        /// The rate.
+        calls_per_second: u32,
+    },
+}
+
+/// Validates each budget by itself.
+///
 /// # Errors
-/// The first figure that can't be, with its place.
-pub fn validate(budgets: &Budgets) -> Result<(), String> {
-    for (name, kinds) in budgets {
-        for (kind, calls) in kinds {
-            if name == CALLERS && *kind != CallKind::NewConnection {
-                return Err(format!(
-                    "{name}.{}: of callers only what is opened has a budget",
-                    kind.name()
-                ));
+/// The first budget that cannot be.
+pub fn validate(budgets: &Budgets) -> Result<(), BudgetError> {
+    for (dependency, kinds) in budgets {
+        for (kind, calls_per_second) in kinds {
+            if dependency == CALLERS && *kind != CallKind::NewConnection {
+                return Err(BudgetError::NotForCallers { kind: *kind });
             }
-            if !(1..=MAX_CALLS_PER_SECOND).contains(calls) {
-                return Err(format!(
-                    "{name}.{}: {calls} is not from 1 to {MAX_CALLS_PER_SECOND} calls a second",
-                    kind.name()
-                ));
+            if !(1..=MAX_CALLS_PER_SECOND).contains(calls_per_second) {
+                return Err(BudgetError::OutOfRange {
+                    dependency: dependency.clone(),
+                    kind: *kind,
+                    calls_per_second: *calls_per_second,
+                });
             }
         }
     }
     Ok(())
 }
 
-/// Whether a policy's budgets leave what each host has set aside by the base policy. `hosts` is how many there are, where
-/// that is known.
+/// A budget that does not cover what the base policy reserves.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+pub enum UncoveredReserve {
+    /// The base policy reserves nothing of this kind.
+    #[error(
+        "budgets.{dependency}.{}: the base policy has none, so that whoever is cut off would spend without bound",
+        kind.name()
+    )]
+    NoReserve {
+        /// The dependency's name.
+        dependency: String,
+        /// The kind of calls.
+        kind: CallKind,
+    },
+    /// The reserves of all hosts together exceed the budget.
+    #[error(
+        "budgets.{dependency}.{}: {calls_per_second} a second are fewer than the {reserve_per_host} that the base policy sets \
+         aside for each of {hosts} hosts",
+        kind.name()
+    )]
+    ExceedsBudget {
+        /// The dependency's name.
+        dependency: String,
+        /// The kind of calls.
+        kind: CallKind,
+        /// The budget.
+        calls_per_second: u32,
+        /// What the base policy reserves for each host, calls per second.
+        reserve_per_host: u32,
+        /// The number of hosts.
+        hosts: u32,
+    },
+}
+
+/// All budgets that do not cover what the base policy reserves; there is at least one.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+#[error("{}", join(uncovered))]
+pub struct ReserveError {
+    /// The budgets, in the order of the document.
+    pub uncovered: Vec<UncoveredReserve>,
+}
+
+fn join(uncovered: &[UncoveredReserve]) -> String {
+    let lines: Vec<String> = uncovered.iter().map(ToString::to_string).collect();
+    lines.join("; ")
+}
+
+/// Validates that budgets cover what each host reserves by the base policy. `hosts` is their number, where it is known.
 ///
 /// # Errors
 /// Each budget that does not.
@@ -92,29 +163,42 @@
     budgets: &Budgets,
     base: &Budgets,
     hosts: Option<u32>,
-) -> Result<(), String> {
-    let mut whys = Vec::new();
-    for (name, kinds) in budgets {
-        for (kind, calls) in kinds {
-            let aside = budget_of(base, name, *kind);
-            let place = format!("budgets.{name}.{}", kind.name());
-            match (aside, hosts) {
-                (None, _) => whys.push(format!(
-                    "{place}: the base policy has none, so that whoever is cut off would spend without bound"
-                )),
-                (Some(aside), Some(hosts)) if u64::from(aside) * u64::from(hosts) > u64::from(*calls) => {
-                    whys.push(format!(
-                        "{place}: {calls} a second are fewer than the {aside} that the base policy sets aside for each of \
-                         {hosts} hosts"
-                    ));
-                }
-                _ => {}
-            }
-        }
-    }
-    if whys.is_empty() {
+) -> Result<(), ReserveError> {
+    let uncovered: Vec<UncoveredReserve> = budgets
+        .iter()
+        .flat_map(|(dependency, kinds)| {
+            kinds.iter().filter_map(move |(kind, calls_per_second)| {
+                find_uncovered(base, hosts, dependency, *kind, *calls_per_second)
+            })
+        })
+        .collect();
+    if uncovered.is_empty() {
         Ok(())
     } else {
-        Err(whys.join("; "))
+        Err(ReserveError { uncovered })
     }
 }
+
+fn find_uncovered(
+    base: &Budgets,
+    hosts: Option<u32>,
+    dependency: &str,
+    kind: CallKind,
+    calls_per_second: u32,
+) -> Option<UncoveredReserve> {
+    let Some(reserve_per_host) = budget_of(base, dependency, kind) else {
+        return Some(UncoveredReserve::NoReserve {
+            dependency: dependency.to_owned(),
+            kind,
+        });
+    };
+    let hosts = hosts?;
+    let reserved = u64::from(reserve_per_host) * u64::from(hosts);
+    (reserved > u64::from(calls_per_second)).then(|| UncoveredReserve::ExceedsBudget {
+        dependency: dependency.to_owned(),
+        kind,
+        calls_per_second,
+        reserve_per_host,
+        hosts,
+    })
+}
--- a/crates/merlinshelf-quota/src/lib.rs
+++ b/crates/merlinshelf-quota/src/lib.rs
@@ -11,8 +11,10 @@
 pub mod budget;
 pub mod fleet_allocator;
 pub mod host_allocator;
+pub mod lease;
 pub mod lease_holder;
 pub mod messages;
+pub mod pending_requests;
 pub mod quota_client;
 pub mod recovery;
 pub mod reserve;
@@ -26,6 +28,7 @@
     DependencyGrant, DependencyRequest, QuotaGrant, QuotaGrantBatch, QuotaRequest,
     QuotaRequestBatch,
 };
+pub use pending_requests::PendingRequests;
 pub use quota_client::{QuotaClient, Remaining};
 pub use recovery::{DependencyHealth, Phase, Recovery};
 
--- a/crates/merlinshelf-quota/tests/parts.rs
+++ b/crates/merlinshelf-quota/tests/parts.rs
@@ -271,10 +271,10 @@
         Some(3),
     );
     let lines = [
-        figures[0].clone(),
-        figures[1].clone(),
-        none,
-        fewer.expect_err("too few"),
+        figures[0].to_string(),
+        figures[1].to_string(),
+        none.to_string(),
+        fewer.expect_err("too few").to_string(),
     ];
     insta::assert_snapshot!(lines.join("\n"));
 }
--- a/crates/merlinshelf-testbed/src/experiments/policy_size.rs
+++ b/crates/merlinshelf-testbed/src/experiments/policy_size.rs
@@ -179,7 +179,7 @@
                 self.fly(Message::InstanceStatus(from, name, said));
             }
             Message::InstanceStatus(to, name, said) => {
-                self.agents[to].warden.instance_responded(now, &name, said)
+                self.agents[to].warden.instance_responded(&name, said)
             }
             Message::Persisted(to) => {
                 self.agents[to].keeping = false;
@@ -269,15 +269,18 @@
                     while let Some(step) = conductor.poll_action() {
                         idle = false;
                         match step {
-                            rollout_leader::Action::ConfirmLeadership(number) => {
-                                agent.council.confirm_leadership(number)
-                            }
+                            rollout_leader::Action::ConfirmLeadership {
+                                confirmation_id: number,
+                            } => agent.council.confirm_leadership(number),
                             rollout_leader::Action::Propose(entry) => {
                                 agent
                                     .council
                                     .propose(rmp_serde::to_vec_named(&entry).unwrap_or_default());
                             }
-                            rollout_leader::Action::Respond(host, word) => {
+                            rollout_leader::Action::Respond {
+                                host,
+                                response: word,
+                            } => {
                                 let to = number(&host);
                                 if to == place {
                                     agent.warden.handle_lease_response(now, &word);
