--- a/crates/merlinshelf-backend/src/exchange/policy.rs
+++ b/crates/merlinshelf-backend/src/exchange/policy.rs
@@ -120,7 +120,7 @@
             let settings = policy.settings(base)?;
             laid.fits(policy)?;
             budget::validate_against_reserve(&policy.budgets, &aside, None)?;
-            AdmissionController::start(0.0, seed, settings)?;
+            AdmissionController::start(0.0, seed, settings).map_err(|error| error.to_string())?;
             Ok(())
         });
         self.mind_policy();
