--- a/crates/merlinshelf-agent/tests/golden.rs
+++ b/crates/merlinshelf-agent/tests/golden.rs
@@ -163,7 +163,7 @@
             Entry::Decide {
                 version: 65,
                 accepted: false,
-                rejections: why,
+                rejections: why.into_iter().map(Into::into).collect(),
             },
         ),
         ("leases may be out", Entry::Activate { version: 66 }),
@@ -367,7 +367,7 @@
         version: 8,
         ready_instances: 0,
         silent_instances: 0,
-        rejections: vec![("web.0".into(), "it has no such operation".into())],
+        rejections: vec![("web.0".to_owned(), "it has no such operation".to_owned()).into()],
     };
     let request = peers.run_until("a request for a lease", |peers| {
         serve_as_leader(peers)
@@ -381,7 +381,7 @@
     });
     assert_eq!(
         (request.host.as_str(), request.service_counts),
-        ("c", (0, 0))
+        ("c", (0, 0).into())
     );
     // The fence is at 6 as soon as no lease of an earlier agent can be out any more.
     assert!(
--- a/crates/merlinshelf-agent/tests/support/samples.rs
+++ b/crates/merlinshelf-agent/tests/support/samples.rs
@@ -173,7 +173,11 @@
             stage,
         }),
         completed_changes: VecDeque::from([
-            ended(6, "change-6", ChangeOutcome::Rejected(refusals)),
+            ended(
+                6,
+                "change-6",
+                ChangeOutcome::Rejected(refusals.into_iter().map(Into::into).collect()),
+            ),
             ended(7, "change-7", ChangeOutcome::Committed),
         ]),
     }
@@ -287,9 +291,9 @@
             version: 104,
             ready_instances: 105,
             silent_instances: 106,
-            rejections: vec![("web.1".into(), "it knows no policies".into())],
+            rejections: vec![("web.1".to_owned(), "it knows no policies".to_owned()).into()],
         }),
-        service_counts: (107, 108),
+        service_counts: (107, 108).into(),
         quota_requests: Some(quota_request("garching")),
     }
 }
