--- a/crates/merlinshelf-testbed/src/experiments/mod.rs
+++ b/crates/merlinshelf-testbed/src/experiments/mod.rs
@@ -1,5 +1,6 @@
-//! Trials: the real program between stand-ins, played by seed, with a table and one JSON object as its last line.
+//! Experiments: the real program between stand-ins, played by seed, with a table and one JSON object as its last line.
 
+pub mod compatibility;
 pub mod cost;
 pub mod dependencies;
 pub mod fleet;
--- a/crates/merlinshelf-testbed/src/experiments/upgrade.rs
+++ b/crates/merlinshelf-testbed/src/experiments/upgrade.rs
@@ -1,6 +1,7 @@
-//! `trial upgrade`: upgrades one after the other under full load, some of which fail in ways drawn by seed.
+//! `experiment upgrade`: upgrades one after the other under full load, some of which fail in ways drawn by seed.
 
 use std::io;
+use std::path::{Path, PathBuf};
 use std::time::Duration;
 
 use hdrhistogram::Histogram;
@@ -24,7 +25,10 @@
     pub hangs: bool,
     pub rate: f64,
     pub connections: usize,
+    /// The instance; its program is the one that serves first.
     pub setup: Setup,
+    /// The program of the first successor. After each upgrade that succeeds the two change places.
+    pub successor: PathBuf,
 }
 
 /// How a round's successor fares.
@@ -62,14 +66,14 @@
     }
 
     /// The lines of the successor's program.
-    fn program(self, setup: &Setup) -> String {
-        let good = format!("exec '{}' \"$@\"", setup.program.display());
+    fn program(self, successor: &Path) -> String {
+        let good = format!("exec '{}' \"$@\"", successor.display());
         match self {
             Fate::CanNotBeExecuted => "exec /nowhere/merlinshelf \"$@\"".into(),
             Fate::RefusesItsConfiguration => {
                 format!(
                     "exec '{}' serve --config /nowhere/config.json",
-                    setup.program.display()
+                    successor.display()
                 )
             }
             Fate::ExitsAtOnce => "exit 3".into(),
@@ -99,6 +103,7 @@
     sleep(Duration::from_millis(1500)).await;
     let before = instance.status().await?;
     let mut rounds = Vec::new();
+    let (mut serving, mut successor) = (&plan.setup.program, &plan.successor);
     let (mut memory, mut descriptors) = (0, 0);
     for number in 0..plan.rounds {
         let fate = Fate::draw(
@@ -107,7 +112,10 @@
             plan.hangs,
             plan.setup.watched.as_millis() as u64,
         );
-        let round = upgrade(&instance, &plan.setup, fate).await?;
+        let round = upgrade(&instance, successor, fate).await?;
+        if round.ended == "done" {
+            std::mem::swap(&mut serving, &mut successor);
+        }
         println!(
             "round {:>3}  {:<28} {}",
             number + 1,
@@ -164,8 +172,8 @@
 }
 
 /// Asks for an upgrade and lets the successor fare as drawn.
-async fn upgrade(instance: &Instance, setup: &Setup, fate: Fate) -> io::Result<Round> {
-    instance.successor_is(&fate.program(setup))?;
+async fn upgrade(instance: &Instance, successor: &Path, fate: Fate) -> io::Result<Round> {
+    instance.successor_is(&fate.program(successor))?;
     let started = instance.values("successor").len();
     let from = Instant::now();
     let mut talk = instance.ask(ControlRequest::Upgrade).await?;
--- a/crates/merlinshelf-testbed/src/main.rs
+++ b/crates/merlinshelf-testbed/src/main.rs
@@ -1,4 +1,4 @@
-//! The laboratory's command line: stand-ins to try the program with, a demonstration, and trials with figures.
+//! The testbed's command line: fakes to try the program with, a demonstration, and experiments with figures.
 
 use std::io;
 use std::path::PathBuf;
@@ -16,9 +16,9 @@
 #[command(
     name = "merlinshelf-testbed",
     version,
-    about = "Stand-ins, load and trials for merlinshelf; everything on loopback, and it ends by itself",
+    about = "Fakes, load and experiments for merlinshelf; everything on loopback, and it ends by itself",
     after_help = "Exit codes: 0 done, 1 a rule broke or something failed, 2 wrong usage.\n\nExamples:\n  \
-                  merlinshelf-testbed demo\n  merlinshelf-testbed trial upgrade --seed 7 --rounds 20 --fail 0.5"
+                  merlinshelf-testbed demo\n  merlinshelf-testbed experiment upgrade --seed 7 --rounds 20 --fail 0.5"
 )]
 struct Cli {
     #[command(subcommand)]
@@ -49,14 +49,15 @@
         many: u16,
     },
     /// Play a subsystem by seed and print figures; the last line is one JSON object
-    Trial {
+    #[command(alias = "trial")]
+    Experiment {
         #[command(subcommand)]
-        trial: Trial,
+        experiment: Experiment,
     },
 }
 
 #[derive(Subcommand)]
-enum Trial {
+enum Experiment {
     /// Time on the cores an invocation, against another program, played in turn
     Cost {
         /// The other program, for instance the version before
@@ -79,7 +80,7 @@
     },
     /// Rolling upgrades, restarts and drains of many instances under load, with kills of the agent
     #[command(
-        after_help = "Example:\n  merlinshelf-testbed trial fleet --seed 18 --seeds 20 --instances 20"
+        after_help = "Example:\n  merlinshelf-testbed experiment fleet --seed 18 --seeds 20 --instances 20"
     )]
     Fleet {
         #[arg(long, default_value_t = 1)]
@@ -102,7 +103,9 @@
         program: Option<PathBuf>,
     },
     /// One change of policy a round for all instances of several agents, with faults between the processes by seed
-    #[command(after_help = "Example:\n  merlinshelf-testbed trial policy --seed 28 --rounds 20")]
+    #[command(
+        after_help = "Example:\n  merlinshelf-testbed experiment policy --seed 28 --rounds 20"
+    )]
     Policy {
         #[arg(long, default_value_t = 1)]
         seed: u64,
@@ -138,7 +141,7 @@
         program: Option<PathBuf>,
     },
     /// Two dependencies of five servers each that fail by script, against plain ways to call them; many instances in virtual time
-    #[command(after_help = "Example:\n  merlinshelf-testbed trial dependencies --seed 19")]
+    #[command(after_help = "Example:\n  merlinshelf-testbed experiment dependencies --seed 19")]
     Dependencies {
         #[arg(long, default_value_t = 1)]
         seed: u64,
@@ -155,7 +158,7 @@
         program: Option<PathBuf>,
     },
     /// The same mix in overload by FastCGI, by uwsgi and by both: served, throttled and errored by operation, and what it costs
-    #[command(after_help = "Example:\n  merlinshelf-testbed trial uwsgi --seed 20 --seeds 5")]
+    #[command(after_help = "Example:\n  merlinshelf-testbed experiment uwsgi --seed 20 --seeds 5")]
     Uwsgi {
         #[arg(long, default_value_t = 1)]
         seed: u64,
@@ -170,7 +173,7 @@
     },
     /// What being taught is worth, what bad teachers cost, what it costs a fleet, and what crashes leave
     #[command(
-        after_help = "Example:\n  merlinshelf-testbed trial learning --seed 17 --seeds 20 --at-once 4"
+        after_help = "Example:\n  merlinshelf-testbed experiment learning --seed 17 --seeds 20 --at-once 4"
     )]
     Learning {
         #[arg(long, default_value_t = 1)]
@@ -258,8 +261,23 @@
         /// Write the JSON object to a file too
         #[arg(long)]
         json: Option<PathBuf>,
+        /// The program that serves first
+        #[arg(long, visible_alias = "program")]
+        from: Option<PathBuf>,
+        /// The program of the first successor, where it is another one; after each upgrade they change places
         #[arg(long)]
-        program: Option<PathBuf>,
+        to: Option<PathBuf>,
+    },
+    /// Two versions over the same stored data and beside each other: agents' log, gossip store, one change by both
+    Compatibility {
+        #[arg(long, default_value_t = 1)]
+        seed: u64,
+        /// The version that writes first
+        #[arg(long)]
+        from: PathBuf,
+        /// The version that goes on with it; this one where none is named
+        #[arg(long)]
+        to: Option<PathBuf>,
     },
 }
 
@@ -303,9 +321,9 @@
             body,
             many,
         } => standing::ask(&config, &operation, &body, many).map(|()| true),
-        Command::Trial {
-            trial:
-                Trial::Cost {
+        Command::Experiment {
+            experiment:
+                Experiment::Cost {
                     against,
                     seed,
                     pairs,
@@ -330,9 +348,9 @@
                 .block_on(&runtime, experiments::cost::run(&plan))
                 .map(|(_, clean)| clean)
         }
-        Command::Trial {
-            trial:
-                Trial::Uwsgi {
+        Command::Experiment {
+            experiment:
+                Experiment::Uwsgi {
                     seed,
                     seeds,
                     rate,
@@ -350,9 +368,9 @@
                 .block_on(&runtime, experiments::uwsgi::run(&plan))
                 .map(|(_, clean)| clean)
         }
-        Command::Trial {
-            trial:
-                Trial::Dependencies {
+        Command::Experiment {
+            experiment:
+                Experiment::Dependencies {
                     seed,
                     rate,
                     at_once,
@@ -370,9 +388,9 @@
             };
             experiments::dependencies::run(&plan).map(|(_, clean)| clean)
         }
-        Command::Trial {
-            trial:
-                Trial::Fleet {
+        Command::Experiment {
+            experiment:
+                Experiment::Fleet {
                     seed,
                     seeds,
                     instances,
@@ -396,9 +414,9 @@
                 .block_on(&runtime, experiments::fleet::run(&plan))
                 .map(|(_, clean)| clean)
         }
-        Command::Trial {
-            trial:
-                Trial::Policy {
+        Command::Experiment {
+            experiment:
+                Experiment::Policy {
                     seed,
                     seeds,
                     rounds,
@@ -449,9 +467,9 @@
                     .map(|(_, clean)| clean)
             }
         }
-        Command::Trial {
-            trial:
-                Trial::Shares {
+        Command::Experiment {
+            experiment:
+                Experiment::Shares {
                     seed,
                     seeds,
                     instances,
@@ -485,9 +503,9 @@
                 .block_on(&runtime, experiments::shares::run(&plan))
                 .map(|(_, clean)| clean)
         }
-        Command::Trial {
-            trial:
-                Trial::Learning {
+        Command::Experiment {
+            experiment:
+                Experiment::Learning {
                     seed,
                     seeds,
                     at_once,
@@ -509,9 +527,9 @@
             };
             experiments::learning::run(&plan).map(|(_, holds)| holds)
         }
-        Command::Trial {
-            trial:
-                Trial::Restart {
+        Command::Experiment {
+            experiment:
+                Experiment::Restart {
                     against,
                     seed,
                     rate,
@@ -534,9 +552,9 @@
                 .block_on(&runtime, experiments::restart::run(&plan))
                 .map(|(_, clean)| clean)
         }
-        Command::Trial {
-            trial:
-                Trial::Upgrade {
+        Command::Experiment {
+            experiment:
+                Experiment::Upgrade {
                     seed,
                     rounds,
                     fail,
@@ -545,10 +563,13 @@
                     connections,
                     watched_ms,
                     json,
-                    program,
+                    from,
+                    to,
                 },
         } => {
-            let setup = setup(found(program)?, 64, Duration::from_millis(watched_ms));
+            let from = found(from)?;
+            let successor = std::fs::canonicalize(to.as_ref().unwrap_or(&from))?;
+            let setup = setup(from, 64, Duration::from_millis(watched_ms));
             let plan = experiments::upgrade::Plan {
                 seed,
                 rounds,
@@ -557,6 +578,7 @@
                 rate,
                 connections,
                 setup,
+                successor,
             };
             println!(
                 "{rounds} upgrades by seed {seed}, {fail} of them failing, at {rate} invocations a second\n"
@@ -567,6 +589,18 @@
             }
             Ok(clean)
         }
+        Command::Experiment {
+            experiment: Experiment::Compatibility { seed, from, to },
+        } => {
+            let plan = experiments::compatibility::Plan {
+                from: std::fs::canonicalize(from)?,
+                to: std::fs::canonicalize(found(to)?)?,
+                seed,
+            };
+            local
+                .block_on(&runtime, experiments::compatibility::run(&plan))
+                .map(|(_, clean)| clean)
+        }
     }
 }
 
