--- a/crates/merlinshelf-dependencies/src/lib.rs
+++ b/crates/merlinshelf-dependencies/src/lib.rs
@@ -1,9 +1,11 @@
-//! Calls to dependencies with several servers each: what of the caller's time a call may take ([`budget`]), which server gets it
-//! ([`servers`]), which few of many servers an instance holds connections to ([`subset`]), and whether a call is made again or
-//! twice ([`attempts`]).
+//! Downstream calls to several dependencies with several servers each: health checks and the choice
+//! of a server ([`servers`]), the few of many servers that an instance connects to
+//! ([`mod@subset`]), concurrency limits and queues ([`limits`]), deadlines ([`budget`]), retries and
+//! hedged requests ([`attempts`]), fallbacks ([`fallback`]), and the router that holds it together
+//! ([`router`]).
 //!
-//! How many calls are made, in whose favour, and the breaker are the decision module's; nothing here decides that again. Nothing
-//! here reads a clock or chance. Moments are seconds.
+//! Everything is fed with the time, in seconds, and with events; nothing here does I/O. How many calls
+//! are made, in whose favour, and the circuit breaker are decided by the admission controller.
 
 pub mod attempts;
 pub mod budget;
--- a/crates/merlinshelf-fleet/src/lib.rs
+++ b/crates/merlinshelf-fleet/src/lib.rs
@@ -1,5 +1,5 @@
-//! Many instances on one host: what the operators want of them ([`wanted`]) against what is seen of each ([`instance`]), whether
-//! it fits the host ([`fit`]), and one plan at a time that changes several without taking too many out at once ([`plan`]).
+//! Many instances on one host: what the operators want of them ([`fleet_spec`]) against what is seen of each ([`instance`]), whether
+//! it fits the host ([`capacity`]), and one plan at a time that changes several without taking too many out at once ([`plan`]).
 //! [`fleet`] puts them together and says what to do; [`record`] is what outlives the agent.
 //!
 //! Nothing here reads a clock, a process table or chance. Moments are seconds of the agent's monotonic clock.
--- a/crates/merlinshelf-gossip/src/lib.rs
+++ b/crates/merlinshelf-gossip/src/lib.rs
@@ -1,10 +1,11 @@
-//! What is known of the servers behind an instance: figures with their count, age and origin ([`fact`]), the book that keeps
-//! them and says what to believe ([`book`]), the way from the decision module and back ([`lesson`]), who else is there to ask
-//! ([`members`]), whom to ask when, what to tell and what to take ([`learner`]), and the form and the file in which a book
-//! outlives its process ([`log`], [`store`]).
+//! Gossip between instances about the servers behind them: observations with their count, age and
+//! source ([`observation`]), the store of observations and the estimates made from it
+//! ([`observation_store`]), the exchange with the admission controller ([`own_samples`]), the other
+//! instances ([`membership`]), whom to poll when and what to take over ([`gossip_node`]), and the file
+//! in which observations outlive a process ([`store_format`], [`store`]).
 //!
-//! Nothing here reads a clock, a file or chance. Moments are seconds of the reader's own monotonic clock: between instances
-//! only ages pass, so that clocks that disagree by an hour disagree about nothing here.
+//! Everything is fed with the time and with messages; nothing here does I/O. Times are seconds of the
+//! reader's own monotonic clock. Between instances only ages pass, so that clocks need not agree.
 
 pub mod gossip_node;
 pub mod membership;
