--- a/crates/merlinshelf-backend/src/client/catalogue.rs
+++ b/crates/merlinshelf-backend/src/client/catalogue.rs
@@ -23,7 +23,7 @@
 use tokio::time::{Instant, sleep, sleep_until};
 
 use super::{Watched, connect, unreadable};
-use crate::exchange::{CallNumber, Called, Deposit, Order, Shared, pass};
+use crate::exchange::{CallCommand, CallNumber, CallOutcome, Shared, StoppedPart, pass};
 use crate::fault;
 use crate::ring::{IoProgress, Ring};
 use crate::routing;
@@ -62,7 +62,7 @@
 /// How a call's task has ended.
 enum Made {
     /// The line comes back where it may carry another call.
-    Ended(Called, Option<Box<Line>>),
+    Ended(CallOutcome, Option<Box<Line>>),
     /// The exchange knows already.
     Told,
     /// Everything stops where it stands: the line was handed in, or the call is made elsewhere.
@@ -102,8 +102,8 @@
     resumed: Rc<RefCell<Vec<Resumed>>>,
     routing: Option<routing::Shared>,
 ) {
-    let wake = exchange.borrow().orders_wake();
-    let mut freezing = exchange.borrow().freezing();
+    let wake = exchange.borrow().call_commands_waker();
+    let mut freezing = exchange.borrow().freeze_notice();
     let address = peers.borrow_and_update().catalogue;
     let (tasks, open) = (JoinSet::new(), BTreeMap::new());
     let (waiting, idle) = (VecDeque::new(), VecDeque::new());
@@ -158,14 +158,14 @@
 impl Calls {
     fn take_orders(&mut self) {
         loop {
-            let order = self.exchange.borrow_mut().next_order();
+            let order = self.exchange.borrow_mut().next_call_command();
             match order {
-                Some(Order::Invoke {
+                Some(CallCommand::Invoke {
                     id,
                     number,
-                    wait,
+                    timeout_seconds: wait,
                     body,
-                    wanted,
+                    context: wanted,
                 }) => match &self.routing {
                     Some(routing) if routing.borrow().knows(&wanted) => {
                         routing.borrow_mut().ask(
@@ -185,7 +185,7 @@
                     }),
                 },
                 // Closing its connection gives a call up, with nothing of it left to come.
-                Some(Order::GiveUp { id, number }) => {
+                Some(CallCommand::Abandon { id, number }) => {
                     if let Some(routing) = &self.routing {
                         routing.borrow_mut().give_up(&self.exchange, (id, number));
                     }
@@ -217,9 +217,9 @@
             if line.is_none() {
                 let mut exchange = self.exchange.borrow_mut();
                 if !std::mem::take(&mut self.held) {
-                    exchange.wants_line(CATALOGUE);
+                    exchange.note_connection_demand(CATALOGUE);
                 }
-                if !exchange.may_open(CATALOGUE) {
+                if !exchange.may_open_connection(CATALOGUE) {
                     // It goes on waiting within its time; the module gives it up as it gives up any.
                     self.held = true;
                     return self.waiting.push_front(call);
@@ -271,7 +271,7 @@
                     match server.parse() {
                         Ok(address) => {
                             let name = routing.borrow().dependency_of(attempt);
-                            self.exchange.borrow_mut().wants_line(&name);
+                            self.exchange.borrow_mut().note_connection_demand(&name);
                             let call = Call {
                                 id,
                                 number,
@@ -282,11 +282,11 @@
                             self.held_attempts.push_back((name, call, address));
                             self.make_held();
                         }
-                        Err(_) => {
-                            routing
-                                .borrow_mut()
-                                .ended(&self.exchange, attempt, &Called::NeverRan)
-                        }
+                        Err(_) => routing.borrow_mut().ended(
+                            &self.exchange,
+                            attempt,
+                            &CallOutcome::NeverRan,
+                        ),
                     }
                 }
                 Some(Action::GiveUp { attempt }) => {
@@ -311,7 +311,7 @@
     fn make_held(&mut self) {
         for (name, call, address) in std::mem::take(&mut self.held_attempts) {
             let line = self.line(call.id, address);
-            if line.is_some() || self.exchange.borrow_mut().may_open(&name) {
+            if line.is_some() || self.exchange.borrow_mut().may_open_connection(&name) {
                 self.make(call, line, address);
             } else {
                 self.held_attempts.push_back((name, call, address));
@@ -326,7 +326,7 @@
     }
 
     /// An attempt has ended and is told here.
-    fn told(&self, (id, number, attempt): Attempt, called: Called) {
+    fn told(&self, (id, number, attempt): Attempt, called: CallOutcome) {
         tell(
             &self.exchange,
             self.routing.as_ref(),
@@ -406,7 +406,7 @@
                 let panicked = self.open.iter().find(|(_, task)| task.id() == error.id());
                 if let Some(key) = panicked.map(|(key, _)| *key) {
                     self.open.remove(&key);
-                    self.told(key, Called::Failed);
+                    self.told(key, CallOutcome::Failed);
                 }
             }
         }
@@ -439,7 +439,7 @@
     exchange: &Shared,
     routing: Option<&routing::Shared>,
 ) -> Made {
-    let (reused, mut freezing) = (kept.is_some(), exchange.borrow().freezing());
+    let (reused, mut freezing) = (kept.is_some(), exchange.borrow().freeze_notice());
     let mut line = match kept {
         Some(line) => line,
         None => {
@@ -452,7 +452,7 @@
                 Err(error) => {
                     // Nothing that waited for a connection that never stood has run.
                     warn!("the catalogue can't be reached: {error}");
-                    return Made::Ended(Called::NeverRan, None);
+                    return Made::Ended(CallOutcome::NeverRan, None);
                 }
             }
         }
@@ -538,15 +538,15 @@
             match line.socket.into_std() {
                 Ok(socket) => exchange
                     .borrow_mut()
-                    .deposit(Deposit::Line(stream, record, socket)),
+                    .add_stopped_part(StoppedPart::Downstream(stream, record, socket)),
                 Err(error) => warn!("a line to the catalogue can't be handed in: {error}"),
             }
             Made::FrozenInstance
         }
         ended => {
             let whole = ended.is_ok();
-            let called = ended.ok().flatten().unwrap_or(Called::Failed);
-            if exchange.borrow().notes() {
+            let called = ended.ok().flatten().unwrap_or(CallOutcome::Failed);
+            if exchange.borrow().is_journaling() {
                 // What the reply changes and that its line is gone are noted together. None is kept idle meanwhile:
                 // the predecessor would have to follow it.
                 tell(exchange, routing, call, called);
@@ -567,7 +567,7 @@
     exchange: &Shared,
     routing: Option<&routing::Shared>,
     (id, number, attempt): Attempt,
-    called: Called,
+    called: CallOutcome,
 ) {
     match routing.filter(|_| attempt > 0) {
         Some(routing) => routing.borrow_mut().ended(exchange, attempt, &called),
@@ -599,25 +599,25 @@
     /// Notes how it stands, where a predecessor watches: before anything of it shows.
     fn secure(&self, call: Attempt, exchange: &Shared) {
         let mut exchange = exchange.borrow_mut();
-        if exchange.notes() {
-            exchange.stage(Key::DownstreamConnection(self.stream), &self.record(call));
-            exchange.secure();
+        if exchange.is_journaling() {
+            exchange.journal_record(Key::DownstreamConnection(self.stream), &self.record(call));
+            exchange.write_journal();
         }
     }
 
     /// Closes it where a predecessor has a copy that would keep it open.
     fn close(&self, exchange: &Shared) {
         let mut exchange = exchange.borrow_mut();
-        if exchange.notes() {
-            exchange.stage_gone(&[Key::DownstreamConnection(self.stream)]);
-            exchange.secure();
+        if exchange.is_journaling() {
+            exchange.journal_removal(&[Key::DownstreamConnection(self.stream)]);
+            exchange.write_journal();
             let _ = shutdown(&self.socket, Shutdown::Both);
         }
     }
 
     /// The end of a call; none where everything stops where it stands.
-    async fn call(&mut self, call: Attempt, exchange: &Shared) -> io::Result<Option<Called>> {
-        let mut freezing = exchange.borrow().freezing();
+    async fn call(&mut self, call: Attempt, exchange: &Shared) -> io::Result<Option<CallOutcome>> {
+        let mut freezing = exchange.borrow().freeze_notice();
         loop {
             if !self.going.is_empty() {
                 self.secure(call, exchange);
@@ -634,7 +634,7 @@
                 Ok(_) = freezing.wait_for(|frozen| *frozen) => return Ok(None),
                 ready = self.socket.ready(interest) => { ready?; }
             }
-            let noted = exchange.borrow().notes();
+            let noted = exchange.borrow().is_journaling();
             let fill = if noted { Ring::peek } else { Ring::fill };
             if fill(&mut self.coming, &self.socket)? == IoProgress::Closed {
                 return Err(io::ErrorKind::UnexpectedEof.into());
@@ -651,7 +651,7 @@
     }
 
     /// The reply to this invocation's call, if it has come; others are copies or nobody's.
-    fn take_in(&mut self, expected: CallId, exchange: &Shared) -> io::Result<Option<Called>> {
+    fn take_in(&mut self, expected: CallId, exchange: &Shared) -> io::Result<Option<CallOutcome>> {
         let mut called = None;
         self.coming.read(|bytes| match catalogue::reply(bytes) {
             _ if called.is_some() => Ok(0),
@@ -659,9 +659,9 @@
             Ok(Some(((id, reply), count))) => {
                 if id == expected {
                     called = Some(match reply {
-                        Reply::Succeeded(body) => Called::Succeeded(body.into()),
-                        Reply::Overload | Reply::Stale => Called::NeverRan,
-                        Reply::Internal | Reply::Deadline => Called::Failed,
+                        Reply::Succeeded(body) => CallOutcome::Succeeded(body.into()),
+                        Reply::Overload | Reply::Stale => CallOutcome::NeverRan,
+                        Reply::Internal | Reply::Deadline => CallOutcome::Failed,
                     });
                 } else {
                     exchange.borrow_mut().counters.late_replies += 1;
--- a/crates/merlinshelf-backend/src/client/engine.rs
+++ b/crates/merlinshelf-backend/src/client/engine.rs
@@ -19,7 +19,7 @@
 use tokio::time::{Instant, sleep, sleep_until};
 
 use super::{Watched, connect, unreadable};
-use crate::exchange::{Command, Deposit, Shared, monotonic, pass};
+use crate::exchange::{Command, Shared, StoppedPart, monotonic, pass};
 use crate::fault;
 use crate::ring::{IoProgress, Ring};
 
@@ -73,7 +73,7 @@
 
 /// Holds the link until everything is to stop where it stands; goes on with one that another process has held.
 pub async fn hold(mut peers: Watched, exchange: Shared, resumed: Rc<RefCell<Option<Resumed>>>) {
-    let mut freezing = exchange.borrow().freezing();
+    let mut freezing = exchange.borrow().freeze_notice();
     let offer = exchange.borrow().names_dependencies();
     let mut engine = Engine {
         exchange,
@@ -208,7 +208,7 @@
             .and_then(|born| now.checked_sub(age(born)));
         // The next question's answer proves that they were read, if the link holds; else its break says what to do.
         let proof = self.tag + 1;
-        let inherited = self.exchange.borrow_mut().inherited();
+        let inherited = self.exchange.borrow_mut().take_inherited_commands();
         self.unsure = inherited
             .into_iter()
             .map(|(command, heard)| (proof, command, heard))
@@ -263,9 +263,9 @@
     /// Notes how it stands, where a predecessor watches: before anything of it shows.
     fn secure(&self, link: Option<&Link>) {
         let mut exchange = self.exchange.borrow_mut();
-        if exchange.notes() {
-            exchange.stage(Key::EngineConnection, &self.record(link));
-            exchange.secure();
+        if exchange.is_journaling() {
+            exchange.journal_record(Key::EngineConnection, &self.record(link));
+            exchange.write_journal();
         }
     }
 
@@ -275,19 +275,19 @@
         let socket = link.and_then(|link| link.socket.into_std().ok());
         self.exchange
             .borrow_mut()
-            .deposit(Deposit::Link(record, socket));
+            .add_stopped_part(StoppedPart::Engine(record, socket));
     }
 
     /// A link that is served no longer is closed also where a predecessor has a copy.
     fn close(&self, link: &Link) {
         self.secure(None);
-        if self.exchange.borrow().notes() {
+        if self.exchange.borrow().is_journaling() {
             let _ = shutdown(&link.socket, Shutdown::Both);
         }
     }
 
     async fn run(&mut self, link: &mut Link) -> io::Result<()> {
-        let wake = self.exchange.borrow().commands_wake();
+        let wake = self.exchange.borrow().commands_waker();
         loop {
             self.send_commands(link);
             if !link.going.is_empty() {
@@ -307,7 +307,7 @@
                 () = wake.notified() => {}
                 () = sleep_until(next), if link.hello || link.asked.is_some() => {}
             }
-            let noted = self.exchange.borrow().notes();
+            let noted = self.exchange.borrow().is_journaling();
             let fill = if noted { Ring::peek } else { Ring::fill };
             let came = fill(&mut link.coming, &link.socket)?;
             if came == IoProgress::Closed {
@@ -414,7 +414,7 @@
                 took_ms,
                 result,
                 ..
-            } => exchange.ended(id, end, took_ms / 1e3, result),
+            } => exchange.run_ended(id, end, took_ms / 1e3, result),
             EngineNotification::Need {
                 number,
                 id,
@@ -422,7 +422,7 @@
                 body,
             } => {
                 let named = named.and_then(|name| std::str::from_utf8(name).ok());
-                exchange.wants_call(id, number, named, body);
+                exchange.call_requested(id, number, named, body);
             }
             EngineNotification::No { what } => match engine::refused(what) {
                 Some((word, id)) => exchange.command_refused(word, id),
@@ -436,7 +436,7 @@
                     .asked
                     .take()
                     .map_or(Duration::MAX, |asked| asked.elapsed());
-                exchange.gauges(gauges, age);
+                exchange.gauges_received(gauges, age);
                 drop(exchange);
                 self.answered(link, tag);
             }
@@ -449,7 +449,9 @@
         if link.caught_up {
             while self.unsure.front().is_some_and(|(proof, ..)| *proof <= tag) {
                 if let Some((_, command, heard)) = self.unsure.pop_front() {
-                    self.exchange.borrow_mut().command_read(&command, heard);
+                    self.exchange
+                        .borrow_mut()
+                        .command_acknowledged(&command, heard);
                 }
             }
             return;
--- a/crates/merlinshelf-backend/src/client/registration.rs
+++ b/crates/merlinshelf-backend/src/client/registration.rs
@@ -21,7 +21,7 @@
 /// Reports for as long as the program runs.
 pub async fn report(mut peers: Watched, name: String, exchange: Shared) {
     let mut address = peers.borrow_and_update().registration;
-    let left = exchange.borrow().left();
+    let left = exchange.borrow().shutdown_notice();
     let mut ticks = interval(EVERY);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut kept: Option<TcpStream> = None;
@@ -38,7 +38,7 @@
                 (address, kept) = (now, None);
             }
         }
-        let up = !exchange.borrow().leaving();
+        let up = !exchange.borrow().is_shutting_down();
         let mut going = Ring::default();
         registration::report(&mut going, &address.to_string(), &name, up);
         let outcome = match timeout(WAIT_MOST, once(address, kept.take(), going)).await {
--- a/crates/merlinshelf-backend/src/exchange/calls.rs
+++ b/crates/merlinshelf-backend/src/exchange/calls.rs
@@ -7,24 +7,24 @@
 use merlinshelf_protocol::CallId;
 use tokio::sync::Notify;
 
-use super::alarms::Alarm;
 use super::runs::Command;
-use super::{Exchange, Wanting};
+use super::timers::Timer;
+use super::{CallDemand, Exchange};
 
 /// Which call of its invocation one is: the first is 1.
 pub type CallNumber = usize;
 
 /// What the catalogue is to be asked.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Order {
+pub enum CallCommand {
     Invoke {
         id: CallId,
         number: CallNumber,
-        wait: f64,
+        timeout_seconds: f64,
         body: Rc<[u8]>,
-        wanted: Wanted,
+        context: CallContext,
     },
-    GiveUp {
+    Abandon {
         id: CallId,
         number: CallNumber,
     },
@@ -32,23 +32,23 @@
 
 /// Whose call it is, as far as dependencies are told apart.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Wanted {
+pub struct CallContext {
     pub operation: Rc<str>,
     /// Which of the calls that its run wants it is, from 0.
-    pub place: usize,
+    pub call_index: usize,
     /// The dependency that the run named.
-    pub named: Option<Rc<str>>,
+    pub named_dependency: Option<Rc<str>>,
     /// Seconds that its caller still waits.
-    pub left: Option<f64>,
-    pub idempotent: bool,
+    pub caller_timeout: Option<f64>,
+    pub is_idempotent: bool,
 }
 
 /// How a call below has ended.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Called {
+pub enum CallOutcome {
     Succeeded(Rc<[u8]>),
     /// A lesser answer, or nothing, in place of the reply of this dependency.
-    Lesser {
+    Degraded {
         reply: Option<Rc<[u8]>>,
         missing: Rc<str>,
     },
@@ -58,173 +58,200 @@
 }
 
 impl Exchange {
-    pub fn orders_wake(&self) -> Rc<Notify> {
-        self.orders.wake()
+    pub fn call_commands_waker(&self) -> Rc<Notify> {
+        self.call_commands.waker()
     }
 
-    pub fn next_order(&mut self) -> Option<Order> {
-        self.orders.pop()
+    pub fn next_call_command(&mut self) -> Option<CallCommand> {
+        self.call_commands.pop()
     }
 
     /// Whether that call of that invocation is open.
-    pub(super) fn awaits(&mut self, id: CallId, number: CallNumber) -> bool {
-        let one = self.hand.find(id).and_then(|inv| self.hand.get(inv));
-        one.is_some_and(|one| one.calling && one.calls == number)
+    pub(super) fn is_call_open(&mut self, id: CallId, number: CallNumber) -> bool {
+        let invocation = self
+            .invocations
+            .find(id)
+            .and_then(|index| self.invocations.get_mut(index));
+        invocation.is_some_and(|invocation| invocation.is_calling && invocation.calls == number)
     }
 
     /// A call has ended.
-    pub fn call_ended(&mut self, id: CallId, number: CallNumber, called: Called) {
-        let awaited = self.awaits(id, number);
-        let Some(inv) = self.hand.find(id).filter(|_| awaited) else {
+    pub fn call_ended(&mut self, id: CallId, number: CallNumber, called: CallOutcome) {
+        let awaited = self.is_call_open(id, number);
+        let Some(index) = self.invocations.find(id).filter(|_| awaited) else {
             self.counters.late_replies += 1;
             return;
         };
         let outcome = Outcome {
             // With a lesser answer the run goes on as with any other.
-            succeeded: matches!(called, Called::Succeeded(_) | Called::Lesser { .. }),
-            never_ran: called == Called::NeverRan,
+            succeeded: matches!(
+                called,
+                CallOutcome::Succeeded(_) | CallOutcome::Degraded { .. }
+            ),
+            never_ran: called == CallOutcome::NeverRan,
             stopped: false,
         };
         match &called {
-            Called::Succeeded(_) => self.counters.calls_succeeded += 1,
-            Called::Lesser { .. } => self.counters.calls_lesser += 1,
-            Called::NeverRan => self.counters.calls_never_ran += 1,
-            Called::Failed => self.counters.calls_failed += 1,
+            CallOutcome::Succeeded(_) => self.counters.calls_succeeded += 1,
+            CallOutcome::Degraded { .. } => self.counters.calls_lesser += 1,
+            CallOutcome::NeverRan => self.counters.calls_never_ran += 1,
+            CallOutcome::Failed => self.counters.calls_failed += 1,
         }
-        if let Some(one) = self.hand.get(inv) {
-            (one.calling, one.calling_until) = (false, None);
+        if let Some(invocation) = self.invocations.get_mut(index) {
+            (invocation.is_calling, invocation.call_timeout_at) = (false, None);
         }
         match called {
-            Called::Succeeded(reply) => {
+            CallOutcome::Succeeded(reply) => {
                 self.counters.feeds += 1;
-                self.give(inv, Command::Feed { id, reply });
+                self.send_command(index, Command::Feed { id, reply });
             }
-            Called::Lesser { reply, missing } => {
-                self.note_missing(inv, missing);
+            CallOutcome::Degraded { reply, missing } => {
+                self.note_missing(index, missing);
                 match reply {
                     Some(reply) => {
                         self.counters.feeds += 1;
-                        self.give(inv, Command::Feed { id, reply });
+                        self.send_command(index, Command::Feed { id, reply });
                     }
-                    None => self.degrade(inv),
+                    None => self.skip_call(index),
                 }
             }
-            Called::NeverRan | Called::Failed => {}
+            CallOutcome::NeverRan | CallOutcome::Failed => {}
         }
-        self.call_is_over(inv, outcome);
+        self.finish_call(index, outcome);
     }
 
     /// Whose call the one is that this invocation's run wants now.
-    pub(super) fn wanted(&mut self, inv: usize) -> Wanted {
+    pub(super) fn call_context(&mut self, index: usize) -> CallContext {
         let now = self.origin.elapsed();
-        let Some(one) = self.hand.look(inv) else {
+        let Some(invocation) = self.invocations.get(index) else {
             unreachable!("a call of nobody")
         };
-        Wanted {
-            operation: self.names[one.operation].clone(),
-            place: one.wanted.saturating_sub(1),
-            named: one.named.clone(),
-            left: one.due.map(|due| due.saturating_sub(now).as_secs_f64()),
-            idempotent: self.idempotent[one.operation],
+        CallContext {
+            operation: self.operation_names[invocation.operation].clone(),
+            call_index: invocation.calls_requested.saturating_sub(1),
+            named_dependency: invocation.named_dependency.clone(),
+            caller_timeout: invocation
+                .due_at
+                .map(|due| due.saturating_sub(now).as_secs_f64()),
+            is_idempotent: self.idempotent[invocation.operation],
         }
     }
 
     /// The result will be without this part.
-    fn note_missing(&mut self, inv: usize, part: Rc<str>) {
-        if let Some(one) = self
-            .hand
-            .get(inv)
-            .filter(|one| !one.missing.contains(&part))
+    fn note_missing(&mut self, index: usize, part: Rc<str>) {
+        if let Some(invocation) = self
+            .invocations
+            .get_mut(index)
+            .filter(|invocation| !invocation.missing_parts.contains(&part))
         {
-            one.missing.push(part);
+            invocation.missing_parts.push(part);
         }
     }
 
     /// By operation, what its calls are called where dependencies are told apart; a result that is without one says so.
-    pub fn set_parts(&mut self, parts: impl Fn(&str) -> Vec<Rc<str>>) {
-        self.parts = Some(self.names.iter().map(|name| parts(name)).collect());
+    pub fn set_dependency_names(&mut self, parts: impl Fn(&str) -> Vec<Rc<str>>) {
+        self.dependency_names = Some(
+            self.operation_names
+                .iter()
+                .map(|name| parts(name))
+                .collect(),
+        );
     }
 
     /// Whether runs may name the dependencies of their calls.
     pub fn names_dependencies(&self) -> bool {
-        self.parts.is_some()
+        self.dependency_names.is_some()
     }
 
     /// The module leaves a call out: the result is without that part.
-    pub(super) fn note_left_out(&mut self, inv: usize) {
-        let Some(parts) = &self.parts else { return };
-        let Some(one) = self.hand.look(inv) else {
+    pub(super) fn note_skipped_call(&mut self, index: usize) {
+        let Some(parts) = &self.dependency_names else {
             return;
         };
-        let part = one.named.clone().or_else(|| {
+        let Some(invocation) = self.invocations.get(index) else {
+            return;
+        };
+        let part = invocation.named_dependency.clone().or_else(|| {
             parts
-                .get(one.operation)?
-                .get(one.wanted.saturating_sub(1))
+                .get(invocation.operation)?
+                .get(invocation.calls_requested.saturating_sub(1))
                 .cloned()
         });
         if let Some(part) = part {
-            self.note_missing(inv, part);
+            self.note_missing(index, part);
         }
     }
 
     /// Gives up an open call of this invocation.
-    pub(super) fn drop_call(&mut self, inv: usize) -> bool {
-        let Some(one) = self.hand.get(inv).filter(|one| one.calling) else {
+    pub(super) fn abandon_call(&mut self, index: usize) -> bool {
+        let Some(invocation) = self
+            .invocations
+            .get_mut(index)
+            .filter(|invocation| invocation.is_calling)
+        else {
             return false;
         };
-        (one.calling, one.calling_until) = (false, None);
+        (invocation.is_calling, invocation.call_timeout_at) = (false, None);
         self.counters.cancels += 1;
-        let (id, number) = (one.id, one.calls);
-        self.orders.push(Order::GiveUp { id, number });
+        let (id, number) = (invocation.id, invocation.calls);
+        self.call_commands.push(CallCommand::Abandon { id, number });
         true
     }
 
     pub(super) fn call_timed_out(&mut self, id: CallId, number: CallNumber) {
-        let Some(inv) = self.hand.find(id) else {
+        let Some(index) = self.invocations.find(id) else {
             return;
         };
-        if self.hand.get(inv).is_some_and(|one| one.calls == number) && self.drop_call(inv) {
+        if self
+            .invocations
+            .get_mut(index)
+            .is_some_and(|invocation| invocation.calls == number)
+            && self.abandon_call(index)
+        {
             self.counters.calls_timed_out += 1;
-            self.call_is_over(inv, Outcome::default());
+            self.finish_call(index, Outcome::default());
         }
     }
 
-    fn call_is_over(&mut self, inv: usize, outcome: Outcome) {
+    fn finish_call(&mut self, index: usize, outcome: Outcome) {
         // Only what may be called again spends a further call.
         let repeats = self
-            .hand
-            .look(inv)
-            .is_some_and(|one| self.idempotent[one.operation])
+            .invocations
+            .get(index)
+            .is_some_and(|invocation| self.idempotent[invocation.operation])
             || outcome.never_ran;
         let again = !outcome.succeeded && repeats;
-        self.note_end(outcome.succeeded, again);
-        let wanting = Wanting { call: false, again };
-        self.decide_on(wanting, |shedder, now| {
-            shedder.call_ended(now, inv, outcome)
+        self.note_call_end(outcome.succeeded, again);
+        let wanting = CallDemand {
+            wants_call: false,
+            wants_retry: again,
+        };
+        self.decide_with_demand(wanting, |controller, now| {
+            controller.call_ended(now, index, outcome)
         });
     }
 
-    pub(super) fn call(&mut self, inv: usize, wait: f64) {
-        self.drop_call(inv);
-        let Some(one) = self.hand.get(inv) else {
+    pub(super) fn start_call(&mut self, index: usize, wait: f64) {
+        self.abandon_call(index);
+        let Some(invocation) = self.invocations.get_mut(index) else {
             return;
         };
-        let Some((_, body)) = one.need.clone() else {
+        let Some((_, body)) = invocation.call_request.clone() else {
             return;
         };
         let at = self.origin.elapsed() + Duration::from_secs_f64(wait.clamp(0.001, 3600.0));
-        one.calls += 1;
-        (one.calling, one.calling_until) = (true, Some(at));
-        let (id, number) = (one.id, one.calls);
+        invocation.calls += 1;
+        (invocation.is_calling, invocation.call_timeout_at) = (true, Some(at));
+        let (id, number) = (invocation.id, invocation.calls);
         self.counters.calls += 1;
-        let wanted = self.wanted(inv);
-        self.orders.push(Order::Invoke {
+        let wanted = self.call_context(index);
+        self.call_commands.push(CallCommand::Invoke {
             id,
             number,
-            wait,
+            timeout_seconds: wait,
             body,
-            wanted,
+            context: wanted,
         });
-        self.set_alarm(at, Alarm::Call(id, number));
+        self.set_timer(at, Timer::CallTimeout(id, number));
     }
 }
--- a/crates/merlinshelf-backend/src/exchange/doors.rs
+++ b/crates/merlinshelf-backend/src/exchange/connections.rs
@@ -5,37 +5,37 @@
 
 use tokio::sync::Notify;
 
-use super::outbox::Outbox;
+use super::send_queue::SendQueue;
 use super::{Answer, Shared};
 
 /// One connection's door; dropping it is the one way in which it is given back.
-pub struct Door {
+pub struct ConnectionHandle {
     exchange: Shared,
     number: usize,
     /// The connection's number among all that ever were, also in processes before this one.
     stream: u64,
-    wake: Rc<Notify>,
+    answers_ready: Rc<Notify>,
 }
 
-impl Door {
-    pub fn open(exchange: &Shared) -> Door {
-        let (number, stream, wake) = exchange.borrow_mut().open_door(None);
-        Door {
+impl ConnectionHandle {
+    pub fn open(exchange: &Shared) -> ConnectionHandle {
+        let (number, stream, wake) = exchange.borrow_mut().open_connection(None);
+        ConnectionHandle {
             exchange: exchange.clone(),
             number,
             stream,
-            wake,
+            answers_ready: wake,
         }
     }
 
     /// The door of a connection that another process has opened.
-    pub fn reopen(exchange: &Shared, stream: u64) -> Door {
-        let (number, stream, wake) = exchange.borrow_mut().open_door(Some(stream));
-        Door {
+    pub fn reopen(exchange: &Shared, stream: u64) -> ConnectionHandle {
+        let (number, stream, wake) = exchange.borrow_mut().open_connection(Some(stream));
+        ConnectionHandle {
             exchange: exchange.clone(),
             number,
             stream,
-            wake,
+            answers_ready: wake,
         }
     }
 
@@ -48,71 +48,72 @@
     }
 
     /// Waits until there may be an answer or a word on closing.
-    pub async fn knock(&self) {
-        self.wake.notified().await;
+    pub async fn answer_ready(&self) {
+        self.answers_ready.notified().await;
     }
 
     pub fn next_answer(&self) -> Option<(u16, Answer)> {
-        self.exchange.borrow_mut().doors.outbox(self.number)?.pop()
+        self.exchange
+            .borrow_mut()
+            .connections
+            .queue_mut(self.number)?
+            .pop()
     }
 }
 
-impl Drop for Door {
+impl Drop for ConnectionHandle {
     fn drop(&mut self) {
-        self.exchange.borrow_mut().close_door(self.number);
+        self.exchange.borrow_mut().close_connection(self.number);
     }
 }
 
-type Answers = Outbox<(u16, Answer)>;
+type Answers = SendQueue<(u16, Answer)>;
 
 #[derive(Debug, Default)]
-pub struct Doors {
-    places: Vec<Option<(u64, Answers)>>,
+pub struct ConnectionTable {
+    slots: Vec<Option<(u64, Answers)>>,
     free: Vec<usize>,
     /// While changes are noted: the doors whose answers may have changed since.
-    pub changes: Option<BTreeSet<usize>>,
+    pub unsaved: Option<BTreeSet<usize>>,
 }
 
-impl Doors {
+impl ConnectionTable {
     pub fn open(&mut self, stream: u64) -> (usize, Rc<Notify>) {
-        let number = self.free.pop().unwrap_or(self.places.len());
-        if number == self.places.len() {
-            self.places.push(None);
+        let number = self.free.pop().unwrap_or(self.slots.len());
+        if number == self.slots.len() {
+            self.slots.push(None);
         }
-        let (_, outbox) = self.places[number].insert((stream, Outbox::default()));
-        (number, outbox.wake())
+        let (_, queue) = self.slots[number].insert((stream, SendQueue::default()));
+        (number, queue.waker())
     }
 
     /// Says how many answers were left in it.
     pub fn close(&mut self, number: usize) -> usize {
         self.free.push(number);
-        self.places[number]
+        self.slots[number]
             .take()
-            .map_or(0, |(_, outbox)| outbox.len())
+            .map_or(0, |(_, queue)| queue.len())
     }
 
     /// For changes.
-    pub fn outbox(&mut self, number: usize) -> Option<&mut Answers> {
-        if let Some(changes) = &mut self.changes {
+    pub fn queue_mut(&mut self, number: usize) -> Option<&mut Answers> {
+        if let Some(changes) = &mut self.unsaved {
             changes.insert(number);
         }
-        self.places
-            .get_mut(number)?
-            .as_mut()
-            .map(|(_, outbox)| outbox)
+        self.slots.get_mut(number)?.as_mut().map(|(_, queue)| queue)
     }
 
     /// The connection behind a door, and the answers that wait there.
-    pub fn look(&self, number: usize) -> Option<(u64, &Answers)> {
-        self.places
+    pub fn queue(&self, number: usize) -> Option<(u64, &Answers)> {
+        self.slots
             .get(number)?
             .as_ref()
-            .map(|(stream, outbox)| (*stream, outbox))
+            .map(|(stream, queue)| (*stream, queue))
     }
 
     /// The doors that are open.
     pub fn numbers(&self) -> impl Iterator<Item = usize> + '_ {
-        self.places
+        self.slots
             .iter()
             .enumerate()
             .filter(|(_, place)| place.is_some())
@@ -120,13 +121,13 @@
     }
 
     pub fn len(&self) -> usize {
-        self.places.len() - self.free.len()
+        self.slots.len() - self.free.len()
     }
 
-    pub fn nudge_all(&self) {
-        self.places
+    pub fn wake_all(&self) {
+        self.slots
             .iter()
             .flatten()
-            .for_each(|(_, outbox)| outbox.nudge());
+            .for_each(|(_, queue)| queue.wake());
     }
 }
--- a/crates/merlinshelf-backend/src/exchange/hand.rs
+++ b/crates/merlinshelf-backend/src/exchange/in_flight.rs
@@ -10,93 +10,93 @@
 
 /// Where an answer goes: a connection's door, and the invocation's tag on that connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Reply {
-    pub door: usize,
+pub struct ReplyAddress {
+    pub connection: usize,
     pub tag: u16,
 }
 
 #[derive(Debug)]
-pub struct InHand {
+pub struct InFlightInvocation {
     pub id: CallId,
     pub operation: usize,
     pub body: Rc<[u8]>,
     /// None once it was answered or nobody is left to answer.
-    pub reply: Option<Reply>,
+    pub reply: Option<ReplyAddress>,
     /// The last notice that asked for a call: its number and the call's body.
-    pub need: Option<(u64, Rc<[u8]>)>,
+    pub call_request: Option<(u64, Rc<[u8]>)>,
     /// The dependency that this notice named.
-    pub named: Option<Rc<str>>,
+    pub named_dependency: Option<Rc<str>>,
     /// How many calls its run has wanted.
-    pub wanted: usize,
+    pub calls_requested: usize,
     /// Parts that its result is without.
-    pub missing: Vec<Rc<str>>,
+    pub missing_parts: Vec<Rc<str>>,
     /// When its caller waits no longer, from the exchange's start.
-    pub due: Option<Duration>,
+    pub due_at: Option<Duration>,
     /// Calls made so far, and whether the last one is open.
     pub calls: usize,
-    pub calling: bool,
+    pub is_calling: bool,
     /// Whether a run of it was ever started.
-    pub begun: bool,
+    pub has_started: bool,
     /// How many notices the engine has sent about it.
-    pub heard: u64,
+    pub notifications: u64,
     /// When its open call is given up, from the exchange's start.
-    pub calling_until: Option<Duration>,
+    pub call_timeout_at: Option<Duration>,
     /// The last command about it that the engine is not known to have read, and whether it was put on the link.
     pub command: Option<(Command, bool)>,
     /// In which order it came.
-    pub place: u64,
+    pub arrival_order: u64,
 }
 
 #[derive(Debug, Default)]
-pub struct Hand {
-    places: Vec<Option<InHand>>,
+pub struct InFlightTable {
+    slots: Vec<Option<InFlightInvocation>>,
     free: Vec<usize>,
     by_id: HashMap<CallId, usize>,
-    came: u64,
+    arrivals: u64,
     /// While changes are noted: the numbers that may have changed since they were last, and the ids given back.
-    pub changes: Option<(BTreeSet<usize>, Vec<CallId>)>,
+    pub unsaved: Option<(BTreeSet<usize>, Vec<CallId>)>,
 }
 
-impl Hand {
+impl InFlightTable {
     /// Takes one in; it is the last that came.
-    pub fn take(&mut self, mut one: InHand) -> usize {
-        self.came += 1;
-        one.place = self.came;
-        let number = self.free.pop().unwrap_or(self.places.len());
-        if number == self.places.len() {
-            self.places.push(None);
+    pub fn insert(&mut self, mut invocation: InFlightInvocation) -> usize {
+        self.arrivals += 1;
+        invocation.arrival_order = self.arrivals;
+        let number = self.free.pop().unwrap_or(self.slots.len());
+        if number == self.slots.len() {
+            self.slots.push(None);
         }
-        self.by_id.insert(one.id, number);
-        self.places[number] = Some(one);
+        self.by_id.insert(invocation.id, number);
+        self.slots[number] = Some(invocation);
         self.changed(Some(number));
         number
     }
 
     fn changed(&mut self, number: Option<usize>) {
-        if let (Some((changed, _)), Some(number)) = (&mut self.changes, number) {
+        if let (Some((changed, _)), Some(number)) = (&mut self.unsaved, number) {
             changed.insert(number);
         }
     }
 
     /// The one place where an invocation's number and all it holds are given back.
-    pub fn give_back(&mut self, number: usize) -> Option<InHand> {
-        let one = self.places.get_mut(number)?.take()?;
-        self.by_id.remove(&one.id);
+    pub fn remove(&mut self, number: usize) -> Option<InFlightInvocation> {
+        let invocation = self.slots.get_mut(number)?.take()?;
+        self.by_id.remove(&invocation.id);
         self.free.push(number);
-        if let Some((_, gone)) = &mut self.changes {
-            gone.push(one.id);
+        if let Some((_, gone)) = &mut self.unsaved {
+            gone.push(invocation.id);
         }
-        Some(one)
+        Some(invocation)
     }
 
     /// For changes.
-    pub fn get(&mut self, number: usize) -> Option<&mut InHand> {
+    pub fn get_mut(&mut self, number: usize) -> Option<&mut InFlightInvocation> {
         self.changed(Some(number));
-        self.places.get_mut(number)?.as_mut()
+        self.slots.get_mut(number)?.as_mut()
     }
 
-    pub fn look(&self, number: usize) -> Option<&InHand> {
-        self.places.get(number)?.as_ref()
+    pub fn get(&self, number: usize) -> Option<&InFlightInvocation> {
+        self.slots.get(number)?.as_ref()
     }
 
     pub fn find(&self, id: CallId) -> Option<usize> {
@@ -108,18 +108,22 @@
     }
 
     /// Those whose answers would go through this door.
-    pub fn behind(&self, door: usize) -> Vec<usize> {
-        self.numbers(|one| one.reply.is_some_and(|reply| reply.door == door))
+    pub fn answered_on(&self, connection: usize) -> Vec<usize> {
+        self.numbers(|invocation| {
+            invocation
+                .reply
+                .is_some_and(|reply| reply.connection == connection)
+        })
     }
 
     pub fn all(&self) -> Vec<usize> {
         self.numbers(|_| true)
     }
 
-    fn numbers(&self, which: impl Fn(&InHand) -> bool) -> Vec<usize> {
-        let filled = self.places.iter().enumerate();
+    fn numbers(&self, which: impl Fn(&InFlightInvocation) -> bool) -> Vec<usize> {
+        let filled = self.slots.iter().enumerate();
         filled
-            .filter(|(_, one)| one.as_ref().is_some_and(&which))
+            .filter(|(_, invocation)| invocation.as_ref().is_some_and(&which))
             .map(|(number, _)| number)
             .collect()
     }
--- a/crates/merlinshelf-backend/src/exchange/mod.rs
+++ b/crates/merlinshelf-backend/src/exchange/mod.rs
@@ -2,19 +2,19 @@
 //! hand; it tells the module what happens and carries out what was decided, field by field in the order
 //! of the interface. Neither side knows of the other.
 
-mod alarms;
 mod arrivals;
-mod budgets;
 mod calls;
-mod carry;
+mod connections;
 mod decisions;
-mod doors;
-mod hand;
-mod outbox;
+mod in_flight;
 mod policy;
+mod quota;
 mod runs;
+mod send_queue;
+mod snapshot;
 #[cfg(test)]
 mod tests;
+mod timers;
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
@@ -28,18 +28,18 @@
 use crate::config::Config;
 use crate::counters::Counters;
 use crate::journal::Journal;
-use alarms::{Alarm, Alarms};
-pub use arrivals::{Answer, Arrival, Place};
-pub use budgets::Wanting;
-pub use calls::{CallNumber, Called, Order, Wanted};
-pub use carry::{Deposit, Passed, Passing, monotonic, pass};
-pub use doors::Door;
-use doors::Doors;
-use hand::Hand;
-pub use hand::Reply;
-use outbox::Outbox;
-pub use policy::Laid;
+pub use arrivals::{Answer, Arrival, ReadReservation};
+pub use calls::{CallCommand, CallContext, CallNumber, CallOutcome};
+pub use connections::ConnectionHandle;
+use connections::ConnectionTable;
+use in_flight::InFlightTable;
+pub use in_flight::ReplyAddress;
+pub use policy::PolicyOverlay;
+pub use quota::CallDemand;
 pub use runs::Command;
+use send_queue::SendQueue;
+pub use snapshot::{OpenedConnection, PassedDescriptors, StoppedPart, monotonic, pass};
+use timers::{Timer, TimerQueue};
 
 pub type Shared = Rc<RefCell<Exchange>>;
 
@@ -54,61 +54,61 @@
     settings: Settings,
     seed: u64,
     operations: HashMap<Vec<u8>, usize>,
-    names: Vec<Rc<str>>,
+    operation_names: Vec<Rc<str>>,
     /// By operation, whether it may run and call again.
     idempotent: Vec<bool>,
     /// By operation, whether a run was ever seen to make more than one call.
-    calls_again: Vec<bool>,
-    meters: Vec<String>,
+    makes_several_calls: Vec<bool>,
+    gauge_names: Vec<String>,
     origin: Instant,
     /// The module's clock at the origin: Unix time then, so that its hours are those of the day.
     epoch: f64,
-    shedder: Option<AdmissionController>,
-    leaving: Option<Instant>,
-    hand: Hand,
-    doors: Doors,
-    alarms: Alarms,
-    alarmed: Rc<Notify>,
-    commands: Outbox<(Command, u64)>,
-    orders: Outbox<Order>,
-    left: Rc<Notify>,
-    healthy: bool,
-    trim_after: Duration,
-    closing: bool,
+    controller: Option<AdmissionController>,
+    shutdown_at: Option<Instant>,
+    invocations: InFlightTable,
+    connections: ConnectionTable,
+    timers: TimerQueue,
+    timers_changed: Rc<Notify>,
+    commands: SendQueue<(Command, u64)>,
+    call_commands: SendQueue<CallCommand>,
+    shutdown_notice: Rc<Notify>,
+    is_healthy: bool,
+    idle_timeout: Duration,
+    is_closing: bool,
     /// Bytes of invocations that are being read on all connections, how many these may be, and how many
     /// invocations may be in hand.
-    reading: Rc<Cell<usize>>,
-    reading_most: usize,
-    hand_most: usize,
+    reading_bytes: Rc<Cell<usize>>,
+    max_reading_bytes: usize,
+    max_in_flight: usize,
     /// The number of the next connection, of whatever kind.
     next_stream: u64,
     /// Told once when everything is to stop where it stands, to be carried on elsewhere.
     freeze: watch::Sender<bool>,
     /// What was handed in since then, and how many connections are done with it.
-    deposits: Vec<Deposit>,
-    handed_in: usize,
+    stopped_parts: Vec<StoppedPart>,
+    stopped_connections: usize,
     /// Where changes are noted before they show, as long as a predecessor watches.
     journal: Option<Journal>,
     /// Where new connections are passed to it.
-    passing: Option<mpsc::UnboundedSender<Passing>>,
+    opened_connections: Option<mpsc::UnboundedSender<OpenedConnection>>,
     /// Commands that were on the link when another process left it.
-    inherited: Vec<(Command, u64)>,
+    inherited_commands: Vec<(Command, u64)>,
     /// By operation, the dependencies of its calls; none where there is but the one catalogue.
-    parts: Option<Vec<Vec<Rc<str>>>>,
+    dependency_names: Option<Vec<Vec<Rc<str>>>>,
     /// What is believed on the word of others, for whichever module runs.
-    beliefs: PriorEstimates,
+    prior_estimates: PriorEstimates,
     /// What is known, in the form of its file, for whoever carries this on.
-    pub knowledge: Vec<u8>,
+    pub gossip_state: Vec<u8>,
     /// The policy for all, where that is on.
-    policy: Option<policy::Policed>,
+    policy: Option<policy::ActivePolicy>,
     /// What it may spend of the fleet's budgets, where policies are on.
-    spending: Option<budgets::Spending>,
+    quota: Option<quota::QuotaSpending>,
     pub counters: Counters,
 }
 
 impl Exchange {
     /// One for a configuration.
-    pub fn of(config: &Config) -> Result<Exchange, String> {
+    pub fn from_config(config: &Config) -> Result<Exchange, String> {
         Exchange::new(config.settings.clone(), config.seed, config.memory_mb)
     }
 
@@ -154,124 +154,124 @@
         Ok(Exchange {
             operations: operations.collect(),
             idempotent: (0..count).map(|place| has(place, "read_like")).collect(),
-            calls_again: vec![false; names.len()],
-            names,
-            meters: meters
+            makes_several_calls: vec![false; names.len()],
+            operation_names: names,
+            gauge_names: meters
                 .split(',')
                 .filter(|name| !name.is_empty())
                 .map(str::to_owned)
                 .collect(),
-            trim_after: idle_time(idle as f64 / 1e6),
+            idle_timeout: idle_time(idle as f64 / 1e6),
             settings,
             seed,
             origin: Instant::now(),
             epoch: unix_ms() / 1e3,
-            shedder: None,
-            leaving: None,
-            hand: Hand::default(),
-            doors: Doors::default(),
-            alarms: Alarms::default(),
-            alarmed: Rc::default(),
-            commands: Outbox::default(),
-            orders: Outbox::default(),
-            left: Rc::default(),
-            healthy: true,
-            closing: false,
-            reading: Rc::default(),
-            reading_most: memory_mb as usize * 1024 * 1024 / READING_PART,
-            hand_most: (memory_mb as usize * 1024 / HAND_KB).max(1),
+            controller: None,
+            shutdown_at: None,
+            invocations: InFlightTable::default(),
+            connections: ConnectionTable::default(),
+            timers: TimerQueue::default(),
+            timers_changed: Rc::default(),
+            commands: SendQueue::default(),
+            call_commands: SendQueue::default(),
+            shutdown_notice: Rc::default(),
+            is_healthy: true,
+            is_closing: false,
+            reading_bytes: Rc::default(),
+            max_reading_bytes: memory_mb as usize * 1024 * 1024 / READING_PART,
+            max_in_flight: (memory_mb as usize * 1024 / HAND_KB).max(1),
             next_stream: 1,
             freeze: watch::Sender::new(false),
-            deposits: Vec::new(),
-            handed_in: 0,
+            stopped_parts: Vec::new(),
+            stopped_connections: 0,
             journal: None,
-            passing: None,
-            inherited: Vec::new(),
-            parts: None,
-            beliefs: PriorEstimates::default(),
-            knowledge: Vec::new(),
+            opened_connections: None,
+            inherited_commands: Vec::new(),
+            dependency_names: None,
+            prior_estimates: PriorEstimates::default(),
+            gossip_state: Vec::new(),
             policy: None,
-            spending: None,
+            quota: None,
             counters: Counters::default(),
         })
     }
 
-    pub fn alarmed(&self) -> Rc<Notify> {
-        self.alarmed.clone()
+    pub fn timers_changed(&self) -> Rc<Notify> {
+        self.timers_changed.clone()
     }
 
-    pub fn next_alarm(&self) -> Option<Instant> {
-        self.alarms.next().map(|at| self.origin + at)
+    pub fn next_timer(&self) -> Option<Instant> {
+        self.timers.next().map(|at| self.origin + at)
     }
 
     /// Lets all happen whose time has come.
-    pub fn ring_alarms(&mut self) {
+    pub fn fire_timers(&mut self) {
         let now = self.origin.elapsed();
-        while let Some(alarm) = self.alarms.take(now) {
+        while let Some(alarm) = self.timers.pop_due(now) {
             match alarm {
-                Alarm::Call(id, number) => self.call_timed_out(id, number),
-                Alarm::Wake(handle) => self.wake(handle, &BTreeMap::new()),
+                Timer::CallTimeout(id, number) => self.call_timed_out(id, number),
+                Timer::Admission(handle) => self.fire_admission_timer(handle, &BTreeMap::new()),
             }
         }
     }
 
     /// The notice to leave, which came `late` ago: by `stop` the process has to be gone. The grace counts from the
     /// notice.
-    pub fn leave(&mut self, stop: Instant, late: Duration) {
-        self.leaving = Some(stop);
-        self.left.notify_one();
+    pub fn begin_shutdown(&mut self, stop: Instant, late: Duration) {
+        self.shutdown_at = Some(stop);
+        self.shutdown_notice.notify_one();
         let left = stop.saturating_duration_since(Instant::now()).as_secs_f64();
         let late = late.as_secs_f64();
-        self.decide(|shedder, now| shedder.shutdown_requested(now - late, left + late));
+        self.decide(|controller, now| controller.shutdown_requested(now - late, left + late));
     }
 
-    pub fn leaving(&self) -> bool {
-        self.leaving.is_some()
+    pub fn is_shutting_down(&self) -> bool {
+        self.shutdown_at.is_some()
     }
 
     /// Told once, when the notice to leave comes.
-    pub fn left(&self) -> Rc<Notify> {
-        self.left.clone()
+    pub fn shutdown_notice(&self) -> Rc<Notify> {
+        self.shutdown_notice.clone()
     }
 
     /// What the module has learnt by now, and its clock; none while the engine was never up.
-    pub fn learnt(&self) -> Option<(f64, LearnedState)> {
-        self.shedder
+    pub fn learned_state(&self) -> Option<(f64, LearnedState)> {
+        self.controller
             .as_ref()
-            .map(|shedder| (self.seconds(), shedder.learned_state()))
+            .map(|controller| (self.seconds(), controller.learned_state()))
     }
 
     /// How long runs take lately, of all operations together, in ms.
     pub fn run_ms(&self) -> Option<f64> {
-        let learnt = self.shedder.as_ref()?.learned_state();
-        let all = || learnt.operations.iter().flat_map(|of| &of.run_durations);
+        let learned = self.controller.as_ref()?.learned_state();
+        let all = || learned.operations.iter().flat_map(|of| &of.run_durations);
         let count = all().count();
         (count > 0).then(|| all().sum::<f64>() * 1e3 / count as f64)
     }
 
     /// What is believed on the word of others from here on.
-    pub fn believe(&mut self, beliefs: PriorEstimates) {
-        if beliefs != self.beliefs {
-            if let Some(shedder) = &mut self.shedder {
-                shedder.set_prior_estimates(beliefs.clone());
+    pub fn set_prior_estimates(&mut self, beliefs: PriorEstimates) {
+        if beliefs != self.prior_estimates {
+            if let Some(controller) = &mut self.controller {
+                controller.set_prior_estimates(beliefs.clone());
             }
-            self.beliefs = beliefs;
+            self.prior_estimates = beliefs;
         }
     }
 
-    pub fn in_hand(&self) -> usize {
-        self.hand.len()
+    pub fn in_flight(&self) -> usize {
+        self.invocations.len()
     }
 
     fn seconds(&self) -> f64 {
         self.epoch + self.origin.elapsed().as_secs_f64()
     }
 
-    fn set_alarm(&mut self, at: Duration, alarm: Alarm) {
-        if self.alarms.next().is_none_or(|next| at < next) {
-            self.alarmed.notify_one();
+    fn set_timer(&mut self, at: Duration, alarm: Timer) {
+        if self.timers.next().is_none_or(|next| at < next) {
+            self.timers_changed.notify_one();
         }
-        self.alarms.set(at, alarm);
+        self.timers.set(at, alarm);
     }
 }
 
--- a/crates/merlinshelf-backend/src/exchange/policy.rs
+++ b/crates/merlinshelf-backend/src/exchange/policy.rs
@@ -9,24 +9,24 @@
 use merlinshelf_policy::{EffectivePolicy, Heartbeat, InstanceStatus, LeaseHolder, Policy};
 use merlinshelf_quota::budget;
 
-use super::budgets::Spending;
-use super::{Exchange, Wanting, monotonic, unix_ms};
+use super::quota::QuotaSpending;
+use super::{CallDemand, Exchange, monotonic, unix_ms};
 use crate::operator::PolicySettings;
 
 /// What else is laid under a policy: told whenever it is another one. Whether it could be is asked first.
-pub trait Laid {
+pub trait PolicyOverlay {
     /// # Errors
     /// What does not fit.
     fn fits(&self, policy: &Policy) -> Result<(), String>;
     fn lay(&self, policy: &Policy);
 }
 
-pub struct Policed {
+pub struct ActivePolicy {
     holder: LeaseHolder,
     acting: EffectivePolicy,
     /// The settings as they were configured.
     base: Settings,
-    laid: Box<dyn Laid>,
+    laid: Box<dyn PolicyOverlay>,
 }
 
 /// A number that no other process of this machine has, nor this one at another time.
@@ -39,7 +39,11 @@
     ///
     /// # Errors
     /// The base policy does not fit this instance.
-    pub fn hold_policy(&mut self, of: &PolicySettings, laid: Box<dyn Laid>) -> Result<(), String> {
+    pub fn enable_policy(
+        &mut self,
+        of: &PolicySettings,
+        laid: Box<dyn PolicyOverlay>,
+    ) -> Result<(), String> {
         let base = std::mem::take(&mut self.settings);
         let settings = of
             .base
@@ -49,11 +53,11 @@
         let settings = settings.map_err(|why| format!("policy.base: {why}"));
         let life = life();
         let holder = LeaseHolder::new(life, of.base.clone(), of.without, of.drift);
-        self.spending = Some(Spending::new(life, self.seed, of));
+        self.quota = Some(QuotaSpending::new(life, self.seed, of));
         let acting = holder.effective_policy(monotonic());
         laid.lay(&of.base);
         self.settings = settings?;
-        self.policy = Some(Policed {
+        self.policy = Some(ActivePolicy {
             holder,
             acting,
             base,
@@ -63,9 +67,9 @@
     }
 
     /// What a successor goes on with. This one holds no lease from here on, also if it takes back.
-    pub(super) fn pass_policy(&mut self) -> (Vec<u8>, Vec<u8>) {
+    pub(super) fn begin_policy_handover(&mut self) -> (Vec<u8>, Vec<u8>) {
         let life = life();
-        self.lay_budgets(Wanting::default()); // what was spent since is counted
+        self.apply_quota(CallDemand::default()); // what was spent since is counted
         let passed = self
             .policy
             .as_mut()
@@ -75,7 +79,7 @@
             .unwrap_or_default();
         (
             policy,
-            self.spending
+            self.quota
                 .as_mut()
                 .map(|spending| spending.pass(life))
                 .unwrap_or_default(),
@@ -83,8 +87,8 @@
     }
 
     /// Goes on with what a predecessor passed.
-    pub fn take_policy(&mut self, passed: &[u8], shares: &[u8]) {
-        if let Some(spending) = self.spending.as_mut().filter(|_| !shares.is_empty()) {
+    pub fn resume_policy(&mut self, passed: &[u8], shares: &[u8]) {
+        if let Some(spending) = self.quota.as_mut().filter(|_| !shares.is_empty()) {
             spending.take(shares);
         }
         if let Some(policed) = &mut self.policy {
@@ -94,24 +98,24 @@
     }
 
     /// Whether it may take invocations: it knows which policy holds, or has stopped waiting.
-    pub fn policy_began(&self) -> bool {
+    pub fn is_policy_ready(&self) -> bool {
         self.policy
             .as_ref()
             .is_none_or(|policed| policed.holder.is_ready())
     }
 
     /// Nobody is waited for any more.
-    pub fn begin_without_policy(&mut self) {
+    pub fn stop_waiting_for_policy(&mut self) {
         if let Some(policed) = &mut self.policy {
             policed.holder.stop_waiting();
         }
     }
 
     /// A beat of this host's agent; none where policies are off.
-    pub fn policy_heard(&mut self, beat: Heartbeat) -> Option<InstanceStatus> {
+    pub fn handle_heartbeat(&mut self, beat: Heartbeat) -> Option<InstanceStatus> {
         let seed = self.seed;
         let policed = self.policy.as_mut()?;
-        let Policed {
+        let ActivePolicy {
             holder, base, laid, ..
         } = policed;
         let given = beat.quota_grants.clone();
@@ -123,8 +127,8 @@
             AdmissionController::start(0.0, seed, settings).map_err(|error| error.to_string())?;
             Ok(())
         });
-        self.mind_policy();
-        if let Some(spending) = &mut self.spending {
+        self.apply_current_policy();
+        if let Some(spending) = &mut self.quota {
             given.iter().for_each(|given| spending.heard(given));
             said.quota_requests = spending.asks();
         }
@@ -132,20 +136,20 @@
     }
 
     /// What is laid beside the settings is laid anew, for whoever changed what it is laid on.
-    pub fn lay_again(&self) {
+    pub fn reapply_overlay(&self) {
         if let Some(policed) = &self.policy {
             policed.laid.lay(policed.holder.policy(policed.acting));
         }
     }
 
-    pub fn policy_said(&self) -> Option<InstanceStatus> {
+    pub fn policy_status(&self) -> Option<InstanceStatus> {
         self.policy
             .as_ref()
             .map(|policed| policed.holder.status(monotonic()))
     }
 
     /// How long callers are to stay away where nothing may be served.
-    pub(super) fn turns_away(&self) -> Option<f64> {
+    pub(super) fn rejection_by_policy(&self) -> Option<f64> {
         let away = self
             .policy
             .as_ref()
@@ -168,7 +172,7 @@
     }
 
     /// Looks whether something else is to be acted on by now.
-    pub(super) fn mind_policy(&mut self) {
+    pub(super) fn apply_current_policy(&mut self) {
         let Some(policed) = &mut self.policy else {
             return;
         };
@@ -182,7 +186,7 @@
             Err(why) => return error!("a policy that was found to fit does not: {why}"),
         };
         policed.laid.lay(policed.holder.policy(acting));
-        if let Some(spending) = &mut self.spending {
+        if let Some(spending) = &mut self.quota {
             spending.bound(&policed.holder.policy(acting).budgets);
         }
         if let Some(fresh) = self.settings.get("FamilyInfo.FreshStart") {
@@ -190,42 +194,42 @@
         }
         self.settings = settings;
         self.counters.policies += 1;
-        info!(before = format!("{before:?}"), acts = format!("{acting:?}"), in_hand = self.hand.len(); "policy: acts on {acting:?}, before on {before:?}");
-        self.switch();
+        info!(before = format!("{before:?}"), acts = format!("{acting:?}"), in_hand = self.invocations.len(); "policy: acts on {acting:?}, before on {before:?}");
+        self.replace_controller();
     }
 
     /// A new module under the settings as they are takes up all that the former one had.
-    fn switch(&mut self) {
-        let Some(former) = self.shedder.take() else {
+    fn replace_controller(&mut self) {
+        let Some(former) = self.controller.take() else {
             return;
         };
-        let (seed, settings, learnt) = (self.seed, self.settings.clone(), former.learned_state());
-        match catch_unwind(|| AdmissionController::start(learnt.engine_started_at, seed, settings))
+        let (seed, settings, learned) = (self.seed, self.settings.clone(), former.learned_state());
+        match catch_unwind(|| AdmissionController::start(learned.engine_started_at, seed, settings))
         {
-            Ok(Ok((mut shedder, mut decided))) => {
-                shedder.restore_learned_state(learnt);
-                shedder.set_prior_estimates(self.beliefs.clone());
+            Ok(Ok((mut controller, mut decisions))) => {
+                controller.restore_learned_state(learned);
+                controller.set_prior_estimates(self.prior_estimates.clone());
                 let mut numbers: Vec<(u64, usize)> = self
-                    .hand
+                    .invocations
                     .all()
                     .into_iter()
-                    .filter_map(|inv| Some((self.hand.look(inv)?.place, inv)))
+                    .filter_map(|index| Some((self.invocations.get(index)?.arrival_order, index)))
                     .collect();
                 numbers.sort_unstable();
-                for (_, inv) in numbers {
-                    if let Some(it) = former.invocation(inv) {
-                        shedder.restore_invocation(inv, it.clone());
+                for (_, index) in numbers {
+                    if let Some(it) = former.invocation(index) {
+                        controller.restore_invocation(index, it.clone());
                     }
                 }
-                decided.health = decided.health.filter(|good| *good != self.healthy);
-                self.shedder = Some(shedder);
-                self.carry_out(decided);
+                decisions.health = decisions.health.filter(|good| *good != self.is_healthy);
+                self.controller = Some(controller);
+                self.carry_out(decisions);
             }
             _ => {
                 error!(
                     "the module does not start under another policy: it goes on under the former one"
                 );
-                self.shedder = Some(former);
+                self.controller = Some(former);
             }
         }
     }
--- a/crates/merlinshelf-backend/src/exchange/budgets.rs
+++ b/crates/merlinshelf-backend/src/exchange/quota.rs
@@ -25,7 +25,7 @@
 const LOOK_EVERY: f64 = 0.005;
 
 /// What an instance holds of all budgets.
-pub struct Spending {
+pub struct QuotaSpending {
     spender: QuotaClient,
     /// What the host has set aside, and where that is kept; nowhere: nothing is.
     aside: Budgets,
@@ -43,22 +43,22 @@
 
 /// What is wanted of a dependency at the moment.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Wanting {
+pub struct CallDemand {
     /// A first call, or a probe where it fails.
-    pub call: bool,
+    pub wants_call: bool,
     /// A further one.
-    pub again: bool,
+    pub wants_retry: bool,
 }
 
-impl Spending {
-    pub(super) fn new(life: u64, seed: u64, of: &PolicySettings) -> Spending {
+impl QuotaSpending {
+    pub(super) fn new(life: u64, seed: u64, of: &PolicySettings) -> QuotaSpending {
         let lease = LeaseTerms {
             lease_seconds: of.lease_ms as f64 / 1e3,
             drift: of.drift,
         };
         let mut spender = QuotaClient::new(life, lease);
         spender.set_budgets(&of.base.budgets);
-        Spending {
+        QuotaSpending {
             spender,
             aside: of.base.budgets.clone(),
             folder: of.aside.clone(),
@@ -112,7 +112,7 @@
         name: &str,
         left_over: Remaining,
         fails: bool,
-        wanting: Wanting,
+        wanting: CallDemand,
     ) -> Option<Remaining> {
         let now = monotonic();
         let before = self.told.get(name).map(|(left, _)| *left);
@@ -142,10 +142,10 @@
         } else {
             CallKind::FirstCall
         };
-        if wanting.call {
+        if wanting.wants_call {
             self.draw(now, name, call);
         }
-        if wanting.again {
+        if wanting.wants_retry {
             self.draw(now, name, CallKind::Retry);
         }
         let left = self.spender.remaining(now, name);
@@ -259,26 +259,26 @@
 
 impl Exchange {
     /// Tells the module what it may spend from here on. `again`: a further call is wanted now; `call`: one that its run wants.
-    pub(super) fn lay_budgets(&mut self, wanting: Wanting) {
-        let Some(spending) = &mut self.spending else {
+    pub(super) fn apply_quota(&mut self, wanting: CallDemand) {
+        let Some(spending) = &mut self.quota else {
             return;
         };
         if !spending.spender.has_budget(CATALOGUE) && !spending.told.contains_key(CATALOGUE) {
             return;
         }
-        let Some(shedder) = &mut self.shedder else {
+        let Some(controller) = &mut self.controller else {
             return;
         };
-        let usage = shedder.set_downstream_quota(DownstreamQuota::default());
+        let usage = controller.set_downstream_quota(DownstreamQuota::default());
         let waits = || {
-            self.hand.all().into_iter().any(|inv| {
-                shedder
-                    .invocation(inv)
-                    .is_some_and(|it| it.stage == Stage::AtCall)
+            self.invocations.all().into_iter().any(|index| {
+                controller
+                    .invocation(index)
+                    .is_some_and(|state| state.stage == Stage::AtCall)
             })
         };
-        let wanting = Wanting {
-            call: wanting.call || waits(),
+        let wanting = CallDemand {
+            wants_call: wanting.wants_call || waits(),
             ..wanting
         };
         let over = Remaining {
@@ -290,18 +290,18 @@
         let left = spending
             .renew(CATALOGUE, over, usage.is_failing, wanting)
             .unwrap_or(Remaining::ALL);
-        shedder.set_downstream_quota(DownstreamQuota {
+        controller.set_downstream_quota(DownstreamQuota {
             first_calls: left.first_calls,
             retries: left.retries,
             probes: left.probes,
             probes_only: left.probes_only,
             reopened: left.reopened,
         });
-        self.count_budgets();
+        self.count_quota_use();
     }
 
-    fn count_budgets(&mut self) {
-        if let Some(spending) = &mut self.spending {
+    fn count_quota_use(&mut self) {
+        if let Some(spending) = &mut self.quota {
             let (made, drawn) = std::mem::take(&mut spending.made);
             (self.counters.budget_calls, self.counters.budget_drawn) = (
                 self.counters.budget_calls + made,
@@ -311,8 +311,8 @@
     }
 
     /// A run wants a call to the one dependency of the platform.
-    pub(super) fn note_wish(&mut self) {
-        if let Some(spending) = &mut self.spending {
+    pub(super) fn note_call_demand(&mut self) {
+        if let Some(spending) = &mut self.quota {
             let failing = spending
                 .told
                 .get(CATALOGUE)
@@ -329,8 +329,8 @@
     }
 
     /// A call to it has ended; whether a further one may follow.
-    pub(super) fn note_end(&mut self, well: bool, again: bool) {
-        if let Some(spending) = &mut self.spending {
+    pub(super) fn note_call_end(&mut self, well: bool, again: bool) {
+        if let Some(spending) = &mut self.quota {
             spending
                 .spender
                 .record_call_end(monotonic(), CATALOGUE, well);
@@ -341,21 +341,19 @@
     }
 
     /// What may be spent on a dependency that is told apart, for the one who calls it: as `renew` of it says.
-    pub fn budget(
+    pub fn renew_quota(
         &mut self,
         name: &str,
         left_over: Remaining,
         fails: bool,
-        wanting: Wanting,
+        wanting: CallDemand,
     ) -> Option<Remaining> {
-        self.spending
-            .as_mut()?
-            .renew(name, left_over, fails, wanting)
+        self.quota.as_mut()?.renew(name, left_over, fails, wanting)
     }
 
     /// Dependencies whose budgets its caller is to be told of.
-    pub fn budgeted(&self) -> Vec<String> {
-        let Some(spending) = &self.spending else {
+    pub fn limited_dependencies(&self) -> Vec<String> {
+        let Some(spending) = &self.quota else {
             return Vec::new();
         };
         let names = spending
@@ -370,8 +368,13 @@
     }
 
     /// A call to a dependency that is told apart is wanted, or has ended.
-    pub fn note_budget(&mut self, name: &str, wants: Option<CallKind>, ended: Option<bool>) {
-        let Some(spending) = &mut self.spending else {
+    pub fn note_dependency_call(
+        &mut self,
+        name: &str,
+        wants: Option<CallKind>,
+        ended: Option<bool>,
+    ) {
+        let Some(spending) = &mut self.quota else {
             return;
         };
         if let Some(kind) = wants {
@@ -383,15 +386,15 @@
     }
 
     /// A connection is to be opened for a call that waits for it.
-    pub fn wants_line(&mut self, name: &str) {
-        if let Some(spending) = &mut self.spending {
+    pub fn note_connection_demand(&mut self, name: &str) {
+        if let Some(spending) = &mut self.quota {
             spending.wants(name, CallKind::NewConnection);
         }
     }
 
     /// Whether a connection may be opened now; it is counted where it may.
-    pub fn may_open(&mut self, name: &str) -> bool {
-        let Some(spending) = &mut self.spending else {
+    pub fn may_open_connection(&mut self, name: &str) -> bool {
+        let Some(spending) = &mut self.quota else {
             return true;
         };
         let now = monotonic();
@@ -406,13 +409,13 @@
         if may {
             spending.spend(now, name, CallKind::NewConnection, 1);
         }
-        self.count_budgets();
+        self.count_quota_use();
         may
     }
 
     /// What is held of each budget, for reports.
-    pub fn budgets(&self) -> Option<Value> {
-        let spending = self.spending.as_ref()?;
+    pub fn quota_report(&self) -> Option<Value> {
+        let spending = self.quota.as_ref()?;
         let now = monotonic();
         let of = |(name, kind): (&String, CallKind)| {
             json!({
--- a/crates/merlinshelf-backend/src/exchange/runs.rs
+++ b/crates/merlinshelf-backend/src/exchange/runs.rs
@@ -10,7 +10,7 @@
 use merlinshelf_protocol::engine::End;
 use tokio::sync::Notify;
 
-use super::{Answer, Exchange, Wanting};
+use super::{Answer, CallDemand, Exchange};
 
 /// Gauges that may be older than this say nothing about now.
 pub(super) const GAUGES_AGE: Duration = Duration::from_millis(100);
@@ -42,47 +42,48 @@
 }
 
 impl Exchange {
-    pub fn commands_wake(&self) -> Rc<Notify> {
-        self.commands.wake()
+    pub fn commands_waker(&self) -> Rc<Notify> {
+        self.commands.waker()
     }
 
     /// The next command, and how much had been heard of its invocation when it was given.
     pub fn next_command(&mut self) -> Option<(Command, u64)> {
         let (command, heard) = self.commands.pop()?;
-        let one = self
-            .hand
+        let invocation = self
+            .invocations
             .find(command.id())
-            .and_then(|inv| self.hand.get(inv));
-        if let Some((_, sent)) = one.and_then(|one| one.command.as_mut()) {
+            .and_then(|index| self.invocations.get_mut(index));
+        if let Some((_, sent)) = invocation.and_then(|invocation| invocation.command.as_mut()) {
             *sent = true;
         }
         Some((command, heard))
     }
 
     /// The engine has read a command that was given when so much had been heard of its invocation.
-    pub fn command_read(&mut self, command: &Command, heard: u64) {
-        let one = self
-            .hand
+    pub fn command_acknowledged(&mut self, command: &Command, heard: u64) {
+        let invocation = self
+            .invocations
             .find(command.id())
-            .and_then(|inv| self.hand.get(inv));
-        if let Some(one) = one.filter(|one| one.heard == heard) {
-            one.command = None;
+            .and_then(|index| self.invocations.get_mut(index));
+        if let Some(invocation) = invocation.filter(|invocation| invocation.notifications == heard)
+        {
+            invocation.command = None;
         }
     }
 
     /// The one place where a command is given.
-    pub(super) fn give(&mut self, inv: usize, command: Command) {
-        let Some(one) = self.hand.get(inv) else {
+    pub(super) fn send_command(&mut self, index: usize, command: Command) {
+        let Some(invocation) = self.invocations.get_mut(index) else {
             return;
         };
-        one.command = Some((command.clone(), false));
-        self.commands.push((command, one.heard));
+        invocation.command = Some((command.clone(), false));
+        self.commands.push((command, invocation.notifications));
     }
 
     /// The engine has said HELLO: the module starts, cold or warm as the engine did. Starts it anew where the
     /// engine has been started anew, whose runs are then all gone.
     pub fn engine_up(&mut self, warm: bool, up: f64, anew: bool) {
-        if self.shedder.is_some() && !anew {
+        if self.controller.is_some() && !anew {
             return;
         }
         let name = "FamilyInfo.FreshStart";
@@ -100,29 +101,29 @@
         if anew {
             return self.start_over(up);
         }
-        self.start(up);
+        self.start_controller(up);
     }
 
     /// A run is over.
-    pub fn ended(&mut self, id: CallId, end: End, took: f64, result: &[u8]) {
+    pub fn run_ended(&mut self, id: CallId, end: End, took: f64, result: &[u8]) {
         self.counters.done += 1;
-        let Some(inv) = self.heard(id) else {
+        let Some(index) = self.note_notification(id) else {
             return debug!("{id} is over, and not in hand");
         };
         match end {
             End::Succeeded => {
                 let missing = self
-                    .hand
-                    .look(inv)
-                    .map(|one| one.missing.join(", "))
+                    .invocations
+                    .get(index)
+                    .map(|invocation| invocation.missing_parts.join(", "))
                     .unwrap_or_default();
                 let answer = match missing.is_empty() {
                     true => Answer::Succeeded(result.into()),
                     false => Answer::Partial(result.into(), missing.into()),
                 };
-                self.answer(inv, answer);
+                self.answer(index, answer);
             }
-            End::Errored => self.answer(inv, Answer::Errored),
+            End::Errored => self.answer(index, Answer::Failed),
             End::Stopped | End::Moot => {}
         }
         let outcome = Outcome {
@@ -130,71 +131,74 @@
             never_ran: end == End::Moot,
             stopped: end == End::Stopped,
         };
-        self.decide(|shedder, now| shedder.run_ended(now, inv, outcome, took));
+        self.decide(|controller, now| controller.run_ended(now, index, outcome, took));
     }
 
     /// A run waits for a call with this body, of the dependency that it names where that was agreed.
-    pub fn wants_call(&mut self, id: CallId, number: u64, named: Option<&str>, body: &[u8]) {
+    pub fn call_requested(&mut self, id: CallId, number: u64, named: Option<&str>, body: &[u8]) {
         self.counters.needs += 1;
-        let Some(inv) = self.heard(id) else {
+        let Some(index) = self.note_notification(id) else {
             return debug!("{id} wants a call, and is not in hand");
         };
-        self.drop_call(inv);
-        if let Some(one) = self.hand.get(inv) {
-            self.calls_again[one.operation] |= one.need.is_some();
-            one.need = Some((number, body.into()));
-            (one.named, one.wanted) = (named.map(Rc::from), one.wanted + 1);
+        self.abandon_call(index);
+        if let Some(invocation) = self.invocations.get_mut(index) {
+            self.makes_several_calls[invocation.operation] |= invocation.call_request.is_some();
+            invocation.call_request = Some((number, body.into()));
+            (invocation.named_dependency, invocation.calls_requested) =
+                (named.map(Rc::from), invocation.calls_requested + 1);
         }
-        self.note_wish();
-        let wanting = Wanting {
-            call: true,
-            again: false,
+        self.note_call_demand();
+        let wanting = CallDemand {
+            wants_call: true,
+            wants_retry: false,
         };
-        self.decide_on(wanting, |shedder, now| shedder.call_requested(now, inv));
+        self.decide_with_demand(wanting, |controller, now| {
+            controller.call_requested(now, index)
+        });
     }
 
-    pub(super) fn heard(&mut self, id: CallId) -> Option<usize> {
-        let inv = self.hand.find(id)?;
-        let one = self.hand.get(inv)?;
-        (one.heard, one.command) = (one.heard + 1, None);
-        Some(inv)
+    pub(super) fn note_notification(&mut self, id: CallId) -> Option<usize> {
+        let index = self.invocations.find(id)?;
+        let invocation = self.invocations.get_mut(index)?;
+        (invocation.notifications, invocation.command) = (invocation.notifications + 1, None);
+        Some(index)
     }
 
     /// The gauges, in the order of the settings, asked for so long ago. The module hears them at this moment,
     /// with its next wake brought forward: it takes what runs by its own count from what the engine counts,
     /// and by the time the wake was due runs would have ended and begun.
-    pub fn gauges(&mut self, values: &[f64], age: Duration) {
+    pub fn gauges_received(&mut self, values: &[f64], age: Duration) {
         self.counters.stats += 1;
         if age > GAUGES_AGE {
             return;
         }
-        let gauges = self.named(values);
-        if let Some(handle) = self.alarms.pull_wake() {
-            self.wake(handle, &gauges);
+        let gauges = self.named_gauges(values);
+        if let Some(handle) = self.timers.take_next_admission() {
+            self.fire_admission_timer(handle, &gauges);
         }
     }
 
     /// By the names of the settings; what is no number is left out.
-    pub(super) fn named(&self, values: &[f64]) -> BTreeMap<String, f64> {
-        let named = self.meters.iter().cloned().zip(values.iter().copied());
+    pub(super) fn named_gauges(&self, values: &[f64]) -> BTreeMap<String, f64> {
+        let named = self.gauge_names.iter().cloned().zip(values.iter().copied());
         named.filter(|(_, value)| value.is_finite()).collect()
     }
 
-    pub(super) fn wake(&mut self, handle: u64, gauges: &BTreeMap<String, f64>) {
-        self.decide(|shedder, now| shedder.timer_fired(now, handle, gauges));
+    pub(super) fn fire_admission_timer(&mut self, handle: u64, gauges: &BTreeMap<String, f64>) {
+        self.decide(|controller, now| controller.timer_fired(now, handle, gauges));
     }
 
     /// The engine did not carry out a command.
     pub fn command_refused(&mut self, word: &[u8], id: CallId) {
         self.counters.refused_commands += 1;
         warn!("the engine refused {} {id}", word.escape_ascii());
-        if let (b"RUN", Some(inv)) = (word, self.hand.find(id)) {
-            self.answer(inv, Answer::Unknown);
+        if let (b"RUN", Some(index)) = (word, self.invocations.find(id)) {
+            self.answer(index, Answer::Unknown);
             let outcome = Outcome {
                 never_ran: true,
                 ..Outcome::default()
             };
-            self.decide(|shedder, now| shedder.run_ended(now, inv, outcome, 0.0));
+            self.decide(|controller, now| controller.run_ended(now, index, outcome, 0.0));
         }
     }
 
@@ -203,36 +207,40 @@
     /// reply names neither, but where runs make one call at most a second FEED finds the run waiting for
     /// it or is refused. Elsewhere the module is asked about that call once more.
     pub fn command_lost(&mut self, command: Command, heard: u64) {
-        let Some(inv) = self.hand.find(command.id()) else {
+        let Some(index) = self.invocations.find(command.id()) else {
             return;
         };
-        let Some(one) = self.hand.get(inv) else {
+        let Some(invocation) = self.invocations.get_mut(index) else {
             return;
         };
-        if one.heard != heard {
+        if invocation.notifications != heard {
             return;
         }
-        let operation = one.operation;
+        let operation = invocation.operation;
         match command {
             // A second one might reach the run's next call, where runs of this operation make more than one.
-            Command::Feed { .. } if self.calls_again[operation] => {
+            Command::Feed { .. } if self.makes_several_calls[operation] => {
                 if self.idempotent[operation] {
-                    self.decide(|shedder, now| shedder.call_requested(now, inv));
+                    self.decide(|controller, now| controller.call_requested(now, index));
                 }
             }
-            command => self.give(inv, command),
+            command => self.send_command(index, command),
         }
     }
 
-    pub(super) fn begin(&mut self, inv: usize) {
-        let Some(one) = self.hand.get(inv) else {
+    pub(super) fn start_run(&mut self, index: usize) {
+        let Some(invocation) = self.invocations.get_mut(index) else {
             return;
         };
-        one.begun = true;
-        let (id, operation, body) = (one.id, self.names[one.operation].clone(), one.body.clone());
+        invocation.has_started = true;
+        let (id, operation, body) = (
+            invocation.id,
+            self.operation_names[invocation.operation].clone(),
+            invocation.body.clone(),
+        );
         self.counters.runs += 1;
-        self.give(
-            inv,
+        self.send_command(
+            index,
             Command::Run {
                 id,
                 operation,
@@ -241,13 +249,15 @@
         );
     }
 
-    pub(super) fn degrade(&mut self, inv: usize) {
-        let Some(one) = self.hand.get(inv) else {
+    pub(super) fn skip_call(&mut self, index: usize) {
+        let Some(invocation) = self.invocations.get_mut(index) else {
+            return;
+        };
+        let Some((need, _)) = invocation.call_request else {
             return;
         };
-        let Some((need, _)) = one.need else { return };
-        let id = one.id;
+        let id = invocation.id;
         self.counters.skips += 1;
-        self.give(inv, Command::Skip { id, need });
+        self.send_command(index, Command::Skip { id, need });
     }
 }
--- a/crates/merlinshelf-backend/src/exchange/outbox.rs
+++ b/crates/merlinshelf-backend/src/exchange/send_queue.rs
@@ -6,21 +6,21 @@
 use tokio::sync::Notify;
 
 #[derive(Debug)]
-pub struct Outbox<T> {
+pub struct SendQueue<T> {
     waiting: VecDeque<T>,
     wake: Rc<Notify>,
 }
 
-impl<T> Default for Outbox<T> {
+impl<T> Default for SendQueue<T> {
     fn default() -> Self {
-        Outbox {
+        SendQueue {
             waiting: VecDeque::new(),
             wake: Rc::default(),
         }
     }
 }
 
-impl<T> Outbox<T> {
+impl<T> SendQueue<T> {
     pub fn push(&mut self, item: T) {
         self.waiting.push_back(item);
         self.wake.notify_one();
@@ -43,11 +43,11 @@
     }
 
     /// Wakes the side without a message, to look at the exchange anew.
-    pub fn nudge(&self) {
+    pub fn wake(&self) {
         self.wake.notify_one();
     }
 
-    pub fn wake(&self) -> Rc<Notify> {
+    pub fn waker(&self) -> Rc<Notify> {
         self.wake.clone()
     }
 }
--- a/crates/merlinshelf-backend/src/exchange/carry.rs
+++ b/crates/merlinshelf-backend/src/exchange/snapshot.rs
@@ -17,29 +17,29 @@
 use serde_bytes::ByteBuf;
 use tokio::sync::{mpsc, oneshot, watch};
 
-use super::alarms::Alarm;
-use super::hand::{InHand, Reply};
+use super::in_flight::{InFlightInvocation, ReplyAddress};
 use super::runs::Command;
-use super::{Answer, Exchange, Order, Shared};
+use super::timers::Timer;
+use super::{Answer, CallCommand, Exchange, Shared};
 use crate::journal::Journal;
 
 /// What a part hands in when it stops where it stands: its record, and its connection where it has one.
 #[derive(Debug)]
-pub enum Deposit {
-    Edge(u64, records::ClientConnectionRecord, TcpStream),
-    Line(u64, records::DownstreamConnectionRecord, TcpStream),
-    Link(records::EngineConnectionRecord, Option<TcpStream>),
+pub enum StoppedPart {
+    Client(u64, records::ClientConnectionRecord, TcpStream),
+    Downstream(u64, records::DownstreamConnectionRecord, TcpStream),
+    Engine(records::EngineConnectionRecord, Option<TcpStream>),
 }
 
 /// A connection on its way to the predecessor, and where to say that it has arrived there.
-pub struct Passing {
+pub struct OpenedConnection {
     pub role: Role,
     pub descriptor: OwnedFd,
     pub passed: oneshot::Sender<()>,
 }
 
 /// Connections that a process hands over, by what they are.
-pub type Passed = BTreeMap<Role, OwnedFd>;
+pub type PassedDescriptors = BTreeMap<Role, OwnedFd>;
 
 /// Now, by the clock that all processes of the machine read alike.
 pub fn monotonic() -> f64 {
@@ -56,7 +56,7 @@
     // To be carried on elsewhere.
 
     /// Turns true when every part is to stop where it stands and to hand itself in.
-    pub fn freezing(&self) -> watch::Receiver<bool> {
+    pub fn freeze_notice(&self) -> watch::Receiver<bool> {
         self.freeze.subscribe()
     }
 
@@ -67,39 +67,39 @@
     /// Stops everything where it stands.
     pub fn freeze(&mut self) {
         self.freeze.send_replace(true);
-        self.doors.nudge_all();
+        self.connections.wake_all();
     }
 
-    pub fn deposit(&mut self, deposit: Deposit) {
-        self.deposits.push(deposit);
+    pub fn add_stopped_part(&mut self, deposit: StoppedPart) {
+        self.stopped_parts.push(deposit);
     }
 
     /// The image of what is here, once all parts have handed themselves in, and their connections.
-    pub fn take_image(&mut self) -> (Transaction, Passed) {
-        let (mut image, mut passed) = (Transaction::default(), Passed::new());
-        let mut instance = self.instance(true);
-        let (policy, shares) = self.pass_policy();
+    pub fn take_snapshot(&mut self) -> (Transaction, PassedDescriptors) {
+        let (mut image, mut passed) = (Transaction::default(), PassedDescriptors::new());
+        let mut instance = self.instance_record(true);
+        let (policy, shares) = self.begin_policy_handover();
         (instance.policy, instance.quota) = (ByteBuf::from(policy), ByteBuf::from(shares));
         image.put(Key::Instance, &instance);
-        for number in self.hand.all() {
-            if let Some((key, record)) = self.invocation(number) {
+        for number in self.invocations.all() {
+            if let Some((key, record)) = self.invocation_record(number) {
                 image.put(key, &record);
             }
         }
-        for (stream, door) in self.doors_with_answers() {
-            image.put(Key::ResponseQueue(stream), &door);
+        for (stream, connection) in self.queues_with_answers() {
+            image.put(Key::ResponseQueue(stream), &connection);
         }
-        for deposit in std::mem::take(&mut self.deposits) {
+        for deposit in std::mem::take(&mut self.stopped_parts) {
             match deposit {
-                Deposit::Edge(stream, edge, socket) => {
+                StoppedPart::Client(stream, edge, socket) => {
                     image.put(Key::ClientConnection(stream), &edge);
                     passed.insert(Role::ClientConnection(stream), socket.into());
                 }
-                Deposit::Line(stream, line, socket) => {
+                StoppedPart::Downstream(stream, line, socket) => {
                     image.put(Key::DownstreamConnection(stream), &line);
                     passed.insert(Role::DownstreamConnection(stream), socket.into());
                 }
-                Deposit::Link(link, socket) => {
+                StoppedPart::Engine(link, socket) => {
                     image.put(Key::EngineConnection, &link);
                     if let (Some(stream), Some(socket)) = (link.stream, socket) {
                         passed.insert(Role::EngineConnection(stream), socket.into());
@@ -110,31 +110,35 @@
         (image, passed)
     }
 
-    fn instance(&self, whole: bool) -> records::Instance {
-        let learnt = self
-            .shedder
+    fn instance_record(&self, whole: bool) -> records::Instance {
+        let learned = self
+            .controller
             .as_ref()
             .filter(|_| whole)
             .map(AdmissionController::learned_state);
         let fresh_start = self.settings.get("FamilyInfo.FreshStart").cloned();
         records::Instance {
             clock_offset_seconds: self.seconds() - monotonic(),
-            operations: self.names.iter().map(|name| name.to_string()).collect(),
+            operations: self
+                .operation_names
+                .iter()
+                .map(|name| name.to_string())
+                .collect(),
             next_stream: self.next_stream,
-            is_healthy: self.healthy,
-            idle_timeout_seconds: self.trim_after.as_secs_f64(),
-            drain_deadline_at: self.leaving.map(|stop| {
+            is_healthy: self.is_healthy,
+            idle_timeout_seconds: self.idle_timeout.as_secs_f64(),
+            drain_deadline_at: self.shutdown_at.map(|stop| {
                 monotonic()
                     + stop
                         .saturating_duration_since(tokio::time::Instant::now())
                         .as_secs_f64()
             }),
             fresh_start,
-            repeats_calls: self.calls_again.clone(),
+            repeats_calls: self.makes_several_calls.clone(),
             counters: self.counters.by_name(),
-            learned: learnt,
+            learned: learned,
             gossip: ByteBuf::from(if whole {
-                self.knowledge.clone()
+                self.gossip_state.clone()
             } else {
                 Vec::new()
             }),
@@ -143,13 +147,18 @@
         }
     }
 
-    fn doors_with_answers(&self) -> Vec<(u64, records::ResponseQueueRecord)> {
-        let doors = self.doors.numbers().filter_map(|number| self.door(number));
-        doors.filter(|(_, door)| !door.answers.is_empty()).collect()
+    fn queues_with_answers(&self) -> Vec<(u64, records::ResponseQueueRecord)> {
+        let connections = self
+            .connections
+            .numbers()
+            .filter_map(|number| self.response_queue(number));
+        connections
+            .filter(|(_, connection)| !connection.answers.is_empty())
+            .collect()
     }
 
-    fn door(&self, number: usize) -> Option<(u64, records::ResponseQueueRecord)> {
-        let (stream, answers) = self.doors.look(number)?;
+    fn response_queue(&self, number: usize) -> Option<(u64, records::ResponseQueueRecord)> {
+        let (stream, answers) = self.connections.queue(number)?;
         let answers = answers
             .iter()
             .map(|(tag, answer)| (*tag, answer.record()))
@@ -157,14 +166,14 @@
         Some((stream, records::ResponseQueueRecord { answers }))
     }
 
-    fn invocation(&self, number: usize) -> Option<(Key, records::Invocation)> {
-        let one = self.hand.look(number)?;
-        let inv = self.shedder.as_ref()?.invocation(number)?.clone();
+    fn invocation_record(&self, number: usize) -> Option<(Key, records::Invocation)> {
+        let invocation = self.invocations.get(number)?;
+        let index = self.controller.as_ref()?.invocation(number)?.clone();
         let bytes = |bytes: &[u8]| ByteBuf::from(bytes);
-        let reply = one
+        let reply = invocation
             .reply
-            .and_then(|reply| Some((self.doors.look(reply.door)?.0, reply.tag)));
-        let command = one.command.as_ref().map(|(command, sent)| {
+            .and_then(|reply| Some((self.connections.queue(reply.connection)?.0, reply.tag)));
+        let command = invocation.command.as_ref().map(|(command, sent)| {
             let command = match command {
                 Command::Run { .. } => records::Command::Run,
                 Command::Feed { reply, .. } => records::Command::Feed(bytes(reply)),
@@ -175,92 +184,103 @@
         let until =
             |at: Duration| monotonic() + at.as_secs_f64() - self.origin.elapsed().as_secs_f64();
         let record = records::Invocation {
-            operation: one.operation,
-            body: bytes(&one.body),
+            operation: invocation.operation,
+            body: bytes(&invocation.body),
             response_target: reply,
-            call_notification: one
-                .need
+            call_notification: invocation
+                .call_request
                 .as_ref()
                 .map(|(number, body)| (*number, bytes(body))),
-            dependency: one.named.as_deref().map(str::to_owned),
-            requested_calls: one.wanted,
-            missing_parts: one.missing.iter().map(|part| part.to_string()).collect(),
-            call_count: one.calls,
-            call_deadline_at: one.calling_until.filter(|_| one.calling).map(until),
-            has_started: one.begun,
-            notification_count: one.heard,
+            dependency: invocation.named_dependency.as_deref().map(str::to_owned),
+            requested_calls: invocation.calls_requested,
+            missing_parts: invocation
+                .missing_parts
+                .iter()
+                .map(|part| part.to_string())
+                .collect(),
+            call_count: invocation.calls,
+            call_deadline_at: invocation
+                .call_timeout_at
+                .filter(|_| invocation.is_calling)
+                .map(until),
+            has_started: invocation.has_started,
+            notification_count: invocation.notifications,
             command,
-            arrival_order: one.place,
-            state: inv,
+            arrival_order: invocation.arrival_order,
+            state: index,
         };
         let mut id = [0; 16];
-        id.copy_from_slice(one.id.as_bytes());
+        id.copy_from_slice(invocation.id.as_bytes());
         Some((Key::Invocation(id), record))
     }
 
     // While a predecessor watches.
 
     /// From here on every change is noted before it shows.
-    pub fn note(&mut self, journal: Journal, passing: mpsc::UnboundedSender<Passing>) {
-        (self.journal, self.passing) = (Some(journal), Some(passing));
-        (self.hand.changes, self.doors.changes) =
+    pub fn start_journal(
+        &mut self,
+        journal: Journal,
+        passing: mpsc::UnboundedSender<OpenedConnection>,
+    ) {
+        (self.journal, self.opened_connections) = (Some(journal), Some(passing));
+        (self.invocations.unsaved, self.connections.unsaved) =
             (Some(Default::default()), Some(Default::default()));
     }
 
     /// Nobody watches any more.
-    pub fn note_no_more(&mut self) {
-        (self.journal, self.passing) = (None, None);
-        (self.hand.changes, self.doors.changes) = (None, None);
+    pub fn stop_journal(&mut self) {
+        (self.journal, self.opened_connections) = (None, None);
+        (self.invocations.unsaved, self.connections.unsaved) = (None, None);
     }
 
-    pub fn notes(&self) -> bool {
+    pub fn is_journaling(&self) -> bool {
         self.journal.is_some()
     }
 
     /// Memory that notes take which the predecessor has not read, in bytes.
-    pub fn unread_notes(&self) -> u64 {
+    pub fn unread_journal_bytes(&self) -> u64 {
         self.journal.as_ref().map_or(0, Journal::unread_bytes)
     }
 
     /// Puts a part's own record with what is noted next.
-    pub fn stage(&mut self, key: Key, record: &impl Serialize) {
+    pub fn journal_record(&mut self, key: Key, record: &impl Serialize) {
         if let Some(journal) = &mut self.journal {
             journal.put(key, record);
         }
     }
 
     /// What stood under these keys is gone.
-    pub fn stage_gone(&mut self, keys: &[Key]) {
+    pub fn journal_removal(&mut self, keys: &[Key]) {
         if let Some(journal) = &mut self.journal {
             keys.iter().for_each(|key| journal.remove(*key));
         }
     }
 
     /// Notes all that has changed. Whatever shows outside comes after this.
-    pub fn secure(&mut self) {
+    pub fn write_journal(&mut self) {
         let Some(mut journal) = self.journal.take() else {
             return;
         };
-        if let Some((changed, gone)) = self.hand.changes.replace(Default::default()) {
+        if let Some((changed, gone)) = self.invocations.unsaved.replace(Default::default()) {
             for id in gone {
                 let mut name = [0; 16];
                 name.copy_from_slice(id.as_bytes());
                 journal.remove(Key::Invocation(name));
             }
             for number in changed {
-                if let Some((key, record)) = self.invocation(number) {
+                if let Some((key, record)) = self.invocation_record(number) {
                     journal.put(key, &record);
                 }
             }
         }
         for number in self
-            .doors
-            .changes
+            .connections
+            .unsaved
             .replace(Default::default())
             .unwrap_or_default()
         {
-            if let Some((stream, door)) = self.door(number) {
-                journal.put(Key::ResponseQueue(stream), &door);
+            if let Some((stream, connection)) = self.response_queue(number) {
+                journal.put(Key::ResponseQueue(stream), &connection);
             }
         }
         journal.write();
@@ -268,18 +288,18 @@
     }
 
     /// Notes the instance as a whole, without what was learnt.
-    pub fn secure_instance(&mut self) {
-        if self.notes() {
-            let instance = self.instance(false);
-            self.stage(Key::Instance, &instance);
-            self.secure();
+    pub fn write_instance_to_journal(&mut self) {
+        if self.is_journaling() {
+            let instance = self.instance_record(false);
+            self.journal_record(Key::Instance, &instance);
+            self.write_journal();
         }
     }
 
     // Taken up from another process.
 
     /// Whether what the image holds can go on under these settings.
-    pub fn suits(&self, image: &Image) -> Result<(), String> {
+    pub fn check_image(&self, image: &Image) -> Result<(), String> {
         let instance: records::Instance = image
             .get(Key::Instance)
             .ok_or("the image holds no instance")?;
@@ -287,7 +307,7 @@
             .operations
             .iter()
             .map(String::as_str)
-            .ne(self.names.iter().map(AsRef::as_ref))
+            .ne(self.operation_names.iter().map(AsRef::as_ref))
         {
             return Err("the settings name other operations than the image".into());
         }
@@ -296,11 +316,11 @@
 
     /// Takes up the instance and all invocations in hand from an image whose connections have come as well. The doors
     /// must be open by now; `lines` are the calls below that go on.
-    pub fn take_up(
+    pub fn restore(
         &mut self,
         image: &Image,
         lines: &[records::DownstreamConnectionRecord],
-        learnt: Option<merlinshelf_admission::LearnedState>,
+        learned: Option<merlinshelf_admission::LearnedState>,
     ) {
         let instance: records::Instance = image.get(Key::Instance).unwrap_or_default();
         let numbers = image.keys().filter_map(|key| match key {
@@ -311,36 +331,39 @@
         let (now, since_origin) = (monotonic(), self.origin.elapsed());
         self.epoch = instance.clock_offset_seconds + now - since_origin.as_secs_f64();
         self.next_stream = self.next_stream.max(instance.next_stream);
-        self.healthy = instance.is_healthy;
-        self.trim_after = super::idle_time(instance.idle_timeout_seconds);
+        self.is_healthy = instance.is_healthy;
+        self.idle_timeout = super::idle_time(instance.idle_timeout_seconds);
         self.counters.set(&instance.counters);
-        if instance.repeats_calls.len() == self.calls_again.len() {
-            self.calls_again = instance.repeats_calls;
+        if instance.repeats_calls.len() == self.makes_several_calls.len() {
+            self.makes_several_calls = instance.repeats_calls;
         }
         if let Some(fresh) = instance.fresh_start {
             self.settings.insert("FamilyInfo.FreshStart".into(), fresh);
         }
         if let Some(stop) = instance.drain_deadline_at {
             let left = Duration::from_secs_f64((stop - now).clamp(0.0, 1e6));
-            self.leaving = Some(tokio::time::Instant::now() + left);
+            self.shutdown_at = Some(tokio::time::Instant::now() + left);
         }
-        self.knowledge = instance.gossip.into_vec();
-        let Some(learnt) = instance.learned.or(learnt) else {
+        self.gossip_state = instance.gossip.into_vec();
+        let Some(learned) = instance.learned.or(learned) else {
             return;
         };
-        match AdmissionController::start(learnt.engine_started_at, self.seed, self.settings.clone())
-        {
-            Ok((mut shedder, decided)) => {
-                shedder.restore_learned_state(learnt);
-                self.shedder = Some(shedder);
-                self.carry_out(decided);
+        match AdmissionController::start(
+            learned.engine_started_at,
+            self.seed,
+            self.settings.clone(),
+        ) {
+            Ok((mut controller, decisions)) => {
+                controller.restore_learned_state(learned);
+                self.controller = Some(controller);
+                self.carry_out(decisions);
             }
             Err(reason) => return error!("the module does not start: {reason}"),
         }
-        let doors: HashMap<u64, usize> = self
-            .doors
+        let connections: HashMap<u64, usize> = self
+            .connections
             .numbers()
-            .filter_map(|number| Some((self.doors.look(number)?.0, number)))
+            .filter_map(|number| Some((self.connections.queue(number)?.0, number)))
             .collect();
         let mut invocations: Vec<(CallId, records::Invocation)> = Vec::new();
         for key in image.keys() {
@@ -351,80 +374,85 @@
                 }
                 Key::ResponseQueue(stream) => {
                     let answers: records::ResponseQueueRecord = image.get(key).unwrap_or_default();
-                    if let Some(outbox) =
-                        doors.get(&stream).and_then(|door| self.doors.outbox(*door))
+                    if let Some(queue) = connections
+                        .get(&stream)
+                        .and_then(|connection| self.connections.queue_mut(*connection))
                     {
                         answers
                             .answers
                             .into_iter()
-                            .for_each(|(tag, one)| outbox.push((tag, one.into())));
+                            .for_each(|(tag, invocation)| queue.push((tag, invocation.into())));
                     }
                 }
                 _ => {}
             }
         }
-        invocations.sort_by_key(|(_, one)| one.arrival_order);
+        invocations.sort_by_key(|(_, invocation)| invocation.arrival_order);
         let called: HashSet<(&[u8], usize)> = lines
             .iter()
             .map(|line| (line.invocation_id.as_slice(), line.call_index))
             .collect();
-        for (id, one) in invocations {
-            let called = called.contains(&(id.as_bytes() as &[u8], one.call_count));
-            self.carry_on(id, one, &doors, called, now);
+        for (id, invocation) in invocations {
+            let called = called.contains(&(id.as_bytes() as &[u8], invocation.call_count));
+            self.restore_invocation(id, invocation, &connections, called, now);
         }
     }
 
-    fn carry_on(
+    fn restore_invocation(
         &mut self,
         id: CallId,
-        one: records::Invocation,
-        doors: &HashMap<u64, usize>,
+        invocation: records::Invocation,
+        connections: &HashMap<u64, usize>,
         called: bool,
         now: f64,
     ) {
-        if one.operation >= self.names.len() || self.hand.find(id).is_some() {
-            return error!("{id} can't be carried on: operation {}", one.operation);
+        if invocation.operation >= self.operation_names.len() || self.invocations.find(id).is_some()
+        {
+            return error!(
+                "{id} can't be carried on: operation {}",
+                invocation.operation
+            );
         }
-        let until = one
+        let until = invocation
             .call_deadline_at
             .map(|until| Duration::from_secs_f64((until - now).clamp(0.001, 3600.0)));
-        let reply = one.response_target.and_then(|(stream, tag)| {
-            Some(Reply {
-                door: *doors.get(&stream)?,
+        let reply = invocation.response_target.and_then(|(stream, tag)| {
+            Some(ReplyAddress {
+                connection: *connections.get(&stream)?,
                 tag,
             })
         });
-        let unheard = reply.is_none() && one.response_target.is_some();
-        let need = one
+        let unheard = reply.is_none() && invocation.response_target.is_some();
+        let need = invocation
             .call_notification
             .map(|(number, body)| (number, body.as_slice().into()));
-        let inv = self.hand.take(InHand {
+        let index = self.invocations.insert(InFlightInvocation {
             id,
-            operation: one.operation,
-            body: one.body.as_slice().into(),
+            operation: invocation.operation,
+            body: invocation.body.as_slice().into(),
             reply,
-            need,
-            named: one.dependency.map(Rc::from),
-            wanted: one.requested_calls,
-            missing: one.missing_parts.into_iter().map(Rc::from).collect(),
-            due: None,
-            calls: one.call_count,
-            calling: until.is_some(),
-            begun: one.has_started,
-            heard: one.notification_count,
-            calling_until: until.map(|until| self.origin.elapsed() + until),
+            call_request: need,
+            named_dependency: invocation.dependency.map(Rc::from),
+            calls_requested: invocation.requested_calls,
+            missing_parts: invocation.missing_parts.into_iter().map(Rc::from).collect(),
+            due_at: None,
+            calls: invocation.call_count,
+            is_calling: until.is_some(),
+            has_started: invocation.has_started,
+            notifications: invocation.notification_count,
+            call_timeout_at: until.map(|until| self.origin.elapsed() + until),
             command: None,
-            place: 0,
+            arrival_order: 0,
         });
-        if let Some(shedder) = &mut self.shedder {
-            shedder.restore_invocation(inv, one.state);
+        if let Some(controller) = &mut self.controller {
+            controller.restore_invocation(index, invocation.state);
         }
-        if let Some((command, sent)) = one.command {
+        if let Some((command, sent)) = invocation.command {
             let command = match command {
                 records::Command::Run => Command::Run {
                     id,
-                    operation: self.names[one.operation].clone(),
-                    body: one.body.as_slice().into(),
+                    operation: self.operation_names[invocation.operation].clone(),
+                    body: invocation.body.as_slice().into(),
                 },
                 records::Command::Feed(reply) => Command::Feed {
                     id,
@@ -433,57 +461,57 @@
                 records::Command::Skip(need) => Command::Skip { id, need },
             };
             if sent {
-                self.inherited
-                    .push((command.clone(), one.notification_count));
-                if let Some(known) = self.hand.get(inv) {
+                self.inherited_commands
+                    .push((command.clone(), invocation.notification_count));
+                if let Some(known) = self.invocations.get_mut(index) {
                     known.command = Some((command, true));
                 }
             } else {
-                self.give(inv, command);
+                self.send_command(index, command);
             }
         }
         if let Some(until) = until {
             let at = self.origin.elapsed() + until;
-            self.set_alarm(at, Alarm::Call(id, one.call_count));
+            self.set_timer(at, Timer::CallTimeout(id, invocation.call_count));
             let body = self
-                .hand
-                .look(inv)
-                .and_then(|one| one.need.as_ref())
+                .invocations
+                .get(index)
+                .and_then(|invocation| invocation.call_request.as_ref())
                 .map(|(_, body)| body.clone());
             if let (false, Some(body)) = (called, body) {
                 // It was decided on and never sent: its line would be here otherwise.
-                let (wait, wanted) = (until.as_secs_f64(), self.wanted(inv));
-                self.orders.push(Order::Invoke {
+                let (wait, wanted) = (until.as_secs_f64(), self.call_context(index));
+                self.call_commands.push(CallCommand::Invoke {
                     id,
-                    number: one.call_count,
-                    wait,
+                    number: invocation.call_count,
+                    timeout_seconds: wait,
                     body,
-                    wanted,
+                    context: wanted,
                 });
             }
         }
         if unheard {
-            self.gone(inv);
+            self.caller_gone(index);
         }
     }
 
     /// Commands that another process had put on the link and that may not have been read, to be looked after by the
     /// link's part.
-    pub fn inherited(&mut self) -> Vec<(Command, u64)> {
-        std::mem::take(&mut self.inherited)
+    pub fn take_inherited_commands(&mut self) -> Vec<(Command, u64)> {
+        std::mem::take(&mut self.inherited_commands)
     }
 }
 
 /// Passes a new connection to the predecessor, before anything goes over it. Without one it costs nothing.
 pub async fn pass(exchange: &Shared, role: Role, socket: &impl AsFd) -> std::io::Result<()> {
-    let passing = exchange.borrow().passing.clone();
+    let passing = exchange.borrow().opened_connections.clone();
     let Some(passing) = passing else {
         return Ok(());
     };
     let (told, passed) = oneshot::channel();
     let descriptor = socket.as_fd().try_clone_to_owned()?;
     if passing
-        .send(Passing {
+        .send(OpenedConnection {
             role,
             descriptor,
             passed: told,
@@ -502,11 +530,14 @@
             Answer::Partial(result, missing) => {
                 records::Answer::Partial(ByteBuf::from(result.as_ref()), missing.to_string())
             }
-            Answer::Throttled { away, last } => records::Answer::Throttled {
+            Answer::Rejected {
+                retry_after_seconds: away,
+                no_failover: last,
+            } => records::Answer::Throttled {
                 retry_after_seconds: *away,
                 forbids_failover: *last,
             },
-            Answer::Errored => records::Answer::Errored,
+            Answer::Failed => records::Answer::Errored,
             Answer::Unknown => records::Answer::Unknown,
         }
     }
@@ -522,8 +553,11 @@
             records::Answer::Throttled {
                 retry_after_seconds: away,
                 forbids_failover: last,
-            } => Answer::Throttled { away, last },
-            records::Answer::Errored => Answer::Errored,
+            } => Answer::Rejected {
+                retry_after_seconds: away,
+                no_failover: last,
+            },
+            records::Answer::Errored => Answer::Failed,
             records::Answer::Unknown => Answer::Unknown,
         }
     }
--- a/crates/merlinshelf-backend/src/exchange/tests.rs
+++ b/crates/merlinshelf-backend/src/exchange/tests.rs
@@ -16,7 +16,7 @@
 /// The exchange with one door, and a trace of all that it gives out.
 struct Play {
     shared: Shared,
-    door: Door,
+    connection: ConnectionHandle,
     trace: String,
 }
 
@@ -30,10 +30,10 @@
         operation,
         body: Rc::from(*b"body"),
         caller: 4,
-        stamp_ms: unix_ms() + 1000.0, // so that no real time that passes in a test makes it older
-        patience_ms: Some(2000.0),
-        again: false,
-        held_kb: 20.0,
+        received_at_ms: unix_ms() + 1000.0, // so that no real time that passes in a test makes it older
+        timeout_ms: Some(2000.0),
+        is_retry: false,
+        held_kilobytes: 20.0,
         rank: 0.5,
         has_subject: false,
     }
@@ -45,10 +45,10 @@
         let exchange =
             Exchange::new(config.settings, config.seed, 192).expect("settings that are read");
         let shared = Rc::new(RefCell::new(exchange));
-        let door = Door::open(&shared);
+        let connection = ConnectionHandle::open(&shared);
         let mut play = Play {
             shared,
-            door,
+            connection,
             trace: String::new(),
         };
         play.tell("HELLO", |exchange| exchange.engine_up(true, 0.0, false));
@@ -59,7 +59,7 @@
     fn tell(&mut self, what: &str, tell: impl FnOnce(&mut Exchange)) {
         tell(&mut self.shared.borrow_mut());
         let _ = writeln!(self.trace, "{what}");
-        while let Some((tag, answer)) = self.door.next_answer() {
+        while let Some((tag, answer)) = self.connection.next_answer() {
             let _ = match answer {
                 Answer::Succeeded(result) => {
                     writeln!(self.trace, "    {tag} <- {}", result.escape_ascii())
@@ -71,14 +71,17 @@
                         result.escape_ascii()
                     )
                 }
-                Answer::Throttled { away, last } => {
+                Answer::Rejected {
+                    retry_after_seconds: away,
+                    no_failover: last,
+                } => {
                     writeln!(
                         self.trace,
                         "    {tag} <- throttled, away {:.3}, last {last}",
                         away.abs()
                     )
                 }
-                Answer::Errored => writeln!(self.trace, "    {tag} <- errored"),
+                Answer::Failed => writeln!(self.trace, "    {tag} <- errored"),
                 Answer::Unknown => writeln!(self.trace, "    {tag} <- unknown"),
             };
         }
@@ -102,12 +105,12 @@
                 Command::Skip { id, need } => writeln!(self.trace, "    skip {id} {need}"),
             };
         }
-        while let Some(order) = exchange.next_order() {
+        while let Some(order) = exchange.next_call_command() {
             let _ = match order {
-                Order::Invoke {
+                CallCommand::Invoke {
                     id,
                     number,
-                    wait,
+                    timeout_seconds: wait,
                     body,
                     ..
                 } => {
@@ -117,25 +120,27 @@
                         body.escape_ascii()
                     )
                 }
-                Order::GiveUp { id, number } => writeln!(self.trace, "    give up {id}:{number}"),
+                CallCommand::Abandon { id, number } => {
+                    writeln!(self.trace, "    give up {id}:{number}")
+                }
             };
         }
     }
 
     fn arrives(&mut self, number: u16, operation: usize) {
-        let reply = Reply {
-            door: self.door.number(),
+        let reply = ReplyAddress {
+            connection: self.connection.number(),
             tag: number,
         };
         self.tell(&format!("arrives {number}"), |exchange| {
-            assert!(exchange.arrived(reply, arrival(number, operation)));
+            assert!(exchange.invocation_read(reply, arrival(number, operation)));
         });
     }
 
     async fn wait(&mut self, millis: u64) {
         for _ in 0..millis / 10 {
             advance(Duration::from_millis(10)).await;
-            self.shared.borrow_mut().ring_alarms();
+            self.shared.borrow_mut().fire_timers();
         }
         self.tell(&format!("{millis} ms pass"), |_| {});
     }
@@ -146,24 +151,24 @@
     let mut play = Play::start();
     play.arrives(1, 0);
     play.tell("NEED 1", |exchange| {
-        exchange.wants_call(id(1), 1, None, b"call")
+        exchange.call_requested(id(1), 1, None, b"call")
     });
     play.tell("ok", |exchange| {
-        exchange.call_ended(id(1), 1, Called::Succeeded(Rc::from(*b"reply")))
+        exchange.call_ended(id(1), 1, CallOutcome::Succeeded(Rc::from(*b"reply")))
     });
     play.tell("DONE OK", |exchange| {
-        exchange.ended(id(1), End::Succeeded, 0.1, b"\0result")
+        exchange.run_ended(id(1), End::Succeeded, 0.1, b"\0result")
     });
     play.tell("DONE again", |exchange| {
-        exchange.ended(id(1), End::Succeeded, 0.1, b"other")
+        exchange.run_ended(id(1), End::Succeeded, 0.1, b"other")
     });
     play.arrives(2, 1);
     play.tell("DONE ERROR", |exchange| {
-        exchange.ended(id(2), End::Errored, 0.1, b"")
+        exchange.run_ended(id(2), End::Errored, 0.1, b"")
     });
     play.arrives(3, 1);
     play.tell("NO RUN", |exchange| exchange.command_refused(b"RUN", id(3)));
-    assert_eq!(play.shared.borrow().in_hand(), 0);
+    assert_eq!(play.shared.borrow().in_flight(), 0);
     assert_snapshot!(play.trace);
 }
 
@@ -172,15 +177,15 @@
     let mut play = Play::start();
     play.arrives(1, 2);
     play.tell("NEED 1", |exchange| {
-        exchange.wants_call(id(1), 1, None, b"call")
+        exchange.call_requested(id(1), 1, None, b"call")
     });
     play.wait(800).await;
-    let late = Called::Succeeded(Rc::from(*b"late"));
+    let late = CallOutcome::Succeeded(Rc::from(*b"late"));
     play.tell("late reply", |exchange| exchange.call_ended(id(1), 1, late));
     play.tell("NEED 2", |exchange| {
-        exchange.wants_call(id(1), 2, None, b"next call")
+        exchange.call_requested(id(1), 2, None, b"next call")
     });
-    let late = Called::Succeeded(Rc::from(*b"late"));
+    let late = CallOutcome::Succeeded(Rc::from(*b"late"));
     play.tell("late reply", |exchange| exchange.call_ended(id(1), 1, late));
     assert_eq!(play.shared.borrow().counters.late_replies, 2);
     assert_snapshot!(play.trace);
@@ -197,11 +202,11 @@
     };
     play.tell("RUN lost", |exchange| exchange.command_lost(run.clone(), 0));
     play.tell("NEED 1", |exchange| {
-        exchange.wants_call(id(1), 1, None, b"call")
+        exchange.call_requested(id(1), 1, None, b"call")
     });
     play.tell("RUN lost before", |exchange| exchange.command_lost(run, 0));
     play.tell("ok", |exchange| {
-        exchange.call_ended(id(1), 1, Called::Succeeded(Rc::from(*b"reply")))
+        exchange.call_ended(id(1), 1, CallOutcome::Succeeded(Rc::from(*b"reply")))
     });
     let feed = Command::Feed {
         id: id(1),
@@ -212,13 +217,13 @@
     });
     // A run that makes a second call could take a second reply for its own: from then on it is asked for anew.
     play.tell("NEED 2", |exchange| {
-        exchange.wants_call(id(1), 2, None, b"next call")
+        exchange.call_requested(id(1), 2, None, b"next call")
     });
     play.tell("FEED lost before", |exchange| {
         exchange.command_lost(feed.clone(), 1)
     });
     play.tell("ok", |exchange| {
-        exchange.call_ended(id(1), 2, Called::Succeeded(Rc::from(*b"reply")))
+        exchange.call_ended(id(1), 2, CallOutcome::Succeeded(Rc::from(*b"reply")))
     });
     play.tell("FEED lost", |exchange| exchange.command_lost(feed, 2));
     let skip = Command::Skip { id: id(1), need: 2 };
@@ -226,7 +231,7 @@
         exchange.command_lost(skip.clone(), 2)
     });
     play.tell("DONE OK", |exchange| {
-        exchange.ended(id(1), End::Succeeded, 0.1, b"result")
+        exchange.run_ended(id(1), End::Succeeded, 0.1, b"result")
     });
     play.tell("SKIP lost after the end", |exchange| {
         exchange.command_lost(skip, 2)
@@ -241,7 +246,7 @@
     play.tell("another HELLO", |exchange| {
         exchange.engine_up(false, 0.1, true)
     });
-    assert_eq!(play.shared.borrow().in_hand(), 0);
+    assert_eq!(play.shared.borrow().in_flight(), 0);
     play.arrives(7, 1);
     assert_snapshot!(play.trace);
 }
@@ -255,7 +260,7 @@
     });
     play.arrives(2, 1);
     play.tell("DONE OK", |exchange| {
-        exchange.ended(id(2), End::Succeeded, 0.1, b"result")
+        exchange.run_ended(id(2), End::Succeeded, 0.1, b"result")
     });
     assert_snapshot!(play.trace);
 }
@@ -274,7 +279,7 @@
     drop(exchange);
     // The engine says so later; nothing is answered twice.
     play.tell("DONE OK", |exchange| {
-        exchange.ended(id(1), End::Succeeded, 3.0, b"result")
+        exchange.run_ended(id(1), End::Succeeded, 3.0, b"result")
     });
     assert_snapshot!(play.trace);
 }
@@ -284,13 +289,15 @@
     let mut play = Play::start();
     play.arrives(1, 1);
     let stop = Instant::now() + Duration::from_millis(3000);
-    play.tell("notice", |exchange| exchange.leave(stop, Duration::ZERO));
+    play.tell("notice", |exchange| {
+        exchange.begin_shutdown(stop, Duration::ZERO)
+    });
     play.wait(1900).await;
     play.arrives(2, 1);
     play.wait(200).await;
     play.arrives(3, 1);
     play.wait(900).await;
-    assert!(!play.shared.borrow().healthy());
+    assert!(!play.shared.borrow().is_healthy());
     assert_snapshot!(play.trace);
 }
 
@@ -301,30 +308,30 @@
         Exchange::new(config.settings, config.seed, 192).expect("settings that are read");
     let shared = Rc::new(RefCell::new(exchange));
     let mut play = Play {
-        door: Door::open(&shared),
+        connection: ConnectionHandle::open(&shared),
         shared,
         trace: String::new(),
     };
     play.arrives(1, 0);
     play.tell("HELLO", |exchange| exchange.engine_up(false, 0.0, false));
-    let reply = Reply {
-        door: play.door.number(),
+    let reply = ReplyAddress {
+        connection: play.connection.number(),
         tag: 2,
     };
     let late = Arrival {
-        stamp_ms: unix_ms() - 2000.0,
+        received_at_ms: unix_ms() - 2000.0,
         ..arrival(2, 0)
     };
     play.tell("arrives too late", |exchange| {
-        assert!(exchange.arrived(reply, late))
+        assert!(exchange.invocation_read(reply, late))
     });
     play.arrives(3, 0);
-    let again = Reply {
-        door: play.door.number(),
+    let again = ReplyAddress {
+        connection: play.connection.number(),
         tag: 4,
     };
     play.tell("the same id", |exchange| {
-        assert!(!exchange.arrived(again, arrival(3, 0)))
+        assert!(!exchange.invocation_read(again, arrival(3, 0)))
     });
     assert_snapshot!(play.trace);
 }
@@ -333,13 +340,13 @@
 async fn a_door_that_closes_takes_its_invocations_with_it() {
     let mut play = Play::start();
     (1..=6).for_each(|number| play.arrives(number, 1));
-    let held = play.shared.borrow().in_hand();
-    play.door = Door::open(&play.shared); // the first is dropped
+    let held = play.shared.borrow().in_flight();
+    play.connection = ConnectionHandle::open(&play.shared); // the first is dropped
     let exchange = play.shared.borrow();
     assert_eq!((held, exchange.counters.unheard), (6, 6));
     // Those that run stay in hand until they end; nobody is answered any more.
     assert_eq!(
-        (exchange.in_hand(), exchange.doors_open()),
+        (exchange.in_flight(), exchange.open_connections()),
         (exchange.counters.runs as usize, 1)
     );
 }
@@ -347,7 +354,10 @@
 #[tokio::test(start_paused = true)]
 async fn gauges_bring_the_beat_forward_and_old_ones_do_not() {
     let play = Play::start();
-    let named = play.shared.borrow().named(&[0.5, f64::NAN, 0.25, 7.0, 1.0]);
+    let named = play
+        .shared
+        .borrow()
+        .named_gauges(&[0.5, f64::NAN, 0.25, 7.0, 1.0]);
     assert_eq!(
         format!("{named:?}"),
         r#"{"cpu_busy": 0.5, "mem_used": 0.25, "sockets": 7.0}"#
@@ -355,17 +365,17 @@
     let gauges = |age: u64| {
         play.shared
             .borrow_mut()
-            .gauges(&[0.5, 1.0], Duration::from_millis(age))
+            .gauges_received(&[0.5, 1.0], Duration::from_millis(age))
     };
     let beat_in = || {
-        let wakes = play.shared.borrow().alarms.wakes().clone();
+        let wakes = play.shared.borrow().timers.wakes().clone();
         let now = play.shared.borrow().origin.elapsed();
         wakes
             .values()
             .map(|at| at.saturating_sub(now).as_millis())
             .collect::<Vec<_>>()
     };
-    play.shared.borrow_mut().ring_alarms();
+    play.shared.borrow_mut().fire_timers();
     advance(Duration::from_millis(4)).await;
     gauges(101);
     assert_eq!(beat_in(), [6], "old gauges pass for new");
@@ -375,41 +385,42 @@
     for _ in 0..100 {
         advance(Duration::from_millis(4)).await;
         gauges(1);
-        play.shared.borrow_mut().ring_alarms();
+        play.shared.borrow_mut().fire_timers();
         assert_eq!(beat_in(), [10]);
     }
-    assert!(play.shared.borrow().alarms.len() <= 4);
+    assert!(play.shared.borrow().timers.len() <= 4);
     // Without gauges the timer brings it.
     advance(Duration::from_millis(10)).await;
-    play.shared.borrow_mut().ring_alarms();
+    play.shared.borrow_mut().fire_timers();
     assert_eq!(beat_in(), [10]);
 }
 
 #[tokio::test(start_paused = true)]
 async fn what_is_read_and_what_is_in_hand_stays_within_the_memory() {
     let mut play = Play::start();
-    let most = play.shared.borrow().hand_most;
+    let most = play.shared.borrow().max_in_flight;
     assert_eq!(most, 192 * 1024 / 80);
     // Many that are begun and left take bytes, and no place of those that come whole.
-    let mut places: Vec<_> = std::iter::from_fn(|| play.shared.borrow().take_place()).collect();
+    let mut places: Vec<_> =
+        std::iter::from_fn(|| play.shared.borrow().reserve_reading()).collect();
     assert_eq!(places.len(), 192 * 1024 * 1024 / 16 / 256);
     assert!(!places[0].grow(1) && !play.shared.borrow().is_full());
     places.pop();
     assert!(places[0].grow(256) && !places[0].grow(1));
     drop(places);
-    play.shared.borrow_mut().hand_most = 6;
+    play.shared.borrow_mut().max_in_flight = 6;
     (1..=6).for_each(|number| play.arrives(number, 1));
-    assert!(play.shared.borrow().is_full() && play.shared.borrow().take_place().is_none());
+    assert!(play.shared.borrow().is_full() && play.shared.borrow().reserve_reading().is_none());
 }
 
 #[test]
 fn a_wall_clock_that_is_stepped_makes_no_odd_times() {
-    let one = Arrival {
-        stamp_ms: 1_000_000.0,
+    let invocation = Arrival {
+        received_at_ms: 1_000_000.0,
         ..arrival(1, 0)
     };
     let at = |unix_ms: f64| {
-        let told = told(&one, unix_ms);
+        let told = told(&invocation, unix_ms);
         (told.age, told.caller_timeout)
     };
     assert_eq!(at(1_000_500.0), (0.5, Some(1.5)));
@@ -423,8 +434,8 @@
     assert_eq!(
         told(
             &Arrival {
-                patience_ms: None,
-                ..one.clone()
+                timeout_ms: None,
+                ..invocation.clone()
             },
             1_000_500.0
         )
--- a/crates/merlinshelf-backend/src/exchange/alarms.rs
+++ b/crates/merlinshelf-backend/src/exchange/timers.rs
@@ -7,26 +7,26 @@
 use merlinshelf_protocol::CallId;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Alarm {
+pub enum Timer {
     /// The module asked to be woken with this handle.
-    Wake(u64),
+    Admission(u64),
     /// The time-out of an invocation's call of that number.
-    Call(CallId, usize),
+    CallTimeout(CallId, usize),
 }
 
 /// Times are counted from the exchange's start, on a clock that never goes back.
 #[derive(Debug, Default)]
-pub struct Alarms {
-    all: BinaryHeap<Reverse<(Duration, Alarm)>>,
+pub struct TimerQueue {
+    all: BinaryHeap<Reverse<(Duration, Timer)>>,
     /// The one wake of each handle that counts: the last that was asked for.
-    wakes: BTreeMap<u64, Duration>,
+    admission_timers: BTreeMap<u64, Duration>,
 }
 
-impl Alarms {
+impl TimerQueue {
     /// A wake takes the place of one with the same handle that has not rung yet.
-    pub fn set(&mut self, at: Duration, alarm: Alarm) {
-        if let Alarm::Wake(handle) = alarm {
-            self.wakes.insert(handle, at);
+    pub fn set(&mut self, at: Duration, alarm: Timer) {
+        if let Timer::Admission(handle) = alarm {
+            self.admission_timers.insert(handle, at);
         }
         self.all.push(Reverse((at, alarm)));
     }
@@ -35,13 +35,13 @@
         self.all.peek().map(|Reverse((at, _))| *at)
     }
 
-    pub fn take(&mut self, now: Duration) -> Option<Alarm> {
+    pub fn pop_due(&mut self, now: Duration) -> Option<Timer> {
         while let Some(at) = self.next().filter(|at| *at <= now) {
             match self.all.pop()?.0.1 {
-                Alarm::Wake(handle) if self.wakes.get(&handle) != Some(&at) => {}
-                Alarm::Wake(handle) => {
-                    self.wakes.remove(&handle);
-                    return Some(Alarm::Wake(handle));
+                Timer::Admission(handle) if self.admission_timers.get(&handle) != Some(&at) => {}
+                Timer::Admission(handle) => {
+                    self.admission_timers.remove(&handle);
+                    return Some(Timer::Admission(handle));
                 }
                 alarm => return Some(alarm),
             }
@@ -50,16 +50,16 @@
     }
 
     /// Brings the soonest wake forward to this moment, and says its handle.
-    pub fn pull_wake(&mut self) -> Option<u64> {
-        let (handle, _) = self.wakes.iter().min_by_key(|(_, at)| **at)?;
+    pub fn take_next_admission(&mut self) -> Option<u64> {
+        let (handle, _) = self.admission_timers.iter().min_by_key(|(_, at)| **at)?;
         let handle = *handle;
-        self.wakes.remove(&handle);
+        self.admission_timers.remove(&handle);
         Some(handle)
     }
 
     #[cfg(test)]
     pub fn wakes(&self) -> &BTreeMap<u64, Duration> {
-        &self.wakes
+        &self.admission_timers
     }
 
     #[cfg(test)]
@@ -68,6 +68,6 @@
     }
 
     pub fn clear(&mut self) {
-        *self = Alarms::default();
+        *self = TimerQueue::default();
     }
 }
--- a/crates/merlinshelf-backend/src/instance.rs
+++ b/crates/merlinshelf-backend/src/instance.rs
@@ -18,7 +18,7 @@
 
 use crate::client;
 use crate::config::{Config, Peers};
-use crate::exchange::{Door, Exchange, Passed, Passing, Shared};
+use crate::exchange::{ConnectionHandle, Exchange, OpenedConnection, PassedDescriptors, Shared};
 use crate::journal::Journal;
 use crate::ring::discard;
 use crate::routing;
@@ -75,7 +75,7 @@
 /// What was frozen: the image, and all that the process holds open for it.
 pub struct FrozenInstance {
     pub image: Transaction,
-    pub passed: Passed,
+    pub passed: PassedDescriptors,
 }
 
 /// All that another process left, made live and not yet set going.
@@ -84,7 +84,7 @@
     listener: Rc<Listening>,
     edges: Vec<(
         TcpStream,
-        Door,
+        ConnectionHandle,
         records::ClientConnectionRecord,
         Reconciliation,
     )>,
@@ -120,10 +120,10 @@
         exchange: Exchange,
         listener: Listening,
         image: &Image,
-        mut passed: Passed,
+        mut passed: PassedDescriptors,
         learnt: Option<LearnedState>,
     ) -> io::Result<RestoredInstance> {
-        exchange.suits(image).map_err(io::Error::other)?;
+        exchange.check_image(image).map_err(io::Error::other)?;
         let mut prepared = RestoredInstance::fresh(Rc::new(RefCell::new(exchange)), listener);
         let record: Option<records::EngineConnectionRecord> = image.get(Key::EngineConnection);
         let socket = record
@@ -150,7 +150,7 @@
                         prepared.broken += 1;
                         continue;
                     };
-                    let door = Door::reopen(&prepared.exchange, stream);
+                    let door = ConnectionHandle::reopen(&prepared.exchange, stream);
                     prepared.edges.push((socket, door, record, settled));
                 }
                 Role::DownstreamConnection(stream) => {
@@ -176,13 +176,13 @@
         prepared
             .exchange
             .borrow_mut()
-            .take_up(image, &lines, learnt);
+            .restore(image, &lines, learnt);
         Ok(prepared)
     }
 
     /// From here on every change is noted before it shows.
-    pub fn note(&self, journal: Journal, passing: mpsc::UnboundedSender<Passing>) {
-        self.exchange.borrow_mut().note(journal, passing);
+    pub fn note(&self, journal: Journal, passing: mpsc::UnboundedSender<OpenedConnection>) {
+        self.exchange.borrow_mut().start_journal(journal, passing);
     }
 
     /// How many connections of edge nodes, calls below and invocations go on.
@@ -190,7 +190,7 @@
         (
             self.edges.len(),
             self.lines.len(),
-            self.exchange.borrow().in_hand(),
+            self.exchange.borrow().in_flight(),
         )
     }
 
@@ -214,7 +214,7 @@
         if let Some(routing) = &routing {
             exchange
                 .borrow_mut()
-                .set_parts(|operation| routing.borrow().parts(operation));
+                .set_dependency_names(|operation| routing.borrow().parts(operation));
         }
         let calls_most = client::calls_most(config.sockets);
         let doors_most = server::doors_most(config.sockets, calls_most);
@@ -299,21 +299,21 @@
         let left = end.saturating_duration_since(Instant::now());
         exchange
             .borrow_mut()
-            .leave(before(ANSWER_BEFORE), stop.saturating_sub(left));
-        exchange.borrow_mut().secure_instance();
+            .begin_shutdown(before(ANSWER_BEFORE), stop.saturating_sub(left));
+        exchange.borrow_mut().write_instance_to_journal();
         sleep_until(before(REFUSE_BEFORE)).await;
         close.notify_one();
-        exchange.borrow_mut().close();
+        exchange.borrow_mut().close_idle_connections();
         let closed = async {
-            while !closed.is_finished() || exchange.borrow().doors_open() > 0 {
+            while !closed.is_finished() || exchange.borrow().open_connections() > 0 {
                 sleep(Duration::from_millis(2)).await;
             }
         };
         if timeout_at(before(END_BEFORE), closed).await.is_err() {
-            let open = exchange.borrow().doors_open();
+            let open = exchange.borrow().open_connections();
             warn!(
                 "ends with {} in hand and {open} connections open",
-                exchange.borrow().in_hand()
+                exchange.borrow().in_flight()
             );
         }
     }
@@ -347,26 +347,26 @@
             for part in &mut handing_in {
                 let _ = (&mut part.0).await;
             }
-            while exchange.borrow().doors_open() > 0 {
+            while exchange.borrow().open_connections() > 0 {
                 tokio::task::yield_now().await;
             }
         };
         timeout_at(Instant::now() + FROZEN_WITHIN, all)
             .await
             .map_err(|_| "a part does not stop")?;
-        let (image, passed) = exchange.borrow_mut().take_image();
+        let (image, passed) = exchange.borrow_mut().take_snapshot();
         Ok((FrozenInstance { image, passed }, listener))
     }
 }
 
 /// Rings the exchange's alarms; nothing else is waited for.
 async fn clock(exchange: Shared) {
-    let alarmed = exchange.borrow().alarmed();
+    let alarmed = exchange.borrow().timers_changed();
     loop {
-        let next = exchange.borrow().next_alarm();
+        let next = exchange.borrow().next_timer();
         select! {
             () = sleep_until(next.unwrap_or_else(Instant::now)), if next.is_some() => {
-                exchange.borrow_mut().ring_alarms();
+                exchange.borrow_mut().fire_timers();
             }
             () = alarmed.notified() => {}
         }
--- a/crates/merlinshelf-backend/src/learning/mod.rs
+++ b/crates/merlinshelf-backend/src/learning/mod.rs
@@ -356,7 +356,7 @@
             return;
         }
         self.looked_at = Instant::now();
-        let seen = self.exchange.borrow().learnt();
+        let seen = self.exchange.borrow().learned_state();
         if let (Some((clock, learnt)), Some(learner)) = (seen, &mut self.state.borrow_mut().learner)
         {
             learner.see(monotonic(), clock, &learnt);
@@ -367,7 +367,7 @@
         if let Some(learner) = &self.state.borrow().learner {
             self.exchange
                 .borrow_mut()
-                .believe(learner.beliefs(monotonic()));
+                .set_prior_estimates(learner.beliefs(monotonic()));
         }
     }
 
--- a/crates/merlinshelf-backend/src/process/asked.rs
+++ b/crates/merlinshelf-backend/src/process/asked.rs
@@ -45,8 +45,9 @@
                 if exchange.is_none() && self.operator.policy.is_some() {
                     return; // frozen for a successor: unanswered, which is no refusal
                 }
-                _ = reply
-                    .send(exchange.and_then(|exchange| exchange.borrow_mut().policy_heard(*beat)));
+                _ = reply.send(
+                    exchange.and_then(|exchange| exchange.borrow_mut().handle_heartbeat(*beat)),
+                );
             }
             PendingRequest::Forget(origin, reply) => {
                 _ = reply.send(
@@ -129,19 +130,19 @@
             "state": state,
             "predecessor": self.predecessor,
             "up_ms": self.began.elapsed().as_millis() as u64,
-            "healthy": exchange.as_ref().map(|exchange| exchange.healthy()),
-            "in_hand": exchange.as_ref().map(|exchange| exchange.in_hand()),
-            "connections": exchange.as_ref().map(|exchange| exchange.doors_open()),
+            "healthy": exchange.as_ref().map(|exchange| exchange.is_healthy()),
+            "in_hand": exchange.as_ref().map(|exchange| exchange.in_flight()),
+            "connections": exchange.as_ref().map(|exchange| exchange.open_connections()),
             "run_ms": exchange.as_ref().and_then(|exchange| exchange.run_ms()),
             "memory_kb": memory_kb,
             "descriptors": descriptors,
             "learning": self.learning.as_ref().map(Learning::status),
             "dependencies": self.routing.as_ref().map(|routing| routing.borrow().report()),
-            "policy": exchange.as_ref().and_then(|exchange| exchange.policy_said()).map(|said| json!({
+            "policy": exchange.as_ref().and_then(|exchange| exchange.policy_status()).map(|said| json!({
                 "acts": said.effective_version, "left_s": said.lease_remaining_seconds, "fenced": said.fenced_version, "knows": said.known_versions,
                 "unfit": said.rejected_version, "base": format!("{:016x}", said.base_fingerprint),
             })),
-            "budgets": exchange.as_ref().and_then(|exchange| exchange.budgets()),
+            "budgets": exchange.as_ref().and_then(|exchange| exchange.quota_report()),
             "counters": exchange.as_ref().map(|exchange| exchange.counters.by_name()),
         })
     }
--- a/crates/merlinshelf-backend/src/process/handing.rs
+++ b/crates/merlinshelf-backend/src/process/handing.rs
@@ -11,7 +11,7 @@
 use tokio::time::{Instant, timeout};
 
 use super::{Process, load};
-use crate::exchange::{Exchange, Passed};
+use crate::exchange::{Exchange, PassedDescriptors};
 use crate::fault;
 use crate::instance::RestoredInstance;
 use crate::journal::Journal;
@@ -124,7 +124,7 @@
                 info!("the predecessor watches no longer");
                 self.elder = None;
                 if let Some(instance) = &self.instance {
-                    instance.exchange.borrow_mut().note_no_more();
+                    instance.exchange.borrow_mut().stop_journal();
                 }
             }
             successor::Action::Drain { deadline: stop } => self.leave(stop),
@@ -158,7 +158,7 @@
         let instance = self.instance.take().ok_or("nothing serves here")?;
         if let Some(learning) = &mut self.learning {
             learning.stop();
-            instance.exchange.borrow_mut().knowledge = learning.pass_on();
+            instance.exchange.borrow_mut().gossip_state = learning.pass_on();
         }
         let (frozen, listener) = instance.freeze().await?;
         // The accepting task is gone, and with it the other holder.
@@ -225,7 +225,7 @@
     pub(super) fn prepare(
         &mut self,
         image: &Image,
-        mut passed: Passed,
+        mut passed: PassedDescriptors,
         learnt: Option<merlinshelf_admission::LearnedState>,
         takes_back: bool,
     ) -> io::Result<RestoredInstance> {
@@ -234,13 +234,13 @@
             .ok_or_else(|| io::Error::other("no listener came"))?;
         let listener = std::net::TcpListener::from(listener);
         listener.set_nonblocking(true)?;
-        let mut exchange = Exchange::of(&self.config).map_err(io::Error::other)?;
+        let mut exchange = Exchange::from_config(&self.config).map_err(io::Error::other)?;
         self.hold_policy(&mut exchange).map_err(io::Error::other)?;
         let instance: Option<records::Instance> = image.get(Key::Instance);
         match instance.filter(|_| !takes_back) {
-            Some(instance) => exchange.take_policy(&instance.policy, &instance.quota),
+            Some(instance) => exchange.resume_policy(&instance.policy, &instance.quota),
             // What its successor held may be fenced by now: it holds nothing until its agent says so.
-            None => exchange.begin_without_policy(),
+            None => exchange.stop_waiting_for_policy(),
         }
         RestoredInstance::carried(
             exchange,
--- a/crates/merlinshelf-backend/src/process/mod.rs
+++ b/crates/merlinshelf-backend/src/process/mod.rs
@@ -27,7 +27,7 @@
 use crate::config::{Config, Peers};
 use crate::control::{self, Control, PendingRequest};
 use crate::counters;
-use crate::exchange::{Exchange, Passed, Passing, monotonic};
+use crate::exchange::{Exchange, OpenedConnection, PassedDescriptors, monotonic};
 use crate::fault;
 use crate::instance::{Instance, RestoredInstance};
 use crate::learning::Learning;
@@ -95,7 +95,7 @@
 /// Reads the configuration and makes an exchange of it, which shows that all its settings can be used.
 pub(crate) fn load(path: &Path) -> Result<(Config, Exchange), String> {
     let config = Config::load(path)?;
-    let exchange = Exchange::of(&config)?;
+    let exchange = Exchange::from_config(&config)?;
     Ok((config, exchange))
 }
 
@@ -141,9 +141,12 @@
     /// Whom it took over from.
     predecessor: Option<u32>,
     elder: Option<Channel>,
-    inherited: Passed,
+    inherited: PassedDescriptors,
     prepared: Option<RestoredInstance>,
-    passing: (UnboundedSender<Passing>, UnboundedReceiver<Passing>),
+    passing: (
+        UnboundedSender<OpenedConnection>,
+        UnboundedReceiver<OpenedConnection>,
+    ),
     // from outside
     control: Option<Control>,
     requests: (
@@ -170,7 +173,7 @@
     FromSuccessor(io::Result<(Message, Vec<OwnedFd>)>),
     SuccessorEnded,
     FromElder(io::Result<(Message, Vec<OwnedFd>)>),
-    ToPass(Passing),
+    ToPass(OpenedConnection),
     Woken,
 }
 
@@ -216,7 +219,7 @@
             cut: false,
             asked: None,
             elder,
-            inherited: Passed::new(),
+            inherited: PassedDescriptors::new(),
             prepared: None,
             passing: unbounded_channel(),
             control: None,
@@ -398,7 +401,7 @@
                     heir.predecessor_exited(now);
                 }
             }
-            Event::ToPass(Passing {
+            Event::ToPass(OpenedConnection {
                 role,
                 descriptor,
                 passed,
@@ -417,8 +420,8 @@
                     heir.handle_timeout(now);
                     if let (true, Some(instance)) = (heir.is_recording(), &self.instance) {
                         let mut exchange = instance.exchange.borrow_mut();
-                        exchange.secure_instance();
-                        if exchange.unread_notes() > UNREAD_MOST {
+                        exchange.write_instance_to_journal();
+                        if exchange.unread_journal_bytes() > UNREAD_MOST {
                             warn!("the predecessor reads no notes: it goes on without it");
                             heir.detach();
                         }
@@ -467,7 +470,7 @@
             return;
         }
         let left = Duration::from_secs_f64((stop - monotonic()).clamp(0.0, 1e6));
-        let in_hand = instance.exchange.borrow().in_hand();
+        let in_hand = instance.exchange.borrow().in_flight();
         info!(
             "notice to leave: {in_hand} in hand, {} ms left",
             left.as_millis()
@@ -517,8 +520,8 @@
                 routing.borrow_mut().replace(wanted);
                 if let Some(instance) = &self.instance {
                     let parts = |operation: &str| routing.borrow().parts(operation);
-                    instance.exchange.borrow_mut().set_parts(parts);
-                    instance.exchange.borrow().lay_again();
+                    instance.exchange.borrow_mut().set_dependency_names(parts);
+                    instance.exchange.borrow().reapply_overlay();
                 }
                 info!("dependencies read anew: {count} of them");
             }
@@ -538,7 +541,7 @@
             own: self.dependencies.clone(),
             routing: self.routing.clone(),
         };
-        exchange.hold_policy(policy, Box::new(laid))
+        exchange.enable_policy(policy, Box::new(laid))
     }
 
     /// Takes the first invocations.
@@ -562,7 +565,7 @@
     /// Learns beside the service, where that is switched on.
     fn learn(&mut self) {
         if let (Some(learning), Some(instance)) = (&mut self.learning, &self.instance) {
-            let past = std::mem::take(&mut instance.exchange.borrow_mut().knowledge);
+            let past = std::mem::take(&mut instance.exchange.borrow_mut().gossip_state);
             learning.go(&instance.exchange, past);
         }
     }
--- a/crates/merlinshelf-backend/src/routing.rs
+++ b/crates/merlinshelf-backend/src/routing.rs
@@ -17,7 +17,7 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-use crate::exchange::{self, CallNumber, Called, Wanted, Wanting};
+use crate::exchange::{self, CallContext, CallDemand, CallNumber, CallOutcome};
 
 /// One call: its invocation, and which of its calls it is.
 pub type CallKey = (CallId, CallNumber);
@@ -43,7 +43,7 @@
     pub routing: Option<Shared>,
 }
 
-impl exchange::Laid for LaidOver {
+impl exchange::PolicyOverlay for LaidOver {
     fn fits(&self, policy: &Policy) -> Result<(), String> {
         policy
             .dependencies(self.own.borrow().as_ref())
@@ -118,9 +118,12 @@
     }
 
     /// Whether that call is the router's to make.
-    pub fn knows(&self, wanted: &Wanted) -> bool {
-        self.router
-            .knows(&wanted.operation, wanted.place, wanted.named.as_deref())
+    pub fn knows(&self, wanted: &CallContext) -> bool {
+        self.router.knows(
+            &wanted.operation,
+            wanted.call_index,
+            wanted.named_dependency.as_deref(),
+        )
     }
 
     /// A call is wanted.
@@ -130,15 +133,15 @@
         key: CallKey,
         wait: f64,
         question: &Rc<[u8]>,
-        wanted: &Wanted,
+        wanted: &CallContext,
     ) {
         let ask = CallRequest {
             operation: &wanted.operation,
-            place: wanted.place,
-            named: wanted.named.as_deref(),
+            place: wanted.call_index,
+            named: wanted.named_dependency.as_deref(),
             wait,
-            left: wanted.left,
-            effect: if wanted.idempotent {
+            left: wanted.caller_timeout,
+            effect: if wanted.is_idempotent {
                 Effect::Idempotent
             } else {
                 Effect::NonIdempotent
@@ -152,9 +155,9 @@
         self.lay_budgets(
             exchange,
             of.as_deref(),
-            Wanting {
-                call: true,
-                again: false,
+            CallDemand {
+                wants_call: true,
+                wants_retry: false,
             },
         );
         if let Some(name) = &of {
@@ -168,7 +171,9 @@
             } else {
                 CallKind::FirstCall
             };
-            exchange.borrow_mut().note_budget(name, Some(kind), None);
+            exchange
+                .borrow_mut()
+                .note_dependency_call(name, Some(kind), None);
         }
         let (now, chance) = (self.now(), &mut self.chance);
         let ticket = self.router.ask(now, &ask, &mut || chance.random());
@@ -178,20 +183,29 @@
     }
 
     /// An attempt has ended.
-    pub fn ended(&mut self, exchange: &exchange::Shared, attempt: u64, called: &Called) {
+    pub fn ended(&mut self, exchange: &exchange::Shared, attempt: u64, called: &CallOutcome) {
         let (ended, reply): (AttemptOutcome, &[u8]) = match called {
-            Called::Succeeded(reply) => (AttemptOutcome::Succeeded, reply),
-            Called::NeverRan => (AttemptOutcome::Refused, b""),
-            Called::Failed | Called::Lesser { .. } => (AttemptOutcome::Unknown, b""),
+            CallOutcome::Succeeded(reply) => (AttemptOutcome::Succeeded, reply),
+            CallOutcome::NeverRan => (AttemptOutcome::Refused, b""),
+            CallOutcome::Failed | CallOutcome::Degraded { .. } => (AttemptOutcome::Unknown, b""),
         };
         let again = ended != AttemptOutcome::Succeeded;
         let of = self.router.at(attempt).map(str::to_owned);
         if let Some(name) = &of {
-            exchange
-                .borrow_mut()
-                .note_budget(name, again.then_some(CallKind::Retry), Some(!again));
+            exchange.borrow_mut().note_dependency_call(
+                name,
+                again.then_some(CallKind::Retry),
+                Some(!again),
+            );
         }
-        self.lay_budgets(exchange, of.as_deref(), Wanting { call: false, again });
+        self.lay_budgets(
+            exchange,
+            of.as_deref(),
+            CallDemand {
+                wants_call: false,
+                wants_retry: again,
+            },
+        );
         let (now, chance) = (self.now(), &mut self.chance);
         self.router
             .ended(now, attempt, ended, reply, &mut || chance.random());
@@ -204,7 +218,7 @@
             return false;
         };
         self.calls.remove(&ticket);
-        self.lay_budgets(exchange, None, Wanting::default());
+        self.lay_budgets(exchange, None, CallDemand::default());
         let (now, chance) = (self.now(), &mut self.chance);
         self.router.give_up(now, ticket, &mut || chance.random());
         // An attempt of it that has not been made yet need not be.
@@ -215,7 +229,7 @@
     }
 
     pub fn woken(&mut self, exchange: &exchange::Shared) {
-        self.lay_budgets(exchange, None, Wanting::default());
+        self.lay_budgets(exchange, None, CallDemand::default());
         let (now, chance) = (self.now(), &mut self.chance);
         self.router.woken(now, &mut || chance.random());
         self.follow(exchange, None);
@@ -238,28 +252,33 @@
     }
 
     /// Tells the router what the fleet's budgets leave; of one dependency something may be wanted now.
-    fn lay_budgets(&mut self, exchange: &exchange::Shared, wanted: Option<&str>, wanting: Wanting) {
+    fn lay_budgets(
+        &mut self,
+        exchange: &exchange::Shared,
+        wanted: Option<&str>,
+        wanting: CallDemand,
+    ) {
         let mut exchange = exchange.borrow_mut();
-        for name in exchange.budgeted() {
+        for name in exchange.limited_dependencies() {
             let Some((over, fails)) = self.router.spend(&name, Remaining::ALL) else {
                 continue;
             };
             let wanting = if wanted == Some(name.as_str()) {
                 wanting
             } else {
-                Wanting::default()
+                CallDemand::default()
             };
             self.router.spend(
                 &name,
                 exchange
-                    .budget(&name, over, fails, wanting)
+                    .renew_quota(&name, over, fails, wanting)
                     .unwrap_or(Remaining::ALL),
             );
         }
     }
 
     /// Ends are told at once, so that what a reply changes and that its line is gone can be noted together.
-    fn follow(&mut self, exchange: &exchange::Shared, called: Option<&Called>) {
+    fn follow(&mut self, exchange: &exchange::Shared, called: Option<&CallOutcome>) {
         while let Some(step) = self.router.next_step() {
             let Action::Over { ticket, end } = step else {
                 self.todo.push_back(step);
@@ -276,17 +295,17 @@
                     End::Reply {
                         missing: Some(missing),
                     },
-                    Some(Called::Succeeded(reply)),
-                ) => Called::Lesser {
+                    Some(CallOutcome::Succeeded(reply)),
+                ) => CallOutcome::Degraded {
                     reply: Some(reply.clone()),
                     missing: missing.into(),
                 },
-                (End::Degraded { bytes, missing }, _) => Called::Lesser {
+                (End::Degraded { bytes, missing }, _) => CallOutcome::Degraded {
                     reply: bytes.map(Rc::from),
                     missing: missing.into(),
                 },
-                (End::NeverRan, _) => Called::NeverRan,
-                (End::Failed | End::Reply { .. }, _) => Called::Failed,
+                (End::NeverRan, _) => CallOutcome::NeverRan,
+                (End::Failed | End::Reply { .. }, _) => CallOutcome::Failed,
             };
             exchange.borrow_mut().call_ended(id, number, end);
         }
--- a/crates/merlinshelf-backend/src/server/assembly.rs
+++ b/crates/merlinshelf-backend/src/server/assembly.rs
@@ -6,7 +6,7 @@
 use tokio::time::Instant;
 
 use super::bad::Bad;
-use crate::exchange::Place;
+use crate::exchange::ReadReservation;
 
 /// The page's limit on bodies, and room for twice the fields that an edge node sends.
 const BODY_MOST: usize = 2 * 1024;
@@ -14,7 +14,7 @@
 
 #[derive(Debug)]
 pub struct Partial {
-    place: Place,
+    place: ReadReservation,
     began: Instant,
     pub keep: bool,
     pub params: Vec<u8>,
@@ -37,7 +37,7 @@
 pub struct Assembly(HashMap<u16, Partial>);
 
 impl Assembly {
-    pub fn begin(&mut self, id: u16, keep: bool, place: Place) {
+    pub fn begin(&mut self, id: u16, keep: bool, place: ReadReservation) {
         let (params, body) = Default::default();
         let partial = Partial {
             place,
@@ -124,7 +124,7 @@
     }
 
     /// Takes up one that another process was reading; its time to come whole begins anew.
-    pub fn resume(&mut self, record: records::Partial, place: Place) {
+    pub fn resume(&mut self, record: records::Partial, place: ReadReservation) {
         let records::Partial {
             tag,
             keeps_connection: keep,
--- a/crates/merlinshelf-backend/src/server/connection.rs
+++ b/crates/merlinshelf-backend/src/server/connection.rs
@@ -24,7 +24,9 @@
 use super::codec::{self, Codec, ONLY};
 use super::fields::{Asked, Fields};
 use super::table::{Said, Seat};
-use crate::exchange::{Answer, Deposit, Door, Place, Reply, Shared, pass};
+use crate::exchange::{
+    Answer, ConnectionHandle, ReadReservation, ReplyAddress, Shared, StoppedPart, pass,
+};
 use crate::fault;
 use crate::ring::{IoProgress, Ring};
 
@@ -52,7 +54,7 @@
     socket: TcpStream,
     exchange: Shared,
     seat: Seat,
-    door: Door,
+    door: ConnectionHandle,
     codec: Codec,
     coming: Ring,
     going: Ring,
@@ -86,7 +88,7 @@
         socket: TcpStream,
         exchange: &Shared,
         seat: Seat,
-        door: Door,
+        door: ConnectionHandle,
         (connections_most, uwsgi): (usize, bool),
     ) -> Connection {
         Connection {
@@ -119,7 +121,7 @@
         socket: TcpStream,
         exchange: &Shared,
         seat: Seat,
-        door: Door,
+        door: ConnectionHandle,
         (connections_most, uwsgi): (usize, bool),
         record: records::ClientConnectionRecord,
     ) -> Connection {
@@ -137,7 +139,7 @@
         for partial in record.partials {
             let place = exchange
                 .borrow()
-                .keep_place(partial.params.len() + partial.body.len());
+                .restore_reading(partial.params.len() + partial.body.len());
             connection.assembly.resume(partial, place);
         }
         connection.open = record.unanswered.into_iter().collect();
@@ -178,9 +180,9 @@
     /// Notes how it stands, where a predecessor watches: before anything of it shows.
     fn secure(&self) {
         let mut exchange = self.exchange.borrow_mut();
-        if exchange.notes() {
-            exchange.stage(Key::ClientConnection(self.door.stream()), &self.record());
-            exchange.secure();
+        if exchange.is_journaling() {
+            exchange.journal_record(Key::ClientConnection(self.door.stream()), &self.record());
+            exchange.write_journal();
         }
     }
 
@@ -206,8 +208,8 @@
             let record = self.record();
             match self.socket.into_std() {
                 Ok(socket) => {
-                    let deposit = Deposit::Edge(self.door.stream(), record, socket);
-                    self.exchange.borrow_mut().deposit(deposit);
+                    let deposit = StoppedPart::Client(self.door.stream(), record, socket);
+                    self.exchange.borrow_mut().add_stopped_part(deposit);
                 }
                 Err(error) => warn!("a connection can't be handed in: {error}"),
             }
@@ -216,9 +218,10 @@
         {
             let stream = self.door.stream();
             let mut exchange = self.exchange.borrow_mut();
-            if exchange.notes() {
-                exchange.stage_gone(&[Key::ClientConnection(stream), Key::ResponseQueue(stream)]);
-                exchange.secure();
+            if exchange.is_journaling() {
+                exchange
+                    .journal_removal(&[Key::ClientConnection(stream), Key::ResponseQueue(stream)]);
+                exchange.write_journal();
                 // The predecessor's copy would keep it open otherwise.
                 let _ = shutdown(
                     &self.socket,
@@ -270,7 +273,7 @@
             self.note();
             let idle_end = self
                 .at_rest()
-                .then(|| self.idle_since + self.exchange.borrow().trim_after());
+                .then(|| self.idle_since + self.exchange.borrow().idle_timeout());
             let stuck_since = self.stuck_since;
             let taken_by = stuck_since.map(|since| since + TAKES_WITHIN);
             let ends = idle_end
@@ -292,7 +295,7 @@
                 ready = self.socket.ready(interest.unwrap_or(Interest::ERROR)), if interest.is_some() => {
                     ready?;
                 }
-                () = self.door.knock() => {}
+                () = self.door.answer_ready() => {}
                 () = self.seat.word() => {}
                 () = sleep_until(end.unwrap_or_else(far)), if end.is_some() => {}
             }
@@ -395,21 +398,21 @@
     }
 
     /// Room for one more, on this connection and among all.
-    fn place(&self) -> Option<Place> {
+    fn place(&self) -> Option<ReadReservation> {
         let open = self.open.len() + self.assembly.len();
         (open < OPEN_MOST)
-            .then(|| self.exchange.borrow().take_place())
+            .then(|| self.exchange.borrow().reserve_reading())
             .flatten()
     }
 
     fn is_stale(&self) -> bool {
-        Instant::now() >= self.idle_since + self.exchange.borrow().trim_after()
+        Instant::now() >= self.idle_since + self.exchange.borrow().idle_timeout()
     }
 
     /// Reads all that the kernel has by now, so that a connection that goes by its own will takes nothing along
     /// that was written to it.
     fn read_last(&mut self) -> io::Result<()> {
-        if self.exchange.borrow().notes() {
+        if self.exchange.borrow().is_journaling() {
             // What is in the kernel then is there for whoever takes this up; readiness is asked for anew.
             while !self.read_closed && self.going.len() <= UNSENT_MOST && self.read_last_noted()? {}
         } else {
@@ -425,7 +428,7 @@
     /// Reads one gulp; whether there was any. Where a predecessor watches, it is noted what came of it before it is
     /// taken out of the kernel.
     fn read(&mut self) -> io::Result<bool> {
-        if !self.exchange.borrow().notes() {
+        if !self.exchange.borrow().is_journaling() {
             return self.read_by(Ring::fill);
         }
         let read = self.read_by(Ring::peek)?;
@@ -608,15 +611,15 @@
             }
             Ok(Asked::Invocation(arrival)) => {
                 let (reply, call) = (
-                    Reply {
-                        door: self.door.number(),
+                    ReplyAddress {
+                        connection: self.door.number(),
                         tag: id,
                     },
                     arrival.id,
                 );
                 self.whole(Said::Invocations);
                 self.open.insert(id, keep);
-                if self.exchange.borrow_mut().arrived(reply, arrival) {
+                if self.exchange.borrow_mut().invocation_read(reply, arrival) {
                     return;
                 }
                 self.open.remove(&id);
@@ -641,7 +644,7 @@
     }
 
     fn check(&mut self, id: u16, keep: bool) {
-        let good = self.exchange.borrow().healthy();
+        let good = self.exchange.borrow().is_healthy();
         self.exchange.borrow_mut().counters.checks += 1;
         let (status, body): (_, &[u8]) = if good {
             (200, b"live\n")
@@ -655,11 +658,11 @@
         if let Some(partial) = self.assembly.drop(id) {
             self.write(id, partial.keep, &head(499, ""), b"");
         } else if self.open.contains_key(&id) {
-            let reply = Reply {
-                door: self.door.number(),
+            let reply = ReplyAddress {
+                connection: self.door.number(),
                 tag: id,
             };
-            self.exchange.borrow_mut().aborted(reply);
+            self.exchange.borrow_mut().invocation_aborted(reply);
         }
     }
 
@@ -683,7 +686,10 @@
                         &result,
                     );
                 }
-                Answer::Throttled { away, last } => {
+                Answer::Rejected {
+                    retry_after_seconds: away,
+                    no_failover: last,
+                } => {
                     let mut advice = String::new();
                     if away > 0.0 {
                         advice += &format!("X-Come-Back-Ms: {}\r\n", (away * 1e3).ceil());
@@ -693,7 +699,7 @@
                     }
                     self.write(id, keep, &head(503, &advice), b"");
                 }
-                Answer::Errored => self.write(id, keep, &head(500, ""), b""),
+                Answer::Failed => self.write(id, keep, &head(500, ""), b""),
                 Answer::Unknown => self.turn_down(
                     id,
                     keep,
--- a/crates/merlinshelf-backend/src/server/fields.rs
+++ b/crates/merlinshelf-backend/src/server/fields.rs
@@ -54,7 +54,7 @@
         let id =
             CallId::read(id).ok_or_else(|| Bad::new(400, "HTTP_X_CALL_ID is no 16 hex digits"))?;
         let patience = self.real("HTTP_X_PATIENCE_MS")?;
-        if patience.is_none() && exchange.passes_budget() {
+        if patience.is_none() && exchange.passes_caller_timeout() {
             return Err(missing("HTTP_X_PATIENCE_MS"));
         }
         if patience.is_some_and(|patience| patience > PATIENCE_MOST_MS) {
@@ -79,14 +79,14 @@
             caller: self
                 .number("HTTP_X_SOURCE")?
                 .ok_or(missing("HTTP_X_SOURCE"))?,
-            stamp_ms: self
+            received_at_ms: self
                 .real("HTTP_X_QUEUE_START")?
                 .ok_or(missing("HTTP_X_QUEUE_START"))?,
-            patience_ms: patience,
-            again: self
+            timeout_ms: patience,
+            is_retry: self
                 .text("HTTP_X_REPEAT")
                 .is_some_and(|text| !matches!(text, b"" | b"0")),
-            held_kb,
+            held_kilobytes: held_kb,
             rank,
             has_subject: self
                 .text("HTTP_X_ENTITY")
--- a/crates/merlinshelf-backend/src/server/mod.rs
+++ b/crates/merlinshelf-backend/src/server/mod.rs
@@ -25,7 +25,7 @@
 use tokio::time::sleep;
 use tokio::{pin, select};
 
-use crate::exchange::{Door, Shared};
+use crate::exchange::{ConnectionHandle, Shared};
 use connection::Connection;
 use table::Table;
 
@@ -131,7 +131,12 @@
     }
 
     /// Carries on a connection that another process has served, behind the door that was opened for it.
-    pub fn resume(&self, socket: TcpStream, door: Door, record: records::ClientConnectionRecord) {
+    pub fn resume(
+        &self,
+        socket: TcpStream,
+        door: ConnectionHandle,
+        record: records::ClientConnectionRecord,
+    ) {
         let seat = self.table.sit();
         let connection = Connection::resumed(
             socket,
@@ -146,7 +151,7 @@
 
     fn begin(&self, socket: TcpStream) {
         let _ = socket.set_nodelay(true);
-        let (seat, door) = (self.table.sit(), Door::open(&self.exchange));
+        let (seat, door) = (self.table.sit(), ConnectionHandle::open(&self.exchange));
         spawn_local(
             Connection::new(socket, &self.exchange, seat, door, (self.most, self.uwsgi)).serve(),
         );
@@ -157,9 +162,9 @@
 fn may_take_in(exchange: &Shared, paced: &mut bool) -> bool {
     let mut exchange = exchange.borrow_mut();
     if !std::mem::replace(paced, true) {
-        exchange.wants_line(CALLERS);
+        exchange.note_connection_demand(CALLERS);
     }
-    let may = exchange.may_open(CALLERS);
+    let may = exchange.may_open_connection(CALLERS);
     *paced = !may;
     may
 }
@@ -235,7 +240,7 @@
     while let Ok(socket) = take_in(&listener) {
         server.begin(socket);
     }
-    if exchange.borrow().notes() {
+    if exchange.borrow().is_journaling() {
         // The predecessor's copy would keep it open.
         let _ = shutdown(listener.get_ref(), Shutdown::Both);
     }
--- a/crates/merlinshelf-backend/src/startup_wait.rs
+++ b/crates/merlinshelf-backend/src/startup_wait.rs
@@ -30,7 +30,7 @@
 
     /// Whether it is known by what to serve, or has been waited for long enough.
     pub fn is_over(&self) -> bool {
-        Instant::now() >= self.until || self.exchange.borrow().policy_began()
+        Instant::now() >= self.until || self.exchange.borrow().is_policy_ready()
     }
 
     /// Lets callers in.
@@ -38,9 +38,9 @@
     /// # Errors
     /// The address was taken meanwhile.
     pub fn begin(self, name: &str) -> io::Result<RestoredInstance> {
-        if !self.exchange.borrow().policy_began() {
+        if !self.exchange.borrow().is_policy_ready() {
             warn!("no agent says which policy holds: {name} begins without a lease");
-            self.exchange.borrow_mut().begin_without_policy();
+            self.exchange.borrow_mut().stop_waiting_for_policy();
         }
         Ok(RestoredInstance::fresh(self.exchange, self.bound.listen()?))
     }
--- a/crates/merlinshelf-backend/src/upgrade/successor_guard.rs
+++ b/crates/merlinshelf-backend/src/upgrade/successor_guard.rs
@@ -15,7 +15,7 @@
 use tokio::io::unix::AsyncFd;
 
 use super::channel::{BATCH, Channel, HANDOVER};
-use crate::exchange::Passed;
+use crate::exchange::PassedDescriptors;
 use crate::instance::FrozenInstance;
 use crate::journal::{JournalReader, memory_file};
 
@@ -35,7 +35,7 @@
 struct Held {
     image: Image,
     /// Copies of all that was handed over or opened since, by what it is.
-    passed: Passed,
+    passed: PassedDescriptors,
     learnt: Option<LearnedState>,
     follower: JournalReader,
 }
@@ -207,7 +207,7 @@
     }
 
     /// Everything as the successor left it, whose process has ended and whose last words were heard: image, descriptors, what was learnt before.
-    pub fn take(&mut self) -> io::Result<(Image, Passed, Option<LearnedState>)> {
+    pub fn take(&mut self) -> io::Result<(Image, PassedDescriptors, Option<LearnedState>)> {
         self.follow()?;
         let held = self
             .held
--- a/crates/merlinshelf-cli/tests/upgrade.rs
+++ b/crates/merlinshelf-cli/tests/upgrade.rs
@@ -209,6 +209,7 @@
         hangs: false,
         rate: 150.0,
         connections: 16,
+        successor: setup.program.clone(),
         setup,
     };
     let (line, clean) = play(upgrade::run(&plan));
