--- a/crates/merlinshelf-agent/src/files.rs
+++ b/crates/merlinshelf-agent/src/files.rs
@@ -24,7 +24,7 @@
     let file = std::fs::File::open(path).map_err(|error| named(format!(" {error}")))?;
     io::Read::read_to_string(&mut io::Read::take(file, FILE_MOST), &mut text)
         .map_err(|error| named(format!(" {error}")))?;
-    let mut wanted: FleetSpec = parse_json5(&text).map_err(named)?;
+    let mut wanted: FleetSpec = parse_json5(&text).map_err(|error| named(error.to_string()))?;
     let base = path.parent().unwrap_or(Path::new("."));
     wanted.folder = std::path::absolute(base.join(&wanted.folder))
         .map_err(|error| named(format!(" folder: {error}")))?;
--- a/crates/merlinshelf-backend/src/counters.rs
+++ b/crates/merlinshelf-backend/src/counters.rs
@@ -1,67 +1,146 @@
-//! What the program took in, sent and answered since its start.
+//! The counters of the process since its start, and what it uses of the machine.
 
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// One number for each thing counted, printed by name.
+/// Defines a struct with one counter a field, which are printed and stored by name. Names are part of the status report
+/// and of the image that passes between versions, and stay.
 macro_rules! counters {
-    ($($name:ident),* $(,)?) => {
+    ($($(#[$comment:meta])* $name:ident),* $(,)?) => {
+        /// How often each event has happened since the process, or its first predecessor, was started.
         #[derive(Clone, Debug, Default, PartialEq, Eq)]
-        pub struct Counters { $(pub $name: u64),* }
+        pub struct Counters { $($(#[$comment])* pub $name: u64),* }
 
         impl Counters {
-            /// All of them by name.
+            /// All counters by name.
             pub fn by_name(&self) -> BTreeMap<String, u64> {
                 BTreeMap::from([$((stringify!($name).to_owned(), self.$name)),*])
             }
 
-            /// Goes on counting from these; unknown names are passed over.
+            /// Continues from these values; unknown names are ignored.
             pub fn set(&mut self, by_name: &BTreeMap<String, u64>) {
                 $(self.$name = by_name.get(stringify!($name)).copied().unwrap_or(self.$name);)*
             }
         }
 
         impl fmt::Display for Counters {
-            fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
+            fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
                 let pairs = [$(concat!(stringify!($name), "=").to_owned() + &self.$name.to_string()),*];
-                out.write_str(&pairs.join(" "))
+                formatter.write_str(&pairs.join(" "))
             }
         }
     };
 }
 
-/// A line of `/proc/self/status`, in KB.
-fn memory_kb(name: &str) -> Option<u64> {
-    let status = std::fs::read_to_string("/proc/self/status").ok()?;
-    let line = status.lines().find_map(|line| line.strip_prefix(name))?;
-    line.trim().split(' ').next()?.parse().ok()
+/// What the process uses now.
+#[derive(Clone, Copy, Debug)]
+pub struct ResourceUsage {
+    /// Resident memory, in KB; 0 where the system does not report it.
+    pub memory_kb: u64,
+    /// Open descriptors; 0 where the system does not report them.
+    pub descriptors: u64,
 }
 
-/// Memory in use now, in KB, and open descriptors.
-pub fn in_use() -> (u64, u64) {
-    let open = std::fs::read_dir("/proc/self/fd").map_or(0, |all| all.count().saturating_sub(1));
-    (memory_kb("VmRSS:").unwrap_or(0), open as u64)
+impl ResourceUsage {
+    /// Asks the system.
+    pub fn now() -> ResourceUsage {
+        // The directory that is being read is open itself.
+        let descriptors = std::fs::read_dir("/proc/self/fd")
+            .map_or(0, |entries| entries.count().saturating_sub(1));
+        ResourceUsage {
+            memory_kb: memory_kb("VmRSS:").unwrap_or(0),
+            descriptors: descriptors as u64,
+        }
+    }
 }
 
-/// What the process itself uses: most memory so far, and descriptors now.
-pub fn usage() -> String {
+/// The highest memory so far and the open descriptors, for the log.
+pub fn usage_text() -> String {
     let peak = memory_kb("VmHWM:").map_or("?".to_owned(), |kb| format!("{kb}kB"));
-    format!("memory_peak={peak} descriptors={}", in_use().1)
+    let descriptors = ResourceUsage::now().descriptors;
+    format!("memory_peak={peak} descriptors={descriptors}")
+}
+
+/// A line of `/proc/self/status`, in KB.
+fn memory_kb(name: &str) -> Option<u64> {
+    let status = std::fs::read_to_string("/proc/self/status").ok()?;
+    let line = status.lines().find_map(|line| line.strip_prefix(name))?;
+    line.trim().split(' ').next()?.parse().ok()
 }
 
 counters! {
-    // from edge nodes and to them
-    connections, refused_connections, invocations, checks, bad, aborted, too_many,
-    succeeded, partial, throttled, errored, unheard,
-    // to the engine and from it
-    engine_links, runs, feeds, skips, stats, done, needs, refused_commands, repeated,
-    // calls below
-    calls, calls_succeeded, calls_lesser, calls_never_ran, calls_failed, calls_timed_out, cancels, late_replies,
-    // upgrades
+    /// Connections accepted from clients.
+    connections,
+    /// Accepts that failed.
+    refused_connections,
+    /// Invocations received complete.
+    invocations,
+    /// Health checks answered.
+    checks,
+    /// Requests rejected as malformed, unknown or incomplete, and connections closed for it.
+    bad,
+    /// Invocations aborted by their client.
+    aborted,
+    /// Invocations beyond the limit of a connection or of the table.
+    too_many,
+    /// Final responses with a complete result.
+    succeeded,
+    /// Final responses with parts missing.
+    partial,
+    /// Final responses under load shedding.
+    throttled,
+    /// Final responses of failed invocations.
+    errored,
+    /// Invocations or responses whose connection was gone.
+    unheard,
+    /// Connections to the engine.
+    engine_links,
+    /// Commands to run an invocation.
+    runs,
+    /// Commands to continue a run with the response of a call.
+    feeds,
+    /// Commands to continue a run without a call.
+    skips,
+    /// Gauges received from the engine.
+    stats,
+    /// Notifications of finished runs.
+    done,
+    /// Notifications of requested downstream calls.
+    needs,
+    /// Commands that the engine refused.
+    refused_commands,
+    /// Notifications received a second time and ignored.
+    repeated,
+    /// Downstream calls.
+    calls,
+    /// Downstream calls that succeeded.
+    calls_succeeded,
+    /// Downstream calls replaced by a fallback or answered with a degraded result.
+    calls_lesser,
+    /// Downstream calls that had no effect for certain.
+    calls_never_ran,
+    /// Downstream calls that failed.
+    calls_failed,
+    /// Downstream calls that timed out.
+    calls_timed_out,
+    /// Downstream calls cancelled.
+    cancels,
+    /// Responses of calls that nothing waited for any more.
+    late_replies,
+    /// Recoveries from a failed successor.
     taken_back,
-    policies, budget_calls, budget_drawn,
-    // membership
-    reports, failed_reports,
-    // most at one time
-    most_in_hand, most_doors,
+    /// Policies applied.
+    policies,
+    /// Downstream calls under a quota.
+    budget_calls,
+    /// Quota spent on them, in calls.
+    budget_drawn,
+    /// Reports to the registration service.
+    reports,
+    /// Reports that failed.
+    failed_reports,
+    /// The most invocations in flight at one time.
+    most_in_hand,
+    /// The most client connections at one time.
+    most_doors,
 }
--- a/crates/merlinshelf-backend/src/fault.rs
+++ b/crates/merlinshelf-backend/src/fault.rs
@@ -1,12 +1,15 @@
-//! Faults on demand, in debug builds alone: the tests let a process die, end or hang at a named point.
+//! Injected faults, in debug builds alone: tests let a process die, exit or hang at a named point.
 
-/// Fails here if `MERLINSHELF_FAULT` says so: `POINT:TIMES:HOW`, at that pass of the point; `how` is `abort`, `exit`,
-/// `hang`, or `pause` for half a second. In successors alone: the variable is passed on from who comes before.
+/// Fails here if `MERLINSHELF_FAULT` is `POINT:PASS:FAULT` and this is that pass of that point. The fault is `abort`,
+/// `exit`, `hang`, or `pause` for half a second. In successors alone: the variable is inherited from their predecessor.
 #[cfg(debug_assertions)]
 pub(crate) fn injection_point(name: &str) {
     use std::sync::OnceLock;
-    static SUCCESSOR: OnceLock<bool> = OnceLock::new();
-    if *SUCCESSOR.get_or_init(|| std::env::var_os(crate::upgrade::channel::HANDOVER).is_some()) {
+
+    use crate::upgrade::channel::HANDOVER_VARIABLE;
+
+    static IS_SUCCESSOR: OnceLock<bool> = OnceLock::new();
+    if *IS_SUCCESSOR.get_or_init(|| std::env::var_os(HANDOVER_VARIABLE).is_some()) {
         injection_point_in_any_process(name);
     }
 }
@@ -16,33 +19,57 @@
 pub fn injection_point_in_any_process(name: &str) {
     use std::sync::OnceLock;
     use std::sync::atomic::{AtomicU64, Ordering};
-    static FAULT: OnceLock<Option<(String, u64, String)>> = OnceLock::new();
-    static PASSED: AtomicU64 = AtomicU64::new(0);
-    let fault = FAULT.get_or_init(|| {
-        let text = std::env::var("MERLINSHELF_FAULT").ok()?;
-        let mut words = text.split(':');
-        let (point, times, how) = (words.next()?, words.next()?, words.next()?);
-        Some((point.to_owned(), times.parse().ok()?, how.to_owned()))
-    });
-    let Some((point, times, how)) = fault else {
+
+    static INJECTED: OnceLock<Option<InjectedFault>> = OnceLock::new();
+    static PASSES: AtomicU64 = AtomicU64::new(0);
+    let Some(fault) = INJECTED.get_or_init(InjectedFault::from_environment) else {
         return;
     };
-    if point != name || PASSED.fetch_add(1, Ordering::Relaxed) + 1 != *times {
-        return;
-    }
-    eprintln!("fault {name}"); // what a test waits for
-    match how.as_str() {
-        "abort" => std::process::abort(),
-        "exit" => std::process::exit(3),
-        "pause" => std::thread::sleep(std::time::Duration::from_millis(500)),
-        _ => loop {
-            std::thread::sleep(std::time::Duration::from_secs(1));
-        },
+    if fault.point == name && PASSES.fetch_add(1, Ordering::Relaxed) + 1 == fault.pass {
+        fault.inject();
     }
 }
 
+/// Nothing in a release build.
 #[cfg(not(debug_assertions))]
 pub(crate) fn injection_point(_: &str) {}
 
+/// Nothing in a release build.
 #[cfg(not(debug_assertions))]
 pub fn injection_point_in_any_process(_: &str) {}
+
+#[cfg(debug_assertions)]
+struct InjectedFault {
+    point: String,
+    /// The pass of the point at which the process fails, counted from 1.
+    pass: u64,
+    fault: String,
+}
+
+#[cfg(debug_assertions)]
+impl InjectedFault {
+    fn from_environment() -> Option<InjectedFault> {
+        let text = std::env::var("MERLINSHELF_FAULT").ok()?;
+        let mut parts = text.split(':');
+        Some(InjectedFault {
+            point: parts.next()?.to_owned(),
+            pass: parts.next()?.parse().ok()?,
+            fault: parts.next()?.to_owned(),
+        })
+    }
+
+    fn inject(&self) {
+        use std::thread::sleep;
+        use std::time::Duration;
+
+        eprintln!("fault {}", self.point); // what a test waits for
+        match self.fault.as_str() {
+            "abort" => std::process::abort(),
+            "exit" => std::process::exit(3),
+            "pause" => sleep(Duration::from_millis(500)),
+            _ => loop {
+                sleep(Duration::from_secs(1));
+            },
+        }
+    }
+}
--- /dev/null
+++ b/crates/merlinshelf-backend/src/instance/mod.rs
@@ -0,0 +1,146 @@
+//! One instance as it runs: the exchange and the tasks around it, from their start or from where another process left
+//! off, until they end or are frozen to be continued elsewhere.
+
+mod drain;
+mod restored;
+mod task;
+
+use std::os::fd::OwnedFd;
+use std::rc::{Rc, Weak};
+use std::time::Duration;
+
+use merlinshelf_handover::Transaction;
+use thiserror::Error;
+use tokio::select;
+use tokio::sync::{Notify, watch};
+use tokio::time::{Instant, sleep_until, timeout_at};
+
+use crate::config::{Config, Peers};
+use crate::exchange::{Passed, Shared};
+use crate::routing;
+use crate::server::Listening;
+use drain::Drain;
+use task::Task;
+
+pub use restored::{IncompatibleImage, RestoreSource, RestoredInstance};
+
+/// Tasks stop at their next turn when they are frozen; one that takes longer hangs.
+const FREEZE_TIMEOUT: Duration = Duration::from_secs(1);
+
+/// An instance that serves.
+pub struct Instance {
+    /// What all its tasks share.
+    pub exchange: Shared,
+    peers: watch::Sender<Peers>,
+    /// Owned by the task that accepts, until it closes it.
+    listener: Weak<Listening>,
+    close_listener: Rc<Notify>,
+    accept_task: Task,
+    /// Tasks that deposit their connections when they are frozen.
+    depositing_tasks: Vec<Task>,
+    _other_tasks: Vec<Task>,
+    drain_timeout: Duration,
+}
+
+/// How an instance is started.
+pub struct InstanceOptions<'a> {
+    /// The platform's configuration.
+    pub config: &'a Config,
+    /// The servers that it connects to.
+    pub peers: Peers,
+    /// Routing of calls to several dependencies, if the operators name any.
+    pub routing: Option<routing::Shared>,
+    /// Whether clients may speak uwsgi as well as FastCGI.
+    pub accepts_uwsgi: bool,
+}
+
+/// What was frozen: the image, and all descriptors that belong to it.
+pub struct FrozenInstance {
+    /// The complete image, as one transaction.
+    pub image: Transaction,
+    /// The connections.
+    pub connections: Passed,
+    /// The listening socket.
+    pub listener: OwnedFd,
+}
+
+/// Why an instance can't be frozen.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub enum FreezeError {
+    /// It drains and listens no more.
+    #[error("the listener is closed")]
+    ListenerClosed,
+    /// Something else than the accepting task has the listener.
+    #[error("the listener is still in use")]
+    ListenerInUse,
+    /// A task hangs.
+    #[error("a part does not stop")]
+    Timeout,
+}
+
+impl Instance {
+    /// Connects to other servers from here on.
+    pub fn set_peers(&self, peers: Peers) {
+        self.peers
+            .send_if_modified(|current| std::mem::replace(current, peers) != peers);
+    }
+
+    /// The graceful shutdown, which completes once everything is done: by the deadline the process must have exited.
+    pub fn drain(&self, deadline: Instant) -> impl Future<Output = ()> + use<> {
+        Drain {
+            exchange: self.exchange.clone(),
+            close_listener: self.close_listener.clone(),
+            accept_task: self.accept_task.abort_handle(),
+            timeout: self.drain_timeout,
+            deadline,
+        }
+        .run()
+    }
+
+    /// Stops everything where it stands.
+    ///
+    /// # Errors
+    /// The listener is closed or a task hangs. The instance is gone all the same.
+    pub async fn freeze(mut self) -> Result<FrozenInstance, FreezeError> {
+        let listener = self.listener.upgrade().ok_or(FreezeError::ListenerClosed)?;
+        self.accept_task.abort();
+        // Its reference to the listener ends with the task.
+        self.accept_task.wait().await;
+        self.exchange.borrow_mut().freeze();
+        let deadline = Instant::now() + FREEZE_TIMEOUT;
+        timeout_at(deadline, self.all_deposited())
+            .await
+            .map_err(|_| FreezeError::Timeout)?;
+        let (image, connections) = self.exchange.borrow_mut().take_image();
+        let listener = Rc::try_unwrap(listener).map_err(|_| FreezeError::ListenerInUse)?;
+        Ok(FrozenInstance {
+            image,
+            connections,
+            listener: listener.into_inner().into(),
+        })
+    }
+
+    /// Every task has deposited its connections, and every client connection its own.
+    async fn all_deposited(&mut self) {
+        for task in &mut self.depositing_tasks {
+            task.wait().await;
+        }
+        while self.exchange.borrow().doors_open() > 0 {
+            tokio::task::yield_now().await;
+        }
+    }
+}
+
+/// Fires the exchange's timers.
+async fn run_timers(exchange: Shared) {
+    let timer_set = exchange.borrow().alarmed();
+    loop {
+        let next = exchange.borrow().next_alarm();
+        select! {
+            () = sleep_until(next.unwrap_or_else(Instant::now)), if next.is_some() => {
+                exchange.borrow_mut().ring_alarms();
+            }
+            () = timer_set.notified() => {}
+        }
+    }
+}
--- /dev/null
+++ b/crates/merlinshelf-backend/src/instance/restored.rs
@@ -0,0 +1,384 @@
+//! An instance that is made from an image, or fresh, and does not run yet.
+
+use std::cell::RefCell;
+use std::os::fd::OwnedFd;
+use std::rc::Rc;
+
+use log::{error, warn};
+use merlinshelf_admission::LearnedState;
+use merlinshelf_handover::{Flow, Image, Key, Reconciliation, Role, records};
+use serde::de::DeserializeOwned;
+use thiserror::Error;
+use tokio::net::TcpStream;
+use tokio::sync::{Notify, mpsc, watch};
+
+use super::task::Task;
+use super::{Instance, InstanceOptions, run_timers};
+use crate::client;
+use crate::exchange::{Door, Exchange, Passed, Passing, Shared};
+use crate::journal::Journal;
+use crate::ring::discard;
+use crate::routing;
+use crate::server::{self, Listening, Server};
+use crate::upgrade::kernel::{self, OpenedBy};
+
+/// Everything of another process, made live and not running yet.
+pub struct RestoredInstance {
+    exchange: Shared,
+    listener: Rc<Listening>,
+    client_connections: Vec<ClientConnection>,
+    downstream_connections: Vec<DownstreamConnection>,
+    engine_connection: Option<EngineConnection>,
+    /// Client connections that can't be continued.
+    pub lost_connections: usize,
+}
+
+struct ClientConnection {
+    socket: TcpStream,
+    response_queue: Door,
+    record: records::ClientConnectionRecord,
+    reconciliation: Reconciliation,
+}
+
+struct DownstreamConnection {
+    socket: TcpStream,
+    stream: u64,
+    record: records::DownstreamConnectionRecord,
+    reconciliation: Reconciliation,
+}
+
+struct EngineConnection {
+    record: records::EngineConnectionRecord,
+    /// `None` where it was down or can't be continued; it is established anew then.
+    live: Option<(TcpStream, Reconciliation)>,
+}
+
+/// From what an instance is restored.
+pub struct RestoreSource<'a> {
+    /// The image.
+    pub image: &'a Image,
+    /// The connections that belong to it.
+    pub connections: Passed,
+    /// The estimates of the admission controller, where the image has none.
+    pub learned: Option<LearnedState>,
+}
+
+/// What a restored instance continues.
+#[derive(Clone, Copy, Debug)]
+pub struct InstanceTotals {
+    /// Connections of clients.
+    pub client_connections: usize,
+    /// Downstream calls in progress.
+    pub downstream_calls: usize,
+    /// Invocations in flight.
+    pub invocations: usize,
+}
+
+/// The image is of an instance with other settings.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+#[error("{reason}")]
+pub struct IncompatibleImage {
+    reason: String,
+}
+
+impl RestoredInstance {
+    /// A fresh start.
+    pub fn fresh(exchange: Shared, listener: Listening) -> RestoredInstance {
+        RestoredInstance {
+            exchange,
+            listener: Rc::new(listener),
+            client_connections: Vec::new(),
+            downstream_connections: Vec::new(),
+            engine_connection: None,
+            lost_connections: 0,
+        }
+    }
+
+    /// Restores an instance. Nothing is read or written by this, and nothing closed but connections that can't be
+    /// continued: until it runs, another process may still continue all the others.
+    ///
+    /// # Errors
+    /// The image does not fit the exchange.
+    pub fn restore(
+        exchange: Exchange,
+        listener: Listening,
+        source: RestoreSource,
+    ) -> Result<RestoredInstance, IncompatibleImage> {
+        exchange
+            .suits(source.image)
+            .map_err(|reason| IncompatibleImage { reason })?;
+        let exchange = Rc::new(RefCell::new(exchange));
+        let mut restored = RestoredInstance::fresh(exchange, listener);
+        let mut connections = source.connections;
+        restored.restore_engine_connection(source.image, &mut connections);
+        for (role, socket) in connections {
+            match role {
+                Role::ClientConnection(stream) => {
+                    restored.restore_client_connection(source.image, stream, socket);
+                }
+                Role::DownstreamConnection(stream) => {
+                    restored.restore_downstream_connection(source.image, stream, socket);
+                }
+                _ => {}
+            }
+        }
+        let calls: Vec<records::DownstreamConnectionRecord> = restored
+            .downstream_connections
+            .iter()
+            .map(|connection| connection.record.clone())
+            .collect();
+        restored
+            .exchange
+            .borrow_mut()
+            .take_up(source.image, &calls, source.learned);
+        Ok(restored)
+    }
+
+    fn restore_engine_connection(&mut self, image: &Image, connections: &mut Passed) {
+        let Some(mut record) =
+            decode::<records::EngineConnectionRecord>(image, Key::EngineConnection)
+        else {
+            return;
+        };
+        let socket = record
+            .stream
+            .and_then(|stream| connections.remove(&Role::EngineConnection(stream)));
+        let live = socket.and_then(|socket| {
+            let reconciliation = reconcile(&socket, &mut record.flow, OpenedBy::Us)?;
+            Some((into_stream(socket)?, reconciliation))
+        });
+        self.engine_connection = Some(EngineConnection { record, live });
+    }
+
+    fn restore_client_connection(&mut self, image: &Image, stream: u64, socket: OwnedFd) {
+        let key = Key::ClientConnection(stream);
+        if image.is_removed(key) {
+            return;
+        }
+        // One without a record was only just accepted.
+        let mut record = decode::<records::ClientConnectionRecord>(image, key).unwrap_or_default();
+        let reconciliation = reconcile(&socket, &mut record.flow, OpenedBy::Peer);
+        let Some((reconciliation, socket)) = reconciliation.zip(into_stream(socket)) else {
+            self.lost_connections += 1;
+            return;
+        };
+        self.client_connections.push(ClientConnection {
+            socket,
+            response_queue: Door::reopen(&self.exchange, stream),
+            record,
+            reconciliation,
+        });
+    }
+
+    fn restore_downstream_connection(&mut self, image: &Image, stream: u64, socket: OwnedFd) {
+        let key = Key::DownstreamConnection(stream);
+        // One without a record carries no call.
+        let Some(mut record) = decode::<records::DownstreamConnectionRecord>(image, key) else {
+            return;
+        };
+        let reconciliation = reconcile(&socket, &mut record.flow, OpenedBy::Us);
+        if let Some((reconciliation, socket)) = reconciliation.zip(into_stream(socket)) {
+            self.downstream_connections.push(DownstreamConnection {
+                socket,
+                stream,
+                record,
+                reconciliation,
+            });
+        }
+    }
+
+    /// Records every change before its effect shows, from here on. Connections that are opened go to `opened`.
+    pub fn start_recording(&self, journal: Journal, opened: mpsc::UnboundedSender<Passing>) {
+        self.exchange.borrow_mut().note(journal, opened);
+    }
+
+    /// What it continues.
+    pub fn totals(&self) -> InstanceTotals {
+        InstanceTotals {
+            client_connections: self.client_connections.len(),
+            downstream_calls: self.downstream_connections.len(),
+            invocations: self.exchange.borrow().in_hand(),
+        }
+    }
+
+    /// Runs it.
+    pub fn run(self, options: InstanceOptions) -> Instance {
+        if let Some(routing) = &options.routing {
+            let parts = |operation: &str| routing.borrow().parts(operation);
+            self.exchange.borrow_mut().set_parts(parts);
+        }
+        let max_calls = client::calls_most(options.config.sockets);
+        let max_connections = server::doors_most(options.config.sockets, max_calls);
+        let server = Server::new(
+            self.exchange.clone(),
+            max_connections,
+            options.accepts_uwsgi,
+        );
+        resume_client_connections(&server, self.client_connections);
+        let engine_connection = self.engine_connection.map(resume_engine_connection);
+        let downstream_connections = resume_downstream_connections(self.downstream_connections);
+
+        let close_listener = Rc::new(Notify::new());
+        let listener = Rc::downgrade(&self.listener);
+        let accept_task = Task::spawn(server::accept(
+            self.listener,
+            server,
+            close_listener.clone(),
+        ));
+        let (peers, watched_peers) = watch::channel(options.peers);
+        let tasks = Tasks {
+            exchange: self.exchange.clone(),
+            peers: watched_peers,
+        };
+        let timers = tasks.timers();
+        let engine = tasks.engine(engine_connection);
+        let downstream = tasks.downstream(max_calls, downstream_connections, options.routing);
+        let registration = tasks.registration(options.config.name.clone());
+        Instance {
+            exchange: self.exchange,
+            peers,
+            listener,
+            close_listener,
+            accept_task,
+            depositing_tasks: vec![engine, downstream],
+            _other_tasks: vec![timers, registration],
+            drain_timeout: options.config.drain_timeout,
+        }
+    }
+}
+
+/// What the tasks of an instance share.
+struct Tasks {
+    exchange: Shared,
+    peers: client::Watched,
+}
+
+impl Tasks {
+    fn timers(&self) -> Task {
+        let exchange = self.exchange.clone();
+        Task::supervise("timers", move || run_timers(exchange.clone()))
+    }
+
+    fn engine(&self, connection: Option<client::engine::Resumed>) -> Task {
+        let exchange = self.exchange.clone();
+        let peers = self.peers.clone();
+        let connection = Rc::new(RefCell::new(connection));
+        Task::supervise("engine connection", move || {
+            client::engine::hold(peers.clone(), exchange.clone(), connection.clone())
+        })
+    }
+
+    fn downstream(
+        &self,
+        max_calls: usize,
+        connections: Vec<ResumedDownstreamConnection>,
+        routing: Option<routing::Shared>,
+    ) -> Task {
+        let exchange = self.exchange.clone();
+        let peers = self.peers.clone();
+        let connections = Rc::new(RefCell::new(connections));
+        Task::supervise("downstream calls", move || {
+            client::catalogue::serve(
+                peers.clone(),
+                exchange.clone(),
+                max_calls,
+                connections.clone(),
+                routing.clone(),
+            )
+        })
+    }
+
+    fn registration(&self, name: String) -> Task {
+        let exchange = self.exchange.clone();
+        let peers = self.peers.clone();
+        Task::supervise("registration", move || {
+            client::registration::report(peers.clone(), name.clone(), exchange.clone())
+        })
+    }
+}
+
+/// As the downstream client takes it: socket, stream number and record.
+type ResumedDownstreamConnection = (TcpStream, u64, records::DownstreamConnectionRecord);
+
+fn resume_client_connections(server: &Server, connections: Vec<ClientConnection>) {
+    for connection in connections {
+        let discard_bytes = connection.reconciliation.discard_bytes;
+        match discard(&connection.socket, discard_bytes) {
+            Ok(()) => server.resume(
+                connection.socket,
+                connection.response_queue,
+                connection.record,
+            ),
+            Err(error) => warn!("client connection lost: {error}"),
+        }
+    }
+}
+
+fn resume_engine_connection(connection: EngineConnection) -> client::engine::Resumed {
+    let socket = connection.live.and_then(|(socket, reconciliation)| {
+        match discard(&socket, reconciliation.discard_bytes) {
+            Ok(()) => Some(socket),
+            Err(error) => {
+                warn!("engine connection lost: {error}");
+                None
+            }
+        }
+    });
+    (connection.record, socket)
+}
+
+fn resume_downstream_connections(
+    connections: Vec<DownstreamConnection>,
+) -> Vec<ResumedDownstreamConnection> {
+    let mut resumed = Vec::new();
+    for connection in connections {
+        match discard(&connection.socket, connection.reconciliation.discard_bytes) {
+            Ok(()) => resumed.push((connection.socket, connection.stream, connection.record)),
+            Err(error) => warn!("downstream connection lost: {error}"),
+        }
+    }
+    resumed
+}
+
+/// The record under that key. One that can't be decoded counts as missing: its connection is lost, the others go on.
+fn decode<T: DeserializeOwned>(image: &Image, key: Key) -> Option<T> {
+    match image.decode(key) {
+        Ok(record) => record,
+        Err(error) => {
+            error!("record ignored: {error}");
+            None
+        }
+    }
+}
+
+/// Reconciles what was recorded of a connection with what the kernel counted; `None` where it can't be continued.
+fn reconcile(socket: &OwnedFd, flow: &mut Flow, opened_by: OpenedBy) -> Option<Reconciliation> {
+    let counts = match kernel::byte_counts(socket, opened_by) {
+        Ok(counts) => counts,
+        Err(error) => {
+            warn!("connection lost: {error}");
+            return None;
+        }
+    };
+    match flow.reconcile(counts) {
+        Ok(reconciliation) => Some(reconciliation),
+        Err(mismatch) => {
+            error!("connection lost: {mismatch}");
+            None
+        }
+    }
+}
+
+fn into_stream(socket: OwnedFd) -> Option<TcpStream> {
+    let socket = std::net::TcpStream::from(socket);
+    let stream = socket
+        .set_nonblocking(true)
+        .and_then(|()| TcpStream::from_std(socket));
+    match stream {
+        Ok(stream) => Some(stream),
+        Err(error) => {
+            warn!("connection lost: {error}");
+            None
+        }
+    }
+}
--- a/crates/merlinshelf-backend/src/lib.rs
+++ b/crates/merlinshelf-backend/src/lib.rs
@@ -20,4 +20,4 @@
 mod startup_wait;
 mod upgrade;
 
-pub use process::{Start, check_config, serve};
+pub use process::{LoadError, RestoreError, ServeError, Start, check_config, serve};
--- /dev/null
+++ b/crates/merlinshelf-backend/src/operator/validation.rs
@@ -0,0 +1,46 @@
+//! Validation of single fields. The texts say what would be right.
+
+use std::net::SocketAddr;
+use std::path::Path;
+
+use merlinshelf_dependencies::Dependencies;
+
+/// The longest path of a Unix socket: the system's limit of 108 less the suffix under which it is created.
+const MAX_SOCKET_PATH_BYTES: usize = 100;
+
+/// The dependencies, their servers and operations refer to each other consistently.
+pub(super) fn validate_dependencies(dependencies: &Dependencies, (): &()) -> garde::Result {
+    dependencies
+        .check()
+        .map_err(|errors| garde::Error::new(errors.join("; ")))
+}
+
+/// The address is on the loopback interface and names a port.
+pub(super) fn validate_loopback(text: &str, (): &()) -> garde::Result {
+    match text.parse::<SocketAddr>() {
+        Ok(address) if address.ip().is_loopback() && address.port() > 0 => Ok(()),
+        Ok(address) if address.port() == 0 => {
+            Err(garde::Error::new(format!("{text:?} names no port")))
+        }
+        Ok(_) => Err(garde::Error::new(format!(
+            "{text:?} is no loopback address; what instances tell each other is not encrypted yet, and only these are allowed"
+        ))),
+        Err(_) => Err(garde::Error::new(format!(
+            "{text:?} is no address with a port, like 127.0.0.1:7400"
+        ))),
+    }
+}
+
+/// The path can be one of a Unix socket.
+pub(super) fn validate_socket_path(path: &Path, (): &()) -> garde::Result {
+    let length = path.as_os_str().len();
+    if length == 0 {
+        return Err(garde::Error::new("is empty; name a path"));
+    }
+    if length > MAX_SOCKET_PATH_BYTES {
+        return Err(garde::Error::new(format!(
+            "has {length} bytes; a socket's path has {MAX_SOCKET_PATH_BYTES} at most"
+        )));
+    }
+    Ok(())
+}
--- /dev/null
+++ b/crates/merlinshelf-backend/src/process/error.rs
@@ -0,0 +1,105 @@
+//! Why a process can't start, or ends with an error.
+
+use std::io;
+use std::path::PathBuf;
+
+use merlinshelf_handover::image::DecodeError;
+use thiserror::Error;
+
+use crate::config::ConfigFileError;
+use crate::instance::{FreezeError, IncompatibleImage};
+use crate::operator::OperatorFileError;
+
+/// Why the files that a process is started with can't be used.
+#[derive(Debug, Error)]
+pub enum LoadError {
+    /// The platform's configuration can't be used.
+    #[error(transparent)]
+    Config(#[from] ConfigFileError),
+    /// Its settings can't be used.
+    #[error("{reason}")]
+    Settings {
+        /// Which one, and why.
+        reason: String,
+    },
+    /// The operators' file can't be used.
+    #[error(transparent)]
+    Operator(#[from] OperatorFileError),
+}
+
+/// Why a process can't serve, or stops serving.
+#[derive(Debug, Error)]
+pub enum ServeError {
+    /// A file can't be used.
+    #[error(transparent)]
+    Load(#[from] LoadError),
+    /// Another process listens on the control socket.
+    #[error("control: {}: another process listens there", path.display())]
+    ControlSocketInUse {
+        /// The control socket.
+        path: PathBuf,
+    },
+    /// The base policy does not fit this instance.
+    #[error("{reason}")]
+    Policy {
+        /// Which field, and why.
+        reason: String,
+    },
+    /// A successor can't take over.
+    #[error("{reason}")]
+    Declined {
+        /// Why.
+        reason: String,
+    },
+    /// The state of a failed successor can't be recovered.
+    #[error(transparent)]
+    Recovery(#[from] RestoreError),
+    /// A system call failed: an address in use, or no descriptors.
+    #[error(transparent)]
+    Io(#[from] io::Error),
+}
+
+/// Why an instance can't be restored from what another process has left.
+#[derive(Debug, Error)]
+pub enum RestoreError {
+    /// The predecessor has not sent the file of the image.
+    #[error("the image did not come")]
+    MissingImage,
+    /// The predecessor has not sent the file of the journal.
+    #[error("the journal did not come")]
+    MissingJournal,
+    /// The listening socket is missing.
+    #[error("no listener came")]
+    MissingListener,
+    /// There is no successor to recover from.
+    #[error("there is nothing to take back")]
+    NothingToRecover,
+    /// The image can't be decoded.
+    #[error(transparent)]
+    InvalidImage(#[from] DecodeError),
+    /// The image does not fit the configuration.
+    #[error(transparent)]
+    IncompatibleImage(#[from] IncompatibleImage),
+    /// The configuration can't be used.
+    #[error("{reason}")]
+    Settings {
+        /// Which setting, and why.
+        reason: String,
+    },
+    /// A system call failed.
+    #[error(transparent)]
+    Io(#[from] io::Error),
+}
+
+/// Why the instance can't be frozen for a successor.
+#[derive(Debug, Error)]
+pub(super) enum FreezeFailure {
+    #[error("nothing serves here")]
+    NotServing,
+    #[error("there is no successor")]
+    NoSuccessor,
+    #[error(transparent)]
+    Instance(#[from] FreezeError),
+    #[error(transparent)]
+    Image(#[from] io::Error),
+}
--- /dev/null
+++ b/crates/merlinshelf-backend/src/process/predecessor_role.rs
@@ -0,0 +1,227 @@
+//! The upgrade as predecessor: what is carried out towards a successor, and what is received from it.
+
+use std::io;
+use std::path::PathBuf;
+use std::time::Duration;
+
+use log::{info, warn};
+use merlinshelf_handover::predecessor::{Action, Progress, StageTimeouts};
+use merlinshelf_handover::{Message, Predecessor};
+use tokio::sync::mpsc::UnboundedSender;
+use tokio::time::timeout;
+
+use super::error::{FreezeFailure, ServeError};
+use super::{Flow, Process};
+use crate::upgrade::channel::{Channel, ReceivedMessage};
+use crate::upgrade::successor_guard::SuccessorGuard;
+
+/// The channel of a process that exits ends a moment before the process does.
+const EXIT_TIMEOUT: Duration = Duration::from_millis(100);
+
+/// What a process keeps towards a successor.
+pub(super) struct PredecessorRole {
+    pub state: Predecessor,
+    /// The successor, from its start to its end.
+    pub guard: Option<SuccessorGuard>,
+    /// The channel to it has ended.
+    is_channel_closed: bool,
+    /// The client that requested the upgrade.
+    pub upgrade_client: Option<UnboundedSender<Progress>>,
+    transfer_timeout: Duration,
+}
+
+impl PredecessorRole {
+    pub(super) fn new(timeouts: StageTimeouts) -> PredecessorRole {
+        PredecessorRole {
+            state: Predecessor::new(timeouts),
+            guard: None,
+            is_channel_closed: false,
+            upgrade_client: None,
+            transfer_timeout: timeouts.takeover,
+        }
+    }
+
+    /// The channel to the successor, until it has ended.
+    pub(super) fn open_channel(&self) -> Option<&Channel> {
+        if self.is_channel_closed {
+            return None;
+        }
+        self.guard.as_ref().map(|guard| &guard.channel)
+    }
+
+    fn successor_id(&self) -> u32 {
+        self.guard.as_ref().map_or(0, SuccessorGuard::process_id)
+    }
+
+    async fn send(&self, message: &Message) {
+        if let Some(guard) = &self.guard
+            && let Err(error) = guard.channel.send(message, &[]).await
+        {
+            warn!(successor = guard.process_id(); "message to the successor not sent: {error}");
+        }
+    }
+
+    async fn transfer(&self) -> io::Result<usize> {
+        let Some(guard) = &self.guard else {
+            return Err(io::Error::other("there is no successor"));
+        };
+        match timeout(self.transfer_timeout, guard.transfer()).await {
+            Ok(result) => result,
+            Err(elapsed) => Err(elapsed.into()),
+        }
+    }
+
+    fn kill(&self) {
+        if let Some(guard) = &self.guard {
+            let successor = guard.process_id();
+            warn!(successor = successor; "killing successor {successor}");
+            guard.kill();
+        }
+    }
+
+    fn report(&mut self, progress: Progress) {
+        info!("upgrade: {progress}");
+        let Some(client) = &self.upgrade_client else {
+            return;
+        };
+        // The process exits with a completed upgrade, and waits until the client has read of it.
+        let is_finished = progress.is_final() && progress != Progress::Completed;
+        let _ = client.send(progress);
+        if is_finished {
+            self.upgrade_client = None;
+        }
+    }
+}
+
+impl Process {
+    pub(super) async fn carry_out_as_predecessor(
+        &mut self,
+        action: Action,
+    ) -> Result<Flow, ServeError> {
+        match action {
+            Action::StartSuccessor => self.start_successor(),
+            Action::Send(message) => self.predecessor.send(&message).await,
+            Action::Freeze => self.freeze().await,
+            Action::Transfer => match self.predecessor.transfer().await {
+                Ok(count) => self.predecessor.state.transfer_completed(count),
+                Err(error) => self.predecessor.state.transfer_failed(&error.to_string()),
+            },
+            Action::ReleaseOwnership => {
+                let successor = self.predecessor.successor_id();
+                info!(successor = successor; "successor {successor} activated and on probation");
+            }
+            Action::KillSuccessor => self.predecessor.kill(),
+            Action::Resume | Action::Recover => self.recover()?,
+            Action::Report(progress) => self.predecessor.report(progress),
+            Action::Drain { deadline } => self.start_drain(deadline),
+            Action::Reload => self.reload(),
+            Action::Exit => return Ok(Flow::Exit(0)),
+            Action::ExitWithStatus { status } => return Ok(Flow::Exit(status)),
+        }
+        Ok(Flow::Continue)
+    }
+
+    fn start_successor(&mut self) {
+        let configured = self
+            .operator
+            .upgrade
+            .as_ref()
+            .and_then(|upgrade| upgrade.program.clone());
+        let program = configured.map_or_else(own_program, Ok);
+        match program.and_then(SuccessorGuard::start) {
+            Ok(guard) => {
+                let successor = guard.process_id();
+                info!(successor = successor; "the successor {successor} was started");
+                self.predecessor.guard = Some(guard);
+                self.predecessor.is_channel_closed = false;
+            }
+            Err(error) => self.predecessor.state.start_failed(&error.to_string()),
+        }
+    }
+
+    async fn freeze(&mut self) {
+        // The control socket is the successor's from here on.
+        self.control = None;
+        match self.try_freeze().await {
+            Ok(()) => {
+                let now = self.now();
+                self.predecessor.state.freeze_completed(now);
+            }
+            Err(error) => self.predecessor.state.freeze_failed(&error.to_string()),
+        }
+    }
+
+    async fn try_freeze(&mut self) -> Result<(), FreezeFailure> {
+        let instance = self.instance.take().ok_or(FreezeFailure::NotServing)?;
+        if let Some(gossip) = &mut self.gossip {
+            gossip.stop();
+            instance.exchange.borrow_mut().knowledge = gossip.pass_on();
+        }
+        let frozen = instance.freeze().await?;
+        let guard = self.predecessor.guard.as_mut();
+        let guard = guard.ok_or(FreezeFailure::NoSuccessor)?;
+        guard.retain(frozen)?;
+        Ok(())
+    }
+
+    /// A message of the successor. Its journal is read first: what the message says may depend on it.
+    pub(super) fn handle_successor_message(&mut self, received: ReceivedMessage) {
+        let now = self.now();
+        let role = &mut self.predecessor;
+        if let (Message::ConnectionOpened { role: opened }, Some(guard)) =
+            (&received.message, &mut role.guard)
+        {
+            guard.retain_opened(*opened, received.descriptors);
+        }
+        let journal = match &mut role.guard {
+            Some(guard) => guard.read_journal(),
+            None => Ok(()),
+        };
+        role.state.handle_message(now, received.message);
+        if let Err(error) = journal {
+            role.state
+                .channel_failed(&format!("its notes can't be read: {error}"));
+        }
+    }
+
+    /// The channel to the successor has ended. Mostly its process exits, which says more: its status.
+    pub(super) async fn successor_channel_ended(&mut self, error: &io::Error) {
+        self.predecessor.is_channel_closed = true;
+        let has_exited = match &self.predecessor.guard {
+            Some(guard) => timeout(EXIT_TIMEOUT, guard.wait_for_exit()).await.is_ok(),
+            None => false,
+        };
+        if !has_exited {
+            self.predecessor
+                .state
+                .channel_failed(&format!("the channel to the successor ended: {error}"));
+        }
+    }
+
+    pub(super) fn successor_exited(&mut self) {
+        let now = self.now();
+        let role = &mut self.predecessor;
+        let was_serving = role.state.is_serving();
+        if let Some(guard) = &mut role.guard {
+            let status = guard.reap();
+            for message in guard.last_messages() {
+                role.state.handle_message(now, message);
+            }
+            role.state.successor_exited(status);
+        }
+        if was_serving {
+            role.guard = None; // nothing was frozen for it
+        }
+    }
+}
+
+/// The file that this process was started from, also where another one has replaced it by now.
+fn own_program() -> io::Result<PathBuf> {
+    let path = std::env::current_exe()?;
+    // What the system appends to the name of a file that was removed or replaced.
+    let text = path.to_string_lossy();
+    Ok(match text.strip_suffix(" (deleted)") {
+        Some(replaced) => PathBuf::from(replaced),
+        None => path,
+    })
+}
--- /dev/null
+++ b/crates/merlinshelf-backend/src/process/restoration.rs
@@ -0,0 +1,140 @@
+//! Restoring an instance: from the predecessor as successor, and from a failed successor as predecessor.
+
+use std::fs::File;
+use std::io::{Read, Seek};
+use std::net::TcpListener;
+use std::os::fd::OwnedFd;
+
+use log::{error, info, warn};
+use merlinshelf_handover::{Image, Key, Role, records};
+use tokio::time::Instant;
+
+use super::Process;
+use super::error::RestoreError;
+use super::start::load_config;
+use crate::exchange::{Exchange, Passed};
+use crate::instance::{RestoreSource, RestoredInstance};
+use crate::journal::Journal;
+use crate::server;
+
+/// Which process had the image before.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum ImageOwner {
+    /// The predecessor, which served until it froze.
+    Predecessor,
+    /// This process itself, or its failed successor.
+    Successor,
+}
+
+impl Process {
+    /// Serves again from what was frozen and what the failed successor has recorded since.
+    pub(super) fn recover(&mut self) -> Result<(), RestoreError> {
+        let started_at = Instant::now();
+        let guard = self.predecessor.guard.take();
+        let mut guard = guard.ok_or(RestoreError::NothingToRecover)?;
+        let state = guard.take_recovered_state()?;
+        self.update_peers();
+        let source = RestoreSource {
+            image: &state.image,
+            connections: state.connections,
+            learned: state.learned,
+        };
+        let restored = self.restore_from(source, ImageOwner::Successor)?;
+        let totals = restored.totals();
+        let lost = restored.lost_connections;
+        let instance = self.run_instance(restored);
+        instance.exchange.borrow_mut().counters.taken_back += 1;
+        self.instance = Some(instance);
+        if let Some(gossip) = &mut self.gossip {
+            gossip.taken_back();
+        }
+        self.start_gossip();
+        self.try_open_control();
+        let elapsed_ms = started_at.elapsed().as_millis() as u64;
+        info!(
+            connections = totals.client_connections, calls = totals.downstream_calls,
+            in_flight = totals.invocations, lost = lost, elapsed_ms = elapsed_ms;
+            "resumed within {elapsed_ms} ms: {} client connections, {} downstream calls, {} invocations in flight, {lost} connections lost",
+            totals.client_connections, totals.downstream_calls, totals.invocations
+        );
+        Ok(())
+    }
+
+    /// SIGHUP may have arrived at the successor.
+    fn update_peers(&mut self) {
+        match load_config(&self.start.config) {
+            Ok((config, _)) => self.peers = config.peers,
+            Err(error) => warn!("the old configuration stays in force: {error}"),
+        }
+    }
+
+    /// Restores what the predecessor has transferred; it does not run yet.
+    pub(super) fn restore_received(&mut self) -> Result<RestoredInstance, RestoreError> {
+        let mut received = match &mut self.successor {
+            Some(role) => std::mem::take(&mut role.received),
+            None => Passed::new(),
+        };
+        let image = received
+            .remove(&Role::Image)
+            .ok_or(RestoreError::MissingImage)?;
+        let journal = received
+            .remove(&Role::Journal)
+            .ok_or(RestoreError::MissingJournal)?;
+        let image = read_image(image)?;
+        let source = RestoreSource {
+            image: &image,
+            connections: received,
+            learned: None,
+        };
+        let restored = self.restore_from(source, ImageOwner::Predecessor)?;
+        let opened = self.opened_connections.sender.clone();
+        restored.start_recording(Journal::new(journal), opened);
+        Ok(restored)
+    }
+
+    fn restore_from(
+        &self,
+        mut source: RestoreSource,
+        owner: ImageOwner,
+    ) -> Result<RestoredInstance, RestoreError> {
+        let listener = source
+            .connections
+            .remove(&Role::Listener)
+            .ok_or(RestoreError::MissingListener)?;
+        let listener = TcpListener::from(listener);
+        listener.set_nonblocking(true)?;
+        let invalid = |reason| RestoreError::Settings { reason };
+        let mut exchange = Exchange::of(&self.config).map_err(invalid)?;
+        self.enable_policy(&mut exchange).map_err(invalid)?;
+        match owner {
+            ImageOwner::Predecessor => restore_policy(&mut exchange, source.image),
+            // A lease that the failed successor had may be fenced by now: this process has none until its agent grants one.
+            ImageOwner::Successor => exchange.begin_without_policy(),
+        }
+        let listener = server::listening(listener)?;
+        Ok(RestoredInstance::restore(exchange, listener, source)?)
+    }
+}
+
+/// Takes over the predecessor's policy and quota leases.
+fn restore_policy(exchange: &mut Exchange, image: &Image) {
+    match image.decode::<records::Instance>(Key::Instance) {
+        Ok(Some(instance)) => exchange.take_policy(&instance.policy, &instance.quota),
+        Ok(None) => exchange.begin_without_policy(),
+        // Without a lease the base policy is in force, which is safe.
+        Err(error) => {
+            error!("policy lease not restored: {error}");
+            exchange.begin_without_policy();
+        }
+    }
+}
+
+fn read_image(file: OwnedFd) -> Result<Image, RestoreError> {
+    let mut file = File::from(file);
+    let mut bytes = Vec::new();
+    file.rewind()?;
+    file.read_to_end(&mut bytes)?;
+    let mut image = Image::default();
+    image.apply(&bytes)?;
+    Ok(image)
+}
--- /dev/null
+++ b/crates/merlinshelf-backend/src/process/signals.rs
@@ -0,0 +1,112 @@
+//! Signals: graceful shutdown and reload.
+
+use std::time::Duration;
+
+use log::{error, info, warn};
+use merlinshelf_handover::Successor;
+use merlinshelf_handover::messages::MonotonicSeconds;
+use tokio::time::Instant;
+
+use super::start::load_config;
+use super::{Flow, Process};
+use crate::exchange::monotonic;
+use crate::operator::Operator;
+
+/// A deadline that lies further ahead is none; this fits into a `Duration`.
+const MAX_DRAIN_SECONDS: f64 = 1e6;
+
+impl Process {
+    /// The process was notified to shut down.
+    pub(super) fn request_drain(&mut self) -> Flow {
+        if self.startup_wait.is_some() {
+            return Flow::Exit(0); // no client could connect yet
+        }
+        let deadline = monotonic() + self.config.drain_timeout.as_secs_f64();
+        match &mut self.successor {
+            Some(role) if role.state.is_owner() => role.state.drain(deadline),
+            // The predecessor observes the exit and goes on.
+            Some(_) => return Flow::Exit(1),
+            None => self.predecessor.state.drain(deadline),
+        }
+        Flow::Continue
+    }
+
+    /// SIGHUP arrived.
+    pub(super) fn request_reload(&mut self) {
+        let successor = self.successor.as_ref().map(|role| &role.state);
+        if successor.is_some_and(Successor::is_owner) {
+            self.reload();
+        } else {
+            self.predecessor.state.reload();
+        }
+    }
+
+    /// Begins the graceful shutdown of this process, which must have exited by the deadline.
+    pub(super) fn start_drain(&mut self, deadline: MonotonicSeconds) {
+        let Some(instance) = &self.instance else {
+            return;
+        };
+        if self.drain.is_some() {
+            return;
+        }
+        let remaining_seconds = (deadline - monotonic()).clamp(0.0, MAX_DRAIN_SECONDS);
+        let remaining = Duration::from_secs_f64(remaining_seconds);
+        let remaining_ms = remaining.as_millis() as u64;
+        let in_flight = instance.exchange.borrow().in_hand();
+        info!(
+            in_flight = in_flight, remaining_ms = remaining_ms;
+            "drain started: {in_flight} invocations in flight, {remaining_ms} ms remaining"
+        );
+        if let Some(gossip) = &mut self.gossip {
+            gossip.leave();
+        }
+        self.drain = Some(Box::pin(instance.drain(Instant::now() + remaining)));
+    }
+
+    /// Reloads the configuration. A file that can't be used changes nothing.
+    pub(super) fn reload(&mut self) {
+        let config = match load_config(&self.start.config) {
+            Ok((config, _)) => config,
+            Err(error) => return error!("the old configuration stays in force: {error}"),
+        };
+        for field in self.config.changed_fixed_fields(&config) {
+            warn!(
+                field = field;
+                "{field} in the new configuration is different, and it takes effect only after the next start"
+            );
+        }
+        let peers = config.peers;
+        info!(
+            "configuration file reloaded: engine {}, catalogue {}, membership {}",
+            peers.engine, peers.catalogue, peers.registration
+        );
+        self.peers = peers;
+        if let Some(instance) = &self.instance {
+            instance.set_peers(peers);
+        }
+        self.reload_dependencies();
+    }
+
+    /// Reloads the dependencies from the operators' file. A file that can't be used changes nothing.
+    fn reload_dependencies(&mut self) {
+        let Some(routing) = &self.routing else { return };
+        let dependencies = match Operator::load(self.start.operator.as_deref()) {
+            Ok(operator) => operator.dependencies,
+            Err(error) => return error!("the old dependencies stay in force: {error}"),
+        };
+        let Some(dependencies) = dependencies else {
+            return warn!(
+                "dependencies were removed from the operators' file; this takes effect after the next start"
+            );
+        };
+        let count = dependencies.dependencies.len();
+        *self.dependencies.borrow_mut() = Some(dependencies.clone());
+        routing.borrow_mut().replace(dependencies);
+        if let Some(instance) = &self.instance {
+            let parts = |operation: &str| routing.borrow().parts(operation);
+            instance.exchange.borrow_mut().set_parts(parts);
+            instance.exchange.borrow().lay_again();
+        }
+        info!(count = count; "dependencies reloaded: {count}");
+    }
+}
--- /dev/null
+++ b/crates/merlinshelf-backend/src/process/successor_role.rs
@@ -0,0 +1,181 @@
+//! The upgrade as successor: what is carried out towards the predecessor, and what is received from it.
+
+use std::io;
+use std::os::fd::{AsFd, OwnedFd};
+use std::os::unix::process::parent_id;
+use std::time::Duration;
+
+use log::{info, warn};
+use merlinshelf_handover::{Message, Successor, successor::Action};
+
+use super::error::ServeError;
+use super::{Process, VERSION};
+use crate::exchange::{Passed, Passing};
+use crate::fault;
+use crate::instance::RestoredInstance;
+use crate::upgrade::channel::{Channel, ReceivedMessage};
+
+/// A predecessor reads the journal twenty times a second; with so much unread it is asleep.
+const MAX_UNREAD_JOURNAL_BYTES: u64 = 32 * 1024 * 1024;
+
+/// What a process keeps towards its predecessor.
+pub(super) struct SuccessorRole {
+    pub state: Successor,
+    /// The process id of the predecessor.
+    pub predecessor_id: u32,
+    /// `None` once the predecessor has exited or has released this process.
+    pub channel: Option<Channel>,
+    /// What the predecessor has transferred.
+    pub received: Passed,
+    /// Restored and not active yet.
+    restored: Option<RestoredInstance>,
+}
+
+impl SuccessorRole {
+    pub(super) fn new(channel: OwnedFd, probation: Duration) -> io::Result<SuccessorRole> {
+        Ok(SuccessorRole {
+            state: Successor::new(probation, VERSION),
+            predecessor_id: parent_id(),
+            channel: Some(Channel::new(channel)?),
+            received: Passed::new(),
+            restored: None,
+        })
+    }
+
+    async fn send(&self, message: &Message) {
+        match message {
+            Message::Hello { .. } => fault::injection_point("successor.hello"),
+            Message::Ready => fault::injection_point("successor.ready"),
+            Message::Restored => fault::injection_point("successor.taken"),
+            Message::Heartbeat => fault::injection_point("successor.beat"),
+            _ => {}
+        }
+        if let Some(channel) = &self.channel {
+            // An error is the predecessor's end, which is an event of its own.
+            let _ = channel.send(message, &[]).await;
+        }
+    }
+}
+
+impl Process {
+    pub(super) async fn carry_out_as_successor(
+        &mut self,
+        action: Action,
+    ) -> Result<(), ServeError> {
+        match action {
+            Action::Send(message) => {
+                if let Some(role) = &self.successor {
+                    role.send(&message).await;
+                }
+            }
+            Action::Restore => self.restore(),
+            Action::Activate => self.activate(),
+            Action::StopRecording => self.stop_recording(),
+            Action::Drain { deadline } => self.start_drain(deadline),
+            Action::Reload => self.reload(),
+            Action::Exit { reason } => return Err(ServeError::Declined { reason }),
+        }
+        Ok(())
+    }
+
+    fn restore(&mut self) {
+        let now = self.now();
+        let result = self.restore_received();
+        let Some(role) = &mut self.successor else {
+            return;
+        };
+        match result {
+            Ok(restored) => {
+                role.restored = Some(restored);
+                role.state.restore_completed(now);
+            }
+            Err(error) => role.state.restore_failed(&error.to_string()),
+        }
+    }
+
+    fn activate(&mut self) {
+        fault::injection_point("successor.serve");
+        let restored = self
+            .successor
+            .as_mut()
+            .and_then(|role| role.restored.take());
+        if let Some(restored) = restored {
+            let totals = restored.totals();
+            info!(
+                connections = totals.client_connections, calls = totals.downstream_calls, in_flight = totals.invocations;
+                "{} resumed from its predecessor: {} client connections, {} downstream calls, {} invocations in flight",
+                self.config.name, totals.client_connections, totals.downstream_calls, totals.invocations
+            );
+            self.instance = Some(self.run_instance(restored));
+            self.start_gossip();
+        }
+        self.try_open_control();
+    }
+
+    fn stop_recording(&mut self) {
+        info!("no longer observed by the predecessor; recording stopped");
+        if let Some(role) = &mut self.successor {
+            role.channel = None;
+        }
+        if let Some(instance) = &self.instance {
+            instance.exchange.borrow_mut().note_no_more();
+        }
+    }
+
+    pub(super) fn handle_predecessor_message(&mut self, received: ReceivedMessage) {
+        let now = self.now();
+        let Some(role) = &mut self.successor else {
+            return;
+        };
+        if let Message::Descriptors { roles } = &received.message {
+            fault::injection_point("successor.pass");
+            let roles = roles.iter().copied();
+            role.received.extend(roles.zip(received.descriptors));
+        }
+        role.state.handle_message(now, received.message);
+    }
+
+    pub(super) fn predecessor_exited(&mut self) {
+        let now = self.now();
+        if let Some(role) = &mut self.successor {
+            role.channel = None;
+            role.state.predecessor_exited(now);
+        }
+    }
+
+    /// Sends a copy of a connection that the instance has opened. The instance waits for that before a byte passes on it:
+    /// else the predecessor could not recover the connection if this process died in between.
+    pub(super) async fn send_opened_connection(&self, opened: Passing) {
+        let channel = self
+            .successor
+            .as_ref()
+            .and_then(|role| role.channel.as_ref());
+        if let Some(channel) = channel {
+            let message = Message::ConnectionOpened { role: opened.role };
+            // An error is the predecessor's end, which is an event of its own.
+            let _ = channel.send(&message, &[opened.descriptor.as_fd()]).await;
+        }
+        // The task that opened it may have ended meanwhile.
+        let _ = opened.passed.send(());
+    }
+
+    pub(super) fn handle_successor_timeout(&mut self, now: Duration) {
+        let Some(role) = &mut self.successor else {
+            return;
+        };
+        role.state.handle_timeout(now);
+        let Some(instance) = &self.instance else {
+            return;
+        };
+        if !role.state.is_recording() {
+            return;
+        }
+        let mut exchange = instance.exchange.borrow_mut();
+        exchange.secure_instance();
+        let unread_bytes = exchange.unread_notes();
+        if unread_bytes > MAX_UNREAD_JOURNAL_BYTES {
+            warn!(unread_bytes = unread_bytes; "predecessor does not read the journal; continuing without it");
+            role.state.detach();
+        }
+    }
+}
--- a/crates/merlinshelf-backend/src/ring.rs
+++ b/crates/merlinshelf-backend/src/ring.rs
@@ -1,4 +1,4 @@
-//! The ring buffer of one direction of one connection: small at first, grown on need, shrunk when empty.
+//! The buffer of one direction of one connection: small at first, grown on demand, shrunk when empty.
 
 use std::collections::VecDeque;
 use std::io::{self, ErrorKind};
@@ -8,128 +8,154 @@
 use tokio::io::Interest;
 use tokio::net::TcpStream;
 
-/// What an empty ring keeps; most messages are shorter.
-const KEPT: usize = 1024;
-/// Read at one go: several messages, without holding up other connections.
-const GULP: usize = 16 * 1024;
+/// The capacity of an empty ring; most messages are shorter.
+const MIN_CAPACITY_BYTES: usize = 1024;
+/// Read at one time: several messages, without delaying other connections.
+const READ_CHUNK_BYTES: usize = 16 * 1024;
 
+/// The bytes of one direction that were read and not processed, or that are not written yet.
 #[derive(Debug, Default)]
 pub struct Ring {
     bytes: VecDeque<u8>,
-    /// Bytes that came in from the socket or went out to it, since the connection stood.
-    moved: u64,
-    /// Bytes that were looked at and still lie in the kernel.
-    peeked: usize,
+    transferred_bytes: u64,
+    /// Bytes that were peeked at and still lie in the kernel.
+    peeked_bytes: usize,
 }
 
-/// How one go at a socket went.
+/// The result of one read from or write to a socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IoProgress {
+    /// Bytes were transferred.
     Advanced,
-    /// Nothing can be had or taken just now.
+    /// The socket has nothing to read, or takes nothing, just now.
     Blocked,
-    /// The far end has closed its direction.
+    /// The peer has closed its direction.
     Closed,
 }
 
 impl Ring {
+    /// A ring that continues where another process left off: its contents, and the bytes transferred before.
+    pub fn restore(bytes: Vec<u8>, transferred_bytes: u64) -> Ring {
+        Ring {
+            bytes: bytes.into(),
+            transferred_bytes,
+            peeked_bytes: 0,
+        }
+    }
+
+    /// The bytes in it.
     pub fn len(&self) -> usize {
         self.bytes.len()
     }
 
+    /// Whether there are none.
     pub fn is_empty(&self) -> bool {
         self.bytes.is_empty()
     }
 
-    /// Hands out what is in it, from the front on, until nothing more of it is used up.
-    pub fn read<E>(&mut self, mut next: impl FnMut(&[u8]) -> Result<usize, E>) -> Result<(), E> {
-        let (bytes, mut used) = (self.bytes.make_contiguous(), 0);
+    /// Bytes read from or written to the socket since the connection was established.
+    pub fn transferred_bytes(&self) -> u64 {
+        self.transferred_bytes
+    }
+
+    /// A copy of its contents.
+    pub fn to_vec(&self) -> Vec<u8> {
+        self.bytes.iter().copied().collect()
+    }
+
+    /// Passes its contents to `parse`, from the front on, until that consumes nothing more. `parse` returns how many
+    /// bytes it has consumed.
+    ///
+    /// # Errors
+    /// That of `parse`; what it consumed before is gone.
+    pub fn read<E>(&mut self, mut parse: impl FnMut(&[u8]) -> Result<usize, E>) -> Result<(), E> {
+        let bytes = self.bytes.make_contiguous();
+        let mut consumed = 0;
         let result = loop {
-            match next(&bytes[used..]) {
+            match parse(&bytes[consumed..]) {
                 Ok(0) => break Ok(()),
-                Ok(count) => used += count,
+                Ok(count) => consumed += count,
                 Err(error) => break Err(error),
             }
         };
-        self.consume(used);
+        self.consume(consumed);
         result
     }
 
+    /// Removes so many bytes from the front.
     pub fn consume(&mut self, count: usize) {
         self.bytes.drain(..count.min(self.bytes.len()));
-        if self.bytes.is_empty() && self.bytes.capacity() > KEPT {
-            self.bytes.shrink_to(KEPT);
+        if self.bytes.is_empty() && self.bytes.capacity() > MIN_CAPACITY_BYTES {
+            self.bytes.shrink_to(MIN_CAPACITY_BYTES);
         }
     }
 
+    /// Removes everything.
     pub fn clear(&mut self) {
         self.consume(usize::MAX);
     }
 
-    /// One that goes on where another process left it: what is in it, and how much was moved before.
-    pub fn restore(bytes: Vec<u8>, moved: u64) -> Ring {
-        Ring {
-            bytes: bytes.into(),
-            moved,
-            peeked: 0,
-        }
-    }
-
-    /// Bytes that came in from the socket or went out to it, since the connection stood.
-    pub fn transferred_bytes(&self) -> u64 {
-        self.moved
-    }
-
-    pub fn to_vec(&self) -> Vec<u8> {
-        self.bytes.iter().copied().collect()
-    }
-
-    /// Takes in what the socket has, up to one gulp, and leaves it in the kernel until `taken_out`: whoever takes
-    /// up this connection after a crash finds it there.
+    /// Copies what the socket has, up to one chunk, as far as the runtime knows it to be readable, and leaves it in the
+    /// kernel until `discard_peeked`: a process that recovers this connection after a crash finds it there.
+    ///
+    /// # Errors
+    /// The connection is broken.
     pub fn peek(&mut self, socket: &TcpStream) -> io::Result<IoProgress> {
-        let look =
-            |gulp: &mut [u8]| Ok(recv(socket, gulp, RecvFlags::DONTWAIT | RecvFlags::PEEK)?.0);
-        let before = self.moved;
-        let flow = self.take(|gulp| socket.try_io(Interest::READABLE, || look(gulp)))?;
-        self.peeked += (self.moved - before) as usize;
-        Ok(flow)
+        self.peek_with(|chunk| socket.try_io(Interest::READABLE, || peek_chunk(socket, chunk)))
     }
 
-    /// The same of what the kernel holds at this moment.
+    /// As `peek`, of what the kernel has at this moment: the runtime may not know of the last bytes yet.
+    ///
+    /// # Errors
+    /// The connection is broken.
     pub fn peek_now(&mut self, socket: &TcpStream) -> io::Result<IoProgress> {
-        let before = self.moved;
-        let flow =
-            self.take(|gulp| Ok(recv(socket, gulp, RecvFlags::DONTWAIT | RecvFlags::PEEK)?.0))?;
-        self.peeked += (self.moved - before) as usize;
-        Ok(flow)
+        self.peek_with(|chunk| peek_chunk(socket, chunk))
     }
 
-    /// Takes out of the kernel what was looked at.
+    fn peek_with(
+        &mut self,
+        read: impl FnOnce(&mut [u8]) -> io::Result<usize>,
+    ) -> io::Result<IoProgress> {
+        let before = self.transferred_bytes;
+        let progress = self.fill_with(read)?;
+        self.peeked_bytes += (self.transferred_bytes - before) as usize;
+        Ok(progress)
+    }
+
+    /// Removes from the kernel what was peeked at.
+    ///
+    /// # Errors
+    /// The connection is broken.
     pub fn discard_peeked(&mut self, socket: &TcpStream) -> io::Result<()> {
-        discard(socket, std::mem::take(&mut self.peeked))
+        discard(socket, std::mem::take(&mut self.peeked_bytes))
     }
 
-    /// Takes in what the socket has, up to one gulp, as far as the runtime knows of it.
+    /// Reads what the socket has, up to one chunk, as far as the runtime knows it to be readable.
+    ///
+    /// # Errors
+    /// The connection is broken.
     pub fn fill(&mut self, socket: &TcpStream) -> io::Result<IoProgress> {
-        self.take(|gulp| socket.try_read(gulp))
+        self.fill_with(|chunk| socket.try_read(chunk))
     }
 
-    /// Takes in what the kernel holds at this moment, up to one gulp: the runtime's remembered readiness may be
-    /// older than the last bytes.
+    /// Reads what the kernel has at this moment, up to one chunk: the runtime may not know of the last bytes yet.
+    ///
+    /// # Errors
+    /// The connection is broken.
     pub fn fill_now(&mut self, socket: &TcpStream) -> io::Result<IoProgress> {
-        self.take(|gulp| Ok(recv(socket, gulp, RecvFlags::DONTWAIT)?.0))
+        self.fill_with(|chunk| Ok(recv(socket, chunk, RecvFlags::DONTWAIT)?.0))
     }
 
-    fn take(
+    fn fill_with(
         &mut self,
         read: impl FnOnce(&mut [u8]) -> io::Result<usize>,
     ) -> io::Result<IoProgress> {
-        let mut gulp = [0; GULP];
-        match read(&mut gulp) {
+        let mut chunk = [0; READ_CHUNK_BYTES];
+        match read(&mut chunk) {
             Ok(0) => Ok(IoProgress::Closed),
             Ok(count) => {
-                self.bytes.extend(&gulp[..count]);
-                self.moved += count as u64;
+                self.bytes.extend(&chunk[..count]);
+                self.transferred_bytes += count as u64;
                 Ok(IoProgress::Advanced)
             }
             Err(error)
@@ -141,23 +167,24 @@
         }
     }
 
-    /// Hands the socket as much as it takes, as far as the runtime knows of it.
+    /// Writes as much as the socket takes, as far as the runtime knows it to be writable.
+    ///
+    /// # Errors
+    /// The connection is broken.
     pub fn drain(&mut self, socket: &TcpStream) -> io::Result<IoProgress> {
-        self.give(|bytes| socket.try_write(bytes))
+        self.drain_with(|bytes| socket.try_write(bytes))
     }
 
-    /// Hands the socket as much as the kernel takes at this moment.
+    /// Writes as much as the kernel takes at this moment.
+    ///
+    /// # Errors
+    /// The connection is broken.
     pub fn drain_now(&mut self, socket: &TcpStream) -> io::Result<IoProgress> {
-        self.give(|bytes| {
-            Ok(send(
-                socket,
-                bytes,
-                SendFlags::DONTWAIT | SendFlags::NOSIGNAL,
-            )?)
-        })
+        let flags = SendFlags::DONTWAIT | SendFlags::NOSIGNAL;
+        self.drain_with(|bytes| Ok(send(socket, bytes, flags)?))
     }
 
-    fn give(
+    fn drain_with(
         &mut self,
         mut write: impl FnMut(&[u8]) -> io::Result<usize>,
     ) -> io::Result<IoProgress> {
@@ -165,7 +192,7 @@
             match write(self.bytes.as_slices().0) {
                 Ok(0) => return Ok(IoProgress::Closed),
                 Ok(count) => {
-                    self.moved += count as u64;
+                    self.transferred_bytes += count as u64;
                     self.consume(count);
                 }
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
@@ -179,13 +206,21 @@
     }
 }
 
-/// Takes so many bytes out of the kernel that are known already.
+fn peek_chunk(socket: &TcpStream, chunk: &mut [u8]) -> io::Result<usize> {
+    Ok(recv(socket, chunk, RecvFlags::DONTWAIT | RecvFlags::PEEK)?.0)
+}
+
+/// Removes so many bytes from the kernel that are known already.
+///
+/// # Errors
+/// The connection has fewer, or is broken.
 pub fn discard(socket: &impl AsFd, mut count: usize) -> io::Result<()> {
-    let mut gulp = [0; GULP];
+    let mut chunk = [0; READ_CHUNK_BYTES];
     while count > 0 {
-        match recv(socket, &mut gulp[..count.min(GULP)], RecvFlags::DONTWAIT) {
+        let length = count.min(READ_CHUNK_BYTES);
+        match recv(socket, &mut chunk[..length], RecvFlags::DONTWAIT) {
             Ok((0, _)) => return Err(ErrorKind::UnexpectedEof.into()),
-            Ok((taken, _)) => count -= taken,
+            Ok((removed, _)) => count -= removed,
             Err(rustix::io::Errno::INTR) => {}
             Err(error) => return Err(error.into()),
         }
--- a/crates/merlinshelf-backend/src/startup_wait.rs
+++ b/crates/merlinshelf-backend/src/startup_wait.rs
@@ -1,5 +1,6 @@
-//! A fresh start that waits to hear which policy holds. Its address is kept meanwhile, and nobody can come in: who did would
-//! wait in the kernel, unread and past what a caller bears, where a refused connection goes elsewhere at once.
+//! A fresh start that waits for a policy lease. Its address is bound meanwhile, and nobody can connect: a client's
+//! connection would wait in the kernel, unread and longer than a client waits, while one that is refused goes to another
+//! instance at once.
 
 use std::cell::RefCell;
 use std::io;
@@ -12,34 +13,37 @@
 use crate::instance::RestoredInstance;
 use crate::server::Bound;
 
+/// An instance that does not listen yet.
 pub struct StartupWait {
+    /// The exchange, to which the agent grants the lease.
     pub exchange: Shared,
     bound: Bound,
-    /// From then on nobody is waited for.
-    pub until: Instant,
+    /// When the wait ends without a lease.
+    pub deadline: Instant,
 }
 
 impl StartupWait {
-    pub fn new(exchange: Exchange, bound: Bound, until: Instant) -> StartupWait {
+    /// Waits until the exchange has a policy, at the latest until the deadline.
+    pub fn new(exchange: Exchange, bound: Bound, deadline: Instant) -> StartupWait {
         StartupWait {
             exchange: Rc::new(RefCell::new(exchange)),
             bound,
-            until,
+            deadline,
         }
     }
 
-    /// Whether it is known by what to serve, or has been waited for long enough.
+    /// Whether a policy is known or the deadline has passed.
     pub fn is_over(&self) -> bool {
-        Instant::now() >= self.until || self.exchange.borrow().policy_began()
+        Instant::now() >= self.deadline || self.exchange.borrow().policy_began()
     }
 
-    /// Lets callers in.
+    /// Listens for clients; without a lease by the base policy.
     ///
     /// # Errors
     /// The address was taken meanwhile.
-    pub fn begin(self, name: &str) -> io::Result<RestoredInstance> {
+    pub fn listen(self, name: &str) -> io::Result<RestoredInstance> {
         if !self.exchange.borrow().policy_began() {
-            warn!("no agent says which policy holds: {name} begins without a lease");
+            warn!("no policy lease granted in time: {name} serves the base policy");
             self.exchange.borrow_mut().begin_without_policy();
         }
         Ok(RestoredInstance::fresh(self.exchange, self.bound.listen()?))
--- /dev/null
+++ b/crates/merlinshelf-backend/src/upgrade/channel/mod.rs
@@ -0,0 +1,157 @@
+//! The channel between a predecessor and its successor: a socket pair that preserves message boundaries and carries
+//! descriptors.
+
+#[cfg(test)]
+mod tests;
+
+use std::io::{self, IoSlice, IoSliceMut};
+use std::mem::MaybeUninit;
+use std::os::fd::{AsFd, BorrowedFd, FromRawFd, OwnedFd, RawFd};
+use std::time::Duration;
+
+use merlinshelf_handover::Message;
+use rustix::io::{FdFlags, fcntl_setfd};
+use rustix::net::{
+    AddressFamily, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
+    SendAncillaryMessage, SendFlags, SocketFlags, SocketType, recvmsg, sendmsg, socketpair,
+};
+use tokio::io::Interest;
+use tokio::io::unix::AsyncFd;
+use tokio::time::timeout;
+
+/// The most descriptors that one message carries: well under the kernel's limit of 253.
+pub const MAX_DESCRIPTORS_PER_MESSAGE: usize = 64;
+/// A message with all descriptors that it can carry is a fraction of this.
+const MAX_MESSAGE_BYTES: usize = 16 * 1024;
+/// A process that does not read for so long hangs.
+const SEND_TIMEOUT: Duration = Duration::from_millis(500);
+
+/// The environment variable with the number of the descriptor at which a successor finds its end of the channel.
+pub const HANDOVER_VARIABLE: &str = "MERLINSHELF_HANDOVER";
+
+/// One end of the channel.
+pub struct Channel(AsyncFd<OwnedFd>);
+
+/// A message with the descriptors that were attached to it.
+#[derive(Debug)]
+pub struct ReceivedMessage {
+    /// The message.
+    pub message: Message,
+    /// Its descriptors, in the order in which they were attached.
+    pub descriptors: Vec<OwnedFd>,
+}
+
+impl Channel {
+    /// Both ends: that of this process, and the one that a child inherits.
+    ///
+    /// # Errors
+    /// The socket pair can't be created.
+    pub fn pair() -> io::Result<(Channel, OwnedFd)> {
+        let flags = SocketFlags::CLOEXEC;
+        let (ours, theirs) = socketpair(AddressFamily::UNIX, SocketType::SEQPACKET, flags, None)?;
+        fcntl_setfd(&theirs, FdFlags::empty())?;
+        Ok((Channel::new(ours)?, theirs))
+    }
+
+    /// The end that this process was started with; `None` if it is not a successor.
+    ///
+    /// # Errors
+    /// The descriptor that the environment names is none.
+    pub fn take_inherited() -> io::Result<Option<OwnedFd>> {
+        let number = std::env::var(HANDOVER_VARIABLE).ok();
+        let Some(number) = number.and_then(|number| number.parse::<RawFd>().ok()) else {
+            return Ok(None);
+        };
+        // SAFETY: whoever names the descriptor in this variable has handed it over, and it is taken once, at the start.
+        let end = unsafe { OwnedFd::from_raw_fd(number) };
+        fcntl_setfd(&end, FdFlags::CLOEXEC)?;
+        Ok(Some(end))
+    }
+
+    /// The channel whose end this is.
+    ///
+    /// # Errors
+    /// The descriptor can't be registered with the runtime.
+    pub fn new(end: OwnedFd) -> io::Result<Channel> {
+        rustix::io::ioctl_fionbio(&end, true)?;
+        let interest = Interest::READABLE | Interest::WRITABLE;
+        // SAFETY: the descriptor is owned, and stays inside until the registration ends.
+        let registered = unsafe { AsyncFd::register_with_interest(end, interest) }?;
+        Ok(Channel(registered))
+    }
+
+    /// Sends a message with these descriptors attached.
+    ///
+    /// # Errors
+    /// The other process is gone, or has not read for [`SEND_TIMEOUT`].
+    pub async fn send(&self, message: &Message, descriptors: &[BorrowedFd<'_>]) -> io::Result<()> {
+        let bytes = rmp_serde::to_vec_named(message).map_err(io::Error::other)?;
+        let sending = self.0.async_io(Interest::WRITABLE, |end| {
+            send_datagram(end, &bytes, descriptors)
+        });
+        match timeout(SEND_TIMEOUT, sending).await {
+            Ok(result) => result,
+            Err(elapsed) => Err(elapsed.into()),
+        }
+    }
+
+    /// The next message.
+    ///
+    /// # Errors
+    /// The channel has ended, or the message can't be decoded.
+    pub async fn receive(&self) -> io::Result<ReceivedMessage> {
+        self.0
+            .async_io(Interest::READABLE, |end| receive_datagram(end.as_fd()))
+            .await
+    }
+
+    /// A message that has been received already, if there is one: also from a process that has ended since.
+    pub fn try_receive(&self) -> Option<ReceivedMessage> {
+        // An error is the end of the channel, after which there are no more messages.
+        receive_datagram(self.0.get_ref().as_fd()).ok()
+    }
+}
+
+fn send_datagram(end: &OwnedFd, bytes: &[u8], descriptors: &[BorrowedFd]) -> io::Result<()> {
+    let mut space =
+        [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_DESCRIPTORS_PER_MESSAGE))];
+    let mut control = SendAncillaryBuffer::new(&mut space);
+    if !descriptors.is_empty() && !control.push(SendAncillaryMessage::ScmRights(descriptors)) {
+        return Err(io::Error::other("too many descriptors for one message"));
+    }
+    sendmsg(
+        end,
+        &[IoSlice::new(bytes)],
+        &mut control,
+        SendFlags::NOSIGNAL,
+    )?;
+    Ok(())
+}
+
+fn receive_datagram(end: BorrowedFd) -> io::Result<ReceivedMessage> {
+    let mut bytes = [0; MAX_MESSAGE_BYTES];
+    let mut space =
+        [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_DESCRIPTORS_PER_MESSAGE))];
+    let mut control = RecvAncillaryBuffer::new(&mut space);
+    let received = recvmsg(
+        end,
+        &mut [IoSliceMut::new(&mut bytes)],
+        &mut control,
+        RecvFlags::CMSG_CLOEXEC,
+    )?;
+    // Taken before the message is decoded: descriptors of a message that can't be decoded are closed.
+    let mut descriptors = Vec::new();
+    for ancillary in control.drain() {
+        if let RecvAncillaryMessage::ScmRights(rights) = ancillary {
+            descriptors.extend(rights);
+        }
+    }
+    if received.bytes == 0 {
+        return Err(io::ErrorKind::UnexpectedEof.into());
+    }
+    let message = rmp_serde::from_slice(&bytes[..received.bytes]).map_err(io::Error::other)?;
+    Ok(ReceivedMessage {
+        message,
+        descriptors,
+    })
+}
--- a/crates/merlinshelf-backend/src/upgrade/mod.rs
+++ b/crates/merlinshelf-backend/src/upgrade/mod.rs
@@ -1,5 +1,5 @@
-//! The upgrade as a process carries it out: the channel to the other one, what the kernel counts, and the guard that
-//! an old process keeps over its successor. What is decided stands in `merlinshelf-handover`.
+//! The upgrade as a process carries it out: the channel to the other process, what the kernel counts of connections, and
+//! the guard of a predecessor over its successor. The decisions are in `merlinshelf-handover`.
 
 pub mod channel;
 pub mod kernel;
--- a/crates/merlinshelf-backend/src/upgrade/successor_guard.rs
+++ b/crates/merlinshelf-backend/src/upgrade/successor_guard.rs
@@ -1,10 +1,11 @@
-//! What an old process holds of its successor: the process, the channel, copies of all descriptors, and the image that
-//! it keeps up with while it watches.
+//! What a predecessor keeps of its successor during an upgrade: the process, the channel, copies of all descriptors, and
+//! the image, updated from the successor's journal during its probation.
 
-use std::io;
-use std::os::fd::{AsFd, BorrowedFd, OwnedFd};
+use std::fs::File;
+use std::io::{self, Write};
+use std::os::fd::{AsFd, AsRawFd, BorrowedFd, OwnedFd};
 use std::os::unix::process::ExitStatusExt;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::process::{Child, Command};
 
 use log::warn;
@@ -14,7 +15,7 @@
 use tokio::io::Interest;
 use tokio::io::unix::AsyncFd;
 
-use super::channel::{BATCH, Channel, HANDOVER};
+use super::channel::{Channel, HANDOVER_VARIABLE, MAX_DESCRIPTORS_PER_MESSAGE};
 use crate::exchange::Passed;
 use crate::instance::FrozenInstance;
 use crate::journal::{JournalReader, memory_file};
@@ -22,60 +23,56 @@
 /// The successor, from its start to its end or release.
 pub struct SuccessorGuard {
     child: Child,
-    /// Readable once the process has ended: never another one that got its number.
+    /// Readable once the process has ended: never another one that got its process id.
     process: AsyncFd<OwnedFd>,
+    /// The channel to it.
     pub channel: Channel,
-    /// Where the image is written for it, and where it notes; made first, so that nothing is frozen without them.
-    file: OwnedFd,
-    journal: OwnedFd,
-    held: Option<Held>,
+    /// The files of the image and of the successor's journal. Created first, so that nothing is frozen without them.
+    image_file: OwnedFd,
+    journal_file: OwnedFd,
+    retained: Option<Retained>,
 }
 
-/// What was frozen, and everything of the successor's since.
-struct Held {
+/// What was frozen, and everything that the successor has opened and recorded since.
+struct Retained {
     image: Image,
-    /// Copies of all that was handed over or opened since, by what it is.
-    passed: Passed,
-    learnt: Option<LearnedState>,
-    follower: JournalReader,
+    /// Copies of everything that was transferred or opened since.
+    connections: Passed,
+    learned: Option<LearnedState>,
+    journal: JournalReader,
+}
+
+/// Everything as the dead successor left it.
+pub struct RecoveredState {
+    /// The image, with all that the successor recorded.
+    pub image: Image,
+    /// Copies of the listener and of all connections.
+    pub connections: Passed,
+    /// The estimates of the admission controller at the freeze; a journal has none.
+    pub learned: Option<LearnedState>,
 }
 
 impl SuccessorGuard {
-    /// Starts the program with this process's own arguments.
+    /// Starts the program with the arguments of this process.
+    ///
+    /// # Errors
+    /// The program can't be started, or a descriptor for it can't be had.
     pub fn start(program: PathBuf) -> io::Result<SuccessorGuard> {
-        let (file, journal) = (
-            memory_file("merlinshelf-image")?,
-            memory_file("merlinshelf-journal")?,
-        );
-        let (channel, theirs) = Channel::pair()?;
-        let number = std::os::fd::AsRawFd::as_raw_fd(&theirs).to_string();
-        let arguments = std::env::args_os().skip(1);
-        let named = |error: io::Error| {
-            io::Error::new(error.kind(), format!("{}: {error}", program.display()))
-        };
-        let mut child = Command::new(&program)
-            .args(arguments)
-            .env(HANDOVER, number)
-            .spawn()
-            .map_err(named)?;
-        let watched = i32::try_from(child.id()).ok().and_then(Pid::from_raw);
-        let watched = watched
-            .ok_or_else(|| io::Error::other("it has no process number"))
-            .and_then(|id| {
-                let process = pidfd_open(id, PidfdFlags::empty())?;
-                // SAFETY: the descriptor is owned, and stays inside until the registration ends.
-                Ok(unsafe { AsyncFd::register_with_interest(process, Interest::READABLE) }?)
-            });
-        match watched {
+        let image_file = memory_file("merlinshelf-image")?;
+        let journal_file = memory_file("merlinshelf-journal")?;
+        let (channel, inherited_end) = Channel::pair()?;
+        let mut child = spawn(&program, &inherited_end)?;
+        match watch_process(&child) {
             Ok(process) => Ok(SuccessorGuard {
                 child,
                 process,
                 channel,
-                file,
-                journal,
-                held: None,
+                image_file,
+                journal_file,
+                retained: None,
             }),
             Err(error) => {
+                // Nobody could observe its end. Both calls fail only if it has ended already.
                 let _ = child.kill();
                 let _ = child.wait();
                 Err(error)
@@ -83,16 +80,18 @@
         }
     }
 
-    pub fn id(&self) -> u32 {
+    /// The process id.
+    pub fn process_id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Waits for the process's end and says its status, none where a signal ended it.
-    pub async fn ended(&self) {
+    /// Waits until the process has ended.
+    pub async fn wait_for_exit(&self) {
+        // An error means that the runtime shuts down, and this process with it.
         let _ = self.process.readable().await;
     }
 
-    /// Gives the ended process back to the kernel.
+    /// Releases the ended process to the kernel. Its exit status; `None` where a signal ended it.
     pub fn reap(&mut self) -> Option<i32> {
         match self.child.wait() {
             Ok(status) if status.signal().is_none() => status.code(),
@@ -100,126 +99,182 @@
         }
     }
 
+    /// Kills the process; its end is observed by `wait_for_exit`.
     pub fn kill(&self) {
         if let Err(error) = pidfd_send_signal(self.process.get_ref(), Signal::KILL) {
-            warn!("the successor can't be killed: {error}");
+            warn!(successor = self.process_id(); "successor not killed: {error}");
         }
     }
 
-    /// Keeps what was frozen, whatever becomes of it, and writes it down for the successor.
-    pub fn hold(&mut self, mut frozen: FrozenInstance, listener: OwnedFd) -> io::Result<()> {
+    /// Retains what was frozen, whatever becomes of the successor, and writes the image for it.
+    ///
+    /// # Errors
+    /// The image can't be decoded or written. What was frozen is retained all the same.
+    pub fn retain(&mut self, mut frozen: FrozenInstance) -> io::Result<()> {
         let bytes = frozen.image.take();
         let mut image = Image::default();
-        let read = image
-            .apply(&bytes)
-            .map_err(|why| io::Error::other(why.to_string()));
-        let instance: Option<records::Instance> = image.get(Key::Instance);
-        let mut passed = frozen.passed;
-        passed.insert(Role::Listener, listener);
-        let learnt = instance.and_then(|instance| instance.learned);
-        let follower = JournalReader::new(self.journal.try_clone()?);
-        self.held = Some(Held {
+        let applied = image.apply(&bytes).map_err(io::Error::other);
+        let mut connections = frozen.connections;
+        connections.insert(Role::Listener, frozen.listener);
+        self.retained = Some(Retained {
+            learned: learned_state(&image),
             image,
-            passed,
-            learnt,
-            follower,
+            connections,
+            journal: JournalReader::new(self.journal_file.try_clone()?),
         });
-        read?;
-        std::io::Write::write_all(&mut std::fs::File::from(self.file.try_clone()?), &bytes)
-    }
-
-    /// Hands over copies of everything; how many descriptors these were.
-    pub async fn pass(&self) -> io::Result<usize> {
-        let held = self
-            .held
-            .as_ref()
-            .ok_or_else(|| io::Error::other("nothing is frozen"))?;
-        let mut all: Vec<(Role, BorrowedFd)> = held
-            .passed
+        applied?;
+        File::from(self.image_file.try_clone()?).write_all(&bytes)
+    }
+
+    /// Sends copies of everything to the successor; how many descriptors these were.
+    ///
+    /// # Errors
+    /// Nothing was frozen, or the successor is gone or does not read.
+    pub async fn transfer(&self) -> io::Result<usize> {
+        let Some(retained) = &self.retained else {
+            return Err(io::Error::other("nothing is frozen"));
+        };
+        let mut all: Vec<(Role, BorrowedFd)> = retained
+            .connections
             .iter()
             .map(|(role, descriptor)| (*role, descriptor.as_fd()))
             .collect();
-        all.extend([
-            (Role::Image, self.file.as_fd()),
-            (Role::Journal, self.journal.as_fd()),
-        ]);
-        for batch in all.chunks(BATCH) {
+        all.push((Role::Image, self.image_file.as_fd()));
+        all.push((Role::Journal, self.journal_file.as_fd()));
+        for batch in all.chunks(MAX_DESCRIPTORS_PER_MESSAGE) {
             let (roles, descriptors): (Vec<Role>, Vec<BorrowedFd>) = batch.iter().copied().unzip();
-            self.channel
-                .send(&Message::Descriptors { roles }, &descriptors)
-                .await?;
+            let message = Message::Descriptors { roles };
+            self.channel.send(&message, &descriptors).await?;
         }
         Ok(all.len())
     }
 
-    /// Keeps a copy of what the successor has opened.
-    pub fn opened(&mut self, role: Role, descriptors: Vec<OwnedFd>) {
-        if let Some(held) = &mut self.held {
-            held.passed
-                .extend(descriptors.into_iter().map(|one| (role, one)));
+    /// Retains a copy of a connection that the successor has opened.
+    pub fn retain_opened(&mut self, role: Role, descriptors: Vec<OwnedFd>) {
+        if let Some(retained) = &mut self.retained {
+            for descriptor in descriptors {
+                retained.connections.insert(role, descriptor);
+            }
+        }
+    }
+
+    /// Applies what the successor has recorded since the last time.
+    ///
+    /// # Errors
+    /// The journal can't be read or decoded.
+    pub fn read_journal(&mut self) -> io::Result<()> {
+        match &mut self.retained {
+            Some(retained) => retained.read_journal(),
+            None => Ok(()),
+        }
+    }
+
+    /// The last messages of the successor, whose process has ended, as far as they matter after its end: that it drains,
+    /// or that it records nothing any more. Descriptors attached to others are retained.
+    pub fn last_messages(&mut self) -> Vec<Message> {
+        let mut messages = Vec::new();
+        while let Some(received) = self.channel.try_receive() {
+            match received.message {
+                Message::ConnectionOpened { role } => {
+                    self.retain_opened(role, received.descriptors);
+                }
+                Message::Detached | Message::Draining { .. } => messages.push(received.message),
+                _ => {}
+            }
         }
+        messages
     }
 
-    /// Keeps up with what the successor noted; copies of what it has closed are closed.
-    pub fn follow(&mut self) -> io::Result<()> {
-        let Some(held) = &mut self.held else {
-            return Ok(());
+    /// Everything as the successor left it, whose process has ended and whose last messages were handled.
+    ///
+    /// # Errors
+    /// Nothing was frozen, or the journal can't be read.
+    pub fn take_recovered_state(&mut self) -> io::Result<RecoveredState> {
+        self.read_journal()?;
+        let Some(retained) = self.retained.take() else {
+            return Err(io::Error::other("nothing is held"));
         };
-        held.follower.follow(&mut held.image)?;
-        for key in held.image.take_removed() {
+        Ok(RecoveredState {
+            image: retained.image,
+            connections: retained.connections,
+            learned: retained.learned,
+        })
+    }
+}
+
+impl Drop for SuccessorGuard {
+    fn drop(&mut self) {
+        // Nobody else releases the process to the kernel; a successor that was released still runs and is not awaited.
+        let _ = self.child.try_wait();
+    }
+}
+
+impl Retained {
+    fn read_journal(&mut self) -> io::Result<()> {
+        self.journal.read(&mut self.image)?;
+        self.close_removed_connections();
+        self.close_replaced_engine_connections();
+        Ok(())
+    }
+
+    /// A copy would keep open what the successor has closed.
+    fn close_removed_connections(&mut self) {
+        for key in self.image.take_removed() {
             match key {
                 Key::ClientConnection(stream) => {
-                    _ = held.passed.remove(&Role::ClientConnection(stream))
+                    self.connections.remove(&Role::ClientConnection(stream));
                 }
                 Key::DownstreamConnection(stream) => {
-                    _ = held.passed.remove(&Role::DownstreamConnection(stream))
+                    self.connections.remove(&Role::DownstreamConnection(stream));
                 }
                 _ => {}
             }
         }
-        // Of the engine's links only the last one counts.
-        let link: Option<records::EngineConnectionRecord> = held.image.get(Key::EngineConnection);
-        let current = link.and_then(|link| link.stream);
-        let newest = held.passed.keys().filter_map(|role| match role {
-            Role::EngineConnection(stream) => Some(*stream),
-            _ => None,
-        });
-        let newest = newest.max();
-        held.passed.retain(|role, _| match role {
-            Role::EngineConnection(stream) => Some(*stream) == current || Some(*stream) == newest,
+    }
+
+    /// Of the connections to the engine only the recorded one matters, and the newest: it may not be recorded yet.
+    fn close_replaced_engine_connections(&mut self) {
+        let record: Option<records::EngineConnectionRecord> = self.image.get(Key::EngineConnection);
+        let recorded = record.and_then(|record| record.stream);
+        let newest = self
+            .connections
+            .keys()
+            .filter_map(|role| match role {
+                Role::EngineConnection(stream) => Some(*stream),
+                _ => None,
+            })
+            .max();
+        self.connections.retain(|role, _| match role {
+            Role::EngineConnection(stream) => Some(*stream) == recorded || Some(*stream) == newest,
             _ => true,
         });
-        Ok(())
     }
+}
 
-    /// What the successor, whose process has ended, had still said, as far as it counts after its end: that it leaves, or
-    /// that it notes nothing any more. What was passed with its words is kept.
-    pub fn last_words(&mut self) -> Vec<Message> {
-        let mut last = Vec::new();
-        while let Some((word, descriptors)) = self.channel.receive_now() {
-            match word {
-                Message::ConnectionOpened { role } => self.opened(role, descriptors),
-                Message::Detached | Message::Draining { .. } => last.push(word),
-                _ => {}
-            }
-        }
-        last
-    }
+fn spawn(program: &Path, inherited_end: &OwnedFd) -> io::Result<Child> {
+    Command::new(program)
+        .args(std::env::args_os().skip(1))
+        .env(HANDOVER_VARIABLE, inherited_end.as_raw_fd().to_string())
+        .spawn()
+        .map_err(|error| io::Error::new(error.kind(), format!("{}: {error}", program.display())))
+}
 
-    /// Everything as the successor left it, whose process has ended and whose last words were heard: image, descriptors, what was learnt before.
-    pub fn take(&mut self) -> io::Result<(Image, Passed, Option<LearnedState>)> {
-        self.follow()?;
-        let held = self
-            .held
-            .take()
-            .ok_or_else(|| io::Error::other("nothing is held"))?;
-        Ok((held.image, held.passed, held.learnt))
-    }
+fn watch_process(child: &Child) -> io::Result<AsyncFd<OwnedFd>> {
+    let id = i32::try_from(child.id()).ok().and_then(Pid::from_raw);
+    let id = id.ok_or_else(|| io::Error::other("it has no process number"))?;
+    let process = pidfd_open(id, PidfdFlags::empty())?;
+    // SAFETY: the descriptor is owned, and stays inside until the registration ends.
+    let registered = unsafe { AsyncFd::register_with_interest(process, Interest::READABLE) }?;
+    Ok(registered)
 }
 
-impl Drop for SuccessorGuard {
-    fn drop(&mut self) {
-        // Nobody else gives the process back to the kernel; one that was released is no child to wait for.
-        let _ = self.child.try_wait();
+fn learned_state(image: &Image) -> Option<LearnedState> {
+    match image.decode::<records::Instance>(Key::Instance) {
+        Ok(instance) => instance.and_then(|instance| instance.learned),
+        // Everything but the estimates can still be recovered.
+        Err(error) => {
+            warn!("estimates not retained: {error}");
+            None
+        }
     }
 }
--- a/crates/merlinshelf-backend/tests/golden.rs
+++ b/crates/merlinshelf-backend/tests/golden.rs
@@ -335,7 +335,8 @@
         page["figures"].is_array()
     });
     let drain = ask_until(&socket, ControlRequest::Drain, |_| true);
-    assert_eq!(instance.join().expect("no panic"), Ok(0));
+    let exit = instance.join().expect("no panic");
+    assert_eq!(exit.expect("it serves to its end"), 0);
     let reports = json!({ "status": status, "knowledge": knowledge, "drain": drain });
     golden_file::assert_json("instance_reports", &without_figures(&reports));
 
--- a/crates/merlinshelf-backend/tests/golden_settings.rs
+++ b/crates/merlinshelf-backend/tests/golden_settings.rs
@@ -722,5 +722,6 @@
     assert_replies("serving_forget.json", &forgotten);
     let drained = ask(&socket, &question("drain", "{}"));
     assert_replies("serving_drain.json", &drained);
-    assert_eq!(server.join().expect("no panic"), Ok(0));
+    let exit = server.join().expect("no panic");
+    assert_eq!(exit.expect("it serves to its end"), 0);
 }
--- a/crates/merlinshelf-cli/src/check.rs
+++ b/crates/merlinshelf-cli/src/check.rs
@@ -14,8 +14,14 @@
         eprintln!("merlinshelf: name a file: --config, --operator, or PROXY_CONFIG");
         return ExitCode::from(WRONG_USAGE);
     }
-    let config = config.map(|path| (path.clone(), check_config(&path)));
-    let operator = operator.map(|path| (path.clone(), Operator::load(Some(&path))));
+    let config = config.map(|path| {
+        let result = check_config(&path).map_err(|error| error.to_string());
+        (path, result)
+    });
+    let operator = operator.map(|path| {
+        let result = Operator::load(Some(&path)).map_err(|error| error.to_string());
+        (path, result)
+    });
     let speaks = match &operator {
         Some((_, Ok(of))) if of.uwsgi => "FastCGI and uwsgi",
         _ => "FastCGI",
--- a/crates/merlinshelf-cli/src/policy.rs
+++ b/crates/merlinshelf-cli/src/policy.rs
@@ -103,7 +103,7 @@
             " it is longer than the {MAX_DOCUMENT_BYTES} bytes that a policy may have"
         )));
     }
-    parse_json5(&text).map_err(named)
+    parse_json5(&text).map_err(|error| named(error.to_string()))
 }
 
 fn new_id() -> String {
--- a/crates/merlinshelf-cli/tests/dependencies.rs
+++ b/crates/merlinshelf-cli/tests/dependencies.rs
@@ -182,9 +182,7 @@
         let (instance, load, playing) = rig.begin(2).await?;
         // The third of each is new; the first is gone, and gets nothing further.
         instance.depends_on(&section(&addresses(&rig.servers, 1..3)))?;
-        instance
-            .logged("dependencies read anew: 2 of them", 1)
-            .await?;
+        instance.logged("dependencies reloaded: 2", 1).await?;
         more(&playing, 30).await;
         let before = rig.servers["catalogue"][0].calls.get();
         more(&playing, 60).await;
@@ -194,12 +192,10 @@
             &serde_json::json!({ "operations": { "thumbnail": { "calls": [{ "to": "nobody" }] } } }),
         )?;
         instance
-            .logged("the dependencies stay as they were", 1)
+            .logged("the old dependencies stay in force", 1)
             .await?;
         instance.depends_on(&section(&addresses(&rig.servers, 0..3)))?;
-        instance
-            .logged("dependencies read anew: 2 of them", 2)
-            .await?;
+        instance.logged("dependencies reloaded: 2", 2).await?;
         rig.all_do("catalogue", Manners::Slow(10.0));
         more(&playing, 30).await;
         assert_eq!(
--- a/crates/merlinshelf-cli/tests/learning.rs
+++ b/crates/merlinshelf-cli/tests/learning.rs
@@ -466,7 +466,7 @@
             .await?;
         let successor = pupil.processes().pop().expect("one");
         signal(successor, Signal::TERM);
-        pupil.logged("notice to leave", 1).await?;
+        pupil.logged("drain started", 1).await?;
         let verdict = check(&pupil, &load, playing).await;
         assert!(verdict.is_clean(), "{verdict:?}\n{}", pupil.log());
         assert_eq!(pupil.first_ended().await?, Some(0));
--- a/crates/merlinshelf-cli/tests/serving.rs
+++ b/crates/merlinshelf-cli/tests/serving.rs
@@ -388,11 +388,11 @@
     for (times, text) in (1..).zip(unusable) {
         std::fs::write(&rig.config, text).expect("a file");
         rig.signal("HUP");
-        rig.logged("the configuration stays as it was", times);
+        rig.logged("the old configuration stays in force", times);
     }
     std::fs::remove_file(&rig.config).expect("a file");
     rig.signal("HUP");
-    rig.logged("the configuration stays as it was", unusable.len() + 1);
+    rig.logged("the old configuration stays in force", unusable.len() + 1);
     // The new one moves all three at once; its other name is not heeded.
     let ((new_engine, at_engine), (new_catalogue, at_catalogue), (new_members, at_members)) =
         (bind(), bind(), bind());
@@ -835,7 +835,7 @@
     assert!(waiting.answer().starts_with("1 503"));
     let (status, log) = rig.end();
     assert!(
-        status.success() && log.contains("notice to leave: 32 in hand"),
+        status.success() && log.contains("drain started: 32 invocations in flight"),
         "{log}"
     );
 }
--- a/crates/merlinshelf-cli/tests/upgrade.rs
+++ b/crates/merlinshelf-cli/tests/upgrade.rs
@@ -109,7 +109,7 @@
             setup.manner.below = ms(120);
         }
         // More than one batch of descriptors, where the transfer is torn in the middle.
-        let connections = if program.contains("heir.pass") {
+        let connections = if program.contains("successor.pass") {
             150
         } else {
             12
@@ -130,17 +130,17 @@
 #[test]
 fn a_successor_that_fails_at_any_point_costs_nobody_an_answer() {
     let faults = [
-        ("heir.start:1:exit", "given_up"),
-        ("heir.hello:1:abort", "given_up"),
-        ("heir.ready:1:exit", "given_up"),
-        ("heir.pass:1:abort", "given_up"),
-        ("heir.pass:2:exit", "given_up"),
-        ("heir.taken:1:abort", "given_up"),
-        ("heir.taken:1:exit", "given_up"),
-        ("heir.serve:1:abort", "taken_back"),
-        ("heir.beat:1:abort", "taken_back"),
-        ("heir.beat:10:exit", "taken_back"),
-        ("heir.beat:3:hang", "taken_back"),
+        ("successor.start:1:exit", "given_up"),
+        ("successor.hello:1:abort", "given_up"),
+        ("successor.ready:1:exit", "given_up"),
+        ("successor.pass:1:abort", "given_up"),
+        ("successor.pass:2:exit", "given_up"),
+        ("successor.taken:1:abort", "given_up"),
+        ("successor.taken:1:exit", "given_up"),
+        ("successor.serve:1:abort", "taken_back"),
+        ("successor.beat:1:abort", "taken_back"),
+        ("successor.beat:10:exit", "taken_back"),
+        ("successor.beat:3:hang", "taken_back"),
         // Between what was noted and what was then done.
         ("edge.noted:1:abort", "taken_back"),
         ("edge.noted:9:abort", "taken_back"),
@@ -183,7 +183,7 @@
         );
         // Nothing was read twice, said twice to the engine, or answered to nobody.
         // Of many connections some say nothing for 1.5 s on a busy machine, are closed for it and counted as bad.
-        let silent = fault.starts_with("heir.pass");
+        let silent = fault.starts_with("successor.pass");
         assert!(
             (bad == 0 || silent) && refused == 0 && unheard == 0,
             "{fault}: {bad} {refused} {unheard}"
@@ -324,7 +324,7 @@
     signal(*told.expect("one"), Signal::TERM);
     let noticed = Instant::now();
     if dies {
-        instance.logged("notice to leave", 1).await?;
+        instance.logged("drain started", 1).await?;
         signal(*processes.last().expect("one"), Signal::KILL);
     }
     let seen = playing.stop().await;
@@ -419,12 +419,12 @@
         // It has been passed everything and is about to say so.
         let (instance, load, playing) = begin(&setup(), 52).await?;
         instance.successor_is(&format!(
-            "export MERLINSHELF_FAULT=heir.taken:1:pause\n{}",
+            "export MERLINSHELF_FAULT=successor.taken:1:pause\n{}",
             good()
         ))?;
         let mut talk = instance.ask(ControlRequest::Upgrade).await?;
         while talk.next().await?.1["stage"] != "ready" {}
-        instance.logged("fault heir.taken", 1).await?;
+        instance.logged("fault successor.taken", 1).await?;
         signal(instance.processes()[0], Signal::KILL);
         let verdict = check(&instance, &load, playing).await;
         assert!(
@@ -439,12 +439,12 @@
         // It has been passed nothing yet: there is nothing to serve, and it ends.
         let (instance, ..) = begin(&setup(), 53).await?;
         instance.successor_is(&format!(
-            "export MERLINSHELF_FAULT=heir.ready:1:pause\n{}",
+            "export MERLINSHELF_FAULT=successor.ready:1:pause\n{}",
             good()
         ))?;
         let mut talk = instance.ask(ControlRequest::Upgrade).await?;
         assert_eq!(talk.next().await?.1["stage"], "starting");
-        instance.logged("fault heir.ready", 1).await?;
+        instance.logged("fault successor.ready", 1).await?;
         signal(instance.processes()[0], Signal::KILL);
         instance.logged("the old process is gone", 1).await
     });
