--- a/crates/merlinshelf-backend/src/exchange/snapshot.rs
+++ b/crates/merlinshelf-backend/src/exchange/snapshot.rs
@@ -136,7 +136,7 @@
             fresh_start,
             repeats_calls: self.makes_several_calls.clone(),
             counters: self.counters.by_name(),
-            learned: learned,
+            learned,
             gossip: ByteBuf::from(if whole {
                 self.gossip_state.clone()
             } else {
