--- a/crates/merlinshelf-agent/tests/support/samples.rs
+++ b/crates/merlinshelf-agent/tests/support/samples.rs
@@ -198,7 +198,7 @@
         request_id: 72 + u64::from(seed),
         calls_needed: 73 + seed,
         priority_weight: 74.5 + f64::from(seed),
-        acknowledged_grant: (75 + u64::from(seed), 76 + u64::from(seed)),
+        acknowledged_grant: (75 + u64::from(seed), 76 + u64::from(seed)).into(),
         calls_spent: 77 + seed,
     }
 }
