--- a/crates/merlinshelf-agent/src/policy/asked.rs
+++ b/crates/merlinshelf-agent/src/policy/asked.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use merlinshelf_policy::replicated_state::{ChangeOutcome, CompletedChange};
-use merlinshelf_policy::{Entry, Policy};
+use merlinshelf_policy::{Entry, Policy, VersionedPolicy};
 use merlinshelf_protocol::control::ControlMessage;
 use serde_json::{Value, json};
 use tokio::sync::mpsc::UnboundedSender;
@@ -177,13 +177,13 @@
                             }
                         }
                     }
-                    (_, Some((0, _))) => Policy {
+                    (_, Some(VersionedPolicy { version: 0, .. })) => Policy {
                         note: "undone: the base policy".into(),
                         ..self.of.base.clone()
                     },
-                    (_, Some((number, former))) => Policy {
-                        note: format!("undone: back to {number}"),
-                        ..former.clone()
+                    (_, Some(former)) => Policy {
+                        note: format!("undone: back to {}", former.version),
+                        ..former.policy.clone()
                     },
                     (_, None) => {
                         return say(
--- a/crates/merlinshelf-backend/tests/golden.rs
+++ b/crates/merlinshelf-backend/tests/golden.rs
@@ -103,7 +103,7 @@
         reported_at: 22.5,
         fenced_version: 23,
         known_versions: vec![24, 25],
-        rejected_version: Some((26, "no such operation".into())),
+        rejected_version: Some((26, "no such operation".to_owned()).into()),
         effective_version: Some(27),
         lease_remaining_seconds: 28.5,
         base_fingerprint: 29,
--- a/crates/merlinshelf-backend/tests/golden_settings.rs
+++ b/crates/merlinshelf-backend/tests/golden_settings.rs
@@ -25,7 +25,9 @@
 use merlinshelf_gossip::store_format::{PersistedObservation, Record};
 use merlinshelf_gossip::{GossipedObservation, Metric, Source, SourceStatus};
 use merlinshelf_handover::predecessor::Progress;
-use merlinshelf_policy::{Heartbeat, InstanceStatus, LeaseExpiryMode, LeaseGrant, Policy};
+use merlinshelf_policy::{
+    Heartbeat, InstanceStatus, LeaseExpiryMode, LeaseGrant, Policy, VersionedPolicy,
+};
 use merlinshelf_protocol::control::ControlMessage;
 use merlinshelf_quota::{CallKind, QuotaGrantBatch};
 use serde_json::{Value, json};
@@ -469,13 +471,13 @@
 fn heartbeat_and_its_answer() {
     let beat = Heartbeat {
         incarnation: LARGE,
-        offered_policy: Some((
-            23,
-            Policy {
+        offered_policy: Some(VersionedPolicy {
+            version: 23,
+            policy: Policy {
                 note: "evening".into(),
                 ..Policy::default()
             },
-        )),
+        }),
         fence_version: 21,
         grant: Some(LeaseGrant {
             version: 22,
@@ -493,7 +495,7 @@
         reported_at: 1022.25,
         fenced_version: 21,
         known_versions: vec![22, 23],
-        rejected_version: Some((24, "no such dependency".into())),
+        rejected_version: Some((24, "no such dependency".to_owned()).into()),
         effective_version: Some(22),
         lease_remaining_seconds: 1.375,
         base_fingerprint: LARGE + 2,
--- a/crates/merlinshelf-policy/src/document.rs
+++ b/crates/merlinshelf-policy/src/document.rs
@@ -1,8 +1,8 @@
 //! The policy document: operators write it in JSON5, and it is validated against a schema.
 //!
-//! The names of the fields are the operators' keys. They stay as they are, also where the field's term is another one: they are
-//! in stored documents, and error messages print them. The comments on the fields are the descriptions in
-//! `deploy/policy.schema.json`.
+//! The names of the fields are the operators' keys. They stay as they are, also where the field's
+//! term is another one: they are in stored documents, and error messages print them. The comments
+//! on the fields are the descriptions in `deploy/policy.schema.json`.
 
 use std::collections::BTreeMap;
 
@@ -18,35 +18,41 @@
 
 /// The longest document, in bytes of its text.
 pub const MAX_DOCUMENT_BYTES: usize = 16 * 1024;
-/// The most dependencies that can have budgets.
-const MAX_BUDGETED_DEPENDENCIES: usize = 64;
+/// The longest note, in bytes.
+const MAX_NOTE_BYTES: usize = 200;
+/// The most operations, dependencies or budgeted dependencies that a policy can name.
+const MAX_NAMES: usize = 64;
 
-/// What a service may change without a restart. Whatever is not named stays as each instance's configuration has it.
+/// What a service may change without a restart. Whatever is not named stays as each instance's
+/// configuration has it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields, default)]
 #[schemars(title = "A policy of merlinshelf")]
 pub struct Policy {
     /// What the policy is for, for the history.
-    #[garde(length(max = 200))]
-    #[schemars(length(max = 200))]
+    #[garde(length(max = MAX_NOTE_BYTES))]
+    #[schemars(length(max = MAX_NOTE_BYTES))]
     pub note: String,
     /// By the operation's name in the platform's settings.
-    #[garde(dive, length(max = 64))]
+    #[garde(dive, length(max = MAX_NAMES))]
     pub operations: BTreeMap<String, OperationPolicy>,
-    /// By the tenant's name or number: its fraction of the sum of all quotas, 0 to 1. Together they are at most 1.
+    /// By the tenant's name or number: its fraction of the sum of all quotas, 0 to 1. Together they
+    /// are at most 1.
     #[garde(custom(validate_tenant_fractions))]
     pub tenants: BTreeMap<String, f64>,
     /// The mean number of downstream calls that one instance may have open.
     #[garde(inner(custom(validate_positive)))]
     pub call_share: Option<f64>,
     /// By the dependency's name in the operators' file.
-    #[garde(dive, length(max = 64))]
+    #[garde(dive, length(max = MAX_NAMES))]
     pub dependencies: BTreeMap<String, DependencyPolicy>,
-    /// By the dependency's name in the operators' file, or `catalogue` for the one that the platform names: calls per second of
-    /// the whole fleet. `again`: retries and hedged requests; `probes`: calls while the dependency fails; `first`: first calls
-    /// while it recovers; `opened`: new connections. `callers` has only `opened`: connections of callers that are accepted. In the
-    /// base policy: the reserve of each host, which it may spend without hearing of any other.
-    #[garde(custom(validate_budgets), length(max = MAX_BUDGETED_DEPENDENCIES))]
+    /// By the dependency's name in the operators' file, or `catalogue` for the one that the
+    /// platform names: calls per second of the whole fleet. `again`: retries and hedged requests;
+    /// `probes`: calls while the dependency fails; `first`: first calls while it recovers;
+    /// `opened`: new connections. `callers` has only `opened`: connections of callers that are
+    /// accepted. In the base policy: the reserve of each host, which it may spend without hearing
+    /// of any other.
+    #[garde(custom(validate_budgets), length(max = MAX_NAMES))]
     #[schemars(schema_with = "budgets_schema")]
     // Versions without budgets can still read policies that have none.
     #[serde(skip_serializing_if = "BTreeMap::is_empty")]
@@ -76,7 +82,8 @@
     /// The fraction of the billed value that a response past the objective still has, 0 to 1.
     #[garde(inner(custom(validate_ratio)))]
     pub late: Option<f64>,
-    /// By the dependency's name: the fraction of the caller's time that calls to it may take, above 0 and up to 1.
+    /// By the dependency's name: the fraction of the caller's time that calls to it may take, above
+    /// 0 and up to 1.
     #[garde(custom(validate_time_fractions))]
     pub calls: BTreeMap<String, f64>,
 }
@@ -94,14 +101,22 @@
 }
 
 fn budgets_schema(_: &mut schemars::SchemaGenerator) -> schemars::Schema {
-    let calls_per_second = schemars::json_schema!({ "type": "integer", "minimum": 1, "maximum": budget::MAX_CALLS_PER_SECOND });
+    let calls_per_second = schemars::json_schema!({
+        "type": "integer",
+        "minimum": 1,
+        "maximum": budget::MAX_CALLS_PER_SECOND
+    });
     let kinds: serde_json::Map<String, serde_json::Value> = CallKind::ALL
         .iter()
         .map(|kind| (kind.name().to_owned(), calls_per_second.clone().into()))
         .collect();
     schemars::json_schema!({
         "type": "object",
-        "maxProperties": MAX_BUDGETED_DEPENDENCIES,
-        "additionalProperties": { "type": "object", "additionalProperties": false, "properties": kinds }
+        "maxProperties": MAX_NAMES,
+        "additionalProperties": {
+            "type": "object",
+            "additionalProperties": false,
+            "properties": kinds
+        }
     })
 }
--- a/crates/merlinshelf-policy/src/fingerprint.rs
+++ b/crates/merlinshelf-policy/src/fingerprint.rs
@@ -1,8 +1,9 @@
 //! The fingerprint that distinguishes policy documents.
 //!
-//! It is stored in the agents' replicated log and compared between versions of the program, so the text that it is computed
-//! over is a stored format. The first version took that text from its `Debug` output; the type and variant names of that
-//! version are therefore written here by hand, and must not follow a renaming.
+//! It is stored in the agents' replicated log and compared between versions of the program, so the
+//! text that it is computed over is a stored format. The first version took that text from its
+//! `Debug` output; the type and variant names of that version are therefore written here by hand,
+//! and must not follow a renaming.
 
 use std::collections::BTreeMap;
 use std::fmt::{self, Debug, Formatter};
--- a/crates/merlinshelf-policy/src/host_lease_manager.rs
+++ b/crates/merlinshelf-policy/src/host_lease_manager.rs
@@ -1,5 +1,5 @@
-//! A host's part: one lease from the leading agent, out of which the host's instances get theirs, none of which ends later;
-//! and which of them may still act on which version.
+//! A host's part: one lease from the leading agent, out of which the host's instances get theirs,
+//! none of which ends later; and which of them may still act on which version.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,11 +7,10 @@
 use merlinshelf_quota::lease;
 
 use crate::Drift;
-use crate::document::Policy;
 use crate::instance_record::{InstanceRecord, PrepareResponse, select_offer};
 use crate::messages::{
     Heartbeat, HostLeaseRequest, HostLeaseResponse, InstanceStatus, LeaseGrant, PrepareResult,
-    Rejection, ServiceCounts,
+    Rejection, ServiceCounts, VersionedPolicy,
 };
 use crate::replicated_state::ReplicatedState;
 
@@ -58,7 +57,8 @@
     prepare_result: Option<PrepareResult>,
 }
 
-/// The state machine of one agent towards its instances. `now` is the agent's own monotonic clock in seconds.
+/// The state machine of one agent towards its instances. `now` is the agent's own monotonic clock
+/// in seconds.
 #[derive(Clone, Debug)]
 pub struct HostLeaseManager {
     host: String,
@@ -72,20 +72,21 @@
     lease_seconds: Option<f64>,
     lease: Option<HostLease>,
     fence_version: u64,
-    documents: Vec<(u64, Policy)>,
+    documents: Vec<VersionedPolicy>,
     preparation: Option<Preparation>,
     pending_requests: PendingRequests,
     last_request_id: u64,
     requested_at: f64,
     reported: Progress,
     instances: BTreeMap<String, InstanceRecord>,
-    /// The service of all instances, which the agent counts and which is reported with each request.
+    /// The service of all instances, which the agent counts and which is reported with each
+    /// request.
     pub service_counts: ServiceCounts,
 }
 
 impl HostLeaseManager {
-    /// An agent that starts. `incarnation` identifies the process among all of the agent's, `base_fingerprint` is that of the
-    /// base policy in its file.
+    /// An agent that starts. `incarnation` identifies the process among all of the agent's,
+    /// `base_fingerprint` is that of the base policy in its file.
     pub fn new(
         host: &str,
         incarnation: u64,
@@ -139,10 +140,13 @@
 
     fn update_documents(&mut self, state: &ReplicatedState) -> bool {
         let pending_version = state.pending_change.as_ref().map(|change| change.version);
-        let documents: Vec<(u64, Policy)> = [Some(state.current_version), pending_version]
+        let documents: Vec<VersionedPolicy> = [Some(state.current_version), pending_version]
             .into_iter()
             .flatten()
-            .filter_map(|version| Some((version, state.policy_for_version(version)?.clone())))
+            .filter_map(|version| {
+                let policy = state.policy_for_version(version)?.clone();
+                Some(VersionedPolicy { version, policy })
+            })
             .collect();
         let has_changed = documents != self.documents;
         self.documents = documents;
@@ -161,13 +165,14 @@
         true
     }
 
-    /// The instances that have a process now. Nothing is known of a process that is new here: an earlier agent may have
-    /// granted it a lease.
+    /// The instances that have a process now. Nothing is known of a process that is new here: an
+    /// earlier agent may have granted it a lease.
     pub fn set_instances<'a>(&mut self, now: f64, names: impl Iterator<Item = &'a String>) {
         let names: BTreeSet<&String> = names.collect();
         self.started_at.get_or_insert(now);
         let lease_seconds = self.lease_seconds.unwrap_or(0.0);
-        // One whose process has ended acts on nothing. One that is merely unreachable is still named.
+        // One whose process has ended acts on nothing. One that is merely unreachable is still
+        // named.
         self.instances.retain(|name, _| names.contains(name));
         for name in names {
             self.instances
@@ -176,8 +181,9 @@
         }
     }
 
-    /// The next heartbeat that is due, with the instance that it goes to. The caller reports the result of each by
-    /// [`instance_responded`](Self::instance_responded) or [`instance_unreachable`](Self::instance_unreachable).
+    /// The next heartbeat that is due, with the instance that it goes to. The caller reports the
+    /// result of each by [`instance_responded`](Self::instance_responded) or
+    /// [`instance_unreachable`](Self::instance_unreachable).
     pub fn poll_heartbeat(&mut self, now: f64) -> Option<(String, Heartbeat)> {
         let interval_seconds = self.lease_seconds? / RENEWALS_PER_LEASE;
         let lease = self.valid_lease(now);
@@ -251,7 +257,8 @@
         }
     }
 
-    /// Whether an instance that this agent has not found may still have a lease that an earlier agent granted.
+    /// Whether an instance that this agent has not found may still have a lease that an earlier
+    /// agent granted.
     fn may_have_unknown_leases(&self, now: f64) -> bool {
         let lease_seconds = self.lease_seconds.unwrap_or(0.0);
         self.started_at.is_none_or(|started_at| {
@@ -259,7 +266,8 @@
         })
     }
 
-    /// The instances' verdict on the document that is being prepared: once all have responded or are late, or one rejects it.
+    /// The instances' verdict on the document that is being prepared: once all have responded or
+    /// are late, or one rejects it.
     pub fn prepare_result(&self, now: f64) -> Option<PrepareResult> {
         let preparation = self.preparation?;
         let mut result = PrepareResult {
@@ -346,12 +354,16 @@
         self.lease = Some(lease);
     }
 
-    /// Whether a lease on this version may be accepted: its document is known here, and it is not fenced.
+    /// Whether a lease on this version may be accepted: its document is known here, and it is not
+    /// fenced.
     fn may_accept(&self, version: u64) -> bool {
         if version == 0 {
             return self.fence_version == 0;
         }
-        let is_known = self.documents.iter().any(|(known, _)| *known == version);
+        let is_known = self
+            .documents
+            .iter()
+            .any(|document| document.version == version);
         is_known && version > self.fence_version
     }
 
--- a/crates/merlinshelf-policy/src/instance_record.rs
+++ b/crates/merlinshelf-policy/src/instance_record.rs
@@ -2,10 +2,10 @@
 
 use merlinshelf_quota::lease::{self, Drift};
 
-use crate::document::Policy;
-use crate::messages::{InstanceStatus, LeaseGrant};
+use crate::messages::{InstanceStatus, LeaseGrant, VersionedPolicy};
 
-/// The lease that an instance may have without having reported otherwise, as the agent has to assume it.
+/// The lease that an instance may have without having reported otherwise, as the agent has to
+/// assume it.
 #[derive(Clone, Copy, Debug)]
 struct PossibleLease {
     /// The lowest version that it may be on.
@@ -39,8 +39,8 @@
 }
 
 impl InstanceRecord {
-    /// An instance that this agent has not seen. An earlier agent may have granted it a lease, which has expired after this
-    /// duration.
+    /// An instance that this agent has not seen. An earlier agent may have granted it a lease,
+    /// which has expired after this duration.
     pub fn new(now: f64, lease_seconds: f64, drift: Drift) -> InstanceRecord {
         InstanceRecord {
             status: None,
@@ -84,8 +84,8 @@
         self.is_urgent = false;
     }
 
-    /// A lease is granted now. An instance that is granted this version has no lease on a lower one: those had been fenced on
-    /// all hosts before.
+    /// A lease is granted now. An instance that is granted this version has no lease on a lower
+    /// one: those had been fenced on all hosts before.
     pub fn lease_granted(&mut self, now: f64, grant: &LeaseGrant, drift: Drift) {
         if grant.version == 0 {
             return;
@@ -100,7 +100,8 @@
         });
     }
 
-    /// It responded to a heartbeat. `leased_version` is the version of the host's lease, where it has one.
+    /// It responded to a heartbeat. `leased_version` is the version of the host's lease, where it
+    /// has one.
     pub fn responded(&mut self, status: InstanceStatus, leased_version: Option<u64>) {
         let previous = self.status.as_ref();
         let is_new_process =
@@ -109,7 +110,8 @@
             leased_version.is_some_and(|version| status.effective_version != Some(version));
         let has_progressed =
             previous.is_none_or(|previous| previous.known_versions != status.known_versions);
-        // A new process, or one that lacks what is in force, is served at once; without progress it waits for its turn.
+        // A new process, or one that lacks what is in force, is served at once; without progress it
+        // waits for its turn.
         self.is_urgent |= is_new_process || is_behind && has_progressed;
         self.awaits_response = false;
         self.refusal = None;
@@ -148,10 +150,10 @@
 
     fn rejection_reason(&self, version: u64, base_fingerprint: u64) -> Option<String> {
         if let Some(status) = self.status() {
-            if let Some((rejected_version, reason)) = &status.rejected_version
-                && *rejected_version == version
+            if let Some(rejected) = &status.rejected_version
+                && rejected.version == version
             {
-                return Some(reason.clone());
+                return Some(rejected.reason.clone());
             }
             if status.base_fingerprint != base_fingerprint {
                 return Some("its base policy is another".to_owned());
@@ -161,27 +163,28 @@
     }
 }
 
-/// The document that an instance with this status should be offered next: that of the host's lease first, then the newest one
-/// that it lacks and has not rejected.
+/// The document that an instance with this status should be offered next: that of the host's lease
+/// first, then the newest one that it lacks and has not rejected.
 pub fn select_offer<'a>(
-    documents: &'a [(u64, Policy)],
+    documents: &'a [VersionedPolicy],
     status: &InstanceStatus,
     leased_version: Option<u64>,
-) -> Option<&'a (u64, Policy)> {
-    let is_lacking = |version: u64| !status.known_versions.contains(&version);
-    let is_rejected = |version: u64| {
+) -> Option<&'a VersionedPolicy> {
+    let is_lacking =
+        |document: &VersionedPolicy| !status.known_versions.contains(&document.version);
+    let is_rejected = |document: &VersionedPolicy| {
         status
             .rejected_version
             .as_ref()
-            .is_some_and(|(rejected, _)| *rejected == version)
+            .is_some_and(|rejected| rejected.version == document.version)
     };
     let leased = documents
         .iter()
-        .find(|(version, _)| Some(*version) == leased_version && is_lacking(*version));
+        .find(|document| Some(document.version) == leased_version && is_lacking(document));
     leased.or_else(|| {
         documents
             .iter()
             .rev()
-            .find(|(version, _)| is_lacking(*version) && !is_rejected(*version))
+            .find(|document| is_lacking(document) && !is_rejected(document))
     })
 }
--- a/crates/merlinshelf-policy/src/lease_holder.rs
+++ b/crates/merlinshelf-policy/src/lease_holder.rs
@@ -1,4 +1,5 @@
-//! An instance's part: the documents that it has stored, its lease, and which policy it acts on at a given time.
+//! An instance's part: the documents that it has stored, its lease, and which policy it acts on at
+//! a given time.
 
 use std::collections::BTreeMap;
 
@@ -10,12 +11,13 @@
 use crate::Drift;
 use crate::document::Policy;
 use crate::error::{PolicyMismatch, PolicyRejection};
-use crate::messages::{Heartbeat, InstanceStatus, LeaseGrant};
+use crate::messages::{Heartbeat, InstanceStatus, LeaseGrant, RejectedVersion, VersionedPolicy};
 
 /// How many documents are stored: the one that is acted on, the next one, and one to spare.
 const MAX_KNOWN_POLICIES: usize = 3;
 
-// The encoded names are those of the operators' file, and the comments are the descriptions in its schema.
+// The encoded names are those of the operators' file, and the comments are the descriptions in its
+// schema.
 /// What an instance does without a lease.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
@@ -55,8 +57,8 @@
     }
 }
 
-/// What a successor process continues with; it runs on the same monotonic clock. It is encoded in the handover image, so the
-/// names that older versions use are preserved by `#[serde(rename)]`.
+/// What a successor process continues with; it runs on the same monotonic clock. It is encoded in
+/// the handover image, so the names that older versions use are preserved by `#[serde(rename)]`.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct HandoverState {
@@ -67,12 +69,6 @@
     known_policies: BTreeMap<u64, Policy>,
 }
 
-#[derive(Clone, Debug)]
-struct RejectedVersion {
-    version: u64,
-    rejection: PolicyRejection,
-}
-
 /// The state machine of an instance. `now` is its own monotonic clock in seconds.
 #[derive(Clone, Debug)]
 pub struct LeaseHolder {
@@ -89,7 +85,8 @@
 }
 
 impl LeaseHolder {
-    /// A process that starts, without a lease. `incarnation` identifies it among all processes of the instance and is not 0.
+    /// A process that starts, without a lease. `incarnation` identifies it among all processes of
+    /// the instance and is not 0.
     pub fn new(
         incarnation: u64,
         base_policy: Policy,
@@ -109,8 +106,9 @@
         }
     }
 
-    /// Gives the lease to a successor, and continues as a new incarnation. It has no lease from here on: if the handover is
-    /// aborted, the successor may long have fenced what this one would act on.
+    /// Gives the lease to a successor, and continues as a new incarnation. It has no lease from
+    /// here on: if the handover is aborted, the successor may long have fenced what this one would
+    /// act on.
     pub fn begin_handover(&mut self, next_incarnation: u64) -> HandoverState {
         self.incarnation = next_incarnation;
         HandoverState {
@@ -128,8 +126,8 @@
         self.is_ready = true;
     }
 
-    /// The policy that it acts on. To be called before each decision, after the input of the decision was read: a process that
-    /// was stopped in between finds its lease expired.
+    /// The policy that it acts on. To be called before each decision, after the input of the
+    /// decision was read: a process that was stopped in between finds its lease expired.
     pub fn effective_policy(&self, now: f64) -> EffectivePolicy {
         match self.lease {
             Some(lease) if lease.is_valid(now) => EffectivePolicy::Leased(lease.version),
@@ -140,7 +138,8 @@
         }
     }
 
-    /// Whether it may admit its first invocation: it has learned which policy is in force, or waits no longer.
+    /// Whether it may admit its first invocation: it has learned which policy is in force, or waits
+    /// no longer.
     pub fn is_ready(&self) -> bool {
         self.is_ready
     }
@@ -178,7 +177,8 @@
         self.policy(effective).settings(base)
     }
 
-    /// Handles a heartbeat of its agent; the result is the response. `validate` checks whether the instance can use a document.
+    /// Handles a heartbeat of its agent; the result is the response. `validate` checks whether the
+    /// instance can use a document.
     pub fn handle_heartbeat(
         &mut self,
         now: f64,
@@ -186,8 +186,8 @@
         validate: impl FnOnce(&Policy) -> Result<(), PolicyRejection>,
     ) -> InstanceStatus {
         if heartbeat.incarnation == self.incarnation {
-            if let Some((version, policy)) = heartbeat.offered_policy {
-                self.store_offer(version, policy, validate);
+            if let Some(offered) = heartbeat.offered_policy {
+                self.store_offer(offered, validate);
             }
             self.fence(heartbeat.fence_version);
             if let Some(grant) = heartbeat.grant {
@@ -199,15 +199,18 @@
 
     fn store_offer(
         &mut self,
-        version: u64,
-        policy: Policy,
+        offered: VersionedPolicy,
         validate: impl FnOnce(&Policy) -> Result<(), PolicyRejection>,
     ) {
+        let VersionedPolicy { version, policy } = offered;
         if self.known_policies.get(&version) == Some(&policy) {
             return;
         }
         if let Err(rejection) = validate(&policy) {
-            self.rejected_version = Some(RejectedVersion { version, rejection });
+            self.rejected_version = Some(RejectedVersion {
+                version,
+                reason: rejection.to_string(),
+            });
             return;
         }
         self.known_policies.insert(version, policy);
@@ -245,7 +248,8 @@
             return;
         }
         self.fence(grant.version - 1);
-        // It counts from when it was requested: a grant that was delayed on its way may have expired already.
+        // It counts from when it was requested: a grant that was delayed on its way may have
+        // expired already.
         let lease = Lease {
             version: grant.version,
             expires_at: lease::holder_expiry(
@@ -277,10 +281,7 @@
             reported_at: now,
             fenced_version: self.fenced_version,
             known_versions: self.known_policies.keys().copied().collect(),
-            rejected_version: self
-                .rejected_version
-                .as_ref()
-                .map(|rejected| (rejected.version, rejected.rejection.to_string())),
+            rejected_version: self.rejected_version.clone(),
             effective_version: match self.effective_policy(now) {
                 EffectivePolicy::Base => Some(0),
                 EffectivePolicy::Leased(version) => Some(version),
--- a/crates/merlinshelf-policy/src/messages.rs
+++ b/crates/merlinshelf-policy/src/messages.rs
@@ -1,10 +1,11 @@
 //! The messages between instances, agents and the leading agent.
 //!
-//! Every time is in seconds of the sender's own monotonic clock and is never compared with another clock: a receiver only
-//! sends it back. Fields are encoded by name; the names that older versions use are preserved by `#[serde(rename)]`,
-//! pairs are arrays of two, and a missing field is its default.
+//! Every time is in seconds of the sender's own monotonic clock and is never compared with another
+//! clock: a receiver only sends it back. Fields are encoded by name; the names that older versions
+//! use are preserved by `#[serde(rename)]`, pairs are arrays of two, and a missing field is its
+//! default.
 
-use serde::{Deserialize, Serialize};
+use serde::{Deserialize, Serialize, Serializer};
 
 use merlinshelf_quota::{QuotaGrantBatch, QuotaRequestBatch};
 
@@ -14,13 +15,13 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Heartbeat {
-    /// The incarnation that it is meant for, as that process last reported it; 0 while none is known. A process of another
-    /// incarnation ignores the contents.
+    /// The incarnation that it is meant for, as that process last reported it; 0 while none is
+    /// known. A process of another incarnation ignores the contents.
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// A document to validate and store, with its version.
+    /// A document to validate and store.
     #[serde(rename = "offer")]
-    pub offered_policy: Option<(u64, Policy)>,
+    pub offered_policy: Option<VersionedPolicy>,
     /// No version up to this one may be acted on any more.
     #[serde(rename = "fence")]
     pub fence_version: u64,
@@ -32,6 +33,28 @@
     pub quota_grants: Option<QuotaGrantBatch>,
 }
 
+/// A document with its version. Encoded as an array of two.
+#[derive(Clone, Debug, PartialEq, Deserialize)]
+#[serde(from = "(u64, Policy)")]
+pub struct VersionedPolicy {
+    /// The version; 0 is the base policy.
+    pub version: u64,
+    /// The document.
+    pub policy: Policy,
+}
+
+impl From<(u64, Policy)> for VersionedPolicy {
+    fn from((version, policy): (u64, Policy)) -> VersionedPolicy {
+        VersionedPolicy { version, policy }
+    }
+}
+
+impl Serialize for VersionedPolicy {
+    fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        (self.version, &self.policy).serialize(serializer)
+    }
+}
+
 /// A lease for an instance.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
@@ -63,10 +86,11 @@
     /// Versions whose documents it has validated and stored.
     #[serde(rename = "knows")]
     pub known_versions: Vec<u64>,
-    /// A version that it cannot use, and the reason.
+    /// The last version that it could not use.
     #[serde(rename = "unfit")]
-    pub rejected_version: Option<(u64, String)>,
-    /// The version that it acts on: 0 is the base policy, `None` means that it rejects all invocations.
+    pub rejected_version: Option<RejectedVersion>,
+    /// The version that it acts on: 0 is the base policy, `None` means that it rejects all
+    /// invocations.
     #[serde(rename = "acts")]
     pub effective_version: Option<u64>,
     /// How long its lease still lasts, in seconds; 0 without a lease.
@@ -81,6 +105,28 @@
     pub quota_requests: Option<QuotaRequestBatch>,
 }
 
+/// A version that an instance cannot use. Encoded as an array of two.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(from = "(u64, String)", into = "(u64, String)")]
+pub struct RejectedVersion {
+    /// The version.
+    pub version: u64,
+    /// The reason, for operators.
+    pub reason: String,
+}
+
+impl From<(u64, String)> for RejectedVersion {
+    fn from((version, reason): (u64, String)) -> RejectedVersion {
+        RejectedVersion { version, reason }
+    }
+}
+
+impl From<RejectedVersion> for (u64, String) {
+    fn from(rejected: RejectedVersion) -> (u64, String) {
+        (rejected.version, rejected.reason)
+    }
+}
+
 /// From an agent to the leading agent.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
@@ -107,7 +153,8 @@
     pub quota_requests: Option<QuotaRequestBatch>,
 }
 
-/// Invocations that were served, counted since the agent first saw each instance. Encoded as an array of two.
+/// Invocations that were served, counted since the agent first saw each instance. Encoded as an
+/// array of two.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u64, u64)", into = "(u64, u64)")]
 pub struct ServiceCounts {
@@ -154,7 +201,8 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(String, String)", into = "(String, String)")]
 pub struct Rejection {
-    /// The instance that cannot use the document, or the proposer of a change that came while another was pending.
+    /// The instance that cannot use the document, or the proposer of a change that came while
+    /// another was pending.
     pub rejected_by: String,
     /// The reason, for operators.
     pub reason: String,
--- a/crates/merlinshelf-policy/src/overlay.rs
+++ b/crates/merlinshelf-policy/src/overlay.rs
@@ -1,4 +1,5 @@
-//! The settings and the dependencies of an instance under a policy: its own configuration with the policy laid over it.
+//! The settings and the dependencies of an instance under a policy: its own configuration with the
+//! policy laid over it.
 
 use merlinshelf_admission::Settings;
 use merlinshelf_dependencies::Dependencies;
@@ -15,7 +16,8 @@
 const MICROSECONDS_PER_MILLISECOND: f64 = 1e3;
 
 impl Policy {
-    /// An instance's settings under the policy: names and values as the admission controller reads them.
+    /// An instance's settings under the policy: names and values as the admission controller reads
+    /// them.
     ///
     /// # Errors
     /// Every operation and tenant that the settings do not have.
@@ -64,7 +66,8 @@
     /// The operators' dependencies under the policy; `None` where the operators have none.
     ///
     /// # Errors
-    /// Every dependency and call that the operators' file does not have; where there are none, whatever is not consistent then.
+    /// Every dependency and call that the operators' file does not have; where there are none,
+    /// whatever is not consistent then.
     pub fn dependencies(
         &self,
         base: Option<&Dependencies>,
@@ -144,7 +147,8 @@
     set("AimUs", objective_us);
     set("Worth", operation.worth);
     set("LateWorth", operation.late);
-    // Nothing meets an objective of 0: the admission controller rejects all invocations that have it (docs/design.md).
+    // Nothing meets an objective of 0: the admission controller rejects all invocations that have
+    // it (docs/design.md).
     set("AimUs", (operation.admit == Some(false)).then_some(0.0));
 }
 
@@ -195,7 +199,8 @@
     position_by_name_or_number(settings, list, name)
 }
 
-/// The position of the entry of a list whose `Name` this is, or the number itself where no entry has that name.
+/// The position of the entry of a list whose `Name` this is, or the number itself where no entry
+/// has that name.
 fn position_by_name_or_number(settings: &Settings, list: &str, name: &str) -> Option<usize> {
     let length = list_length(settings, list);
     let has_name = |position: &usize| {
--- a/crates/merlinshelf-policy/src/replicated_state.rs
+++ b/crates/merlinshelf-policy/src/replicated_state.rs
@@ -1,14 +1,16 @@
-//! The state that the agents replicate: the entries of their log, and what applying them in order results in. It is the
-//! same on every agent (a replicated state machine, as in Ongaro's Raft thesis).
+//! The state that the agents replicate: the entries of their log, and what applying them in order
+//! results in. It is the same on every agent (a replicated state machine, as in Ongaro's Raft
+//! thesis).
 //!
-//! Entries and snapshots are stored; the names that older versions use are preserved by `#[serde(rename)]`.
+//! Entries and snapshots are stored; the names that older versions use are preserved by
+//! `#[serde(rename)]`.
 
 use std::collections::VecDeque;
 
 use serde::{Deserialize, Serialize};
 
 use crate::document::Policy;
-use crate::messages::Rejection;
+use crate::messages::{Rejection, VersionedPolicy};
 
 /// How many completed changes are remembered and can be looked up by their id.
 const MAX_COMPLETED_CHANGES: usize = 200;
@@ -186,9 +188,9 @@
     pub current_version: u64,
     /// The document in force.
     pub policy: Policy,
-    /// The version that was in force before it, with its document.
+    /// What was in force before it.
     #[serde(rename = "former")]
-    pub previous: Option<(u64, Policy)>,
+    pub previous: Option<VersionedPolicy>,
     /// The pending change; there is one at most.
     #[serde(rename = "change")]
     pub pending_change: Option<Change>,
@@ -287,7 +289,10 @@
         let change = self.take_pending(version, Stage::Fencing)?;
         let previous_policy = std::mem::replace(&mut self.policy, change.policy.clone());
         let previous_version = std::mem::replace(&mut self.current_version, version);
-        self.previous = Some((previous_version, previous_policy));
+        self.previous = Some(VersionedPolicy {
+            version: previous_version,
+            policy: previous_policy,
+        });
         self.record_completed(change.complete(ChangeOutcome::Committed));
         Some(ReplicatedEvent::Committed { version })
     }
@@ -343,7 +348,8 @@
             .saturating_sub(1)
     }
 
-    /// The document of a version that leases are or may soon be granted on; `None` for other versions and for 0.
+    /// The document of a version that leases are or may soon be granted on; `None` for other
+    /// versions and for 0.
     pub(crate) fn policy_for_version(&self, version: u64) -> Option<&Policy> {
         let pending = self
             .pending_change
--- a/crates/merlinshelf-policy/src/rollout_leader.rs
+++ b/crates/merlinshelf-policy/src/rollout_leader.rs
@@ -1,9 +1,11 @@
-//! The leading agent's part: grants leases to hosts and takes a change from its proposal to its end.
+//! The leading agent's part: grants leases to hosts and takes a change from its proposal to its
+//! end.
 //!
-//! Whatever must outlive this agent is in the [`ReplicatedState`]; the next leader continues from there. A lease is granted
-//! only after a majority confirmed the leadership since the lease was requested (the read-index rule of the Raft thesis,
-//! section 6.4), and a change is activated only when every host has fenced the older versions or its lease has expired (Gray &
-//! Cheriton, "Leases", 1989).
+//! Whatever must outlive this agent is in the [`ReplicatedState`]; the next leader continues from
+//! there. A lease is granted only after a majority confirmed the leadership since the lease was
+//! requested (the read-index rule of the Raft thesis, section 6.4), and a change is activated only
+//! when every host has fenced the older versions or its lease has expired (Gray & Cheriton,
+//! "Leases", 1989).
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -16,7 +18,8 @@
 
 /// Hosts that have not reported on a document by then are not waited for, seconds.
 const PREPARE_TIMEOUT_SECONDS: f64 = 0.9;
-/// A proposal that has not come back as an entry, and a confirmation that has not come back, is retried after this, seconds.
+/// A proposal that has not come back as an entry, and a confirmation that has not come back, is
+/// retried after this, seconds.
 const RETRY_AFTER_SECONDS: f64 = 0.4;
 
 /// Who proposes a change that rolls back to the previous policy. It is stored with the change.
@@ -25,7 +28,8 @@
 /// What the caller of the state machine is to do, in this order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Have a majority confirm that this agent still leads; reported by [`RolloutLeader::leadership_confirmed`].
+    /// Have a majority confirm that this agent still leads; reported by
+    /// [`RolloutLeader::leadership_confirmed`].
     ConfirmLeadership {
         /// Identifies the confirmation; they are numbered in order.
         confirmation_id: u64,
@@ -44,9 +48,11 @@
 /// How the service is compared before and after a change.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServiceWatch {
-    /// The time that is looked at before and after the change, in seconds; 0 switches the comparison off.
+    /// The time that is looked at before and after the change, in seconds; 0 switches the
+    /// comparison off.
     pub window_seconds: f64,
-    /// By how much the ratio of succeeded invocations may fall before the change is rolled back, 0 to 1.
+    /// By how much the ratio of succeeded invocations may fall before the change is rolled back, 0
+    /// to 1.
     pub tolerated_loss: f64,
 }
 
@@ -316,7 +322,8 @@
         }
     }
 
-    /// Grants leases for all requests that the leadership was confirmed for. No lease is granted while hosts are being fenced.
+    /// Grants leases for all requests that the leadership was confirmed for. No lease is granted
+    /// while hosts are being fenced.
     fn grant_leases(&mut self, now: f64, state: &ReplicatedState) {
         let granted_version = match state.fencing_change() {
             Some(change) if change.version != self.activated_version => return,
@@ -370,7 +377,7 @@
         ratio_after: ServiceRatio,
         state: &ReplicatedState,
     ) {
-        let Some((_, previous_policy)) = &state.previous else {
+        let Some(previous) = &state.previous else {
             return;
         };
         let WatchedChange {
@@ -379,7 +386,7 @@
             ..
         } = watched;
         // The note and the id are stored and shown to operators: their text stays as it is.
-        let mut policy = previous_policy.clone();
+        let mut policy = previous.policy.clone();
         policy.note =
             format!("back from {version}: served {ratio_after:.3}, before it {ratio_before:.3}");
         self.propose(
--- a/crates/merlinshelf-policy/src/service_history.rs
+++ b/crates/merlinshelf-policy/src/service_history.rs
@@ -61,8 +61,8 @@
         }
     }
 
-    /// The ratio of succeeded invocations between two times; `None` where there were too few, or where counts fell because an
-    /// agent was started anew.
+    /// The ratio of succeeded invocations between two times; `None` where there were too few, or
+    /// where counts fell because an agent was started anew.
     pub fn success_ratio(&self, from: f64, until: f64) -> Option<ServiceRatio> {
         let range = from - ROUNDING_SECONDS..=until + ROUNDING_SECONDS;
         let mut within = self
--- a/crates/merlinshelf-policy/src/validation.rs
+++ b/crates/merlinshelf-policy/src/validation.rs
@@ -1,4 +1,5 @@
-//! The rules for the figures of a policy document, as `garde` calls them. It adds the path of the field to each message.
+//! The rules for the figures of a policy document, as `garde` calls them. It adds the path of the
+//! field to each message.
 
 use std::collections::BTreeMap;
 
--- a/crates/merlinshelf-policy/tests/golden.rs
+++ b/crates/merlinshelf-policy/tests/golden.rs
@@ -1,11 +1,13 @@
-//! Golden files of every format of this package that outlives a process or passes between two: the replicated state and the
-//! log entries (MessagePack with field names), the messages between an instance and its agent (JSON over the control socket)
-//! and between agents (MessagePack with field names), the policy document, and the handover state of an instance.
+//! Golden files of every format of this package that outlives a process or passes between two: the
+//! replicated state and the log entries (MessagePack with field names), the messages between an
+//! instance and its agent (JSON over the control socket) and between agents (MessagePack with field
+//! names), the policy document, and the handover state of an instance.
 //!
-//! Each sample is encoded as the program encodes it and must give the bytes of its file under `tests/golden/`; those bytes
-//! are decoded as the program decodes them and must give the sample. Every field of a sample has a value of its own that is
-//! not the default, so that a field that is lost by a renaming shows. The files are the format of versions that are in
-//! service: a test that fails here means that two versions would misunderstand each other. `GOLDEN_WRITE=1` writes the
+//! Each sample is encoded as the program encodes it and must give the bytes of its file under
+//! `tests/golden/`; those bytes are decoded as the program decodes them and must give the sample.
+//! Every field of a sample has a value of its own that is not the default, so that a field that is
+//! lost by a renaming shows. The files are the format of versions that are in service: a test that
+//! fails here means that two versions would misunderstand each other. `GOLDEN_WRITE=1` writes the
 //! files anew; without it a missing file is a failure.
 
 mod golden_samples;
@@ -24,7 +26,7 @@
 use merlinshelf_policy::{
     Bootstrap, EffectivePolicy, Entry, Heartbeat, HostLeaseRequest, HostLeaseResponse,
     InstanceStatus, LeaseExpiryMode, LeaseGrant, LeaseHolder, Policy, PrepareResult,
-    ReplicatedState, ServiceCounts,
+    ReplicatedState, ServiceCounts, VersionedPolicy,
 };
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -56,8 +58,8 @@
     golden
 }
 
-/// JSON as it passes over the control socket: encoded by way of a `Value`, decoded directly by an instance and by way of a
-/// `Value` by an agent.
+/// JSON as it passes over the control socket: encoded by way of a `Value`, decoded directly by an
+/// instance and by way of a `Value` by an agent.
 fn assert_json<T>(name: &str, sample: &T)
 where
     T: Serialize + DeserializeOwned + PartialEq + Debug,
@@ -141,7 +143,7 @@
         "beat.json",
         &Heartbeat {
             incarnation: INSTANCE_INCARNATION,
-            offered_policy: Some((23, filled_policy())),
+            offered_policy: Some((23, filled_policy()).into()),
             fence_version: 21,
             grant: Some(grant),
             quota_grants: Some(filled_quota_grants()),
@@ -159,7 +161,7 @@
             reported_at: 1022.25,
             fenced_version: 21,
             known_versions: vec![22, 23],
-            rejected_version: Some((24, "no such dependency".into())),
+            rejected_version: Some((24, "no such dependency".to_owned()).into()),
             effective_version: Some(22),
             lease_remaining_seconds: 1.375,
             base_fingerprint: BASE_FINGERPRINT,
@@ -205,7 +207,8 @@
     assert_message_pack("host_word_empty.bin", &HostLeaseResponse::default());
 }
 
-/// A field that an older version does not send is its default, and an unknown field of a later one is skipped.
+/// A field that an older version does not send is its default, and an unknown field of a later one
+/// is skipped.
 #[test]
 fn messages_tolerate_missing_and_unknown_fields() {
     fn assert_tolerant<T>(name: &str)
@@ -247,7 +250,8 @@
     assert_json("policy_short.json", &short_policy("short", 6.5));
 }
 
-/// The example that earlier versions shipped, and the one of this version: documents written after either must be read.
+/// The example that earlier versions shipped, and the one of this version: documents written after
+/// either must be read.
 #[test]
 fn policy_document_of_the_example() {
     let earlier = String::from_utf8(read_golden("policy_example.json5")).expect("text");
@@ -258,7 +262,8 @@
     assert_eq!(decoded, example_policy());
 }
 
-/// Agents of two versions compare the fingerprints of their base policies, and the log has that of the installation.
+/// Agents of two versions compare the fingerprints of their base policies, and the log has that of
+/// the installation.
 #[test]
 fn fingerprint_of_a_policy() {
     let without_budgets = Policy {
@@ -300,7 +305,7 @@
     );
     let offer = |version: u64, policy: Policy, grant: Option<LeaseGrant>| Heartbeat {
         incarnation: INSTANCE_INCARNATION,
-        offered_policy: Some((version, policy)),
+        offered_policy: Some(VersionedPolicy { version, policy }),
         grant,
         ..Heartbeat::default()
     };
--- a/crates/merlinshelf-policy/tests/golden_samples/mod.rs
+++ b/crates/merlinshelf-policy/tests/golden_samples/mod.rs
@@ -175,7 +175,7 @@
         last_version: 12,
         current_version: 11,
         policy: short_policy("the one that holds", 6.5),
-        previous: Some((9, short_policy("the one before", 7.5))),
+        previous: Some((9, short_policy("the one before", 7.5)).into()),
         pending_change: Some(Change {
             version: 12,
             change_id: "change-of-tuesday".into(),
--- a/crates/merlinshelf-policy/tests/host_lease_manager.rs
+++ b/crates/merlinshelf-policy/tests/host_lease_manager.rs
@@ -8,7 +8,8 @@
 const INCARNATION: u64 = 1;
 const OTHER_BASE_FINGERPRINT: u64 = 7;
 
-/// A manager with a lease on the base policy at 0.1 s, whose file has another base policy than was agreed.
+/// A manager with a lease on the base policy at 0.1 s, whose file has another base policy than was
+/// agreed.
 fn manager_with_lease(state: &ReplicatedState, instances: &[String]) -> HostLeaseManager {
     let mut manager = HostLeaseManager::new("h", INCARNATION, OTHER_BASE_FINGERPRINT, 0.01);
     manager.state_changed(0.0, state);
--- a/crates/merlinshelf-policy/tests/lease_holder.rs
+++ b/crates/merlinshelf-policy/tests/lease_holder.rs
@@ -57,7 +57,7 @@
             incarnation: self.incarnation,
             offered_policy: self
                 .offered_version
-                .map(|version| (version, policy(version))),
+                .map(|version| (version, policy(version)).into()),
             fence_version: self.fence_version,
             grant: self.grant,
             quota_grants: None,
@@ -155,7 +155,9 @@
             holder.effective_policy(now),
             status.fenced_version,
             status.known_versions,
-            status.rejected_version,
+            status
+                .rejected_version
+                .map(|rejected| (rejected.version, rejected.reason)),
             status.lease_remaining_seconds
         ));
     }
--- a/crates/merlinshelf-policy/tests/model/faults.rs
+++ b/crates/merlinshelf-policy/tests/model/faults.rs
@@ -57,7 +57,8 @@
         }
     }
 
-    /// Ends all faults: the pending change must end in time, then one more change, and all instances act on it.
+    /// Ends all faults: the pending change must end in time, then one more change, and all
+    /// instances act on it.
     pub fn recover(&mut self) {
         self.end_faults();
         self.elect(0);
--- a/crates/merlinshelf-policy/tests/model/main.rs
+++ b/crates/merlinshelf-policy/tests/model/main.rs
@@ -1,9 +1,11 @@
-//! All state machines together in virtual time, with faults by seed: instances that are stopped, agents that die, messages
-//! that are lost or late, leaders that are replaced without learning of it, clocks that drift apart. The guarantees are
-//! checked from what each instance acts on, at every step, never from what a process reports.
+//! All state machines together in virtual time, with faults by seed: instances that are stopped,
+//! agents that die, messages that are lost or late, leaders that are replaced without learning of
+//! it, clocks that drift apart. The guarantees are checked from what each instance acts on, at
+//! every step, never from what a process reports.
 
 mod faults;
 mod invariants;
+mod processes;
 mod world;
 
 use std::collections::BTreeSet;
--- a/crates/merlinshelf-policy/tests/model/world.rs
+++ b/crates/merlinshelf-policy/tests/model/world.rs
@@ -6,14 +6,14 @@
     Heartbeat, HostLeaseRequest, HostLeaseResponse, InstanceStatus,
 };
 use merlinshelf_policy::replicated_state::{Bootstrap, Entry, ReplicatedState};
-use merlinshelf_policy::rollout_leader::{Action, RolloutLeader, ServiceWatch};
+use merlinshelf_policy::rollout_leader::{RolloutLeader, ServiceWatch};
 use merlinshelf_policy::{HostLeaseManager, LeaseExpiryMode, LeaseHolder, Policy};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
 pub const LEASE_SECONDS: f64 = 2.0;
 pub const DRIFT: f64 = 0.03;
-const TICK_SECONDS: f64 = 0.01;
+pub const TICK_SECONDS: f64 = 0.01;
 const NO_WATCH: ServiceWatch = ServiceWatch {
     window_seconds: 0.0,
     tolerated_loss: 1.0,
@@ -60,9 +60,9 @@
     },
 }
 
-struct MessageInFlight {
-    arrives_at: f64,
-    message: Message,
+pub struct MessageInFlight {
+    pub arrives_at: f64,
+    pub message: Message,
 }
 
 /// A process's clock, which drifts from true time.
@@ -110,11 +110,11 @@
     pub seeded_bug: SeededBug,
     pub log: Vec<Entry>,
     /// The true term; only its leader's confirmations and proposals succeed.
-    term: u64,
-    leader: usize,
+    pub term: u64,
+    pub leader: usize,
     pub agents: Vec<Agent>,
     pub instances: BTreeMap<String, Instance>,
-    in_flight: Vec<MessageInFlight>,
+    pub in_flight: Vec<MessageInFlight>,
     last_incarnation: u64,
     pub highest_effective_version: u64,
     pub proposed_changes: u64,
@@ -139,7 +139,7 @@
     }
 }
 
-fn agent_name(agent: usize) -> String {
+pub fn agent_name(agent: usize) -> String {
     format!("a{agent}")
 }
 
@@ -231,7 +231,7 @@
         });
     }
 
-    fn apply_entries(&mut self, agent: usize, max_entries: usize) {
+    pub fn apply_entries(&mut self, agent: usize, max_entries: usize) {
         let agent = &mut self.agents[agent];
         let now = agent.clock.read(self.time);
         let until = self
@@ -248,7 +248,7 @@
         }
     }
 
-    fn send(&mut self, message: Message, faults: Faults) {
+    pub fn send(&mut self, message: Message, faults: Faults) {
         let has_faults = faults == Faults::On;
         if has_faults && self.rng.random_bool(0.05) {
             return;
@@ -280,206 +280,6 @@
         }
     }
 
-    fn deliver(&mut self, message: Message, faults: Faults) {
-        match message {
-            Message::Heartbeat {
-                agent,
-                instance,
-                heartbeat,
-            } => self.deliver_heartbeat(agent, instance, heartbeat, faults),
-            Message::InstanceStatus {
-                agent,
-                instance,
-                status,
-            } => self.agents[agent]
-                .lease_manager
-                .instance_responded(&instance, status),
-            Message::LeaseRequest { to, request } => self.deliver_request(to, request),
-            Message::LeaseResponse { from, to, response } => {
-                let agent = &mut self.agents[to];
-                let now = agent.clock.read(self.time);
-                if agent.is_up && (!agent.is_partitioned || from == to) {
-                    agent.lease_manager.handle_lease_response(now, &response);
-                }
-            }
-        }
-    }
-
-    fn deliver_heartbeat(
-        &mut self,
-        agent: usize,
-        name: String,
-        mut heartbeat: Heartbeat,
-        faults: Faults,
-    ) {
-        let Some(instance) = self.instances.get_mut(&name) else {
-            return;
-        };
-        if instance.is_stopped {
-            // It stays in the socket until the instance continues.
-            self.in_flight.push(MessageInFlight {
-                arrives_at: self.time + TICK_SECONDS,
-                message: Message::Heartbeat {
-                    agent,
-                    instance: name,
-                    heartbeat,
-                },
-            });
-            return;
-        }
-        let now = instance.clock.read(self.time);
-        if let (SeededBug::LeaseFromArrival, Some(grant)) = (self.seeded_bug, &mut heartbeat.grant)
-        {
-            grant.requested_at = now;
-        }
-        let status = instance
-            .lease_holder
-            .handle_heartbeat(now, heartbeat, |_| Ok(()));
-        let response = Message::InstanceStatus {
-            agent,
-            instance: name,
-            status,
-        };
-        self.send(response, faults);
-    }
-
-    fn deliver_request(&mut self, to: usize, request: HostLeaseRequest) {
-        let agent = &mut self.agents[to];
-        let now = agent.clock.read(self.time);
-        // No agent is partitioned from itself.
-        let is_reachable = !agent.is_partitioned || request.host == agent_name(to);
-        if !agent.is_up || !is_reachable {
-            return;
-        }
-        if let Some(leadership) = &mut agent.leadership {
-            leadership
-                .leader
-                .handle_lease_request(now, request, &agent.state);
-        }
-    }
-
-    fn drive_agent(&mut self, agent: usize, faults: Faults) {
-        if !self.agents[agent].is_up {
-            return;
-        }
-        let is_partitioned = self.agents[agent].is_partitioned;
-        if !is_partitioned && self.rng.random_bool(0.5) {
-            let max_entries = if faults == Faults::On { 1 } else { 11 };
-            self.apply_entries(agent, max_entries);
-        }
-        let mut outgoing = self.poll_heartbeats(agent);
-        outgoing.extend(self.poll_request(agent));
-        outgoing.extend(self.drive_leader(agent));
-        for message in outgoing {
-            self.send(message, faults);
-        }
-        self.step_down_when_outdated(agent);
-        // Now and then an agent gives up waiting for the responses to its heartbeats.
-        if self.rng.random_bool(0.02) {
-            for name in self.instance_names(agent) {
-                self.agents[agent]
-                    .lease_manager
-                    .instance_unreachable(&name, None);
-            }
-        }
-    }
-
-    fn instance_names(&self, agent: usize) -> Vec<String> {
-        let prefix = format!("{}.", agent_name(agent));
-        self.instances
-            .keys()
-            .filter(|name| name.starts_with(&prefix))
-            .cloned()
-            .collect()
-    }
-
-    fn poll_heartbeats(&mut self, agent: usize) -> Vec<Message> {
-        let names = self.instance_names(agent);
-        let driven = &mut self.agents[agent];
-        let now = driven.clock.read(self.time);
-        driven.lease_manager.set_instances(now, names.iter());
-        std::iter::from_fn(|| driven.lease_manager.poll_heartbeat(now))
-            .map(|(instance, heartbeat)| Message::Heartbeat {
-                agent,
-                instance,
-                heartbeat,
-            })
-            .collect()
-    }
-
-    /// The agent's request, to the one that it believes to lead: now and then that is a former leader.
-    fn poll_request(&mut self, agent: usize) -> Option<Message> {
-        let leader = self.leader;
-        let polled = &mut self.agents[agent];
-        let now = polled.clock.read(self.time);
-        let request = polled.lease_manager.poll_lease_request(now)?;
-        let leads_partition = polled.is_partitioned && polled.leadership.is_some();
-        if polled.is_partitioned && !leads_partition {
-            return None;
-        }
-        let former_leader = (0..self.agents.len())
-            .find(|other| *other != leader && self.agents[*other].leadership.is_some());
-        let believed_leader = former_leader
-            .filter(|_| self.rng.random_bool(0.3))
-            .unwrap_or(leader);
-        let to = if leads_partition {
-            agent
-        } else {
-            believed_leader
-        };
-        Some(Message::LeaseRequest { to, request })
-    }
-
-    /// Carries out the actions of an agent that believes that it leads; the result is its responses.
-    fn drive_leader(&mut self, agent: usize) -> Vec<Message> {
-        let truly_leads = self.truly_leads(agent);
-        let driven = &mut self.agents[agent];
-        let now = driven.clock.read(self.time);
-        let Some(leadership) = &mut driven.leadership else {
-            return Vec::new();
-        };
-        let leader = &mut leadership.leader;
-        leader.advance(now, &driven.state);
-        // Only what is to be done by now: a confirmation adds actions that are carried out in the next step.
-        let actions: Vec<Action> = std::iter::from_fn(|| leader.poll_action()).collect();
-        let is_confirmed = truly_leads || self.seeded_bug == SeededBug::UnconfirmedLeader;
-        let mut responses = Vec::new();
-        for action in actions {
-            match action {
-                Action::ConfirmLeadership { confirmation_id } if is_confirmed => {
-                    leader.leadership_confirmed(now, confirmation_id, &driven.state);
-                }
-                Action::Propose(entry) if truly_leads => self.log.push(entry),
-                Action::Respond { host, response } => responses.push(Message::LeaseResponse {
-                    from: agent,
-                    to: host[1..].parse().expect("the number of an agent"),
-                    response,
-                }),
-                Action::ConfirmLeadership { .. } | Action::Propose(_) => {}
-            }
-        }
-        responses
-    }
-
-    fn truly_leads(&self, agent: usize) -> bool {
-        let agent = &self.agents[agent];
-        let is_current = agent
-            .leadership
-            .as_ref()
-            .is_some_and(|leadership| leadership.term == self.term);
-        is_current && !agent.is_partitioned
-    }
-
-    /// A former leader that is reachable learns of the later term in time.
-    fn step_down_when_outdated(&mut self, agent: usize) {
-        let is_outdated = self.agents[agent].leadership.is_some()
-            && !self.truly_leads(agent)
-            && !self.agents[agent].is_partitioned;
-        if is_outdated && self.rng.random_bool(0.01) {
-            self.agents[agent].leadership = None;
-        }
-    }
-
     pub fn next_incarnation(&mut self) -> u64 {
         self.last_incarnation += 1;
         self.last_incarnation
@@ -491,7 +291,8 @@
         agent.leadership = None;
     }
 
-    /// Starts an agent anew; with [`SeededBug::ForgottenLeases`] it assumes that no instance has a lease.
+    /// Starts an agent anew; with [`SeededBug::ForgottenLeases`] it assumes that no instance has a
+    /// lease.
     pub fn start_agent(&mut self, agent: usize, incarnation: u64, seeded_bug: SeededBug) {
         let names = self.instance_names(agent);
         let started = &mut self.agents[agent];
--- a/crates/merlinshelf-quota/src/allocation.rs
+++ b/crates/merlinshelf-quota/src/allocation.rs
@@ -24,7 +24,8 @@
     }
 }
 
-/// Allocates a budget to claims of which none is allocated anything yet; the result is what nobody needs.
+/// Allocates a budget to claims of which none is allocated anything yet; the result is what nobody
+/// needs.
 pub fn allocate(budget: u32, claims: &mut [Claim]) -> u32 {
     let even_calls = budget / (claims.len() as u32).max(1);
     let mut remaining = budget;
@@ -46,7 +47,8 @@
     remaining
 }
 
-/// Allocates calls in proportion to the weights of the claims that are not satisfied; the result is what remains.
+/// Allocates calls in proportion to the weights of the claims that are not satisfied; the result is
+/// what remains.
 fn allocate_by_weight(calls: u32, claims: &mut [Claim]) -> u32 {
     let weight_sum: f64 = claims
         .iter()
--- a/crates/merlinshelf-quota/src/allocator.rs
+++ b/crates/merlinshelf-quota/src/allocator.rs
@@ -1,4 +1,5 @@
-//! The allocator of one budget: it never grants more than the budget, counted over all grants that may still have an effect.
+//! The allocator of one budget: it never grants more than the budget, counted over all grants that
+//! may still have an effect.
 
 use std::collections::BTreeMap;
 
@@ -9,7 +10,8 @@
 /// The weight of a claim that rejected no calls.
 const MIN_WEIGHT: f64 = 1e-9;
 
-/// A grant, and until when it may have an effect on the rate of arrivals. Times are seconds of the allocator's clock.
+/// A grant, and until when it may have an effect on the rate of arrivals. Times are seconds of the
+/// allocator's clock.
 #[derive(Clone, Copy, Debug)]
 struct IssuedGrant {
     grant_number: u64,
@@ -49,7 +51,8 @@
         self.demand.calls_needed > 0
     }
 
-    /// It acts on this grant: what earlier ones allowed beyond it is spent no more, and has no effect after this time.
+    /// It acts on this grant: what earlier ones allowed beyond it is spent no more, and has no
+    /// effect after this time.
     fn acknowledge(&mut self, now: f64, grant_number: u64, arrivals_end_at: f64) {
         for grant in &mut self.grants {
             if grant.grant_number < grant_number {
@@ -100,8 +103,8 @@
 }
 
 impl Allocator {
-    /// Takes over at `now` from another allocator that may have granted until then. `id` identifies it among all allocators of
-    /// the budget.
+    /// Takes over at `now` from another allocator that may have granted until then. `id` identifies
+    /// it among all allocators of the budget.
     pub fn taking_over(now: f64, terms: LeaseTerms, budget: u32, id: u64) -> Allocator {
         Allocator {
             terms,
@@ -146,7 +149,8 @@
             .sum()
     }
 
-    /// The most that each holder may be spending, in calls per second; all its incarnations together.
+    /// The most that each holder may be spending, in calls per second; all its incarnations
+    /// together.
     pub fn outstanding_by_holder(&self, now: f64) -> BTreeMap<String, u32> {
         let mut outstanding = BTreeMap::new();
         for (id, holder) in &self.holders {
@@ -171,8 +175,8 @@
         }
     }
 
-    /// A holder requests its quota; the result is what it may spend. `budget_expires_at`: when the budget itself expires, where it
-    /// is a lease.
+    /// A holder requests its quota; the result is what it may spend. `budget_expires_at`: when the
+    /// budget itself expires, where it is a lease.
     pub fn handle_request(
         &mut self,
         now: f64,
@@ -267,8 +271,9 @@
         holder.grants.push(grant);
     }
 
-    /// What a holder is to have of the whole budget, by all demands that are known. The part that nobody needs is spread over all
-    /// holders, so that a sudden demand finds quota: otherwise its first second found none.
+    /// What a holder is to have of the whole budget, by all demands that are known. The part that
+    /// nobody needs is spread over all holders, so that a sudden demand finds quota: otherwise its
+    /// first second found none.
     fn target(&self, now: f64, id: &HolderId) -> u32 {
         let needing: Vec<(&HolderId, &HolderState)> = self
             .holders
@@ -292,8 +297,8 @@
         spare / (self.holders.len() as u32).max(1) + allocated
     }
 
-    /// Whether a holder has its turn, where more holders need calls than there are: those within a turn of one lease come first,
-    /// then those that have waited longest.
+    /// Whether a holder has its turn, where more holders need calls than there are: those within a
+    /// turn of one lease come first, then those that have waited longest.
     fn has_turn(
         &self,
         now: f64,
--- a/crates/merlinshelf-quota/src/budget.rs
+++ b/crates/merlinshelf-quota/src/budget.rs
@@ -46,7 +46,8 @@
     }
 }
 
-/// Budgets in calls per second, by the dependency's name and the kind of calls. What has no budget is not limited.
+/// Budgets in calls per second, by the dependency's name and the kind of calls. What has no budget
+/// is not limited.
 pub type Budgets = BTreeMap<String, BTreeMap<CallKind, u32>>;
 
 /// The budget of a kind of calls in calls per second; `None` where it is not limited.
@@ -57,7 +58,8 @@
 /// The dependency of all calls that the operators' file assigns to no other.
 pub const CATALOGUE: &str = "catalogue";
 
-/// Not a dependency but the callers: their new connections are accepted within a budget of [`CallKind::NewConnection`].
+/// Not a dependency but the callers: their new connections are accepted within a budget of
+/// [`CallKind::NewConnection`].
 pub const CALLERS: &str = "callers";
 
 /// The highest budget, in calls per second.
@@ -74,7 +76,8 @@
     },
     /// The rate is 0 or higher than [`MAX_CALLS_PER_SECOND`].
     #[error(
-        "{dependency}.{}: {calls_per_second} is not from 1 to {MAX_CALLS_PER_SECOND} calls a second",
+        "{dependency}.{}: {calls_per_second} is not from 1 to {MAX_CALLS_PER_SECOND} \
+         calls a second",
         kind.name()
     )]
     OutOfRange {
@@ -114,7 +117,8 @@
 pub enum UncoveredReserve {
     /// The base policy reserves nothing of this kind.
     #[error(
-        "budgets.{dependency}.{}: the base policy has none, so that whoever is cut off would spend without bound",
+        "budgets.{dependency}.{}: the base policy has none, so that whoever is cut off \
+         would spend without bound",
         kind.name()
     )]
     NoReserve {
@@ -125,8 +129,8 @@
     },
     /// The reserves of all hosts together exceed the budget.
     #[error(
-        "budgets.{dependency}.{}: {calls_per_second} a second are fewer than the {reserve_per_host} that the base policy sets \
-         aside for each of {hosts} hosts",
+        "budgets.{dependency}.{}: {calls_per_second} a second are fewer than the {reserve_per_host} \
+         that the base policy sets aside for each of {hosts} hosts",
         kind.name()
     )]
     ExceedsBudget {
@@ -156,7 +160,8 @@
     lines.join("; ")
 }
 
-/// Validates that budgets cover what each host reserves by the base policy. `hosts` is their number, where it is known.
+/// Validates that budgets cover what each host reserves by the base policy. `hosts` is their
+/// number, where it is known.
 ///
 /// # Errors
 /// Each budget that does not.
--- a/crates/merlinshelf-quota/src/dependency_quota.rs
+++ b/crates/merlinshelf-quota/src/dependency_quota.rs
@@ -1,4 +1,5 @@
-//! An instance's quota for one dependency: what may be spent on it, by its phase and the grants of the host.
+//! An instance's quota for one dependency: what may be spent on it, by its phase and the grants of
+//! the host.
 
 use std::collections::BTreeMap;
 
@@ -11,14 +12,15 @@
 use crate::phase::{DependencyHealth, Phase, PhaseLease};
 use crate::quota_client::{CallOutcome, Remaining};
 
-/// First calls stay limited for this long after the dependency came back, where its phase is not known, seconds.
+/// First calls stay limited for this long after the dependency came back, where its phase is not
+/// known, seconds.
 const UNKNOWN_PHASE_LIMIT_SECONDS: f64 = 5.0;
-/// A call that was drawn from the host's reserve must be made within this, seconds: it counts from when it was drawn, and the
-/// time that calls take to arrive may vary by more.
+/// A call that was drawn from the host's reserve must be made within this, seconds: it counts from
+/// when it was drawn, and the time that calls take to arrive may vary by more.
 const DRAWN_CALL_SECONDS: f64 = 0.02;
 
-/// Times are seconds of the instance's clock. It is part of what is handed over in an upgrade, so the names that older versions
-/// use are preserved by `#[serde(rename)]`.
+/// Times are seconds of the instance's clock. It is part of what is handed over in an upgrade, so
+/// the names that older versions use are preserved by `#[serde(rename)]`.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub(crate) struct DependencyQuota {
     holders: BTreeMap<CallKind, QuotaLeaseHolder>,
@@ -49,7 +51,8 @@
 }
 
 impl DependencyQuota {
-    /// The quota of a dependency that was not limited before: nothing is known of it, so it counts as one that recovers.
+    /// The quota of a dependency that was not limited before: nothing is known of it, so it counts
+    /// as one that recovers.
     pub fn newly_limited() -> DependencyQuota {
         DependencyQuota {
             is_new: true,
@@ -136,7 +139,8 @@
         holder.remaining(now) + u32::from(has_drawn_call)
     }
 
-    /// First calls are limited while the dependency recovers, and for a while where its phase is not known any more.
+    /// First calls are limited while the dependency recovers, and for a while where its phase is
+    /// not known any more.
     fn limits_first_calls(&self, now: f64) -> bool {
         if let Some(phase) = self.phase_at(now) {
             return phase == Phase::Recovering;
@@ -151,7 +155,8 @@
     pub fn is_limited(&self, now: f64, kind: CallKind) -> bool {
         let is_limited_now = match kind {
             CallKind::FirstCall => self.limits_first_calls(now),
-            // Where it is healthy for all, the probes of one instance for which it fails are fewer than its calls were.
+            // Where it is healthy for all, the probes of one instance for which it fails are fewer
+            // than its calls were.
             CallKind::Probe => self.phase_at(now) != Some(Phase::Healthy),
             CallKind::Retry | CallKind::NewConnection => true,
         };
@@ -228,8 +233,8 @@
         }
     }
 
-    /// Handles a response of the host. `phase_expires_at` is until when its phase is valid; `probe_delay` draws the delay of the
-    /// first probe of a new quota.
+    /// Handles a response of the host. `phase_expires_at` is until when its phase is valid;
+    /// `probe_delay` draws the delay of the first probe of a new quota.
     pub fn handle_grant(
         &mut self,
         now: f64,
@@ -271,7 +276,8 @@
         holder.handle_grant(grant);
         let has_quota = holder.usable(now).calls_per_second > 0;
         if kind == CallKind::Probe && !had_quota && has_quota {
-            // Instances that get their quota at the same moment do not all send their probe at the same moment.
+            // Instances that get their quota at the same moment do not all send their probe at the
+            // same moment.
             self.probes_from = now + probe_delay();
         }
     }
--- a/crates/merlinshelf-quota/src/fleet_allocator.rs
+++ b/crates/merlinshelf-quota/src/fleet_allocator.rs
@@ -1,4 +1,5 @@
-//! The leading agent's part for all budgets together: it allocates them among the hosts, and decides the phase of each dependency.
+//! The leading agent's part for all budgets together: it allocates them among the hosts, and
+//! decides the phase of each dependency.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -71,7 +72,8 @@
 }
 
 impl FleetAllocator {
-    /// The allocator of an agent that was just elected. `id` identifies it among all elected agents, as a term does.
+    /// The allocator of an agent that was just elected. `id` identifies it among all elected
+    /// agents, as a term does.
     pub fn elected(terms: LeaseTerms, id: u64) -> FleetAllocator {
         FleetAllocator {
             terms,
@@ -85,7 +87,8 @@
         }
     }
 
-    /// Sets the budgets of the fleet, of which each of so many hosts has this reserve. Smaller ones take effect as leases expire.
+    /// Sets the budgets of the fleet, of which each of so many hosts has this reserve. Smaller ones
+    /// take effect as leases expire.
     pub fn set_budgets(&mut self, budgets: &Budgets, reserve: &Budgets, hosts: u32) {
         if self.budgets == *budgets && self.reserve == *reserve && self.hosts == hosts {
             return;
@@ -93,15 +96,16 @@
         self.budgets = budgets.clone();
         self.reserve = reserve.clone();
         self.hosts = hosts;
-        // Where a budget is removed and later restored, calls may be made without limit in between: its allocator then takes over
-        // from that as from an earlier allocator.
+        // Where a budget is removed and later restored, calls may be made without limit in between:
+        // its allocator then takes over from that as from an earlier allocator.
         self.allocators
             .retain(|key, _| find_budget(budgets, &key.dependency, key.kind).is_some());
         self.recoveries
             .retain(|key, _| budgets.contains_key(&key.dependency));
     }
 
-    /// A host requests its quotas. The response may be sent only when it is confirmed that this agent still leads.
+    /// A host requests its quotas. The response may be sent only when it is confirmed that this
+    /// agent still leads.
     pub fn handle_request(
         &mut self,
         now: f64,
@@ -197,7 +201,8 @@
         let key = BudgetKey::new(dependency, kind);
         self.record_spent(now, &key, request.calls_spent);
         let available = self.available(dependency, kind);
-        // A kind that is new here may have been allocated before: by an earlier leader, or under an earlier policy.
+        // A kind that is new here may have been allocated before: by an earlier leader, or under an
+        // earlier policy.
         let allocator = self
             .allocators
             .entry(key)
@@ -220,8 +225,8 @@
         }
     }
 
-    /// What can be granted of a budget now, in calls per second: what is not reserved, and of first calls no more than the zones
-    /// in which the dependency recovers let through.
+    /// What can be granted of a budget now, in calls per second: what is not reserved, and of first
+    /// calls no more than the zones in which the dependency recovers let through.
     fn available(&self, dependency: &str, kind: CallKind) -> u32 {
         let budget = find_budget(&self.budgets, dependency, kind).unwrap_or(0);
         let reserve_per_host = find_budget(&self.reserve, dependency, kind).unwrap_or(0);
@@ -247,7 +252,8 @@
             .collect()
     }
 
-    /// Calls per second of a kind that were lately made by quota, without the reserves, for reports.
+    /// Calls per second of a kind that were lately made by quota, without the reserves, for
+    /// reports.
     pub fn spent_per_second(&self, now: f64, dependency: &str, kind: CallKind) -> f64 {
         let calls: u32 = self
             .spent_calls
--- a/crates/merlinshelf-quota/src/host_allocator.rs
+++ b/crates/merlinshelf-quota/src/host_allocator.rs
@@ -1,4 +1,5 @@
-//! A host's part for all budgets together: it has quotas of the leading agent, and allocates them among its instances.
+//! A host's part for all budgets together: it has quotas of the leading agent, and allocates them
+//! among its instances.
 
 use std::collections::BTreeMap;
 
@@ -63,10 +64,12 @@
         self.phase.and_then(|phase| phase.phase_at(now))
     }
 
-    /// Records an instance's request; whether a call has succeeded though the dependency is known to fail.
+    /// Records an instance's request; whether a call has succeeded though the dependency is known
+    /// to fail.
     fn record_request(&mut self, now: f64, instance: &str, request: &DependencyRequest) -> bool {
         if let (None, Some(phase)) = (self.phase, request.phase) {
-            // An earlier agent had received it: it is passed on to the leader, and has no effect here.
+            // An earlier agent had received it: it is passed on to the leader, and has no effect
+            // here.
             self.phase = Some(PhaseLease {
                 phase,
                 expires_at: f64::NEG_INFINITY,
@@ -146,7 +149,8 @@
 }
 
 impl HostAllocator {
-    /// An allocator without quotas. `incarnation` identifies this agent among all processes of the host's agent.
+    /// An allocator without quotas. `incarnation` identifies this agent among all processes of the
+    /// host's agent.
     pub fn new(incarnation: u64, terms: LeaseTerms, zone: &str) -> HostAllocator {
         HostAllocator {
             incarnation,
@@ -174,8 +178,8 @@
         }
     }
 
-    /// An instance requests its quotas. Whether the leading agent should learn of it at once: a call has succeeded though the
-    /// dependency is known to fail.
+    /// An instance requests its quotas. Whether the leading agent should learn of it at once: a
+    /// call has succeeded though the dependency is known to fail.
     pub fn handle_request(&mut self, now: f64, instance: &str, batch: QuotaRequestBatch) -> bool {
         let mut is_urgent = false;
         for (name, request) in &batch.dependencies {
@@ -187,7 +191,8 @@
         is_urgent
     }
 
-    /// The response to an instance's last request, for the next heartbeat to it; `None` where it is answered.
+    /// The response to an instance's last request, for the next heartbeat to it; `None` where it is
+    /// answered.
     pub fn take_grants(&mut self, now: f64, instance: &str) -> Option<QuotaGrantBatch> {
         let batch = self.unanswered_requests.remove(instance)?;
         let mut grants = BTreeMap::new();
@@ -222,7 +227,8 @@
         }
     }
 
-    /// The leading agent's response, however late. Whether instances should learn of it at once: a phase has changed.
+    /// The leading agent's response, however late. Whether instances should learn of it at once: a
+    /// phase has changed.
     pub fn handle_grants(&mut self, now: f64, batch: &QuotaGrantBatch) -> bool {
         if batch.incarnation != self.incarnation {
             return false;
--- a/crates/merlinshelf-quota/src/lease_holder.rs
+++ b/crates/merlinshelf-quota/src/lease_holder.rs
@@ -10,8 +10,8 @@
 
 /// A need below this rounds to none.
 const NEGLIGIBLE_NEED: f64 = 0.05;
-/// By how many standard deviations of its Poisson-distributed calls a holder requests more than their mean: with the mean alone
-/// a third of the calls found no quota.
+/// By how many standard deviations of its Poisson-distributed calls a holder requests more than
+/// their mean: with the mean alone a third of the calls found no quota.
 const NEED_DEVIATIONS: f64 = 2.0;
 
 /// The grant that a holder acts on. Encoded as an array of three.
@@ -69,8 +69,9 @@
     pub expires_at: Option<f64>,
 }
 
-/// The state machine of one holder. `now` is its own monotonic clock in seconds. It is part of what is handed over in an upgrade,
-/// so the names that older versions use are preserved by `#[serde(rename)]`.
+/// The state machine of one holder. `now` is its own monotonic clock in seconds. It is part of what
+/// is handed over in an upgrade, so the names that older versions use are preserved by
+/// `#[serde(rename)]`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct QuotaLeaseHolder {
     #[serde(rename = "life")]
@@ -106,7 +107,8 @@
 }
 
 impl QuotaLeaseHolder {
-    /// A holder without a grant. `incarnation` identifies this process among all processes of the holder.
+    /// A holder without a grant. `incarnation` identifies this process among all processes of the
+    /// holder.
     pub fn new(incarnation: u64, terms: LeaseTerms) -> QuotaLeaseHolder {
         QuotaLeaseHolder {
             incarnation,
@@ -165,7 +167,8 @@
         self.spent_calls += calls;
     }
 
-    /// A call is needed, whether it can be made or not. `priority_weight` is what is lost where it cannot.
+    /// A call is needed, whether it can be made or not. `priority_weight` is what is lost where it
+    /// cannot.
     pub fn record_demand(&mut self, priority_weight: f64) {
         self.demanded_calls += 1;
         self.demanded_weight += priority_weight;
@@ -217,7 +220,8 @@
         }
     }
 
-    /// Records the demand of the round that ends now; the result is that of all rounds within the window.
+    /// Records the demand of the round that ends now; the result is that of all rounds within the
+    /// window.
     fn record_round(&mut self, now: f64, calls: u32) -> f64 {
         self.recent_demand.push_back(RoundDemand {
             ended_at: now,
@@ -235,8 +239,8 @@
         f64::from(calls)
     }
 
-    /// A request by the demand of others, as a host sends it for its instances. `outstanding` is the most that they may be
-    /// spending, in calls per second.
+    /// A request by the demand of others, as a host sends it for its instances. `outstanding` is
+    /// the most that they may be spending, in calls per second.
     pub fn request_for(&mut self, now: f64, demand: Demand, outstanding: u32) -> QuotaRequest {
         if outstanding <= self.usable(now).calls_per_second {
             self.acknowledged_grant = self.grant.id;
--- a/crates/merlinshelf-quota/src/messages.rs
+++ b/crates/merlinshelf-quota/src/messages.rs
@@ -1,7 +1,7 @@
 //! The messages between quota holders and their allocator, once a round.
 //!
-//! Fields are encoded by name; the names that older versions use are preserved by `#[serde(rename)]`, pairs are arrays of two,
-//! and a missing field of a batch is its default.
+//! Fields are encoded by name; the names that older versions use are preserved by
+//! `#[serde(rename)]`, pairs are arrays of two, and a missing field of a batch is its default.
 
 use std::collections::BTreeMap;
 
@@ -59,8 +59,8 @@
     /// The mean priority weight of a call that it had to reject; 0 where it rejected none.
     #[serde(rename = "worth")]
     pub priority_weight: f64,
-    /// The last grant that it acts on. A grant that is smaller than the one before is acknowledged only when the holder, and
-    /// those to whom it granted of it, spend no more than it allows.
+    /// The last grant that it acts on. A grant that is smaller than the one before is acknowledged
+    /// only when the holder, and those to whom it granted of it, spend no more than it allows.
     #[serde(rename = "heard")]
     pub acknowledged_grant: GrantId,
     /// Calls that were made by quota since the last request, for reports.
--- a/crates/merlinshelf-quota/src/pending_requests.rs
+++ b/crates/merlinshelf-quota/src/pending_requests.rs
@@ -7,7 +7,8 @@
 /// How many requests are remembered; the response to an older one comes too late to matter.
 const MAX_PENDING: usize = 16;
 
-/// When requests were sent, by their ids. It is part of what is handed over in an upgrade: encoded as a list of pairs.
+/// When requests were sent, by their ids. It is part of what is handed over in an upgrade: encoded
+/// as a list of pairs.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct PendingRequests {
@@ -56,15 +57,16 @@
             .map(|request| request.sent_at)
     }
 
-    /// The response to a request has come: forgets it and all before it, so that a response that was overtaken has no effect.
+    /// The response to a request has come: forgets it and all before it, so that a response that
+    /// was overtaken has no effect.
     pub(crate) fn complete(&mut self, request_id: u64) {
         self.requests
             .retain(|request| request.request_id > request_id);
     }
 }
 
-/// The rounds of a process that requests once a round: a response counts from when its round began. It is part of what is
-/// handed over in an upgrade.
+/// The rounds of a process that requests once a round: a response counts from when its round began.
+/// It is part of what is handed over in an upgrade.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub(crate) struct RoundTracker {
     #[serde(rename = "token")]
--- a/crates/merlinshelf-quota/src/phase.rs
+++ b/crates/merlinshelf-quota/src/phase.rs
@@ -82,7 +82,8 @@
     health: DependencyHealth,
 }
 
-/// The last report of each reporter, for as long as it counts. Times are seconds of the receiver's clock.
+/// The last report of each reporter, for as long as it counts. Times are seconds of the receiver's
+/// clock.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct HealthReports {
     reports: BTreeMap<String, HealthReport>,
--- a/crates/merlinshelf-quota/src/quota_client.rs
+++ b/crates/merlinshelf-quota/src/quota_client.rs
@@ -1,5 +1,5 @@
-//! An instance's part for all budgets together: what may be spent on each dependency now, and its request to the host once a
-//! round.
+//! An instance's part for all budgets together: what may be spent on each dependency now, and its
+//! request to the host once a round.
 
 use std::collections::BTreeMap;
 
@@ -17,7 +17,8 @@
 pub struct Remaining {
     /// The dependency fails for all: only probes may be sent.
     pub probes_only: bool,
-    /// The dependency has stopped failing for all: its failures here count no more. It is reported once.
+    /// The dependency has stopped failing for all: its failures here count no more. It is reported
+    /// once.
     pub reopened: bool,
     /// Retries and hedged requests.
     pub retries: u32,
@@ -47,8 +48,8 @@
     Failed,
 }
 
-/// The state machine. `now` is the instance's own monotonic clock in seconds. It is handed over in an upgrade, so the names that
-/// older versions use are preserved by `#[serde(rename)]`.
+/// The state machine. `now` is the instance's own monotonic clock in seconds. It is handed over in
+/// an upgrade, so the names that older versions use are preserved by `#[serde(rename)]`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct QuotaClient {
     #[serde(rename = "life")]
@@ -61,7 +62,8 @@
 }
 
 impl QuotaClient {
-    /// A client without quotas. `incarnation` identifies this process among all processes of the instance.
+    /// A client without quotas. `incarnation` identifies this process among all processes of the
+    /// instance.
     pub fn new(incarnation: u64, terms: LeaseTerms) -> QuotaClient {
         QuotaClient {
             incarnation,
@@ -71,7 +73,8 @@
         }
     }
 
-    /// Sets which calls are limited, by the policy that the instance acts on. Quotas of those that remain limited stay valid.
+    /// Sets which calls are limited, by the policy that the instance acts on. Quotas of those that
+    /// remain limited stay valid.
     pub fn set_budgets(&mut self, budgets: &Budgets) {
         self.dependencies
             .retain(|name, _| budgets.contains_key(name));
@@ -83,7 +86,8 @@
         }
     }
 
-    /// Gives all quotas to a successor, and continues without any as another incarnation, also if the handover is aborted.
+    /// Gives all quotas to a successor, and continues without any as another incarnation, also if
+    /// the handover is aborted.
     pub fn begin_handover(&mut self, next_incarnation: u64) -> QuotaClient {
         let handed_over = std::mem::replace(self, QuotaClient::new(next_incarnation, self.terms));
         self.dependencies = handed_over
@@ -125,8 +129,8 @@
             .is_some_and(|dependency| dependency.is_limited(now, kind))
     }
 
-    /// A call is needed, whether it can be made or not; `priority_weight` is what is lost where it cannot. Calls that are not
-    /// limited do not count.
+    /// A call is needed, whether it can be made or not; `priority_weight` is what is lost where it
+    /// cannot. Calls that are not limited do not count.
     pub fn record_demand(
         &mut self,
         now: f64,
@@ -146,7 +150,8 @@
         }
     }
 
-    /// Whether a call that is needed now requires one to be drawn from the host's reserve (see [`reserve`](crate::reserve)).
+    /// Whether a call that is needed now requires one to be drawn from the host's reserve (see
+    /// [`reserve`](crate::reserve)).
     pub fn needs_reserve(&mut self, now: f64, dependency: &str, kind: CallKind) -> bool {
         self.dependencies
             .get_mut(dependency)
--- a/crates/merlinshelf-quota/src/recovery.rs
+++ b/crates/merlinshelf-quota/src/recovery.rs
@@ -1,24 +1,26 @@
-//! The phase of a dependency for all instances of one zone: when it fails for most of them only probes are sent, and when it
-//! responds again, first calls are let through in steps.
+//! The phase of a dependency for all instances of one zone: when it fails for most of them only
+//! probes are sent, and when it responds again, first calls are let through in steps.
 
 use crate::phase::{DependencyHealth, HealthReports, Phase};
 
-/// The time between two steps of a recovery, seconds: two rounds of messages while something is unhealthy. The effect of a step is
-/// known at the next one; at most twice as many calls are let through by then. With half a second the fleet took a second
-/// longer to recover.
+/// The time between two steps of a recovery, seconds: two rounds of messages while something is
+/// unhealthy. The effect of a step is known at the next one; at most twice as many calls are let
+/// through by then. With half a second the fleet took a second longer to recover.
 const STEP_SECONDS: f64 = 0.2;
-/// The first step is the budget of first calls, which is what the dependency can serve just after it comes back, divided by
-/// this: two doublings reach it. With an eighth 3% of the billed value of an outage of 8 s was lost, most of it after its end.
+/// The first step is the budget of first calls, which is what the dependency can serve just after
+/// it comes back, divided by this: two doublings reach it. With an eighth 3% of the billed value of
+/// an outage of 8 s was lost, most of it after its end.
 const FIRST_STEP_DIVISOR: u32 = 4;
 /// The ratio of succeeded calls from which on a step is doubled.
 const GOOD_RATIO: f64 = 0.9;
-/// The ratio of succeeded calls under which the dependency is failing. While more than one in five succeeds, a limit costs more
-/// than it saves.
+/// The ratio of succeeded calls under which the dependency is failing. While more than one in five
+/// succeeds, a limit costs more than it saves.
 const FAILING_RATIO: f64 = 0.2;
-/// Half as many calls should raise the ratio by more than this; otherwise failures are not caused by load, and there is no use
-/// in a limit.
+/// Half as many calls should raise the ratio by more than this; otherwise failures are not caused
+/// by load, and there is no use in a limit.
 const EXPECTED_IMPROVEMENT: f64 = 0.1;
-/// After this many steps without any call the limit is doubled all the same: nobody calls, so nothing can be observed.
+/// After this many steps without any call the limit is doubled all the same: nobody calls, so
+/// nothing can be observed.
 const MAX_IDLE_STEPS: u32 = 4;
 
 /// Calls that have ended since the last step.
@@ -44,8 +46,8 @@
     }
 }
 
-/// The state machine of one dependency in one zone. `now` is the leading agent's clock in seconds; `first_call_budget` is the
-/// budget of first calls per second, `None` where they have none.
+/// The state machine of one dependency in one zone. `now` is the leading agent's clock in seconds;
+/// `first_call_budget` is the budget of first calls per second, `None` where they have none.
 #[derive(Clone, Debug)]
 pub struct Recovery {
     /// For how long a host's report counts, in seconds.
@@ -64,7 +66,8 @@
 }
 
 impl Recovery {
-    /// A dependency of which nothing is known: first calls are let through in steps, as if it had failed.
+    /// A dependency of which nothing is known: first calls are let through in steps, as if it had
+    /// failed.
     pub fn new(now: f64, report_lifetime_seconds: f64, first_call_budget: Option<u32>) -> Recovery {
         Recovery {
             report_lifetime_seconds,
@@ -88,7 +91,8 @@
         self.phase
     }
 
-    /// First calls per second that the whole zone may make while the dependency recovers; 0 in other phases.
+    /// First calls per second that the whole zone may make while the dependency recovers; 0 in
+    /// other phases.
     pub fn calls_per_second(&self) -> u32 {
         if self.phase == Phase::Recovering {
             self.step
@@ -97,7 +101,8 @@
         }
     }
 
-    /// A host reports the phase that an earlier leader announced: it is continued from as long as nothing else is known.
+    /// A host reports the phase that an earlier leader announced: it is continued from as long as
+    /// nothing else is known.
     pub fn resume_from(&mut self, now: f64, phase: Phase, first_call_budget: Option<u32>) {
         if !self.is_known {
             self.enter(now, phase, first_step(first_call_budget));
@@ -126,7 +131,8 @@
     }
 
     fn advance_healthy(&mut self, now: f64) {
-        // It must fail for most of those who call it: one that reports so alone affects nobody else.
+        // It must fail for most of those who call it: one that reports so alone affects nobody
+        // else.
         let health = self.reports.sum();
         let fails_for_most = 2 * health.failing_instances > health.calling_instances;
         if fails_for_most && self.ended_calls.success_ratio() < FAILING_RATIO {
@@ -197,7 +203,8 @@
         self.ended_calls = EndedCalls::default();
         self.idle_steps = 0;
         if phase == Phase::Recovering {
-            // An instance that has not called it since it failed reports that it fails until it does.
+            // An instance that has not called it since it failed reports that it fails until it
+            // does.
             self.reports.clear_failing();
         } else {
             self.ratio_before_halving = None;
--- a/crates/merlinshelf-quota/src/reserve.rs
+++ b/crates/merlinshelf-quota/src/reserve.rs
@@ -1,7 +1,9 @@
-//! The reserve of a host: calls per second that all its instances together may make without any agent.
+//! The reserve of a host: calls per second that all its instances together may make without any
+//! agent.
 //!
-//! It is one small file, which a process locks while it draws from it: the times of the last calls by the host's monotonic
-//! clock, eight bytes each in little-endian order. A process that dies while it draws leaves the file valid or longer.
+//! It is one small file, which a process locks while it draws from it: the times of the last calls
+//! by the host's monotonic clock, eight bytes each in little-endian order. A process that dies
+//! while it draws leaves the file valid or longer.
 
 use thiserror::Error;
 
@@ -24,8 +26,8 @@
     },
 }
 
-/// Draws one call at `now`, by the clock that all processes of the host have in common, in seconds; the result is the new contents
-/// of the file. `calls_per_second` is the reserve.
+/// Draws one call at `now`, by the clock that all processes of the host have in common, in seconds;
+/// the result is the new contents of the file. `calls_per_second` is the reserve.
 ///
 /// # Errors
 /// [`DrawError`], where the call must not be made.
--- a/crates/merlinshelf-quota/tests/golden.rs
+++ b/crates/merlinshelf-quota/tests/golden.rs
@@ -1,11 +1,13 @@
-//! Golden files of every format of this package that outlives a process or passes between two: quota requests and grants (JSON
-//! between an instance and its agent, MessagePack with field names between agents), the names of kinds and phases, what is
-//! handed over in an upgrade (MessagePack with field names), and the file of a host's reserve.
+//! Golden files of every format of this package that outlives a process or passes between two:
+//! quota requests and grants (JSON between an instance and its agent, MessagePack with field names
+//! between agents), the names of kinds and phases, what is handed over in an upgrade (MessagePack
+//! with field names), and the file of a host's reserve.
 //!
-//! Each sample is encoded as the program encodes it and must give the bytes of its file under `tests/golden/`; those bytes
-//! are decoded as the program decodes them and must give the sample. Every field of a sample has a value of its own that is
-//! not the default, so that a field that is lost by a renaming shows. The files are the format of versions that are in
-//! service: a test that fails here means that two versions would misunderstand each other. `GOLDEN_WRITE=1` writes the
+//! Each sample is encoded as the program encodes it and must give the bytes of its file under
+//! `tests/golden/`; those bytes are decoded as the program decodes them and must give the sample.
+//! Every field of a sample has a value of its own that is not the default, so that a field that is
+//! lost by a renaming shows. The files are the format of versions that are in service: a test that
+//! fails here means that two versions would misunderstand each other. `GOLDEN_WRITE=1` writes the
 //! files anew; without it a missing file is a failure.
 
 use std::collections::BTreeMap;
@@ -51,8 +53,8 @@
     golden
 }
 
-/// JSON as it passes over the control socket: encoded by way of a `Value`, decoded directly by an instance and by way of a
-/// `Value` by an agent.
+/// JSON as it passes over the control socket: encoded by way of a `Value`, decoded directly by an
+/// instance and by way of a `Value` by an agent.
 fn assert_json<T>(name: &str, sample: &T)
 where
     T: Serialize + DeserializeOwned + PartialEq + Debug,
@@ -177,7 +179,8 @@
     assert_message_pack("given_empty.bin", &QuotaGrantBatch::default());
 }
 
-/// A field that an older version does not send is its default, and an unknown field of a later one is skipped.
+/// A field that an older version does not send is its default, and an unknown field of a later one
+/// is skipped.
 #[test]
 fn messages_tolerate_missing_and_unknown_fields() {
     fn assert_tolerant<T>(name: &str)
@@ -284,7 +287,8 @@
     }
 }
 
-/// The dependency recovers, which was not reported yet, and there is another request that is not answered.
+/// The dependency recovers, which was not reported yet, and there is another request that is not
+/// answered.
 fn run_recovering_round(client: &mut QuotaClient) {
     assert_eq!(client.request(10.75).request_id, 2);
     let grants = sample_grants(2, Phase::Recovering, &[]);
@@ -325,7 +329,8 @@
     client
 }
 
-/// A client cannot be compared: its `Debug` output shows every field, and encoded anew it gives the same bytes.
+/// A client cannot be compared: its `Debug` output shows every field, and encoded anew it gives the
+/// same bytes.
 #[test]
 fn quota_that_is_handed_over() {
     let mut predecessor = filled_client();
@@ -338,7 +343,8 @@
     let reencoded = rmp_serde::to_vec_named(&decoded).expect("it is encoded");
     assert_eq!(reencoded, golden);
 
-    // What it may still spend: of each quota less what was spent within the window, and the one call that was drawn.
+    // What it may still spend: of each quota less what was spent within the window, and the one
+    // call that was drawn.
     let expected = Remaining {
         probes_only: false,
         reopened: true,
@@ -373,7 +379,8 @@
 
 // Stored by a host.
 
-/// Instances of two versions draw from the same file: moments of the host's clock, eight bytes each.
+/// Instances of two versions draw from the same file: moments of the host's clock, eight bytes
+/// each.
 #[test]
 fn file_of_a_reserve() {
     let (calls, drift) = (3, 0.0625);
--- a/crates/merlinshelf-quota/tests/model/main.rs
+++ b/crates/merlinshelf-quota/tests/model/main.rs
@@ -1,5 +1,6 @@
-//! Hosts and instances with clocks that drift apart, messages that come late or never, allocators that are replaced, processes
-//! that are stopped: in no second of true time do more calls arrive than the budget allows, and what is needed is granted.
+//! Hosts and instances with clocks that drift apart, messages that come late or never, allocators
+//! that are replaced, processes that are stopped: in no second of true time do more calls arrive
+//! than the budget allows, and what is needed is granted.
 
 mod scenario;
 mod world;
@@ -114,8 +115,8 @@
     panic!("the second holder is never granted the whole budget");
 }
 
-/// How many calls both holders can make at one time, when a delayed grant of the first one arrives after the second one was
-/// granted the whole budget.
+/// How many calls both holders can make at one time, when a delayed grant of the first one arrives
+/// after the second one was granted the whole budget.
 fn calls_after_delayed_grant(delay: impl Fn(QuotaGrant, f64) -> QuotaGrant) -> usize {
     let mut allocator = Allocator::first(0.0, TERMS, 10, 1);
     let mut first = QuotaLeaseHolder::new(1, TERMS);
--- a/crates/merlinshelf-quota/tests/model/world.rs
+++ b/crates/merlinshelf-quota/tests/model/world.rs
@@ -83,7 +83,8 @@
     Call(InstanceId),
     /// Another agent leads, with a new allocator.
     Election,
-    /// An agent starts anew: another holder towards the leader, another allocator towards its instances.
+    /// An agent starts anew: another holder towards the leader, another allocator towards its
+    /// instances.
     AgentRestart {
         host: usize,
     },
@@ -356,7 +357,8 @@
         let host = &mut self.hosts[host];
         let now = host.clock_rate * self.now;
         host.holder = QuotaLeaseHolder::new(self.last_incarnation, TERMS);
-        // The leader counts what the former incarnation granted, as that incarnation's: this one need not wait.
+        // The leader counts what the former incarnation granted, as that incarnation's: this one
+        // need not wait.
         host.allocator = Allocator::first(now, TERMS, 0, self.last_incarnation);
     }
 
--- a/crates/merlinshelf-testbed/src/experiments/cost.rs
+++ b/crates/merlinshelf-testbed/src/experiments/cost.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use merlinshelf_agent::talk::Talk;
-use merlinshelf_policy::{Heartbeat, InstanceStatus, LeaseGrant, Policy};
+use merlinshelf_policy::{Heartbeat, InstanceStatus, LeaseGrant, Policy, VersionedPolicy};
 use merlinshelf_protocol::control::ControlRequest;
 use merlinshelf_quota::{Budgets, CATALOGUE, CallKind, FleetAllocator, HostAllocator, LeaseTerms};
 use serde_json::{Value, json};
@@ -55,14 +55,14 @@
         house.handle_grants(now, &given);
         let beat = Heartbeat {
             incarnation: life,
-            offered_policy: Some((
-                1,
-                Policy {
+            offered_policy: Some(VersionedPolicy {
+                version: 1,
+                policy: Policy {
                     call_share: Some(4.0),
                     budgets: budgets.clone(),
                     ..Policy::default()
                 },
-            )),
+            }),
             fence_version: 0,
             grant: Some(LeaseGrant {
                 version: 1,
