--- a/crates/merlinshelf-backend/src/config/error.rs
+++ b/crates/merlinshelf-backend/src/config/error.rs
@@ -59,7 +59,8 @@
         /// Which one.
         field: &'static str,
     },
-    /// The name of the backend is used in paths and contains another character than letters, digits, `-`, `_`, `.`.
+    /// The name of the backend is used in paths and contains another character than letters,
+    /// digits, `-`, `_`, `.`.
     #[error("name: {name:?} can't stand in a path")]
     InvalidName {
         /// The name.
--- a/crates/merlinshelf-backend/src/control/connection.rs
+++ b/crates/merlinshelf-backend/src/control/connection.rs
@@ -229,7 +229,8 @@
     }
 }
 
-/// The kind of message of a progress report and the name of its stage, which tools read and which stays.
+/// The kind of message of a progress report and the name of its stage, which tools read and which
+/// stays.
 fn encode_progress(progress: &Progress) -> (ControlMessage, &'static str) {
     match progress {
         Progress::Starting => (ControlMessage::More, "starting"),
@@ -242,8 +243,8 @@
     }
 }
 
-/// The body of a request as JSON, `null` where there is none. A body that can't be decoded counts as none, as it has in all
-/// versions of the protocol.
+/// The body of a request as JSON, `null` where there is none. A body that can't be decoded counts
+/// as none, as it has in all versions of the protocol.
 fn decode_body(body: &[u8]) -> Value {
     if body.is_empty() {
         return Value::Null;
--- a/crates/merlinshelf-backend/src/control/mod.rs
+++ b/crates/merlinshelf-backend/src/control/mod.rs
@@ -1,5 +1,5 @@
-//! The control socket: a Unix socket for operators' tools on this machine. A client that hangs, sends without end or
-//! belongs to another user costs one of a few places, for a moment.
+//! The control socket: a Unix socket for operators' tools on this machine. A client that hangs,
+//! sends without end or belongs to another user costs one of a few places, for a moment.
 
 mod connection;
 mod request;
--- a/crates/merlinshelf-backend/src/control/request.rs
+++ b/crates/merlinshelf-backend/src/control/request.rs
@@ -7,7 +7,8 @@
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::sync::oneshot;
 
-/// A request, and where its response goes. A request that is dropped ends its connection without a response.
+/// A request, and where its response goes. A request that is dropped ends its connection without a
+/// response.
 pub enum PendingRequest {
     /// The status report.
     Status(oneshot::Sender<Value>),
@@ -17,7 +18,8 @@
     Upgrade(UnboundedSender<Progress>),
     /// All observations, in pages; `None` where gossip is off.
     Knowledge(oneshot::Sender<Option<Vec<Value>>>),
-    /// Forget the observations of this source, or all; how many these were, `None` where gossip is off.
+    /// Forget the observations of this source, or all; how many these were, `None` where gossip is
+    /// off.
     Forget(Option<String>, oneshot::Sender<Option<usize>>),
     /// A heartbeat of the host's agent; `None` where policies are off.
     Policy(Box<Heartbeat>, oneshot::Sender<Option<InstanceStatus>>),
--- a/crates/merlinshelf-backend/src/counters.rs
+++ b/crates/merlinshelf-backend/src/counters.rs
@@ -3,11 +3,12 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Defines a struct with one counter a field, which are printed and stored by name. Names are part of the status report
-/// and of the image that passes between versions, and stay.
+/// Defines a struct with one counter a field, which are printed and stored by name. Names are part
+/// of the status report and of the image that passes between versions, and stay.
 macro_rules! counters {
     ($($(#[$comment:meta])* $name:ident),* $(,)?) => {
-        /// How often each event has happened since the process, or its first predecessor, was started.
+        /// How often each event has happened since the process, or its first predecessor, was
+        /// started.
         #[derive(Clone, Debug, Default, PartialEq, Eq)]
         pub struct Counters { $($(#[$comment])* pub $name: u64),* }
 
--- a/crates/merlinshelf-backend/src/fault.rs
+++ b/crates/merlinshelf-backend/src/fault.rs
@@ -1,7 +1,8 @@
 //! Injected faults, in debug builds alone: tests let a process die, exit or hang at a named point.
 
-/// Fails here if `MERLINSHELF_FAULT` is `POINT:PASS:FAULT` and this is that pass of that point. The fault is `abort`,
-/// `exit`, `hang`, or `pause` for half a second. In successors alone: the variable is inherited from their predecessor.
+/// Fails here if `MERLINSHELF_FAULT` is `POINT:PASS:FAULT` and this is that pass of that point. The
+/// fault is `abort`, `exit`, `hang`, or `pause` for half a second. In successors alone: the
+/// variable is inherited from their predecessor.
 #[cfg(debug_assertions)]
 pub(crate) fn injection_point(name: &str) {
     use std::sync::OnceLock;
--- a/crates/merlinshelf-backend/src/instance/drain.rs
+++ b/crates/merlinshelf-backend/src/instance/drain.rs
@@ -10,9 +10,11 @@
 
 use crate::exchange::Shared;
 
-/// Before the process must have exited: from here on new connections are refused and idle ones closed.
+/// Before the process must have exited: from here on new connections are refused and idle ones
+/// closed.
 const CLOSE_BEFORE: Duration = Duration::from_millis(350);
-/// By here the admission controller has responded to everything, which leaves time to write the responses.
+/// By here the admission controller has responded to everything, which leaves time to write the
+/// responses.
 const RESPOND_BEFORE: Duration = Duration::from_millis(200);
 /// Here the process exits, whatever is left.
 const EXIT_BEFORE: Duration = Duration::from_millis(60);
@@ -50,7 +52,8 @@
             let connections = exchange.doors_open();
             warn!(
                 in_flight = in_flight, connections = connections;
-                "drain deadline reached with {in_flight} invocations in flight and {connections} client connections open"
+                "drain deadline reached with {in_flight} invocations in flight \
+                 and {connections} client connections open"
             );
         }
     }
--- a/crates/merlinshelf-backend/src/instance/mod.rs
+++ b/crates/merlinshelf-backend/src/instance/mod.rs
@@ -1,5 +1,5 @@
-//! One instance as it runs: the exchange and the tasks around it, from their start or from where another process left
-//! off, until they end or are frozen to be continued elsewhere.
+//! One instance as it runs: the exchange and the tasks around it, from their start or from where
+//! another process left off, until they end or are frozen to be continued elsewhere.
 
 mod drain;
 mod restored;
@@ -85,7 +85,8 @@
             .send_if_modified(|current| std::mem::replace(current, peers) != peers);
     }
 
-    /// The graceful shutdown, which completes once everything is done: by the deadline the process must have exited.
+    /// The graceful shutdown, which completes once everything is done: by the deadline the process
+    /// must have exited.
     pub fn drain(&self, deadline: Instant) -> impl Future<Output = ()> + use<> {
         Drain {
             exchange: self.exchange.clone(),
--- a/crates/merlinshelf-backend/src/instance/restored.rs
+++ b/crates/merlinshelf-backend/src/instance/restored.rs
@@ -1,6 +1,7 @@
 //! An instance that is made from an image, or fresh, and does not run yet.
 
 use std::cell::RefCell;
+use std::fmt;
 use std::os::fd::OwnedFd;
 use std::rc::Rc;
 
@@ -63,7 +64,7 @@
     pub learned: Option<LearnedState>,
 }
 
-/// What a restored instance continues.
+/// What a restored instance continues. Displayed as the log has it.
 #[derive(Clone, Copy, Debug)]
 pub struct InstanceTotals {
     /// Connections of clients.
@@ -74,6 +75,16 @@
     pub invocations: usize,
 }
 
+impl fmt::Display for InstanceTotals {
+    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
+        write!(
+            formatter,
+            "{} client connections, {} downstream calls, {} invocations in flight",
+            self.client_connections, self.downstream_calls, self.invocations
+        )
+    }
+}
+
 /// The image is of an instance with other settings.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{reason}")]
@@ -94,8 +105,8 @@
         }
     }
 
-    /// Restores an instance. Nothing is read or written by this, and nothing closed but connections that can't be
-    /// continued: until it runs, another process may still continue all the others.
+    /// Restores an instance. Nothing is read or written by this, and nothing closed but connections
+    /// that can't be continued: until it runs, another process may still continue all the others.
     ///
     /// # Errors
     /// The image does not fit the exchange.
@@ -187,7 +198,8 @@
         }
     }
 
-    /// Records every change before its effect shows, from here on. Connections that are opened go to `opened`.
+    /// Records every change before its effect shows, from here on. Connections that are opened go
+    /// to `opened`.
     pub fn start_recording(&self, journal: Journal, opened: mpsc::UnboundedSender<Passing>) {
         self.exchange.borrow_mut().note(journal, opened);
     }
@@ -340,7 +352,8 @@
     resumed
 }
 
-/// The record under that key. One that can't be decoded counts as missing: its connection is lost, the others go on.
+/// The record under that key. One that can't be decoded counts as missing: its connection is lost,
+/// the others go on.
 fn decode<T: DeserializeOwned>(image: &Image, key: Key) -> Option<T> {
     match image.decode(key) {
         Ok(record) => record,
@@ -351,7 +364,8 @@
     }
 }
 
-/// Reconciles what was recorded of a connection with what the kernel counted; `None` where it can't be continued.
+/// Reconciles what was recorded of a connection with what the kernel counted; `None` where it can't
+/// be continued.
 fn reconcile(socket: &OwnedFd, flow: &mut Flow, opened_by: OpenedBy) -> Option<Reconciliation> {
     let counts = match kernel::byte_counts(socket, opened_by) {
         Ok(counts) => counts,
--- a/crates/merlinshelf-backend/src/instance/task.rs
+++ b/crates/merlinshelf-backend/src/instance/task.rs
@@ -18,7 +18,8 @@
         Task(spawn_local(future))
     }
 
-    /// Starts a task that begins anew where it panics: a fault in one part costs that part a restart, no more.
+    /// Starts a task that begins anew where it panics: a fault in one part costs that part a
+    /// restart, no more.
     pub(super) fn supervise<F: Future<Output = ()> + 'static>(
         name: &'static str,
         start: impl Fn() -> F + 'static,
--- a/crates/merlinshelf-backend/src/journal/mod.rs
+++ b/crates/merlinshelf-backend/src/journal/mod.rs
@@ -1,5 +1,5 @@
-//! The file in memory into which a successor records every change before its effect shows, and from which its
-//! predecessor recovers everything if the successor dies.
+//! The file in memory into which a successor records every change before its effect shows, and from
+//! which its predecessor recovers everything if the successor dies.
 
 #[cfg(test)]
 mod tests;
@@ -61,8 +61,8 @@
         self.staged.remove(key);
     }
 
-    /// Writes what is staged. An effect that can't be recorded must not show: without memory for the record this process
-    /// aborts, and its predecessor recovers from the last one.
+    /// Writes what is staged. An effect that can't be recorded must not show: without memory for
+    /// the record this process aborts, and its predecessor recovers from the last one.
     pub fn write(&mut self) {
         if self.staged.is_empty() {
             return;
--- a/crates/merlinshelf-backend/src/lib.rs
+++ b/crates/merlinshelf-backend/src/lib.rs
@@ -1,6 +1,6 @@
-//! The real backend as a library: the decisions of merlinshelf between the sockets of edge nodes and those of what
-//! does the work. `process` runs it as a process: it starts the parts, heeds signals and control, hands over to a
-//! successor and ends.
+//! The backend as a library: it connects the admission controller to the sockets of edge nodes, of
+//! the engine and of downstream dependencies. `process` runs it as a process: it starts an
+//! instance, handles signals and control requests, hands over to a successor and exits.
 
 mod client;
 pub mod config;
--- a/crates/merlinshelf-backend/src/logger/line.rs
+++ b/crates/merlinshelf-backend/src/logger/line.rs
@@ -18,7 +18,8 @@
     pub missing_lines: u64,
 }
 
-/// The part of the program that a module belongs to: its own name, or the program's for modules around all others.
+/// The part of the program that a module belongs to: its own name, or the program's for modules
+/// around all others.
 pub(super) fn part(target: &str) -> &str {
     let mut modules = target.split("::").skip(1);
     if let Some("process" | "instance" | "upgrade" | "startup_wait" | "control") = modules.next() {
@@ -61,7 +62,8 @@
         )
     }
 
-    /// One object: time in Unix seconds, level, part, text, how many lines are missing before this one, and the fields.
+    /// One object: time in Unix seconds, level, part, text, how many lines are missing before this
+    /// one, and the fields.
     pub(super) fn as_json(&self) -> String {
         let mut fields = Fields(Map::new());
         // The visitor below never fails.
--- a/crates/merlinshelf-backend/src/logger/mod.rs
+++ b/crates/merlinshelf-backend/src/logger/mod.rs
@@ -1,5 +1,5 @@
-//! The program's own logger: lines to standard error, written by a thread of its own, so that a reader that stands still
-//! costs lines and never time.
+//! The program's own logger: lines to standard error, written by a thread of its own, so that a
+//! reader that stands still costs lines and never time.
 
 mod line;
 mod rate_limit;
@@ -81,9 +81,11 @@
         }
     }
 
-    /// Whether a part may write one more line in this second: the number of its lines that were dropped before it.
+    /// Whether a part may write one more line in this second: the number of its lines that were
+    /// dropped before it.
     fn admit(&self, part: &str, second: u64) -> Option<u64> {
-        // The lock is poisoned only by a panic in the limit itself; without a limit nothing is written.
+        // The lock is poisoned only by a panic in the limit itself; without a limit nothing is
+        // written.
         self.rate_limit.lock().ok()?.admit(part, second)
     }
 }
--- a/crates/merlinshelf-backend/src/logger/rate_limit.rs
+++ b/crates/merlinshelf-backend/src/logger/rate_limit.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 
-/// Lines that one part may write in a second. Those beyond are dropped and counted, so that a flood of malformed input
-/// costs neither the log nor the CPU to write it.
+/// Lines that one part may write in a second. Those beyond are dropped and counted, so that a flood
+/// of malformed input costs neither the log nor the CPU to write it.
 pub(super) const MAX_LINES_PER_SECOND: u32 = 20;
 
 /// The lines of each part. There are as many parts as the program has modules.
@@ -23,7 +23,8 @@
 }
 
 impl RateLimit {
-    /// Whether a part may write one more line in this second: the number of its lines that were dropped before it.
+    /// Whether a part may write one more line in this second: the number of its lines that were
+    /// dropped before it.
     pub(super) fn admit(&mut self, part: &str, second: u64) -> Option<u64> {
         // The name is copied for the first line of a part alone.
         if !self.parts.contains_key(part) {
--- a/crates/merlinshelf-backend/src/operator/json5.rs
+++ b/crates/merlinshelf-backend/src/operator/json5.rs
@@ -81,8 +81,8 @@
 /// Parses and validates the text of an operators' file.
 ///
 /// # Errors
-/// `LINE:COLUMN: FIELD: REASON` for what is no JSON5 or no such field, `LINE: FIELD: REASON` for a value that is out of
-/// range.
+/// `LINE:COLUMN: FIELD: REASON` for what is no JSON5 or no such field, `LINE: FIELD: REASON` for a
+/// value that is out of range.
 pub fn parse_json5<T>(text: &str) -> Result<T, Json5Error>
 where
     T: DeserializeOwned + Validate,
--- a/crates/merlinshelf-backend/src/operator/mod.rs
+++ b/crates/merlinshelf-backend/src/operator/mod.rs
@@ -1,7 +1,8 @@
-//! The operators' own file: what is switched on beside the platform's configuration. Without it all of this is off.
+//! The operators' own file: what is switched on beside the platform's configuration. Without it all
+//! of this is off.
 //!
-//! Names of fields are keys of the file and appear in errors; they stay. `#[schemars(rename = "...")]` keeps the names of
-//! definitions in the published schema.
+//! Names of fields are keys of the file and appear in errors; they stay. `#[schemars(rename =
+//! "...")]` keeps the names of definitions in the published schema.
 
 mod error;
 mod json5;
@@ -49,11 +50,12 @@
     /// Callers may speak uwsgi as well as FastCGI, on the same address.
     #[garde(skip)]
     pub uwsgi: bool,
-    /// Several dependencies with several servers each, and which operation calls which; absent: all calls go to the platform's one
-    /// catalogue. Reloaded with SIGHUP.
+    /// Several dependencies with several servers each, and which operation calls which; absent: all
+    /// calls go to the platform's one catalogue. Reloaded with SIGHUP.
     #[garde(inner(custom(validate_dependencies)))]
     pub dependencies: Option<Dependencies>,
-    /// One policy for all instances of an installation, changed while they serve by its agents; absent: off.
+    /// One policy for all instances of an installation, changed while they serve by its agents;
+    /// absent: off.
     #[garde(dive)]
     pub policy: Option<PolicySettings>,
 }
@@ -69,12 +71,13 @@
     /// What an instance does without a lease.
     #[garde(skip)]
     pub without: LeaseExpiryMode,
-    /// How much the clocks of two processes may differ in rate, as a fraction: leases end earlier for their holder by it, and later for their
-    /// grantor.
+    /// How much the clocks of two processes may differ in rate, as a fraction: leases end earlier
+    /// for their holder by it, and later for their grantor.
     #[garde(range(min = 0.0, max = 0.2))]
     #[schemars(range(min = 0.0, max = 0.2))]
     pub drift: f64,
-    /// How long an instance that starts waits for a policy lease before it serves without one, in milliseconds.
+    /// How long an instance that starts waits for a policy lease before it serves without one, in
+    /// milliseconds.
     #[garde(range(max = 600_000))]
     #[schemars(range(max = 600_000))]
     pub wait_ms: u64,
@@ -82,8 +85,8 @@
     #[garde(range(min = 100, max = 600_000))]
     #[schemars(range(min = 100, max = 600_000))]
     pub lease_ms: u64,
-    /// The folder shared by all instances of this host, in which they record how much of the quota that the base policy reserves for
-    /// the host is spent; absent: none of it is spent here.
+    /// The folder shared by all instances of this host, in which they record how much of the quota
+    /// that the base policy reserves for the host is spent; absent: none of it is spent here.
     #[garde(skip)]
     pub aside: Option<PathBuf>,
 }
@@ -163,14 +166,16 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields, default)]
 pub struct Upgrade {
-    /// The successor's program; absent: the file that this process was started from, as it is by then.
+    /// The successor's program; absent: the file that this process was started from, as it is by
+    /// then.
     #[garde(skip)]
     pub program: Option<PathBuf>,
     /// Until the successor has read its configuration and is ready, in milliseconds.
     #[garde(range(min = 10, max = 600_000))]
     #[schemars(range(min = 10, max = 600_000))]
     pub ready_ms: u64,
-    /// From the freeze until the successor has restored everything, in milliseconds: nobody is served meanwhile.
+    /// From the freeze until the successor has restored everything, in milliseconds: nobody is
+    /// served meanwhile.
     #[garde(range(min = 10, max = 10_000))]
     #[schemars(range(min = 10, max = 10_000))]
     pub taken_ms: u64,
@@ -178,12 +183,13 @@
     #[garde(range(min = 100, max = 3_600_000))]
     #[schemars(range(min = 100, max = 3_600_000))]
     pub watched_ms: u64,
-    /// After how long without a heartbeat the successor is killed and everything recovered, in milliseconds: less than twice the usual
-    /// interval of 50 would kill one that is only busy.
+    /// After how long without a heartbeat the successor is killed and everything recovered, in
+    /// milliseconds: less than twice the usual interval of 50 would kill one that is only busy.
     #[garde(range(min = 100, max = 60_000))]
     #[schemars(range(min = 100, max = 60_000))]
     pub silent_ms: u64,
-    /// Descriptors that both processes together may have open; absent: the platform's limit for one.
+    /// Descriptors that both processes together may have open; absent: the platform's limit for
+    /// one.
     #[garde(inner(range(min = 32)))]
     pub descriptors: Option<u64>,
     /// Memory that both processes together may use, in MB; absent: the platform's limit for one.
@@ -221,12 +227,13 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields, default)]
 pub struct Learning {
-    /// The kind of the engine's machine: observations of engines hold for those of one kind only. Absent: observations of the engine are
-    /// stored for this instance alone.
+    /// The kind of the engine's machine: observations of engines hold for those of one kind only.
+    /// Absent: observations of the engine are stored for this instance alone.
     #[garde(inner(length(min = 1, max = 64)))]
     #[schemars(length(min = 1, max = 64))]
     pub engine: Option<String>,
-    /// The name of the downstream dependency; observations of it hold for all instances that name it alike.
+    /// The name of the downstream dependency; observations of it hold for all instances that name
+    /// it alike.
     #[garde(length(min = 1, max = 64))]
     #[schemars(length(min = 1, max = 64))]
     pub dependency: String,
@@ -251,7 +258,8 @@
 #[serde(deny_unknown_fields)]
 #[schemars(rename = "PeersOfLearning")]
 pub struct GossipPeers {
-    /// The address at which others reach this one: on the loopback interface, since nothing is encrypted yet.
+    /// The address at which others reach this one: on the loopback interface, since nothing is
+    /// encrypted yet.
     #[garde(custom(validate_loopback))]
     pub listen: String,
     /// Addresses of some others, from which all are discovered.
@@ -285,7 +293,8 @@
     /// Reads the file; without one everything is off.
     ///
     /// # Errors
-    /// The file can't be read or used; the text names the file, the line, the field and what would be right.
+    /// The file can't be read or used; the text names the file, the line, the field and what would
+    /// be right.
     pub fn load(path: Option<&Path>) -> Result<Operator, OperatorFileError> {
         let Some(path) = path else {
             return Ok(Operator::default());
--- a/crates/merlinshelf-backend/src/operator/validation.rs
+++ b/crates/merlinshelf-backend/src/operator/validation.rs
@@ -5,7 +5,8 @@
 
 use merlinshelf_dependencies::Dependencies;
 
-/// The longest path of a Unix socket: the system's limit of 108 less the suffix under which it is created.
+/// The longest path of a Unix socket: the system's limit of 108 less the suffix under which it is
+/// created.
 const MAX_SOCKET_PATH_BYTES: usize = 100;
 
 /// The dependencies, their servers and operations refer to each other consistently.
@@ -23,7 +24,8 @@
             Err(garde::Error::new(format!("{text:?} names no port")))
         }
         Ok(_) => Err(garde::Error::new(format!(
-            "{text:?} is no loopback address; what instances tell each other is not encrypted yet, and only these are allowed"
+            "{text:?} is no loopback address; what instances tell each other \
+             is not encrypted yet, and only these are allowed"
         ))),
         Err(_) => Err(garde::Error::new(format!(
             "{text:?} is no address with a port, like 127.0.0.1:7400"
--- a/crates/merlinshelf-backend/src/process/control_requests.rs
+++ b/crates/merlinshelf-backend/src/process/control_requests.rs
@@ -67,7 +67,8 @@
     ) {
         let exchange = self.exchange();
         if exchange.is_none() && self.operator.policy.is_some() {
-            // Frozen for a successor. Without a response the agent retries; a refusal would mean that policies are off.
+            // Frozen for a successor. Without a response the agent retries; a refusal would mean
+            // that policies are off.
             return;
         }
         let status = exchange.and_then(|exchange| exchange.borrow_mut().policy_heard(heartbeat));
@@ -95,7 +96,8 @@
         }
     }
 
-    /// An upgrade is in progress: the new client receives its rejection, and the first one all further progress.
+    /// An upgrade is in progress: the new client receives its rejection, and the first one all
+    /// further progress.
     fn reject_second_client(&mut self, first: UnboundedSender<Progress>) {
         while let Some(action) = self.predecessor.state.poll_action() {
             let second = self.predecessor.upgrade_client.take();
--- a/crates/merlinshelf-backend/src/process/events.rs
+++ b/crates/merlinshelf-backend/src/process/events.rs
@@ -55,8 +55,9 @@
 }
 
 impl Process {
-    /// The next event. Events of different kinds that have happened already are handled in the order below: the exit of
-    /// the successor before its messages, since its last messages are read with it.
+    /// The next event. Events of different kinds that have happened already are handled in the
+    /// order below: the exit of the successor before its messages, since its last messages are read
+    /// with it.
     pub(super) async fn next_event(&mut self) -> Event {
         let timeout = self.next_timeout();
         let Process {
@@ -83,7 +84,7 @@
             _ = signals.user_defined_1.recv() => Event::CountersRequested,
             () = drained(drain) => Event::DrainCompleted,
             Some(request) = control_requests.receiver.recv() => Event::ControlRequest(request),
-            () = sleep_until(timeout.unwrap_or_else(Instant::now)), if timeout.is_some() => Event::TimeoutReached,
+            () = reached(timeout) => Event::TimeoutReached,
         }
     }
 
@@ -157,6 +158,13 @@
     }
 }
 
+async fn reached(timeout: Option<Instant>) {
+    match timeout {
+        Some(timeout) => sleep_until(timeout).await,
+        None => std::future::pending().await,
+    }
+}
+
 async fn drained(drain: &mut Option<Drain>) {
     match drain {
         Some(drain) => drain.await,
--- a/crates/merlinshelf-backend/src/process/mod.rs
+++ b/crates/merlinshelf-backend/src/process/mod.rs
@@ -1,6 +1,6 @@
-//! The process around an instance: it starts the instance or restores it, handles signals and control requests, hands
-//! over to a successor and observes it, and exits. What happens in an upgrade is decided by `merlinshelf-handover`;
-//! this carries it out.
+//! The process around an instance: it starts the instance or restores it, handles signals and
+//! control requests, hands over to a successor and observes it, and exits. What happens in an
+//! upgrade is decided by `merlinshelf-handover`; this carries it out.
 
 mod capacity;
 mod control_requests;
@@ -43,7 +43,8 @@
 pub use error::{LoadError, RestoreError, ServeError};
 pub use start::{Start, VERSION, check_config, serve};
 
-/// A client that requested an upgrade has this long to read its result, when the process exits with it.
+/// A client that requested an upgrade has this long to read its result, when the process exits with
+/// it.
 const LAST_RESPONSE_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// A graceful shutdown in progress.
@@ -139,7 +140,8 @@
         let status = self.run_to_exit().await?;
         self.log_counters("final counters");
         if let Some(client) = &self.predecessor.upgrade_client {
-            // It closes its connection once it has read the result; one that does not is not waited for.
+            // It closes its connection once it has read the result; one that does not is not waited
+            // for.
             let _ = timeout(LAST_RESPONSE_TIMEOUT, client.closed()).await;
         }
         Ok(status)
@@ -187,7 +189,8 @@
         Ok(())
     }
 
-    /// Applies the installation's policy to the exchange, where the operators' file switches that on.
+    /// Applies the installation's policy to the exchange, where the operators' file switches that
+    /// on.
     fn enable_policy(&self, exchange: &mut Exchange) -> Result<(), String> {
         let Some(policy) = &self.operator.policy else {
             return Ok(());
--- a/crates/merlinshelf-backend/src/process/predecessor_role.rs
+++ b/crates/merlinshelf-backend/src/process/predecessor_role.rs
@@ -1,4 +1,5 @@
-//! The upgrade as predecessor: what is carried out towards a successor, and what is received from it.
+//! The upgrade as predecessor: what is carried out towards a successor, and what is received from
+//! it.
 
 use std::io;
 use std::path::PathBuf;
@@ -164,7 +165,8 @@
         Ok(())
     }
 
-    /// A message of the successor. Its journal is read first: what the message says may depend on it.
+    /// A message of the successor. Its journal is read first: what the message says may depend on
+    /// it.
     pub(super) fn handle_successor_message(&mut self, received: ReceivedMessage) {
         let now = self.now();
         let role = &mut self.predecessor;
@@ -184,7 +186,8 @@
         }
     }
 
-    /// The channel to the successor has ended. Mostly its process exits, which says more: its status.
+    /// The channel to the successor has ended. Mostly its process exits, which says more: its
+    /// status.
     pub(super) async fn successor_channel_ended(&mut self, error: &io::Error) {
         self.predecessor.is_channel_closed = true;
         let has_exited = match &self.predecessor.guard {
--- a/crates/merlinshelf-backend/src/process/restoration.rs
+++ b/crates/merlinshelf-backend/src/process/restoration.rs
@@ -1,4 +1,5 @@
-//! Restoring an instance: from the predecessor as successor, and from a failed successor as predecessor.
+//! Restoring an instance: from the predecessor as successor, and from a failed successor as
+//! predecessor.
 
 use std::fs::File;
 use std::io::{Read, Seek};
@@ -52,10 +53,12 @@
         self.try_open_control();
         let elapsed_ms = started_at.elapsed().as_millis() as u64;
         info!(
-            connections = totals.client_connections, calls = totals.downstream_calls,
-            in_flight = totals.invocations, lost = lost, elapsed_ms = elapsed_ms;
-            "resumed within {elapsed_ms} ms: {} client connections, {} downstream calls, {} invocations in flight, {lost} connections lost",
-            totals.client_connections, totals.downstream_calls, totals.invocations
+            connections = totals.client_connections,
+            calls = totals.downstream_calls,
+            in_flight = totals.invocations,
+            lost = lost,
+            elapsed_ms = elapsed_ms;
+            "resumed within {elapsed_ms} ms: {totals}, {lost} connections lost"
         );
         Ok(())
     }
@@ -108,7 +111,8 @@
         self.enable_policy(&mut exchange).map_err(invalid)?;
         match owner {
             ImageOwner::Predecessor => restore_policy(&mut exchange, source.image),
-            // A lease that the failed successor had may be fenced by now: this process has none until its agent grants one.
+            // A lease that the failed successor had may be fenced by now: this process has none
+            // until its agent grants one.
             ImageOwner::Successor => exchange.begin_without_policy(),
         }
         let listener = server::listening(listener)?;
--- a/crates/merlinshelf-backend/src/process/signals.rs
+++ b/crates/merlinshelf-backend/src/process/signals.rs
@@ -72,7 +72,8 @@
         for field in self.config.changed_fixed_fields(&config) {
             warn!(
                 field = field;
-                "{field} in the new configuration is different, and it takes effect only after the next start"
+                "{field} in the new configuration is different, \
+                 and it takes effect only after the next start"
             );
         }
         let peers = config.peers;
@@ -87,7 +88,8 @@
         self.reload_dependencies();
     }
 
-    /// Reloads the dependencies from the operators' file. A file that can't be used changes nothing.
+    /// Reloads the dependencies from the operators' file. A file that can't be used changes
+    /// nothing.
     fn reload_dependencies(&mut self) {
         let Some(routing) = &self.routing else { return };
         let dependencies = match Operator::load(self.start.operator.as_deref()) {
@@ -96,7 +98,8 @@
         };
         let Some(dependencies) = dependencies else {
             return warn!(
-                "dependencies were removed from the operators' file; this takes effect after the next start"
+                "dependencies were removed from the operators' file; \
+                 this takes effect after the next start"
             );
         };
         let count = dependencies.dependencies.len();
--- a/crates/merlinshelf-backend/src/process/start.rs
+++ b/crates/merlinshelf-backend/src/process/start.rs
@@ -37,7 +37,8 @@
     pub exchange: Exchange,
 }
 
-/// Serves until the process is notified to shut down, or until a successor owns everything. Returns the exit status.
+/// Serves until the process is notified to shut down, or until a successor owns everything. Returns
+/// the exit status.
 ///
 /// # Errors
 /// A file that can't be used, an address that is in use, or a successor that can't take over.
@@ -80,7 +81,8 @@
     })
 }
 
-/// Reads the configuration and makes an exchange of it, which shows that all its settings can be used.
+/// Reads the configuration and makes an exchange of it, which shows that all its settings can be
+/// used.
 pub(super) fn load_config(path: &Path) -> Result<(Config, Exchange), LoadError> {
     let config = Config::load(path)?;
     let exchange = Exchange::of(&config).map_err(|reason| LoadError::Settings { reason })?;
@@ -95,8 +97,8 @@
     load_config(path).map(|_| ())
 }
 
-/// Notifies the predecessor that this process can't take over. Where that fails, the predecessor observes the exit of
-/// this process instead.
+/// Notifies the predecessor that this process can't take over. Where that fails, the predecessor
+/// observes the exit of this process instead.
 async fn decline(predecessor: OwnedFd, reason: &str) {
     let Ok(channel) = Channel::new(predecessor) else {
         return;
--- a/crates/merlinshelf-backend/src/process/successor_role.rs
+++ b/crates/merlinshelf-backend/src/process/successor_role.rs
@@ -1,4 +1,5 @@
-//! The upgrade as successor: what is carried out towards the predecessor, and what is received from it.
+//! The upgrade as successor: what is carried out towards the predecessor, and what is received from
+//! it.
 
 use std::io;
 use std::os::fd::{AsFd, OwnedFd};
@@ -46,8 +47,8 @@
         match message {
             Message::Hello { .. } => fault::injection_point("successor.hello"),
             Message::Ready => fault::injection_point("successor.ready"),
-            Message::Restored => fault::injection_point("successor.taken"),
-            Message::Heartbeat => fault::injection_point("successor.beat"),
+            Message::Restored => fault::injection_point("successor.restored"),
+            Message::Heartbeat => fault::injection_point("successor.heartbeat"),
             _ => {}
         }
         if let Some(channel) = &self.channel {
@@ -94,7 +95,7 @@
     }
 
     fn activate(&mut self) {
-        fault::injection_point("successor.serve");
+        fault::injection_point("successor.activate");
         let restored = self
             .successor
             .as_mut()
@@ -102,9 +103,10 @@
         if let Some(restored) = restored {
             let totals = restored.totals();
             info!(
-                connections = totals.client_connections, calls = totals.downstream_calls, in_flight = totals.invocations;
-                "{} resumed from its predecessor: {} client connections, {} downstream calls, {} invocations in flight",
-                self.config.name, totals.client_connections, totals.downstream_calls, totals.invocations
+                connections = totals.client_connections,
+                calls = totals.downstream_calls,
+                in_flight = totals.invocations;
+                "{} resumed from its predecessor: {totals}", self.config.name
             );
             self.instance = Some(self.run_instance(restored));
             self.start_gossip();
@@ -128,7 +130,7 @@
             return;
         };
         if let Message::Descriptors { roles } = &received.message {
-            fault::injection_point("successor.pass");
+            fault::injection_point("successor.descriptors");
             let roles = roles.iter().copied();
             role.received.extend(roles.zip(received.descriptors));
         }
@@ -143,8 +145,9 @@
         }
     }
 
-    /// Sends a copy of a connection that the instance has opened. The instance waits for that before a byte passes on it:
-    /// else the predecessor could not recover the connection if this process died in between.
+    /// Sends a copy of a connection that the instance has opened. The instance waits for that
+    /// before a byte passes on it: else the predecessor could not recover the connection if this
+    /// process died in between.
     pub(super) async fn send_opened_connection(&self, opened: Passing) {
         let channel = self
             .successor
@@ -174,7 +177,10 @@
         exchange.secure_instance();
         let unread_bytes = exchange.unread_notes();
         if unread_bytes > MAX_UNREAD_JOURNAL_BYTES {
-            warn!(unread_bytes = unread_bytes; "predecessor does not read the journal; continuing without it");
+            warn!(
+                unread_bytes = unread_bytes;
+                "predecessor does not read the journal; continuing without it"
+            );
             role.state.detach();
         }
     }
--- a/crates/merlinshelf-backend/src/ring.rs
+++ b/crates/merlinshelf-backend/src/ring.rs
@@ -1,4 +1,5 @@
-//! The buffer of one direction of one connection: small at first, grown on demand, shrunk when empty.
+//! The buffer of one direction of one connection: small at first, grown on demand, shrunk when
+//! empty.
 
 use std::collections::VecDeque;
 use std::io::{self, ErrorKind};
@@ -34,7 +35,8 @@
 }
 
 impl Ring {
-    /// A ring that continues where another process left off: its contents, and the bytes transferred before.
+    /// A ring that continues where another process left off: its contents, and the bytes
+    /// transferred before.
     pub fn restore(bytes: Vec<u8>, transferred_bytes: u64) -> Ring {
         Ring {
             bytes: bytes.into(),
@@ -63,8 +65,8 @@
         self.bytes.iter().copied().collect()
     }
 
-    /// Passes its contents to `parse`, from the front on, until that consumes nothing more. `parse` returns how many
-    /// bytes it has consumed.
+    /// Passes its contents to `parse`, from the front on, until that consumes nothing more. `parse`
+    /// returns how many bytes it has consumed.
     ///
     /// # Errors
     /// That of `parse`; what it consumed before is gone.
@@ -95,8 +97,9 @@
         self.consume(usize::MAX);
     }
 
-    /// Copies what the socket has, up to one chunk, as far as the runtime knows it to be readable, and leaves it in the
-    /// kernel until `discard_peeked`: a process that recovers this connection after a crash finds it there.
+    /// Copies what the socket has, up to one chunk, as far as the runtime knows it to be readable,
+    /// and leaves it in the kernel until `discard_peeked`: a process that recovers this connection
+    /// after a crash finds it there.
     ///
     /// # Errors
     /// The connection is broken.
@@ -104,7 +107,8 @@
         self.peek_with(|chunk| socket.try_io(Interest::READABLE, || peek_chunk(socket, chunk)))
     }
 
-    /// As `peek`, of what the kernel has at this moment: the runtime may not know of the last bytes yet.
+    /// As `peek`, of what the kernel has at this moment: the runtime may not know of the last bytes
+    /// yet.
     ///
     /// # Errors
     /// The connection is broken.
@@ -138,7 +142,8 @@
         self.fill_with(|chunk| socket.try_read(chunk))
     }
 
-    /// Reads what the kernel has at this moment, up to one chunk: the runtime may not know of the last bytes yet.
+    /// Reads what the kernel has at this moment, up to one chunk: the runtime may not know of the
+    /// last bytes yet.
     ///
     /// # Errors
     /// The connection is broken.
--- a/crates/merlinshelf-backend/src/startup_wait.rs
+++ b/crates/merlinshelf-backend/src/startup_wait.rs
@@ -1,6 +1,6 @@
-//! A fresh start that waits for a policy lease. Its address is bound meanwhile, and nobody can connect: a client's
-//! connection would wait in the kernel, unread and longer than a client waits, while one that is refused goes to another
-//! instance at once.
+//! A fresh start that waits for a policy lease. Its address is bound meanwhile, and nobody can
+//! connect: a client's connection would wait in the kernel, unread and longer than a client waits,
+//! while one that is refused goes to another instance at once.
 
 use std::cell::RefCell;
 use std::io;
--- a/crates/merlinshelf-backend/src/upgrade/channel/mod.rs
+++ b/crates/merlinshelf-backend/src/upgrade/channel/mod.rs
@@ -1,5 +1,5 @@
-//! The channel between a predecessor and its successor: a socket pair that preserves message boundaries and carries
-//! descriptors.
+//! The channel between a predecessor and its successor: a socket pair that preserves message
+//! boundaries and carries descriptors.
 
 #[cfg(test)]
 mod tests;
@@ -26,7 +26,8 @@
 /// A process that does not read for so long hangs.
 const SEND_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The environment variable with the number of the descriptor at which a successor finds its end of the channel.
+/// The environment variable with the number of the descriptor at which a successor finds its end of
+/// the channel.
 pub const HANDOVER_VARIABLE: &str = "MERLINSHELF_HANDOVER";
 
 /// One end of the channel.
@@ -62,7 +63,8 @@
         let Some(number) = number.and_then(|number| number.parse::<RawFd>().ok()) else {
             return Ok(None);
         };
-        // SAFETY: whoever names the descriptor in this variable has handed it over, and it is taken once, at the start.
+        // SAFETY: whoever names the descriptor in this variable has handed it over, and it is taken
+        // once, at the start.
         let end = unsafe { OwnedFd::from_raw_fd(number) };
         fcntl_setfd(&end, FdFlags::CLOEXEC)?;
         Ok(Some(end))
@@ -105,7 +107,8 @@
             .await
     }
 
-    /// A message that has been received already, if there is one: also from a process that has ended since.
+    /// A message that has been received already, if there is one: also from a process that has
+    /// ended since.
     pub fn try_receive(&self) -> Option<ReceivedMessage> {
         // An error is the end of the channel, after which there are no more messages.
         receive_datagram(self.0.get_ref().as_fd()).ok()
@@ -139,7 +142,8 @@
         &mut control,
         RecvFlags::CMSG_CLOEXEC,
     )?;
-    // Taken before the message is decoded: descriptors of a message that can't be decoded are closed.
+    // Taken before the message is decoded: descriptors of a message that can't be decoded are
+    // closed.
     let mut descriptors = Vec::new();
     for ancillary in control.drain() {
         if let RecvAncillaryMessage::ScmRights(rights) = ancillary {
--- a/crates/merlinshelf-backend/src/upgrade/kernel/mod.rs
+++ b/crates/merlinshelf-backend/src/upgrade/kernel/mod.rs
@@ -16,7 +16,8 @@
 /// More than any kernel's `tcp_info` has so far; what is behind it is not needed.
 const TCP_INFO_BYTES: usize = 256;
 
-/// The states in which the peer has closed its direction: `TIME_WAIT`, `CLOSE_WAIT`, `LAST_ACK`, `CLOSING`.
+/// The states in which the peer has closed its direction: `TIME_WAIT`, `CLOSE_WAIT`, `LAST_ACK`,
+/// `CLOSING`.
 const CLOSED_BY_PEER_STATES: [u8; 4] = [6, 8, 9, 11];
 /// `CLOSE`: the state after a reset.
 const RESET_STATE: u8 = 7;
@@ -49,7 +50,8 @@
         let unread_bytes = rustix::io::ioctl_fionread(socket)?;
         let unacknowledged_bytes = read_unacknowledged_bytes(socket)?;
         let after = read_tcp_info(socket)?;
-        // The three system calls describe one moment only if nothing moved between the first and the last.
+        // The three system calls describe one moment only if nothing moved between the first and
+        // the last.
         if before == after {
             if after.state == RESET_STATE {
                 return Err(io::ErrorKind::ConnectionReset.into());
@@ -71,7 +73,8 @@
 fn read_tcp_info(socket: &impl AsFd) -> io::Result<TcpInfo> {
     let mut bytes = [0u8; TCP_INFO_BYTES];
     let mut length = bytes.len() as libc::socklen_t;
-    // SAFETY: the kernel writes at most `length` bytes into the buffer and sets `length` to their number.
+    // SAFETY: the kernel writes at most `length` bytes into the buffer and sets `length` to their
+    // number.
     let result = unsafe {
         libc::getsockopt(
             socket.as_fd().as_raw_fd(),
--- a/crates/merlinshelf-backend/src/upgrade/successor_guard.rs
+++ b/crates/merlinshelf-backend/src/upgrade/successor_guard.rs
@@ -1,5 +1,5 @@
-//! What a predecessor keeps of its successor during an upgrade: the process, the channel, copies of all descriptors, and
-//! the image, updated from the successor's journal during its probation.
+//! What a predecessor keeps of its successor during an upgrade: the process, the channel, copies of
+//! all descriptors, and the image, updated from the successor's journal during its probation.
 
 use std::fs::File;
 use std::io::{self, Write};
@@ -27,7 +27,8 @@
     process: AsyncFd<OwnedFd>,
     /// The channel to it.
     pub channel: Channel,
-    /// The files of the image and of the successor's journal. Created first, so that nothing is frozen without them.
+    /// The files of the image and of the successor's journal. Created first, so that nothing is
+    /// frozen without them.
     image_file: OwnedFd,
     journal_file: OwnedFd,
     retained: Option<Retained>,
@@ -169,8 +170,9 @@
         }
     }
 
-    /// The last messages of the successor, whose process has ended, as far as they matter after its end: that it drains,
-    /// or that it records nothing any more. Descriptors attached to others are retained.
+    /// The last messages of the successor, whose process has ended, as far as they matter after its
+    /// end: that it drains, or that it records nothing any more. Descriptors attached to others are
+    /// retained.
     pub fn last_messages(&mut self) -> Vec<Message> {
         let mut messages = Vec::new();
         while let Some(received) = self.channel.try_receive() {
@@ -185,7 +187,8 @@
         messages
     }
 
-    /// Everything as the successor left it, whose process has ended and whose last messages were handled.
+    /// Everything as the successor left it, whose process has ended and whose last messages were
+    /// handled.
     ///
     /// # Errors
     /// Nothing was frozen, or the journal can't be read.
@@ -204,7 +207,8 @@
 
 impl Drop for SuccessorGuard {
     fn drop(&mut self) {
-        // Nobody else releases the process to the kernel; a successor that was released still runs and is not awaited.
+        // Nobody else releases the process to the kernel; a successor that was released still runs
+        // and is not awaited.
         let _ = self.child.try_wait();
     }
 }
@@ -232,7 +236,8 @@
         }
     }
 
-    /// Of the connections to the engine only the recorded one matters, and the newest: it may not be recorded yet.
+    /// Of the connections to the engine only the recorded one matters, and the newest: it may not
+    /// be recorded yet.
     fn close_replaced_engine_connections(&mut self) {
         let record: Option<records::EngineConnectionRecord> = self.image.get(Key::EngineConnection);
         let recorded = record.and_then(|record| record.stream);
--- a/crates/merlinshelf-cli/tests/handover.rs
+++ b/crates/merlinshelf-cli/tests/handover.rs
@@ -236,7 +236,7 @@
 
 #[test]
 fn a_link_that_breaks_in_the_freeze_is_taken_up_with_its_number() {
-    let play = upgradable_to(300, &[], "successor.taken:1:pause");
+    let play = upgradable_to(300, &[], "successor.restored:1:pause");
     let (mut engine, mut edge) = (play.rig.engine(), play.rig.edge());
     edge.send(ask(1, "transcript-search", b"one", &[]));
     let mut trace = engine.message() + "\n";
--- a/crates/merlinshelf-cli/tests/policy.rs
+++ b/crates/merlinshelf-cli/tests/policy.rs
@@ -609,7 +609,7 @@
         std::fs::write(
             &program,
             format!(
-                "#!/bin/sh\nexport MERLINSHELF_FAULT=successor.beat:9:abort\nexec '{PROGRAM}' \"$@\"\n"
+                "#!/bin/sh\nexport MERLINSHELF_FAULT=successor.heartbeat:9:abort\nexec '{PROGRAM}' \"$@\"\n"
             ),
         )?;
         std::fs::set_permissions(
--- a/crates/merlinshelf-cli/tests/upgrade.rs
+++ b/crates/merlinshelf-cli/tests/upgrade.rs
@@ -109,7 +109,7 @@
             setup.manner.below = ms(120);
         }
         // More than one batch of descriptors, where the transfer is torn in the middle.
-        let connections = if program.contains("successor.pass") {
+        let connections = if program.contains("successor.descriptors") {
             150
         } else {
             12
@@ -133,14 +133,14 @@
         ("successor.start:1:exit", "given_up"),
         ("successor.hello:1:abort", "given_up"),
         ("successor.ready:1:exit", "given_up"),
-        ("successor.pass:1:abort", "given_up"),
-        ("successor.pass:2:exit", "given_up"),
-        ("successor.taken:1:abort", "given_up"),
-        ("successor.taken:1:exit", "given_up"),
-        ("successor.serve:1:abort", "taken_back"),
-        ("successor.beat:1:abort", "taken_back"),
-        ("successor.beat:10:exit", "taken_back"),
-        ("successor.beat:3:hang", "taken_back"),
+        ("successor.descriptors:1:abort", "given_up"),
+        ("successor.descriptors:2:exit", "given_up"),
+        ("successor.restored:1:abort", "given_up"),
+        ("successor.restored:1:exit", "given_up"),
+        ("successor.activate:1:abort", "taken_back"),
+        ("successor.heartbeat:1:abort", "taken_back"),
+        ("successor.heartbeat:10:exit", "taken_back"),
+        ("successor.heartbeat:3:hang", "taken_back"),
         // Between what was noted and what was then done.
         ("edge.noted:1:abort", "taken_back"),
         ("edge.noted:9:abort", "taken_back"),
@@ -183,7 +183,7 @@
         );
         // Nothing was read twice, said twice to the engine, or answered to nobody.
         // Of many connections some say nothing for 1.5 s on a busy machine, are closed for it and counted as bad.
-        let silent = fault.starts_with("successor.pass");
+        let silent = fault.starts_with("successor.descriptors");
         assert!(
             (bad == 0 || silent) && refused == 0 && unheard == 0,
             "{fault}: {bad} {refused} {unheard}"
@@ -419,12 +419,12 @@
         // It has been passed everything and is about to say so.
         let (instance, load, playing) = begin(&setup(), 52).await?;
         instance.successor_is(&format!(
-            "export MERLINSHELF_FAULT=successor.taken:1:pause\n{}",
+            "export MERLINSHELF_FAULT=successor.restored:1:pause\n{}",
             good()
         ))?;
         let mut talk = instance.ask(ControlRequest::Upgrade).await?;
         while talk.next().await?.1["stage"] != "ready" {}
-        instance.logged("fault successor.taken", 1).await?;
+        instance.logged("fault successor.restored", 1).await?;
         signal(instance.processes()[0], Signal::KILL);
         let verdict = check(&instance, &load, playing).await;
         assert!(
--- a/crates/merlinshelf-cli/tests/uwsgi.rs
+++ b/crates/merlinshelf-cli/tests/uwsgi.rs
@@ -272,7 +272,7 @@
         let playing = load.start().await?;
         sleep(Duration::from_millis(400)).await;
         let good = format!("exec '{PROGRAM}' \"$@\"");
-        let crashes = format!("export MERLINSHELF_FAULT=successor.beat:9:abort\n{good}");
+        let crashes = format!("export MERLINSHELF_FAULT=successor.heartbeat:9:abort\n{good}");
         for (number, (program, ended)) in
             [(&good, "done"), (&crashes, "taken_back"), (&good, "done")]
                 .into_iter()
--- a/crates/merlinshelf-handover/src/flow.rs
+++ b/crates/merlinshelf-handover/src/flow.rs
@@ -1,10 +1,12 @@
-//! The bytes of one connection: what the process that serves it has recorded, reconciled with what the kernel counted.
+//! The bytes of one connection: what the process that serves it has recorded, reconciled with what
+//! the kernel counted.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// How far one connection has come, as recorded by the process that serves it. Counts are bytes since the connection
-/// was established. Names in `#[serde(rename = "...")]` are those stored and stay.
+/// How far one connection has come, as recorded by the process that serves it. Counts are bytes
+/// since the connection was established. Names in `#[serde(rename = "...")]` are those stored and
+/// stay.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Flow {
@@ -80,8 +82,8 @@
 }
 
 impl Flow {
-    /// Reconciles what a process that died may have done after its last record: it recorded what it saw before it
-    /// took it out of the kernel, and what it was about to write before it wrote.
+    /// Reconciles what a process that died may have done after its last record: it recorded what it
+    /// saw before it took it out of the kernel, and what it was about to write before it wrote.
     ///
     /// # Errors
     /// The counts can't be those of the same connection; the flow is unchanged then.
--- a/crates/merlinshelf-handover/src/image.rs
+++ b/crates/merlinshelf-handover/src/image.rs
@@ -1,8 +1,10 @@
-//! An image of an instance: records by key, changed by atomic transactions, as bytes that two versions can share.
+//! An image of an instance: records by key, changed by atomic transactions, as bytes that two
+//! versions can share.
 //!
-//! A transaction is `MSH1`, the length of what follows (u32, big endian), then its entries. Each entry is its kind
-//! (u8), 16 bytes of name, a length (u32), and so many bytes of a record in MessagePack; the length `u32::MAX` means
-//! that the record was removed. Entries of an unknown kind are skipped.
+//! A transaction is `MSH1`, the length of what follows (u32, big endian), then its entries. Each
+//! entry is its kind (u8), 16 bytes of name, a length (u32), and so many bytes of a record in
+//! MessagePack; the length `u32::MAX` means that the record was removed. Entries of an unknown kind
+//! are skipped.
 
 use std::collections::BTreeMap;
 
@@ -16,7 +18,8 @@
 const ENTRY_HEADER_BYTES: usize = 1 + NAME_BYTES + 4;
 /// The length that marks a removal.
 const REMOVED: u32 = u32::MAX;
-/// No transaction is longer: an image of a full table of invocations at their largest is a fraction of it.
+/// No transaction is longer: an image of a full table of invocations at their largest is a fraction
+/// of it.
 const MAX_TRANSACTION_BYTES: usize = 256 * 1024 * 1024;
 
 /// What a record is about.
@@ -114,7 +117,8 @@
 impl Transaction {
     /// Adds or replaces a record.
     pub fn put(&mut self, key: Key, record: &impl Serialize) {
-        // Records are plain structures, whose encoding into memory can't fail; one that did would stay as it was.
+        // Records are plain structures, whose encoding into memory can't fail; one that did would
+        // stay as it was.
         if let Ok(record) = rmp_serde::to_vec_named(record) {
             self.push_entry(key, record.len() as u32, &record);
         }
@@ -153,15 +157,17 @@
     }
 }
 
-/// Records by key, each decoded when it is requested. Of removed records the keys stay until `take_removed`.
+/// Records by key, each decoded when it is requested. Of removed records the keys stay until
+/// `take_removed`.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Image {
     records: BTreeMap<Key, Option<Vec<u8>>>,
 }
 
 impl Image {
-    /// Applies all complete transactions at the front of the bytes, and returns how many bytes these are. An
-    /// incomplete one behind them was being written when its writer ended, and never happened.
+    /// Applies all complete transactions at the front of the bytes, and returns how many bytes
+    /// these are. An incomplete one behind them was being written when its writer ended, and never
+    /// happened.
     ///
     /// # Errors
     /// What is no transaction; those before it were applied.
@@ -226,7 +232,8 @@
         rmp_serde::from_slice(bytes).map(Some).map_err(invalid)
     }
 
-    /// The record under that key, if it is there and can be decoded. Where the difference matters, use `decode`.
+    /// The record under that key, if it is there and can be decoded. Where the difference matters,
+    /// use `decode`.
     pub fn get<T: DeserializeOwned>(&self, key: Key) -> Option<T> {
         self.decode(key).ok().flatten()
     }
@@ -244,7 +251,8 @@
             .map(|(key, _)| *key)
     }
 
-    /// Forgets which records were removed, and returns their keys: what they described is known to be closed.
+    /// Forgets which records were removed, and returns their keys: what they described is known to
+    /// be closed.
     pub fn take_removed(&mut self) -> Vec<Key> {
         let removed: Vec<Key> = self
             .records
--- a/crates/merlinshelf-handover/src/messages.rs
+++ b/crates/merlinshelf-handover/src/messages.rs
@@ -1,14 +1,17 @@
-//! The messages between a predecessor and its successor, one a datagram of MessagePack written by field name.
+//! The messages between a predecessor and its successor, one a datagram of MessagePack written by
+//! field name.
 //!
-//! Two versions of the program exchange them: names in `#[serde(rename = "...")]` are those on the wire and stay.
+//! Two versions of the program exchange them: names in `#[serde(rename = "...")]` are those on the
+//! wire and stay.
 
 use serde::{Deserialize, Serialize};
 
-/// The format versions of the image and of these messages that this program supports. A successor advertises those
-/// that it can decode; the highest that both support is selected.
+/// The format versions of the image and of these messages that this program supports. A successor
+/// advertises those that it can decode; the highest that both support is selected.
 pub const SUPPORTED_FORMATS: &[u32] = &[1];
 
-/// Selects the format version to use with a process that supports `peer_formats`; `None` without a common one.
+/// Selects the format version to use with a process that supports `peer_formats`; `None` without a
+/// common one.
 pub fn select_format(peer_formats: &[u32]) -> Option<u32> {
     SUPPORTED_FORMATS
         .iter()
@@ -39,7 +42,8 @@
     EngineConnection(u64),
 }
 
-/// A point in time on the machine's monotonic clock, in seconds. Both processes read the same clock.
+/// A point in time on the machine's monotonic clock, in seconds. Both processes read the same
+/// clock.
 pub type MonotonicSeconds = f64;
 
 /// A message of either process. Each variant says who sends it.
@@ -65,7 +69,8 @@
     /// Successor: everything that was transferred has been restored and can be continued.
     #[serde(rename = "Taken")]
     Restored,
-    /// Successor: it opened or accepted a connection, whose descriptor is attached. Sent before a byte passes on it.
+    /// Successor: it opened or accepted a connection, whose descriptor is attached. Sent before a
+    /// byte passes on it.
     #[serde(rename = "Opened")]
     ConnectionOpened {
         /// What the attached descriptor is.
@@ -84,8 +89,8 @@
         #[serde(rename = "stop")]
         deadline: MonotonicSeconds,
     },
-    /// Successor: the predecessor has not released it in time or does not read its journal. It continues alone and
-    /// records nothing any more.
+    /// Successor: the predecessor has not released it in time or does not read its journal. It
+    /// continues alone and records nothing any more.
     #[serde(rename = "Unwatched")]
     Detached,
     /// Predecessor: the format that is used from here on.
--- a/crates/merlinshelf-handover/src/predecessor/action.rs
+++ b/crates/merlinshelf-handover/src/predecessor/action.rs
@@ -12,7 +12,8 @@
     Send(Message),
     /// Stop serving and make the image; reported by `freeze_completed` or `freeze_failed`.
     Freeze,
-    /// Transfer the image and the descriptors; reported by `transfer_completed` or `transfer_failed`.
+    /// Transfer the image and the descriptors; reported by `transfer_completed` or
+    /// `transfer_failed`.
     Transfer,
     /// Give up what only the owner may have: the successor serves from now on.
     ReleaseOwnership,
--- a/crates/merlinshelf-handover/src/predecessor/failure.rs
+++ b/crates/merlinshelf-handover/src/predecessor/failure.rs
@@ -1,4 +1,5 @@
-//! Why an upgrade was rejected or failed. The texts reach operators in [`Progress`](super::Progress).
+//! Why an upgrade was rejected or failed. The texts reach operators in
+//! [`Progress`](super::Progress).
 
 use thiserror::Error;
 
--- a/crates/merlinshelf-handover/src/predecessor/mod.rs
+++ b/crates/merlinshelf-handover/src/predecessor/mod.rs
@@ -1,9 +1,9 @@
-//! The predecessor's side of a handover: it starts a successor, transfers everything, observes the successor during
-//! its probation, and recovers everything if the successor fails.
+//! The predecessor's side of a handover: it starts a successor, transfers everything, observes the
+//! successor during its probation, and recovers everything if the successor fails.
 //!
-//! Until `Activate` is sent the predecessor owns everything, and a successor that fails costs a freeze at most. From
-//! then on the successor is the owner, and the predecessor only once the successor is known to be dead: the end of its
-//! process is awaited before anything is touched.
+//! Until `Activate` is sent the predecessor owns everything, and a successor that fails costs a
+//! freeze at most. From then on the successor is the owner, and the predecessor only once the
+//! successor is known to be dead: the end of its process is awaited before anything is touched.
 
 mod action;
 mod failure;
@@ -22,7 +22,8 @@
 use failure::{Failure, Rejection};
 use state::{Probation, RecoverySource, State};
 
-/// The predecessor's state machine. It is fed events, with the time at which they happened, and polled for actions.
+/// The predecessor's state machine. It is fed events, with the time at which they happened, and
+/// polled for actions.
 #[derive(Debug)]
 pub struct Predecessor {
     timeouts: StageTimeouts,
@@ -76,7 +77,8 @@
         self.state.name()
     }
 
-    /// An upgrade was requested. `unavailable` says why the host can't run two processes, where it can't.
+    /// An upgrade was requested. `unavailable` says why the host can't run two processes, where it
+    /// can't.
     pub fn start_upgrade(&mut self, now: Duration, unavailable: Option<String>) {
         let rejection = if self.state != State::Serving {
             Some(Rejection::UpgradeInProgress)
@@ -107,7 +109,8 @@
         }
     }
 
-    /// A message was received from the successor. One that is late, doubled or out of place is ignored.
+    /// A message was received from the successor. One that is late, doubled or out of place is
+    /// ignored.
     pub fn handle_message(&mut self, now: Duration, message: Message) {
         match (&mut self.state, message) {
             (_, Message::Declined { reason }) => self.fail(Failure::Declined { reason }),
@@ -143,7 +146,8 @@
                 self.actions.push_back(Action::Send(Message::Released));
                 self.complete();
             }
-            // This process was asleep, and the successor has recorded nothing since: there is nothing to recover.
+            // This process was asleep, and the successor has recorded nothing since: there is
+            // nothing to recover.
             (State::Probation(_), Message::Detached) => self.complete(),
             // A successor that drains is observed until its process ends, also after its probation.
             (
@@ -196,8 +200,8 @@
         self.fail(Failure::ChannelFailed { reason });
     }
 
-    /// The successor's process has ended, with this exit status or by a signal. Seen in the process table, so that it
-    /// touches nothing any more.
+    /// The successor's process has ended, with this exit status or by a signal. Seen in the process
+    /// table, so that it touches nothing any more.
     pub fn successor_exited(&mut self, status: Option<i32>) {
         match std::mem::replace(&mut self.state, State::Serving) {
             State::Serving => {}
@@ -223,7 +227,8 @@
         }
     }
 
-    /// This process was notified to shut down and must have exited by then. The first notification counts.
+    /// This process was notified to shut down and must have exited by then. The first notification
+    /// counts.
     pub fn drain(&mut self, deadline: MonotonicSeconds) {
         if self.drain_deadline.is_some() {
             return;
@@ -316,7 +321,8 @@
         self.actions.push_back(Action::Exit);
     }
 
-    /// The upgrade failed. The successor must be dead before anything else happens: two owners would answer twice.
+    /// The upgrade failed. The successor must be dead before anything else happens: two owners
+    /// would answer twice.
     fn fail(&mut self, failure: Failure) {
         if let Some(recovery) = self.state.recovery_source() {
             self.state = State::KillingSuccessor { failure, recovery };
--- a/crates/merlinshelf-handover/src/predecessor/state.rs
+++ b/crates/merlinshelf-handover/src/predecessor/state.rs
@@ -117,7 +117,8 @@
         }
     }
 
-    /// From what to go on if the successor fails now; `None` where there is no successor that can fail.
+    /// From what to go on if the successor fails now; `None` where there is no successor that can
+    /// fail.
     pub(super) fn recovery_source(&self) -> Option<RecoverySource> {
         match self {
             State::Starting { .. } => Some(RecoverySource::Uninterrupted),
--- a/crates/merlinshelf-handover/src/predecessor/timeouts.rs
+++ b/crates/merlinshelf-handover/src/predecessor/timeouts.rs
@@ -15,13 +15,13 @@
     pub heartbeat: Duration,
 }
 
-/// A successor that drains during its probation runs to its end, however long that takes. The limit is only there so
-/// that a predecessor does not wait for ever.
+/// A successor that drains during its probation runs to its end, however long that takes. The limit
+/// is only there so that a predecessor does not wait for ever.
 const DRAINING_PROBATION_LIMIT: Duration = Duration::from_secs(24 * 3600);
 
 impl StageTimeouts {
-    /// How long a successor may stay on probation. One that sends heartbeats and never completes its probation has
-    /// failed as well.
+    /// How long a successor may stay on probation. One that sends heartbeats and never completes
+    /// its probation has failed as well.
     pub(super) fn probation_limit(&self, drain: DrainStatus) -> Duration {
         match drain {
             DrainStatus::Draining => DRAINING_PROBATION_LIMIT,
--- a/crates/merlinshelf-handover/src/records.rs
+++ b/crates/merlinshelf-handover/src/records.rs
@@ -1,8 +1,9 @@
 //! The records of an image, one for each connection, invocation and so on.
 //!
-//! Records pass between versions in MessagePack, written by field name. Every field has a default and unknown ones are
-//! skipped, so that a later version can add some. Names in `#[serde(rename = "...")]` are those stored and stay.
-//! Points in time (`..._at`) are seconds of the machine's monotonic clock, which both processes read alike.
+//! Records pass between versions in MessagePack, written by field name. Every field has a default
+//! and unknown ones are skipped, so that a later version can add some. Names in `#[serde(rename =
+//! "...")]` are those stored and stay. Points in time (`..._at`) are seconds of the machine's
+//! monotonic clock, which both processes read alike.
 
 use std::collections::BTreeMap;
 
@@ -45,8 +46,8 @@
     /// The store of observations, in the format of its file (`merlinshelf-gossip`).
     #[serde(rename = "knowledge")]
     pub gossip: ByteBuf,
-    /// The policy lease and the policies (`merlinshelf-policy`), for a successor alone: empty in a journal, since
-    /// recovery must not revive a lease that may be fenced by then.
+    /// The policy lease and the policies (`merlinshelf-policy`), for a successor alone: empty in a
+    /// journal, since recovery must not revive a lease that may be fenced by then.
     pub policy: ByteBuf,
     /// The quota leases (`merlinshelf-quota`), for a successor alone as well.
     #[serde(rename = "shares")]
@@ -118,7 +119,8 @@
     pub padding_bytes: usize,
 }
 
-/// As a partial record is stored and as the parser has it: kind, id, bytes of content, bytes of padding.
+/// As a partial record is stored and as the parser has it: kind, id, bytes of content, bytes of
+/// padding.
 type PartialRecordFields = (u8, u16, usize, usize);
 
 impl From<PartialRecordFields> for PartialRecord {
@@ -157,7 +159,8 @@
     pub protocol: u8,
     /// The invocations that are being read.
     pub partials: Vec<Partial>,
-    /// Invocations read and not answered yet: the request id, and whether the connection stays open after the response.
+    /// Invocations read and not answered yet: the request id, and whether the connection stays open
+    /// after the response.
     #[serde(rename = "open")]
     pub unanswered: Vec<(u16, bool)>,
     /// Bytes received since the last complete invocation that belong to none.
@@ -165,7 +168,8 @@
     pub unassigned_bytes: usize,
     /// Protocol errors since the last success.
     pub faults: u32,
-    /// The most significant that was received complete: 0 nothing, 1 a health check, 2 an invocation.
+    /// The most significant that was received complete: 0 nothing, 1 a health check, 2 an
+    /// invocation.
     #[serde(rename = "said")]
     pub received_kind: u8,
     /// The client has closed its direction.
--- a/crates/merlinshelf-handover/src/successor.rs
+++ b/crates/merlinshelf-handover/src/successor.rs
@@ -1,5 +1,6 @@
-//! The successor's side of a handover: it gets ready, restores what is transferred to it, serves once it is activated,
-//! records everything it does during its probation, and is independent from then on.
+//! The successor's side of a handover: it gets ready, restores what is transferred to it, serves
+//! once it is activated, records everything it does during its probation, and is independent from
+//! then on.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -8,8 +9,8 @@
 
 /// Between two heartbeats of its main loop.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(50);
-/// A predecessor that does not release a successor for so long after its probation is asleep: a journal that nobody
-/// reads would fill the memory.
+/// A predecessor that does not release a successor for so long after its probation is asleep: a
+/// journal that nobody reads would fill the memory.
 const RELEASE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// What the successor's host carries out, in the order in which it is polled.
@@ -17,8 +18,8 @@
 pub enum Action {
     /// Send a message to the predecessor.
     Send(Message),
-    /// Restore everything that was transferred, touching nothing yet; reported by `restore_completed` or
-    /// `restore_failed`.
+    /// Restore everything that was transferred, touching nothing yet; reported by
+    /// `restore_completed` or `restore_failed`.
     Restore,
     /// Serve, and record every change before its effect shows.
     Activate,
@@ -64,8 +65,8 @@
     is_completed: bool,
 }
 
-/// The successor's state machine. It is created once the configuration is read: its first message says that this
-/// process could take over.
+/// The successor's state machine. It is created once the configuration is read: its first message
+/// says that this process could take over.
 #[derive(Debug)]
 pub struct Successor {
     /// How long the probation is.
@@ -76,7 +77,8 @@
 }
 
 impl Successor {
-    /// A successor with this length of probation; `program` is its name and version for the predecessor's log.
+    /// A successor with this length of probation; `program` is its name and version for the
+    /// predecessor's log.
     pub fn new(probation: Duration, program: &str) -> Successor {
         let hello = Message::Hello {
             format_versions: SUPPORTED_FORMATS.to_vec(),
@@ -184,7 +186,8 @@
         }
     }
 
-    /// The predecessor is gone: observed by the end of the channel, which it closes in no other way before `Released`.
+    /// The predecessor is gone: observed by the end of the channel, which it closes in no other way
+    /// before `Released`.
     pub fn predecessor_exited(&mut self, now: Duration) {
         match self.state {
             // Everything is here, and nobody else can serve it.
@@ -209,8 +212,9 @@
         }
     }
 
-    /// This process itself was notified to shut down. The predecessor learns of it before anybody else can: if this
-    /// process dies after a client has seen it drain, the predecessor drains as well.
+    /// This process itself was notified to shut down. The predecessor learns of it before anybody
+    /// else can: if this process dies after a client has seen it drain, the predecessor drains as
+    /// well.
     pub fn drain(&mut self, deadline: MonotonicSeconds) {
         if self.is_draining || !self.is_owner() {
             return;
--- a/crates/merlinshelf-handover/tests/flow.rs
+++ b/crates/merlinshelf-handover/tests/flow.rs
@@ -7,7 +7,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 2000, failure_persistence: None, rng_seed: RngSeed::Fixed(18), ..ProptestConfig::default() })]
 
-    /// However much a process had recorded, read and written when it died, record and kernel agree to the byte.
+    /// However much a process had recorded, read and written when it died, record and kernel agree
+    /// to the byte.
     #[test]
     fn records_are_reconciled_with_the_kernels_counts(
         received in 0u64..5000, read in 0u64..5000, recorded_ahead in 0u64..3000, is_closed_by_peer: bool,
--- a/crates/merlinshelf-handover/tests/golden.rs
+++ b/crates/merlinshelf-handover/tests/golden.rs
@@ -1,9 +1,10 @@
-//! What is transferred between an instance and its successor, compared with golden files: the transactions of an image
-//! with every kind of record, and the datagrams of the channel between the two processes.
+//! What is transferred between an instance and its successor, compared with golden files: the
+//! transactions of an image with every kind of record, and the datagrams of the channel between the
+//! two processes.
 //!
-//! Every field of a sample has a value of its own that is not its default, so that a field that is lost, swapped or
-//! renamed on the wire shows. The files hold bytes as programs in the field wrote them: where a test fails, the code is
-//! to be mended, not the file.
+//! Every field of a sample has a value of its own that is not its default, so that a field that is
+//! lost, swapped or renamed on the wire shows. The files hold bytes as programs in the field wrote
+//! them: where a test fails, the code is to be mended, not the file.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -375,7 +376,8 @@
     );
 }
 
-/// An image and the journal behind it: two transactions, the second of which removes a record of each kind.
+/// An image and the journal behind it: two transactions, the second of which removes a record of
+/// each kind.
 #[test]
 fn transactions_with_removals() {
     let keys = [
@@ -474,14 +476,15 @@
     );
 }
 
-/// The golden files are of this format version; one that supports another needs files of its own beside them.
+/// The golden files are of this format version; one that supports another needs files of its own
+/// beside them.
 #[test]
 fn format_of_the_golden_files_is_supported() {
     assert_eq!(SUPPORTED_FORMATS, [1]);
 }
 
-/// Golden files: `tests/golden/NAME.hex`, sixteen bytes a line, each line with its offset, the bytes in hexadecimal and
-/// the same bytes as text.
+/// Golden files: `tests/golden/NAME.hex`, sixteen bytes a line, each line with its offset, the
+/// bytes in hexadecimal and the same bytes as text.
 mod golden_file {
     use std::fmt::Write as _;
     use std::path::{Path, PathBuf};
@@ -524,8 +527,9 @@
             .collect()
     }
 
-    /// The bytes of a golden file, which must be there. With `GOLDEN_WRITE=1` in the environment a file that is missing
-    /// is written from `encoded`; one that is there is never changed, since bytes in the field don't change either.
+    /// The bytes of a golden file, which must be there. With `GOLDEN_WRITE=1` in the environment a
+    /// file that is missing is written from `encoded`; one that is there is never changed, since
+    /// bytes in the field don't change either.
     pub fn read(name: &str, encoded: &[u8]) -> Vec<u8> {
         let path = golden_path(name);
         if std::env::var_os("GOLDEN_WRITE").is_some_and(|value| value == "1") && !path.exists() {
@@ -549,7 +553,8 @@
         );
     }
 
-    /// Asserts that the golden bytes are decoded to exactly this value, and the value encoded to the golden bytes.
+    /// Asserts that the golden bytes are decoded to exactly this value, and the value encoded to
+    /// the golden bytes.
     pub fn assert_golden<T: std::fmt::Debug + PartialEq>(
         name: &str,
         value: &T,
--- a/crates/merlinshelf-handover/tests/handover.rs
+++ b/crates/merlinshelf-handover/tests/handover.rs
@@ -1,4 +1,5 @@
-//! The two state machines, as scripts with their traces: the events of one side, and the actions that it returns.
+//! The two state machines, as scripts with their traces: the events of one side, and the actions
+//! that it returns.
 
 use std::fmt::Write as _;
 use std::time::Duration;
--- a/crates/merlinshelf-handover/tests/random_walks.rs
+++ b/crates/merlinshelf-handover/tests/random_walks.rs
@@ -266,7 +266,8 @@
             (Event::Upgrade, Some(predecessor), _) => predecessor.start_upgrade(now, None),
             (Event::SuccessorDies, ..) => self.end_successor(None),
             (Event::SuccessorHangs, _, Some(_)) => self.is_successor_hanging = true,
-            // Only where the successor can continue: else its end is the end of the service, with or without upgrades.
+            // Only where the successor can continue: else its end is the end of the service, with
+            // or without upgrades.
             (Event::PredecessorDies, _, Some(successor))
                 if successor.is_owner() && !self.is_successor_hanging =>
             {
@@ -291,8 +292,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 2000, failure_persistence: None, rng_seed: RngSeed::Fixed(18), ..ProptestConfig::default() })]
 
-    /// There is one owner at any time; nobody serves for no longer than a takeover may take; every path ends with a
-    /// process that serves.
+    /// There is one owner at any time; nobody serves for no longer than a takeover may take; every
+    /// path ends with a process that serves.
     #[test]
     fn there_is_one_owner_after_any_events(script in proptest::collection::vec(event(), 1..60)) {
         let mut world = World::new();
