--- a/crates/merlinshelf-backend/src/control/connection.rs
+++ b/crates/merlinshelf-backend/src/control/connection.rs
@@ -39,6 +39,7 @@
 }
 
 impl Connection {
+    /// A connection that was just accepted.
     pub(super) fn new(stream: UnixStream, requests: UnboundedSender<PendingRequest>) -> Connection {
         Connection { stream, requests }
     }
--- a/crates/merlinshelf-backend/src/lib.rs
+++ b/crates/merlinshelf-backend/src/lib.rs
@@ -20,4 +20,6 @@
 mod startup_wait;
 mod upgrade;
 
-pub use process::{LoadError, RestoreError, ServeError, Start, check_config, serve};
+pub use process::{
+    InvalidSettings, LoadError, RestoreError, ServeError, Start, check_config, serve,
+};
--- a/crates/merlinshelf-backend/src/logger/line.rs
+++ b/crates/merlinshelf-backend/src/logger/line.rs
@@ -34,6 +34,7 @@
 }
 
 impl Line<'_> {
+    /// The line in this format, with its end.
     pub(super) fn format(&self, format: Format) -> String {
         match format {
             Format::Text => self.as_text(),
--- a/crates/merlinshelf-backend/src/process/control_requests.rs
+++ b/crates/merlinshelf-backend/src/process/control_requests.rs
@@ -13,6 +13,7 @@
 use crate::learning::Learning;
 
 impl Process {
+    /// Answers a request, at once or in the course of an upgrade.
     pub(super) fn handle_control_request(&mut self, request: PendingRequest) {
         match request {
             PendingRequest::Status(response) => {
--- a/crates/merlinshelf-backend/src/process/error.rs
+++ b/crates/merlinshelf-backend/src/process/error.rs
@@ -10,6 +10,14 @@
 use crate::instance::{FreezeError, IncompatibleImage};
 use crate::operator::OperatorFileError;
 
+/// Settings or a base policy that can't be used.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+#[error("{reason}")]
+pub struct InvalidSettings {
+    /// Which setting or field, and why.
+    pub reason: String,
+}
+
 /// Why the files that a process is started with can't be used.
 #[derive(Debug, Error)]
 pub enum LoadError {
@@ -17,11 +25,8 @@
     #[error(transparent)]
     Config(#[from] ConfigFileError),
     /// Its settings can't be used.
-    #[error("{reason}")]
-    Settings {
-        /// Which one, and why.
-        reason: String,
-    },
+    #[error(transparent)]
+    Settings(#[from] InvalidSettings),
     /// The operators' file can't be used.
     #[error(transparent)]
     Operator(#[from] OperatorFileError),
@@ -40,11 +45,8 @@
         path: PathBuf,
     },
     /// The base policy does not fit this instance.
-    #[error("{reason}")]
-    Policy {
-        /// Which field, and why.
-        reason: String,
-    },
+    #[error(transparent)]
+    Policy(#[from] InvalidSettings),
     /// A successor can't take over.
     #[error("{reason}")]
     Declined {
@@ -80,12 +82,9 @@
     /// The image does not fit the configuration.
     #[error(transparent)]
     IncompatibleImage(#[from] IncompatibleImage),
-    /// The configuration can't be used.
-    #[error("{reason}")]
-    Settings {
-        /// Which setting, and why.
-        reason: String,
-    },
+    /// The configuration or the base policy can't be used.
+    #[error(transparent)]
+    Settings(#[from] InvalidSettings),
     /// A system call failed.
     #[error(transparent)]
     Io(#[from] io::Error),
--- a/crates/merlinshelf-backend/src/process/events.rs
+++ b/crates/merlinshelf-backend/src/process/events.rs
@@ -102,6 +102,7 @@
         handover.chain(startup_wait).min()
     }
 
+    /// Handles one event; what follows from it is carried out by `carry_out_actions`.
     pub(super) async fn handle_event(&mut self, event: Event) -> Flow {
         match event {
             Event::DrainRequested => return self.request_drain(),
--- a/crates/merlinshelf-backend/src/process/mod.rs
+++ b/crates/merlinshelf-backend/src/process/mod.rs
@@ -40,7 +40,7 @@
 use queue::Queue;
 use successor_role::SuccessorRole;
 
-pub use error::{LoadError, RestoreError, ServeError};
+pub use error::{InvalidSettings, LoadError, RestoreError, ServeError};
 pub use start::{Start, VERSION, check_config, serve};
 
 /// A client that requested an upgrade has this long to read its result, when the process exits with
@@ -176,8 +176,7 @@
             return Err(ServeError::ControlSocketInUse { path });
         }
         let bound = server::Bound::to(self.config.listen)?;
-        self.enable_policy(&mut exchange)
-            .map_err(|reason| ServeError::Policy { reason })?;
+        self.enable_policy(&mut exchange)?;
         match &self.operator.policy {
             Some(policy) => {
                 let deadline = Instant::now() + Duration::from_millis(policy.wait_ms);
@@ -191,7 +190,7 @@
 
     /// Applies the installation's policy to the exchange, where the operators' file switches that
     /// on.
-    fn enable_policy(&self, exchange: &mut Exchange) -> Result<(), String> {
+    fn enable_policy(&self, exchange: &mut Exchange) -> Result<(), InvalidSettings> {
         let Some(policy) = &self.operator.policy else {
             return Ok(());
         };
@@ -199,7 +198,9 @@
             own: self.dependencies.clone(),
             routing: self.routing.clone(),
         };
-        exchange.hold_policy(policy, Box::new(overlay))
+        exchange
+            .hold_policy(policy, Box::new(overlay))
+            .map_err(|reason| InvalidSettings { reason })
     }
 
     /// Accepts the first clients.
--- a/crates/merlinshelf-backend/src/process/predecessor_role.rs
+++ b/crates/merlinshelf-backend/src/process/predecessor_role.rs
@@ -21,6 +21,7 @@
 
 /// What a process keeps towards a successor.
 pub(super) struct PredecessorRole {
+    /// Decides what is done.
     pub state: Predecessor,
     /// The successor, from its start to its end.
     pub guard: Option<SuccessorGuard>,
@@ -32,6 +33,7 @@
 }
 
 impl PredecessorRole {
+    /// No upgrade is in progress.
     pub(super) fn new(timeouts: StageTimeouts) -> PredecessorRole {
         PredecessorRole {
             state: Predecessor::new(timeouts),
@@ -95,6 +97,7 @@
 }
 
 impl Process {
+    /// Carries out one action, and reports its result to the state machine.
     pub(super) async fn carry_out_as_predecessor(
         &mut self,
         action: Action,
@@ -201,6 +204,7 @@
         }
     }
 
+    /// The process of the successor has ended. Messages that it had sent before are handled first.
     pub(super) fn successor_exited(&mut self) {
         let now = self.now();
         let role = &mut self.predecessor;
--- a/crates/merlinshelf-backend/src/process/queue.rs
+++ b/crates/merlinshelf-backend/src/process/queue.rs
@@ -11,6 +11,7 @@
 }
 
 impl<T> Queue<T> {
+    /// An empty queue.
     pub(super) fn new() -> Queue<T> {
         let (sender, receiver) = unbounded_channel();
         Queue { sender, receiver }
--- a/crates/merlinshelf-backend/src/process/restoration.rs
+++ b/crates/merlinshelf-backend/src/process/restoration.rs
@@ -11,7 +11,7 @@
 use tokio::time::Instant;
 
 use super::Process;
-use super::error::RestoreError;
+use super::error::{InvalidSettings, RestoreError};
 use super::start::load_config;
 use crate::exchange::{Exchange, Passed};
 use crate::instance::{RestoreSource, RestoredInstance};
@@ -106,9 +106,9 @@
             .ok_or(RestoreError::MissingListener)?;
         let listener = TcpListener::from(listener);
         listener.set_nonblocking(true)?;
-        let invalid = |reason| RestoreError::Settings { reason };
-        let mut exchange = Exchange::of(&self.config).map_err(invalid)?;
-        self.enable_policy(&mut exchange).map_err(invalid)?;
+        let mut exchange =
+            Exchange::of(&self.config).map_err(|reason| InvalidSettings { reason })?;
+        self.enable_policy(&mut exchange)?;
         match owner {
             ImageOwner::Predecessor => restore_policy(&mut exchange, source.image),
             // A lease that the failed successor had may be fenced by now: this process has none
--- a/crates/merlinshelf-backend/src/process/start.rs
+++ b/crates/merlinshelf-backend/src/process/start.rs
@@ -9,7 +9,7 @@
 use tokio::task::LocalSet;
 
 use super::Process;
-use super::error::{LoadError, ServeError};
+use super::error::{InvalidSettings, LoadError, ServeError};
 use crate::config::Config;
 use crate::exchange::Exchange;
 use crate::fault;
@@ -85,7 +85,7 @@
 /// used.
 pub(super) fn load_config(path: &Path) -> Result<(Config, Exchange), LoadError> {
     let config = Config::load(path)?;
-    let exchange = Exchange::of(&config).map_err(|reason| LoadError::Settings { reason })?;
+    let exchange = Exchange::of(&config).map_err(|reason| InvalidSettings { reason })?;
     Ok((config, exchange))
 }
 
--- a/crates/merlinshelf-backend/src/process/status.rs
+++ b/crates/merlinshelf-backend/src/process/status.rs
@@ -8,6 +8,7 @@
 use crate::learning::Learning;
 
 impl Process {
+    /// The report of this moment.
     pub(super) fn status(&self) -> Value {
         let usage = ResourceUsage::now();
         let instance = self.instance.as_ref();
--- a/crates/merlinshelf-backend/src/process/successor_role.rs
+++ b/crates/merlinshelf-backend/src/process/successor_role.rs
@@ -21,6 +21,7 @@
 
 /// What a process keeps towards its predecessor.
 pub(super) struct SuccessorRole {
+    /// Decides what is done.
     pub state: Successor,
     /// The process id of the predecessor.
     pub predecessor_id: u32,
@@ -33,6 +34,7 @@
 }
 
 impl SuccessorRole {
+    /// A process that was started with this end of a channel.
     pub(super) fn new(channel: OwnedFd, probation: Duration) -> io::Result<SuccessorRole> {
         Ok(SuccessorRole {
             state: Successor::new(probation, VERSION),
@@ -59,6 +61,7 @@
 }
 
 impl Process {
+    /// Carries out one action, and reports its result to the state machine.
     pub(super) async fn carry_out_as_successor(
         &mut self,
         action: Action,
@@ -124,6 +127,7 @@
         }
     }
 
+    /// A message of the predecessor, with the descriptors that it transfers.
     pub(super) fn handle_predecessor_message(&mut self, received: ReceivedMessage) {
         let now = self.now();
         let Some(role) = &mut self.successor else {
@@ -137,6 +141,7 @@
         role.state.handle_message(now, received.message);
     }
 
+    /// The channel to the predecessor has ended.
     pub(super) fn predecessor_exited(&mut self) {
         let now = self.now();
         if let Some(role) = &mut self.successor {
@@ -162,6 +167,7 @@
         let _ = opened.passed.send(());
     }
 
+    /// Drives the state machine, and records how the instance stands at each of its turns.
     pub(super) fn handle_successor_timeout(&mut self, now: Duration) {
         let Some(role) = &mut self.successor else {
             return;
--- a/crates/merlinshelf-handover/tests/image.rs
+++ b/crates/merlinshelf-handover/tests/image.rs
@@ -1,5 +1,6 @@
 //! Images and journals that are torn, corrupt or of a later version.
 
+use merlinshelf_handover::image::DecodeError;
 use merlinshelf_handover::records::{
     Answer, ClientConnectionRecord, Invocation, ResponseQueueRecord,
 };
@@ -92,3 +93,28 @@
         }
     );
 }
+
+#[test]
+fn a_corrupt_record_is_distinguished_from_missing_and_removed_ones() {
+    let corrupt = Key::ClientConnection(1);
+    let removed = Key::ClientConnection(2);
+    let missing = Key::ClientConnection(3);
+    let mut transaction = Transaction::default();
+    transaction.put(corrupt, &"no record of a connection");
+    transaction.put(removed, &ClientConnectionRecord::default());
+    transaction.remove(removed);
+    let bytes = transaction.take();
+    let mut image = Image::default();
+    assert_eq!(image.apply(&bytes), Ok(bytes.len()));
+    assert_eq!(image.keys().collect::<Vec<_>>(), [corrupt]);
+    let error = image.decode::<ClientConnectionRecord>(corrupt);
+    assert!(
+        matches!(&error, Err(DecodeError::InvalidRecord { key, .. }) if *key == corrupt),
+        "{error:?}"
+    );
+    assert_eq!(image.get::<ClientConnectionRecord>(corrupt), None);
+    for key in [removed, missing] {
+        assert_eq!(image.decode::<ClientConnectionRecord>(key), Ok(None));
+        assert_eq!(image.is_removed(key), key == removed);
+    }
+}
