--- a/crates/merlinshelf-backend/src/process/predecessor_role.rs
+++ b/crates/merlinshelf-backend/src/process/predecessor_role.rs
@@ -1,4 +1,5 @@
-//! The upgrade as predecessor: what is carried out towards a successor, and what is received from it.
+//! The upgrade as predecessor: what is carried out towards a successor, and what is received from
+//! it.
 
 use std::io;
 use std::path::PathBuf;
@@ -20,6 +21,7 @@
 
 /// What a process keeps towards a successor.
 pub(super) struct PredecessorRole {
+    /// Decides what is done.
     pub state: Predecessor,
     /// The successor, from its start to its end.
     pub guard: Option<SuccessorGuard>,
@@ -31,6 +33,7 @@
 }
 
 impl PredecessorRole {
+    /// No upgrade is in progress.
     pub(super) fn new(timeouts: StageTimeouts) -> PredecessorRole {
         PredecessorRole {
             state: Predecessor::new(timeouts),
@@ -94,6 +97,7 @@
 }
 
 impl Process {
+    /// Carries out one action, and reports its result to the state machine.
     pub(super) async fn carry_out_as_predecessor(
         &mut self,
         action: Action,
@@ -164,7 +168,8 @@
         Ok(())
     }
 
-    /// A message of the successor. Its journal is read first: what the message says may depend on it.
+    /// A message of the successor. Its journal is read first: what the message says may depend on
+    /// it.
     pub(super) fn handle_successor_message(&mut self, received: ReceivedMessage) {
         let now = self.now();
         let role = &mut self.predecessor;
@@ -184,7 +189,8 @@
         }
     }
 
-    /// The channel to the successor has ended. Mostly its process exits, which says more: its status.
+    /// The channel to the successor has ended. Mostly its process exits, which says more: its
+    /// status.
     pub(super) async fn successor_channel_ended(&mut self, error: &io::Error) {
         self.predecessor.is_channel_closed = true;
         let has_exited = match &self.predecessor.guard {
@@ -198,6 +204,7 @@
         }
     }
 
+    /// The process of the successor has ended. Messages that it had sent before are handled first.
     pub(super) fn successor_exited(&mut self) {
         let now = self.now();
         let role = &mut self.predecessor;
--- a/crates/merlinshelf-backend/src/process/restoration.rs
+++ b/crates/merlinshelf-backend/src/process/restoration.rs
@@ -1,4 +1,5 @@
-//! Restoring an instance: from the predecessor as successor, and from a failed successor as predecessor.
+//! Restoring an instance: from the predecessor as successor, and from a failed successor as
+//! predecessor.
 
 use std::fs::File;
 use std::io::{Read, Seek};
@@ -10,7 +11,7 @@
 use tokio::time::Instant;
 
 use super::Process;
-use super::error::RestoreError;
+use super::error::{InvalidSettings, RestoreError};
 use super::start::load_config;
 use crate::exchange::{Exchange, PassedDescriptors};
 use crate::instance::{RestoreSource, RestoredInstance};
@@ -52,10 +53,12 @@
         self.try_open_control();
         let elapsed_ms = started_at.elapsed().as_millis() as u64;
         info!(
-            connections = totals.client_connections, calls = totals.downstream_calls,
-            in_flight = totals.invocations, lost = lost, elapsed_ms = elapsed_ms;
-            "resumed within {elapsed_ms} ms: {} client connections, {} downstream calls, {} invocations in flight, {lost} connections lost",
-            totals.client_connections, totals.downstream_calls, totals.invocations
+            connections = totals.client_connections,
+            calls = totals.downstream_calls,
+            in_flight = totals.invocations,
+            lost = lost,
+            elapsed_ms = elapsed_ms;
+            "resumed within {elapsed_ms} ms: {totals}, {lost} connections lost"
         );
         Ok(())
     }
@@ -103,12 +106,13 @@
             .ok_or(RestoreError::MissingListener)?;
         let listener = TcpListener::from(listener);
         listener.set_nonblocking(true)?;
-        let invalid = |reason| RestoreError::Settings { reason };
-        let mut exchange = Exchange::from_config(&self.config).map_err(invalid)?;
-        self.enable_policy(&mut exchange).map_err(invalid)?;
+        let mut exchange =
+            Exchange::from_config(&self.config).map_err(|reason| InvalidSettings { reason })?;
+        self.enable_policy(&mut exchange)?;
         match owner {
             ImageOwner::Predecessor => restore_policy(&mut exchange, source.image),
-            // A lease that the failed successor had may be fenced by now: this process has none until its agent grants one.
+            // A lease that the failed successor had may be fenced by now: this process has none
+            // until its agent grants one.
             ImageOwner::Successor => exchange.stop_waiting_for_policy(),
         }
         let listener = server::listening(listener)?;
--- a/crates/merlinshelf-backend/src/process/start.rs
+++ b/crates/merlinshelf-backend/src/process/start.rs
@@ -9,7 +9,7 @@
 use tokio::task::LocalSet;
 
 use super::Process;
-use super::error::{LoadError, ServeError};
+use super::error::{InvalidSettings, LoadError, ServeError};
 use crate::config::Config;
 use crate::exchange::Exchange;
 use crate::fault;
@@ -37,7 +37,8 @@
     pub exchange: Exchange,
 }
 
-/// Serves until the process is notified to shut down, or until a successor owns everything. Returns the exit status.
+/// Serves until the process is notified to shut down, or until a successor owns everything. Returns
+/// the exit status.
 ///
 /// # Errors
 /// A file that can't be used, an address that is in use, or a successor that can't take over.
@@ -80,11 +81,11 @@
     })
 }
 
-/// Reads the configuration and makes an exchange of it, which shows that all its settings can be used.
+/// Reads the configuration and makes an exchange of it, which shows that all its settings can be
+/// used.
 pub(super) fn load_config(path: &Path) -> Result<(Config, Exchange), LoadError> {
     let config = Config::load(path)?;
-    let exchange =
-        Exchange::from_config(&config).map_err(|reason| LoadError::Settings { reason })?;
+    let exchange = Exchange::from_config(&config).map_err(|reason| InvalidSettings { reason })?;
     Ok((config, exchange))
 }
 
@@ -96,8 +97,8 @@
     load_config(path).map(|_| ())
 }
 
-/// Notifies the predecessor that this process can't take over. Where that fails, the predecessor observes the exit of
-/// this process instead.
+/// Notifies the predecessor that this process can't take over. Where that fails, the predecessor
+/// observes the exit of this process instead.
 async fn decline(predecessor: OwnedFd, reason: &str) {
     let Ok(channel) = Channel::new(predecessor) else {
         return;
--- a/crates/merlinshelf-backend/src/process/successor_role.rs
+++ b/crates/merlinshelf-backend/src/process/successor_role.rs
@@ -1,4 +1,5 @@
-//! The upgrade as successor: what is carried out towards the predecessor, and what is received from it.
+//! The upgrade as successor: what is carried out towards the predecessor, and what is received from
+//! it.
 
 use std::io;
 use std::os::fd::{AsFd, OwnedFd};
@@ -10,7 +11,7 @@
 
 use super::error::ServeError;
 use super::{Process, VERSION};
-use crate::exchange::{OpenedConnection, PassedDescriptors};
+use crate::exchange::{PassedDescriptors, OpenedConnection};
 use crate::fault;
 use crate::instance::RestoredInstance;
 use crate::upgrade::channel::{Channel, ReceivedMessage};
@@ -20,6 +21,7 @@
 
 /// What a process keeps towards its predecessor.
 pub(super) struct SuccessorRole {
+    /// Decides what is done.
     pub state: Successor,
     /// The process id of the predecessor.
     pub predecessor_id: u32,
@@ -32,6 +34,7 @@
 }
 
 impl SuccessorRole {
+    /// A process that was started with this end of a channel.
     pub(super) fn new(channel: OwnedFd, probation: Duration) -> io::Result<SuccessorRole> {
         Ok(SuccessorRole {
             state: Successor::new(probation, VERSION),
@@ -46,8 +49,8 @@
         match message {
             Message::Hello { .. } => fault::injection_point("successor.hello"),
             Message::Ready => fault::injection_point("successor.ready"),
-            Message::Restored => fault::injection_point("successor.taken"),
-            Message::Heartbeat => fault::injection_point("successor.beat"),
+            Message::Restored => fault::injection_point("successor.restored"),
+            Message::Heartbeat => fault::injection_point("successor.heartbeat"),
             _ => {}
         }
         if let Some(channel) = &self.channel {
@@ -58,6 +61,7 @@
 }
 
 impl Process {
+    /// Carries out one action, and reports its result to the state machine.
     pub(super) async fn carry_out_as_successor(
         &mut self,
         action: Action,
@@ -94,7 +98,7 @@
     }
 
     fn activate(&mut self) {
-        fault::injection_point("successor.serve");
+        fault::injection_point("successor.activate");
         let restored = self
             .successor
             .as_mut()
@@ -102,9 +106,10 @@
         if let Some(restored) = restored {
             let totals = restored.totals();
             info!(
-                connections = totals.client_connections, calls = totals.downstream_calls, in_flight = totals.invocations;
-                "{} resumed from its predecessor: {} client connections, {} downstream calls, {} invocations in flight",
-                self.config.name, totals.client_connections, totals.downstream_calls, totals.invocations
+                connections = totals.client_connections,
+                calls = totals.downstream_calls,
+                in_flight = totals.invocations;
+                "{} resumed from its predecessor: {totals}", self.config.name
             );
             self.instance = Some(self.run_instance(restored));
             self.start_gossip();
@@ -122,19 +127,21 @@
         }
     }
 
+    /// A message of the predecessor, with the descriptors that it transfers.
     pub(super) fn handle_predecessor_message(&mut self, received: ReceivedMessage) {
         let now = self.now();
         let Some(role) = &mut self.successor else {
             return;
         };
         if let Message::Descriptors { roles } = &received.message {
-            fault::injection_point("successor.pass");
+            fault::injection_point("successor.descriptors");
             let roles = roles.iter().copied();
             role.received.extend(roles.zip(received.descriptors));
         }
         role.state.handle_message(now, received.message);
     }
 
+    /// The channel to the predecessor has ended.
     pub(super) fn predecessor_exited(&mut self) {
         let now = self.now();
         if let Some(role) = &mut self.successor {
@@ -143,8 +150,9 @@
         }
     }
 
-    /// Sends a copy of a connection that the instance has opened. The instance waits for that before a byte passes on it:
-    /// else the predecessor could not recover the connection if this process died in between.
+    /// Sends a copy of a connection that the instance has opened. The instance waits for that
+    /// before a byte passes on it: else the predecessor could not recover the connection if this
+    /// process died in between.
     pub(super) async fn send_opened_connection(&self, opened: OpenedConnection) {
         let channel = self
             .successor
@@ -159,6 +167,7 @@
         let _ = opened.passed.send(());
     }
 
+    /// Drives the state machine, and records how the instance stands at each of its turns.
     pub(super) fn handle_successor_timeout(&mut self, now: Duration) {
         let Some(role) = &mut self.successor else {
             return;
@@ -174,7 +183,10 @@
         exchange.write_instance_to_journal();
         let unread_bytes = exchange.unread_journal_bytes();
         if unread_bytes > MAX_UNREAD_JOURNAL_BYTES {
-            warn!(unread_bytes = unread_bytes; "predecessor does not read the journal; continuing without it");
+            warn!(
+                unread_bytes = unread_bytes;
+                "predecessor does not read the journal; continuing without it"
+            );
             role.state.detach();
         }
     }
