--- a/crates/merlinshelf-agent/src/council.rs
+++ b/crates/merlinshelf-agent/src/council.rs
@@ -115,12 +115,12 @@
                 Vec::new()
             }
             Some(bytes) => match recover(&bytes) {
-                Ok((records, used)) => {
-                    if used < bytes.len() || used == 0 {
+                Ok(log) => {
+                    if log.used_bytes < bytes.len() || log.used_bytes == 0 {
                         // What is torn must not stand in the midst of what is written behind it.
-                        write(&mut disk, &records).map_err(|error| error.to_string())?;
+                        write(&mut disk, &log.records).map_err(|error| error.to_string())?;
                     }
-                    records
+                    log.records
                 }
                 Err(why) => {
                     error!(
@@ -143,7 +143,8 @@
             self.ticket,
             (self.ticket >> 33) as usize,
             &kept,
-        )?;
+        )
+        .map_err(|error| error.to_string())?;
         self.ledger = ReplicatedState::default();
         self.came.push(Came::Decided(None));
         let (work, todo) = channel();
@@ -268,17 +269,17 @@
                     self.keeping = true;
                     let _ = work.send(Work::Anew(records));
                 }
-                Action::Send(to, word) => {
-                    self.came.push(Came::Send(to, word));
+                Action::Send { to, message } => {
+                    self.came.push(Came::Send(to, message));
                 }
-                Action::Apply(index, data) => match rmp_serde::from_slice(&data) {
+                Action::Apply { index, data } => match rmp_serde::from_slice(&data) {
                     Ok(entry) => {
                         let news = self.ledger.apply(entry);
                         self.came.extend(news.map(|news| Came::Decided(Some(news))));
                     }
                     Err(error) => error!("entry {index} is of a later version: {error}"),
                 },
-                Action::Restore(index, state) => {
+                Action::Restore { index, state } => {
                     self.ledger = if state.is_empty() {
                         ReplicatedState::default()
                     } else {
@@ -289,9 +290,10 @@
                     };
                     self.came.push(Came::Decided(None));
                 }
-                Action::LeadershipConfirmed(number) => {
-                    self.came.push(Came::Confirmed(number));
+                Action::LeadershipConfirmed { request_id } => {
+                    self.came.push(Came::Confirmed(request_id));
                 }
+                Action::ReportDecodeError(error) => error!("{error}; it is skipped"),
             }
         }
     }
--- a/crates/merlinshelf-agent/tests/golden.rs
+++ b/crates/merlinshelf-agent/tests/golden.rs
@@ -15,7 +15,9 @@
 use std::path::Path;
 use std::time::Duration;
 
-use merlinshelf_consensus::{Action, Message, Record as LogRecord, Replica, recover};
+use merlinshelf_consensus::{
+    Action, Message, Record as LogRecord, Replica, SlotIncarnation, recover,
+};
 use merlinshelf_fleet::Record;
 use merlinshelf_fleet::record::InstanceRecord;
 use merlinshelf_gossip::store_format::{framed, unframed};
@@ -183,7 +185,10 @@
     };
     let hello = Message::Hello {
         boot_id: 0xD1D1_D1D1_D1D1_D111,
-        slot: Some((41, 42)),
+        slot: Some(SlotIncarnation {
+            slot: 41,
+            incarnation: 42,
+        }),
     };
     let samples = [
         ("message of the log", PeerMessage::Council(hello)),
@@ -554,8 +559,8 @@
     );
     let (members, restored) = peers.run_until("a snapshot in the agent's own log", |_| {
         let bytes = std::fs::read(folder.path(LOG_FILE)).expect("the agent's log");
-        let (records, _) = recover(&bytes).expect("a log file");
-        restored_from(&records).filter(|(members, _)| members.len() == 4)
+        let log = recover(&bytes).expect("a log file");
+        restored_from(&log.records).filter(|(members, _)| members.len() == 4)
     });
     assert_eq!(members, ["a", "b", "c", "d"]);
     assert_eq!(restored, state);
@@ -565,7 +570,7 @@
 fn restored_from(records: &[LogRecord]) -> Option<(Vec<String>, Vec<u8>)> {
     let mut replica = Replica::start("c", &Default::default(), 1, 0, records).ok()?;
     let state = std::iter::from_fn(|| replica.poll_action()).find_map(|step| match step {
-        Action::Restore(_, state) => Some(state),
+        Action::Restore { state, .. } => Some(state),
         _ => None,
     })?;
     let members = replica
--- a/crates/merlinshelf-agent/tests/support/peers.rs
+++ b/crates/merlinshelf-agent/tests/support/peers.rs
@@ -208,11 +208,12 @@
                     match step {
                         Action::Append(records) => replica.disk.extend(records),
                         Action::ReplaceLog(records) => replica.disk = records,
-                        Action::Send(to, message) => sent.push((name.clone(), to, message)),
-                        Action::Apply(_, entry) => {
+                        Action::Send { to, message } => sent.push((name.clone(), to, message)),
+                        Action::Apply { data: entry, .. } => {
                             self.applied.entry(name.clone()).or_default().push(entry)
                         }
-                        Action::Restore(..) | Action::LeadershipConfirmed(_) => {}
+                        Action::Restore { .. } | Action::LeadershipConfirmed { .. } => {}
+                        Action::ReportDecodeError(error) => panic!("{name}: {error}"),
                     }
                 }
             }
--- a/crates/merlinshelf-consensus/src/lib.rs
+++ b/crates/merlinshelf-consensus/src/lib.rs
@@ -1,18 +1,32 @@
-//! The agents' common log. Over `raft`, which brings elections and replication without input or output, this adds who sits in
-//! the council, how one is founded, and who may not vote: a member whose disk is gone, or older than what it promised, does
-//! not take up its seat again. It asks for a new one (docs/policy.md).
+//! The consensus group of an installation's agents: a replicated log.
 //!
-//! A [`Replica`] is fed with ticks and words and asked for [`Action`]s; these are carried out in order, and none after one that
-//! could not be.
+//! The `raft` crate brings leader election and log replication without input or output. This
+//! package adds the bootstrap of an installation, membership changes, and the verification of a
+//! restarted replica: one whose disk was lost, or was set back to an older state than the replica
+//! has acknowledged, does not vote again. It joins under a new slot instead (docs/policy.md).
+//!
+//! A [`Replica`] is fed clock ticks and messages and is polled for [`Action`]s. The host carries
+//! these out in order; when one fails, none of the later ones may be carried out.
+//!
+//! Sources: D. Ongaro, J. Ousterhout, "In Search of an Understandable Consensus Algorithm" (Raft),
+//! and D. Ongaro's thesis "Consensus: Bridging Theory and Practice" (pre-vote: 9.6, check-quorum:
+//! 6.2, read index: 6.4, membership changes: 4).
 
+mod action;
+mod encoding;
 mod log_storage;
-mod messages;
+mod membership;
+mod message;
 mod record;
 mod replica;
 
-pub use messages::{BootstrapState, Member, Membership, Message, PeerProgress};
-pub use record::{FILE_HEADER, Record, recover};
-pub use replica::{Action, Replica, ReplicaStatus};
+pub use action::Action;
+pub use encoding::DecodeError;
+pub use membership::{Member, Membership};
+pub use message::{BootstrapState, Message, PeerProgress, SlotIncarnation};
+pub use record::{FILE_HEADER, LogFileError, Record, RecoveredLog, recover};
+pub use replica::{Replica, ReplicaStatus, StartError};
 
-/// Between two ticks, in milliseconds. A leader is heard of every second one, and is given up after ten to twenty.
+/// Time between two ticks, in milliseconds. A leader sends heartbeats every second tick; its
+/// followers start an election after 10 to 20 ticks without one.
 pub const TICK_MS: u64 = 50;
--- a/crates/merlinshelf-consensus/src/log_storage.rs
+++ b/crates/merlinshelf-consensus/src/log_storage.rs
@@ -1,110 +1,133 @@
-//! The log in memory, in the form that `raft` reads: a snapshot, the entries behind it, and what was promised.
+//! The log in memory, in the form that `raft` reads: a snapshot, the entries after it, and raft's
+//! persistent state.
 
 use protobuf::Message as _;
 use raft::prelude::{ConfState, Entry, HardState, Snapshot};
 use raft::{Error, GetEntriesContext, RaftState, Result, Storage, StorageError};
 use serde_bytes::ByteBuf;
 
+use crate::encoding::{DecodeError, encode_protobuf};
 use crate::record::Record;
 
+/// Snapshot, entries and persistent state of one replica.
 #[derive(Clone, Default)]
-pub struct LogStorage {
-    pub hard: HardState,
-    pub conf: ConfState,
+pub(crate) struct LogStorage {
+    pub hard_state: HardState,
+    /// The voters as of the last applied membership change.
+    pub conf_state: ConfState,
     /// Its index is the last one that is not among the entries.
     pub snapshot: Snapshot,
     entries: Vec<Entry>,
 }
 
 impl LogStorage {
-    pub fn base(&self) -> u64 {
+    /// The index of the snapshot: entries begin behind it.
+    pub fn snapshot_index(&self) -> u64 {
         self.snapshot.get_metadata().index
     }
 
-    pub fn last(&self) -> u64 {
-        self.base() + self.entries.len() as u64
+    /// The index of the last entry, or of the snapshot where there is none.
+    pub fn last_index(&self) -> u64 {
+        self.snapshot_index() + self.entries.len() as u64
     }
 
-    /// Puts entries behind those before them; from the first one's number on, others are gone.
+    /// Appends entries. Each replaces the stored ones from its own index on (Raft paper, 5.3).
     pub fn append(&mut self, entries: &[Entry]) {
         for entry in entries {
-            if entry.index <= self.base() {
+            if entry.index <= self.snapshot_index() {
                 continue;
             }
-            let place = (entry.index - self.base() - 1) as usize;
-            self.entries.truncate(place);
-            if place == self.entries.len() {
+            let position = self.position(entry.index);
+            self.entries.truncate(position);
+            if position == self.entries.len() {
                 self.entries.push(entry.clone());
             }
         }
     }
 
-    /// Takes a snapshot in the place of all up to its point.
-    pub fn put(&mut self, snapshot: Snapshot) {
-        let index = snapshot.get_metadata().index;
-        let keeps = self
-            .term(index)
-            .is_ok_and(|term| term == snapshot.get_metadata().term)
-            && index >= self.base();
-        let drop = (index.saturating_sub(self.base()) as usize).min(self.entries.len());
-        if keeps {
-            self.entries.drain(..drop);
+    /// Replaces everything up to the snapshot's index by the snapshot. Later entries stay where
+    /// they continue the snapshot's history (Raft paper, section 7).
+    pub fn install_snapshot(&mut self, snapshot: Snapshot) {
+        let metadata = snapshot.get_metadata();
+        let index = metadata.index;
+        let is_same_history = self.term(index).is_ok_and(|term| term == metadata.term);
+        if is_same_history && index >= self.snapshot_index() {
+            let included = index.saturating_sub(self.snapshot_index()) as usize;
+            self.entries.drain(..included.min(self.entries.len()));
         } else {
             self.entries.clear();
         }
-        self.hard.commit = self.hard.commit.max(index);
-        self.hard.term = self.hard.term.max(snapshot.get_metadata().term);
-        self.conf = snapshot.get_metadata().get_conf_state().clone();
+        self.hard_state.commit = self.hard_state.commit.max(index);
+        self.hard_state.term = self.hard_state.term.max(metadata.term);
+        self.conf_state = metadata.get_conf_state().clone();
         self.snapshot = snapshot;
     }
 
-    pub fn take(&mut self, record: &Record) {
+    /// Takes one record of the log file, in the file's order. Records of slots are not the log's.
+    ///
+    /// # Errors
+    /// The record can't be decoded; nothing was changed.
+    pub fn load_record(&mut self, record: &Record) -> std::result::Result<(), DecodeError> {
         match record {
             Record::Entry(bytes) => {
-                if let Ok(entry) = Entry::parse_from_bytes(bytes) {
-                    self.append(&[entry]);
-                }
+                let entry = Entry::parse_from_bytes(bytes).map_err(|error| DecodeError::Entry {
+                    reason: error.to_string(),
+                })?;
+                self.append(&[entry]);
             }
             Record::Snapshot(bytes) => {
-                if let Ok(snapshot) = Snapshot::parse_from_bytes(bytes) {
-                    self.put(snapshot);
-                }
+                let snapshot =
+                    Snapshot::parse_from_bytes(bytes).map_err(|error| DecodeError::Snapshot {
+                        reason: error.to_string(),
+                    })?;
+                self.install_snapshot(snapshot);
             }
             Record::HardState { term, vote, commit } => {
-                (self.hard.term, self.hard.vote, self.hard.commit) = (*term, *vote, *commit);
+                self.hard_state.term = *term;
+                self.hard_state.vote = *vote;
+                self.hard_state.commit = *commit;
             }
             Record::VoterSlot { .. } | Record::PeerSlot { .. } => {}
         }
+        Ok(())
     }
 
-    /// All of it, for a new file.
-    pub fn records(&self) -> Vec<Record> {
+    /// All of it as records, for a new log file.
+    pub fn to_records(&self) -> Vec<Record> {
         let mut records = vec![snapshot_record(&self.snapshot)];
         records.extend(self.entries.iter().map(entry_record));
-        records.push(hard_record(&self.hard));
+        records.push(hard_state_record(&self.hard_state));
         records
     }
+
+    /// Where an entry of this index stands among the entries; the index lies behind the snapshot.
+    fn position(&self, index: u64) -> usize {
+        (index - self.snapshot_index() - 1) as usize
+    }
 }
 
-pub fn snapshot_record(snapshot: &Snapshot) -> Record {
-    Record::Snapshot(ByteBuf::from(snapshot.write_to_bytes().unwrap_or_default()))
+pub(crate) fn snapshot_record(snapshot: &Snapshot) -> Record {
+    Record::Snapshot(ByteBuf::from(encode_protobuf(snapshot)))
 }
 
-pub fn entry_record(entry: &Entry) -> Record {
-    Record::Entry(ByteBuf::from(entry.write_to_bytes().unwrap_or_default()))
+pub(crate) fn entry_record(entry: &Entry) -> Record {
+    Record::Entry(ByteBuf::from(encode_protobuf(entry)))
 }
 
-pub fn hard_record(hard: &HardState) -> Record {
+pub(crate) fn hard_state_record(hard_state: &HardState) -> Record {
     Record::HardState {
-        term: hard.term,
-        vote: hard.vote,
-        commit: hard.commit,
+        term: hard_state.term,
+        vote: hard_state.vote,
+        commit: hard_state.commit,
     }
 }
 
 impl Storage for LogStorage {
     fn initial_state(&self) -> Result<RaftState> {
-        Ok(RaftState::new(self.hard.clone(), self.conf.clone()))
+        Ok(RaftState::new(
+            self.hard_state.clone(),
+            self.conf_state.clone(),
+        ))
     }
 
     fn entries(
@@ -114,41 +137,40 @@
         max_size: impl Into<Option<u64>>,
         _: GetEntriesContext,
     ) -> Result<Vec<Entry>> {
-        if low <= self.base() {
+        if low <= self.snapshot_index() {
             return Err(Error::Store(StorageError::Compacted));
         }
-        if high > self.last() + 1 {
+        if high > LogStorage::last_index(self) + 1 {
             return Err(Error::Store(StorageError::Unavailable));
         }
-        let from = (low - self.base() - 1) as usize;
-        let mut some = self.entries[from..(high - self.base() - 1) as usize].to_vec();
-        raft::util::limit_size(&mut some, max_size.into());
-        Ok(some)
+        let mut entries = self.entries[self.position(low)..self.position(high)].to_vec();
+        raft::util::limit_size(&mut entries, max_size.into());
+        Ok(entries)
     }
 
     fn term(&self, index: u64) -> Result<u64> {
-        if index == self.base() {
+        if index == self.snapshot_index() {
             return Ok(self.snapshot.get_metadata().term);
         }
-        if index < self.base() {
+        if index < self.snapshot_index() {
             return Err(Error::Store(StorageError::Compacted));
         }
-        let entry = self.entries.get((index - self.base() - 1) as usize);
-        entry
+        self.entries
+            .get(self.position(index))
             .map(|entry| entry.term)
             .ok_or(Error::Store(StorageError::Unavailable))
     }
 
     fn first_index(&self) -> Result<u64> {
-        Ok(self.base() + 1)
+        Ok(self.snapshot_index() + 1)
     }
 
     fn last_index(&self) -> Result<u64> {
-        Ok(self.last())
+        Ok(LogStorage::last_index(self))
     }
 
     fn snapshot(&self, request_index: u64, _: u64) -> Result<Snapshot> {
-        if self.base() < request_index {
+        if self.snapshot_index() < request_index {
             return Err(Error::Store(StorageError::SnapshotTemporarilyUnavailable));
         }
         Ok(self.snapshot.clone())
--- a/crates/merlinshelf-consensus/src/record.rs
+++ b/crates/merlinshelf-consensus/src/record.rs
@@ -1,86 +1,162 @@
-//! What must outlive a member, as records of a file: each is its length, the CRC-32 of what follows, and so many bytes of
-//! MessagePack, as in the store of what is known. What is torn at the end was never acted on.
+//! The log file: a header, then records. A record is its length (u32, little endian), the CRC-32 of
+//! its bytes (u32), and that many bytes of MessagePack with fields by position; names of variants
+//! are stored, so that they stay.
+//!
+//! The observation store of `merlinshelf-gossip` frames its records alike, but encodes fields by
+//! name, and treats a record of an impossible length as damage where this file treats it as an
+//! unfinished write. Neither package depends on the other, and a package for the dozen lines that
+//! they have in common would cost more than it saves.
 
 use serde::{Deserialize, Serialize};
 use serde_bytes::ByteBuf;
 
-/// The head of a file and its form.
+use crate::encoding::encode_messagepack;
+
+/// First bytes of a log file: its magic number and the version of the form.
 pub const FILE_HEADER: &[u8; 8] = b"MSC1\x01\0\0\0";
-/// An entry holds a document at the most; a snapshot a few of them and a history.
-const LENGTH_MOST: usize = 16 * 1024 * 1024;
+/// Longest record that is read. An entry holds one policy document at most; a snapshot a few of
+/// them and a history.
+const MAX_RECORD_BYTES: usize = 16 * 1024 * 1024;
+/// Length and checksum before each record.
+const FRAME_HEADER_BYTES: usize = 8;
 
+/// One record of the log file.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Record {
-    /// The seat and which life of it begins.
+    /// The replica's own slot, written at each start.
     #[serde(rename = "Seat")]
     VoterSlot {
+        /// Number of the slot.
         id: u64,
+        /// The incarnation that starts.
         #[serde(rename = "life")]
         incarnation: u64,
     },
-    /// The latest life of another's seat, and the ticket of the process that lived it: the same life twice is one too many.
+    /// The latest known incarnation of another replica. Two processes with the same incarnation
+    /// show that a disk was copied or set back.
     #[serde(rename = "Met")]
     PeerSlot {
+        /// Number of the slot.
         id: u64,
+        /// Its latest incarnation.
         #[serde(rename = "life")]
         incarnation: u64,
+        /// The boot id of the process with this incarnation.
         #[serde(rename = "ticket")]
         boot_id: u64,
     },
+    /// Raft's persistent state (Raft paper, figure 2).
     #[serde(rename = "Hard")]
-    HardState { term: u64, vote: u64, commit: u64 },
-    /// An entry of the log; one with the same or a lower number takes the place of all from there on.
+    HardState {
+        /// The current term.
+        term: u64,
+        /// The slot that the vote of this term was given to; 0 for none.
+        vote: u64,
+        /// The highest index known to be committed.
+        commit: u64,
+    },
+    /// An entry of the log in raft's encoding. It replaces all entries from its index on.
     Entry(ByteBuf),
-    /// Everything up to a point, in place of the entries.
+    /// A snapshot in raft's encoding. It replaces the entries that it includes.
     Snapshot(ByteBuf),
 }
 
 impl Record {
+    /// The record with its length and checksum, as it stands in the file.
     pub fn encode_frame(&self) -> Vec<u8> {
-        let bytes = rmp_serde::to_vec(self).unwrap_or_default();
-        let mut out = (bytes.len() as u32).to_le_bytes().to_vec();
-        out.extend(crc32fast::hash(&bytes).to_le_bytes());
-        out.extend(bytes);
-        out
+        let payload = encode_messagepack(self);
+        let mut frame = (payload.len() as u32).to_le_bytes().to_vec();
+        frame.extend(crc32fast::hash(&payload).to_le_bytes());
+        frame.extend(payload);
+        frame
     }
 }
 
-/// The records of a file as far as they can be read, and how many bytes these are. What is there is of another program
-/// where no head is.
+/// Why a log file can't be used.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum LogFileError {
+    /// The header is not that of this form.
+    #[error("it is of another program or of a later form")]
+    UnknownHeader,
+    /// A record before the last one is damaged. What followed it was acknowledged and may be lost.
+    #[error("a record in its midst is not what was written")]
+    CorruptRecord {
+        /// Where the record begins, in bytes from the start of the file.
+        offset_bytes: usize,
+    },
+}
+
+/// What could be read of a log file.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct RecoveredLog {
+    /// The complete records in their order.
+    pub records: Vec<Record>,
+    /// How many bytes these are with the header. Bytes behind them are of an unfinished write,
+    /// which was never acknowledged.
+    pub used_bytes: usize,
+}
+
+/// Reads a log file. An incomplete record at the end is left out.
 ///
 /// # Errors
-/// The file is of another program or of a later form, or a record in its midst is not what was written: what came behind it
-/// was promised, and can't be told.
-pub fn recover(bytes: &[u8]) -> Result<(Vec<Record>, usize), &'static str> {
+/// [`LogFileError`]: the file has another header, or a record before its last one is damaged.
+pub fn recover(bytes: &[u8]) -> Result<RecoveredLog, LogFileError> {
     if bytes.len() < FILE_HEADER.len() && FILE_HEADER.starts_with(bytes) {
-        return Ok((Vec::new(), 0));
+        return Ok(RecoveredLog::default());
     }
-    let mut used = FILE_HEADER.len();
     if !bytes.starts_with(FILE_HEADER) {
-        return Err("it is of another program or of a later form");
+        return Err(LogFileError::UnknownHeader);
     }
-    let mut records = Vec::new();
-    let number = |at: usize| {
-        bytes
-            .get(at..at + 4)
-            .and_then(|four| four.try_into().ok())
-            .map(u32::from_le_bytes)
+    let mut log = RecoveredLog {
+        records: Vec::new(),
+        used_bytes: FILE_HEADER.len(),
     };
-    while let (Some(length), Some(sum)) = (number(used), number(used + 4)) {
-        let length = length as usize;
-        let Some(record) = bytes
-            .get(used + 8..used + 8 + length)
-            .filter(|_| length <= LENGTH_MOST)
-        else {
-            break;
-        };
-        match rmp_serde::from_slice(record) {
-            Ok(read) if crc32fast::hash(record) == sum => records.push(read),
-            // The last one may have been under way when its writer died.
-            _ if used + 8 + length >= bytes.len() => break,
-            _ => return Err("a record in its midst is not what was written"),
+    while let Some(frame) = Frame::split_from(&bytes[log.used_bytes..]) {
+        let end = log.used_bytes + FRAME_HEADER_BYTES + frame.payload.len();
+        match frame.decode() {
+            Some(record) => log.records.push(record),
+            // The process may have died while the last record was being written.
+            None if end >= bytes.len() => break,
+            None => {
+                return Err(LogFileError::CorruptRecord {
+                    offset_bytes: log.used_bytes,
+                });
+            }
+        }
+        log.used_bytes = end;
+    }
+    Ok(log)
+}
+
+/// A record's bytes and the checksum stored before them.
+struct Frame<'a> {
+    checksum: u32,
+    payload: &'a [u8],
+}
+
+impl<'a> Frame<'a> {
+    /// The frame at the start of these bytes; none where they end within it or its length is
+    /// impossible.
+    fn split_from(bytes: &'a [u8]) -> Option<Frame<'a>> {
+        let length = read_u32(bytes, 0)? as usize;
+        let checksum = read_u32(bytes, 4)?;
+        if length > MAX_RECORD_BYTES {
+            return None;
         }
-        used += 8 + length;
+        let payload = bytes.get(FRAME_HEADER_BYTES..FRAME_HEADER_BYTES + length)?;
+        Some(Frame { checksum, payload })
     }
-    Ok((records, used))
+
+    /// The record; none where it is damaged.
+    fn decode(&self) -> Option<Record> {
+        if crc32fast::hash(self.payload) != self.checksum {
+            return None;
+        }
+        rmp_serde::from_slice(self.payload).ok()
+    }
+}
+
+fn read_u32(bytes: &[u8], offset: usize) -> Option<u32> {
+    let four = bytes.get(offset..offset + 4)?;
+    four.try_into().ok().map(u32::from_le_bytes)
 }
--- a/crates/merlinshelf-consensus/tests/golden.rs
+++ b/crates/merlinshelf-consensus/tests/golden.rs
@@ -1,9 +1,11 @@
-//! Golden files of what this package stores and sends: the log file, the payload of a snapshot, the context of a membership change
-//! and the messages between agents. Each golden file decodes to the expected values, and these encode to the same bytes, so that
-//! two versions of the program read each other's files and messages.
+//! Golden files of what this package stores and sends: the log file, the payload of a snapshot, the
+//! context of a membership change and the messages between agents. Each golden file decodes to the
+//! expected values, and these encode to the same bytes, so that two versions of the program read
+//! each other's files and messages.
 //!
-//! The files lie in `tests/golden`. `GOLDEN_WRITE=1 cargo test -p merlinshelf-consensus --test golden` writes them from the code as it
-//! stands: for a new form alone, since a changed file is a broken upgrade.
+//! The files lie in `tests/golden`. `GOLDEN_WRITE=1 cargo test -p merlinshelf-consensus --test
+//! golden` writes them from the code as it stands: for a new form alone, since a changed file is a
+//! broken upgrade.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::{Debug, Write as _};
@@ -11,13 +13,14 @@
 
 use merlinshelf_consensus::{
     Action, BootstrapState, FILE_HEADER, Member, Membership, Message, PeerProgress, Record,
-    Replica, recover,
+    Replica, SlotIncarnation, recover,
 };
 use protobuf::Message as _;
 use raft::prelude::{ConfChange, ConfChangeType, ConfState, Entry, EntryType, Snapshot};
 use serde_bytes::ByteBuf;
 
-/// One value of a form: what the code makes of it today, and what a decoder must read from the golden bytes.
+/// One value of a form: what the code makes of it today, and what a decoder must read from the
+/// golden bytes.
 struct Sample<T> {
     label: &'static str,
     value: T,
@@ -63,7 +66,7 @@
     if std::env::var("GOLDEN_WRITE").is_ok_and(|value| value == "1") {
         let sections = samples
             .iter()
-            .map(|of| format!("# {}\n{}", of.label, hex_dump(&of.encoded)));
+            .map(|sample| format!("# {}\n{}", sample.label, hex_dump(&sample.encoded)));
         let text = sections.collect::<Vec<_>>().join("\n");
         std::fs::write(&path, text).expect("the golden file can be written");
     }
@@ -75,7 +78,7 @@
         .map(|section| section.split_once('\n').expect("a label and a dump"))
         .collect();
     let labels: Vec<&str> = sections.iter().map(|(label, _)| *label).collect();
-    let expected: Vec<&str> = samples.iter().map(|of| of.label).collect();
+    let expected: Vec<&str> = samples.iter().map(|sample| sample.label).collect();
     assert_eq!(labels, expected, "samples of {file}");
     for (sample, (label, dump)) in samples.iter().zip(sections) {
         assert_eq!(
@@ -119,34 +122,37 @@
         encoded,
     }];
     check_form("log_file.hex", &samples, |bytes| {
-        let (records, used) = recover(bytes).expect("a log file");
-        assert_eq!(used, bytes.len());
-        records
+        let log = recover(bytes).expect("a log file");
+        assert_eq!(log.used_bytes, bytes.len());
+        log.records
     });
 }
 
-#[test]
-fn messages_between_agents() {
-    let known = PeerProgress {
+/// Each kind of message with its label.
+fn labelled_messages() -> [(&'static str, Message); 6] {
+    let progress = PeerProgress {
         incarnation: Some(31),
         term: 32,
         index: 0x3300_0000_0033,
         replaced: true,
         leader: Some(34),
     };
-    let welcome = |state, own, known, seat| Message::Welcome {
+    let welcome = |state, responder_slot, progress, reserved_slot| Message::Welcome {
         boot_id: 0xE1E1_E1E1_E1E1_E121,
         state,
-        responder_slot: own,
-        progress: known,
-        reserved_slot: seat,
+        responder_slot,
+        progress,
+        reserved_slot,
     };
-    let samples = [
+    [
         (
             "hello with a seat",
             Message::Hello {
                 boot_id: 0xD1D1_D1D1_D1D1_D111,
-                slot: Some((41, 42)),
+                slot: Some(SlotIncarnation {
+                    slot: 41,
+                    incarnation: 42,
+                }),
             },
         ),
         (
@@ -158,7 +164,7 @@
         ),
         (
             "welcome of a seated agent",
-            welcome(BootstrapState::Established, Some(22), known, Some(23)),
+            welcome(BootstrapState::Established, Some(22), progress, Some(23)),
         ),
         (
             "welcome of an empty agent",
@@ -180,9 +186,13 @@
             "raft message",
             Message::Raft(ByteBuf::from(b"a message of raft".to_vec())),
         ),
-    ];
+    ]
+}
+
+#[test]
+fn messages_between_agents() {
     // As `merlinshelf-agent` sends them, inside its own envelope.
-    let samples = samples.map(|(label, value)| {
+    let samples = labelled_messages().map(|(label, value)| {
         let encoded = rmp_serde::to_vec_named(&value).expect("a message can be encoded");
         Sample {
             label,
@@ -196,12 +206,12 @@
 }
 
 const APPLICATION_STATE: &[u8] = b"state of the application";
-const TICKET_OF_B: u64 = 0xB0B0_B0B0_B0B0_B0B2;
-const TICKET_OF_C: u64 = 0xC0C0_C0C0_C0C0_C0C3;
+const BOOT_ID_OF_B: u64 = 0xB0B0_B0B0_B0B0_B0B2;
+const BOOT_ID_OF_C: u64 = 0xC0C0_C0C0_C0C0_C0C3;
 
-/// A replica whose steps are carried out in memory.
+/// A replica whose actions are carried out in memory.
 struct TestReplica {
-    council: Replica,
+    replica: Replica,
     /// What is on its disk now.
     disk: Vec<Record>,
     /// All that was ever put there.
@@ -210,26 +220,26 @@
 }
 
 impl TestReplica {
-    fn begin(name: &str, agents: &[&str], ticket: u64, disk: Vec<Record>) -> TestReplica {
+    fn start(name: &str, agents: &[&str], boot_id: u64, disk: Vec<Record>) -> TestReplica {
         let agents: BTreeSet<String> = agents.iter().map(|name| (*name).to_owned()).collect();
-        let council =
-            Replica::start(name, &agents, ticket, 0, &disk).expect("the disk can be used");
+        let replica =
+            Replica::start(name, &agents, boot_id, 0, &disk).expect("the disk can be used");
         TestReplica {
-            council,
+            replica,
             disk,
             written: Vec::new(),
             restored: None,
         }
     }
 
-    /// Carries out all steps; what is to be sent, and to whom.
+    /// Carries out all actions; returns what is to be sent, and to whom.
     fn carry_out(&mut self) -> Vec<(String, Message)> {
         let mut sent = Vec::new();
         loop {
-            if self.council.needs_compaction() {
-                self.council.compact(APPLICATION_STATE.to_vec());
+            if self.replica.needs_compaction() {
+                self.replica.compact(APPLICATION_STATE.to_vec());
             }
-            match self.council.poll_action() {
+            match self.replica.poll_action() {
                 None => return sent,
                 Some(Action::Append(records)) => {
                     self.written.extend(records.clone());
@@ -239,9 +249,10 @@
                     self.written.extend(records.clone());
                     self.disk = records;
                 }
-                Some(Action::Send(to, word)) => sent.push((to, word)),
-                Some(Action::Restore(index, state)) => self.restored = Some((index, state)),
-                Some(Action::Apply(..) | Action::LeadershipConfirmed(_)) => {}
+                Some(Action::Send { to, message }) => sent.push((to, message)),
+                Some(Action::Restore { index, state }) => self.restored = Some((index, state)),
+                Some(Action::Apply { .. } | Action::LeadershipConfirmed { .. }) => {}
+                Some(Action::ReportDecodeError(error)) => panic!("{error}"),
             }
         }
     }
@@ -271,7 +282,8 @@
     }
 }
 
-/// Ticks the replicas and passes their messages on until something holds; messages to others are lost.
+/// Ticks the replicas and passes their messages on until something holds; messages to others are
+/// lost.
 fn run_until(
     replicas: &mut BTreeMap<&str, TestReplica>,
     what: &str,
@@ -283,12 +295,12 @@
         }
         replicas
             .values_mut()
-            .for_each(|replica| replica.council.tick());
+            .for_each(|replica| replica.replica.tick());
         loop {
             let carry_out = |(name, replica): (&&str, &mut TestReplica)| {
                 let sent = replica.carry_out();
                 sent.into_iter()
-                    .map(|(to, word)| (name.to_string(), to, word))
+                    .map(|(to, message)| (name.to_string(), to, message))
                     .collect::<Vec<_>>()
             };
             let sent: Vec<(String, String, Message)> =
@@ -296,9 +308,9 @@
             if sent.is_empty() {
                 break;
             }
-            for (from, to, word) in sent {
+            for (from, to, message) in sent {
                 if let Some(receiver) = replicas.get_mut(to.as_str()) {
-                    receiver.council.handle_message(&from, word);
+                    receiver.replica.handle_message(&from, message);
                 }
             }
         }
@@ -308,9 +320,9 @@
 
 /// What a replica alone in its installation has on its disk.
 fn bootstrapped_alone() -> TestReplica {
-    let mut replicas = BTreeMap::from([("a", TestReplica::begin("a", &["a"], 0xA1, Vec::new()))]);
+    let mut replicas = BTreeMap::from([("a", TestReplica::start("a", &["a"], 0xA1, Vec::new()))]);
     run_until(&mut replicas, "a leader", |replicas| {
-        replicas["a"].council.leading_term().is_some()
+        replicas["a"].replica.leading_term().is_some()
     });
     replicas.remove("a").expect("it runs")
 }
@@ -320,29 +332,29 @@
     let alone = bootstrapped_alone();
     let agents = ["a", "b", "c"];
     let mut replicas = BTreeMap::from([
-        ("a", TestReplica::begin("a", &agents, 0xA2, alone.disk)),
+        ("a", TestReplica::start("a", &agents, 0xA2, alone.disk)),
         (
             "b",
-            TestReplica::begin("b", &agents, TICKET_OF_B, Vec::new()),
+            TestReplica::start("b", &agents, BOOT_ID_OF_B, Vec::new()),
         ),
     ]);
     let member_counts = |replicas: &BTreeMap<&str, TestReplica>| {
         replicas
             .values()
-            .map(|replica| replica.council.membership().members.len())
+            .map(|replica| replica.replica.membership().members.len())
             .collect::<Vec<_>>()
     };
     run_until(&mut replicas, "two members", |replicas| {
         member_counts(replicas) == [2, 2]
     });
     let hello = Message::Hello {
-        boot_id: TICKET_OF_C,
+        boot_id: BOOT_ID_OF_C,
         slot: None,
     };
     replicas
         .get_mut("a")
         .expect("it runs")
-        .council
+        .replica
         .handle_message("c", hello);
     run_until(&mut replicas, "three members", |replicas| {
         member_counts(replicas) == [3, 3]
@@ -350,21 +362,21 @@
     replicas
         .get_mut("a")
         .expect("it runs")
-        .council
+        .replica
         .remove_member("c");
     run_until(&mut replicas, "two members again", |replicas| {
         member_counts(replicas) == [2, 2]
     });
     let mut leader = replicas.remove("a").expect("it runs");
-    leader.council.compact(APPLICATION_STATE.to_vec());
+    leader.replica.compact(APPLICATION_STATE.to_vec());
     leader.carry_out();
     leader
 }
 
-fn member(name: &str, ticket: u64) -> Member {
+fn member(name: &str, boot_id: u64) -> Member {
     Member {
         name: name.into(),
-        boot_id: ticket,
+        boot_id,
     }
 }
 
@@ -373,7 +385,8 @@
     let mut snapshot = Snapshot::default();
     snapshot.set_data(payload.to_vec().into());
     let metadata = snapshot.mut_metadata();
-    (metadata.index, metadata.term) = (index, 1);
+    metadata.index = index;
+    metadata.term = 1;
     metadata.set_conf_state(ConfState {
         voters: voters.to_vec(),
         ..ConfState::default()
@@ -394,7 +407,7 @@
         highest_slot: 1,
     };
     let changed = Membership {
-        members: BTreeMap::from([(1, member("a", 0)), (2, member("b", TICKET_OF_B))]),
+        members: BTreeMap::from([(1, member("a", 0)), (2, member("b", BOOT_ID_OF_B))]),
         highest_slot: 3,
     };
     let samples = [
@@ -423,11 +436,11 @@
                 commit: index,
             },
         ];
-        let mut replica = TestReplica::begin("a", &["a", "b"], 0xA3, disk);
+        let mut replica = TestReplica::start("a", &["a", "b"], 0xA3, disk);
         replica.carry_out();
         let (restored_index, state) = replica.restored.expect("a restored state");
         assert_eq!(restored_index, index);
-        (replica.council.membership().clone(), state)
+        (replica.replica.membership().clone(), state)
     });
 }
 
@@ -438,12 +451,12 @@
     let samples = [
         Sample {
             label: "b joins",
-            value: member("b", TICKET_OF_B),
+            value: member("b", BOOT_ID_OF_B),
             encoded: first,
         },
         Sample {
             label: "c joins",
-            value: member("c", TICKET_OF_C),
+            value: member("c", BOOT_ID_OF_C),
             encoded: second,
         },
     ];
@@ -482,10 +495,10 @@
                 commit: 2,
             },
         ];
-        let mut replicas = BTreeMap::from([("a", TestReplica::begin("a", &["a"], 0xA4, disk))]);
+        let mut replicas = BTreeMap::from([("a", TestReplica::start("a", &["a"], 0xA4, disk))]);
         run_until(&mut replicas, "a second member", |replicas| {
-            replicas["a"].council.membership().members.len() == 2
+            replicas["a"].replica.membership().members.len() == 2
         });
-        replicas["a"].council.membership().members[&2].clone()
+        replicas["a"].replica.membership().members[&2].clone()
     });
 }
--- a/crates/merlinshelf-testbed/src/experiments/policy_size.rs
+++ b/crates/merlinshelf-testbed/src/experiments/policy_size.rs
@@ -220,10 +220,10 @@
                             agent.keeping = true;
                             out.push(Message::Persisted(place));
                         }
-                        Action::Send(to, word) => {
-                            out.push(Message::Consensus(place, number(&to), word))
+                        Action::Send { to, message } => {
+                            out.push(Message::Consensus(place, number(&to), message))
                         }
-                        Action::Apply(_, data) => {
+                        Action::Apply { data, .. } => {
                             if let Ok(entry) = rmp_serde::from_slice(&data)
                                 && let Some(news) = agent.ledger.apply(entry)
                             {
@@ -233,10 +233,10 @@
                                 }
                             }
                         }
-                        Action::Restore(..) => {}
-                        Action::LeadershipConfirmed(number) => {
+                        Action::Restore { .. } | Action::ReportDecodeError(_) => {}
+                        Action::LeadershipConfirmed { request_id } => {
                             if let Some((conductor, _)) = &mut agent.conductor {
-                                conductor.leadership_confirmed(now, number, &agent.ledger);
+                                conductor.leadership_confirmed(now, request_id, &agent.ledger);
                             }
                         }
                     }
