--- /dev/null
+++ b/crates/merlinshelf-agent/src/agent/fleet_report.rs
@@ -0,0 +1,107 @@
+//! Instances and plans as JSON, for the replies of the control socket. Keys and texts are part of
+//! its interface.
+
+use std::collections::BTreeMap;
+
+use merlinshelf_fleet::plan::{Plan, Stage};
+use merlinshelf_fleet::{Fleet, Instance};
+use serde_json::{Value, json};
+
+/// Instances in one reply.
+const INSTANCES_PER_PAGE: usize = 100;
+/// What the rate of served invocations is measured over, in seconds.
+const RATE_WINDOW_SECONDS: f64 = 10.0;
+
+/// Some instances in pages, and a summary of all.
+pub(super) struct StatusReport {
+    pub pages: Vec<Value>,
+    pub summary: Value,
+}
+
+/// The status of the named instances.
+pub(super) fn status_report(fleet: &Fleet, now: f64, names: &[String]) -> StatusReport {
+    let instances: Vec<Value> = names
+        .iter()
+        .filter_map(|name| fleet.get(name))
+        .map(|instance| instance_report(now, instance))
+        .collect();
+    let pages = instances
+        .chunks(INSTANCES_PER_PAGE)
+        .map(|page| json!({ "instances": page }))
+        .collect();
+    let summary = fleet_summary(fleet, now);
+    StatusReport { pages, summary }
+}
+
+fn fleet_summary(fleet: &Fleet, now: f64) -> Value {
+    let mut states = BTreeMap::<&str, u32>::new();
+    for instance in fleet.instances() {
+        *states.entry(instance.state.name()).or_default() += 1;
+    }
+    let mut plan = fleet.plan().map(plan_report);
+    if let Some(fields) = plan.as_mut().and_then(Value::as_object_mut) {
+        fields.remove("targets");
+    }
+    let (serving, total) = fleet.capacity(now);
+    let capacity_percent = serving / total.max(1e-9) * 100.0;
+    json!({
+        "states": states,
+        "capacity": round_to_tenth(capacity_percent),
+        "plan": plan,
+    })
+}
+
+/// One instance.
+pub(super) fn instance_report(now: f64, instance: &Instance) -> Value {
+    let report = instance.report.as_ref();
+    json!({
+        "name": instance.name,
+        "group": instance.group,
+        "state": instance.state.name(),
+        "since_s": round_to_tenth(now - instance.since),
+        "process": instance.identity.as_ref().map(|identity| identity.pid),
+        "down": instance.down,
+        "in_hand": report.map(|report| report.in_hand),
+        "served_per_s": round_to_tenth(instance.rate(now, RATE_WINDOW_SECONDS)),
+        "run_ms": report.and_then(|report| report.run_ms).map(round_to_tenth),
+        "memory_kb": report.map(|report| report.memory_kb),
+        "program": instance.program,
+        "crashes": instance.crashes.in_a_row,
+    })
+}
+
+/// A plan with all its targets.
+pub(super) fn plan_report(plan: &Plan) -> Value {
+    let (done, total) = plan.progress();
+    let targets: Vec<Value> = plan
+        .targets
+        .iter()
+        .map(|target| json!({ "name": target.name, "stage": stage_text(&target.stage) }))
+        .collect();
+    json!({
+        "plan": plan.number,
+        "kind": plan.kind.name(),
+        "state": plan.state.text(),
+        "over": plan.state.is_over(),
+        "done": done,
+        "of": total,
+        "at_once": plan.at_once,
+        "targets": targets,
+    })
+}
+
+fn stage_text(stage: &Stage) -> String {
+    match stage {
+        Stage::Todo => "to do".to_owned(),
+        Stage::Under { .. } => "under way".to_owned(),
+        Stage::Looking { .. } => "looked at".to_owned(),
+        Stage::Done { .. } => "done".to_owned(),
+        Stage::Back => "put back".to_owned(),
+        Stage::Left(reason) => format!("left: {reason}"),
+    }
+}
+
+/// A number with one decimal place.
+pub(super) fn round_to_tenth(number: f64) -> f64 {
+    (number * 10.0).round() / 10.0
+}
--- /dev/null
+++ b/crates/merlinshelf-agent/src/agent/recovery.rs
@@ -0,0 +1,106 @@
+//! Finding the process of an instance: after a restart of the agent, after the exit of a process
+//! that may have handed over, and where somebody listens on the control socket of an instance that
+//! is to be started.
+
+use std::time::Duration;
+
+use merlinshelf_fleet::Identity;
+use tokio::task::spawn_local;
+use tokio::time::{Instant, sleep};
+
+use super::health_checks::request_report;
+use super::{Agent, AgentEvent};
+use crate::instance_files::InstancePaths;
+use crate::process;
+
+/// A successor whose predecessor was killed in the handover opens its control socket within a
+/// fraction of this.
+const SEARCH_TIMEOUT: Duration = Duration::from_millis(600);
+const SEARCH_INTERVAL: Duration = Duration::from_millis(50);
+
+/// Why an instance's process is looked for.
+#[derive(Debug)]
+pub(super) enum SearchReason {
+    /// The known process has exited; with its status, where it is known.
+    ProcessExited {
+        identity: Identity,
+        status: Option<i32>,
+        /// In an upgrade the socket may be opened a moment later.
+        is_upgrading: bool,
+    },
+    /// Somebody listens on the control socket of an instance that is to be started.
+    SocketTaken,
+}
+
+impl SearchReason {
+    fn exited_process(&self) -> Identity {
+        match self {
+            SearchReason::ProcessExited { identity, .. } => identity.clone(),
+            SearchReason::SocketTaken => Identity::default(),
+        }
+    }
+
+    fn timeout(&self) -> Duration {
+        match self {
+            SearchReason::ProcessExited {
+                is_upgrading: true, ..
+            } => SEARCH_TIMEOUT,
+            _ => Duration::ZERO,
+        }
+    }
+}
+
+impl Agent {
+    /// Finds the process of an earlier agent's instance: the known one, or its successor, which
+    /// answers on the control socket.
+    pub(super) async fn adopt(&mut self, name: &str, known: Identity) {
+        let now = self.now();
+        if self.supervise(name, &known) {
+            return self.fleet.found(now, name, known);
+        }
+        let control = self.paths(name).control;
+        let Some(report) = request_report(&control).await else {
+            return;
+        };
+        if report.predecessor == Some(known.pid) && self.supervise(name, &report.identity) {
+            self.fleet.found(now, name, report.identity);
+        }
+    }
+
+    /// Looks for a process that serves in place of the one that has exited, from a task of its own.
+    ///
+    /// A process that exits during an upgrade may have handed over, and a successor that exits may
+    /// have been taken back from: whoever names the exited process as its predecessor, or was
+    /// started with the instance's own files, is the instance.
+    pub(super) fn search_process(&self, name: String, reason: SearchReason) {
+        let events = self.event_sender.clone();
+        let paths = self.paths(&name);
+        spawn_local(async move {
+            let _ = events.send(search(name, &paths, reason).await);
+        });
+    }
+}
+
+async fn search(name: String, paths: &InstancePaths, reason: SearchReason) -> AgentEvent {
+    let exited = reason.exited_process();
+    let deadline = Instant::now() + reason.timeout();
+    loop {
+        let report = request_report(&paths.control)
+            .await
+            .filter(|report| report.identity != exited);
+        if let Some(report) = report {
+            if report.predecessor == Some(exited.pid) {
+                let report = Box::new(report);
+                return AgentEvent::HealthChecked { name, report };
+            }
+            if process::was_started_with(&report.identity, &paths.config) {
+                let identity = report.identity;
+                return AgentEvent::ProcessFound { name, identity };
+            }
+        }
+        if Instant::now() >= deadline {
+            return AgentEvent::ProcessNotFound { name, reason };
+        }
+        sleep(SEARCH_INTERVAL).await;
+    }
+}
--- /dev/null
+++ b/crates/merlinshelf-agent/src/fleet_file.rs
@@ -0,0 +1,163 @@
+//! The fleet's file as operators write it: reading, and checking it against the host.
+
+use std::fs::File;
+use std::io::{self, Read};
+use std::path::{Path, PathBuf};
+
+use merlinshelf_backend::operator::read_as;
+use merlinshelf_fleet::capacity::{self, CapacityError};
+use merlinshelf_fleet::{FleetSpec, Group};
+use serde_json::Value;
+
+/// Longest file that is read: the fleet's file has a few pages.
+const MAX_FILE_BYTES: u64 = 1024 * 1024;
+/// Time for a graceful shutdown where no group's configuration says more.
+const MIN_STOP_MILLISECONDS: f64 = 1000.0;
+
+/// Why the fleet's file can't be used.
+#[derive(Debug, thiserror::Error)]
+pub enum FleetFileError {
+    /// The file can't be read.
+    #[error("{}: {source}", file.display())]
+    Read {
+        /// The fleet's file.
+        file: PathBuf,
+        /// What the system reports.
+        source: io::Error,
+    },
+    /// The text is no valid fleet specification.
+    #[error("{}:{reason}", file.display())]
+    Invalid {
+        /// The fleet's file.
+        file: PathBuf,
+        /// Line, column and field.
+        reason: String,
+    },
+    /// The agent's folder has no absolute path.
+    #[error("{}: folder: {source}", file.display())]
+    Folder {
+        /// The fleet's file.
+        file: PathBuf,
+        /// What the system reports.
+        source: io::Error,
+    },
+    /// A file that a group names does not exist.
+    #[error("{}: groups.{group}.{field}: {}: {source}", file.display(), path.display())]
+    GroupPath {
+        /// The fleet's file.
+        file: PathBuf,
+        /// Name of the group.
+        group: String,
+        /// The group's field.
+        field: &'static str,
+        /// The path as it is written there.
+        path: PathBuf,
+        /// What the system reports.
+        source: io::Error,
+    },
+    /// A group's configuration can't be used by instances.
+    #[error("{}: groups.{group}.config: {reason}", file.display())]
+    GroupConfig {
+        /// The fleet's file.
+        file: PathBuf,
+        /// Name of the group.
+        group: String,
+        /// What is wrong with the configuration.
+        reason: String,
+    },
+    /// The instances do not fit the host.
+    #[error("{}: {error}", file.display())]
+    Capacity {
+        /// The fleet's file.
+        file: PathBuf,
+        /// What does not fit.
+        error: CapacityError,
+    },
+}
+
+/// Reads the fleet's file and checks it: the instances fit the host, and each group's program and
+/// configuration exist.
+///
+/// # Errors
+/// [`FleetFileError`], with the file, and the line and field where there is one.
+pub fn load(path: &Path) -> Result<FleetSpec, FleetFileError> {
+    let file = || path.to_path_buf();
+    let text = read_limited(path).map_err(|source| FleetFileError::Read {
+        file: file(),
+        source,
+    })?;
+    let mut spec: FleetSpec = read_as(&text).map_err(|reason| FleetFileError::Invalid {
+        file: file(),
+        reason,
+    })?;
+    let base = path.parent().unwrap_or(Path::new("."));
+    spec.folder =
+        std::path::absolute(base.join(&spec.folder)).map_err(|source| FleetFileError::Folder {
+            file: file(),
+            source,
+        })?;
+    for (name, group) in &mut spec.groups {
+        resolve_group(path, base, name, group)?;
+    }
+    capacity::check(&spec).map_err(|error| FleetFileError::Capacity {
+        file: file(),
+        error,
+    })?;
+    Ok(spec)
+}
+
+fn read_limited(path: &Path) -> io::Result<String> {
+    let mut text = String::new();
+    File::open(path)?
+        .take(MAX_FILE_BYTES)
+        .read_to_string(&mut text)?;
+    Ok(text)
+}
+
+/// Makes the group's paths absolute and checks its configuration.
+fn resolve_group(
+    file: &Path,
+    base: &Path,
+    name: &str,
+    group: &mut Group,
+) -> Result<(), FleetFileError> {
+    let resolve = |field: &'static str, path: &Path| {
+        std::fs::canonicalize(base.join(path)).map_err(|source| FleetFileError::GroupPath {
+            file: file.to_path_buf(),
+            group: name.to_owned(),
+            field,
+            path: path.to_path_buf(),
+            source,
+        })
+    };
+    group.program = resolve("program", &group.program)?;
+    group.config = resolve("config", &group.config)?;
+    merlinshelf_backend::check_config(&group.config).map_err(|reason| FleetFileError::GroupConfig {
+        file: file.to_path_buf(),
+        group: name.to_owned(),
+        reason,
+    })
+}
+
+/// The longest time that an instance of any group may take for a graceful shutdown.
+pub(crate) fn shutdown_timeout_seconds(spec: &FleetSpec) -> f64 {
+    let milliseconds = spec
+        .groups
+        .values()
+        .filter_map(stop_milliseconds)
+        .fold(MIN_STOP_MILLISECONDS, f64::max);
+    milliseconds / 1e3
+}
+
+/// None where the configuration was changed since it was checked; instances then say what is wrong
+/// with it.
+fn stop_milliseconds(group: &Group) -> Option<f64> {
+    let text = std::fs::read_to_string(&group.config).ok()?;
+    let config: Value = serde_json::from_str(&text).ok()?;
+    config["stop_ms"].as_f64()
+}
+
+/// The agent's own control socket.
+pub(crate) fn agent_socket(spec: &FleetSpec) -> PathBuf {
+    spec.folder.join("agent")
+}
--- a/crates/merlinshelf-agent/src/policy/mod.rs
+++ b/crates/merlinshelf-agent/src/policy/mod.rs
@@ -1,445 +1,423 @@
-//! The policy for all, as this agent has its part in it: what its state machines want is carried out, and what operators ask is
-//! put to whoever leads.
+//! This agent's part in the installation's policy: it hosts the state machines of
+//! `merlinshelf-policy` and `merlinshelf-quota`, carries out what they ask for, and forwards what
+//! operators request to the leader.
+//!
+//! `leadership` is driven while this agent leads, `heartbeats` reach the instances, `quota` shares
+//! the fleet's budgets out, `operator_requests` and `pending_requests` serve the control socket.
 
-mod asked;
-mod budgets;
+mod heartbeats;
+mod leadership;
+mod operator_requests;
+mod pending_requests;
+mod quota;
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
-use std::time::Duration;
 
 use log::{info, warn};
 use merlinshelf_backend::fault;
 use merlinshelf_fleet::fleet_spec::ConsensusConfig;
 use merlinshelf_policy::replicated_state::{ChangeOutcome, ReplicatedEvent};
-use merlinshelf_policy::rollout_leader::{Action, ServiceWatch};
-use merlinshelf_policy::{
-    Bootstrap, Entry, HostLeaseManager, HostLeaseResponse, InstanceStatus, RolloutLeader,
-};
-use merlinshelf_protocol::control::{ControlMessage, ControlRequest};
+use merlinshelf_policy::{Bootstrap, Entry, HostLeaseManager, HostLeaseResponse};
 use serde_json::{Value, json};
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
-use tokio::task::spawn_local;
 
-use self::asked::{Parting, Pending};
-use self::budgets::Budgeting;
-use crate::council::{Came, Kept, Seat};
-use crate::links::{Links, Peer};
-use crate::talk::Talk;
+use self::heartbeats::{HeartbeatResult, ServiceCounts};
+use self::leadership::Leadership;
+use self::pending_requests::{PendingChange, PendingRemoval};
+use self::quota::HostQuota;
+use crate::consensus_log::WriteResult;
+use crate::consensus_node::{ConsensusNode, NodeOutput};
+use crate::peer_transport::{PeerMessage, PeerTransport, ReceivedMessage};
 
-/// A beat is given up after so long; an instance that is well answers in a fraction of it.
-const BEAT_WITHIN: Duration = Duration::from_millis(400);
-/// A round while a dependency fails for all or comes back, seconds: an outage ends sooner by what is heard sooner of its end.
-const HURRY_EVERY: f64 = 0.1;
-/// Between two words to the other agents about how the instances stand, seconds.
-const STANDING_EVERY: f64 = 1.0;
+/// Time between two lease requests while a dependency is unhealthy, in seconds: its recovery is
+/// found sooner.
+const UNHEALTHY_REQUEST_INTERVAL_SECONDS: f64 = 0.1;
+/// Time between two reports of this host's status to the other agents, in seconds.
+const STATUS_INTERVAL_SECONDS: f64 = 1.0;
+/// Most rounds of the state machines for one event. Each may cause another one, until nothing
+/// changes any more.
+const MAX_ROUNDS: usize = 64;
+/// The clock's rate, for tests of clocks that drift.
+const CLOCK_RATE_VARIABLE: &str = "MERLINSHELF_CLOCK_RATE";
 
-/// What happens beside the loop.
-pub enum Happened {
-    Peer(String, Peer),
-    Beat(String, Result<InstanceStatus, Option<String>>),
-    Kept(Kept),
+/// What happens outside of the state machines.
+pub(crate) enum PolicyEvent {
+    MessageReceived(ReceivedMessage),
+    HeartbeatAnswered(HeartbeatResult),
+    LogWritten(WriteResult),
 }
 
-pub struct PolicyAgent {
-    of: ConsensusConfig,
-    founding: Bootstrap,
-    seat: Seat,
-    links: Links,
-    warden: HostLeaseManager,
-    conductor: Option<(RolloutLeader, u64)>,
-    budgeting: Budgeting,
-    hurried: f64,
-    pending: Vec<Pending>,
-    parting: Vec<Parting>,
-    /// How the instances of other agents stand, and when that was heard.
-    standings: BTreeMap<String, (f64, Value)>,
-    told_standing: f64,
-    ticked: f64,
+/// The status of another agent's host.
+pub(crate) struct PeerStatus {
+    /// Seconds of the policy's clock.
+    received_at: f64,
+    status: Value,
+}
+
+/// A [`PeerStatus`] for a report.
+pub(crate) struct PeerStatusReport<'a> {
+    pub agent: &'a str,
+    pub age_seconds: f64,
+    pub status: &'a Value,
+}
+
+/// This agent's part in the policy. Times are seconds of the agent's monotonic clock.
+pub(crate) struct PolicyAgent {
+    config: ConsensusConfig,
+    /// What this agent's file says of the parameters that are agreed once.
+    bootstrap: Bootstrap,
+    node: ConsensusNode,
+    transport: PeerTransport,
+    lease_manager: HostLeaseManager,
+    /// Exists while this agent leads.
+    leadership: Option<Leadership>,
+    quota: HostQuota,
+    unhealthy_request_at: f64,
+    pending_changes: Vec<PendingChange>,
+    pending_removals: Vec<PendingRemoval>,
+    peer_statuses: BTreeMap<String, PeerStatus>,
+    status_sent_at: f64,
+    ticked_at: f64,
     clock_rate: f64,
-    last_counts: BTreeMap<String, (u64, u64)>,
-    complained: Option<Bootstrap>,
-    pub happened: (UnboundedSender<Happened>, UnboundedReceiver<Happened>),
-    peers: UnboundedReceiver<(String, Peer)>,
-    kept: UnboundedReceiver<Kept>,
+    service_counts: BTreeMap<String, ServiceCounts>,
+    /// The agreed parameters that the file's difference from was logged.
+    logged_difference: Option<Bootstrap>,
+    heartbeat_sender: UnboundedSender<HeartbeatResult>,
+    heartbeat_results: UnboundedReceiver<HeartbeatResult>,
+    messages: UnboundedReceiver<ReceivedMessage>,
+    write_results: UnboundedReceiver<WriteResult>,
 }
 
 impl PolicyAgent {
+    /// Listens for other agents; the replica starts with the first [`PolicyAgent::advance`].
+    ///
     /// # Errors
-    /// The address for other agents can't be had.
-    pub async fn begin(
-        of: &ConsensusConfig,
+    /// The address for other agents can't be listened on.
+    pub async fn open(
+        config: &ConsensusConfig,
         folder: &Path,
-        life: u64,
+        incarnation: u64,
     ) -> std::io::Result<PolicyAgent> {
-        let (heard, peers) = unbounded_channel();
-        let links = Links::open(&of.name, &of.listen, &of.agents, heard).await?;
-        let (tell, kept) = unbounded_channel();
-        let base = of.base.fingerprint();
-        // Clocks that run apart are played by one that does.
-        let rate = std::env::var("MERLINSHELF_CLOCK_RATE")
-            .ok()
-            .and_then(|text| text.parse().ok());
+        let (message_sender, messages) = unbounded_channel();
+        let (write_sender, write_results) = unbounded_channel();
+        let (heartbeat_sender, heartbeat_results) = unbounded_channel();
+        let transport =
+            PeerTransport::open(&config.name, &config.listen, &config.agents, message_sender)
+                .await?;
+        let bootstrap = Bootstrap {
+            lease_ms: config.lease_ms,
+            base_fingerprint: config.base.fingerprint(),
+        };
+        let node = ConsensusNode::new(
+            &config.name,
+            &config.agents,
+            folder,
+            incarnation,
+            write_sender,
+        );
+        let lease_manager = HostLeaseManager::new(
+            &config.name,
+            incarnation,
+            bootstrap.base_fingerprint,
+            config.drift,
+        );
         Ok(PolicyAgent {
-            founding: Bootstrap {
-                lease_ms: of.lease_ms,
-                base_fingerprint: base,
-            },
-            seat: Seat::new(&of.name, &of.agents, folder, life, tell),
-            links,
-            warden: HostLeaseManager::new(&of.name, life, base, of.drift),
-            conductor: None,
-            budgeting: Budgeting::new(of, life),
-            hurried: 0.0,
-            pending: Vec::new(),
-            parting: Vec::new(),
-            standings: BTreeMap::new(),
-            told_standing: 0.0,
-            ticked: 0.0,
-            clock_rate: rate.filter(|rate| (0.9..1.1).contains(rate)).unwrap_or(1.0),
-            last_counts: BTreeMap::new(),
-            complained: None,
-            happened: unbounded_channel(),
-            peers,
-            kept,
-            of: of.clone(),
+            bootstrap,
+            node,
+            transport,
+            lease_manager,
+            leadership: None,
+            quota: HostQuota::new(config, incarnation),
+            unhealthy_request_at: 0.0,
+            pending_changes: Vec::new(),
+            pending_removals: Vec::new(),
+            peer_statuses: BTreeMap::new(),
+            status_sent_at: 0.0,
+            ticked_at: 0.0,
+            clock_rate: clock_rate(),
+            service_counts: BTreeMap::new(),
+            logged_difference: None,
+            heartbeat_sender,
+            heartbeat_results,
+            messages,
+            write_results,
+            config: config.clone(),
         })
     }
 
-    /// Whatever happens next here.
-    pub async fn next(&mut self) -> Happened {
+    /// Waits for the next event.
+    pub async fn next_event(&mut self) -> PolicyEvent {
         tokio::select! {
-            Some((from, peer)) = self.peers.recv() => Happened::Peer(from, peer),
-            Some(kept) = self.kept.recv() => Happened::Kept(kept),
-            Some(happened) = self.happened.1.recv() => happened,
+            Some(message) = self.messages.recv() => PolicyEvent::MessageReceived(message),
+            Some(write) = self.write_results.recv() => PolicyEvent::LogWritten(write),
+            Some(result) = self.heartbeat_results.recv() => PolicyEvent::HeartbeatAnswered(result),
             else => std::future::pending().await,
         }
     }
 
-    pub fn take(&mut self, now: f64, happened: Happened) {
-        let now = now * self.clock_rate;
-        match happened {
-            Happened::Peer(from, _) if !self.of.agents.contains_key(&from) => {
-                warn!("{from}, which is none of the agents, is not heard");
-            }
-            Happened::Peer(from, Peer::Council(word)) => self.seat.heard(now, &from, word),
-            Happened::Peer(_, Peer::Ask(mut ask)) => {
-                if let Some((conductor, _)) = &mut self.conductor {
-                    self.budgeting.wished(&mut ask);
-                    conductor.handle_lease_request(now, ask, &self.seat.ledger);
-                }
-            }
-            Happened::Peer(_, Peer::Word(word)) => self.heard_of_lease(now, &word),
-            Happened::Peer(_, word @ (Peer::Propose(_) | Peer::Remove(_))) => {
-                self.as_leader(now, word)
-            }
-            Happened::Peer(from, Peer::Standing(text)) => {
-                if let Ok(standing) = serde_json::from_str(&text) {
-                    self.standings.insert(from, (now, standing));
-                }
-            }
-            Happened::Kept(kept) => self.seat.kept(now, kept),
-            Happened::Beat(name, Ok(mut said)) => {
-                if let Some(wishes) = said.quota_requests.take()
-                    && self.budgeting.house.handle_request(now, &name, wishes)
-                {
-                    self.warden.request_soon();
-                }
-                self.warden.instance_responded(now, &name, said);
-            }
-            Happened::Beat(name, Err(why)) => self.warden.instance_unreachable(&name, why),
+    /// Takes an event; [`PolicyAgent::advance`] acts on it.
+    pub fn handle_event(&mut self, agent_now: f64, event: PolicyEvent) {
+        let now = agent_now * self.clock_rate;
+        match event {
+            PolicyEvent::MessageReceived(received) => self.handle_message(now, received),
+            PolicyEvent::LogWritten(write) => self.node.write_finished(now, write),
+            PolicyEvent::HeartbeatAnswered(answer) => self.handle_heartbeat_result(now, answer),
         }
     }
 
-    /// An instance's sums, for the watch after a change. Sums that went back are another process's.
-    pub fn counted(&mut self, name: &str, invocations: u64, succeeded: u64) {
-        let before = self
-            .last_counts
-            .insert(name.to_owned(), (invocations, succeeded));
-        let before = before.filter(|before| before.0 <= invocations && before.1 <= succeeded);
-        if let Some(before) = before {
-            self.warden.service_counts.0 += invocations - before.0;
-            self.warden.service_counts.1 += succeeded - before.1;
+    fn handle_message(&mut self, now: f64, received: ReceivedMessage) {
+        let ReceivedMessage { from, message } = received;
+        if !self.config.agents.contains_key(&from) {
+            warn!(agent = from.as_str(); "message from unknown agent {from} ignored");
+            return;
+        }
+        match message {
+            PeerMessage::Consensus(message) => self.node.handle_message(now, &from, message),
+            PeerMessage::LeaseRequest(request) => self.handle_lease_request(now, request),
+            PeerMessage::LeaseResponse(response) => self.handle_lease_response(now, &response),
+            PeerMessage::Propose(entry) => self.propose_for_operator(now, &entry),
+            PeerMessage::RemoveMember(name) => self.remove_member_as_leader(now, &name),
+            PeerMessage::HostStatus(text) => match serde_json::from_str(&text) {
+                Ok(status) => {
+                    let status = PeerStatus {
+                        received_at: now,
+                        status,
+                    };
+                    self.peer_statuses.insert(from, status);
+                }
+                // It is for reports only; the next one comes within a second.
+                Err(error) => warn!("status of {from} not decoded: {error}"),
+            },
         }
     }
 
-    /// Everything that is to be done by now. `instances` are those that have a process, with their control sockets;
-    /// `standing` says how they stand.
-    pub fn turn(
+    /// Everything that is due. `instances` are those with a process, by their control sockets;
+    /// `host_status` lists all.
+    pub fn advance(
         &mut self,
-        now: f64,
-        unix: f64,
+        agent_now: f64,
+        unix_seconds: f64,
         instances: &BTreeMap<String, PathBuf>,
-        standing: impl FnOnce() -> Vec<Value>,
+        host_status: impl FnOnce() -> Vec<Value>,
     ) {
-        let plain = now;
-        let now = now * self.clock_rate;
-        if plain >= self.ticked + merlinshelf_consensus::TICK_MS as f64 / 1e3 {
-            self.ticked = plain;
-            self.seat.tick(now);
-            if let Some((conductor, _)) = &mut self.conductor {
-                conductor.advance(now, &self.seat.ledger);
-            }
-        }
-        if plain >= self.told_standing + STANDING_EVERY {
-            self.told_standing = plain;
-            let budgets = self.budgeting.shared_out(now);
-            let text =
-                json!({ "instances": standing(), "council": self.seat.standing(), "budgets": budgets })
-                    .to_string();
-            self.links
-                .others()
-                .for_each(|other| self.links.send(other, &Peer::Standing(text.clone())));
-        }
-        self.warden.set_instances(now, instances.keys());
-        self.bound_budgets(now);
-        if now >= self.hurried + HURRY_EVERY && self.budgeting.house.has_unhealthy_dependency(now) {
-            self.hurried = now;
-            self.warden.request_soon();
-            self.warden.heartbeat_soon();
+        let now = agent_now * self.clock_rate;
+        self.tick(agent_now, now);
+        if agent_now >= self.status_sent_at + STATUS_INTERVAL_SECONDS {
+            self.status_sent_at = agent_now;
+            self.send_host_status(now, &host_status());
         }
-        // Each round may bring about another one; it ends since nothing is done twice.
-        for _ in 0..64 {
-            let before = self.lead(now);
-            let came = self.seat.take();
-            let idle = came.is_empty() && !before;
-            came.into_iter().for_each(|came| self.came(now, came));
-            if idle {
+        self.lease_manager.set_instances(now, instances.keys());
+        self.update_budgets(now);
+        self.hurry_recovery(now);
+        for _ in 0..MAX_ROUNDS {
+            let is_busy = self.advance_leases(now);
+            let outputs = self.node.take_outputs();
+            if outputs.is_empty() && !is_busy {
                 break;
             }
+            for output in outputs {
+                self.handle_node_output(now, output);
+            }
+        }
+        self.send_heartbeats(now, instances);
+        self.advance_pending_changes(now, unix_seconds);
+        self.advance_pending_removals(now);
+    }
+
+    /// Ticks follow the agent's clock; what is counted in leases follows the policy's.
+    fn tick(&mut self, agent_now: f64, now: f64) {
+        let interval_seconds = merlinshelf_consensus::TICK_MS as f64 / 1e3;
+        if agent_now < self.ticked_at + interval_seconds {
+            return;
         }
-        while let Some((name, mut beat)) = self.warden.poll_heartbeat(now) {
-            beat.quota_grants = self.budgeting.house.take_grants(now, &name);
-            let Some(control) = instances.get(&name).cloned() else {
-                continue;
-            };
-            let sender = self.happened.0.clone();
-            spawn_local(async move {
-                let body = serde_json::to_value(&beat).unwrap_or_default();
-                let asked = async {
-                    Talk::ask(&control, ControlRequest::Policy, &body, BEAT_WITHIN)
-                        .await?
-                        .next()
-                        .await
-                };
-                let said = match tokio::time::timeout(BEAT_WITHIN, asked).await {
-                    Ok(Ok((ControlMessage::Done, said))) => {
-                        serde_json::from_value(said).map_err(|error| Some(error.to_string()))
-                    }
-                    Ok(Ok((_, report))) if report["text"] == "unreadable question" => {
-                        Err(Some("it knows no policies".to_owned()))
-                    }
-                    Ok(Ok((_, report))) => Err(Some(
-                        report["text"].as_str().unwrap_or("it refuses").to_owned(),
-                    )),
-                    Ok(Err(_)) | Err(_) => Err(None),
-                };
-                let _ = sender.send(Happened::Beat(name, said));
-            });
+        self.ticked_at = agent_now;
+        self.node.tick(now);
+        if let Some(leadership) = &mut self.leadership {
+            leadership.rollout.advance(now, self.node.state());
         }
-        self.put_pending(now, unix);
-        self.put_parting(now);
     }
 
-    /// Has whoever leads do what operators want, where one is known.
-    fn tell_leader(&mut self, now: f64, word: Peer) {
-        match self.seat.leader().map(str::to_owned) {
-            Some(leader) if leader == self.of.name => self.as_leader(now, word),
-            Some(leader) => self.links.send(&leader, &word),
-            None => {}
+    fn send_host_status(&self, now: f64, instances: &[Value]) {
+        let status = json!({
+            "instances": instances,
+            "council": self.node.status_text(),
+            "budgets": self.quota.fleet_report(now),
+        });
+        let message = PeerMessage::HostStatus(status.to_string());
+        for peer in self.transport.peers() {
+            self.transport.send(peer, &message);
         }
     }
 
-    /// What operators want, where this agent leads.
-    fn as_leader(&mut self, now: f64, word: Peer) {
-        match word {
-            Peer::Propose(entry @ Entry::Propose { .. }) => _ = self.seat.propose(now, &entry),
-            // A seat is given up where this agent does not want it any more itself.
-            Peer::Remove(name)
-                if self.seat.leads().is_some() && !self.of.agents.contains_key(&name) =>
-            {
-                self.seat.remove(now, &name);
-            }
+    fn hurry_recovery(&mut self, now: f64) {
+        let is_due = now >= self.unhealthy_request_at + UNHEALTHY_REQUEST_INTERVAL_SECONDS;
+        if is_due && self.quota.allocator.has_unhealthy_dependency(now) {
+            self.unhealthy_request_at = now;
+            self.lease_manager.request_soon();
+            self.lease_manager.heartbeat_soon();
+        }
+    }
+
+    /// Sends a message to the leader, where one is known; the leader may be this agent.
+    fn send_to_leader(&mut self, now: f64, message: PeerMessage) {
+        let Some(leader) = self.node.leader().map(str::to_owned) else {
+            return;
+        };
+        if leader != self.config.name {
+            return self.transport.send(&leader, &message);
+        }
+        match message {
+            PeerMessage::Propose(entry) => self.propose_for_operator(now, &entry),
+            PeerMessage::RemoveMember(name) => self.remove_member_as_leader(now, &name),
             _ => {}
         }
     }
 
-    /// A word of whoever leads: a lease on what holds, and shares.
-    fn heard_of_lease(&mut self, now: f64, word: &HostLeaseResponse) {
-        self.warden.handle_lease_response(now, word);
-        if let Some(given) = &word.quota_grants
-            && self.budgeting.house.handle_grants(now, given)
+    /// Operators may only propose changes: the other entries are the leader's own.
+    fn propose_for_operator(&mut self, now: f64, entry: &Entry) {
+        if matches!(entry, Entry::Propose { .. }) {
+            self.node.propose(now, entry);
+        }
+    }
+
+    /// A slot is removed only where this agent's own file no longer names the agent.
+    fn remove_member_as_leader(&mut self, now: f64, name: &str) {
+        if self.node.leading_term().is_some() && !self.config.agents.contains_key(name) {
+            self.node.remove_member(now, name);
+        }
+    }
+
+    /// The leader's answer: a lease on the current policy, and quota.
+    fn handle_lease_response(&mut self, now: f64, response: &HostLeaseResponse) {
+        self.lease_manager.handle_lease_response(now, response);
+        if let Some(grants) = &response.quota_grants
+            && self.quota.allocator.handle_grants(now, grants)
         {
-            self.warden.heartbeat_soon();
+            self.lease_manager.heartbeat_soon();
         }
     }
 
-    fn came(&mut self, now: f64, came: Came) {
-        match came {
-            Came::Send(to, word) => self.links.send(&to, &Peer::Council(word)),
-            Came::Decided(news) => {
-                if let Some(news) = &news {
-                    self.log(news);
-                    match news {
-                        ReplicatedEvent::Bootstrapped(_) => {}
-                        ReplicatedEvent::Proposed(number) => point("proposed", *number),
-                        ReplicatedEvent::Decided(number, _) => point("decided", *number),
-                        ReplicatedEvent::Committed(number) => point("held", *number),
-                    }
-                }
-                self.warden.state_changed(now, &self.seat.ledger);
-                if let (Some(news), Some((conductor, _))) = (news, &mut self.conductor) {
-                    conductor.state_changed(now, &news, &self.seat.ledger);
-                }
-                let agreed = self
-                    .seat
-                    .ledger
-                    .bootstrap
-                    .clone()
-                    .filter(|agreed| *agreed != self.founding);
-                if agreed.is_some() && agreed != self.complained {
-                    warn!(
-                        "lease_ms or base of this agent's file is another than the installation's: {:?} against {agreed:?}; \
-                         instances that start by it get no lease",
-                        self.founding
-                    );
-                    self.complained = agreed;
-                }
+    fn handle_node_output(&mut self, now: f64, output: NodeOutput) {
+        match output {
+            NodeOutput::Send { to, message } => {
+                self.transport.send(&to, &PeerMessage::Consensus(message));
+            }
+            NodeOutput::Applied(event) => {
+                self.log_event(&event);
+                reach_event_failure_point(&event);
+                self.handle_state_change(now, Some(event));
             }
-            Came::Confirmed(number) => {
-                if let Some((conductor, _)) = &mut self.conductor {
-                    conductor.leadership_confirmed(now, number, &self.seat.ledger);
+            NodeOutput::StateReplaced => self.handle_state_change(now, None),
+            NodeOutput::LeadershipConfirmed { request_id } => {
+                if let Some(leadership) = &mut self.leadership {
+                    let state = self.node.state();
+                    leadership
+                        .rollout
+                        .leadership_confirmed(now, request_id, state);
                 }
             }
         }
     }
 
-    fn log(&self, news: &ReplicatedEvent) {
-        let ledger = &self.seat.ledger;
-        match news {
-            ReplicatedEvent::Bootstrapped(founding) => {
-                info!(lease_ms = founding.lease_ms; "policy: founded, leases of {} ms", founding.lease_ms)
-            }
-            ReplicatedEvent::Proposed(number) => {
-                info!(number = number; "policy {number}: proposed")
-            }
-            ReplicatedEvent::Decided(number, true) => {
-                info!(number = number; "policy {number}: decided, it holds")
-            }
-            ReplicatedEvent::Decided(number, false) => {
-                let ended = ledger
-                    .completed_changes
-                    .iter()
-                    .rev()
-                    .find(|ended| ended.version == *number);
-                let why = ended.map(|ended| why(&ended.outcome)).unwrap_or_default();
-                info!(number = number; "policy {number}: refused: {why}");
-            }
-            ReplicatedEvent::Committed(number) => info!(number = number; "policy {number}: held"),
+    fn handle_state_change(&mut self, now: f64, event: Option<ReplicatedEvent>) {
+        self.lease_manager.state_changed(now, self.node.state());
+        if let (Some(event), Some(leadership)) = (event, &mut self.leadership) {
+            let state = self.node.state();
+            leadership.rollout.state_changed(now, &event, state);
         }
+        self.check_agreed_parameters();
     }
 
-    /// What follows from leading or not; whether anything did.
-    fn lead(&mut self, now: f64) -> bool {
-        let term = self.seat.leads();
-        if self.conductor.as_ref().map(|(_, term)| *term) != term {
-            self.conductor = term.map(|term| {
-                info!(term = term; "this agent leads in term {term}");
-                let watch = ServiceWatch {
-                    window_seconds: self.of.watch_ms as f64 / 1e3,
-                    tolerated_loss: self.of.worse,
-                };
-                // Also whoever sat once: one that was replaced may have a lease from its former life.
-                let roll = self
-                    .seat
-                    .council()
-                    .map(|council| council.membership().clone())
-                    .unwrap_or_default();
-                let names = roll
-                    .members
-                    .into_values()
-                    .map(|member| member.name)
-                    .chain(self.of.agents.keys().cloned());
-                let agreed = self
-                    .seat
-                    .ledger
-                    .bootstrap
-                    .clone()
-                    .unwrap_or_else(|| self.founding.clone());
-                (
-                    RolloutLeader::elected(now, agreed, self.of.drift, watch, names),
-                    term,
-                )
-            });
-            self.budgeting.leads(term);
-            self.bound_budgets(now);
+    /// Logs once where this agent's file differs from what the installation agreed on.
+    fn check_agreed_parameters(&mut self) {
+        let agreed = self.node.state().bootstrap.clone();
+        let Some(agreed) = agreed.filter(|agreed| *agreed != self.bootstrap) else {
+            return;
+        };
+        if self.logged_difference.as_ref() != Some(&agreed) {
+            warn!(
+                "lease_ms or base policy in this agent's file differ from the installation's: {:?} instead of {agreed:?}; \
+                 instances started with this file get no lease",
+                self.bootstrap
+            );
+            self.logged_difference = Some(agreed);
         }
-        let ask = self.warden.poll_lease_request(now);
-        let mut did = ask.is_some();
-        if let Some(mut ask) = ask {
-            ask.quota_requests = self.budgeting.asks(now);
-            match (&mut self.conductor, self.seat.leader()) {
-                (Some((conductor, _)), _) => {
-                    self.budgeting.wished(&mut ask);
-                    conductor.handle_lease_request(now, ask, &self.seat.ledger);
-                }
-                (None, Some(leader)) => self.links.send(leader, &Peer::Ask(ask)),
-                (None, None) => {}
+    }
+
+    fn log_event(&self, event: &ReplicatedEvent) {
+        match event {
+            ReplicatedEvent::Bootstrapped(bootstrap) => {
+                let lease_ms = bootstrap.lease_ms;
+                info!(lease_ms = lease_ms; "installation bootstrapped with leases of {lease_ms} ms");
             }
-        }
-        while let Some(step) = self
-            .conductor
-            .as_mut()
-            .and_then(|(conductor, _)| conductor.poll_action())
-        {
-            did = true;
-            match &step {
-                Action::Propose(Entry::Decide {
-                    version: number, ..
-                }) => point("decides", *number),
-                Action::Propose(Entry::Activate { version: number }) => point("opens", *number),
-                Action::Respond(_, word) => point("grants", word.granted_version),
-                Action::ConfirmLeadership(_) | Action::Propose(_) => {}
+            ReplicatedEvent::Proposed(version) => {
+                info!(policy_version = version; "policy {version} proposed");
             }
-            match step {
-                Action::ConfirmLeadership(number) => self.seat.confirm(now, number),
-                Action::Propose(entry) => _ = self.seat.propose(now, &entry),
-                Action::Respond(host, mut word) => {
-                    word.quota_grants = self.budgeting.granted(now, &host, word.request_id);
-                    if host == self.of.name {
-                        self.heard_of_lease(now, &word);
-                    } else {
-                        self.links.send(&host, &Peer::Word(word));
-                    }
-                }
+            ReplicatedEvent::Decided(version, true) => {
+                info!(policy_version = version; "policy {version} accepted");
+            }
+            ReplicatedEvent::Decided(version, false) => {
+                let completed = &self.node.state().completed_changes;
+                let change = completed
+                    .iter()
+                    .rev()
+                    .find(|change| change.version == *version);
+                let reasons = change.map(|change| rejection_reasons(&change.outcome));
+                let reasons = reasons.unwrap_or_default();
+                info!(policy_version = version; "policy {version} rejected: {reasons}");
+            }
+            ReplicatedEvent::Committed(version) => {
+                info!(policy_version = version; "policy {version} committed");
             }
         }
-        did
     }
 
-    /// How the instances of other agents stand, for the status of all: agent, seconds since it said so, and its instances.
-    pub fn others(&self, now: f64) -> Vec<(String, f64, Value)> {
-        let age = |at: f64| now * self.clock_rate - at;
-        self.standings
+    /// The latest status of each other agent's host.
+    pub fn peer_status_reports(&self, agent_now: f64) -> Vec<PeerStatusReport<'_>> {
+        let now = agent_now * self.clock_rate;
+        self.peer_statuses
             .iter()
-            .map(|(name, (at, said))| (name.clone(), age(*at), said.clone()))
+            .map(|(agent, peer)| PeerStatusReport {
+                agent,
+                age_seconds: now - peer.received_at,
+                status: &peer.status,
+            })
             .collect()
     }
 }
 
-/// Where tests let an agent die, by what it is about to do and for which policy.
-fn point(what: &str, number: u64) {
+fn clock_rate() -> f64 {
+    std::env::var(CLOCK_RATE_VARIABLE)
+        .ok()
+        .and_then(|text| text.parse().ok())
+        .filter(|rate| (0.9..1.1).contains(rate))
+        .unwrap_or(1.0)
+}
+
+fn reach_event_failure_point(event: &ReplicatedEvent) {
+    match event {
+        ReplicatedEvent::Bootstrapped(_) => {}
+        ReplicatedEvent::Proposed(version) => reach_failure_point("proposed", *version),
+        ReplicatedEvent::Decided(version, _) => reach_failure_point("decided", *version),
+        ReplicatedEvent::Committed(version) => reach_failure_point("held", *version),
+    }
+}
+
+/// A place where tests crash an agent, by what it is about to do and for which policy version.
+fn reach_failure_point(name: &str, version: u64) {
     if cfg!(debug_assertions) {
-        fault::of_any(&format!("agent.{what}.{number}"));
+        fault::of_any(&format!("agent.{name}.{version}"));
     }
 }
 
-fn why(verdict: &ChangeOutcome) -> String {
-    match verdict {
+/// Who rejected a change and why; empty where nobody did.
+fn rejection_reasons(outcome: &ChangeOutcome) -> String {
+    match outcome {
         ChangeOutcome::Committed => String::new(),
-        ChangeOutcome::Rejected(by) => by
+        ChangeOutcome::Rejected(rejections) => rejections
             .iter()
-            .map(|(who, why)| format!("{who}: {why}"))
+            .map(|(name, reason)| format!("{name}: {reason}"))
             .collect::<Vec<_>>()
             .join("; "),
     }
--- a/crates/merlinshelf-agent/tests/support/agent.rs
+++ b/crates/merlinshelf-agent/tests/golden/support/agent.rs
@@ -1,4 +1,5 @@
-//! A real agent in a process of its own, over a folder of its own, and an instance that it finds there.
+//! A real agent in a process of its own, over a folder of its own, and an instance that it finds
+//! there.
 
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
@@ -9,7 +10,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use merlinshelf_agent::talk::Blocking;
+use merlinshelf_agent::control_client::BlockingControlClient;
 use merlinshelf_fleet::Identity;
 use merlinshelf_protocol::control::{self, ControlMessage, ControlRequest};
 use serde_json::{Value, json};
@@ -118,24 +119,29 @@
         }
     }
 
-    /// Asks what operators' tools ask; nothing is waited for.
-    pub fn begin_asking(&self, body: &Value) -> Blocking {
-        let asked = Blocking::ask(&self.socket, ControlRequest::Fleet, body, ANSWER_WITHIN);
-        asked.expect("the agent takes the question")
+    /// Sends a request as operators' tools do; waits for no reply.
+    pub fn begin_request(&self, body: &Value) -> BlockingControlClient {
+        let client = BlockingControlClient::request(
+            &self.socket,
+            ControlRequest::Fleet,
+            body,
+            ANSWER_WITHIN,
+        );
+        client.expect("the agent accepts the request")
     }
 
-    /// The replies to a question, the last one included: each its word and its report. Why something was refused is said to people:
-    /// a placeholder stands for the text.
-    pub fn ask(&self, body: &Value) -> Vec<Value> {
-        let mut asked = self.begin_asking(body);
+    /// The replies to a request, each with its kind and its body. The reasons of rejections are for
+    /// people: a placeholder stands for the text.
+    pub fn request(&self, body: &Value) -> Vec<Value> {
+        let mut client = self.begin_request(body);
         let mut replies = Vec::new();
         loop {
-            let (word, mut report) = asked.hear().expect("the agent replies");
-            if word == ControlMessage::Refused && report["text"].is_string() {
+            let (message, mut report) = client.next_reply().expect("the agent replies");
+            if message == ControlMessage::Refused && report["text"].is_string() {
                 report["text"] = json!("TEXT");
             }
-            replies.push(json!([format!("{word:?}").to_lowercase(), report]));
-            if word != ControlMessage::More {
+            replies.push(json!([format!("{message:?}").to_lowercase(), report]));
+            if message != ControlMessage::More {
                 return replies;
             }
         }
@@ -153,16 +159,18 @@
         .expect("its start")
 }
 
-/// An instance that an earlier agent left: a process, and whoever answers on its control socket and lets its clients in.
+/// An instance that an earlier agent left: a process, and whoever answers on its control socket and
+/// lets its clients in.
 pub struct FakeInstance {
     process: Process,
     _clients: TcpListener,
-    /// The bodies of the last questions, by their kind.
-    questions: Arc<Mutex<BTreeMap<&'static str, Vec<u8>>>>,
+    /// The bodies of the last requests, by their kind.
+    requests: Arc<Mutex<BTreeMap<&'static str, Vec<u8>>>>,
 }
 
 impl FakeInstance {
-    /// Answers `status` and `policy` with these bodies; into the first one goes the number of its process.
+    /// Answers `status` and `policy` with these bodies; the first one gets the number of its
+    /// process.
     pub fn start(
         control_socket: &Path,
         listen: &str,
@@ -181,31 +189,35 @@
                 .expect("a process that does nothing"),
         );
         status["process"] = json!(process.0.id());
-        let questions = Arc::new(Mutex::new(BTreeMap::new()));
-        let asked = questions.clone();
+        let requests = Arc::new(Mutex::new(BTreeMap::new()));
+        let received = requests.clone();
         std::thread::spawn(move || {
             for mut stream in listener.incoming().flatten() {
                 let mut bytes = Vec::new();
                 let mut part = [0; 65536];
-                // The agent gives up where it is busy: its next question comes on another connection.
+                // The agent gives up where it is busy: its next request comes on another
+                // connection.
                 while let Ok(count @ 1..) = stream.read(&mut part) {
                     bytes.extend(&part[..count]);
-                    let Ok(Some(((_, question, body), _))) = control::question(&bytes) else {
+                    let Ok(Some(((_, request, body), _))) = control::question(&bytes) else {
                         continue;
                     };
-                    let (name, answer) = match question {
+                    let (name, answer) = match request {
                         ControlRequest::Status => ("status", &status),
                         ControlRequest::Policy => ("policy", &policy),
-                        other => panic!("{other:?} is not asked of an instance that serves"),
+                        other => panic!("{other:?} is no request to an instance that serves"),
                     };
-                    let mut said = Vec::new();
+                    let mut reply = Vec::new();
                     control::say(
-                        &mut said,
+                        &mut reply,
                         ControlMessage::Done,
                         answer.to_string().as_bytes(),
                     );
-                    asked.lock().expect("no poison").insert(name, body.to_vec());
-                    let _ = stream.write_all(&said);
+                    received
+                        .lock()
+                        .expect("no poison")
+                        .insert(name, body.to_vec());
+                    let _ = stream.write_all(&reply);
                     break;
                 }
             }
@@ -213,7 +225,7 @@
         FakeInstance {
             process,
             _clients: clients,
-            questions,
+            requests,
         }
     }
 
@@ -227,7 +239,7 @@
 
     /// The body of the last heartbeat of the agent.
     pub fn last_heartbeat(&self) -> Option<Vec<u8>> {
-        self.questions
+        self.requests
             .lock()
             .expect("no poison")
             .get("policy")
--- a/crates/merlinshelf-agent/tests/support/golden.rs
+++ b/crates/merlinshelf-agent/tests/golden/support/golden.rs
@@ -17,7 +17,7 @@
     std::fs::read_to_string(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()))
 }
 
-fn write_where_wanted(file: &str, text: &str) {
+fn write_on_request(file: &str, text: &str) {
     if std::env::var("GOLDEN_WRITE").is_ok_and(|value| value == "1") {
         std::fs::write(path_of(file), text).expect("the golden file can be written");
     }
@@ -70,7 +70,7 @@
     let written = samples
         .iter()
         .map(|(label, value)| format!("# {label}\n{}", hex_dump(&encode(value))));
-    write_where_wanted(file, &written.collect::<Vec<_>>().join("\n"));
+    write_on_request(file, &written.collect::<Vec<_>>().join("\n"));
     let golden = sections(file);
     let labels: Vec<&str> = golden.iter().map(|(label, _)| label.as_str()).collect();
     let expected: Vec<&str> = samples.iter().map(|(label, _)| *label).collect();
@@ -85,9 +85,10 @@
     }
 }
 
-/// Compares JSON with its golden file, and gives what the file holds; in JSON the order of keys says nothing.
+/// Compares JSON with its golden file, and gives what the file holds; in JSON the order of keys
+/// says nothing.
 pub fn check_json(file: &str, value: &Value) -> Value {
-    write_where_wanted(file, &format!("{value:#}\n"));
+    write_on_request(file, &format!("{value:#}\n"));
     let golden: Value =
         serde_json::from_str(&read(file)).unwrap_or_else(|error| panic!("{file}: {error}"));
     assert!(
@@ -97,14 +98,17 @@
     golden
 }
 
-/// JSON with a placeholder for the numbers under these keys, which are of the run.
+/// JSON with a placeholder for the numbers under these keys, which differ from run to run.
 pub fn with_placeholders(value: &Value, keys: &[&str]) -> Value {
     match value {
-        Value::Array(all) => all.iter().map(|one| with_placeholders(one, keys)).collect(),
+        Value::Array(all) => all
+            .iter()
+            .map(|value| with_placeholders(value, keys))
+            .collect(),
         Value::Object(fields) => {
             let field = |(key, value): (&String, &Value)| {
-                let of_the_run = value.is_number() && keys.contains(&key.as_str());
-                let value = if of_the_run {
+                let is_run_dependent = value.is_number() && keys.contains(&key.as_str());
+                let value = if is_run_dependent {
                     "NUMBER".into()
                 } else {
                     with_placeholders(value, keys)
--- a/crates/merlinshelf-agent/tests/support/mod.rs
+++ b/crates/merlinshelf-agent/tests/golden/support/mod.rs
@@ -1,4 +1,5 @@
-//! What the golden tests share: the golden files themselves, a real agent in a process of its own, and what it talks to.
+//! What the golden tests share: the golden files themselves, a real agent in a process of its own,
+//! and what it talks to.
 
 pub mod agent;
 pub mod golden;
@@ -10,11 +11,11 @@
 /// Far longer than anything here takes, also on a busy machine.
 const PATIENCE: Duration = Duration::from_secs(60);
 
-/// Looks again and again until there is something.
-pub fn wait_for<T>(what: &str, mut look: impl FnMut() -> Option<T>) -> T {
+/// Polls until there is a value.
+pub fn wait_for<T>(what: &str, mut find: impl FnMut() -> Option<T>) -> T {
     let until = Instant::now() + PATIENCE;
     loop {
-        if let Some(found) = look() {
+        if let Some(found) = find() {
             return found;
         }
         assert!(Instant::now() < until, "not within {PATIENCE:?}: {what}");
@@ -22,7 +23,7 @@
     }
 }
 
-/// Says when a message that may have been lost is sent again.
+/// Tells when a message that may have been lost is sent again.
 pub struct Pace(Option<Instant>);
 
 impl Pace {
--- a/crates/merlinshelf-agent/tests/support/peers.rs
+++ b/crates/merlinshelf-agent/tests/golden/support/peers.rs
@@ -1,5 +1,6 @@
-//! Other agents of the installation, played by the test: each has a real replica of the log, and speaks to the agent under test over
-//! sockets, in the form that is written down here.
+//! Other agents of the installation, played by the test: each has a real replica of the log, and
+//! exchanges messages with the agent under test over sockets, in the form that is written down
+//! here.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{Read, Write};
@@ -14,7 +15,8 @@
 
 use super::PATIENCE;
 
-/// What agents send each other: the same variants as `merlinshelf-agent`'s own type, which is private.
+/// What agents send each other: the same variants as `merlinshelf-agent`'s own type, which is
+/// private.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PeerMessage {
     Council(Message),
@@ -49,16 +51,22 @@
 }
 
 /// One of the other agents.
-struct TestReplica {
-    council: Replica,
+struct TestAgent {
+    replica: Replica,
     disk: Vec<Record>,
 }
 
+/// The agent under test.
+struct AgentUnderTest {
+    name: String,
+    /// Where it listens.
+    address: String,
+}
+
 /// All other agents together.
 pub struct Peers {
-    replicas: BTreeMap<String, TestReplica>,
-    /// The agent under test, and where it listens.
-    agent: (String, String),
+    agents: BTreeMap<String, TestAgent>,
+    agent_under_test: AgentUnderTest,
     connection: Option<TcpStream>,
     /// What the agent sends, from the threads that read it.
     incoming: (Sender<Incoming>, Receiver<Incoming>),
@@ -78,8 +86,11 @@
     /// No other agents yet. `tick` is how long one is, `state` what their snapshots hold.
     pub fn new(agent: &str, address: &str, tick: Duration, state: Vec<u8>) -> Peers {
         Peers {
-            replicas: BTreeMap::new(),
-            agent: (agent.to_owned(), address.to_owned()),
+            agents: BTreeMap::new(),
+            agent_under_test: AgentUnderTest {
+                name: agent.to_owned(),
+                address: address.to_owned(),
+            },
             connection: None,
             incoming: channel(),
             received: Vec::new(),
@@ -91,22 +102,22 @@
         }
     }
 
-    /// One more agent begins, over what is on its disk. `agents` are those of its fleet's file.
-    pub fn begin(&mut self, name: &str, agents: &[&str], disk: Vec<Record>) {
+    /// Starts an agent from its disk. `agents` are those of its fleet's file.
+    pub fn start(&mut self, name: &str, agents: &[&str], disk: Vec<Record>) {
         let agents: BTreeSet<String> = agents.iter().map(|name| (*name).to_owned()).collect();
-        let ticket = 1_000 + self.replicas.len() as u64;
-        let council =
-            Replica::start(name, &agents, ticket, 0, &disk).expect("the disk can be used");
-        self.replicas
-            .insert(name.to_owned(), TestReplica { council, disk });
+        let boot_id = 1_000 + self.agents.len() as u64;
+        let replica =
+            Replica::start(name, &agents, boot_id, 0, &disk).expect("the disk can be used");
+        self.agents
+            .insert(name.to_owned(), TestAgent { replica, disk });
     }
 
-    /// One ends; what is on its disk.
-    pub fn end(&mut self, name: &str) -> Vec<Record> {
-        self.replicas.remove(name).expect("it runs").disk
+    /// Stops an agent; returns what is on its disk.
+    pub fn stop(&mut self, name: &str) -> Vec<Record> {
+        self.agents.remove(name).expect("it runs").disk
     }
 
-    /// One is reached by the agent under test at this address.
+    /// The agent under test reaches this one at the address.
     pub fn listen(&self, name: &str, address: &str) {
         let listener = TcpListener::bind(address).expect("an address of the test's own");
         let (name, messages) = (name.to_owned(), self.incoming.0.clone());
@@ -119,35 +130,35 @@
     }
 
     pub fn leader(&self) -> Option<&str> {
-        let leads = |replica: &TestReplica| replica.council.leading_term().is_some();
-        self.replicas
+        let is_leading = |agent: &TestAgent| agent.replica.leading_term().is_some();
+        self.agents
             .iter()
-            .find(|(_, replica)| leads(replica))
+            .find(|(_, agent)| is_leading(agent))
             .map(|(name, _)| name.as_str())
     }
 
-    /// Whom one of them follows.
+    /// The leader that one of them follows.
     pub fn leader_of(&self, name: &str) -> Option<&str> {
-        self.replicas[name].council.leader()
+        self.agents[name].replica.leader()
     }
 
     pub fn membership(&self, name: &str) -> &Membership {
-        self.replicas[name].council.membership()
+        self.agents[name].replica.membership()
     }
 
-    /// Tells one of them something, as if another one had.
-    pub fn tell(&mut self, name: &str, from: &str, message: Message) {
-        self.replicas
+    /// Delivers a message to one of them, as if it were from another agent.
+    pub fn deliver(&mut self, name: &str, from: &str, message: Message) {
+        self.agents
             .get_mut(name)
             .expect("it runs")
-            .council
+            .replica
             .handle_message(from, message);
     }
 
     /// Sends bytes to the agent under test; they may be lost, as between agents at all times.
     pub fn send_bytes(&mut self, bytes: &[u8]) {
         if self.connection.is_none() {
-            self.connection = TcpStream::connect(&self.agent.1).ok();
+            self.connection = TcpStream::connect(&self.agent_under_test.address).ok();
         }
         if self
             .connection
@@ -162,11 +173,11 @@
         self.send_bytes(&encode(from, message));
     }
 
-    /// Goes on for a moment: what has come is heard, and time goes on by a tick where it is due.
-    pub fn turn(&mut self) {
+    /// Handles what was received, and advances the clocks by a tick where that is due.
+    pub fn advance(&mut self) {
         while let Ok(Incoming { receiver, bytes }) = self.incoming.1.try_recv() {
             let (from, message) = decode(&bytes);
-            assert_eq!(from, self.agent.0, "who sends it");
+            assert_eq!(from, self.agent_under_test.name, "who sends it");
             assert_eq!(
                 encode(&from, &message),
                 bytes,
@@ -179,8 +190,8 @@
                         Message::Welcome { .. } => "welcome",
                         Message::Raft(_) => "raft",
                     });
-                    if let Some(replica) = self.replicas.get_mut(&receiver) {
-                        replica.council.handle_message(&from, message);
+                    if let Some(agent) = self.agents.get_mut(&receiver) {
+                        agent.replica.handle_message(&from, message);
                     }
                 }
                 other => self.received.push(other),
@@ -188,29 +199,29 @@
         }
         if self.ticked_at.elapsed() >= self.tick {
             self.ticked_at = Instant::now();
-            self.replicas
+            self.agents
                 .values_mut()
-                .for_each(|replica| replica.council.tick());
+                .for_each(|agent| agent.replica.tick());
         }
-        self.carry_out();
+        self.carry_out_actions();
         std::thread::sleep(Duration::from_millis(2));
     }
 
-    /// Carries out the steps of all until none is left.
-    fn carry_out(&mut self) {
+    /// Carries out the actions of all until there are no more.
+    fn carry_out_actions(&mut self) {
         loop {
             let mut sent = Vec::new();
-            for (name, replica) in &mut self.replicas {
-                if replica.council.needs_compaction() {
-                    replica.council.compact(self.state.clone());
+            for (name, agent) in &mut self.agents {
+                if agent.replica.needs_compaction() {
+                    agent.replica.compact(self.state.clone());
                 }
-                while let Some(step) = replica.council.poll_action() {
-                    match step {
-                        Action::Append(records) => replica.disk.extend(records),
-                        Action::ReplaceLog(records) => replica.disk = records,
+                while let Some(action) = agent.replica.poll_action() {
+                    match action {
+                        Action::Append(records) => agent.disk.extend(records),
+                        Action::ReplaceLog(records) => agent.disk = records,
                         Action::Send { to, message } => sent.push((name.clone(), to, message)),
                         Action::Apply { data: entry, .. } => {
-                            self.applied.entry(name.clone()).or_default().push(entry)
+                            self.applied.entry(name.clone()).or_default().push(entry);
                         }
                         Action::Restore { .. } | Action::LeadershipConfirmed { .. } => {}
                         Action::ReportDecodeError(error) => panic!("{name}: {error}"),
@@ -221,29 +232,29 @@
                 return;
             }
             for (from, to, message) in sent {
-                if to == self.agent.0 {
+                if to == self.agent_under_test.name {
                     self.send(&from, &PeerMessage::Council(message));
-                } else if let Some(replica) = self.replicas.get_mut(&to) {
-                    replica.council.handle_message(&from, message);
+                } else if let Some(agent) = self.agents.get_mut(&to) {
+                    agent.replica.handle_message(&from, message);
                 }
             }
         }
     }
 
-    /// Goes on until there is something.
-    pub fn run_until<T>(&mut self, what: &str, mut look: impl FnMut(&mut Peers) -> Option<T>) -> T {
+    /// Advances until a condition holds; returns what it gives.
+    pub fn run_until<T>(&mut self, what: &str, mut find: impl FnMut(&mut Peers) -> Option<T>) -> T {
         let until = Instant::now() + PATIENCE;
         loop {
-            if let Some(found) = look(self) {
+            if let Some(found) = find(self) {
                 return found;
             }
             assert!(
                 Instant::now() < until,
-                "not within {PATIENCE:?}: {what}; {} messages lie here, the last one is {:?}",
+                "not within {PATIENCE:?}: {what}; {} messages were received, the last one is {:?}",
                 self.received.len(),
                 self.received.last()
             );
-            self.turn();
+            self.advance();
         }
     }
 }
--- a/crates/merlinshelf-agent/tests/support/samples.rs
+++ b/crates/merlinshelf-agent/tests/golden/support/samples.rs
@@ -1,5 +1,6 @@
-//! Values of the types that the golden files hold. Each field of each type has a value of its own somewhere that is not its default, so
-//! that one that is lost, or read into another one's place, shows.
+//! Values of the types that the golden files hold. Each field of each type has a value of its own
+//! somewhere that is not its default, so that one that is lost, or read into another one's place,
+//! shows.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -30,17 +31,14 @@
         .collect()
 }
 
-/// What an agent left whose instances are down and whose plan is over, so that the next agent changes nothing about it.
-pub fn store_record() -> Record {
-    let mut history = History::default();
-    history.note(1_700_000_001.25, Some("web.0"), "started as process 31");
-    history.note(1_700_000_002.5, None, "plan 41: upgrade of 6");
+/// A plan that is over, with a target of every stage.
+fn completed_plan() -> Plan {
     let target = |name: &str, stage, before| Target {
         name: name.into(),
         stage,
         before,
     };
-    let plan = Plan {
+    Plan {
         number: 41,
         kind: PlanKind::Upgrade {
             program: "/programs/42".into(),
@@ -74,7 +72,15 @@
         ],
         state: PlanState::Stopped("abandoned".into()),
         at_once: 43,
-    };
+    }
+}
+
+/// The record of an agent whose instances are down and whose plan is over, so that the next agent
+/// changes nothing about it.
+pub fn store_record() -> Record {
+    let mut history = History::default();
+    history.note(1_700_000_001.25, Some("web.0"), "started as process 31");
+    history.note(1_700_000_002.5, None, "plan 41: upgrade of 6");
     let first = InstanceRecord {
         // No process has a number as high as this.
         identity: Some(Identity {
@@ -97,7 +103,7 @@
         instances: by_name([("web.0", first), ("web.1", second)]),
         counts: by_name([("web", 2)]),
         programs: by_name([("web", "/programs/38".to_owned())]),
-        plan: Some(plan),
+        plan: Some(completed_plan()),
         plans: 44,
         history,
     }
@@ -199,7 +205,7 @@
     }
 }
 
-/// What is asked of budgets: of every kind and phase.
+/// A quota request of every kind and phase.
 pub fn quota_request(zone: &str) -> QuotaRequestBatch {
     let sight = |seed: u32| DependencyHealth {
         calling_instances: 81 + seed,
@@ -249,7 +255,7 @@
         calls_per_second: 95 + seed,
         duration_seconds: 96.5 + f64::from(seed),
     };
-    let shares = CallKind::ALL
+    let grants = CallKind::ALL
         .iter()
         .zip(1..)
         .map(|(kind, place)| (*kind, share(place * 100)))
@@ -262,7 +268,7 @@
                 "catalogue",
                 DependencyGrant {
                     phase: Some(Phase::Recovering),
-                    grants: shares,
+                    grants,
                 },
             ),
             (
@@ -276,7 +282,7 @@
     }
 }
 
-/// What host `b` asks of the leader.
+/// A lease request of host `b` to the leader.
 pub fn lease_request() -> HostLeaseRequest {
     HostLeaseRequest {
         host: "b".into(),
@@ -294,8 +300,8 @@
     }
 }
 
-/// How instances of agent `a` stand.
-pub fn standing_of_a() -> String {
+/// The status of the host of agent `a`.
+pub fn host_status_of_a() -> String {
     let budget = json!({
         "dependency": "catalogue", "kind": "again", "budget": 21, "aside_each": 3, "shared": 12, "granted": 9,
         "to": { "c": 9 }, "spent_s": 1.5, "fares": { "garching": "fails" },
--- a/crates/merlinshelf-cli/src/fleet.rs
+++ b/crates/merlinshelf-cli/src/fleet.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use clap::{Args, Subcommand, ValueHint};
-use merlinshelf_agent::talk::Blocking as Talk;
+use merlinshelf_agent::control_client::BlockingControlClient;
 use merlinshelf_protocol::control::{ControlMessage, ControlRequest};
 use serde_json::{Value, json};
 
@@ -235,9 +235,9 @@
     within: Duration,
     mut each: impl FnMut(&Value),
 ) -> io::Result<(ControlMessage, Value)> {
-    let mut talk = Talk::ask(agent, ControlRequest::Fleet, body, within)?;
+    let mut client = BlockingControlClient::request(agent, ControlRequest::Fleet, body, within)?;
     loop {
-        match talk.hear()? {
+        match client.next_reply()? {
             (ControlMessage::More, said) => each(&said),
             last => return Ok(last),
         }
--- a/crates/merlinshelf-cli/src/knowledge.rs
+++ b/crates/merlinshelf-cli/src/knowledge.rs
@@ -6,7 +6,7 @@
 use std::process::ExitCode;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-use merlinshelf_agent::talk::Blocking as Talk;
+use merlinshelf_agent::control_client::BlockingControlClient;
 use merlinshelf_backend::learning::folder::{flaw_text, look};
 use merlinshelf_gossip::GossipedObservation;
 use merlinshelf_protocol::control::{ControlMessage, ControlRequest};
@@ -30,10 +30,11 @@
 
 /// All figures of a running instance.
 fn figures(socket: &Path) -> io::Result<Vec<Value>> {
-    let mut talk = Talk::ask(socket, ControlRequest::Knowledge, &json!({}), WITHIN)?;
+    let mut client =
+        BlockingControlClient::request(socket, ControlRequest::Knowledge, &json!({}), WITHIN)?;
     let mut all = Vec::new();
     loop {
-        match talk.hear()? {
+        match client.next_reply()? {
             (ControlMessage::More, mut page) => {
                 if let Some(page) = page["figures"].as_array_mut() {
                     all.append(page);
@@ -151,8 +152,8 @@
 
 pub fn forget(socket: &Path, origin: Option<&str>, as_json: bool) -> ExitCode {
     let body = origin.map_or_else(|| json!({}), |origin| json!({ "origin": origin }));
-    let answer =
-        Talk::ask(socket, ControlRequest::Forget, &body, WITHIN).and_then(|mut talk| talk.hear());
+    let answer = BlockingControlClient::request(socket, ControlRequest::Forget, &body, WITHIN)
+        .and_then(|mut client| client.next_reply());
     match answer {
         Ok((ControlMessage::Done, report)) if as_json => tell!("{report}"),
         Ok((ControlMessage::Done, report)) => {
--- a/crates/merlinshelf-cli/src/main.rs
+++ b/crates/merlinshelf-cli/src/main.rs
@@ -229,7 +229,9 @@
         Command::Agent { file, check, .. } => {
             let file = file.unwrap_or_default();
             let done = if check {
-                merlinshelf_agent::load(&file).map(|_| tell!("{}: can be used", file.display()))
+                merlinshelf_agent::load(&file)
+                    .map(|_| tell!("{}: can be used", file.display()))
+                    .map_err(merlinshelf_agent::AgentError::from)
             } else {
                 merlinshelf_agent::serve(&file)
             };
--- a/crates/merlinshelf-cli/src/remote.rs
+++ b/crates/merlinshelf-cli/src/remote.rs
@@ -6,7 +6,7 @@
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
 
-use merlinshelf_agent::talk::Blocking as Talk;
+use merlinshelf_agent::control_client::BlockingControlClient;
 use merlinshelf_protocol::control::{ControlMessage, ControlRequest};
 use serde_json::{Value, json};
 
@@ -30,8 +30,8 @@
 }
 
 pub fn status(socket: &Path, as_json: bool, dependencies: bool) -> ExitCode {
-    let answer = Talk::ask(socket, ControlRequest::Status, &json!({}), WITHIN)
-        .and_then(|mut talk| talk.hear());
+    let answer = BlockingControlClient::request(socket, ControlRequest::Status, &json!({}), WITHIN)
+        .and_then(|mut client| client.next_reply());
     match answer {
         Ok((ControlMessage::Done, report)) if dependencies => {
             let all = &report["dependencies"];
@@ -135,8 +135,8 @@
 }
 
 pub fn drain(socket: &Path, as_json: bool, wait: bool) -> ExitCode {
-    let answer = Talk::ask(socket, ControlRequest::Drain, &json!({}), WITHIN)
-        .and_then(|mut talk| talk.hear());
+    let answer = BlockingControlClient::request(socket, ControlRequest::Drain, &json!({}), WITHIN)
+        .and_then(|mut client| client.next_reply());
     let report = match answer {
         Ok((ControlMessage::Done, report)) => report,
         Ok((_, report)) => return failed(socket, &io::Error::other(text(&report)), as_json),
@@ -169,13 +169,14 @@
 
 pub fn upgrade(socket: &Path, as_json: bool) -> ExitCode {
     let began = Instant::now();
-    let talk = Talk::ask(socket, ControlRequest::Upgrade, &json!({}), UPGRADE_WITHIN);
-    let mut talk = match talk {
-        Ok(talk) => talk,
+    let client =
+        BlockingControlClient::request(socket, ControlRequest::Upgrade, &json!({}), UPGRADE_WITHIN);
+    let mut client = match client {
+        Ok(client) => client,
         Err(error) => return failed(socket, &error, as_json),
     };
     loop {
-        let (word, report) = match talk.hear() {
+        let (word, report) = match client.next_reply() {
             Ok(said) => said,
             Err(error) => return failed(socket, &error, as_json),
         };
--- a/crates/merlinshelf-cli/tests/learning.rs
+++ b/crates/merlinshelf-cli/tests/learning.rs
@@ -437,7 +437,7 @@
             .await?;
         let mut talk = pupil.ask(ControlRequest::Upgrade).await?;
         loop {
-            match talk.next().await? {
+            match talk.next_reply().await? {
                 (ControlMessage::More, _) => {}
                 (word, report) => {
                     assert_eq!(word, ControlMessage::Done, "{report}\n{}", pupil.log());
--- a/crates/merlinshelf-cli/tests/policy.rs
+++ b/crates/merlinshelf-cli/tests/policy.rs
@@ -5,7 +5,7 @@
 use std::process::{Command, Output};
 use std::time::Duration;
 
-use merlinshelf_agent::talk::Talk;
+use merlinshelf_agent::control_client::ControlClient;
 use merlinshelf_protocol::control::{ControlMessage, ControlRequest};
 use merlinshelf_testbed::installation::{
     Changed, Installation, Made, check, evidence, out_of_order, policy_of,
@@ -589,7 +589,7 @@
 
 /// One counter of an instance.
 async fn counter(all: &Installation, host: usize, place: u16, name: &str) -> io::Result<u64> {
-    let asked = Talk::once(
+    let asked = ControlClient::request_once(
         &all.hosts[host].control(place),
         ControlRequest::Status,
         Duration::from_secs(2),
--- a/crates/merlinshelf-cli/tests/upgrade.rs
+++ b/crates/merlinshelf-cli/tests/upgrade.rs
@@ -234,7 +234,7 @@
         };
         let (instance, load, playing) = begin(&setup, 31).await?;
         let mut talk = instance.ask(ControlRequest::Upgrade).await?;
-        let (word, report) = talk.next().await?;
+        let (word, report) = talk.next_reply().await?;
         let text = report["text"].as_str().unwrap_or("");
         assert!(
             word == ControlMessage::Refused && text.contains("descriptors, and 40 may be used"),
@@ -247,7 +247,11 @@
             ..self::setup()
         };
         let (instance, ..) = begin(&setup, 32).await?;
-        let (word, report) = instance.ask(ControlRequest::Upgrade).await?.next().await?;
+        let (word, report) = instance
+            .ask(ControlRequest::Upgrade)
+            .await?
+            .next_reply()
+            .await?;
         let text = report["text"].as_str().unwrap_or("");
         assert!(
             word == ControlMessage::Refused && text.contains("MB, and 16 may be used"),
@@ -268,32 +272,40 @@
         let (instance, load, playing) = begin(&setup, 33).await?;
         instance.successor_is(&good())?;
         let mut first = instance.ask(ControlRequest::Upgrade).await?;
-        while first.next().await?.1["stage"] != "took_over" {}
+        while first.next_reply().await?.1["stage"] != "took_over" {}
         // The control socket is the successor's by now.
         while instance.status().await?["state"] != "watched" {}
-        let (word, report) = instance.ask(ControlRequest::Upgrade).await?.next().await?;
+        let (word, report) = instance
+            .ask(ControlRequest::Upgrade)
+            .await?
+            .next_reply()
+            .await?;
         assert!(
             word == ControlMessage::Refused
                 && report["text"]
                     .as_str()
                     .is_some_and(|text| text.contains("watched"))
         );
-        assert_eq!(first.next().await?.0, ControlMessage::Done);
+        assert_eq!(first.next_reply().await?.0, ControlMessage::Done);
         assert!(check(&instance, &load, playing).await.is_clean());
 
         // While the successor gets ready, it is the old one that turns it down.
         let (instance, load, playing) = begin(&self::setup(), 34).await?;
         instance.successor_is(&format!("sleep 0.4\n{}", good()))?;
         let mut first = instance.ask(ControlRequest::Upgrade).await?;
-        assert_eq!(first.next().await?.1["stage"], "starting");
-        let (word, report) = instance.ask(ControlRequest::Upgrade).await?.next().await?;
+        assert_eq!(first.next_reply().await?.1["stage"], "starting");
+        let (word, report) = instance
+            .ask(ControlRequest::Upgrade)
+            .await?
+            .next_reply()
+            .await?;
         assert!(
             word == ControlMessage::Refused
                 && report["text"]
                     .as_str()
                     .is_some_and(|text| text.contains("under way"))
         );
-        while first.next().await?.0 != ControlMessage::Done {}
+        while first.next_reply().await?.0 != ControlMessage::Done {}
         assert!(check(&instance, &load, playing).await.is_clean());
         Ok(())
     });
@@ -311,7 +323,7 @@
     let (mut instance, load, playing) = begin(&setup(), number).await?;
     instance.successor_is(program)?;
     let mut talk = instance.ask(ControlRequest::Upgrade).await?;
-    while talk.next().await?.1["stage"] != stage {}
+    while talk.next_reply().await?.1["stage"] != stage {}
     if stage == "starting" {
         instance.logged("the successor", 1).await?;
     }
@@ -395,7 +407,7 @@
         let (instance, load, playing) = begin(&setup(), 50).await?;
         instance.successor_is(&good())?;
         let mut talk = instance.ask(ControlRequest::Upgrade).await?;
-        while talk.next().await?.1["stage"] != "took_over" {}
+        while talk.next_reply().await?.1["stage"] != "took_over" {}
         signal(instance.processes()[0], Signal::KILL);
         let verdict = check(&instance, &load, playing).await;
         assert!(
@@ -423,7 +435,7 @@
             good()
         ))?;
         let mut talk = instance.ask(ControlRequest::Upgrade).await?;
-        while talk.next().await?.1["stage"] != "ready" {}
+        while talk.next_reply().await?.1["stage"] != "ready" {}
         instance.logged("fault heir.taken", 1).await?;
         signal(instance.processes()[0], Signal::KILL);
         let verdict = check(&instance, &load, playing).await;
@@ -443,7 +455,7 @@
             good()
         ))?;
         let mut talk = instance.ask(ControlRequest::Upgrade).await?;
-        assert_eq!(talk.next().await?.1["stage"], "starting");
+        assert_eq!(talk.next_reply().await?.1["stage"], "starting");
         instance.logged("fault heir.ready", 1).await?;
         signal(instance.processes()[0], Signal::KILL);
         instance.logged("the old process is gone", 1).await
--- a/crates/merlinshelf-testbed/src/demo.rs
+++ b/crates/merlinshelf-testbed/src/demo.rs
@@ -27,7 +27,7 @@
     println!("\nupgrade");
     let mut talk = instance.ask(ControlRequest::Upgrade).await?;
     let done = loop {
-        let (word, report) = talk.next().await?;
+        let (word, report) = talk.next_reply().await?;
         println!("  {}", report["text"].as_str().unwrap_or(""));
         if word != ControlMessage::More {
             break word == ControlMessage::Done;
--- a/crates/merlinshelf-testbed/src/experiments/cost.rs
+++ b/crates/merlinshelf-testbed/src/experiments/cost.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use merlinshelf_agent::talk::Talk;
+use merlinshelf_agent::control_client::ControlClient;
 use merlinshelf_policy::{Heartbeat, InstanceStatus, LeaseGrant, Policy};
 use merlinshelf_protocol::control::ControlRequest;
 use merlinshelf_quota::{Budgets, CATALOGUE, CallKind, FleetAllocator, HostAllocator, LeaseTerms};
@@ -72,14 +72,14 @@
             quota_grants: house.take_grants(now, "i"),
         };
         let body = serde_json::to_value(&beat).unwrap_or_default();
-        if let Ok(mut talk) = Talk::ask(
+        if let Ok(mut talk) = ControlClient::request(
             &control,
             ControlRequest::Policy,
             &body,
             Duration::from_secs(1),
         )
         .await
-            && let Ok((_, said)) = talk.next().await
+            && let Ok((_, said)) = talk.next_reply().await
             && let Ok(said) = serde_json::from_value::<InstanceStatus>(said)
         {
             (life, asked) = (said.incarnation, said.reported_at);
--- a/crates/merlinshelf-testbed/src/experiments/upgrade.rs
+++ b/crates/merlinshelf-testbed/src/experiments/upgrade.rs
@@ -156,7 +156,7 @@
     instance.successor_is(program)?;
     let mut talk = instance.ask(ControlRequest::Upgrade).await?;
     loop {
-        let (word, report) = talk.next().await?;
+        let (word, report) = talk.next_reply().await?;
         if word != ControlMessage::More {
             return Ok(report["stage"].as_str().unwrap_or("").to_owned());
         }
@@ -172,7 +172,7 @@
     let mut ended = String::new();
     let mut together = (0, 0);
     loop {
-        let (word, report) = talk.next().await?;
+        let (word, report) = talk.next_reply().await?;
         let now = instance.together();
         together = (now.0.max(together.0), now.1.max(together.1));
         match (word, report["stage"].as_str().unwrap_or(""), fate) {
--- a/crates/merlinshelf-testbed/src/fleet.rs
+++ b/crates/merlinshelf-testbed/src/fleet.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use merlinshelf_agent::talk::Talk;
+use merlinshelf_agent::control_client::ControlClient;
 use merlinshelf_protocol::control::{ControlMessage, ControlRequest};
 use rustix::process::Signal;
 use serde_json::{Value, json};
@@ -43,10 +43,10 @@
     body: &Value,
     patience: Duration,
 ) -> io::Result<Vec<(ControlMessage, Value)>> {
-    let mut talk = Talk::ask(socket, ControlRequest::Fleet, body, patience).await?;
+    let mut talk = ControlClient::request(socket, ControlRequest::Fleet, body, patience).await?;
     let mut all = Vec::new();
     loop {
-        let said = talk.next().await?;
+        let said = talk.next_reply().await?;
         let last = said.0 != ControlMessage::More;
         all.push(said);
         if last {
--- a/crates/merlinshelf-testbed/src/instance.rs
+++ b/crates/merlinshelf-testbed/src/instance.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use merlinshelf_agent::talk::Talk;
+use merlinshelf_agent::control_client::ControlClient;
 use merlinshelf_protocol::control::{ControlMessage, ControlRequest};
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::{Value, json};
@@ -318,15 +318,15 @@
         self.child.id().into_iter().chain(successors).collect()
     }
 
-    pub async fn ask(&self, question: ControlRequest) -> io::Result<Talk> {
-        Talk::ask(&self.control, question, &json!({}), PATIENCE).await
+    pub async fn ask(&self, question: ControlRequest) -> io::Result<ControlClient> {
+        ControlClient::request(&self.control, question, &json!({}), PATIENCE).await
     }
 
     /// The report of the one who serves.
     pub async fn status(&self) -> io::Result<Value> {
         let until = Instant::now() + PATIENCE;
         loop {
-            let answer = async { self.ask(ControlRequest::Status).await?.next().await };
+            let answer = async { self.ask(ControlRequest::Status).await?.next_reply().await };
             match answer.await {
                 Ok((_, report)) => return Ok(report),
                 Err(error) if Instant::now() >= until => return Err(error),
@@ -440,7 +440,7 @@
     pub async fn figures(&self) -> io::Result<Vec<Value>> {
         let mut talk = self.ask(ControlRequest::Knowledge).await?;
         let mut all = Vec::new();
-        while let (ControlMessage::More, mut page) = talk.next().await? {
+        while let (ControlMessage::More, mut page) = talk.next_reply().await? {
             if let Some(page) = page["figures"].as_array_mut() {
                 all.append(page);
             }
@@ -456,7 +456,7 @@
 
     /// Tells it to leave, and waits until nobody answers at its control socket.
     pub async fn leave(&self) -> io::Result<()> {
-        self.ask(ControlRequest::Drain).await?.next().await?;
+        self.ask(ControlRequest::Drain).await?.next_reply().await?;
         let until = Instant::now() + PATIENCE;
         while UnixStream::connect(&self.control).await.is_ok() {
             if Instant::now() >= until {
