--- a/crates/merlinshelf-backend/src/instance/restored.rs
+++ b/crates/merlinshelf-backend/src/instance/restored.rs
@@ -16,7 +16,7 @@
 use super::task::Task;
 use super::{Instance, InstanceOptions, run_timers};
 use crate::client;
-use crate::exchange::{ConnectionHandle, Exchange, PassedDescriptors, OpenedConnection, Shared};
+use crate::exchange::{ConnectionHandle, Exchange, OpenedConnection, PassedDescriptors, Shared};
 use crate::journal::Journal;
 use crate::ring::discard;
 use crate::routing;
@@ -200,7 +200,11 @@
 
     /// Records every change before its effect shows, from here on. Connections that are opened go
     /// to `opened`.
-    pub fn start_recording(&self, journal: Journal, opened: mpsc::UnboundedSender<OpenedConnection>) {
+    pub fn start_recording(
+        &self,
+        journal: Journal,
+        opened: mpsc::UnboundedSender<OpenedConnection>,
+    ) {
         self.exchange.borrow_mut().start_journal(journal, opened);
     }
 
--- a/crates/merlinshelf-backend/src/process/successor_role.rs
+++ b/crates/merlinshelf-backend/src/process/successor_role.rs
@@ -11,7 +11,7 @@
 
 use super::error::ServeError;
 use super::{Process, VERSION};
-use crate::exchange::{PassedDescriptors, OpenedConnection};
+use crate::exchange::{OpenedConnection, PassedDescriptors};
 use crate::fault;
 use crate::instance::RestoredInstance;
 use crate::upgrade::channel::{Channel, ReceivedMessage};
