--- a/crates/merlinshelf-agent/src/policy/mod.rs
+++ b/crates/merlinshelf-agent/src/policy/mod.rs
@@ -15,6 +15,7 @@
 use merlinshelf_policy::rollout_leader::{Action, ServiceWatch};
 use merlinshelf_policy::{
     Bootstrap, Entry, HostLeaseManager, HostLeaseResponse, InstanceStatus, RolloutLeader,
+    ServiceCounts,
 };
 use merlinshelf_protocol::control::{ControlMessage, ControlRequest};
 use serde_json::{Value, json};
@@ -158,8 +159,10 @@
             .insert(name.to_owned(), (invocations, succeeded));
         let before = before.filter(|before| before.0 <= invocations && before.1 <= succeeded);
         if let Some(before) = before {
-            self.warden.service_counts.invocations += invocations - before.0;
-            self.warden.service_counts.succeeded += succeeded - before.1;
+            self.warden.add_service_counts(ServiceCounts {
+                invocations: invocations - before.0,
+                succeeded: succeeded - before.1,
+            });
         }
     }
 
--- a/crates/merlinshelf-policy/src/host_lease_manager.rs
+++ b/crates/merlinshelf-policy/src/host_lease_manager.rs
@@ -79,9 +79,8 @@
     requested_at: f64,
     reported: Progress,
     instances: BTreeMap<String, InstanceRecord>,
-    /// The service of all instances, which the agent counts and which is reported with each
-    /// request.
-    pub service_counts: ServiceCounts,
+    /// The service of all instances, which is reported with each request.
+    service_counts: ServiceCounts,
 }
 
 impl HostLeaseManager {
@@ -232,6 +231,12 @@
         }
     }
 
+    /// An instance has served invocations, so many of them since they were last counted.
+    pub fn add_service_counts(&mut self, counts: ServiceCounts) {
+        self.service_counts.invocations += counts.invocations;
+        self.service_counts.succeeded += counts.succeeded;
+    }
+
     /// There is something that the leading agent should learn now.
     pub fn request_soon(&mut self) {
         self.requested_at = f64::NEG_INFINITY;
--- a/crates/merlinshelf-quota/src/allocator.rs
+++ b/crates/merlinshelf-quota/src/allocator.rs
@@ -105,7 +105,7 @@
 impl Allocator {
     /// Takes over at `now` from another allocator that may have granted until then. `id` identifies
     /// it among all allocators of the budget.
-    pub fn taking_over(now: f64, terms: LeaseTerms, budget: u32, id: u64) -> Allocator {
+    pub fn take_over(now: f64, terms: LeaseTerms, budget: u32, id: u64) -> Allocator {
         Allocator {
             terms,
             budget,
@@ -118,11 +118,11 @@
     }
 
     /// The first allocator of a budget, or one whose predecessor granted out of another budget.
-    pub fn first(now: f64, terms: LeaseTerms, budget: u32, id: u64) -> Allocator {
+    pub fn new(now: f64, terms: LeaseTerms, budget: u32, id: u64) -> Allocator {
         Allocator {
             grants_from: now,
             spare_policy: SparePolicy::SpreadAll,
-            ..Allocator::taking_over(now, terms, budget, id)
+            ..Allocator::take_over(now, terms, budget, id)
         }
     }
 
--- a/crates/merlinshelf-quota/src/fleet_allocator.rs
+++ b/crates/merlinshelf-quota/src/fleet_allocator.rs
@@ -65,7 +65,7 @@
     budgets: Budgets,
     /// What each host has reserved.
     reserve: Budgets,
-    hosts: u32,
+    host_count: u32,
     allocators: BTreeMap<BudgetKey, Allocator>,
     recoveries: BTreeMap<ZoneKey, Recovery>,
     spent_calls: BTreeMap<BudgetKey, VecDeque<SpentCalls>>,
@@ -80,7 +80,7 @@
             id,
             budgets: Budgets::new(),
             reserve: Budgets::new(),
-            hosts: 0,
+            host_count: 0,
             allocators: BTreeMap::new(),
             recoveries: BTreeMap::new(),
             spent_calls: BTreeMap::new(),
@@ -89,13 +89,13 @@
 
     /// Sets the budgets of the fleet, of which each of so many hosts has this reserve. Smaller ones
     /// take effect as leases expire.
-    pub fn set_budgets(&mut self, budgets: &Budgets, reserve: &Budgets, hosts: u32) {
-        if self.budgets == *budgets && self.reserve == *reserve && self.hosts == hosts {
+    pub fn set_budgets(&mut self, budgets: &Budgets, reserve: &Budgets, host_count: u32) {
+        if self.budgets == *budgets && self.reserve == *reserve && self.host_count == host_count {
             return;
         }
         self.budgets = budgets.clone();
         self.reserve = reserve.clone();
-        self.hosts = hosts;
+        self.host_count = host_count;
         // Where a budget is removed and later restored, calls may be made without limit in between:
         // its allocator then takes over from that as from an earlier allocator.
         self.allocators
@@ -206,7 +206,7 @@
         let allocator = self
             .allocators
             .entry(key)
-            .or_insert_with(|| Allocator::taking_over(now, self.terms, available, self.id));
+            .or_insert_with(|| Allocator::take_over(now, self.terms, available, self.id));
         allocator.set_budget(available);
         allocator.handle_request(now, host, request, None)
     }
@@ -230,7 +230,7 @@
     fn available(&self, dependency: &str, kind: CallKind) -> u32 {
         let budget = find_budget(&self.budgets, dependency, kind).unwrap_or(0);
         let reserve_per_host = find_budget(&self.reserve, dependency, kind).unwrap_or(0);
-        let unreserved = budget.saturating_sub(reserve_per_host.saturating_mul(self.hosts));
+        let unreserved = budget.saturating_sub(reserve_per_host.saturating_mul(self.host_count));
         if kind != CallKind::FirstCall {
             return unreserved;
         }
--- a/crates/merlinshelf-quota/src/host_allocator.rs
+++ b/crates/merlinshelf-quota/src/host_allocator.rs
@@ -25,7 +25,7 @@
     fn new(now: f64, incarnation: u64, terms: LeaseTerms) -> HostQuota {
         HostQuota {
             holder: QuotaLeaseHolder::new(incarnation, terms),
-            allocator: Allocator::first(now, terms, 0, incarnation),
+            allocator: Allocator::new(now, terms, 0, incarnation),
         }
     }
 
--- a/crates/merlinshelf-quota/tests/model/main.rs
+++ b/crates/merlinshelf-quota/tests/model/main.rs
@@ -118,7 +118,7 @@
 /// How many calls both holders can make at one time, when a delayed grant of the first one arrives
 /// after the second one was granted the whole budget.
 fn calls_after_delayed_grant(delay: impl Fn(QuotaGrant, f64) -> QuotaGrant) -> usize {
-    let mut allocator = Allocator::first(0.0, TERMS, 10, 1);
+    let mut allocator = Allocator::new(0.0, TERMS, 10, 1);
     let mut first = QuotaLeaseHolder::new(1, TERMS);
     let mut second = QuotaLeaseHolder::new(2, TERMS);
     let request = first.request_for(0.0, DEMAND, 0);
--- a/crates/merlinshelf-quota/tests/model/world.rs
+++ b/crates/merlinshelf-quota/tests/model/world.rs
@@ -153,7 +153,7 @@
             queue: BinaryHeap::new(),
             events: BTreeMap::new(),
             last_event_id: 0,
-            allocator: Allocator::first(0.0, TERMS, budget, 1),
+            allocator: Allocator::new(0.0, TERMS, budget, 1),
             allocator_clock_rate: 1.0,
             hosts,
             arrivals: Vec::new(),
@@ -349,7 +349,7 @@
         } else {
             now
         };
-        self.allocator = Allocator::taking_over(taken_over_at, TERMS, budget, id);
+        self.allocator = Allocator::take_over(taken_over_at, TERMS, budget, id);
     }
 
     fn restart_agent(&mut self, host: usize) {
@@ -359,7 +359,7 @@
         host.holder = QuotaLeaseHolder::new(self.last_incarnation, TERMS);
         // The leader counts what the former incarnation granted, as that incarnation's: this one
         // need not wait.
-        host.allocator = Allocator::first(now, TERMS, 0, self.last_incarnation);
+        host.allocator = Allocator::new(now, TERMS, 0, self.last_incarnation);
     }
 
     /// Schedules calls of these instances at random times, so many per second of each.
@@ -410,7 +410,7 @@
     Host {
         clock_rate: random_rate(),
         holder: QuotaLeaseHolder::new(host as u64 + 1, TERMS),
-        allocator: Allocator::first(0.0, TERMS, 0, 1),
+        allocator: Allocator::new(0.0, TERMS, 0, 1),
         instances: (0..INSTANCES_PER_HOST)
             .map(|slot| Instance {
                 clock_rate: random_rate(),
