--- a/crates/merlinshelf-agent/tests/golden/follower.rs
+++ b/crates/merlinshelf-agent/tests/golden/follower.rs
@@ -67,7 +67,7 @@
             version: 8,
             ready_instances: 0,
             silent_instances: 0,
-            rejections: vec![("web.0".into(), "it has no such operation".into())],
+            rejections: vec![("web.0".to_owned(), "it has no such operation".to_owned()).into()],
         };
         let has_prepared =
             |request: &HostLeaseRequest| request.prepare_result.as_ref() == Some(&prepared);
@@ -81,7 +81,7 @@
         });
         assert_eq!(
             (request.host.as_str(), request.service_counts),
-            ("c", (0, 0))
+            ("c", (0, 0).into())
         );
         // The fence is at 6 as soon as no lease of an earlier agent can be valid any more.
         assert!(
@@ -121,7 +121,7 @@
         );
         assert_eq!(
             heartbeat.offered_policy,
-            Some((7, policy("the policy that holds", 100)))
+            Some((7, policy("the policy that holds", 100)).into())
         );
         check_quota_grants(&heartbeat.quota_grants.expect("quota"));
     }
--- a/crates/merlinshelf-agent/tests/golden/forms.rs
+++ b/crates/merlinshelf-agent/tests/golden/forms.rs
@@ -69,7 +69,7 @@
             Entry::Decide {
                 version: 65,
                 accepted: false,
-                rejections,
+                rejections: rejections.into_iter().map(Into::into).collect(),
             },
         ),
         ("leases may be out", Entry::Activate { version: 66 }),
@@ -126,7 +126,7 @@
 fn heartbeats() {
     let heartbeat = Heartbeat {
         incarnation: 0x3131_3131_3131,
-        offered_policy: Some((132, policy("an offered policy", 500))),
+        offered_policy: Some((132, policy("an offered policy", 500)).into()),
         fence_version: 133,
         grant: Some(LeaseGrant {
             version: 134,
--- a/crates/merlinshelf-agent/tests/golden/support/samples.rs
+++ b/crates/merlinshelf-agent/tests/golden/support/samples.rs
@@ -169,7 +169,7 @@
         last_version: 9,
         current_version: 7,
         policy: policy("the policy that holds", 100),
-        previous: Some((5, policy("the policy before it", 200))),
+        previous: Some((5, policy("the policy before it", 200)).into()),
         pending_change: Some(Change {
             version: 8,
             change_id: "change-8".into(),
@@ -323,7 +323,7 @@
         reported_at: 122.5,
         fenced_version: 6,
         known_versions: vec![4, 5],
-        rejected_version: Some((8, "it has no such operation".into())),
+        rejected_version: Some((8, "it has no such operation".to_owned()).into()),
         effective_version: Some(5),
         lease_remaining_seconds: 123.5,
         base_fingerprint: BASE_FINGERPRINT,
