--- a/crates/merlinshelf-agent/src/fleet_file.rs
+++ b/crates/merlinshelf-agent/src/fleet_file.rs
@@ -64,7 +64,7 @@
         /// Name of the group.
         group: String,
         /// What is wrong with the configuration.
-        error: LoadError,
+        error: Box<LoadError>,
     },
     /// The instances do not fit the host.
     #[error("{}: {error}", file.display())]
@@ -136,7 +136,7 @@
     merlinshelf_backend::check_config(&group.config).map_err(|error| FleetFileError::GroupConfig {
         file: file.to_path_buf(),
         group: name.to_owned(),
-        error,
+        error: Box::new(error),
     })
 }
 
