--- a/crates/merlinshelf-quota/src/budget.rs
+++ b/crates/merlinshelf-quota/src/budget.rs
@@ -129,8 +129,8 @@
     },
     /// The reserves of all hosts together exceed the budget.
     #[error(
-        "budgets.{dependency}.{}: {calls_per_second} a second are fewer than the {reserve_per_host} \
-         that the base policy sets aside for each of {hosts} hosts",
+        "budgets.{dependency}.{}: {calls_per_second} a second are fewer than the \
+         {reserve_per_host} that the base policy sets aside for each of {hosts} hosts",
         kind.name()
     )]
     ExceedsBudget {
