--- a/crates/merlinshelf-backend/src/exchange/connections.rs
+++ b/crates/merlinshelf-backend/src/exchange/connections.rs
@@ -1,4 +1,4 @@
-//! The connections of the server side, as the exchange sees them: a queue of answers each.
+//! The connections of the server side as the exchange sees them: a queue of answers each.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -8,7 +8,7 @@
 use super::send_queue::SendQueue;
 use super::{Answer, Shared};
 
-/// One connection's door; dropping it is the one way in which it is given back.
+/// One connection's side of the exchange. Dropping it is the one way in which the connection is released.
 pub struct ConnectionHandle {
     exchange: Shared,
     number: usize,
@@ -28,7 +28,7 @@
         }
     }
 
-    /// The door of a connection that another process has opened.
+    /// The handle of a connection that another process has opened.
     pub fn reopen(exchange: &Shared, stream: u64) -> ConnectionHandle {
         let (number, stream, wake) = exchange.borrow_mut().open_connection(Some(stream));
         ConnectionHandle {
@@ -47,7 +47,7 @@
         self.stream
     }
 
-    /// Waits until there may be an answer or a word on closing.
+    /// Waits until there may be an answer, or connections are to close.
     pub async fn answer_ready(&self) {
         self.answers_ready.notified().await;
     }
@@ -69,11 +69,12 @@
 
 type Answers = SendQueue<(u16, Answer)>;
 
+/// All connections, by the numbers of their handles.
 #[derive(Debug, Default)]
 pub struct ConnectionTable {
     slots: Vec<Option<(u64, Answers)>>,
     free: Vec<usize>,
-    /// While changes are noted: the doors whose answers may have changed since.
+    /// While a journal is written: the connections whose answers may have changed since.
     pub unsaved: Option<BTreeSet<usize>>,
 }
 
@@ -87,7 +88,7 @@
         (number, queue.waker())
     }
 
-    /// Says how many answers were left in it.
+    /// Returns how many answers were not sent.
     pub fn close(&mut self, number: usize) -> usize {
         self.free.push(number);
         self.slots[number]
@@ -103,7 +104,7 @@
         self.slots.get_mut(number)?.as_mut().map(|(_, queue)| queue)
     }
 
-    /// The connection behind a door, and the answers that wait there.
+    /// The connection of a handle, and the answers that wait there.
     pub fn queue(&self, number: usize) -> Option<(u64, &Answers)> {
         self.slots
             .get(number)?
@@ -111,7 +112,7 @@
             .map(|(stream, queue)| (*stream, queue))
     }
 
-    /// The doors that are open.
+    /// The numbers in use.
     pub fn numbers(&self) -> impl Iterator<Item = usize> + '_ {
         self.slots
             .iter()
--- a/crates/merlinshelf-backend/src/exchange/in_flight.rs
+++ b/crates/merlinshelf-backend/src/exchange/in_flight.rs
@@ -1,4 +1,4 @@
-//! The invocations in hand, by the module's number and by their id.
+//! The invocations in flight, by the controller's number and by their id.
 
 use std::collections::{BTreeSet, HashMap};
 use std::rc::Rc;
@@ -8,13 +8,14 @@
 
 use super::runs::Command;
 
-/// Where an answer goes: a connection's door, and the invocation's tag on that connection.
+/// Where an answer goes: a connection, and the invocation's tag on that connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReplyAddress {
     pub connection: usize,
     pub tag: u16,
 }
 
+/// One invocation, from when it was read until it is released.
 #[derive(Debug)]
 pub struct InFlightInvocation {
     pub id: CallId,
@@ -22,43 +23,44 @@
     pub body: Rc<[u8]>,
     /// None once it was answered or nobody is left to answer.
     pub reply: Option<ReplyAddress>,
-    /// The last notice that asked for a call: its number and the call's body.
+    /// The last notification that requested a call: its number and the call's body.
     pub call_request: Option<(u64, Rc<[u8]>)>,
-    /// The dependency that this notice named.
+    /// The dependency that this notification named.
     pub named_dependency: Option<Rc<str>>,
-    /// How many calls its run has wanted.
+    /// How many calls its run has requested.
     pub calls_requested: usize,
-    /// Parts that its result is without.
+    /// Parts that its result lacks.
     pub missing_parts: Vec<Rc<str>>,
-    /// When its caller waits no longer, from the exchange's start.
+    /// When its caller gives up, from the exchange's start.
     pub due_at: Option<Duration>,
     /// Calls made so far, and whether the last one is open.
     pub calls: usize,
     pub is_calling: bool,
     /// Whether a run of it was ever started.
     pub has_started: bool,
-    /// How many notices the engine has sent about it.
+    /// How many notifications the engine has sent about it.
     pub notifications: u64,
-    /// When its open call is given up, from the exchange's start.
+    /// When its open call times out, from the exchange's start.
     pub call_timeout_at: Option<Duration>,
     /// The last command about it that the engine is not known to have read, and whether it was put on the link.
     pub command: Option<(Command, bool)>,
-    /// In which order it came.
+    /// Its place in the order of arrival.
     pub arrival_order: u64,
 }
 
+/// All invocations in flight.
 #[derive(Debug, Default)]
 pub struct InFlightTable {
     slots: Vec<Option<InFlightInvocation>>,
     free: Vec<usize>,
     by_id: HashMap<CallId, usize>,
     arrivals: u64,
-    /// While changes are noted: the numbers that may have changed since they were last, and the ids given back.
+    /// While a journal is written: the numbers that may have changed since, and the ids that were released.
     pub unsaved: Option<(BTreeSet<usize>, Vec<CallId>)>,
 }
 
 impl InFlightTable {
-    /// Takes one in; it is the last that came.
+    /// Adds one as the last arrival.
     pub fn insert(&mut self, mut invocation: InFlightInvocation) -> usize {
         self.arrivals += 1;
         invocation.arrival_order = self.arrivals;
@@ -78,7 +80,7 @@
         }
     }
 
-    /// The one place where an invocation's number and all it holds are given back.
+    /// The one place where an invocation's number and all that it owns are released.
     pub fn remove(&mut self, number: usize) -> Option<InFlightInvocation> {
         let invocation = self.slots.get_mut(number)?.take()?;
         self.by_id.remove(&invocation.id);
@@ -89,7 +91,7 @@
         Some(invocation)
     }
 
-    /// For changes.
+    /// For changes; the journal will have it.
     pub fn get_mut(&mut self, number: usize) -> Option<&mut InFlightInvocation> {
         self.changed(Some(number));
         self.slots.get_mut(number)?.as_mut()
@@ -107,7 +109,7 @@
         self.by_id.len()
     }
 
-    /// Those whose answers would go through this door.
+    /// Those whose answers would go over this connection.
     pub fn answered_on(&self, connection: usize) -> Vec<usize> {
         self.numbers(|invocation| {
             invocation
--- a/crates/merlinshelf-backend/src/exchange/mod.rs
+++ b/crates/merlinshelf-backend/src/exchange/mod.rs
@@ -1,14 +1,18 @@
-//! Where the server side and the client side meet. The exchange owns the module and all invocations in
-//! hand; it tells the module what happens and carries out what was decided, field by field in the order
-//! of the interface. Neither side knows of the other.
+//! Where the server side and the client side meet.
+//!
+//! The exchange owns the admission controller and all invocations in flight. It feeds the controller with events and
+//! carries out its decisions, field by field in the order of the interface. Neither side knows of the other.
 
+mod answer_records;
 mod arrivals;
 mod calls;
 mod connections;
 mod decisions;
 mod in_flight;
+mod journaling;
 mod policy;
 mod quota;
+mod restoration;
 mod runs;
 mod send_queue;
 mod snapshot;
@@ -41,15 +45,17 @@
 pub use snapshot::{OpenedConnection, PassedDescriptors, StoppedPart, monotonic, pass};
 use timers::{Timer, TimerQueue};
 
+/// The exchange as all parts of an instance, on one thread, share it.
 pub type Shared = Rc<RefCell<Exchange>>;
 
-/// Of the memory told, a quarter is for invocations in hand at 20 KB each: a body, a result and a call's two
-/// by the page's sizes, and as much again. Far more than the module ever holds: it bounds what a broken peer can do.
-const HAND_KB: usize = 4 * 20;
-/// A sixteenth is for those that are being read, by the bytes that have come, so that many that are begun and left
-/// keep no place from those that come whole.
+/// A quarter of the memory limit is for invocations in flight at 20 KB each: a body, a result and a call's two by the
+/// protocol's sizes, and as much again. Far more than the controller ever admits: it bounds what a broken peer can do.
+const IN_FLIGHT_KILOBYTES: usize = 4 * 20;
+/// A sixteenth is for those that are being read, by the bytes that were received, so that many that are begun and
+/// abandoned keep nothing from those that arrive completely.
 const READING_PART: usize = 16;
 
+/// The invocations of one instance, and what stands between its two sides.
 pub struct Exchange {
     settings: Settings,
     seed: u64,
@@ -179,7 +185,7 @@
             is_closing: false,
             reading_bytes: Rc::default(),
             max_reading_bytes: memory_mb as usize * 1024 * 1024 / READING_PART,
-            max_in_flight: (memory_mb as usize * 1024 / HAND_KB).max(1),
+            max_in_flight: (memory_mb as usize * 1024 / IN_FLIGHT_KILOBYTES).max(1),
             next_stream: 1,
             freeze: watch::Sender::new(false),
             stopped_parts: Vec::new(),
--- a/crates/merlinshelf-backend/src/exchange/send_queue.rs
+++ b/crates/merlinshelf-backend/src/exchange/send_queue.rs
@@ -5,6 +5,7 @@
 
 use tokio::sync::Notify;
 
+/// Items for one side, which takes them when it is woken.
 #[derive(Debug)]
 pub struct SendQueue<T> {
     waiting: VecDeque<T>,
--- a/crates/merlinshelf-backend/src/exchange/timers.rs
+++ b/crates/merlinshelf-backend/src/exchange/timers.rs
@@ -6,24 +6,25 @@
 
 use merlinshelf_protocol::CallId;
 
+/// What fires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Timer {
-    /// The module asked to be woken with this handle.
+    /// The controller asked for a timer with this handle.
     Admission(u64),
-    /// The time-out of an invocation's call of that number.
+    /// The timeout of an invocation's call of that number.
     CallTimeout(CallId, usize),
 }
 
-/// Times are counted from the exchange's start, on a clock that never goes back.
+/// Pending timers, the soonest first. Times are counted from the exchange's start, on a monotonic clock.
 #[derive(Debug, Default)]
 pub struct TimerQueue {
     all: BinaryHeap<Reverse<(Duration, Timer)>>,
-    /// The one wake of each handle that counts: the last that was asked for.
+    /// The one timer of each handle that counts: the last that was set.
     admission_timers: BTreeMap<u64, Duration>,
 }
 
 impl TimerQueue {
-    /// A wake takes the place of one with the same handle that has not rung yet.
+    /// An admission timer replaces one with the same handle that has not fired yet.
     pub fn set(&mut self, at: Duration, alarm: Timer) {
         if let Timer::Admission(handle) = alarm {
             self.admission_timers.insert(handle, at);
@@ -49,7 +50,7 @@
         None
     }
 
-    /// Brings the soonest wake forward to this moment, and says its handle.
+    /// Takes the soonest admission timer, to be fired now, and returns its handle.
     pub fn take_next_admission(&mut self) -> Option<u64> {
         let (handle, _) = self.admission_timers.iter().min_by_key(|(_, at)| **at)?;
         let handle = *handle;
