--- a/crates/merlinshelf-agent/src/agent/event_loop.rs
+++ b/crates/merlinshelf-agent/src/agent/event_loop.rs
@@ -9,7 +9,7 @@
 use merlinshelf_backend::control::{self, Asked};
 use merlinshelf_backend::logger;
 use merlinshelf_backend::operator::Format;
-use merlinshelf_fleet::{Fleet, FleetSpec, Refusal};
+use merlinshelf_fleet::{Fleet, FleetError, FleetSpec};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use tokio::runtime::Builder;
@@ -54,8 +54,8 @@
     FleetFile(#[from] FleetFileError),
     #[error("another folder is for another agent")]
     FolderChanged,
-    #[error("{}", .0.0)]
-    Rejected(Refusal),
+    #[error(transparent)]
+    Rejected(#[from] FleetError),
 }
 
 /// Serves until SIGTERM or SIGINT; the instances go on.
@@ -192,11 +192,11 @@
 
     pub(super) fn apply_file(&mut self) -> Result<(), ApplyError> {
         let spec = fleet_file::load(&self.file)?;
-        if spec.folder != self.fleet.wanted().folder {
+        if spec.folder != self.fleet.spec().folder {
             return Err(ApplyError::FolderChanged);
         }
         let now = self.now();
-        self.fleet.apply(now, spec).map_err(ApplyError::Rejected)
+        Ok(self.fleet.apply(now, spec)?)
     }
 
     fn handle_policy_event(&mut self, event: PolicyEvent) {
@@ -216,7 +216,7 @@
             } => self.process_exited(name, identity, status),
             AgentEvent::ProcessFound { name, identity } => {
                 if self.supervise(&name, &identity) {
-                    self.fleet.found(now, &name, identity);
+                    self.fleet.process_found(now, &name, identity);
                 }
             }
             AgentEvent::ProcessNotFound { name, reason } => self.process_not_found(&name, &reason),
@@ -230,21 +230,22 @@
         let backoff_jitter = self.rng.random();
         match reason {
             SearchReason::ProcessExited { status, .. } => {
-                self.fleet.ended(now, name, *status, backoff_jitter);
+                self.fleet
+                    .process_exited(now, name, *status, backoff_jitter);
             }
             SearchReason::SocketTaken => {
                 let reason = "another process listens on its control socket";
-                self.fleet.not_started(now, name, reason, backoff_jitter);
+                self.fleet.start_failed(now, name, reason, backoff_jitter);
             }
         }
     }
 
     /// Everything that is due by now.
     fn advance(&mut self) {
-        self.fleet.at(unix_seconds());
+        self.fleet.set_wall_clock(unix_seconds());
         let now = self.now();
-        self.fleet.woken(now);
-        while let Some(action) = self.fleet.next_step() {
+        self.fleet.advance(now);
+        while let Some(action) = self.fleet.poll_action() {
             self.carry_out(action);
         }
         if let Some(record) = self.fleet.take_record() {
--- a/crates/merlinshelf-agent/src/agent/fleet_report.rs
+++ b/crates/merlinshelf-agent/src/agent/fleet_report.rs
@@ -42,8 +42,8 @@
     if let Some(fields) = plan.as_mut().and_then(Value::as_object_mut) {
         fields.remove("targets");
     }
-    let (serving, total) = fleet.capacity(now);
-    let capacity_percent = serving / total.max(1e-9) * 100.0;
+    let capacity = fleet.capacity(now);
+    let capacity_percent = capacity.serving / capacity.total.max(1e-9) * 100.0;
     json!({
         "states": states,
         "capacity": round_to_tenth(capacity_percent),
@@ -58,21 +58,21 @@
         "name": instance.name,
         "group": instance.group,
         "state": instance.state.name(),
-        "since_s": round_to_tenth(now - instance.since),
+        "since_s": round_to_tenth(now - instance.state_entered_at),
         "process": instance.identity.as_ref().map(|identity| identity.pid),
-        "down": instance.down,
-        "in_hand": report.map(|report| report.in_hand),
-        "served_per_s": round_to_tenth(instance.rate(now, RATE_WINDOW_SECONDS)),
+        "down": instance.is_disabled,
+        "in_hand": report.map(|report| report.in_flight),
+        "served_per_s": round_to_tenth(instance.success_rate(now, RATE_WINDOW_SECONDS)),
         "run_ms": report.and_then(|report| report.run_ms).map(round_to_tenth),
         "memory_kb": report.map(|report| report.memory_kb),
         "program": instance.program,
-        "crashes": instance.crashes.in_a_row,
+        "crashes": instance.backoff.crashes_in_a_row,
     })
 }
 
 /// A plan with all its targets.
 pub(super) fn plan_report(plan: &Plan) -> Value {
-    let (done, total) = plan.progress();
+    let progress = plan.progress();
     let targets: Vec<Value> = plan
         .targets
         .iter()
@@ -83,21 +83,21 @@
         "kind": plan.kind.name(),
         "state": plan.state.text(),
         "over": plan.state.is_over(),
-        "done": done,
-        "of": total,
-        "at_once": plan.at_once,
+        "done": progress.done,
+        "of": progress.total,
+        "at_once": plan.max_in_progress,
         "targets": targets,
     })
 }
 
 fn stage_text(stage: &Stage) -> String {
     match stage {
-        Stage::Todo => "to do".to_owned(),
-        Stage::Under { .. } => "under way".to_owned(),
-        Stage::Looking { .. } => "looked at".to_owned(),
+        Stage::Pending => "to do".to_owned(),
+        Stage::InProgress { .. } => "under way".to_owned(),
+        Stage::Observing { .. } => "looked at".to_owned(),
         Stage::Done { .. } => "done".to_owned(),
-        Stage::Back => "put back".to_owned(),
-        Stage::Left(reason) => format!("left: {reason}"),
+        Stage::RollingBack => "put back".to_owned(),
+        Stage::Skipped(reason) => format!("left: {reason}"),
     }
 }
 
--- a/crates/merlinshelf-agent/src/agent/health_checks.rs
+++ b/crates/merlinshelf-agent/src/agent/health_checks.rs
@@ -65,7 +65,7 @@
         if let Some(policy) = &mut self.policy {
             policy.record_service_counts(name, report.invocations, report.succeeded);
         }
-        self.fleet.reported(now, name, report);
+        self.fleet.report_received(now, name, report);
     }
 }
 
@@ -101,7 +101,7 @@
             .and_then(|pid| u32::try_from(pid).ok()),
         state: status["state"].as_str()?.to_owned(),
         healthy: status["healthy"].as_bool(),
-        in_hand: status["in_hand"].as_u64().unwrap_or(0),
+        in_flight: status["in_hand"].as_u64().unwrap_or(0),
         invocations: counter("invocations"),
         succeeded: counter("succeeded"),
         run_ms: status["run_ms"].as_f64(),
--- a/crates/merlinshelf-agent/src/agent/instance_processes.rs
+++ b/crates/merlinshelf-agent/src/agent/instance_processes.rs
@@ -56,7 +56,7 @@
         let Some(instance) = self.fleet.get(&name) else {
             return;
         };
-        let started = match instance_files::write_instance_files(self.fleet.wanted(), instance) {
+        let started = match instance_files::write_instance_files(self.fleet.spec(), instance) {
             Ok(paths) if control::is_taken(&paths.control) => {
                 return self.search_process(name, SearchReason::SocketTaken);
             }
@@ -65,7 +65,7 @@
         };
         let now = self.now();
         let supervised = started.and_then(|identity| {
-            self.fleet.started(now, &name, identity.clone());
+            self.fleet.process_started(now, &name, identity.clone());
             if self.supervise(&name, &identity) {
                 Ok(())
             } else {
@@ -75,7 +75,7 @@
         if let Err(error) = supervised {
             let backoff_jitter = self.rng.random();
             self.fleet
-                .not_started(now, &name, &error.to_string(), backoff_jitter);
+                .start_failed(now, &name, &error.to_string(), backoff_jitter);
         }
     }
 
@@ -119,7 +119,10 @@
         }
         self.processes.remove(&name);
         // An instance that is shutting down hands over to nobody.
-        let instance = self.fleet.get(&name).filter(|instance| !instance.told);
+        let instance = self
+            .fleet
+            .get(&name)
+            .filter(|instance| !instance.is_shutdown_requested);
         if let Some(instance) = instance {
             let is_upgrading = instance.state == State::Upgrading;
             let reason = SearchReason::ProcessExited {
@@ -131,7 +134,8 @@
         }
         let now = self.now();
         let backoff_jitter = self.rng.random();
-        self.fleet.ended(now, &name, status, backoff_jitter);
+        self.fleet
+            .process_exited(now, &name, status, backoff_jitter);
     }
 
     /// Asks for a graceful shutdown; by signal where the control socket does not answer.
@@ -174,9 +178,9 @@
     pub(super) fn upgrade_finished(&mut self, name: &str, result: Result<(), UpgradeError>) {
         let now = self.now();
         let Err(error) = result else {
-            return self.fleet.upgraded(now, name);
+            return self.fleet.upgrade_succeeded(now, name);
         };
-        self.fleet.not_upgraded(now, name, &error.to_string());
+        self.fleet.upgrade_failed(now, name, &error.to_string());
         // The instance's next process runs the former program again.
         if let Some(instance) = self.fleet.get(name)
             && let Err(error) = instance_files::link_program(&self.paths(name), &instance.program)
--- a/crates/merlinshelf-agent/src/agent/mod.rs
+++ b/crates/merlinshelf-agent/src/agent/mod.rs
@@ -92,14 +92,14 @@
     }
 
     fn paths(&self, name: &str) -> InstancePaths {
-        InstancePaths::new(self.fleet.wanted(), name)
+        InstancePaths::new(self.fleet.spec(), name)
     }
 
     /// Where clients reach an instance.
     fn address(&self, name: &str) -> Option<SocketAddr> {
         let instance = self.fleet.get(name)?;
-        let group = self.fleet.wanted().groups.get(&instance.group)?;
-        address(&group.listen, instance.number)
+        let group = self.fleet.spec().groups.get(&instance.group)?;
+        address(&group.listen, instance.index)
     }
 
     fn instance_names(&self) -> Vec<String> {
--- a/crates/merlinshelf-agent/src/agent/operator_requests.rs
+++ b/crates/merlinshelf-agent/src/agent/operator_requests.rs
@@ -4,7 +4,7 @@
 
 use log::warn;
 use merlinshelf_backend::control::Asked;
-use merlinshelf_fleet::{Command, Refusal, Selector};
+use merlinshelf_fleet::{Command, FleetError, Selector};
 use serde_json::{Value, json};
 
 use super::Agent;
@@ -89,7 +89,7 @@
     fn send_status(&self, body: &Value, reply: &ReplySender) {
         let names = match self.fleet.select(&decode_selector(body)) {
             Ok(names) => names,
-            Err(refusal) => return reply.rejected(refusal.0),
+            Err(error) => return reply.rejected(error.to_string()),
         };
         let now = self.now();
         let StatusReport { pages, summary } = status_report(&self.fleet, now, &names);
@@ -113,7 +113,7 @@
     fn send_logs(&self, body: &Value, reply: &ReplySender) {
         let names = match self.fleet.select(&decode_selector(body)) {
             Ok(names) => names,
-            Err(refusal) => return reply.rejected(refusal.0),
+            Err(error) => return reply.rejected(error.to_string()),
         };
         let count = line_count(body, DEFAULT_LOG_LINES);
         for name in names {
@@ -132,7 +132,7 @@
 
     fn send_history(&self, body: &Value, reply: &ReplySender) {
         let count = line_count(body, DEFAULT_HISTORY_LINES);
-        let mut events: Vec<_> = self.fleet.history.events().rev().take(count).collect();
+        let mut events: Vec<_> = self.fleet.history().events().rev().take(count).collect();
         events.reverse();
         for events in events.chunks(EVENTS_PER_PAGE) {
             let page: Vec<Value> = events
@@ -140,7 +140,7 @@
                 .map(|event| {
                     json!({
                         "number": event.number,
-                        "at": event.at,
+                        "at": event.unix_seconds,
                         "instance": event.instance,
                         "text": event.text,
                     })
@@ -161,24 +161,24 @@
         if body["dry_run"] == true {
             return match self.fleet.plan_for(&selector, &command) {
                 Ok(plan) => reply.done(plan_report(&plan)),
-                Err(refusal) => reply.rejected(refusal.0),
+                Err(error) => reply.rejected(error.to_string()),
             };
         }
-        match self.fleet.command(now, &selector, &command) {
+        match self.fleet.begin_plan(now, &selector, &command) {
             Ok(plan_number) if body["wait"] == true => {
                 self.plan_followers
                     .push(PlanFollower::new(plan_number, reply));
             }
             Ok(_) => reply.done(self.fleet.plan().map(plan_report).unwrap_or_default()),
-            Err(refusal) => reply.rejected(refusal.0),
+            Err(error) => reply.rejected(error.to_string()),
         }
     }
 }
 
-fn send_result(reply: &ReplySender, result: Result<(), Refusal>) {
+fn send_result(reply: &ReplySender, result: Result<(), FleetError>) {
     match result {
         Ok(()) => reply.done(json!({ "text": "done" })),
-        Err(refusal) => reply.rejected(refusal.0),
+        Err(error) => reply.rejected(error.to_string()),
     }
 }
 
@@ -214,14 +214,14 @@
         "start" => Ok(Command::Start),
         "drain" => Ok(Command::Drain {
             slowest_first: body["slowest_first"] == true,
-            at_once: body["at_once"]
+            max_in_progress: body["at_once"]
                 .as_u64()
                 .and_then(|count| u32::try_from(count).ok()),
         }),
         "stop" => {
             let seconds = body["within_s"].as_f64().unwrap_or(DEFAULT_STOP_SECONDS);
             Ok(Command::Stop {
-                within: seconds.clamp(0.0, MAX_STOP_SECONDS),
+                timeout_seconds: seconds.clamp(0.0, MAX_STOP_SECONDS),
             })
         }
         "restart" => Ok(Command::Restart),
--- a/crates/merlinshelf-agent/src/agent/plan_progress.rs
+++ b/crates/merlinshelf-agent/src/agent/plan_progress.rs
@@ -17,6 +17,7 @@
 }
 
 impl PlanFollower {
+    /// A tool that was sent nothing yet.
     pub fn new(plan_number: u64, reply: ReplySender) -> PlanFollower {
         PlanFollower {
             plan_number,
--- a/crates/merlinshelf-agent/src/agent/recovery.rs
+++ b/crates/merlinshelf-agent/src/agent/recovery.rs
@@ -56,14 +56,14 @@
     pub(super) async fn adopt(&mut self, name: &str, known: Identity) {
         let now = self.now();
         if self.supervise(name, &known) {
-            return self.fleet.found(now, name, known);
+            return self.fleet.process_found(now, name, known);
         }
         let control = self.paths(name).control;
         let Some(report) = request_report(&control).await else {
             return;
         };
         if report.predecessor == Some(known.pid) && self.supervise(name, &report.identity) {
-            self.fleet.found(now, name, report.identity);
+            self.fleet.process_found(now, name, report.identity);
         }
     }
 
--- a/crates/merlinshelf-agent/src/instance_files.rs
+++ b/crates/merlinshelf-agent/src/instance_files.rs
@@ -68,8 +68,8 @@
         .ok_or_else(|| io::Error::other("its group is gone from the file"))?;
     let paths = InstancePaths::new(spec, &instance.name);
     std::fs::create_dir_all(&paths.folder)?;
-    let listen = address(&group.listen, instance.number)
-        .ok_or_else(|| io::Error::other("it has no port"))?;
+    let listen =
+        address(&group.listen, instance.index).ok_or_else(|| io::Error::other("it has no port"))?;
     let config = instance_config(group, instance, listen)?;
     let operator = operator_config(spec, group, instance, listen, &paths);
     replace_file(&paths.config, config.to_string().as_bytes())?;
@@ -87,12 +87,12 @@
     if let Some(engine) = group
         .engine
         .as_deref()
-        .and_then(|first| address(first, instance.number))
+        .and_then(|first| address(first, instance.index))
     {
         config["engine"] = json!(engine.to_string());
     }
     let seed = u64::from_str_radix(config["seed"].as_str().unwrap_or("0"), 16).unwrap_or(0);
-    let own_seed = seed ^ u64::from(instance.number).wrapping_mul(SEED_MULTIPLIER);
+    let own_seed = seed ^ u64::from(instance.index).wrapping_mul(SEED_MULTIPLIER);
     config["seed"] = json!(format!("{own_seed:016x}"));
     Ok(config)
 }
@@ -114,7 +114,7 @@
             "memory_mb": 2 * group.memory_mb,
         },
     });
-    if group.learning {
+    if group.is_gossiping {
         operator["learning"] = gossip_config(group, instance, listen, paths);
     }
     if let Some(consensus) = &spec.council {
@@ -134,7 +134,7 @@
         // Some others, spread over the group: an instance that starts learns from them.
         let stride = (group.count / GOSSIP_SEEDS).max(1);
         let mut seeds: Vec<String> = (1..=GOSSIP_SEEDS)
-            .map(|place| (instance.number + place * stride) % group.count.max(1))
+            .map(|place| (instance.index + place * stride) % group.count.max(1))
             .filter_map(|number| gossip_address(address(&group.listen, number)?))
             .filter(|seed| *seed != own)
             .collect();
@@ -160,7 +160,7 @@
     // within the second one.
     let mut policy = json!({
         "base": consensus.base,
-        "without": consensus.without,
+        "without": consensus.lease_expiry_mode,
         "drift": consensus.drift,
         "wait_ms": 2 * consensus.lease_ms,
     });
--- a/crates/merlinshelf-agent/src/policy/pending_requests.rs
+++ b/crates/merlinshelf-agent/src/policy/pending_requests.rs
@@ -36,6 +36,7 @@
 }
 
 impl PendingChange {
+    /// A change that is sent to the leader at once.
     pub fn new(
         now: f64,
         change_id: &str,
@@ -63,6 +64,7 @@
 }
 
 impl PendingRemoval {
+    /// A removal that is sent to the leader at once.
     pub fn new(now: f64, name: String, reply: ReplySender) -> PendingRemoval {
         PendingRemoval {
             name,
--- a/crates/merlinshelf-agent/src/process.rs
+++ b/crates/merlinshelf-agent/src/process.rs
@@ -47,7 +47,7 @@
 
 /// The process that has this number now.
 pub(crate) fn identity(pid: u32) -> Option<Identity> {
-    start_time(pid).map(|started| Identity { pid, started })
+    start_time(pid).map(|start_ticks| Identity { pid, start_ticks })
 }
 
 /// The file that a process executes.
@@ -97,7 +97,7 @@
             .ok_or(io::ErrorKind::NotFound)?;
         let pidfd = pidfd_open(pid, PidfdFlags::empty())?;
         // Checked once the pidfd is open: from here on the number can't be another process's.
-        if start_time(identity.pid) != Some(identity.started) {
+        if start_time(identity.pid) != Some(identity.start_ticks) {
             return Err(io::ErrorKind::NotFound.into());
         }
         // SAFETY: the descriptor is owned, and stays inside until the registration ends.
--- a/crates/merlinshelf-agent/src/reply.rs
+++ b/crates/merlinshelf-agent/src/reply.rs
@@ -10,6 +10,7 @@
 pub(crate) struct ReplySender(UnboundedSender<(ControlMessage, Value)>);
 
 impl ReplySender {
+    /// Around the channel of a request.
     pub fn new(sender: UnboundedSender<(ControlMessage, Value)>) -> ReplySender {
         ReplySender(sender)
     }
--- a/crates/merlinshelf-agent/src/store/tests.rs
+++ b/crates/merlinshelf-agent/src/store/tests.rs
@@ -5,10 +5,10 @@
 #[test]
 fn stored_record_is_read_back_and_damage_is_an_error() {
     let mut record = Record {
-        plans: 7,
+        last_plan_number: 7,
         ..Record::default()
     };
-    record.counts.insert("web".into(), 3);
+    record.group_counts.insert("web".into(), 3);
     let mut bytes = encode(&record);
     assert_eq!(decode(&bytes).expect("a complete file"), record);
     for length in 0..bytes.len() {
--- a/crates/merlinshelf-agent/tests/golden/follower.rs
+++ b/crates/merlinshelf-agent/tests/golden/follower.rs
@@ -263,7 +263,7 @@
     };
     let down = InstanceRecord {
         program: "/programs/web.1".into(),
-        down: true,
+        is_disabled: true,
         crashes_in_a_row: 56,
         ..InstanceRecord::default()
     };
--- a/crates/merlinshelf-agent/tests/golden/support/agent.rs
+++ b/crates/merlinshelf-agent/tests/golden/support/agent.rs
@@ -149,7 +149,7 @@
 }
 
 /// A process of this number by its start, as the kernel counts it.
-fn started(pid: u32) -> u64 {
+fn start_ticks(pid: u32) -> u64 {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).expect("the process is there");
     let (_, fields) = stat.rsplit_once(") ").expect("its name in brackets");
     fields
@@ -233,7 +233,7 @@
         let pid = self.process.0.id();
         Identity {
             pid,
-            started: started(pid),
+            start_ticks: start_ticks(pid),
         }
     }
 
--- a/crates/merlinshelf-agent/tests/golden/support/samples.rs
+++ b/crates/merlinshelf-agent/tests/golden/support/samples.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use merlinshelf_fleet::history::History;
-use merlinshelf_fleet::plan::{Kind as PlanKind, Stage as TargetStage, Target};
+use merlinshelf_fleet::plan::{PlanKind, Stage as TargetStage, Target};
 use merlinshelf_fleet::record::InstanceRecord;
 use merlinshelf_fleet::{Identity, Plan, PlanState, Record};
 use merlinshelf_policy::document::{DependencyPolicy, OperationPolicy};
@@ -33,10 +33,10 @@
 
 /// A plan that is over, with a target of every stage.
 fn completed_plan() -> Plan {
-    let target = |name: &str, stage, before| Target {
+    let target = |name: &str, stage, success_ratio_before| Target {
         name: name.into(),
         stage,
-        before,
+        success_ratio_before,
     };
     Plan {
         number: 41,
@@ -44,19 +44,19 @@
             program: "/programs/42".into(),
         },
         targets: vec![
-            target("web.0", TargetStage::Todo, None),
+            target("web.0", TargetStage::Pending, None),
             target(
                 "web.1",
-                TargetStage::Under {
+                TargetStage::InProgress {
                     program: "/before/1".into(),
                 },
                 Some(0.91),
             ),
             target(
                 "web.2",
-                TargetStage::Looking {
+                TargetStage::Observing {
                     program: "/before/2".into(),
-                    from: 92.5,
+                    started_at: 92.5,
                 },
                 Some(0.93),
             ),
@@ -67,11 +67,15 @@
                 },
                 Some(0.94),
             ),
-            target("web.4", TargetStage::Back, Some(0.95)),
-            target("web.5", TargetStage::Left("it does not start".into()), None),
+            target("web.4", TargetStage::RollingBack, Some(0.95)),
+            target(
+                "web.5",
+                TargetStage::Skipped("it does not start".into()),
+                None,
+            ),
         ],
         state: PlanState::Stopped("abandoned".into()),
-        at_once: 43,
+        max_in_progress: 43,
     }
 }
 
@@ -79,32 +83,32 @@
 /// changes nothing about it.
 pub fn store_record() -> Record {
     let mut history = History::default();
-    history.note(1_700_000_001.25, Some("web.0"), "started as process 31");
-    history.note(1_700_000_002.5, None, "plan 41: upgrade of 6");
+    history.add(1_700_000_001.25, Some("web.0"), "started as process 31");
+    history.add(1_700_000_002.5, None, "plan 41: upgrade of 6");
     let first = InstanceRecord {
         // No process has a number as high as this.
         identity: Some(Identity {
             pid: 4_194_999,
-            started: 0x3200_0000_0032,
+            start_ticks: 0x3200_0000_0032,
         }),
         program: "/programs/33".into(),
-        down: true,
-        told: false,
+        is_disabled: true,
+        is_shutdown_requested: false,
         crashes_in_a_row: 34,
     };
     let second = InstanceRecord {
         identity: None,
         program: "/programs/35".into(),
-        down: true,
-        told: true,
+        is_disabled: true,
+        is_shutdown_requested: true,
         crashes_in_a_row: 36,
     };
     Record {
         instances: by_name([("web.0", first), ("web.1", second)]),
-        counts: by_name([("web", 2)]),
-        programs: by_name([("web", "/programs/38".to_owned())]),
+        group_counts: by_name([("web", 2)]),
+        group_programs: by_name([("web", "/programs/38".to_owned())]),
         plan: Some(completed_plan()),
-        plans: 44,
+        last_plan_number: 44,
         history,
     }
 }
--- a/crates/merlinshelf-fleet/src/crash_backoff.rs
+++ b/crates/merlinshelf-fleet/src/crash_backoff.rs
@@ -1,37 +1,50 @@
-//! Pauses before a start after crashes: each doubles the one before, with a part by chance, so that instances that died of one
-//! cause do not come back together.
+//! Backoff before an instance is started again after a crash. Each delay doubles the one before,
+//! with jitter, so that instances that crashed for one reason do not start again together.
 
 use serde::{Deserialize, Serialize};
 
 use crate::fleet_spec::Restarts;
 
+/// Bounds the doubling: far above every maximum that can be specified.
+const MAX_DOUBLINGS: u32 = 30;
+
 /// The crashes of one instance that still count.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct CrashBackoff {
-    pub in_a_row: u32,
-    /// No start before this moment.
-    pub not_before: f64,
+    /// Crashes without a steady run between them.
+    #[serde(rename = "in_a_row")]
+    pub crashes_in_a_row: u32,
+    /// No start before this time.
+    #[serde(rename = "not_before")]
+    pub next_start_at: f64,
 }
 
 impl CrashBackoff {
-    /// It ended by itself after it was up for so long. `chance` is from 0 to under 1.
-    pub fn crashed(&mut self, now: f64, up: f64, restarts: &Restarts, chance: f64) {
-        if up * 1e3 >= restarts.steady_ms as f64 {
-            self.in_a_row = 0;
+    /// Counts a crash after a run of `uptime_seconds`. `jitter` is from 0 to below 1.
+    pub fn record_crash(
+        &mut self,
+        now: f64,
+        uptime_seconds: f64,
+        restarts: &Restarts,
+        jitter: f64,
+    ) {
+        if uptime_seconds * 1e3 >= restarts.steady_ms as f64 {
+            self.crashes_in_a_row = 0;
         }
-        self.in_a_row += 1;
-        let doubled = restarts.pause_ms as f64 * 2_f64.powi(self.in_a_row.min(30) as i32 - 1);
-        let pause = doubled.min(restarts.pause_most_ms as f64);
-        // Half of it by chance.
-        self.not_before = now + pause * (0.75 + 0.5 * chance) / 1e3;
+        self.crashes_in_a_row += 1;
+        let doublings = self.crashes_in_a_row.min(MAX_DOUBLINGS) as i32 - 1;
+        let doubled_ms = restarts.pause_ms as f64 * 2_f64.powi(doublings);
+        let backoff_ms = doubled_ms.min(restarts.pause_most_ms as f64);
+        self.next_start_at = now + backoff_ms * (0.75 + 0.5 * jitter) / 1e3;
     }
 
+    /// Whether the delay is over.
     pub fn may_start(&self, now: f64) -> bool {
-        now >= self.not_before
+        now >= self.next_start_at
     }
 
-    /// The operators start it: what was is over.
-    pub fn forgive(&mut self) {
+    /// Forgets all crashes: the operators start the instance, or it has shut down as requested.
+    pub fn reset(&mut self) {
         *self = CrashBackoff::default();
     }
 }
--- a/crates/merlinshelf-fleet/src/fleet/commands.rs
+++ b/crates/merlinshelf-fleet/src/fleet/commands.rs
@@ -1,212 +1,221 @@
-//! What operators ask of instances, and whether it can be had.
+//! What operators request, and whether it can be done.
 
-use super::{Command, Fleet, Refusal, Selector};
+use super::{Command, Fleet, Selector};
 use crate::capacity;
+use crate::error::FleetError;
 use crate::fleet_spec::FleetSpec;
 use crate::instance::Instance;
-use crate::plan::{Kind, Plan, PlanState};
+use crate::plan::{Plan, PlanKind, PlanState};
 
 impl Fleet {
-    /// The instances that are meant, in order.
+    /// Names of the selected instances, in the order of their groups and places there.
     ///
     /// # Errors
-    /// Names, groups or labels that nobody has.
-    pub fn select(&self, selector: &Selector) -> Result<Vec<String>, Refusal> {
+    /// [`FleetError`]: a name, a group or the labels select nothing.
+    pub fn select(&self, selector: &Selector) -> Result<Vec<String>, FleetError> {
+        let is_unknown = |name: &&String| !self.instances.contains_key(*name);
+        if let Some(name) = selector.names.iter().find(is_unknown) {
+            return Err(FleetError::UnknownInstance { name: name.clone() });
+        }
+        let is_unknown = |group: &&String| !self.spec.groups.contains_key(*group);
+        if let Some(group) = selector.groups.iter().find(is_unknown) {
+            let group = group.clone();
+            return Err(FleetError::UnknownGroup { group });
+        }
+        let mut selected: Vec<&Instance> = self
+            .instances
+            .values()
+            .filter(|instance| self.matches(selector, instance))
+            .collect();
+        if selected.is_empty() {
+            return Err(FleetError::NothingSelected);
+        }
+        selected.sort_by_key(|instance| (instance.group.clone(), instance.index));
+        Ok(selected
+            .into_iter()
+            .map(|instance| instance.name.clone())
+            .collect())
+    }
+
+    fn matches(&self, selector: &Selector, instance: &Instance) -> bool {
+        let group = self.spec.groups.get(&instance.group);
+        let has_label = |(key, value): &(String, String)| {
+            group.is_some_and(|group| group.labels.get(key) == Some(value))
+        };
         let Selector {
             names,
             groups,
             labels,
         } = selector;
-        if let Some(name) = names
-            .iter()
-            .find(|name| !self.instances.contains_key(*name))
-        {
-            return Err(Refusal(format!("there is no instance {name}")));
-        }
-        if let Some(group) = groups
-            .iter()
-            .find(|group| !self.wanted.groups.contains_key(*group))
-        {
-            return Err(Refusal(format!("there is no group {group}")));
-        }
-        let labelled = |one: &Instance| {
-            let of = self
-                .wanted
-                .groups
-                .get(&one.group)
-                .map(|group| &group.labels);
-            labels
-                .iter()
-                .all(|(key, value)| of.is_some_and(|of| of.get(key) == Some(value)))
-        };
-        let meant = |one: &&Instance| {
-            (names.is_empty() || names.contains(&one.name))
-                && (groups.is_empty() || groups.contains(&one.group))
-                && labelled(one)
-        };
-        let mut all: Vec<&Instance> = self.instances.values().filter(meant).collect();
-        all.sort_by_key(|one| (one.group.clone(), one.number));
-        if all.is_empty() {
-            return Err(Refusal("no instance is meant by this".into()));
-        }
-        Ok(all.into_iter().map(|one| one.name.clone()).collect())
+        (names.is_empty() || names.contains(&instance.name))
+            && (groups.is_empty() || groups.contains(&instance.group))
+            && labels.iter().all(has_label)
     }
 
-    /// The plan that a command would be, without beginning it.
+    /// The plan that a command would begin.
     ///
     /// # Errors
-    /// Why it can't be begun.
-    pub fn plan_for(&self, selector: &Selector, command: &Command) -> Result<Plan, Refusal> {
+    /// [`FleetError`]: another plan is under way, or nothing is selected.
+    pub fn plan_for(&self, selector: &Selector, command: &Command) -> Result<Plan, FleetError> {
         if let Some(plan) = self.plan.as_ref().filter(|plan| !plan.state.is_over()) {
-            let (done, all) = plan.progress();
-            let kind = plan.kind.name();
-            return Err(Refusal(format!(
-                "plan {} ({kind}, {done} of {all}) is under way",
-                plan.number
-            )));
+            let progress = plan.progress();
+            return Err(FleetError::PlanUnderWay {
+                number: plan.number,
+                kind: plan.kind.name(),
+                done: progress.done,
+                total: progress.total,
+            });
         }
         let mut names = self.select(selector)?;
-        let count = names.len() as u32;
-        let (kind, at_once) = match command {
-            Command::Start => (Kind::Start, count),
+        let all = names.len() as u32;
+        let max_unavailable = self.spec.change.out_at_once;
+        let (kind, max_in_progress) = match command {
+            Command::Start => (PlanKind::Start, all),
             Command::Drain {
                 slowest_first,
-                at_once,
+                max_in_progress,
             } => {
                 if *slowest_first {
-                    let slow = |name: &String| {
-                        let report = self.instances.get(name).and_then(|one| one.report.as_ref());
-                        report.and_then(|report| report.run_ms).unwrap_or(0.0)
-                    };
-                    names.sort_by(|a, b| slow(b).total_cmp(&slow(a)));
+                    names.sort_by(|left, right| self.run_ms(right).total_cmp(&self.run_ms(left)));
                 }
-                (Kind::Drain { within: None }, at_once.unwrap_or(count))
+                let kind = PlanKind::Drain {
+                    timeout_seconds: None,
+                };
+                (kind, max_in_progress.unwrap_or(all))
+            }
+            Command::Stop { timeout_seconds } => {
+                let timeout_seconds = Some(*timeout_seconds);
+                (PlanKind::Drain { timeout_seconds }, all)
+            }
+            Command::Restart => (PlanKind::Restart, max_unavailable),
+            Command::Upgrade { program } => {
+                let program = program.clone();
+                (PlanKind::Upgrade { program }, max_unavailable)
             }
-            Command::Stop { within } => (
-                Kind::Drain {
-                    within: Some(*within),
-                },
-                count,
-            ),
-            Command::Restart => (Kind::Restart, self.wanted.change.out_at_once),
-            Command::Upgrade { program } => (
-                Kind::Upgrade {
-                    program: program.clone(),
-                },
-                self.wanted.change.out_at_once,
-            ),
         };
-        Ok(Plan::new(self.plans + 1, kind, names, at_once))
+        let number = self.last_plan_number + 1;
+        Ok(Plan::new(number, kind, names, max_in_progress))
+    }
+
+    /// How long an instance's runs take.
+    fn run_ms(&self, name: &str) -> f64 {
+        let report = self
+            .instances
+            .get(name)
+            .and_then(|instance| instance.report.as_ref());
+        report.and_then(|report| report.run_ms).unwrap_or(0.0)
     }
 
-    /// Begins a plan; its number.
+    /// Begins a plan; returns its number.
     ///
     /// # Errors
-    /// Why it can't be begun.
-    pub fn command(
+    /// As [`Fleet::plan_for`].
+    pub fn begin_plan(
         &mut self,
         now: f64,
         selector: &Selector,
         command: &Command,
-    ) -> Result<u64, Refusal> {
+    ) -> Result<u64, FleetError> {
         let plan = self.plan_for(selector, command)?;
         let number = plan.number;
-        self.plans = number;
-        self.note(
-            None,
-            format!(
-                "plan {number}: {} of {} instances",
-                plan.kind.name(),
-                plan.targets.len()
-            ),
+        let text = format!(
+            "plan {number}: {} of {} instances",
+            plan.kind.name(),
+            plan.targets.len()
         );
+        self.last_plan_number = number;
+        self.add_event(None, text);
         self.plan = Some(plan);
-        self.advance(now);
+        self.advance_plan(now);
         Ok(number)
     }
 
+    /// Pauses the plan: what is under way comes to its end, and nothing further begins.
+    ///
     /// # Errors
-    /// There is no plan that could be paused.
-    pub fn pause(&mut self) -> Result<(), Refusal> {
+    /// [`FleetError::NoRunningPlan`].
+    pub fn pause(&mut self) -> Result<(), FleetError> {
         match &mut self.plan {
             Some(plan) if matches!(plan.state, PlanState::Running | PlanState::Waiting(_)) => {
                 plan.state = PlanState::Paused;
-                self.note(None, "the plan is paused");
+                self.add_event(None, "the plan is paused");
                 Ok(())
             }
-            _ => Err(Refusal("no plan is running".into())),
+            _ => Err(FleetError::NoRunningPlan),
         }
     }
 
+    /// Resumes the paused plan.
+    ///
     /// # Errors
-    /// No plan is paused.
-    pub fn resume(&mut self, now: f64) -> Result<(), Refusal> {
+    /// [`FleetError::NoPausedPlan`].
+    pub fn resume(&mut self, now: f64) -> Result<(), FleetError> {
         match &mut self.plan {
             Some(plan) if plan.state == PlanState::Paused => {
                 plan.state = PlanState::Running;
-                self.note(None, "the plan goes on");
-                self.advance(now);
+                self.add_event(None, "the plan goes on");
+                self.advance_plan(now);
                 Ok(())
             }
-            _ => Err(Refusal("no plan is paused".into())),
+            _ => Err(FleetError::NoPausedPlan),
         }
     }
 
-    /// Ends the plan where it stands: what is under way comes to its end, nothing further begins.
+    /// Ends the plan: what is under way comes to its end, and nothing further begins.
     ///
     /// # Errors
-    /// There is no plan.
-    pub fn abandon(&mut self) -> Result<(), Refusal> {
+    /// [`FleetError::NoPlan`].
+    pub fn abandon(&mut self) -> Result<(), FleetError> {
         match &mut self.plan {
             Some(plan) if !plan.state.is_over() => {
                 plan.state = PlanState::Stopped("abandoned".into());
-                self.note(None, "the plan is abandoned");
+                self.add_event(None, "the plan is abandoned");
                 Ok(())
             }
-            _ => Err(Refusal("there is no plan under way".into())),
+            _ => Err(FleetError::NoPlan),
         }
     }
 
-    /// Another count of a group: what is too many drains, what is too few starts.
+    /// Sets the count of a group: surplus instances are drained, missing ones started.
     ///
     /// # Errors
-    /// No such group, or no room for so many.
-    pub fn scale(&mut self, now: f64, group: &str, count: u32) -> Result<(), Refusal> {
-        let mut wanted = self.wanted.clone();
-        let Some(of) = wanted.groups.get_mut(group) else {
-            return Err(Refusal(format!("there is no group {group}")));
-        };
-        of.count = count;
-        for (name, count) in &self.counts {
-            if let Some(of) = wanted.groups.get_mut(name).filter(|_| name != group) {
-                of.count = *count;
+    /// [`FleetError`]: there is no such group, or the instances do not fit the host.
+    pub fn scale(&mut self, now: f64, group_name: &str, count: u32) -> Result<(), FleetError> {
+        let mut spec = self.spec.clone();
+        for (name, count) in &self.group_counts {
+            if let Some(group) = spec.groups.get_mut(name) {
+                group.count = *count;
             }
         }
-        capacity::check(&wanted).map_err(|misfit| Refusal(misfit.to_string()))?;
-        self.counts.insert(group.to_owned(), count);
-        self.note(None, format!("{group} is to have {count}"));
-        self.make_instances(now);
+        let Some(group) = spec.groups.get_mut(group_name) else {
+            let group = group_name.to_owned();
+            return Err(FleetError::UnknownGroup { group });
+        };
+        group.count = count;
+        capacity::check(&spec)?;
+        self.group_counts.insert(group_name.to_owned(), count);
+        self.add_event(None, format!("{group_name} is to have {count}"));
+        self.create_instances(now);
         Ok(())
     }
 
-    /// Another file. What changed in it counts from here on; running plans go on by it.
+    /// Replaces the specification. A plan that is under way goes on by the new one.
     ///
     /// # Errors
-    /// It does not fit.
-    pub fn apply(&mut self, now: f64, wanted: FleetSpec) -> Result<(), Refusal> {
-        capacity::check(&wanted).map_err(|misfit| Refusal(misfit.to_string()))?;
-        self.counts.clear();
-        self.programs.clear();
-        self.wanted = wanted;
-        self.note(None, "another file counts");
-        self.make_instances(now);
-        for one in self.instances.values_mut().filter(|one| !one.state.is_up()) {
-            if let Some(group) = self.wanted.groups.get(&one.group) {
-                one.program = group.program.to_string_lossy().into_owned();
+    /// [`FleetError::Capacity`]: the instances do not fit the host.
+    pub fn apply(&mut self, now: f64, spec: FleetSpec) -> Result<(), FleetError> {
+        capacity::check(&spec)?;
+        self.group_counts.clear();
+        self.group_programs.clear();
+        self.spec = spec;
+        self.add_event(None, "another file counts");
+        self.create_instances(now);
+        for instance in self.instances.values_mut() {
+            let group = self.spec.groups.get(&instance.group);
+            if let Some(group) = group.filter(|_| !instance.state.has_process()) {
+                instance.program = group.program.to_string_lossy().into_owned();
             }
         }
         Ok(())
     }
-
-    // What is done.
 }
--- a/crates/merlinshelf-fleet/src/fleet/reconcile.rs
+++ b/crates/merlinshelf-fleet/src/fleet/reconcile.rs
@@ -1,158 +1,177 @@
-//! What is done for instances as time goes on, whoever asks for it or nobody.
+//! What is done as time goes on: instances that hang are terminated, late ones killed, and the
+//! specified ones started.
 
-use super::{Action, Fleet, STOP_MARGIN};
+use super::failure::TargetFailure;
+use super::{Action, Fleet};
 use crate::instance::{Instance, State};
 
-/// A kill that shows no effect is made again after so long.
-const KILL_AGAIN: f64 = 1.0;
+/// Time before a kill without effect is repeated, in seconds.
+const KILL_RETRY_SECONDS: f64 = 1.0;
 
 impl Fleet {
-    /// Time goes on.
-    pub fn woken(&mut self, now: f64) {
-        self.look_after(now);
-        self.advance(now);
-        self.start_wanted(now);
+    /// Does everything that is due.
+    pub fn advance(&mut self, now: f64) {
+        self.fail_cold_targets(now);
+        self.check_instances(now);
+        self.advance_plan(now);
+        self.start_instances(now);
+        self.remove_instances();
     }
 
-    /// Hangs, those that never answer, and those whose time is over.
-    pub(super) fn look_after(&mut self, now: f64) {
-        let (hangs, warm_within) = (
-            self.wanted.restarts.hangs_ms as f64 / 1e3,
-            self.wanted.change.warm_within_ms as f64 / 1e3,
-        );
-        let stop_within = self.stop_within + STOP_MARGIN;
-        let mut notes = Vec::new();
-        // A target that does not get warm is a step that has failed; others may be cold for reasons of their engine's.
-        let cold = |one: &&Instance| one.state == State::Warming && now - one.since > warm_within;
-        let cold: Vec<String> = self
-            .instances
-            .values()
-            .filter(cold)
-            .map(|one| one.name.clone())
-            .collect();
-        for name in cold {
-            self.step_failed(
-                &name,
-                &format!("{name} does not get warm within {warm_within:.1} s"),
-            );
+    /// A target that does not get warm has failed. Other instances may be cold by their engines'
+    /// fault.
+    fn fail_cold_targets(&mut self, now: f64) {
+        let timeout_seconds = self.warm_timeout_seconds();
+        let is_late = |instance: &&Instance| {
+            instance.state == State::Warming && now - instance.state_entered_at > timeout_seconds
+        };
+        let late = self.instances.values().filter(is_late);
+        let names: Vec<String> = late.map(|instance| instance.name.clone()).collect();
+        for name in names {
+            let reason = format!("{name} does not get warm within {timeout_seconds:.1} s");
+            self.fail_target(&name, &TargetFailure::Process(reason));
         }
-        for one in self.instances.values_mut() {
-            let silent = now - one.heard;
-            let name = one.name.clone();
-            match one.state {
-                State::Starting | State::Adopted if now - one.since > warm_within.max(hangs) => {
-                    notes.push((
-                        name.clone(),
-                        format!("has not answered within {:.1} s", now - one.since),
-                    ));
-                    one.turn(now, State::Lost);
-                    one.kill_at = Some(now + stop_within);
-                    self.steps.push_back(Action::Terminate { name });
-                }
-                // One that hands over is silent for a moment, far shorter than a hang.
-                State::Warming | State::Serving | State::Upgrading if silent > hangs => {
-                    notes.push((name.clone(), format!("hangs: no answer for {silent:.1} s")));
-                    one.turn(now, State::Lost);
-                    one.kill_at = Some(now + stop_within);
-                    self.steps.push_back(Action::Terminate { name });
-                }
-                _ => {}
+    }
+
+    fn warm_timeout_seconds(&self) -> f64 {
+        self.spec.change.warm_within_ms as f64 / 1e3
+    }
+
+    /// Terminates instances that are silent, and kills those that are late.
+    fn check_instances(&mut self, now: f64) {
+        let names: Vec<String> = self.instances.keys().cloned().collect();
+        for name in names {
+            self.check_silence(now, &name);
+            self.check_kill(now, &name);
+        }
+    }
+
+    fn check_silence(&mut self, now: f64, name: &str) {
+        let hang_seconds = self.spec.restarts.hangs_ms as f64 / 1e3;
+        let answer_timeout_seconds = self.warm_timeout_seconds().max(hang_seconds);
+        let kill_at = self.shutdown_deadline(now);
+        let Some(instance) = self.instances.get_mut(name) else {
+            return;
+        };
+        let state_seconds = now - instance.state_entered_at;
+        let silent_seconds = now - instance.answered_at;
+        let text = match instance.state {
+            State::Starting | State::Adopted if state_seconds > answer_timeout_seconds => {
+                format!("has not answered within {state_seconds:.1} s")
             }
-            if one.kill_at.is_some_and(|at| now >= at) && one.state.is_up() {
-                if !std::mem::replace(&mut one.killed, true) {
-                    notes.push((one.name.clone(), "its time is over: it is killed".into()));
-                }
-                one.kill_at = Some(now + KILL_AGAIN);
-                self.steps.push_back(Action::Kill {
-                    name: one.name.clone(),
-                });
+            // A handover is silent for a moment, far shorter than a hang.
+            State::Warming | State::Serving | State::Upgrading if silent_seconds > hang_seconds => {
+                format!("hangs: no answer for {silent_seconds:.1} s")
             }
+            _ => return,
+        };
+        instance.enter_state(now, State::Lost);
+        instance.kill_at = Some(kill_at);
+        let name = name.to_owned();
+        self.add_event(Some(&name), text);
+        self.actions.push_back(Action::Terminate { name });
+    }
+
+    fn check_kill(&mut self, now: f64, name: &str) {
+        let Some(instance) = self.instances.get_mut(name) else {
+            return;
+        };
+        let is_due = instance.kill_at.is_some_and(|kill_at| now >= kill_at);
+        if !is_due || !instance.state.has_process() {
+            return;
         }
-        let named = !notes.is_empty();
-        for (name, text) in notes {
-            self.note(Some(&name), text);
-        }
-        if named {
-            self.changed = true;
+        let is_repeated = instance.is_kill_sent;
+        instance.is_kill_sent = true;
+        instance.kill_at = Some(now + KILL_RETRY_SECONDS);
+        let name = name.to_owned();
+        if !is_repeated {
+            self.add_event(Some(&name), "its time is over: it is killed");
         }
+        self.actions.push_back(Action::Kill { name });
     }
 
-    /// Starts what is wanted and down, a few at a time, and drains what is not wanted any more.
-    pub(super) fn start_wanted(&mut self, now: f64) {
-        let under_way = |one: &&Instance| matches!(one.state, State::Starting);
-        let mut room = (self.wanted.restarts.at_once as usize)
-            .saturating_sub(self.instances.values().filter(under_way).count());
+    /// Starts the instances that are to have a process, some at a time, and drains those that are
+    /// no longer specified.
+    fn start_instances(&mut self, now: f64) {
+        let is_starting = |instance: &&Instance| instance.state == State::Starting;
+        let starting = self.instances.values().filter(is_starting).count();
+        let mut free_starts = (self.spec.restarts.at_once as usize).saturating_sub(starting);
         let names: Vec<String> = self.instances.keys().cloned().collect();
         for name in names {
-            let Some(one) = self.instances.get(&name) else {
+            let Some(instance) = self.instances.get(&name) else {
                 continue;
             };
-            let wanted = self.is_wanted(one);
-            match one.state {
-                State::Absent | State::Failed
-                    if wanted && room > 0 && one.crashes.may_start(now) =>
-                {
-                    room -= 1;
-                    let program = one.program.clone();
-                    if let Some(one) = self.instances.get_mut(&name) {
-                        one.turn(now, State::Starting);
-                        one.heard = now;
-                    }
-                    self.changed = true;
-                    self.steps.push_back(Action::Start { name, program });
+            let is_specified = self.is_specified(instance);
+            let may_start = free_starts > 0 && instance.backoff.may_start(now);
+            match instance.state {
+                State::Absent | State::Failed if may_start && self.is_desired(instance) => {
+                    free_starts -= 1;
+                    self.start_instance(now, name);
                 }
                 State::Warming | State::Serving
-                    if one.number >= self.count_of(&one.group) && !one.told =>
+                    if !is_specified && !instance.is_shutdown_requested =>
                 {
-                    self.tell_to_leave(now, &name, None);
+                    self.request_shutdown(now, &name, None);
                 }
                 _ => {}
             }
         }
-        // Who is neither wanted nor there is forgotten.
-        let gone: Vec<String> = self
-            .instances
-            .values()
-            .filter(|one| !one.state.is_up() && one.number >= self.count_of(&one.group))
-            .map(|one| one.name.clone())
-            .collect();
-        for name in gone {
+    }
+
+    fn start_instance(&mut self, now: f64, name: String) {
+        let Some(instance) = self.instances.get_mut(&name) else {
+            return;
+        };
+        instance.enter_state(now, State::Starting);
+        instance.answered_at = now;
+        let program = instance.program.clone();
+        self.is_record_changed = true;
+        self.actions.push_back(Action::Start { name, program });
+    }
+
+    /// Removes instances that are no longer specified and have no process.
+    fn remove_instances(&mut self) {
+        let is_obsolete =
+            |instance: &&Instance| !instance.state.has_process() && !self.is_specified(instance);
+        let obsolete = self.instances.values().filter(is_obsolete);
+        let names: Vec<String> = obsolete.map(|instance| instance.name.clone()).collect();
+        for name in names {
             self.instances.remove(&name);
-            self.changed = true;
+            self.is_record_changed = true;
         }
     }
 
-    /// Once, however often it is asked for: a second notice might shorten its time.
-    pub(super) fn tell_to_leave(&mut self, now: f64, name: &str, within: Option<f64>) {
-        let stop_within = self.stop_within + STOP_MARGIN;
-        let Some(one) = self.instances.get_mut(name) else {
+    /// Requests a graceful shutdown, once however often this is called: a second request might
+    /// shorten the time for it. A `timeout_seconds` may bring the kill forward.
+    pub(super) fn request_shutdown(&mut self, now: f64, name: &str, timeout_seconds: Option<f64>) {
+        let default_kill_at = self.shutdown_deadline(now);
+        let Some(instance) = self.instances.get_mut(name) else {
             return;
         };
-        if !one.state.is_up() {
+        if !instance.state.has_process() {
             return;
         }
-        let until = now + within.unwrap_or(stop_within);
-        let told = std::mem::replace(&mut one.told, true);
-        // A limit that was named counts; a later one than is set already does not.
-        one.kill_at =
-            Some(one.kill_at.map_or(
-                until,
-                |at| if within.is_some() { at.min(until) } else { at },
-            ));
-        let state = if within.is_some() {
-            State::Stopping
-        } else {
-            State::Draining
+        let kill_at = match (instance.kill_at, timeout_seconds) {
+            (None, None) => default_kill_at,
+            (None, Some(seconds)) => now + seconds,
+            (Some(kill_at), None) => kill_at,
+            (Some(kill_at), Some(seconds)) => kill_at.min(now + seconds),
         };
-        if one.state != State::Lost {
-            one.turn(now, state);
+        instance.kill_at = Some(kill_at);
+        let is_repeated = instance.is_shutdown_requested;
+        instance.is_shutdown_requested = true;
+        if instance.state != State::Lost {
+            let state = match timeout_seconds {
+                Some(_) => State::Stopping,
+                None => State::Draining,
+            };
+            instance.enter_state(now, state);
         }
-        self.changed = true;
-        if !told {
-            self.steps.push_back(Action::Drain {
-                name: name.to_owned(),
-            });
-            self.note(Some(name), "told to leave");
+        self.is_record_changed = true;
+        if !is_repeated {
+            let name = name.to_owned();
+            self.actions.push_back(Action::Drain { name: name.clone() });
+            self.add_event(Some(&name), "told to leave");
         }
     }
 }
--- a/crates/merlinshelf-fleet/src/fleet_spec.rs
+++ b/crates/merlinshelf-fleet/src/fleet_spec.rs
@@ -1,4 +1,7 @@
-//! What the operators want: groups of like instances on a host with so much room. One file, in JSON5.
+//! The fleet's file as operators write it, in JSON5: groups of instances, and the host's capacity for
+//! them. Its keys are part of the interface, and fields that are validated are named like their keys:
+//! `garde` reports a field's name in the path of an error, and operators look for that in their file
+//! (its `rename` does not change the path). The doc comments are the descriptions in the file's schema.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -8,15 +11,15 @@
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// The whole file.
+/// The fleet's file.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
 #[schemars(title = "The fleet's file of merlinshelf")]
 pub struct FleetSpec {
-    /// Where the agent keeps its files, and those of the instances.
+    /// Folder of the agent's files and those of the instances.
     #[garde(skip)]
     pub folder: PathBuf,
-    /// What there is for all instances together.
+    /// The host's capacity for all instances together.
     #[garde(dive)]
     #[serde(default)]
     pub host: Host,
@@ -24,76 +27,76 @@
     #[garde(dive)]
     #[serde(default)]
     pub change: Change,
-    /// How instances that end by themselves are started again.
+    /// How instances are started again after crashes.
     #[garde(dive)]
     #[serde(default)]
     pub restarts: Restarts,
-    /// Other agents, with which this one decides on the policy for all; absent: there is none (docs/policy.md).
+    /// The consensus group of agents that decides on the policy; absent: there is none (docs/policy.md).
     #[garde(dive)]
     #[serde(default)]
     pub council: Option<ConsensusConfig>,
     /// The groups by name.
-    #[garde(dive, custom(names))]
+    #[garde(dive, custom(check_group_names))]
     pub groups: BTreeMap<String, Group>,
 }
 
-/// The agents that decide together, and what they agree on.
+/// The agents of a consensus group, and the parameters that they agree on.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct ConsensusConfig {
-    /// Which of the agents this one is.
+    /// The name of this agent.
     #[garde(length(min = 1, max = 40))]
     pub name: String,
-    /// Where this one listens to the others: on the loopback interface, since nothing is encrypted yet.
-    #[garde(custom(loopback))]
+    /// Where this agent listens for the others: on the loopback interface, since nothing is encrypted yet.
+    #[garde(custom(check_loopback))]
     pub listen: String,
-    /// All agents by name, this one among them, and where each is reached.
-    #[garde(length(min = 1, max = 9), custom(all_loopback))]
+    /// The addresses of all agents by name, this one among them.
+    #[garde(length(min = 1, max = 9), custom(check_all_loopback))]
     pub agents: BTreeMap<String, String>,
-    /// How long a lease on a policy is, in milliseconds: a change waits so long for who does not answer, and who is cut off
-    /// acts on the former policy for so long at the most. Agreed once for the installation.
+    /// Duration of a lease on a policy, in milliseconds: the longest time that a change waits for an agent that does not answer, and
+    /// that an instance without connection applies the former policy. Agreed once for the installation.
     #[garde(range(min = 500, max = 600_000))]
-    #[serde(default = "lease")]
+    #[serde(default = "default_lease_ms")]
     pub lease_ms: u64,
-    /// How much clocks of two processes may run apart, as a part.
+    /// Most by which the rates of two processes' clocks differ, as a fraction.
     #[garde(range(min = 0.0, max = 0.2))]
-    #[serde(default = "drift")]
+    #[serde(default = "default_drift")]
     pub drift: f64,
-    /// Where this host stands: what fails for hosts of one zone is not taken to fail for those of another.
+    /// Zone of this host: a dependency that fails in one zone is not assumed to fail in another.
     #[garde(length(max = 40))]
     #[serde(default)]
     pub zone: String,
-    /// What instances are served by without a lease. Agreed once for the installation.
+    /// The base policy, which applies without a lease. Agreed once for the installation.
     #[garde(dive)]
     #[serde(default)]
     pub base: Policy,
     /// What instances do without a lease.
     #[garde(skip)]
-    #[serde(default)]
-    pub without: LeaseExpiryMode,
+    #[serde(default, rename = "without")]
+    pub lease_expiry_mode: LeaseExpiryMode,
     /// How long service is watched after a change and compared with before, in milliseconds; 0: not at all.
     #[garde(range(max = 60_000))]
     #[serde(default)]
     pub watch_ms: u64,
-    /// By how much the served share may be worse; then the former policy is brought back.
+    /// Decrease of the success ratio above which the former policy is restored.
     #[garde(range(min = 0.0, max = 1.0))]
-    #[serde(default = "worse")]
+    #[serde(default = "default_worse")]
     pub worse: f64,
 }
 
-fn lease() -> u64 {
+fn default_lease_ms() -> u64 {
     2_000
 }
 
-fn drift() -> f64 {
+fn default_drift() -> f64 {
     0.02
 }
 
-fn worse() -> f64 {
+fn default_worse() -> f64 {
     0.05
 }
 
-fn loopback(text: &str, (): &()) -> garde::Result {
+fn check_loopback(text: &str, (): &()) -> garde::Result {
     match text.parse::<std::net::SocketAddr>() {
         Ok(address) if address.ip().is_loopback() && address.port() > 0 => Ok(()),
         _ => Err(garde::Error::new(format!(
@@ -102,21 +105,23 @@
     }
 }
 
-fn all_loopback(agents: &BTreeMap<String, String>, (): &()) -> garde::Result {
+fn check_all_loopback(agents: &BTreeMap<String, String>, (): &()) -> garde::Result {
     agents
         .values()
-        .try_for_each(|address| loopback(address, &()))
+        .try_for_each(|address| check_loopback(address, &()))
 }
 
-/// Room for instances; nothing starts that does not fit.
+/// Capacity of the host; instances that do not fit are not started.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields, default)]
 pub struct Host {
     /// Memory in MB.
     #[garde(range(min = 1))]
     pub memory_mb: u64,
+    /// Processor cores.
     #[garde(range(min = 0.01))]
     pub cores: f64,
+    /// File descriptors.
     #[garde(range(min = 1))]
     pub descriptors: u64,
 }
@@ -135,22 +140,22 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields, default)]
 pub struct Change {
-    /// Most instances that are out at one time by a change.
+    /// Most instances that a change takes out of service at one time.
     #[garde(range(min = 1))]
     pub out_at_once: u32,
-    /// The part of all capacity that stays in service, weighted by what each instance serves.
+    /// Fraction of the serving capacity that stays in service, weighted by what each instance serves.
     #[garde(range(min = 0.0, max = 1.0))]
     pub floor: f64,
-    /// How long one must have been in good health to be warm, in milliseconds.
+    /// Time for which an instance must be healthy to be warm, in milliseconds.
     #[garde(range(min = 0, max = 3_600_000))]
     pub warm_ms: u64,
-    /// How long one may take to get warm, in milliseconds.
+    /// Longest time for an instance to get warm, in milliseconds.
     #[garde(range(min = 100, max = 3_600_000))]
     pub warm_within_ms: u64,
-    /// How long service is looked at before and after each step, in milliseconds.
+    /// Time for which service is observed before and after each instance's change, in milliseconds.
     #[garde(range(min = 100, max = 3_600_000))]
     pub looked_ms: u64,
-    /// By how much the served share of a changed instance may be worse than before.
+    /// Decrease of a changed instance's success ratio above which the change is rolled back.
     #[garde(range(min = 0.0, max = 1.0))]
     pub worse: f64,
 }
@@ -172,19 +177,19 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields, default)]
 pub struct Restarts {
-    /// The pause before the first start after a crash, in milliseconds; each further one doubles it.
+    /// Backoff before the start after a first crash, in milliseconds; each further crash doubles it.
     #[garde(range(min = 10, max = 600_000))]
     pub pause_ms: u64,
-    /// The longest pause, in milliseconds.
+    /// Longest backoff, in milliseconds.
     #[garde(range(min = 10, max = 3_600_000))]
     pub pause_most_ms: u64,
-    /// One that was up for so long has no crashes behind it, in milliseconds.
+    /// Uptime after which earlier crashes do not count, in milliseconds.
     #[garde(range(min = 100, max = 3_600_000))]
     pub steady_ms: u64,
-    /// Starts under way at one time, so that a common cause is no storm.
+    /// Most instances that start at one time.
     #[garde(range(min = 1))]
     pub at_once: u32,
-    /// After how long without an answer an instance hangs, in milliseconds.
+    /// Time without an answer after which an instance counts as hanging, in milliseconds.
     #[garde(range(min = 100, max = 600_000))]
     pub hangs_ms: u64,
 }
@@ -201,68 +206,69 @@
     }
 }
 
-/// Instances of one kind.
+/// Instances with the same program and configuration.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct Group {
-    /// How many; they are named after the group, with numbers from 0.
+    /// Number of instances; they are named after the group, with numbers from 0.
     #[garde(range(max = 10_000))]
     pub count: u32,
-    /// The program that serves.
+    /// Path of the program.
     #[garde(skip)]
     pub program: PathBuf,
-    /// The platform's configuration of the first one; name, listen and seed are made for each.
+    /// Path of the platform's configuration; name, listen and seed are set for each instance.
     #[garde(skip)]
     pub config: PathBuf,
-    /// Whether they teach each other, and keep what they know (docs/learning.md).
+    /// Whether the instances gossip about what they observe, and store it (docs/learning.md).
     #[garde(skip)]
-    #[serde(default)]
-    pub learning: bool,
-    /// The address of the first one; each further one has the next port.
-    #[garde(custom(address))]
+    #[serde(default, rename = "learning")]
+    pub is_gossiping: bool,
+    /// Address of the first instance; each further one has the next port.
+    #[garde(custom(check_address))]
     pub listen: String,
-    /// The address of the first one's engine; each further one has the next port. Absent: the configuration's for all.
-    #[garde(inner(custom(address)))]
+    /// Address of the first instance's engine; each further one has the next port. Absent: the configuration's for all.
+    #[garde(inner(custom(check_address)))]
     #[serde(default)]
     pub engine: Option<String>,
-    /// What an instance counts for as long as nothing is known of what it serves.
+    /// Weight of an instance in the capacity, until its rate of service is known.
     #[garde(range(min = 0.0))]
-    #[serde(default = "one")]
+    #[serde(default = "default_weight")]
     pub weight: f64,
+    /// Labels that commands select instances by.
     #[garde(skip)]
     #[serde(default)]
     pub labels: BTreeMap<String, String>,
-    /// Cores that one needs, beside the memory and descriptors of its configuration's limits.
+    /// Processor cores of one instance.
     #[garde(range(min = 0.0))]
-    #[serde(default = "part")]
+    #[serde(default = "default_cores")]
     pub cores: f64,
-    /// Memory of one, in MB.
+    /// Memory of one instance, in MB.
     #[garde(range(min = 1))]
-    #[serde(default = "memory")]
+    #[serde(default = "default_memory_mb")]
     pub memory_mb: u64,
-    /// Descriptors of one.
+    /// File descriptors of one instance.
     #[garde(range(min = 1))]
-    #[serde(default = "descriptors")]
+    #[serde(default = "default_descriptors")]
     pub descriptors: u64,
 }
 
-fn one() -> f64 {
+fn default_weight() -> f64 {
     1.0
 }
 
-fn part() -> f64 {
+fn default_cores() -> f64 {
     0.1
 }
 
-fn memory() -> u64 {
+fn default_memory_mb() -> u64 {
     64
 }
 
-fn descriptors() -> u64 {
+fn default_descriptors() -> u64 {
     384
 }
 
-fn address(text: &str, (): &()) -> garde::Result {
+fn check_address(text: &str, (): &()) -> garde::Result {
     match text.parse::<std::net::SocketAddr>() {
         Ok(address) if address.port() > 0 => Ok(()),
         _ => Err(garde::Error::new(format!(
@@ -271,7 +277,7 @@
     }
 }
 
-fn names(groups: &BTreeMap<String, Group>, (): &()) -> garde::Result {
+fn check_group_names(groups: &BTreeMap<String, Group>, (): &()) -> garde::Result {
     for name in groups.keys() {
         let plain = |byte: u8| byte.is_ascii_lowercase() || byte.is_ascii_digit() || byte == b'-';
         if name.is_empty() || name.len() > 40 || !name.bytes().all(plain) {
@@ -283,16 +289,7 @@
     Ok(())
 }
 
-impl FleetSpec {
-    /// All instances that are wanted, by name, with their group and number.
-    pub fn instances(&self) -> impl Iterator<Item = (String, &str, u32)> {
-        self.groups.iter().flat_map(|(name, group)| {
-            (0..group.count).map(move |number| (instance_name(name, number), name.as_str(), number))
-        })
-    }
-}
-
-/// The name of an instance.
-pub fn instance_name(group: &str, number: u32) -> String {
-    format!("{group}.{number}")
+/// The name of an instance, by its group and its place there.
+pub fn instance_name(group: &str, index: u32) -> String {
+    format!("{group}.{index}")
 }
--- a/crates/merlinshelf-fleet/src/history.rs
+++ b/crates/merlinshelf-fleet/src/history.rs
@@ -1,43 +1,49 @@
-//! What happened, bounded: the last thousand events.
+//! The latest events of the fleet, for operators. It is part of the stored record.
 
 use std::collections::VecDeque;
 
 use serde::{Deserialize, Serialize};
 
-const KEPT: usize = 1000;
+const MAX_EVENTS: usize = 1000;
 
 /// One event.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Event {
+    /// Counts the events, from 1.
     pub number: u64,
-    /// Unix seconds.
-    pub at: f64,
-    /// The instance, where it is of one.
+    /// Seconds of Unix time.
+    #[serde(rename = "at")]
+    pub unix_seconds: f64,
+    /// The instance that it is about; none for the fleet's own.
     pub instance: Option<String>,
+    /// What happened.
     pub text: String,
 }
 
+/// The latest events, oldest first.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct History {
-    number: u64,
+    #[serde(rename = "number")]
+    last_number: u64,
     events: VecDeque<Event>,
 }
 
 impl History {
-    pub fn note(&mut self, at: f64, instance: Option<&str>, text: impl Into<String>) {
-        self.number += 1;
-        if self.events.len() == KEPT {
+    /// Adds an event; the oldest one is dropped where there are too many.
+    pub fn add(&mut self, unix_seconds: f64, instance: Option<&str>, text: impl Into<String>) {
+        self.last_number += 1;
+        if self.events.len() == MAX_EVENTS {
             self.events.pop_front();
         }
-        let (number, instance) = (self.number, instance.map(str::to_owned));
         self.events.push_back(Event {
-            number,
-            at,
-            instance,
+            number: self.last_number,
+            unix_seconds,
+            instance: instance.map(str::to_owned),
             text: text.into(),
         });
     }
 
+    /// The events, oldest first.
     pub fn events(&self) -> impl DoubleEndedIterator<Item = &Event> {
         self.events.iter()
     }
--- a/crates/merlinshelf-fleet/src/instance.rs
+++ b/crates/merlinshelf-fleet/src/instance.rs
@@ -1,4 +1,4 @@
-//! One instance: what is seen of it, and the state that this puts it into.
+//! One instance: what is observed of it, and the state that this puts it into.
 
 use std::collections::VecDeque;
 
@@ -6,60 +6,73 @@
 
 use crate::crash_backoff::CrashBackoff;
 
-/// Which process it is: never by its number alone, which another one may have by now.
+/// Samples of the service counters that are stored: a minute at four a second.
+const MAX_SAMPLES: usize = 240;
+
+/// Identifies a process. Its number alone does not: numbers are used again.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Identity {
+    /// Number of the process.
     pub pid: u32,
-    /// When the kernel says that it was started, in its own ticks.
-    pub started: u64,
+    /// When the kernel started it, in clock ticks since the boot.
+    #[serde(rename = "started")]
+    pub start_ticks: u64,
 }
 
-/// What an instance says of itself.
+/// The status that an instance answers a health check with.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Report {
+    /// The process that answered.
     pub identity: Identity,
-    /// From whom it took over, where it did.
+    /// Number of the process that handed over to it.
     pub predecessor: Option<u32>,
-    /// Its own word for how it stands.
+    /// Its state, as the instance spells it.
     pub state: String,
-    /// None before its engine was ever up.
+    /// Whether it is healthy; none before its engine was up.
     pub healthy: Option<bool>,
-    pub in_hand: u64,
-    /// Sums since its service began, upgrades included.
+    /// Invocations in flight.
+    pub in_flight: u64,
+    /// Invocations since its service began, also by its predecessors.
     pub invocations: u64,
+    /// Those that succeeded.
     pub succeeded: u64,
-    /// How long its runs take lately, ms.
+    /// How long its runs take lately, in milliseconds.
     pub run_ms: Option<f64>,
+    /// Resident memory, in kilobytes.
     pub memory_kb: u64,
-    /// The file that its process runs, where that can be told.
+    /// The file that its process executes, where that is known.
     pub program: Option<String>,
 }
 
+/// The state of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum State {
-    /// No process.
+    /// It has no process.
     Absent,
-    /// A process, and no answer yet.
+    /// Its process has not answered yet.
     Starting,
-    /// It answers, and is not in good health for long enough.
+    /// It answers, and was not healthy for long enough yet.
     Warming,
+    /// It is warm.
     Serving,
-    /// A successor takes over.
+    /// It hands over to a successor.
     Upgrading,
-    /// Told to leave; it answers what it has.
+    /// A graceful shutdown is under way.
     Draining,
-    /// Told to leave and to be gone by a moment.
+    /// A graceful shutdown with a time limit is under way.
     Stopping,
-    /// It ended by itself, and is started again after a pause.
+    /// It has crashed or could not be started; it is started again after a backoff.
     Failed,
-    /// Found by a new agent, and not heard of yet.
+    /// Its process was found by a new agent and has not answered yet.
     Adopted,
-    /// It hangs, or another process answers in its place: it was told to leave by signal, as far as it is known.
+    /// It hangs, or another process answers in its place. Its own process, as far as it is known,
+    /// was asked to terminate by signal.
     Lost,
 }
 
 impl State {
+    /// The state as replies spell it.
     pub fn name(self) -> &'static str {
         match self {
             State::Absent => "absent",
@@ -76,165 +89,212 @@
     }
 
     /// Whether there is a process.
-    pub fn is_up(self) -> bool {
+    pub fn has_process(self) -> bool {
         !matches!(self, State::Absent | State::Failed)
     }
 
-    /// Whether it counts as capacity: one that is being upgraded serves all along.
-    pub fn serves(self) -> bool {
+    /// Whether it counts as capacity: an instance serves throughout its upgrade.
+    pub fn is_serving(self) -> bool {
         matches!(self, State::Serving | State::Upgrading)
     }
 
-    pub fn leaves(self) -> bool {
+    /// Whether a graceful shutdown is under way.
+    pub fn is_shutting_down(self) -> bool {
         matches!(self, State::Draining | State::Stopping)
     }
 }
 
-/// Looks at its sums that are kept: a minute at four a second.
-const LOOKS: usize = 240;
+/// Invocations of an instance over some time.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct ServiceCounts {
+    /// Invocations that it was sent.
+    pub invocations: u64,
+    /// Those that succeeded.
+    pub succeeded: u64,
+}
+
+impl ServiceCounts {
+    /// The share that succeeded.
+    pub fn success_ratio(self) -> f64 {
+        self.succeeded as f64 / self.invocations.max(1) as f64
+    }
+}
 
+/// The service counters at one time.
+#[derive(Clone, Copy, Debug)]
+struct Sample {
+    taken_at: f64,
+    counts: ServiceCounts,
+}
+
+/// One instance of the fleet.
 #[derive(Clone, Debug)]
 pub struct Instance {
+    /// Name, unique on the host.
     pub name: String,
+    /// Name of its group.
     pub group: String,
-    pub number: u32,
+    /// Its place in the group, from 0.
+    pub index: u32,
+    /// Its state.
     pub state: State,
-    /// Since when it is in this state.
-    pub since: f64,
+    /// When it entered the state.
+    pub state_entered_at: f64,
+    /// Its process, where there is one.
     pub identity: Option<Identity>,
-    /// The program that it runs, and the one that its next start is to run.
+    /// The program that it runs, or that its next start runs.
     pub program: String,
-    /// The operators want it down.
-    pub down: bool,
-    /// It was told to leave: never twice, which might shorten its time.
-    pub told: bool,
-    /// When what was told to leave is killed, and whether it was.
+    /// The operators have shut it down.
+    pub is_disabled: bool,
+    /// A graceful shutdown was requested. A second request might shorten the time for it.
+    pub is_shutdown_requested: bool,
+    /// When its process is killed.
     pub kill_at: Option<f64>,
-    pub killed: bool,
-    /// This agent has asked for an upgrade that has not ended yet.
-    pub asked_upgrade: bool,
+    /// Its process was killed.
+    pub is_kill_sent: bool,
+    /// This agent has requested an upgrade that has not ended yet.
+    pub is_upgrade_requested: bool,
+    /// Its last answer.
     pub report: Option<Report>,
     /// When it last answered.
-    pub heard: f64,
-    /// Since when its health is good without a break.
+    pub answered_at: f64,
+    /// Since when it is healthy without interruption.
     pub healthy_since: Option<f64>,
-    /// When its process was started, or adopted.
-    pub up_since: f64,
-    pub crashes: CrashBackoff,
-    looks: VecDeque<(f64, u64, u64)>,
+    /// When its process was started or adopted.
+    pub process_started_at: f64,
+    /// Delays its next start.
+    pub backoff: CrashBackoff,
+    samples: VecDeque<Sample>,
 }
 
 impl Instance {
-    pub fn new(name: String, group: String, number: u32, program: String) -> Instance {
+    /// An instance without a process.
+    pub fn new(name: String, group: String, index: u32, program: String) -> Instance {
         Instance {
             name,
             group,
-            number,
+            index,
             state: State::Absent,
-            since: 0.0,
+            state_entered_at: 0.0,
             identity: None,
             program,
-            down: false,
-            told: false,
+            is_disabled: false,
+            is_shutdown_requested: false,
             kill_at: None,
-            killed: false,
-            asked_upgrade: false,
+            is_kill_sent: false,
+            is_upgrade_requested: false,
             report: None,
-            heard: 0.0,
+            answered_at: 0.0,
             healthy_since: None,
-            up_since: 0.0,
-            crashes: CrashBackoff::default(),
-            looks: VecDeque::new(),
+            process_started_at: 0.0,
+            backoff: CrashBackoff::default(),
+            samples: VecDeque::new(),
         }
     }
 
-    pub fn turn(&mut self, now: f64, state: State) {
+    /// Enters a state, unless it is in it.
+    pub fn enter_state(&mut self, now: f64, state: State) {
         if self.state != state {
-            (self.state, self.since) = (state, now);
+            self.state = state;
+            self.state_entered_at = now;
         }
     }
 
-    /// A process of it begins, or is found.
-    pub fn begin(&mut self, now: f64, identity: Identity, state: State) {
+    /// Its process was started or found.
+    pub fn process_started(&mut self, now: f64, identity: Identity, state: State) {
+        self.clear_process();
         self.identity = Some(identity);
-        (self.up_since, self.heard, self.told, self.kill_at) = (now, now, false, None);
-        (
-            self.report,
-            self.healthy_since,
-            self.killed,
-            self.asked_upgrade,
-        ) = (None, None, false, false);
-        self.looks.clear();
-        self.turn(now, state);
+        self.process_started_at = now;
+        self.answered_at = now;
+        self.report = None;
+        self.enter_state(now, state);
+    }
+
+    /// Its process has exited.
+    pub fn process_exited(&mut self, now: f64, state: State) {
+        self.clear_process();
+        self.enter_state(now, state);
     }
 
-    /// Its process is gone.
-    pub fn gone(&mut self, now: f64, state: State) {
+    /// Forgets what is known of a process only.
+    fn clear_process(&mut self) {
         self.identity = None;
-        (self.told, self.kill_at, self.healthy_since) = (false, None, None);
-        (self.killed, self.asked_upgrade) = (false, false);
-        self.looks.clear();
-        self.turn(now, state);
+        self.is_shutdown_requested = false;
+        self.kill_at = None;
+        self.is_kill_sent = false;
+        self.is_upgrade_requested = false;
+        self.healthy_since = None;
+        self.samples.clear();
     }
 
-    /// What it said of itself counts from here on.
-    pub fn hear(&mut self, now: f64, report: Report) {
-        self.heard = now;
+    /// Takes the answer to a health check.
+    pub fn record_report(&mut self, now: f64, report: Report) {
+        self.answered_at = now;
         if report.healthy == Some(true) {
             self.healthy_since.get_or_insert(now);
         } else {
             self.healthy_since = None;
         }
-        // Sums that went back are another process's.
-        if self
-            .looks
-            .back()
-            .is_some_and(|(_, invocations, _)| report.invocations < *invocations)
-        {
-            self.looks.clear();
+        let counts = ServiceCounts {
+            invocations: report.invocations,
+            succeeded: report.succeeded,
+        };
+        // Counters that went back are another process's.
+        let last = self.samples.back();
+        if last.is_some_and(|last| counts.invocations < last.counts.invocations) {
+            self.samples.clear();
         }
-        if self.looks.len() == LOOKS {
-            self.looks.pop_front();
+        if self.samples.len() == MAX_SAMPLES {
+            self.samples.pop_front();
         }
-        self.looks
-            .push_back((now, report.invocations, report.succeeded));
+        self.samples.push_back(Sample {
+            taken_at: now,
+            counts,
+        });
         self.identity = Some(report.identity.clone());
         self.report = Some(report);
     }
 
-    pub fn is_warm(&self, now: f64, warm: f64) -> bool {
-        self.healthy_since.is_some_and(|since| now >= since + warm)
+    /// Whether it was healthy for this long.
+    pub fn is_warm(&self, now: f64, warm_seconds: f64) -> bool {
+        self.healthy_since
+            .is_some_and(|since| now >= since + warm_seconds)
     }
 
-    /// Whether it runs the program that it is to run, as far as that can be told.
+    /// Whether its process executes its program, as far as that is known.
     pub fn runs_its_program(&self) -> bool {
         self.report
             .as_ref()
             .and_then(|report| report.program.as_ref())
-            .is_none_or(|runs| *runs == self.program)
+            .is_none_or(|program| *program == self.program)
     }
 
-    /// What it was sent and what it served, between two moments.
-    pub fn served(&self, from: f64, until: f64) -> (u64, u64) {
-        let within = || {
-            self.looks
-                .iter()
-                .filter(|(at, ..)| (from..=until).contains(at))
+    /// Its invocations between two times.
+    pub fn service_between(&self, from: f64, until: f64) -> ServiceCounts {
+        let mut within = self
+            .samples
+            .iter()
+            .filter(|sample| (from..=until).contains(&sample.taken_at));
+        let Some(first) = within.next() else {
+            return ServiceCounts::default();
         };
-        match (within().next(), within().next_back()) {
-            (Some((_, sent, served)), Some((_, sent_then, served_then))) => {
-                (sent_then - sent, served_then - served)
-            }
-            _ => (0, 0),
+        let last = within.next_back().unwrap_or(first);
+        ServiceCounts {
+            invocations: last.counts.invocations - first.counts.invocations,
+            succeeded: last.counts.succeeded - first.counts.succeeded,
         }
     }
 
-    /// Served a second, over the last `span` seconds.
-    pub fn rate(&self, now: f64, span: f64) -> f64 {
-        let first = self.looks.iter().find(|(at, ..)| *at >= now - span);
-        match (first, self.looks.back()) {
-            (Some((from, _, served)), Some((until, _, then))) if until > from => {
-                (then - served) as f64 / (until - from)
+    /// Invocations that succeed per second, over the last `window_seconds`.
+    pub fn success_rate(&self, now: f64, window_seconds: f64) -> f64 {
+        let first = self
+            .samples
+            .iter()
+            .find(|sample| sample.taken_at >= now - window_seconds);
+        match (first, self.samples.back()) {
+            (Some(first), Some(last)) if last.taken_at > first.taken_at => {
+                let succeeded = last.counts.succeeded - first.counts.succeeded;
+                succeeded as f64 / (last.taken_at - first.taken_at)
             }
             _ => 0.0,
         }
--- /dev/null
+++ b/crates/merlinshelf-fleet/tests/fleet/processes.rs
@@ -0,0 +1,104 @@
+//! Starts, crashes and hangs of single processes.
+
+use merlinshelf_fleet::{Identity, Report, State};
+
+use crate::simulation::{Simulation, serving_fleet, spec};
+
+#[test]
+fn specified_instances_start_some_at_a_time_and_get_warm() {
+    let mut simulation = Simulation::new(spec(20));
+    simulation.tick();
+    assert_eq!(
+        simulation.processes.len(),
+        4,
+        "as many starts at once as may be"
+    );
+    simulation.run_until(60.0, |simulation| simulation.serving_count() == 20);
+    // Warm, not just up.
+    assert!(simulation.fleet.instances().all(|instance| {
+        instance
+            .healthy_since
+            .is_some_and(|since| simulation.now >= since + 1.0)
+    }));
+}
+
+#[test]
+fn hanging_instance_is_terminated_then_killed_and_restarted() {
+    let mut simulation = serving_fleet(4);
+    simulation
+        .processes
+        .get_mut("web.2")
+        .expect("it runs")
+        .is_hanging = true;
+    simulation.run_until(10.0, |simulation| {
+        simulation
+            .fleet
+            .get("web.2")
+            .is_some_and(|instance| instance.state == State::Lost)
+    });
+    let terminated_at = simulation
+        .trace
+        .iter()
+        .position(|line| line.contains("Terminate"))
+        .expect("it is terminated first");
+    simulation.run_until(20.0, |simulation| {
+        simulation.trace.iter().any(|line| line.contains("Kill"))
+    });
+    assert!(
+        simulation
+            .trace
+            .iter()
+            .position(|line| line.contains("Kill"))
+            .expect("it is killed then")
+            > terminated_at
+    );
+    simulation.run_until(20.0, |simulation| simulation.serving_count() == 4);
+    assert!(
+        simulation.events().contains("hangs: no answer for"),
+        "{}",
+        simulation.events()
+    );
+}
+
+#[test]
+fn foreign_process_is_not_signalled() {
+    let mut simulation = serving_fleet(3);
+    let report = Report {
+        identity: Identity {
+            pid: 4711,
+            start_ticks: 9,
+        },
+        state: "serving".into(),
+        ..Report::default()
+    };
+    let before = simulation.trace.len();
+    simulation
+        .fleet
+        .report_received(simulation.now, "web.1", report);
+    assert_eq!(
+        simulation.fleet.get("web.1").map(|instance| instance.state),
+        Some(State::Lost)
+    );
+    assert_eq!(simulation.trace.len(), before);
+    assert!(
+        simulation
+            .events()
+            .contains("process 4711 answers in its place, and is not touched")
+    );
+}
+
+#[test]
+fn crash_loops_back_off_exponentially() {
+    let mut simulation = Simulation::new(spec(12));
+    simulation.crash_after.insert("/v1".into(), 0.2);
+    simulation.run_for(30.0);
+    let starts = simulation
+        .trace
+        .iter()
+        .filter(|line| line.contains("Start"))
+        .count();
+    // Doubling pauses from half a second: six or seven tries in half a minute each, not a hundred.
+    assert!((12 * 4..=12 * 8).contains(&starts), "{starts}");
+    simulation.crash_after.clear();
+    simulation.run_until(90.0, |simulation| simulation.serving_count() == 12);
+}
