--- a/crates/merlinshelf-agent/src/agent/event_loop.rs
+++ b/crates/merlinshelf-agent/src/agent/event_loop.rs
@@ -105,11 +105,9 @@
     // The lock of the folder is held: no other agent listens on the socket.
     let _control = control::open(&socket, request_sender)?;
     let mut agent = Agent::open(file, spec, store, record).await?;
-    info!(
-        "supervising {} instances of {}",
-        agent.fleet.instances().count(),
-        agent.file.display()
-    );
+    let instance_count = agent.fleet.instances().count();
+    let file = agent.file.display();
+    info!(instances = instance_count; "supervising {instance_count} instances of {file}");
     let mut ticks = interval(TICK_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut signals = Signals::install()?;
@@ -186,7 +184,7 @@
     fn reload(&mut self) {
         match self.apply_file() {
             Ok(()) => info!("fleet file applied"),
-            Err(error) => warn!("fleet file not applied: {error}"),
+            Err(error) => warn!(error:% = error; "fleet file not applied: {error}"),
         }
     }
 
--- a/crates/merlinshelf-agent/src/agent/instance_processes.rs
+++ b/crates/merlinshelf-agent/src/agent/instance_processes.rs
@@ -185,7 +185,7 @@
         if let Some(instance) = self.fleet.get(name)
             && let Err(error) = instance_files::link_program(&self.paths(name), &instance.program)
         {
-            warn!("program of {name} not linked: {error}");
+            warn!(error:% = error, instance:% = name; "program of {name} not linked: {error}");
         }
     }
 }
--- a/crates/merlinshelf-agent/src/agent/operator_requests.rs
+++ b/crates/merlinshelf-agent/src/agent/operator_requests.rs
@@ -121,7 +121,7 @@
             let lines =
                 instance_files::last_lines(&self.paths(&name).log, count).unwrap_or_else(|error| {
                     if error.kind() != io::ErrorKind::NotFound {
-                        warn!("log of {name} not read: {error}");
+                        warn!(error:% = error, instance:% = name; "log of {name} not read: {error}");
                     }
                     Vec::new()
                 });
--- a/crates/merlinshelf-agent/src/consensus_log.rs
+++ b/crates/merlinshelf-agent/src/consensus_log.rs
@@ -116,7 +116,7 @@
         }
         Err(error) => {
             error!(
-                "consensus log unusable: {error}; moved aside as {ASIDE_FILE}, joining under a new slot"
+                error:% = error; "consensus log unusable: {error}; moved aside as {ASIDE_FILE}, joining under a new slot"
             );
             disk.rename(FILE, ASIDE_FILE)?;
             Ok((disk, Vec::new()))
--- a/crates/merlinshelf-agent/src/consensus_node.rs
+++ b/crates/merlinshelf-agent/src/consensus_node.rs
@@ -209,7 +209,7 @@
     pub fn propose(&mut self, now: f64, entry: &Entry) {
         match rmp_serde::to_vec_named(entry) {
             Ok(bytes) => self.drive(now, |replica| _ = replica.propose(bytes)),
-            Err(error) => error!("entry not encoded and not proposed: {error}"),
+            Err(error) => error!(error:% = error; "entry not encoded and not proposed: {error}"),
         }
     }
 
@@ -243,7 +243,7 @@
 
     fn fail(&mut self, now: f64, error: &NodeError) {
         if !self.is_failure_logged {
-            warn!("replica stopped: {error}");
+            warn!(error:% = error; "replica stopped: {error}");
         }
         self.is_failure_logged = true;
         self.running = None;
@@ -259,7 +259,7 @@
                 match rmp_serde::to_vec_named(&self.state) {
                     Ok(state) => running.replica.compact(state),
                     Err(error) => {
-                        error!("replicated state not encoded, log not compacted: {error}");
+                        error!(error:% = error; "replicated state not encoded, log not compacted: {error}");
                     }
                 }
             }
@@ -280,7 +280,7 @@
             Action::LeadershipConfirmed { request_id } => self
                 .outputs
                 .push(NodeOutput::LeadershipConfirmed { request_id }),
-            Action::ReportDecodeError(error) => error!("{error}; skipped"),
+            Action::ReportDecodeError(error) => error!(error:% = error; "{error}; skipped"),
         }
     }
 
@@ -298,7 +298,9 @@
                 self.outputs.extend(event.map(NodeOutput::Applied));
             }
             // A later version proposed it: this agent can't know what it means.
-            Err(error) => error!(index = index; "entry {index} not decoded, skipped: {error}"),
+            Err(error) => {
+                error!(index = index, error:% = error; "entry {index} not decoded, skipped: {error}");
+            }
         }
     }
 
@@ -308,7 +310,7 @@
         } else {
             rmp_serde::from_slice(state).unwrap_or_else(|error| {
                 // A later version stored it; the base policy is safe without it.
-                error!(index = index; "state at {index} not decoded, serving base policy: {error}");
+                error!(index = index, error:% = error; "state at {index} not decoded, serving base policy: {error}");
                 ReplicatedState::default()
             })
         };
--- a/crates/merlinshelf-agent/src/instance_files.rs
+++ b/crates/merlinshelf-agent/src/instance_files.rs
@@ -198,10 +198,10 @@
     if std::fs::metadata(log).is_ok_and(|metadata| metadata.len() > MAX_LOG_BYTES) {
         // On a full disk the old lines are lost rather than the service.
         if let Err(error) = std::fs::copy(log, log.with_extension("1")) {
-            warn!("log {} not copied at its rotation: {error}", log.display());
+            warn!(error:% = error; "log {} not copied at its rotation: {error}", log.display());
         }
         if let Err(error) = OpenOptions::new().write(true).truncate(true).open(log) {
-            warn!("log {} not truncated: {error}", log.display());
+            warn!(error:% = error; "log {} not truncated: {error}", log.display());
         }
     }
 }
--- a/crates/merlinshelf-agent/src/peer_transport.rs
+++ b/crates/merlinshelf-agent/src/peer_transport.rs
@@ -105,7 +105,9 @@
         };
         let body = match rmp_serde::to_vec_named(&(&self.name, message)) {
             Ok(body) => body,
-            Err(error) => return warn!("message to {to} not encoded: {error}"),
+            Err(error) => {
+                return warn!(error:% = error, agent = to; "message to {to} not encoded: {error}");
+            }
         };
         let mut bytes = Vec::new();
         control::ask(&mut bytes, ControlRequest::Consensus, &body);
@@ -156,7 +158,7 @@
                 spawn_local(async move {
                     let _connection = connection;
                     if let Err(error) = receive(stream, received).await {
-                        debug!("connection from an agent closed: {error}");
+                        debug!(error:% = error; "connection from an agent closed: {error}");
                     }
                 });
             }
@@ -165,7 +167,7 @@
                 "connection from an agent rejected: {MAX_CONNECTIONS} are open"
             ),
             Err(error) => {
-                warn!("connection from an agent not accepted: {error}");
+                warn!(error:% = error; "connection from an agent not accepted: {error}");
                 sleep(RETRY_DELAY).await;
             }
         }
--- a/crates/merlinshelf-agent/src/policy/heartbeats.rs
+++ b/crates/merlinshelf-agent/src/policy/heartbeats.rs
@@ -107,7 +107,7 @@
     heartbeat: &Heartbeat,
 ) -> Result<InstanceStatus, HeartbeatError> {
     let body = serde_json::to_value(heartbeat).map_err(|error| {
-        error!("heartbeat not encoded: {error}");
+        error!(error:% = error; "heartbeat not encoded: {error}");
         HeartbeatError::Unreachable
     })?;
     match timeout(HEARTBEAT_TIMEOUT, exchange(control, &body)).await {
--- a/crates/merlinshelf-agent/src/policy/mod.rs
+++ b/crates/merlinshelf-agent/src/policy/mod.rs
@@ -187,7 +187,9 @@
                     self.peer_statuses.insert(from, status);
                 }
                 // It is for reports only; the next one comes within a second.
-                Err(error) => warn!("status of {from} not decoded: {error}"),
+                Err(error) => {
+                    warn!(error:% = error, agent = from.as_str(); "status of {from} not decoded: {error}");
+                }
             },
         }
     }
--- a/crates/merlinshelf-agent/src/process.rs
+++ b/crates/merlinshelf-agent/src/process.rs
@@ -28,7 +28,7 @@
 /// handover, so that their exit status is known.
 pub(crate) fn adopt_orphans() {
     if let Err(error) = rustix::process::set_child_subreaper(Some(rustix::process::getpid())) {
-        warn!("exit statuses of upgraded instances will not be known: {error}");
+        warn!(error:% = error; "exit statuses of upgraded instances will not be known: {error}");
     }
 }
 
--- a/crates/merlinshelf-agent/src/store/mod.rs
+++ b/crates/merlinshelf-agent/src/store/mod.rs
@@ -65,14 +65,14 @@
     match disk.read(FILE) {
         Ok(None) => Record::default(),
         Ok(Some(bytes)) => decode(&bytes).unwrap_or_else(|error| {
-            warn!("fleet record unreadable: {error}; moved aside as {ASIDE_FILE}");
+            warn!(error:% = error; "fleet record unreadable: {error}; moved aside as {ASIDE_FILE}");
             if let Err(error) = disk.rename(FILE, ASIDE_FILE) {
-                warn!("fleet record not moved aside: {error}");
+                warn!(error:% = error; "fleet record not moved aside: {error}");
             }
             Record::default()
         }),
         Err(error) => {
-            warn!("fleet record unreadable: {error}");
+            warn!(error:% = error; "fleet record unreadable: {error}");
             Record::default()
         }
     }
@@ -93,7 +93,7 @@
             Ok(()) => {}
             Err(error) if !is_failing => {
                 is_failing = true;
-                warn!("fleet record not stored: {error}");
+                warn!(error:% = error; "fleet record not stored: {error}");
             }
             Err(_) => {}
         }
