--- a/crates/merlinshelf-agent/src/agent/event_loop.rs
+++ b/crates/merlinshelf-agent/src/agent/event_loop.rs
@@ -9,7 +9,7 @@
 use merlinshelf_backend::control::{self, PendingRequest};
 use merlinshelf_backend::logger;
 use merlinshelf_backend::operator::Format;
-use merlinshelf_fleet::{Fleet, FleetSpec, Refusal};
+use merlinshelf_fleet::{Fleet, FleetError, FleetSpec};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use tokio::runtime::Builder;
@@ -54,8 +54,8 @@
     FleetFile(#[from] FleetFileError),
     #[error("another folder is for another agent")]
     FolderChanged,
-    #[error("{}", .0.0)]
-    Rejected(Refusal),
+    #[error(transparent)]
+    Rejected(#[from] FleetError),
 }
 
 /// Serves until SIGTERM or SIGINT; the instances go on.
@@ -105,11 +105,9 @@
     // The lock of the folder is held: no other agent listens on the socket.
     let _control = control::open(&socket, request_sender)?;
     let mut agent = Agent::open(file, spec, store, record).await?;
-    info!(
-        "supervising {} instances of {}",
-        agent.fleet.instances().count(),
-        agent.file.display()
-    );
+    let instance_count = agent.fleet.instances().count();
+    let file = agent.file.display();
+    info!(instances = instance_count; "supervising {instance_count} instances of {file}");
     let mut ticks = interval(TICK_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut signals = Signals::install()?;
@@ -186,17 +184,17 @@
     fn reload(&mut self) {
         match self.apply_file() {
             Ok(()) => info!("fleet file applied"),
-            Err(error) => warn!("fleet file not applied: {error}"),
+            Err(error) => warn!(error:% = error; "fleet file not applied: {error}"),
         }
     }
 
     pub(super) fn apply_file(&mut self) -> Result<(), ApplyError> {
         let spec = fleet_file::load(&self.file)?;
-        if spec.folder != self.fleet.wanted().folder {
+        if spec.folder != self.fleet.spec().folder {
             return Err(ApplyError::FolderChanged);
         }
         let now = self.now();
-        self.fleet.apply(now, spec).map_err(ApplyError::Rejected)
+        Ok(self.fleet.apply(now, spec)?)
     }
 
     fn handle_policy_event(&mut self, event: PolicyEvent) {
@@ -216,7 +214,7 @@
             } => self.process_exited(name, identity, status),
             AgentEvent::ProcessFound { name, identity } => {
                 if self.supervise(&name, &identity) {
-                    self.fleet.found(now, &name, identity);
+                    self.fleet.process_found(now, &name, identity);
                 }
             }
             AgentEvent::ProcessNotFound { name, reason } => self.process_not_found(&name, &reason),
@@ -230,21 +228,22 @@
         let backoff_jitter = self.rng.random();
         match reason {
             SearchReason::ProcessExited { status, .. } => {
-                self.fleet.ended(now, name, *status, backoff_jitter);
+                self.fleet
+                    .process_exited(now, name, *status, backoff_jitter);
             }
             SearchReason::SocketTaken => {
                 let reason = "another process listens on its control socket";
-                self.fleet.not_started(now, name, reason, backoff_jitter);
+                self.fleet.start_failed(now, name, reason, backoff_jitter);
             }
         }
     }
 
     /// Everything that is due by now.
     fn advance(&mut self) {
-        self.fleet.at(unix_seconds());
+        self.fleet.set_wall_clock(unix_seconds());
         let now = self.now();
-        self.fleet.woken(now);
-        while let Some(action) = self.fleet.next_step() {
+        self.fleet.advance(now);
+        while let Some(action) = self.fleet.poll_action() {
             self.carry_out(action);
         }
         if let Some(record) = self.fleet.take_record() {
