--- a/crates/merlinshelf-agent/src/store/mod.rs
+++ b/crates/merlinshelf-agent/src/store/mod.rs
@@ -102,17 +102,17 @@
 
 /// Replaces the file atomically and durably.
 fn write(files: &mut dyn Files, record: &Record) -> io::Result<()> {
+    let bytes = encode(record)?;
     files.create(NEW_FILE)?;
-    files.append(NEW_FILE, &encode(record))?;
+    files.append(NEW_FILE, &bytes)?;
     files.sync(NEW_FILE)?;
     files.rename(NEW_FILE, FILE)?;
     files.sync_folder()
 }
 
-fn encode(record: &Record) -> Vec<u8> {
-    let mut bytes = FILE_HEADER.to_vec();
-    bytes.extend(framed(record));
-    bytes
+fn encode(record: &Record) -> io::Result<Vec<u8>> {
+    let frame = framed(record).map_err(io::Error::other)?;
+    Ok([FILE_HEADER.as_slice(), &frame].concat())
 }
 
 fn decode(bytes: &[u8]) -> Result<Record, StoreError> {
--- a/crates/merlinshelf-agent/src/store/tests.rs
+++ b/crates/merlinshelf-agent/src/store/tests.rs
@@ -9,7 +9,7 @@
         ..Record::default()
     };
     record.counts.insert("web".into(), 3);
-    let mut bytes = encode(&record);
+    let mut bytes = encode(&record).expect("a record that can be encoded");
     assert_eq!(decode(&bytes).expect("a complete file"), record);
     for length in 0..bytes.len() {
         assert!(decode(&bytes[..length]).is_err());
--- a/crates/merlinshelf-agent/tests/golden/store.rs
+++ b/crates/merlinshelf-agent/tests/golden/store.rs
@@ -15,7 +15,8 @@
 const MAX_RECORD_BYTES: usize = 64 * 1024 * 1024;
 
 pub fn encode_store(record: &Record) -> Vec<u8> {
-    [STORE_HEADER.to_vec(), framed(record)].concat()
+    let frame = framed(record).expect("a record that can be encoded");
+    [STORE_HEADER.to_vec(), frame].concat()
 }
 
 fn decode_store(bytes: &[u8]) -> Record {
--- a/crates/merlinshelf-backend/src/learning/folder.rs
+++ b/crates/merlinshelf-backend/src/learning/folder.rs
@@ -8,7 +8,6 @@
 
 use merlinshelf_gossip::GossipedObservation;
 use merlinshelf_gossip::store::{Files, Found, MAX_STORE_BYTES, Store};
-use merlinshelf_gossip::store_format::FrameError;
 use rustix::fs::{FlockOperation, flock};
 use rustix::io::Errno;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
@@ -77,7 +76,7 @@
                 (Store::default(), Found::default())
             }
         };
-        let life = store.begin(unix_ms() as u64);
+        let life = store.begin_incarnation(unix_ms() as u64);
         let _ = tell.send(Came::Found(found, life));
         Ok((disk, store))
     };
@@ -101,7 +100,7 @@
         let all = match job {
             Job::Save(all) => all,
             Job::Anew(all) => {
-                store.anew();
+                store.invalidate();
                 all
             }
         };
@@ -142,15 +141,6 @@
     Store::open(&mut Looked(path)).map(|(_, found)| found)
 }
 
-/// What is wrong with a file, for people.
-pub fn flaw_text(flaw: FrameError) -> &'static str {
-    match flaw {
-        FrameError::Foreign => "it is of another program or of a later version",
-        FrameError::Torn => "its end was being written when the process or machine ended",
-        FrameError::Garbled => "a record is not what was written",
-    }
-}
-
 /// The real files of a folder, for whoever holds its lock.
 pub struct Disk {
     folder: PathBuf,
--- a/crates/merlinshelf-backend/src/learning/mod.rs
+++ b/crates/merlinshelf-backend/src/learning/mod.rs
@@ -12,7 +12,6 @@
 
 use log::{info, warn};
 use merlinshelf_gossip::gossip_node::{Action, GossipNode, Settings};
-use merlinshelf_gossip::observation::InvalidObservation;
 use merlinshelf_gossip::store_format::{PersistedObservation, Record, recover};
 use merlinshelf_gossip::{GossipedObservation, Scope, membership, store_format};
 use rand::{RngExt, SeedableRng};
@@ -24,7 +23,7 @@
 
 use crate::exchange::{Shared as Exchange, monotonic, unix_ms};
 use crate::operator;
-use folder::{Came, Folder, flaw_text};
+use folder::{Came, Folder};
 
 /// Between two looks at what the module has learnt.
 const LOOK_EVERY: Duration = Duration::from_millis(500);
@@ -133,11 +132,17 @@
             return Vec::new();
         };
         let at = unix_ms() / 1e3;
-        let mut bytes = store_format::head();
-        for told in learner.kept(monotonic()) {
-            bytes.extend(store_format::record(&Record::Observation(
-                PersistedObservation { at, told },
-            )));
+        let mut bytes = store_format::header();
+        for told in learner.export(monotonic()) {
+            let record = Record::Observation(PersistedObservation {
+                saved_at: at,
+                observation: told,
+            });
+            match store_format::record(&record) {
+                Ok(record) => bytes.extend(record),
+                // The successor starts without it, as without what no longer counts.
+                Err(error) => warn!("observation not handed over: {error}"),
+            }
         }
         bytes
     }
@@ -145,7 +150,7 @@
     /// Everything was taken back from a failed successor.
     pub fn taken_back(&mut self) {
         if let Some(learner) = &mut self.state.borrow_mut().learner {
-            learner.taken_back(monotonic());
+            learner.handover_rolled_back(monotonic());
         }
     }
 
@@ -173,12 +178,12 @@
         let Some(learner) = &mut state.learner else {
             return 0;
         };
-        let before = learner.book().figures().count();
+        let before = learner.store().observations().count();
         match origin {
-            Some(origin) => learner.book_mut().forget(origin),
-            None => learner.book_mut().forget_others(),
+            Some(origin) => learner.store_mut().remove_source(origin),
+            None => learner.store_mut().remove_gossiped(),
         }
-        let gone = before - learner.book().figures().count();
+        let gone = before - learner.store().observations().count();
         state.anew = true;
         drop(state);
         self.nudge.notify_one();
@@ -198,10 +203,10 @@
                 engine: self.settings.engine.clone().unwrap_or(own_kind),
                 dependency: self.settings.dependency.clone(),
                 operations: self.operations.clone(),
-                keep_idle: self.keep_idle,
+                keep_alive_seconds: self.keep_idle,
             },
-            share: self.settings.share,
-            members: membership::Settings::default(),
+            cpu_share: self.settings.share,
+            membership: membership::Settings::default(),
         }
     }
 }
@@ -229,12 +234,17 @@
         loop {
             self.look();
             let steps = match &mut self.state.borrow_mut().learner {
-                Some(learner) => learner.woken(monotonic(), &mut || chance.random()),
+                Some(learner) => learner.timer_expired(monotonic(), &mut || chance.random()),
                 None => Vec::new(),
             };
-            for Action::Ask { address, question } in steps {
+            for Action::Poll {
+                address,
+                poll: question,
+            } in steps
+            {
                 let (state, nudge) = (self.state.clone(), self.nudge.clone());
-                let within = Duration::from_secs_f64(self.settings.members.answer_within);
+                let within =
+                    Duration::from_secs_f64(self.settings.membership.answer_timeout_seconds);
                 spawn_local(
                     async move { peers::ask(address, question, within, state, nudge).await },
                 );
@@ -246,7 +256,7 @@
                 .borrow()
                 .learner
                 .as_ref()
-                .and_then(GossipNode::wake_at);
+                .and_then(GossipNode::next_timeout);
             let wake = wake.map(|at| {
                 Instant::now() + Duration::from_secs_f64((at - monotonic()).clamp(0.002, 60.0))
             });
@@ -288,11 +298,11 @@
         }
         let passed = recover(&std::mem::take(&mut self.past)).records.into_iter();
         let passed = passed.filter_map(|record| match record {
-            Record::Observation(kept) => Some(kept.told_at(unix_ms() / 1e3)),
-            Record::Life(_) => None,
+            Record::Observation(kept) => Some(kept.aged_to(unix_ms() / 1e3)),
+            Record::Incarnation(_) => None,
         });
         kept.extend(passed);
-        let taken = learner.remember(now, kept);
+        let taken = learner.restore(now, kept);
         if taken > 0 {
             info!(figures = taken; "knows {taken} figures from its own past");
         }
@@ -300,22 +310,19 @@
     }
 
     fn found(&mut self, found: merlinshelf_gossip::store::Found) -> Vec<GossipedObservation> {
-        if let Some(flaw) = found.flaw {
-            let aside = if found.set_aside {
+        if let Some(flaw) = found.error {
+            let aside = if found.was_set_aside {
                 ", and set aside"
             } else {
                 ""
             };
-            warn!(
-                "what was kept can't be read whole: {}{aside}",
-                flaw_text(flaw)
-            );
+            warn!("what was kept can't be read whole: {flaw}{aside}");
         }
         let unix = unix_ms() / 1e3;
         found
-            .kept
+            .observations
             .into_iter()
-            .map(|kept| kept.told_at(unix))
+            .map(|kept| kept.aged_to(unix))
             .collect()
     }
 
@@ -326,7 +333,7 @@
                 let late = std::mem::take(&mut self.awaits_past);
                 let kept = self.found(found);
                 if let (true, Some(learner)) = (late, &mut self.state.borrow_mut().learner) {
-                    let taken = learner.remember(now, kept);
+                    let taken = learner.restore(now, kept);
                     info!(figures = taken; "knows {taken} figures from its own past");
                 }
             }
@@ -359,7 +366,7 @@
         let seen = self.exchange.borrow().learned_state();
         if let (Some((clock, learnt)), Some(learner)) = (seen, &mut self.state.borrow_mut().learner)
         {
-            learner.see(monotonic(), clock, &learnt);
+            learner.record_own_samples(monotonic(), clock, &learnt);
         }
     }
 
@@ -367,7 +374,7 @@
         if let Some(learner) = &self.state.borrow().learner {
             self.exchange
                 .borrow_mut()
-                .set_prior_estimates(learner.beliefs(monotonic()));
+                .set_prior_estimates(learner.prior_estimates(monotonic()));
         }
     }
 
@@ -380,7 +387,7 @@
         let Some(learner) = &state.learner else {
             return;
         };
-        let all = learner.kept(monotonic());
+        let all = learner.export(monotonic());
         if state.anew {
             state.anew = !folder.anew(all);
         } else {
@@ -396,15 +403,3 @@
         None => std::future::pending().await,
     }
 }
-
-/// Why a told figure was not taken, for the log.
-fn why(unbelievable: InvalidObservation) -> &'static str {
-    match unbelievable {
-        InvalidObservation::Value => "values that can't be",
-        InvalidObservation::Age => "ages that can't be",
-        InvalidObservation::Count => "counts that can't be",
-        InvalidObservation::Hops => "too many hops",
-        InvalidObservation::Echo => "its own echoes",
-        InvalidObservation::Name => "names that can't be",
-    }
-}
--- a/crates/merlinshelf-backend/src/learning/peers.rs
+++ b/crates/merlinshelf-backend/src/learning/peers.rs
@@ -14,8 +14,8 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
+use super::Shared;
 use super::secure::{Plain, Secure};
-use super::{Shared, why};
 use crate::exchange::monotonic;
 
 /// Who asks at one time; one more is closed at once.
@@ -50,15 +50,15 @@
     let Some(learner) = &mut state.learner else {
         return;
     };
-    let first = !learner.lessons().contains_key(&answer.from.name);
-    let odd = learner.answered(monotonic(), &answer);
-    if !answer.figures.is_empty() {
+    let first = !learner.peer_statistics().contains_key(&answer.from.name);
+    let odd = learner.answer_received(monotonic(), &answer);
+    if !answer.observations.is_empty() {
         if first {
-            let figures = answer.figures.len();
+            let figures = answer.observations.len();
             info!(figures = figures; "taught {figures} figures by {}", answer.from.name);
         }
         for (reason, count) in odd {
-            warn!(count = count; "{} figures of {} are not taken: {}", count, answer.from.name, why(reason));
+            warn!(count = count; "{} figures of {} are not taken: {}", count, answer.from.name, reason);
         }
         nudge.notify_one();
     }
@@ -175,11 +175,11 @@
         let Some(learner) = &mut state.learner else {
             return Ok(());
         };
-        let Some(answer) = learner.asked(monotonic(), &question) else {
+        let Some(answer) = learner.poll_received(monotonic(), &question) else {
             return Ok(());
         };
         put_message(&mut bytes, Kind::Tell, &answer);
-        learner.spent(began.elapsed().as_secs_f64());
+        learner.charge_cpu_seconds(began.elapsed().as_secs_f64());
     }
     stream.write_all(&bytes).await?;
     stream.shutdown().await
--- a/crates/merlinshelf-backend/src/learning/report.rs
+++ b/crates/merlinshelf-backend/src/learning/report.rs
@@ -1,7 +1,6 @@
 //! What is reported of learning: by whom, how old, and what of it still counts.
 
-use merlinshelf_gossip::observation_store::weight;
-use merlinshelf_gossip::{Metric, Observation, Source};
+use merlinshelf_gossip::ObservationEntry;
 use serde_json::{Value, json};
 
 use super::State;
@@ -15,13 +14,13 @@
     let Some(learner) = &state.learner else {
         return json!({ "standing": "starting" });
     };
-    let counting = learner.book().counting(now);
+    let counting = learner.store().effective_counts(now);
     let taught: Vec<Value> = learner
-        .lessons()
+        .peer_statistics()
         .iter()
         .map(|(name, of)| {
-            json!({ "by": name, "ago_s": round(now - of.at), "times": of.times, "taken": of.taken,
-                    "unbelievable": of.unbelievable })
+            json!({ "by": name, "ago_s": round(now - of.last_answer_at), "times": of.answers, "taken": of.accepted,
+                    "unbelievable": of.rejected })
         })
         .collect();
     let counting: Vec<Value> = counting
@@ -34,11 +33,11 @@
         Some((at, Err(why))) => json!({ "failed": why, "ago_s": round(now - at) }),
     };
     json!({
-        "standing": learner.standing().name(),
+        "standing": learner.status().as_str(),
         "peers": learner.members().alive().count(),
         "taught_by": taught,
         "still_counts": counting,
-        "questions_turned_away": learner.turned_away,
+        "questions_turned_away": learner.rejected_polls,
         "saved": saved,
     })
 }
@@ -48,12 +47,26 @@
 }
 
 /// One figure, for reports.
-pub fn figure(now: f64, subject: &Metric, origin: &Source, figure: &Observation) -> Value {
-    let (server, operation) = subject.names();
+pub fn figure(now: f64, entry: &ObservationEntry) -> Value {
+    let ObservationEntry {
+        metric,
+        source,
+        observation,
+    } = *entry;
+    let labels = metric.labels();
+    let weight = observation.weight(now, metric);
     json!({
-        "kind": subject.kind(), "server": server, "operation": operation, "value": figure.value, "count": figure.count,
-        "age_s": round(now - figure.seen), "origin": origin.name, "life": origin.life, "hops": figure.hops,
-        "standing": figure.standing.name(), "weight": (weight(now, subject, figure) * 1e3).round() / 1e3,
+        "kind": metric.kind(),
+        "server": labels.server,
+        "operation": labels.operation,
+        "value": observation.value,
+        "count": observation.sample_count,
+        "age_s": round(now - observation.observed_at),
+        "origin": source.name,
+        "life": source.incarnation,
+        "hops": observation.hops,
+        "standing": observation.status.as_str(),
+        "weight": (weight * 1e3).round() / 1e3,
     })
 }
 
@@ -62,13 +75,13 @@
     let Some(learner) = &state.learner else {
         return Vec::new();
     };
-    let own = learner.book().own();
+    let own = learner.store().own();
     let all: Vec<Value> = learner
-        .book()
-        .figures()
-        .map(|(subject, origin, of)| {
-            let mut line = figure(now, subject, origin, of);
-            line["own"] = json!(origin == own);
+        .store()
+        .observations()
+        .map(|entry| {
+            let mut line = figure(now, &entry);
+            line["own"] = json!(entry.source == own);
             line
         })
         .collect();
--- a/crates/merlinshelf-backend/tests/golden.rs
+++ b/crates/merlinshelf-backend/tests/golden.rs
@@ -271,28 +271,28 @@
 fn store_file() -> Vec<u8> {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
     let kept = PersistedObservation {
-        at: since_epoch
+        saved_at: since_epoch
             .expect("a clock that is set right")
             .as_secs_f64(),
-        told: GossipedObservation {
-            subject: Metric::CallLowest {
+        observation: GossipedObservation {
+            metric: Metric::CallLowest {
                 dependency: "catalogue".into(),
             },
-            origin: Source {
+            source: Source {
                 name: "n9".into(),
-                life: 5,
+                incarnation: 5,
             },
             value: 0.25,
-            count: 24,
-            age: 1.5,
-            number: 7,
+            sample_count: 24,
+            age_seconds: 1.5,
+            sequence: 7,
             hops: 1,
-            standing: SourceStatus::Steady,
+            status: SourceStatus::Steady,
         },
     };
     [
-        store_format::head(),
-        store_format::record(&Record::Observation(kept)),
+        store_format::header(),
+        store_format::record(&Record::Observation(kept)).expect("a record that can be encoded"),
     ]
     .concat()
 }
@@ -342,7 +342,7 @@
 
     // What it has kept, under the names by which a later program looks for it.
     let found = folder::look(&store).expect("a folder that can be read");
-    assert_eq!((found.kept.len(), found.flaw), (1, None));
+    assert_eq!((found.observations.len(), found.error), (1, None));
     let entries = std::fs::read_dir(&store).expect("a folder");
     let name = |entry: std::io::Result<std::fs::DirEntry>| entry.expect("an entry").file_name();
     let mut names: Vec<_> = entries.map(name).collect();
--- a/crates/merlinshelf-backend/tests/golden_settings.rs
+++ b/crates/merlinshelf-backend/tests/golden_settings.rs
@@ -599,17 +599,17 @@
     let now = SystemTime::now().duration_since(UNIX_EPOCH);
     let told =
         |subject: Metric, value: f64, count: u32, standing: SourceStatus| GossipedObservation {
-            subject,
-            origin: Source {
+            metric: subject,
+            source: Source {
                 name: "n4".into(),
-                life: LARGE,
+                incarnation: LARGE,
             },
             value,
-            count,
-            age: 1.5,
-            number: 42,
+            sample_count: count,
+            age_seconds: 1.5,
+            sequence: 42,
             hops: 1,
-            standing,
+            status: standing,
         };
     let limit = Metric::CallLimit {
         dependency: "library".into(),
@@ -618,14 +618,18 @@
         engine: "cx42".into(),
         operation: "thumbnail".into(),
     };
-    let mut bytes = merlinshelf_gossip::store_format::head();
+    let mut bytes = merlinshelf_gossip::store_format::header();
     for told in [
-        told(limit, 48.5, 96, SourceStatus::JustTaught),
+        told(limit, 48.5, 96, SourceStatus::RecentlySynced),
         told(run, 0.25, 64, SourceStatus::Steady),
     ] {
         let at = now.clone().expect("a time").as_secs_f64();
-        let kept = Record::Observation(PersistedObservation { at, told });
-        bytes.extend(merlinshelf_gossip::store_format::record(&kept));
+        let kept = Record::Observation(PersistedObservation {
+            saved_at: at,
+            observation: told,
+        });
+        let record = merlinshelf_gossip::store_format::record(&kept);
+        bytes.extend(record.expect("a record that can be encoded"));
     }
     bytes
 }
--- a/crates/merlinshelf-cli/src/knowledge.rs
+++ b/crates/merlinshelf-cli/src/knowledge.rs
@@ -7,7 +7,7 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use merlinshelf_agent::control_client::BlockingControlClient;
-use merlinshelf_backend::learning::folder::{flaw_text, look};
+use merlinshelf_backend::learning::folder::look;
 use merlinshelf_gossip::GossipedObservation;
 use merlinshelf_protocol::control::{ControlMessage, ControlRequest};
 use serde_json::{Value, json};
@@ -49,12 +49,8 @@
 /// All figures that a folder keeps, as old as they are by now; what is wrong with the file is said on standard error.
 fn kept(folder: &Path) -> io::Result<Vec<Value>> {
     let found = look(folder)?;
-    if let Some(flaw) = found.flaw {
-        eprintln!(
-            "merlinshelf: {}: not read whole: {}",
-            folder.display(),
-            flaw_text(flaw)
-        );
+    if let Some(flaw) = found.error {
+        eprintln!("merlinshelf: {}: not read whole: {flaw}", folder.display());
     }
     let unix = SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -62,16 +58,16 @@
         .as_secs_f64();
     // Of the same figure the last one counts.
     let mut last = BTreeMap::new();
-    for kept in found.kept {
-        let told = kept.told_at(unix);
-        last.insert((told.subject.clone(), told.origin.clone()), told);
+    for kept in found.observations {
+        let told = kept.aged_to(unix);
+        last.insert((told.metric.clone(), told.source.clone()), told);
     }
     let line = |told: &GossipedObservation| {
-        let (server, operation) = told.subject.names();
+        let labels = told.metric.labels();
         json!({
-            "kind": told.subject.kind(), "server": server, "operation": operation, "value": told.value,
-            "count": told.count, "age_s": (told.age * 10.0).round() / 10.0, "origin": told.origin.name,
-            "life": told.origin.life, "hops": told.hops, "standing": told.standing.name(),
+            "kind": told.metric.kind(), "server": labels.server, "operation": labels.operation, "value": told.value,
+            "count": told.sample_count, "age_s": (told.age_seconds * 10.0).round() / 10.0, "origin": told.source.name,
+            "life": told.source.incarnation, "hops": told.hops, "standing": told.status.as_str(),
         })
     };
     Ok(last.values().map(line).collect())
--- a/crates/merlinshelf-cli/tests/learning.rs
+++ b/crates/merlinshelf-cli/tests/learning.rs
@@ -317,17 +317,17 @@
     play(async {
         let listener = TcpListener::bind(peer_address(41)).await?;
         let told = |subject: Metric, value: f64| GossipedObservation {
-            subject,
-            origin: Source {
+            metric: subject,
+            source: Source {
                 name: "bad".into(),
-                life: 1,
+                incarnation: 1,
             },
             value,
-            count: 24,
-            age: 0.0,
-            number: 1,
+            sample_count: 24,
+            age_seconds: 0.0,
+            sequence: 1,
             hops: 1,
-            standing: SourceStatus::Steady,
+            status: SourceStatus::Steady,
         };
         let run = |operation: &str| Metric::RunRecent {
             engine: "lab".into(),
@@ -343,7 +343,7 @@
                 5e6,
             ),
             GossipedObservation {
-                age: -3600.0,
+                age_seconds: -3600.0,
                 ..told(run("thumbnail"), 0.01)
             },
             told(run("playback-token"), 300.0),
--- a/crates/merlinshelf-gossip/src/gossip_node.rs
+++ b/crates/merlinshelf-gossip/src/gossip_node.rs
@@ -1,330 +1,373 @@
-//! One instance among those that teach each other: when it asks whom, what it tells, what it takes, how it stands itself,
-//! and how much of the cores teaching may take. It puts members and book together; the host carries messages, time and chance.
+//! One instance among those that gossip: when it polls whom, what it sends, what it accepts, its
+//! own status, and how much CPU time answering may take. It puts membership and store together; the
+//! host carries messages and provides time and randomness.
 
 use std::collections::BTreeMap;
 
 use merlinshelf_admission::{LearnedState, PriorEstimates};
 
-use crate::membership::{self, Members, MembershipUpdate};
+use crate::cpu_budget::CpuBudget;
+use crate::membership::{self, Members, MembershipUpdate, PollRate};
 use crate::observation::{GossipedObservation, InvalidObservation, Source, SourceStatus};
 use crate::observation_store::ObservationStore;
-use crate::own_samples::Scope;
+use crate::own_samples::{self, Scope};
 
-/// What passes between two instances, as a question or as an answer.
+/// Most membership updates in one message, whoever sends it.
+pub const MAX_UPDATES: usize = 32;
+/// Most observations in one message, whoever sends it.
+pub const MAX_OBSERVATIONS: usize = 64;
+
+/// A starting instance polls urgently for so long, or until so many peers, or all that are alive,
+/// have answered with observations.
+const STARTUP_SECONDS: f64 = 3.0;
+const STARTUP_ANSWERS: usize = 3;
+/// For so long after a start or a rollback, own samples are of the recovery.
+const RECOVERY_SECONDS: f64 = 5.0;
+/// A young instance wants observations with every poll; later its own samples win, and others'
+/// serve for forwarding and for its file.
+const YOUNG_SECONDS: f64 = 30.0;
+const POLLS_PER_OBSERVATIONS: u64 = 16;
+/// An instance with fewer runs has few samples of its own.
+const MIN_OWN_RUNS: usize = 24;
+/// Downstream calls that failed in a row from which an instance counts as recovering.
+const MIN_RECOVERING_FAILURES: u32 = 5;
+const MAX_PEER_STATISTICS: usize = 16;
+/// The source of an observation is its first hop; who forwards it is another.
+const MIN_FORWARDED_HOPS: u8 = 2;
+
+/// What passes between two instances, as a poll or as an answer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Message {
-    /// Who says it.
+    /// The sender and its state.
     pub from: MembershipUpdate,
-    pub standing: SourceStatus,
-    /// In a question: whether figures are wanted.
-    pub wants: bool,
-    pub news: Vec<MembershipUpdate>,
-    pub figures: Vec<GossipedObservation>,
+    /// The sender's status as a source of observations.
+    pub status: SourceStatus,
+    /// In a poll: whether observations are wanted in the answer.
+    pub wants_observations: bool,
+    /// Updates of other members.
+    pub updates: Vec<MembershipUpdate>,
+    /// In an answer: the observations that were wanted.
+    pub observations: Vec<GossipedObservation>,
 }
 
-/// Most news and figures in one message, whoever says it.
-pub const MAX_UPDATES: usize = 32;
-pub const MAX_OBSERVATIONS: usize = 64;
-
+/// The settings of one instance.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
+    /// Name of the instance.
     pub name: String,
-    /// Where others reach it.
+    /// Where others reach it; empty: nobody does, and it polls nobody.
     pub address: String,
+    /// Addresses of instances to begin with.
     pub seeds: Vec<String>,
+    /// What its own samples are of.
     pub scope: Scope,
-    /// Share of one core that teaching may take, 0 to 1.
-    pub share: f64,
-    pub members: membership::Settings,
+    /// Share of one core that answering may take, 0 to 1.
+    pub cpu_share: f64,
+    /// Intervals and limits of membership.
+    pub membership: membership::Settings,
 }
 
 /// What the host is to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Ask at this address; reported by `answered` or, in its time, by nothing.
-    Ask { address: String, question: Message },
+    /// Poll a peer. Its answer goes to [`GossipNode::answer_received`]; silence is noticed by
+    /// itself.
+    Poll {
+        /// Where the peer is.
+        address: String,
+        /// What to send.
+        poll: Message,
+    },
 }
 
-/// By whom it was taught, for reports.
+/// What one peer has sent, for reports.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PeerStatistics {
-    pub at: f64,
-    pub times: u64,
-    /// Figures taken, and figures that can't be true.
-    pub taken: u64,
-    pub unbelievable: u64,
+    /// When the latest answer with observations came, seconds.
+    pub last_answer_at: f64,
+    /// How many such answers came.
+    pub answers: u64,
+    /// Observations that were accepted.
+    pub accepted: u64,
+    /// Observations that can't be true.
+    pub rejected: u64,
 }
 
-/// A start is in a hurry for so long, or until it was taught by so many or by all that are there.
-const HURRY_FOR: f64 = 3.0;
-const HURRY_UNTIL: usize = 3;
-/// Who has run for less is still recovering in what it sees.
-const RECOVERS_FOR: f64 = 5.0;
-/// A young one wants figures with every question; later its own samples win, and they are for passing on and for its file.
-const YOUNG_FOR: f64 = 30.0;
-const WANTS_EVERY: u64 = 16;
-/// Samples of one's own, of all operations together, under which one knows what it was told and little else.
-const OWN_FEW: usize = 24;
-/// What the share of the cores may save up, seconds.
-const SAVED_MOST: f64 = 0.05;
-const TEACHERS_MOST: usize = 16;
-
+/// One instance among those that gossip.
 #[derive(Clone, Debug)]
 pub struct GossipNode {
     settings: Settings,
-    began: f64,
-    book: ObservationStore,
+    started_at: f64,
+    store: ObservationStore,
     members: Members,
-    standing: SourceStatus,
-    /// Its own samples are from after a failed upgrade until then.
-    recovers_until: f64,
-    leaves: bool,
-    questions: u64,
-    lessons: BTreeMap<String, PeerStatistics>,
-    /// Seconds on the cores that teaching may take at once, and as of when.
-    saved: f64,
-    saved_at: f64,
-    /// Questions that were not answered because teaching had taken its share.
-    pub turned_away: u64,
-    pub messages: u64,
+    status: SourceStatus,
+    /// Until when own samples are of a recovery.
+    recovering_until: f64,
+    is_leaving: bool,
+    poll_count: u64,
+    peer_statistics: BTreeMap<String, PeerStatistics>,
+    cpu_budget: CpuBudget,
+    /// Polls that were not answered because answering had taken its CPU time.
+    pub rejected_polls: u64,
+    /// Polls and answers that were sent.
+    pub message_count: u64,
 }
 
 impl GossipNode {
-    /// `life` tells this life from others of the same name: later ones have higher numbers.
-    pub fn new(now: f64, life: u64, settings: Settings) -> GossipNode {
+    /// An instance without observations. Later incarnations of one name need higher numbers.
+    pub fn new(now: f64, incarnation: u64, settings: Settings) -> GossipNode {
         let own = Source {
             name: settings.name.clone(),
-            life,
+            incarnation,
         };
         let members = Members::new(
             now,
             &settings.name,
             &settings.address,
-            life,
+            incarnation,
             &settings.seeds,
-            settings.members,
+            settings.membership,
         );
         GossipNode {
-            began: now,
-            book: ObservationStore::new(own),
+            started_at: now,
+            store: ObservationStore::new(own),
             members,
-            standing: SourceStatus::Recovering,
-            recovers_until: now + RECOVERS_FOR,
-            leaves: false,
-            questions: 0,
-            lessons: BTreeMap::new(),
-            saved: SAVED_MOST,
-            saved_at: now,
-            turned_away: 0,
-            messages: 0,
+            status: SourceStatus::Recovering,
+            recovering_until: now + RECOVERY_SECONDS,
+            is_leaving: false,
+            poll_count: 0,
+            peer_statistics: BTreeMap::new(),
+            cpu_budget: CpuBudget::new(now, settings.cpu_share),
+            rejected_polls: 0,
+            message_count: 0,
             settings,
         }
     }
 
-    pub fn book(&self) -> &ObservationStore {
-        &self.book
+    /// Its observations and those of others.
+    pub fn store(&self) -> &ObservationStore {
+        &self.store
     }
 
-    pub fn book_mut(&mut self) -> &mut ObservationStore {
-        &mut self.book
+    /// The same, to remove observations.
+    pub fn store_mut(&mut self) -> &mut ObservationStore {
+        &mut self.store
     }
 
+    /// The other instances.
     pub fn members(&self) -> &Members {
         &self.members
     }
 
-    pub fn standing(&self) -> SourceStatus {
-        self.standing
+    /// Its status as a source of observations.
+    pub fn status(&self) -> SourceStatus {
+        self.status
     }
 
-    /// By whom it was taught.
-    pub fn lessons(&self) -> &BTreeMap<String, PeerStatistics> {
-        &self.lessons
+    /// What each peer has sent, by its name.
+    pub fn peer_statistics(&self) -> &BTreeMap<String, PeerStatistics> {
+        &self.peer_statistics
     }
 
-    /// Nobody is asked where nobody can be reached.
+    /// When [`GossipNode::timer_expired`] must be called though nothing happens.
+    pub fn next_timeout(&self) -> Option<f64> {
+        (!self.is_alone()).then(|| self.members.next_timeout())
+    }
+
+    /// Nobody is polled by who can't be reached.
     fn is_alone(&self) -> bool {
         self.settings.address.is_empty()
     }
 
-    pub fn wake_at(&self) -> Option<f64> {
-        (!self.is_alone()).then(|| self.members.wake_at())
+    fn poll_rate(&self, now: f64) -> PollRate {
+        let wanted_answers = STARTUP_ANSWERS.min(self.members.count_alive().max(1));
+        let has_answers = self.peer_statistics.len() >= wanted_answers;
+        let is_starting = now < self.started_at + STARTUP_SECONDS;
+        if is_starting && !has_answers && !self.is_leaving {
+            PollRate::Urgent
+        } else {
+            PollRate::Normal
+        }
     }
 
-    fn in_hurry(&self, now: f64) -> bool {
-        let taught_by_all =
-            self.lessons.len() >= HURRY_UNTIL.min(self.members.count_alive().max(1));
-        now < self.began + HURRY_FOR && !taught_by_all && !self.leaves
+    /// Records what the admission controller has learned, whose clock shows `controller_now`.
+    pub fn record_own_samples(&mut self, now: f64, controller_now: f64, learned: &LearnedState) {
+        self.status = self.source_status(now, learned);
+        for observation in self.settings.scope.observations(controller_now, learned) {
+            self.store.record_own(now, observation, self.status);
+        }
     }
 
-    /// What the module has learnt by now, on its clock.
-    pub fn see(&mut self, now: f64, clock: f64, learnt: &LearnedState) {
-        let own: usize = learnt
-            .operations
-            .iter()
-            .map(|of| of.run_durations.len())
-            .sum();
-        self.standing = if self.leaves {
+    fn source_status(&self, now: f64, learned: &LearnedState) -> SourceStatus {
+        let has_few_runs = own_samples::count_runs(learned) < MIN_OWN_RUNS;
+        let has_failing_calls = learned.call_failures >= MIN_RECOVERING_FAILURES;
+        if self.is_leaving {
             SourceStatus::Leaving
-        } else if own < OWN_FEW && !self.lessons.is_empty() {
-            SourceStatus::JustTaught
-        } else if own < OWN_FEW || now < self.recovers_until || learnt.call_failures >= 5 {
+        } else if has_few_runs && !self.peer_statistics.is_empty() {
+            SourceStatus::RecentlySynced
+        } else if has_few_runs || now < self.recovering_until || has_failing_calls {
             SourceStatus::Recovering
         } else {
             SourceStatus::Steady
-        };
-        for seen in self.settings.scope.seen(clock, learnt) {
-            self.book.see(
-                now,
-                seen.subject,
-                seen.value,
-                seen.count,
-                seen.age,
-                self.standing,
-            );
         }
     }
 
-    /// What the module is to believe on the word of others.
-    pub fn beliefs(&self, now: f64) -> PriorEstimates {
-        self.settings.scope.beliefs(now, &self.book)
+    /// The admission controller's priors, from what others have observed.
+    pub fn prior_estimates(&self, now: f64) -> PriorEstimates {
+        self.settings.scope.prior_estimates(now, &self.store)
     }
 
-    /// Everything was taken back from a failed successor: what is seen next is the recovery.
-    pub fn taken_back(&mut self, now: f64) {
-        self.recovers_until = now + RECOVERS_FOR;
+    /// A successor failed and this process serves again: what it observes next is the recovery.
+    pub fn handover_rolled_back(&mut self, now: f64) {
+        self.recovering_until = now + RECOVERY_SECONDS;
     }
 
-    /// It leaves, and says so to whom it still asks and answers.
+    /// The instance leaves, and announces it with its further polls and answers.
     pub fn leave(&mut self) {
-        self.leaves = true;
-        self.standing = SourceStatus::Leaving;
+        self.is_leaving = true;
+        self.status = SourceStatus::Leaving;
         self.members.leave();
     }
 
-    /// A moment that it asked for has come. `chance` is a number from 0 to under 1, another at each call.
-    pub fn woken(&mut self, now: f64, chance: &mut dyn FnMut() -> f64) -> Vec<Action> {
-        let mut steps = Vec::new();
+    /// The time of [`GossipNode::next_timeout`] has come. `random` gives another number from 0 to
+    /// under 1 at each call.
+    pub fn timer_expired(&mut self, now: f64, random: &mut dyn FnMut() -> f64) -> Vec<Action> {
+        let mut actions = Vec::new();
         if self.is_alone() {
-            return steps;
+            return actions;
         }
-        let hurry = self.in_hurry(now);
-        self.members.woken(now, hurry, chance);
-        while let Some(membership::Action::Ask { address, news }) = self.members.next_step() {
-            self.questions += 1;
-            self.messages += 1;
-            let young = now < self.began + YOUNG_FOR;
-            let wants = young || self.questions.is_multiple_of(WANTS_EVERY);
-            let question = Message {
-                from: self.members.own().clone(),
-                standing: self.standing,
-                wants,
-                news,
-                figures: Vec::new(),
-            };
-            steps.push(Action::Ask { address, question });
+        let rate = self.poll_rate(now);
+        self.members.timer_expired(now, rate, random);
+        while let Some(membership::Action::Poll { address, updates }) = self.members.poll_action() {
+            let poll = self.poll(now, updates);
+            actions.push(Action::Poll { address, poll });
         }
-        steps
+        actions
     }
 
-    /// Somebody asks; the answer, or nothing where teaching has taken its share. MembershipUpdate are answered at all times.
-    pub fn asked(&mut self, now: f64, question: &Message) -> Option<Message> {
-        self.saved =
-            (self.saved + (now - self.saved_at).max(0.0) * self.settings.share).min(SAVED_MOST);
-        self.saved_at = now;
-        if self.saved < 0.0 {
-            self.turned_away += 1;
+    fn poll(&mut self, now: f64, updates: Vec<MembershipUpdate>) -> Message {
+        self.poll_count += 1;
+        self.message_count += 1;
+        let is_young = now < self.started_at + YOUNG_SECONDS;
+        Message {
+            from: self.members.own().clone(),
+            status: self.status,
+            wants_observations: is_young || self.poll_count.is_multiple_of(POLLS_PER_OBSERVATIONS),
+            updates,
+            observations: Vec::new(),
+        }
+    }
+
+    /// A peer polls. Returns the answer, or none where answering has taken its CPU time.
+    pub fn poll_received(&mut self, now: f64, poll: &Message) -> Option<Message> {
+        self.cpu_budget.refill(now);
+        if self.cpu_budget.is_overdrawn() {
+            self.rejected_polls += 1;
             return None;
         }
-        self.messages += 1;
-        let news = &question.news[..question.news.len().min(MAX_UPDATES)];
-        let news = self.members.asked(now, &question.from, news);
-        let figures = if question.wants {
-            self.book.tell(now, MAX_OBSERVATIONS)
+        self.message_count += 1;
+        let received = &poll.updates[..poll.updates.len().min(MAX_UPDATES)];
+        let updates = self.members.poll_received(now, &poll.from, received);
+        let observations = if poll.wants_observations {
+            self.store.select_for_gossip(now, MAX_OBSERVATIONS)
         } else {
             Vec::new()
         };
-        let from = self.members.own().clone();
         Some(Message {
-            from,
-            standing: self.standing,
-            wants: false,
-            news,
-            figures,
+            from: self.members.own().clone(),
+            status: self.status,
+            wants_observations: false,
+            updates,
+            observations,
         })
     }
 
-    /// What answering took on the cores.
-    pub fn spent(&mut self, seconds: f64) {
-        self.saved -= seconds;
+    /// Charges the CPU time that an answer took.
+    pub fn charge_cpu_seconds(&mut self, seconds: f64) {
+        self.cpu_budget.charge(seconds);
     }
 
-    /// Who was asked has answered. The figures that were not taken, by their reason.
-    pub fn answered(&mut self, now: f64, answer: &Message) -> BTreeMap<InvalidObservation, u64> {
-        let news = &answer.news[..answer.news.len().min(MAX_UPDATES)];
-        self.members.answered(now, &answer.from, news);
-        let mut odd = BTreeMap::new();
-        let mut taken = 0;
-        for told in answer.figures.iter().take(MAX_OBSERVATIONS) {
-            let told = self.weighed(answer, told.clone());
-            match self.book.hear(now, told) {
-                Ok(()) => taken += 1,
-                // Who knows one tells it what it has seen itself, too.
+    /// A polled peer has answered. Returns how many observations were rejected, by reason.
+    pub fn answer_received(
+        &mut self,
+        now: f64,
+        answer: &Message,
+    ) -> BTreeMap<InvalidObservation, u64> {
+        let received = &answer.updates[..answer.updates.len().min(MAX_UPDATES)];
+        self.members.answer_received(now, &answer.from, received);
+        let mut rejected = BTreeMap::new();
+        let mut accepted = 0;
+        for observation in answer.observations.iter().take(MAX_OBSERVATIONS) {
+            let observation = attribute(answer, observation.clone());
+            match self.store.accept(now, observation) {
+                Ok(()) => accepted += 1,
+                // Peers send everything, with what they have from here.
                 Err(InvalidObservation::Echo) => {}
-                Err(why) => *odd.entry(why).or_default() += 1,
+                Err(reason) => *rejected.entry(reason).or_default() += 1,
             }
         }
-        if taken > 0 || !odd.is_empty() {
-            if !self.lessons.contains_key(&answer.from.name) && self.lessons.len() >= TEACHERS_MOST
-            {
-                let oldest = self.lessons.iter().min_by(|a, b| a.1.at.total_cmp(&b.1.at));
-                if let Some(name) = oldest.map(|(name, _)| name.clone()) {
-                    self.lessons.remove(&name);
-                }
-            }
-            let lessons = self.lessons.entry(answer.from.name.clone()).or_default();
-            lessons.at = now;
-            lessons.times += 1;
-            lessons.taken += taken;
-            lessons.unbelievable += odd.values().sum::<u64>();
+        let rejected_count = rejected.values().sum::<u64>();
+        if accepted > 0 || rejected_count > 0 {
+            self.limit_statistics(&answer.from.name);
+            self.count_answer(now, &answer.from.name, accepted, rejected_count);
         }
-        odd
+        rejected
     }
 
-    /// A figure as the one who answers stands now: what it saw itself counts no more than it does. Nobody speaks for an
-    /// origin over fewer hops than are between: only of oneself one tells over one.
-    fn weighed(&self, answer: &Message, mut told: GossipedObservation) -> GossipedObservation {
-        if told.origin.name == answer.from.name {
-            if answer.standing.trust(&told.subject) < told.standing.trust(&told.subject) {
-                told.standing = answer.standing;
-            }
-        } else {
-            told.hops = told.hops.max(2);
+    /// Makes place for the statistics of this peer.
+    fn limit_statistics(&mut self, name: &str) {
+        if self.peer_statistics.contains_key(name)
+            || self.peer_statistics.len() < MAX_PEER_STATISTICS
+        {
+            return;
+        }
+        let oldest = self
+            .peer_statistics
+            .iter()
+            .min_by(|left, right| left.1.last_answer_at.total_cmp(&right.1.last_answer_at));
+        if let Some(name) = oldest.map(|(name, _)| name.clone()) {
+            self.peer_statistics.remove(&name);
         }
-        told
     }
 
-    /// What is kept for another process: all that is known, told as by a teacher.
-    pub fn kept(&self, now: f64) -> Vec<GossipedObservation> {
-        self.book.all(now)
+    fn count_answer(&mut self, now: f64, name: &str, accepted: u64, rejected: u64) {
+        let statistics = self.peer_statistics.entry(name.to_owned()).or_default();
+        statistics.last_answer_at = now;
+        statistics.answers += 1;
+        statistics.accepted += accepted;
+        statistics.rejected += rejected;
+    }
+
+    /// All observations, for a file or a successor.
+    pub fn export(&self, now: f64) -> Vec<GossipedObservation> {
+        self.store.export(now)
     }
 
-    /// What another process of this instance has kept: a teacher like others, its own earlier life. How many figures were
-    /// taken.
-    pub fn remember(&mut self, now: f64, kept: Vec<GossipedObservation>) -> usize {
-        let mut taken = 0;
-        for told in kept {
-            taken += usize::from(self.book.hear(now, told).is_ok());
+    /// Accepts what an earlier incarnation of this instance exported, as from a peer. Returns how
+    /// many observations were accepted.
+    pub fn restore(&mut self, now: f64, observations: Vec<GossipedObservation>) -> usize {
+        let mut accepted = 0;
+        for observation in observations {
+            accepted += usize::from(self.store.accept(now, observation).is_ok());
         }
-        if taken > 0 {
-            let lessons = self
-                .lessons
-                .entry(format!("{} (its own past)", self.settings.name))
-                .or_default();
-            lessons.at = now;
-            lessons.times += 1;
-            lessons.taken += taken as u64;
+        if accepted > 0 {
+            let name = format!("{} (its own past)", self.settings.name);
+            self.count_answer(now, &name, accepted as u64, 0);
         }
-        taken
+        accepted
+    }
+}
+
+/// The observation as its sender may claim it. Of its own observations the sender's status now
+/// counts where that is trusted less; what it forwards came over more hops than one.
+fn attribute(answer: &Message, mut observation: GossipedObservation) -> GossipedObservation {
+    if observation.source.name != answer.from.name {
+        observation.hops = observation.hops.max(MIN_FORWARDED_HOPS);
+        return observation;
+    }
+    let current_trust = answer.status.trust(&observation.metric);
+    if current_trust < observation.status.trust(&observation.metric) {
+        observation.status = answer.status;
     }
+    observation
 }
--- a/crates/merlinshelf-gossip/src/membership.rs
+++ b/crates/merlinshelf-gossip/src/membership.rs
@@ -1,450 +1,424 @@
-//! Who else is there: peers by name, found from a few seeds, asked in turn, suspected when they are silent, and told of by
-//! those that asked. What a peer costs does not grow with how many there are.
+//! Which other instances there are: peers by name, found from a few seeds, polled in turn,
+//! suspected when they are silent, and sent on by gossip. What this costs one instance does not
+//! grow with the number of peers.
 //!
-//! A peer is asked in an order drawn anew for each round, so that each is asked once a round by each; the news that go with
-//! a question or an answer are few, and each is told a number of times that grows with the logarithm of the table alone. Nor does a moment
-//! cost more than that: what is due next and what was told least are kept in order.
+//! The protocol follows SWIM (Das, Gupta, Motivala, 2002): peers are polled in an order that is
+//! shuffled anew for each round, so that every peer is polled once a round; a suspected peer may
+//! refute the suspicion; updates go with polls and answers, few at a time, and each is sent a
+//! number of times that grows with the logarithm of the number of peers.
 
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::collections::VecDeque;
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
 
-/// How a peer is taken to be.
+use crate::peer_table::{Peer, PeerTable};
+
+/// Each update is sent so many times for each doubling of the table. With three, one in some
+/// thousands of changes misses some peer, which its next round makes good.
+const SENDS_PER_DOUBLING: u32 = 3;
+/// Stands before the address of a seed in the round, where it is no peer's name.
+const SEED_PREFIX: char = '@';
+const MAX_NAME_BYTES: usize = 64;
+const MAX_ADDRESS_BYTES: usize = 64;
+/// Shortest pause between two polls, as a part of the interval, and how much chance may add: so
+/// that instances that start together do not poll together.
+const MIN_PAUSE: f64 = 0.75;
+const PAUSE_JITTER: f64 = 0.5;
+
+/// The state that a peer is taken to be in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum State {
+    /// It answers.
     Alive,
-    /// It did not answer somebody; it may say otherwise.
+    /// It did not answer somebody, and may refute that.
     Suspect,
-    /// It said that it leaves.
+    /// It announced that it leaves.
     Left,
     /// It was suspected for too long.
     Gone,
 }
 
-/// Word of one peer. Of two words of one life the worse counts, a later life counts over any.
+/// The state of one peer. Within an incarnation the worse state wins, unless it was refuted; a
+/// later incarnation wins over any.
+///
+/// Stored by the field names of the first version of the format, hence the `rename`s.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MembershipUpdate {
+    /// Name of the peer.
     pub name: String,
+    /// Where it can be polled.
     pub address: String,
-    pub life: u64,
-    /// Within one life a peer answers a suspicion with a higher turn.
-    pub turn: u32,
+    /// Number of its incarnation; later ones are higher.
+    #[serde(rename = "life")]
+    pub incarnation: u64,
+    /// How often the peer has refuted a suspicion in this incarnation.
+    #[serde(rename = "turn")]
+    pub refutations: u32,
+    /// Its state.
     pub state: State,
 }
 
-/// The figures of membership, in seconds and counts.
+/// Intervals and limits of the protocol.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
-    /// Between two questions.
-    pub ask_every: f64,
-    pub answer_within: f64,
-    /// How long one is suspected before it is gone.
-    pub suspect_for: f64,
-    /// After how long one that is gone or left is forgotten.
-    pub forget_after: f64,
-    pub peers_most: usize,
-    /// MembershipUpdate that go with a question or an answer.
-    pub news_most: usize,
-    /// Peers that are asked at one time by one in a hurry, and between two questions of it.
-    pub at_once: usize,
-    pub hurry_every: f64,
+    /// Between two polls.
+    pub poll_interval_seconds: f64,
+    /// Who has not answered by then is suspected.
+    pub answer_timeout_seconds: f64,
+    /// How long a peer is suspected before it is taken for gone.
+    pub suspicion_timeout_seconds: f64,
+    /// After how long a peer that has left or is gone is forgotten.
+    pub forget_after_seconds: f64,
+    /// Peers in the table; more are not taken in.
+    pub max_peers: usize,
+    /// Updates that go with one poll or answer.
+    pub max_updates: usize,
+    /// Polls that are awaited at one time at [`PollRate::Urgent`].
+    pub max_concurrent_polls: usize,
+    /// Between two polls at [`PollRate::Urgent`].
+    pub urgent_poll_interval_seconds: f64,
 }
 
 impl Default for Settings {
     fn default() -> Settings {
         Settings {
-            ask_every: 1.0,
-            answer_within: 0.5,
-            suspect_for: 5.0,
-            forget_after: 60.0,
-            peers_most: 4096,
-            news_most: 32,
-            at_once: 3,
-            hurry_every: 0.05,
+            poll_interval_seconds: 1.0,
+            answer_timeout_seconds: 0.5,
+            suspicion_timeout_seconds: 5.0,
+            forget_after_seconds: 60.0,
+            max_peers: 4096,
+            max_updates: 32,
+            max_concurrent_polls: 3,
+            urgent_poll_interval_seconds: 0.05,
         }
     }
 }
 
+/// How often peers are polled.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum PollRate {
+    /// One peer at a time.
+    Normal,
+    /// Several at a time and again soon, as a starting instance does.
+    Urgent,
+}
+
 /// What the host is to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Ask at this address, telling these news; reported by `answered` or, in its time, by nothing.
-    Ask {
+    /// Poll a peer. Its answer goes to [`Members::answer_received`]; silence is noticed by itself.
+    Poll {
+        /// Where the peer is.
         address: String,
-        news: Vec<MembershipUpdate>,
+        /// Updates to send with the poll.
+        updates: Vec<MembershipUpdate>,
     },
 }
 
-#[derive(Clone, Debug)]
-struct Peer {
-    address: String,
-    life: u64,
-    turn: u32,
-    state: State,
-    since: f64,
-    /// How often the newest word of it was told from here.
-    told: u32,
-}
-
-/// Peers by name, with what is asked of them at every moment kept beside. `put` is the one place where any of it changes.
-#[derive(Clone, Debug, Default)]
-struct Peers {
-    all: BTreeMap<Arc<str>, Peer>,
-    /// By how often the newest word of them was told.
-    told: BTreeSet<(u32, Arc<str>)>,
-    /// By the moment at which one that is suspected is gone, and one that is gone forgotten.
-    due: BTreeSet<(u64, Arc<str>)>,
-    alive: usize,
-}
-
-/// A moment as a number that is ordered alike.
-fn ordered(moment: f64) -> u64 {
-    let bits = moment.to_bits();
-    if bits >> 63 == 0 {
-        bits | 1 << 63
-    } else {
-        !bits
-    }
+/// A peer that can be polled.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct PeerAddress<'a> {
+    /// Its name.
+    pub name: &'a str,
+    /// Where it can be polled.
+    pub address: &'a str,
 }
 
-impl Peers {
-    /// This is known of a peer from now on; nothing: it is forgotten.
-    fn put(&mut self, name: &Arc<str>, peer: Option<Peer>, settings: &Settings) {
-        let due = |peer: &Peer| match peer.state {
-            State::Alive => None,
-            State::Suspect => Some(ordered(peer.since + settings.suspect_for)),
-            State::Left | State::Gone => Some(ordered(peer.since + settings.forget_after)),
-        };
-        if let Some(before) = self.all.remove(name) {
-            self.told.remove(&(before.told, name.clone()));
-            if let Some(due) = due(&before) {
-                self.due.remove(&(due, name.clone()));
-            }
-            self.alive -= usize::from(before.state == State::Alive);
-        }
-        if let Some(peer) = peer {
-            self.told.insert((peer.told, name.clone()));
-            if let Some(due) = due(&peer) {
-                self.due.insert((due, name.clone()));
-            }
-            self.alive += usize::from(peer.state == State::Alive);
-            self.all.insert(name.clone(), peer);
-        }
-    }
-
-    /// The next one whose state ends by then.
-    fn due(&self, now: f64) -> Option<(Arc<str>, Peer)> {
-        let (_, name) = self.due.first().filter(|(due, _)| *due <= ordered(now))?;
-        self.all.get(name).map(|peer| (name.clone(), peer.clone()))
-    }
+/// A poll whose answer is awaited.
+#[derive(Clone, Debug)]
+struct PendingPoll {
+    name: Arc<str>,
+    deadline: f64,
 }
 
 /// The peers of one instance.
 #[derive(Clone, Debug)]
 pub struct Members {
     own: MembershipUpdate,
-    /// How often the newest word of oneself was told.
-    own_told: u32,
     seeds: Vec<String>,
     settings: Settings,
-    peers: Peers,
-    /// Names still to be asked in this round.
+    peers: PeerTable,
+    /// Names of peers, and seeds, that are yet to be polled in this round.
     round: VecDeque<Arc<str>>,
-    /// Who was asked, and until when its answer counts.
-    asked: Vec<(Arc<str>, f64)>,
-    ask_at: f64,
-    steps: VecDeque<Action>,
+    pending_polls: Vec<PendingPoll>,
+    poll_at: f64,
+    actions: VecDeque<Action>,
 }
 
-/// Each news is told so many times for each doubling of the table: with three, one in some thousands of changes misses some
-/// peer, which its next round makes good.
-const TOLD_EACH: u32 = 3;
-
 impl Members {
+    /// An instance that knows nobody but its seeds, which are addresses.
     pub fn new(
         now: f64,
         name: &str,
         address: &str,
-        life: u64,
+        incarnation: u64,
         seeds: &[String],
         settings: Settings,
     ) -> Members {
         let own = MembershipUpdate {
             name: name.into(),
             address: address.into(),
-            life,
-            turn: 0,
+            incarnation,
+            refutations: 0,
             state: State::Alive,
         };
-        let seeds = seeds
-            .iter()
-            .filter(|seed| *seed != address)
-            .cloned()
-            .collect();
+        let other_seeds = seeds.iter().filter(|seed| *seed != address);
         Members {
             own,
-            own_told: 0,
-            seeds,
+            seeds: other_seeds.cloned().collect(),
             settings,
-            peers: Peers::default(),
+            peers: PeerTable::new(&settings),
             round: VecDeque::new(),
-            asked: Vec::new(),
-            ask_at: now,
-            steps: VecDeque::new(),
+            pending_polls: Vec::new(),
+            poll_at: now,
+            actions: VecDeque::new(),
         }
     }
 
-    pub fn next_step(&mut self) -> Option<Action> {
-        self.steps.pop_front()
+    /// The next thing that the host is to do.
+    pub fn poll_action(&mut self) -> Option<Action> {
+        self.actions.pop_front()
     }
 
-    /// When it wants to be woken though nothing happens.
-    pub fn wake_at(&self) -> f64 {
-        self.asked
-            .iter()
-            .map(|(_, until)| *until)
-            .fold(self.ask_at, f64::min)
+    /// When [`Members::timer_expired`] must be called though nothing happens.
+    pub fn next_timeout(&self) -> f64 {
+        let deadlines = self.pending_polls.iter().map(|poll| poll.deadline);
+        deadlines.fold(self.poll_at, f64::min)
     }
 
-    /// Peers that can be asked, by name and address.
-    pub fn alive(&self) -> impl Iterator<Item = (&str, &str)> {
+    /// The state of this instance itself, for polls and answers.
+    pub fn own(&self) -> &MembershipUpdate {
+        &self.own
+    }
+
+    /// Peers that can be polled.
+    pub fn alive(&self) -> impl Iterator<Item = PeerAddress<'_>> {
         let alive = self
             .peers
-            .all
             .iter()
             .filter(|(_, peer)| peer.state == State::Alive);
-        alive.map(|(name, peer)| (&**name, peer.address.as_str()))
+        alive.map(|(name, peer)| PeerAddress {
+            name,
+            address: &peer.address,
+        })
     }
 
-    /// How many can be asked.
+    /// How many peers can be polled.
     pub fn count_alive(&self) -> usize {
-        self.peers.alive
+        self.peers.alive_count()
     }
 
+    /// The state of a peer; none for one that is not in the table.
     pub fn state_of(&self, name: &str) -> Option<State> {
-        self.peers.all.get(name).map(|peer| peer.state)
+        self.peers.get(name).map(|peer| peer.state)
     }
 
+    /// How many peers are in the table, in whatever state.
     pub fn len(&self) -> usize {
-        self.peers.all.len()
+        self.peers.len()
     }
 
+    /// Whether no peer is in the table.
     pub fn is_empty(&self) -> bool {
-        self.peers.all.is_empty()
+        self.len() == 0
     }
 
-    /// This instance leaves: it says so to whom it still asks or answers.
+    /// This instance leaves, and announces it with its further polls and answers.
     pub fn leave(&mut self) {
-        (self.own.state, self.own_told) = (State::Left, 0);
+        self.own.state = State::Left;
+    }
+
+    /// The time of [`Members::next_timeout`] has come. `random` gives another number from 0 to
+    /// under 1 at each call.
+    pub fn timer_expired(&mut self, now: f64, rate: PollRate, random: &mut dyn FnMut() -> f64) {
+        self.suspect_silent_peers(now);
+        self.end_due_states(now);
+        if now >= self.poll_at {
+            self.poll_next(now, rate, random);
+        }
     }
 
-    /// A moment that it asked for has come. `chance` is a number from 0 to under 1, another at each call.
-    /// One in a hurry asks several at once and again soon.
-    pub fn woken(&mut self, now: f64, hurry: bool, chance: &mut dyn FnMut() -> f64) {
-        let late: Vec<Arc<str>> = self
-            .asked
-            .extract_if(.., |(_, until)| now >= *until)
-            .map(|(name, _)| name)
+    fn suspect_silent_peers(&mut self, now: f64) {
+        let silent: Vec<PendingPoll> = self
+            .pending_polls
+            .extract_if(.., |poll| now >= poll.deadline)
             .collect();
-        late.iter().for_each(|name| self.silent(now, name));
-        while let Some((name, peer)) = self.peers.due(now) {
-            let gone = Peer {
-                state: State::Gone,
-                since: now,
-                told: 0,
-                ..peer.clone()
+        for poll in silent {
+            let Some(peer) = self.peers.get(&poll.name) else {
+                continue;
             };
-            let after = (peer.state == State::Suspect).then_some(gone);
-            self.peers.put(&name, after, &self.settings);
+            if peer.state == State::Alive {
+                let suspect = peer.with_state(now, State::Suspect);
+                self.peers.insert(&poll.name, suspect);
+            }
         }
-        if now < self.ask_at {
-            return;
+    }
+
+    /// Suspected peers are gone after a while, and those that have left or are gone forgotten.
+    fn end_due_states(&mut self, now: f64) {
+        while let Some((name, peer)) = self.peers.next_due(now) {
+            if peer.state == State::Suspect {
+                self.peers.insert(&name, peer.with_state(now, State::Gone));
+            } else {
+                self.peers.remove(&name);
+            }
         }
-        let (at_once, every) = match hurry {
-            true => (self.settings.at_once, self.settings.hurry_every),
-            false => (1, self.settings.ask_every),
+    }
+
+    fn poll_next(&mut self, now: f64, rate: PollRate, random: &mut dyn FnMut() -> f64) {
+        let (max_concurrent_polls, interval_seconds) = match rate {
+            PollRate::Normal => (1, self.settings.poll_interval_seconds),
+            PollRate::Urgent => (
+                self.settings.max_concurrent_polls,
+                self.settings.urgent_poll_interval_seconds,
+            ),
         };
-        // A part of the pause by chance, so that instances that start together do not ask together.
-        self.ask_at = now + every * (0.75 + 0.5 * chance());
-        if self.asked.len() >= at_once {
+        self.poll_at = now + interval_seconds * (MIN_PAUSE + PAUSE_JITTER * random());
+        if self.pending_polls.len() >= max_concurrent_polls {
             return;
         }
         if self.round.is_empty() {
-            self.new_round(chance);
+            self.start_round(random);
         }
         while let Some(name) = self.round.pop_front() {
             let Some(address) = self.address_of(&name) else {
                 continue;
             };
-            if self.asked.iter().any(|(asked, _)| *asked == name) {
+            if self.pending_polls.iter().any(|poll| poll.name == name) {
                 continue;
             }
-            let until = now + self.settings.answer_within;
-            self.asked.push((name, until));
-            let news = self.news();
-            return self.steps.push_back(Action::Ask { address, news });
+            self.pending_polls.push(PendingPoll {
+                name,
+                deadline: now + self.settings.answer_timeout_seconds,
+            });
+            let updates = self.take_updates();
+            self.actions.push_back(Action::Poll { address, updates });
+            return;
         }
     }
 
-    /// All that may be there, in an order by chance; seeds too, by their address, as long as nobody is known there: so
-    /// that parts that lost sight of each other find together again.
-    fn new_round(&mut self, chance: &mut dyn FnMut() -> f64) {
-        let may = self
-            .peers
-            .all
+    /// All peers that may be there, shuffled. Seeds, too, as long as nobody is known at their
+    /// address, so that parts of a network that have lost sight of each other meet again.
+    fn start_round(&mut self, random: &mut dyn FnMut() -> f64) {
+        let reachable = self.peers.iter().filter(|(_, peer)| peer.is_reachable());
+        let mut names: Vec<Arc<str>> = reachable.map(|(name, _)| name.clone()).collect();
+        let unknown_seeds = self
+            .seeds
             .iter()
-            .filter(|(_, peer)| peer.state <= State::Suspect);
-        let mut names: Vec<Arc<str>> = may.map(|(name, _)| name.clone()).collect();
-        let unknown = self.seeds.iter().filter(|seed| {
-            !self
-                .peers
-                .all
-                .values()
-                .any(|peer| peer.address == **seed && peer.state <= State::Suspect)
-        });
-        names.extend(unknown.map(|seed| format!("@{seed}").into()));
-        for place in (1..names.len()).rev() {
-            names.swap(place, (chance() * (place + 1) as f64) as usize);
+            .filter(|seed| !self.is_known_address(seed));
+        names.extend(unknown_seeds.map(|seed| format!("{SEED_PREFIX}{seed}").into()));
+        for last in (1..names.len()).rev() {
+            let chosen = (random() * (last + 1) as f64) as usize;
+            names.swap(last, chosen);
         }
         self.round = names.into();
     }
 
+    fn is_known_address(&self, address: &str) -> bool {
+        self.peers
+            .iter()
+            .any(|(_, peer)| peer.address == address && peer.is_reachable())
+    }
+
     fn address_of(&self, name: &str) -> Option<String> {
-        if let Some(seed) = name.strip_prefix('@') {
+        if let Some(seed) = name.strip_prefix(SEED_PREFIX) {
             return Some(seed.to_owned());
         }
-        self.peers
-            .all
-            .get(name)
-            .filter(|peer| peer.state <= State::Suspect)
-            .map(|peer| peer.address.clone())
+        let peer = self.peers.get(name).filter(|peer| peer.is_reachable())?;
+        Some(peer.address.clone())
     }
 
-    /// Somebody asked, and told this of itself and of others; the news to answer with.
-    pub fn asked(
+    /// A peer polls, with its own state and updates of others. Returns the updates to answer with.
+    pub fn poll_received(
         &mut self,
         now: f64,
         from: &MembershipUpdate,
-        news: &[MembershipUpdate],
+        updates: &[MembershipUpdate],
     ) -> Vec<MembershipUpdate> {
-        self.heard(now, from);
-        news.iter().for_each(|news| self.heard(now, news));
-        self.news()
+        self.apply_all(now, from, updates);
+        self.take_updates()
     }
 
-    /// Who was asked has answered, with this of itself and of others.
-    pub fn answered(&mut self, now: f64, from: &MembershipUpdate, news: &[MembershipUpdate]) {
-        self.asked.retain(|(name, _)| {
-            **name != *from.name
-                && name
-                    .strip_prefix('@')
-                    .is_none_or(|seed| seed != from.address)
+    /// A polled peer has answered, with its own state and updates of others.
+    pub fn answer_received(
+        &mut self,
+        now: f64,
+        from: &MembershipUpdate,
+        updates: &[MembershipUpdate],
+    ) {
+        self.pending_polls.retain(|poll| {
+            let is_same_peer = *poll.name == *from.name;
+            let is_same_seed = poll
+                .name
+                .strip_prefix(SEED_PREFIX)
+                .is_some_and(|seed| seed == from.address);
+            !is_same_peer && !is_same_seed
         });
-        self.heard(now, from);
-        news.iter().for_each(|news| self.heard(now, news));
+        self.apply_all(now, from, updates);
     }
 
-    fn silent(&mut self, now: f64, name: &str) {
-        let Some((name, peer)) = self.peers.all.get_key_value(name) else {
-            return;
-        };
-        if peer.state == State::Alive {
-            let suspect = Peer {
-                state: State::Suspect,
-                since: now,
-                told: 0,
-                ..peer.clone()
-            };
-            self.peers.put(&name.clone(), Some(suspect), &self.settings);
+    fn apply_all(&mut self, now: f64, from: &MembershipUpdate, updates: &[MembershipUpdate]) {
+        self.apply(now, from);
+        for update in updates {
+            self.apply(now, update);
         }
     }
 
-    fn heard(&mut self, now: f64, news: &MembershipUpdate) {
-        if news.name == self.own.name {
-            // Somebody thinks worse of this life than it is: it says otherwise, with a higher turn.
-            let worse = news.state > self.own.state
-                && news.life == self.own.life
-                && news.turn >= self.own.turn;
-            if worse {
-                (self.own.turn, self.own_told) = (news.turn.saturating_add(1), 0);
-            }
+    fn apply(&mut self, now: f64, update: &MembershipUpdate) {
+        if update.name == self.own.name {
+            self.refute(update);
             return;
         }
-        if news.name.is_empty()
-            || news.name.starts_with('@')
-            || news.name.len() > 64
-            || news.address.len() > 64
-        {
+        if !is_valid(update) {
             return;
         }
-        let known = self.peers.all.get_key_value(news.name.as_str());
-        let newer = match known {
-            Some((_, known)) => {
-                (news.life, news.turn, news.state) > (known.life, known.turn, known.state)
-            }
-            // Of one that was never here nobody needs to know that it is gone.
-            None => news.state <= State::Suspect && self.peers.all.len() < self.settings.peers_most,
+        let known = self.peers.get_key_value(&update.name);
+        let is_news = match known {
+            Some((_, known)) => known.is_older_than(update),
+            // That a peer is gone does not matter to who never knew it.
+            None => update.state <= State::Suspect && self.peers.len() < self.settings.max_peers,
         };
-        if newer {
-            let name = known.map_or_else(|| news.name.as_str().into(), |(name, _)| name.clone());
-            let MembershipUpdate {
-                address,
-                life,
-                turn,
-                state,
-                ..
-            } = news.clone();
-            let heard = Peer {
-                address,
-                life,
-                turn,
-                state,
-                since: now,
-                told: 0,
-            };
-            self.peers.put(&name, Some(heard), &self.settings);
+        if is_news {
+            let name = known.map_or_else(|| update.name.as_str().into(), |(name, _)| name.clone());
+            self.peers.insert(&name, Peer::from_update(now, update));
         }
     }
 
-    /// The word of oneself, for questions and answers.
-    pub fn own(&self) -> &MembershipUpdate {
-        &self.own
+    /// Contradicts a peer that takes this incarnation for worse than it is.
+    fn refute(&mut self, update: &MembershipUpdate) {
+        let is_wrong = update.state > self.own.state
+            && update.incarnation == self.own.incarnation
+            && update.refutations >= self.own.refutations;
+        if is_wrong {
+            self.own.refutations = update.refutations.saturating_add(1);
+        }
     }
 
-    /// The news that were told least, of those that were not told often enough.
-    fn news(&mut self) -> Vec<MembershipUpdate> {
-        let enough = TOLD_EACH * (usize::BITS - self.peers.all.len().leading_zeros() + 1);
-        let least = self
+    /// The updates that were sent least, of those that were not sent often enough, which counts
+    /// them as sent once more.
+    fn take_updates(&mut self) -> Vec<MembershipUpdate> {
+        let doublings = usize::BITS - self.peers.len().leading_zeros();
+        let max_sent_count = SENDS_PER_DOUBLING * (doublings + 1);
+        let names = self
             .peers
-            .told
-            .iter()
-            .take_while(|(told, _)| *told < enough);
-        let names: Vec<Arc<str>> = least
-            .take(self.settings.news_most)
-            .map(|(_, name)| name.clone())
-            .collect();
-        let mut news = Vec::new();
+            .least_sent(max_sent_count, self.settings.max_updates);
+        let mut updates = Vec::new();
         for name in names {
-            let Some(peer) = self.peers.all.get(&name).cloned() else {
+            let Some(mut peer) = self.peers.get(&name).cloned() else {
                 continue;
             };
-            news.push(MembershipUpdate {
-                name: name.to_string(),
-                address: peer.address.clone(),
-                life: peer.life,
-                turn: peer.turn,
-                state: peer.state,
-            });
-            self.peers.put(
-                &name,
-                Some(Peer {
-                    told: peer.told + 1,
-                    ..peer
-                }),
-                &self.settings,
-            );
+            updates.push(peer.to_update(&name));
+            peer.sent_count += 1;
+            self.peers.insert(&name, peer);
         }
-        news
+        updates
     }
 }
+
+fn is_valid(update: &MembershipUpdate) -> bool {
+    !update.name.is_empty()
+        && !update.name.starts_with(SEED_PREFIX)
+        && update.name.len() <= MAX_NAME_BYTES
+        && update.address.len() <= MAX_ADDRESS_BYTES
+}
--- a/crates/merlinshelf-gossip/src/observation.rs
+++ b/crates/merlinshelf-gossip/src/observation.rs
@@ -1,291 +1,233 @@
-//! One figure: of what, how much, from how many samples, how old, seen by whom.
+//! One observation: its value, how many samples it rests on, how old it is and who made it.
+//!
+//! Fields are stored by the names of the first version of the format, hence the `rename`s.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// Who has seen it: an instance in one of its lives. A restart or an upgrade begins another life.
+use crate::metric::Metric;
+
+/// Nothing older has any weight: several half-lives of the metric that changes slowest.
+pub const MAX_AGE_SECONDS: f64 = 3600.0;
+/// Observations are forwarded once: the source sends it to a peer, and that peer to others.
+pub const MAX_HOPS: u8 = 2;
+const MAX_SAMPLE_COUNT: u32 = 1_000_000;
+const MAX_NAME_BYTES: usize = 64;
+/// So many samples give an observation half of the weight that it can get.
+const HALF_CONFIDENCE_SAMPLES: f64 = 8.0;
+
+/// Who made an observation: one incarnation of an instance. A restart or an upgrade begins another.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Source {
+    /// Name of the instance.
     pub name: String,
-    pub life: u64,
+    /// Number of its incarnation; later ones are higher.
+    #[serde(rename = "life")]
+    pub incarnation: u64,
 }
 
 impl fmt::Display for Source {
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
-        write!(out, "{}/{}", self.name, self.life)
+        write!(out, "{}/{}", self.name, self.incarnation)
     }
 }
 
-/// What a figure is of. Names are those of the settings.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Metric {
-    /// Seconds that a run of an operation takes at the least, and lately. They hold for engines of one kind only.
-    RunLowest {
-        engine: String,
-        operation: String,
-    },
-    RunRecent {
-        engine: String,
-        operation: String,
-    },
-    /// The adaptive limit of invocations in hand.
-    Limit {
-        engine: String,
-    },
-    /// Seconds that a call below takes at the least, and lately; calls at once that it bears; failures in a row. They hold
-    /// for all that share the dependency.
-    CallLowest {
-        dependency: String,
-    },
-    CallRecent {
-        dependency: String,
-    },
-    CallLimit {
-        dependency: String,
-    },
-    CallFailures {
-        dependency: String,
-    },
-    /// Seconds that a run of an operation spends at calls below.
-    RunBelow {
-        dependency: String,
-        operation: String,
-    },
-    /// Share of the arrivals that are further tries, and of the callers that come back soon.
-    CallersAgain,
-    CallersBack,
-}
-
-impl Metric {
-    /// What such a figure can be at all: others are a fault or a lie.
-    fn bounds(&self) -> (f64, f64) {
-        match self {
-            // A run or call of under ten microseconds or over ten minutes is none.
-            Metric::RunLowest { .. }
-            | Metric::RunRecent { .. }
-            | Metric::CallLowest { .. }
-            | Metric::CallRecent { .. } => (1e-5, 600.0),
-            // No process holds more than its descriptors and memory allow.
-            Metric::Limit { .. } | Metric::CallLimit { .. } => (0.01, 20_000.0),
-            Metric::CallFailures { .. } => (0.0, 1e6),
-            Metric::RunBelow { .. } => (0.0, 600.0),
-            Metric::CallersAgain | Metric::CallersBack => (0.0, 1.0),
-        }
-    }
-
-    /// Whether such a figure can have this value.
-    pub fn can_be(&self, value: f64) -> bool {
-        let (least, most) = self.bounds();
-        value.is_finite() && (least..=most).contains(&value)
-    }
-
-    /// After how many seconds a figure tells half as much. What a server can do at best changes with its releases, what it
-    /// does lately with the minute, and whether it fails with some seconds.
-    pub fn half_life(&self) -> f64 {
-        match self {
-            Metric::RunLowest { .. } | Metric::CallLowest { .. } => 600.0,
-            Metric::RunRecent { .. } | Metric::Limit { .. } => 60.0,
-            Metric::CallersAgain | Metric::CallersBack => 60.0,
-            Metric::CallRecent { .. } | Metric::CallLimit { .. } | Metric::RunBelow { .. } => 20.0,
-            // Longer than the second in which it is seen: to believe it in vain costs one trial, not to believe it an outage.
-            Metric::CallFailures { .. } => 10.0,
-        }
-    }
-
-    /// Its kind in one word, as it stands on the wire and in reports.
-    pub fn kind(&self) -> &'static str {
-        match self {
-            Metric::RunLowest { .. } => "run-lowest",
-            Metric::RunRecent { .. } => "run-recent",
-            Metric::Limit { .. } => "limit",
-            Metric::CallLowest { .. } => "call-lowest",
-            Metric::CallRecent { .. } => "call-recent",
-            Metric::CallLimit { .. } => "call-limit",
-            Metric::CallFailures { .. } => "call-failures",
-            Metric::RunBelow { .. } => "run-below",
-            Metric::CallersAgain => "callers-again",
-            Metric::CallersBack => "callers-back",
-        }
-    }
-
-    /// The server that it is of, and the operation, as far as there are such.
-    pub fn names(&self) -> (Option<&str>, Option<&str>) {
-        match self {
-            Metric::RunLowest { engine, operation } | Metric::RunRecent { engine, operation } => {
-                (Some(engine), Some(operation))
-            }
-            Metric::RunBelow {
-                dependency,
-                operation,
-            } => (Some(dependency), Some(operation)),
-            Metric::Limit { engine } => (Some(engine), None),
-            Metric::CallLowest { dependency }
-            | Metric::CallRecent { dependency }
-            | Metric::CallLimit { dependency }
-            | Metric::CallFailures { dependency } => (Some(dependency), None),
-            Metric::CallersAgain | Metric::CallersBack => (None, None),
-        }
-    }
-
-    /// The subject of a kind and names; none where they do not fit together.
-    pub fn of(kind: &str, server: Option<&str>, operation: Option<&str>) -> Option<Metric> {
-        let engine = || server.map(str::to_owned);
-        let (dependency, called) = (engine, || operation.map(str::to_owned));
-        let subject = match kind {
-            "run-lowest" => Metric::RunLowest {
-                engine: engine()?,
-                operation: called()?,
-            },
-            "run-recent" => Metric::RunRecent {
-                engine: engine()?,
-                operation: called()?,
-            },
-            "limit" => Metric::Limit { engine: engine()? },
-            "call-lowest" => Metric::CallLowest {
-                dependency: dependency()?,
-            },
-            "call-recent" => Metric::CallRecent {
-                dependency: dependency()?,
-            },
-            "call-limit" => Metric::CallLimit {
-                dependency: dependency()?,
-            },
-            "call-failures" => Metric::CallFailures {
-                dependency: dependency()?,
-            },
-            "run-below" => Metric::RunBelow {
-                dependency: dependency()?,
-                operation: called()?,
-            },
-            "callers-again" => Metric::CallersAgain,
-            "callers-back" => Metric::CallersBack,
-            _ => return None,
-        };
-        (subject.names() == (server, operation)).then_some(subject)
-    }
-}
-
-/// How a teacher stood when it told.
+/// The status of a source when it made an observation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum SourceStatus {
+    /// It serves and has samples of its own.
     #[default]
     Steady,
-    /// Cold, its breaker open, or taken back a moment ago: what it sees is its own recovery.
+    /// Warming up, its breaker open, or back from a failed upgrade: it observes its own recovery.
     Recovering,
-    /// It knows what it was told itself, and little of its own.
-    JustTaught,
+    /// It has what peers sent, and few samples of its own.
+    #[serde(rename = "JustTaught")]
+    RecentlySynced,
+    /// It is shutting down.
     Leaving,
 }
 
 impl SourceStatus {
-    /// In one word, as it stands on the wire and in reports.
-    pub fn name(self) -> &'static str {
+    const ALL: [SourceStatus; 4] = [
+        SourceStatus::Steady,
+        SourceStatus::Recovering,
+        SourceStatus::RecentlySynced,
+        SourceStatus::Leaving,
+    ];
+
+    /// The status as it stands on the wire and in reports.
+    pub fn as_str(self) -> &'static str {
         match self {
             SourceStatus::Steady => "steady",
             SourceStatus::Recovering => "recovering",
-            SourceStatus::JustTaught => "just-taught",
+            SourceStatus::RecentlySynced => "just-taught",
             SourceStatus::Leaving => "leaving",
         }
     }
 
-    pub fn of(name: &str) -> Option<SourceStatus> {
-        let all = [
-            SourceStatus::Steady,
-            SourceStatus::Recovering,
-            SourceStatus::JustTaught,
-            SourceStatus::Leaving,
-        ];
-        all.into_iter().find(|one| one.name() == name)
+    /// The status of an [`SourceStatus::as_str`].
+    pub fn parse(text: &str) -> Option<SourceStatus> {
+        let mut statuses = SourceStatus::ALL.into_iter();
+        statuses.find(|status| status.as_str() == text)
     }
 
-    /// How much of the weight of a figure of this subject counts. Leaving says nothing of what was seen before; that calls
-    /// fail is seen at first hand by who recovers from it.
-    pub fn trust(self, subject: &Metric) -> f64 {
+    /// Which part of an observation's weight counts, 0 to 1. Shutting down does not devalue earlier
+    /// observations, and a source that recovers from failing calls observes them at first hand.
+    pub fn trust(self, metric: &Metric) -> f64 {
         match self {
             SourceStatus::Steady | SourceStatus::Leaving => 1.0,
-            SourceStatus::Recovering if matches!(subject, Metric::CallFailures { .. }) => 1.0,
+            SourceStatus::Recovering if matches!(metric, Metric::CallFailures { .. }) => 1.0,
             SourceStatus::Recovering => 0.25,
-            SourceStatus::JustTaught => 0.1,
+            SourceStatus::RecentlySynced => 0.1,
         }
     }
 }
 
-/// A figure as it is kept.
+/// An observation as an instance holds it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Observation {
+    /// In the metric's unit.
     pub value: f64,
-    pub count: u32,
-    /// When it was seen, by the reader's clock.
-    pub seen: f64,
-    /// The origin's own number of it: each look of an origin has another, later ones higher ones.
-    pub number: u64,
-    /// Over how many others it came: 0 is seen here.
+    /// How many samples it rests on.
+    #[serde(rename = "count")]
+    pub sample_count: u32,
+    /// When it was made, seconds of the holder's monotonic clock.
+    #[serde(rename = "seen")]
+    pub observed_at: f64,
+    /// The source's own number of it; later observations of a source have higher ones.
+    #[serde(rename = "number")]
+    pub sequence: u64,
+    /// Over how many instances it came: 0 was observed here.
     pub hops: u8,
-    pub standing: SourceStatus,
+    /// Status of its source.
+    #[serde(rename = "standing")]
+    pub status: SourceStatus,
+}
+
+impl Observation {
+    /// How much the observation counts, 0 to 1: by its samples, age, hops and its source's status.
+    pub fn weight(&self, now: f64, metric: &Metric) -> f64 {
+        let age_seconds = (now - self.observed_at).max(0.0);
+        weight(
+            metric,
+            self.sample_count,
+            age_seconds,
+            self.hops,
+            self.status,
+        )
+    }
 }
 
-/// A figure as it passes between instances.
+/// An observation as it passes between instances.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct GossipedObservation {
-    pub subject: Metric,
-    pub origin: Source,
+    /// What was observed.
+    #[serde(rename = "subject")]
+    pub metric: Metric,
+    /// Who observed it.
+    #[serde(rename = "origin")]
+    pub source: Source,
+    /// In the metric's unit.
     pub value: f64,
-    pub count: u32,
-    /// Seconds since it was seen, by the clocks of all that it came over.
-    pub age: f64,
-    pub number: u64,
+    /// How many samples it rests on.
+    #[serde(rename = "count")]
+    pub sample_count: u32,
+    /// Seconds since it was made, by the clocks of all instances that it came over.
+    #[serde(rename = "age")]
+    pub age_seconds: f64,
+    /// The source's own number of it; later observations of a source have higher ones.
+    #[serde(rename = "number")]
+    pub sequence: u64,
+    /// Over how many instances it came, with the one that sends it.
     pub hops: u8,
-    pub standing: SourceStatus,
-}
-
-/// Why a told figure is not taken.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum InvalidObservation {
-    /// No number, or one that such a figure can't have.
-    Value,
-    /// In the future, no number, or older than anything that is kept.
-    Age,
-    /// From nothing, or from more than any instance has seen.
-    Count,
-    /// Over more hops than figures are passed on.
-    Hops,
-    /// This instance's own, on its way back.
-    Echo,
-    /// A name that is empty or too long.
-    Name,
+    /// Status of its source.
+    #[serde(rename = "standing")]
+    pub status: SourceStatus,
 }
 
-/// Nothing older counts for anything: several half-lives of the longest.
-pub const MAX_AGE_SECONDS: f64 = 3600.0;
-/// Figures are passed on once: who has seen it tells, who was told may tell once more.
-pub const MAX_HOPS: u8 = 2;
-const COUNT_MOST: u32 = 1_000_000;
-const NAME_MOST: usize = 64;
-
 impl GossipedObservation {
-    /// Whether it can be true at all.
+    /// How much the observation counts at its receiver, 0 to 1.
+    pub fn weight(&self) -> f64 {
+        weight(
+            &self.metric,
+            self.sample_count,
+            self.age_seconds,
+            self.hops,
+            self.status,
+        )
+    }
+
+    /// Whether the observation can be true at all, for a receiver that is this source itself.
+    ///
+    /// # Errors
+    /// The first thing that is wrong with it.
     pub fn check(&self, own: &Source) -> Result<(), InvalidObservation> {
-        let name = |name: &str| !name.is_empty() && name.len() <= NAME_MOST;
-        if !self.subject.can_be(self.value) {
+        if !self.metric.is_plausible(self.value) {
             Err(InvalidObservation::Value)
-        } else if !self.age.is_finite() || !(0.0..=MAX_AGE_SECONDS).contains(&self.age) {
+        } else if !(0.0..=MAX_AGE_SECONDS).contains(&self.age_seconds) {
             Err(InvalidObservation::Age)
-        } else if self.count == 0 || self.count > COUNT_MOST {
+        } else if !(1..=MAX_SAMPLE_COUNT).contains(&self.sample_count) {
             Err(InvalidObservation::Count)
-        } else if self.hops == 0 || self.hops > MAX_HOPS {
+        } else if !(1..=MAX_HOPS).contains(&self.hops) {
             Err(InvalidObservation::Hops)
-        } else if self.origin == *own {
+        } else if self.source == *own {
             Err(InvalidObservation::Echo)
-        } else if !name(&self.origin.name)
-            || ![self.subject.names().0, self.subject.names().1]
-                .into_iter()
-                .flatten()
-                .all(name)
-        {
+        } else if !self.has_valid_names() {
             Err(InvalidObservation::Name)
         } else {
             Ok(())
         }
     }
+
+    fn has_valid_names(&self) -> bool {
+        let labels = self.metric.labels();
+        let names = [
+            Some(self.source.name.as_str()),
+            labels.server,
+            labels.operation,
+        ];
+        names
+            .into_iter()
+            .flatten()
+            .all(|name| !name.is_empty() && name.len() <= MAX_NAME_BYTES)
+    }
+}
+
+fn weight(
+    metric: &Metric,
+    sample_count: u32,
+    age_seconds: f64,
+    hops: u8,
+    status: SourceStatus,
+) -> f64 {
+    let samples = f64::from(sample_count);
+    let confidence = samples / (samples + HALF_CONFIDENCE_SAMPLES);
+    let decay = 0.5_f64.powf(age_seconds / metric.half_life_seconds());
+    // Each instance in between halves the weight; the source itself is the first hop.
+    let hop_discount = 0.5_f64.powi(i32::from(hops.saturating_sub(1)));
+    confidence * decay * hop_discount * status.trust(metric)
+}
+
+/// Why a gossiped observation is rejected; shown as what an observation had that can't be.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
+pub enum InvalidObservation {
+    /// Not a number, or a value that the metric can't have.
+    #[error("values that can't be")]
+    Value,
+    /// Not a number, in the future, or older than [`MAX_AGE_SECONDS`].
+    #[error("ages that can't be")]
+    Age,
+    /// No samples, or more than any instance takes.
+    #[error("counts that can't be")]
+    Count,
+    /// Over none or more than [`MAX_HOPS`] hops.
+    #[error("too many hops")]
+    Hops,
+    /// The receiver's own observation, on its way back.
+    #[error("its own echoes")]
+    Echo,
+    /// A name that is empty or too long.
+    #[error("names that can't be")]
+    Name,
 }
--- a/crates/merlinshelf-gossip/src/observation_store.rs
+++ b/crates/merlinshelf-gossip/src/observation_store.rs
@@ -1,305 +1,298 @@
-//! All figures that an instance keeps, its own and told ones, and what it believes.
+//! All observations that an instance holds, its own and those of others, and the estimates from
+//! them.
 
 use std::collections::BTreeMap;
 
+use crate::metric::Metric;
 use crate::observation::{
-    GossipedObservation, InvalidObservation, MAX_AGE_SECONDS, MAX_HOPS, Metric, Observation,
-    Source, SourceStatus,
+    GossipedObservation, InvalidObservation, MAX_AGE_SECONDS, MAX_HOPS, Observation, Source,
+    SourceStatus,
 };
+use crate::own_samples::OwnObservation;
 
-/// Origins that are kept for one subject: enough that a lying one is outvoted, few enough that 3,000 peers cost no more
-/// than 8.
-const ORIGINS_MOST: usize = 8;
-/// Subjects that are kept: operations and dependencies of a large installation.
-const SUBJECTS_MOST: usize = 512;
-/// So many samples make a figure half as sure as it can get.
-const HALF_SURE: f64 = 8.0;
-/// What weighs less is not believed at all.
-const COUNTS_FROM: f64 = 0.01;
-/// Own samples at which what was told counts for half at the most: a few.
-const FEW: f64 = 3.0;
+/// Sources that are held for one metric: enough that a lying one is outvoted, few enough that 3,000
+/// peers cost no more than 8.
+const MAX_SOURCES_PER_METRIC: usize = 8;
+/// Metrics that are held: operations and dependencies of a large installation.
+const MAX_METRICS: usize = 512;
+/// An observation of less weight is left out of estimates.
+const MIN_WEIGHT: f64 = 0.01;
+/// Own samples beside which an estimate of full weight has half of the result.
+const BLENDING_SAMPLES: f64 = 3.0;
 
-/// What is believed of a subject from what was told.
+/// An estimate of a metric from what others have observed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Estimate {
+    /// In the metric's unit.
     pub value: f64,
     /// How sure it is, 0 to 1.
     pub weight: f64,
-    /// Who has seen what it rests on, the surest first.
-    pub origins: Vec<Source>,
+    /// The sources that it rests on, the one of most weight first.
+    pub sources: Vec<Source>,
 }
 
 impl Estimate {
-    /// The part that what was told still has beside so many samples of one's own.
+    /// The part that the estimate has beside so many own samples, 0 to 1.
     pub fn share(&self, own_samples: usize) -> f64 {
-        self.weight / (self.weight + own_samples as f64 / FEW)
+        self.weight / (self.weight + own_samples as f64 / BLENDING_SAMPLES)
     }
 
-    /// A figure of what was told and one's own, by the part each has.
-    pub fn beside(&self, own: f64, own_samples: usize) -> f64 {
+    /// The estimate blended with an own value, each by its part.
+    pub fn blend(&self, own_value: f64, own_samples: usize) -> f64 {
         if own_samples == 0 {
             return self.value;
         }
         let share = self.share(own_samples);
-        self.value * share + own * (1.0 - share)
+        self.value * share + own_value * (1.0 - share)
     }
 }
 
-/// The book of one instance in one life.
+/// One observation of the store with what it is of and who made it.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct ObservationEntry<'a> {
+    /// What was observed.
+    pub metric: &'a Metric,
+    /// Who observed it.
+    pub source: &'a Source,
+    /// The observation.
+    pub observation: &'a Observation,
+}
+
+/// The observations that one incarnation of an instance holds, the latest of each source.
 #[derive(Clone, Debug)]
 pub struct ObservationStore {
     own: Source,
-    number: u64,
-    figures: BTreeMap<Metric, BTreeMap<Source, Observation>>,
+    /// Sequence number of the latest own observation.
+    own_sequence: u64,
+    observations: BTreeMap<Metric, BTreeMap<Source, Observation>>,
 }
 
 impl ObservationStore {
+    /// An empty store of this incarnation.
     pub fn new(own: Source) -> ObservationStore {
         ObservationStore {
             own,
-            number: 0,
-            figures: BTreeMap::new(),
+            own_sequence: 0,
+            observations: BTreeMap::new(),
         }
     }
 
+    /// The incarnation that the store belongs to.
     pub fn own(&self) -> &Source {
         &self.own
     }
 
-    /// Something was seen here, a while ago. The same value of as many samples as before is the look before: where nothing
-    /// happens a figure grows old.
-    pub fn see(
-        &mut self,
-        now: f64,
-        subject: Metric,
-        value: f64,
-        count: u32,
-        age: f64,
-        standing: SourceStatus,
-    ) {
-        let known = self
-            .figures
-            .get(&subject)
-            .and_then(|all| all.get(&self.own));
-        // What can't be is a fault of a clock or of a sum, and is not told to others either.
-        let same = known.is_some_and(|known| known.value == value && known.count == count);
-        if same || !subject.can_be(value) {
+    /// Records an own observation. The same value from as many samples as before is the earlier
+    /// observation again: where nothing happens, it ages.
+    pub fn record_own(&mut self, now: f64, own: OwnObservation, status: SourceStatus) {
+        let known = self.get(&own.metric, &self.own);
+        let is_repeated = known.is_some_and(|known| {
+            known.value == own.value && known.sample_count == own.sample_count
+        });
+        // An implausible value is a fault of a clock or a sum, and is not sent to others either.
+        if is_repeated || !own.metric.is_plausible(own.value) {
             return;
         }
-        let now = now - age.max(0.0);
-        self.number += 1;
-        let figure = Observation {
-            value,
-            count,
-            seen: now,
-            number: self.number,
+        let observed_at = now - own.age_seconds.max(0.0);
+        self.own_sequence += 1;
+        let observation = Observation {
+            value: own.value,
+            sample_count: own.sample_count,
+            observed_at,
+            sequence: self.own_sequence,
             hops: 0,
-            standing,
+            status,
         };
-        let own = self.own.clone();
-        self.put(now, subject, own, figure);
+        self.insert(observed_at, own.metric, self.own.clone(), observation);
     }
 
-    /// Somebody told. The same look of the same origin is the same figure, by whatever way and however often it comes: it
-    /// gets no younger and no surer by that.
-    pub fn hear(&mut self, now: f64, told: GossipedObservation) -> Result<(), InvalidObservation> {
-        told.check(&self.own)?;
-        let GossipedObservation {
-            subject,
-            origin,
-            value,
-            count,
-            age,
-            number,
-            hops,
-            standing,
-        } = told;
-        let mut figure = Observation {
-            value,
-            count,
-            seen: now - age,
-            number,
-            hops,
-            standing,
+    /// Takes an observation that a peer sent. The same sequence number of the same source is the
+    /// same observation, however often and over whatever peers it comes: it gets neither younger
+    /// nor surer by that.
+    ///
+    /// # Errors
+    /// It can't be true, or is an own one.
+    pub fn accept(
+        &mut self,
+        now: f64,
+        gossiped: GossipedObservation,
+    ) -> Result<(), InvalidObservation> {
+        gossiped.check(&self.own)?;
+        let mut observation = Observation {
+            value: gossiped.value,
+            sample_count: gossiped.sample_count,
+            observed_at: now - gossiped.age_seconds,
+            sequence: gossiped.sequence,
+            hops: gossiped.hops,
+            status: gossiped.status,
         };
-        if let Some(known) = self.figures.get(&subject).and_then(|all| all.get(&origin)) {
-            if known.number > number {
+        if let Some(known) = self.get(&gossiped.metric, &gossiped.source) {
+            if known.sequence > observation.sequence {
                 return Ok(());
             }
-            if known.number == number {
-                figure = Observation {
-                    seen: known.seen.min(figure.seen),
-                    hops: known.hops.min(hops),
+            if known.sequence == observation.sequence {
+                observation = Observation {
+                    observed_at: known.observed_at.min(observation.observed_at),
+                    hops: known.hops.min(observation.hops),
                     ..known.clone()
                 };
             }
         }
-        self.put(now, subject, origin, figure);
+        self.insert(now, gossiped.metric, gossiped.source, observation);
         Ok(())
     }
 
-    fn put(&mut self, now: f64, subject: Metric, origin: Source, figure: Observation) {
-        if !self.figures.contains_key(&subject) && self.figures.len() >= SUBJECTS_MOST {
-            self.forget_oldest();
+    fn get(&self, metric: &Metric, source: &Source) -> Option<&Observation> {
+        self.observations.get(metric)?.get(source)
+    }
+
+    fn insert(&mut self, now: f64, metric: Metric, source: Source, observation: Observation) {
+        if !self.observations.contains_key(&metric) && self.observations.len() >= MAX_METRICS {
+            self.remove_stalest_metric();
         }
-        let all = self.figures.entry(subject.clone()).or_default();
-        all.insert(origin, figure);
-        // Of too many the one that counts least goes, never what was seen here.
-        while all.len() > ORIGINS_MOST {
-            let own = &self.own;
-            let others = all.iter().filter(|(origin, _)| *origin != own);
-            let weighed =
-                others.map(|(origin, figure)| (weight(now, &subject, figure), origin.clone()));
-            match weighed.min_by(|a, b| a.0.total_cmp(&b.0)) {
-                Some((_, least)) => all.remove(&least),
-                None => break,
+        let by_source = self.observations.entry(metric.clone()).or_default();
+        by_source.insert(source, observation);
+        while by_source.len() > MAX_SOURCES_PER_METRIC {
+            // Own observations stay, whatever their weight.
+            let others = by_source.iter().filter(|(source, _)| **source != self.own);
+            let weights =
+                others.map(|(source, observation)| (observation.weight(now, &metric), source));
+            let lightest = weights.min_by(|left, right| left.0.total_cmp(&right.0));
+            let Some(source) = lightest.map(|(_, source)| source.clone()) else {
+                break;
             };
+            by_source.remove(&source);
         }
     }
 
-    fn forget_oldest(&mut self) {
-        let newest = |all: &BTreeMap<Source, Observation>| {
-            all.values()
-                .map(|figure| figure.seen)
-                .fold(f64::MIN, f64::max)
+    /// Makes place by removing the metric whose latest observation is the oldest.
+    fn remove_stalest_metric(&mut self) {
+        let latest = |by_source: &BTreeMap<Source, Observation>| {
+            let times = by_source
+                .values()
+                .map(|observation| observation.observed_at);
+            times.fold(f64::MIN, f64::max)
         };
-        let oldest = self
-            .figures
+        let stalest = self
+            .observations
             .iter()
-            .min_by(|a, b| newest(a.1).total_cmp(&newest(b.1)));
-        if let Some(subject) = oldest.map(|(subject, _)| subject.clone()) {
-            self.figures.remove(&subject);
+            .min_by(|left, right| latest(left.1).total_cmp(&latest(right.1)));
+        if let Some(metric) = stalest.map(|(metric, _)| metric.clone()) {
+            self.observations.remove(&metric);
         }
     }
 
-    /// What may be told to others: what was seen here, and once more what was told by who had seen it. Of more than `most`
-    /// what counts most goes, and first what was seen here.
-    pub fn tell(&self, now: f64, most: usize) -> Vec<GossipedObservation> {
-        let mut all = self.all(now);
-        if all.len() > most {
-            let counts = |told: &GossipedObservation| {
-                let GossipedObservation {
-                    subject,
-                    count,
-                    age,
-                    hops,
-                    standing,
-                    ..
-                } = told;
-                counts_for(subject, *count, *age, *hops, *standing)
-                    + f64::from(u8::from(told.origin == self.own))
+    /// What may be sent to a peer. Of more than `max_count`, own observations go first, and of each
+    /// kind those of most weight.
+    pub fn select_for_gossip(&self, now: f64, max_count: usize) -> Vec<GossipedObservation> {
+        let mut selected = self.export(now);
+        if selected.len() > max_count {
+            let rank = |gossiped: &GossipedObservation| {
+                gossiped.weight() + f64::from(u8::from(gossiped.source == self.own))
             };
-            all.sort_by(|a, b| counts(b).total_cmp(&counts(a)));
-            all.truncate(most);
+            selected.sort_by(|left, right| rank(right).total_cmp(&rank(left)));
+            selected.truncate(max_count);
         }
-        all
+        selected
     }
 
-    /// All that may be told or kept.
-    pub fn all(&self, now: f64) -> Vec<GossipedObservation> {
-        let mut all = Vec::new();
-        for (subject, figures) in &self.figures {
-            for (origin, figure) in figures {
-                let (age, hops) = ((now - figure.seen).max(0.0), figure.hops + 1);
-                if hops <= MAX_HOPS && age <= MAX_AGE_SECONDS {
-                    all.push(GossipedObservation {
-                        subject: subject.clone(),
-                        origin: origin.clone(),
-                        value: figure.value,
-                        count: figure.count,
-                        age,
-                        number: figure.number,
-                        hops,
-                        standing: figure.standing,
-                    });
-                }
-            }
-        }
-        all
+    /// All observations that may be sent or persisted: own ones, and those of others that were sent
+    /// by their source.
+    pub fn export(&self, now: f64) -> Vec<GossipedObservation> {
+        let gossiped = self.observations().map(|entry| GossipedObservation {
+            metric: entry.metric.clone(),
+            source: entry.source.clone(),
+            value: entry.observation.value,
+            sample_count: entry.observation.sample_count,
+            age_seconds: (now - entry.observation.observed_at).max(0.0),
+            sequence: entry.observation.sequence,
+            hops: entry.observation.hops + 1,
+            status: entry.observation.status,
+        });
+        gossiped
+            .filter(|gossiped| gossiped.hops <= MAX_HOPS && gossiped.age_seconds <= MAX_AGE_SECONDS)
+            .collect()
     }
 
-    /// What is believed of a subject from what others have seen: the median by weight, so that no single liar moves it past
-    /// what an honest one says where there are two of those.
-    pub fn believe(&self, now: f64, subject: &Metric) -> Option<Estimate> {
-        let all = self.figures.get(subject)?;
-        let others = all.iter().filter(|(origin, _)| **origin != self.own);
-        let mut weighed: Vec<(f64, f64, &Source)> = others
-            .map(|(origin, figure)| (figure.value, weight(now, subject, figure), origin))
+    /// An estimate of the metric from what others have observed: the weighted median, so that no
+    /// single liar moves it past what an honest source says where there are two of those.
+    pub fn estimate(&self, now: f64, metric: &Metric) -> Option<Estimate> {
+        struct WeightedValue<'a> {
+            value: f64,
+            weight: f64,
+            source: &'a Source,
+        }
+        let by_source = self.observations.get(metric)?;
+        let others = by_source.iter().filter(|(source, _)| **source != self.own);
+        let mut weighted: Vec<WeightedValue> = others
+            .map(|(source, observation)| WeightedValue {
+                value: observation.value,
+                weight: observation.weight(now, metric),
+                source,
+            })
+            .filter(|weighted| weighted.weight > MIN_WEIGHT)
             .collect();
-        weighed.retain(|(_, weight, _)| *weight > COUNTS_FROM);
-        weighed.sort_by(|a, b| a.0.total_cmp(&b.0));
-        let whole: f64 = weighed.iter().map(|(_, weight, _)| weight).sum();
-        let mut below = 0.0;
-        let value = weighed.iter().find(|(_, weight, _)| {
-            below += weight;
-            below >= whole / 2.0
+        weighted.sort_by(|left, right| left.value.total_cmp(&right.value));
+        let total_weight: f64 = weighted.iter().map(|weighted| weighted.weight).sum();
+        let mut cumulative_weight = 0.0;
+        let median = weighted.iter().find(|weighted| {
+            cumulative_weight += weighted.weight;
+            cumulative_weight >= total_weight / 2.0
         });
-        let value = value?.0;
-        // As sure as the surest: many echoes of a guess are still a guess.
-        let surest = weighed
-            .iter()
-            .map(|(_, weight, _)| *weight)
-            .fold(0.0, f64::max);
-        weighed.sort_by(|a, b| b.1.total_cmp(&a.1));
+        let value = median?.value;
+        weighted.sort_by(|left, right| right.weight.total_cmp(&left.weight));
         Some(Estimate {
             value,
-            weight: surest,
-            origins: weighed.into_iter().map(|(_, _, of)| of.clone()).collect(),
+            // As sure as the surest source: many echoes of a guess are still a guess.
+            weight: weighted.first()?.weight,
+            sources: weighted
+                .into_iter()
+                .map(|weighted| weighted.source.clone())
+                .collect(),
         })
     }
 
-    /// The figures by subject and origin, for reports.
-    pub fn figures(&self) -> impl Iterator<Item = (&Metric, &Source, &Observation)> {
-        self.figures
-            .iter()
-            .flat_map(|(subject, all)| all.iter().map(move |(origin, of)| (subject, origin, of)))
+    /// All observations, by metric and source.
+    pub fn observations(&self) -> impl Iterator<Item = ObservationEntry<'_>> {
+        self.observations.iter().flat_map(|(metric, by_source)| {
+            by_source
+                .iter()
+                .map(move |(source, observation)| ObservationEntry {
+                    metric,
+                    source,
+                    observation,
+                })
+        })
     }
 
-    /// How many of the figures that were told, by whose word, still count for something.
-    pub fn counting(&self, now: f64) -> BTreeMap<&Source, usize> {
-        let mut counting = BTreeMap::new();
-        for (subject, origin, figure) in self.figures() {
-            if *origin != self.own && weight(now, subject, figure) > COUNTS_FROM {
-                *counting.entry(origin).or_default() += 1;
+    /// How many observations of each other source still have enough weight for an estimate.
+    pub fn effective_counts(&self, now: f64) -> BTreeMap<&Source, usize> {
+        let mut counts = BTreeMap::new();
+        for entry in self.observations() {
+            let weight = entry.observation.weight(now, entry.metric);
+            if *entry.source != self.own && weight > MIN_WEIGHT {
+                *counts.entry(entry.source).or_default() += 1;
             }
         }
-        counting
+        counts
     }
 
-    /// Forgets all that others have seen.
-    pub fn forget_others(&mut self) {
+    /// Removes all observations of others.
+    pub fn remove_gossiped(&mut self) {
         let own = self.own.clone();
-        self.figures
-            .values_mut()
-            .for_each(|all| all.retain(|origin, _| *origin == own));
-        self.figures.retain(|_, all| !all.is_empty());
+        self.retain_sources(|source| *source == own);
     }
 
-    /// Forgets all that this origin has seen, in whatever life.
-    pub fn forget(&mut self, name: &str) {
-        self.figures
-            .values_mut()
-            .for_each(|all| all.retain(|origin, _| origin.name != name));
-        self.figures.retain(|_, all| !all.is_empty());
+    /// Removes all observations of the source of this name, in every incarnation.
+    pub fn remove_source(&mut self, name: &str) {
+        self.retain_sources(|source| source.name != name);
     }
-}
-
-/// How much a figure counts, 0 to 1: by its samples, its age, its way and its teacher's standing.
-pub fn weight(now: f64, subject: &Metric, figure: &Observation) -> f64 {
-    counts_for(
-        subject,
-        figure.count,
-        (now - figure.seen).max(0.0),
-        figure.hops,
-        figure.standing,
-    )
-}
 
-/// The same of a figure with so many samples, so old, over so many others.
-fn counts_for(subject: &Metric, count: u32, age: f64, hops: u8, standing: SourceStatus) -> f64 {
-    let samples = f64::from(count);
-    let sure = samples / (samples + HALF_SURE);
-    let fresh = 0.5_f64.powf(age / subject.half_life());
-    let way = 0.5_f64.powi(i32::from(hops.saturating_sub(1)));
-    sure * fresh * way * standing.trust(subject)
+    fn retain_sources(&mut self, is_retained: impl Fn(&Source) -> bool) {
+        for by_source in self.observations.values_mut() {
+            by_source.retain(|source, _| is_retained(source));
+        }
+        self.observations
+            .retain(|_, by_source| !by_source.is_empty());
+    }
 }
--- a/crates/merlinshelf-gossip/src/own_samples.rs
+++ b/crates/merlinshelf-gossip/src/own_samples.rs
@@ -1,209 +1,289 @@
-//! Between the decision module and the book: what the module has learnt as figures, and what is believed in the module's form.
+//! Between the admission controller and the store: what the controller has learned becomes
+//! observations, and estimates become its priors.
 
 use std::collections::VecDeque;
 
-use merlinshelf_admission::{LearnedState, PriorEstimate, PriorEstimates};
+use merlinshelf_admission::{LearnedOperation, LearnedState, PriorEstimate, PriorEstimates};
 
-use crate::observation::Metric;
+use crate::metric::Metric;
 use crate::observation_store::ObservationStore;
 
-/// What figures are of, here. Figures of an engine hold for engines of one kind only, those of a dependency for all that
-/// share it.
+/// Age of the samples of calls where no call is known to have ended, seconds.
+const UNKNOWN_CALL_AGE_SECONDS: f64 = 5.0;
+/// The controller takes its lowest mean of calls from so many samples.
+const MIN_CALLS_FOR_LOWEST: usize = 8;
+/// No more samples are counted behind a run of failures.
+const MAX_FAILURE_SAMPLES: usize = 24;
+/// Guards a division.
+const MIN_TOTAL_COST: f64 = 1e-9;
+
+/// Which servers and operations the samples of an instance are of. Those of an engine hold for
+/// engines of one kind only, those of a dependency for all instances that share it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Scope {
+    /// Kind of the engine.
     pub engine: String,
+    /// Name of the dependency.
     pub dependency: String,
     /// Names of the operations, in the order of the settings.
     pub operations: Vec<String>,
-    /// For how long callers keep a connection, seconds; those that came back within it came back.
-    pub keep_idle: Option<u64>,
+    /// For how long callers keep a connection, seconds; who calls again within it has returned.
+    pub keep_alive_seconds: Option<u64>,
 }
 
-/// One figure out of what the module has learnt; `age` is how long ago the newest of its samples was taken, seconds.
+/// One observation out of an instance's own samples.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Seen {
-    pub subject: Metric,
+pub struct OwnObservation {
+    /// What was observed.
+    pub metric: Metric,
+    /// In the metric's unit.
     pub value: f64,
-    pub count: u32,
-    pub age: f64,
+    /// How many samples it rests on.
+    pub sample_count: u32,
+    /// How long ago the newest sample was taken, seconds.
+    pub age_seconds: f64,
+}
+
+impl OwnObservation {
+    /// None without samples.
+    fn from_samples(
+        metric: Metric,
+        value: f64,
+        sample_count: usize,
+        age_seconds: f64,
+    ) -> Option<OwnObservation> {
+        (sample_count > 0).then(|| OwnObservation {
+            metric,
+            value,
+            sample_count: sample_count as u32,
+            age_seconds: age_seconds.max(0.0),
+        })
+    }
 }
 
 fn mean(samples: &VecDeque<f64>) -> f64 {
     samples.iter().sum::<f64>() / samples.len().max(1) as f64
 }
 
+/// How many runs the controller holds samples of, over all operations.
+pub(crate) fn count_runs(learned: &LearnedState) -> usize {
+    let counts = learned
+        .operations
+        .iter()
+        .map(|operation| operation.run_durations.len());
+    counts.sum()
+}
+
 impl Scope {
-    fn run(&self, recent: bool, operation: &str) -> Metric {
-        let (engine, operation) = (self.engine.clone(), operation.to_owned());
-        if recent {
-            Metric::RunRecent { engine, operation }
-        } else {
-            Metric::RunLowest { engine, operation }
+    fn run_recent(&self, operation: &str) -> Metric {
+        Metric::RunRecent {
+            engine: self.engine.clone(),
+            operation: operation.to_owned(),
+        }
+    }
+
+    fn run_lowest(&self, operation: &str) -> Metric {
+        Metric::RunLowest {
+            engine: self.engine.clone(),
+            operation: operation.to_owned(),
         }
     }
 
-    fn below(&self, operation: &str) -> Metric {
-        Metric::RunBelow {
+    fn run_downstream(&self, operation: &str) -> Metric {
+        Metric::RunDownstream {
             dependency: self.dependency.clone(),
             operation: operation.to_owned(),
         }
     }
 
-    /// The figures of what was learnt, as of `now` on the module's clock.
-    pub fn seen(&self, now: f64, learnt: &LearnedState) -> Vec<Seen> {
-        let mut all = Vec::new();
-        let mut add = |subject: Metric, value: f64, count: usize, age: f64| {
-            if count > 0 {
-                all.push(Seen {
-                    subject,
-                    value,
-                    count: count as u32,
-                    age: age.max(0.0),
-                });
-            }
-        };
-        let ran = now - learnt.last_progress_at;
-        for (name, of) in self.operations.iter().zip(&learnt.operations) {
-            let (took, cost) = (
-                of.run_durations.iter().sum::<f64>(),
-                of.run_costs.iter().sum::<f64>(),
-            );
-            add(
-                self.run(true, name),
-                took / cost.max(1e-9),
-                of.run_durations.len(),
-                ran,
-            );
-            add(
-                self.run(false, name),
-                of.lowest_duration,
-                of.run_durations.len(),
-                ran,
-            );
-            if of.downstream_durations.iter().any(|below| *below > 0.0) {
-                add(
-                    self.below(name),
-                    mean(&of.downstream_durations),
-                    of.downstream_durations.len(),
-                    ran,
-                );
-            }
+    fn limit(&self) -> Metric {
+        Metric::Limit {
+            engine: self.engine.clone(),
         }
-        let runs = learnt
-            .operations
-            .iter()
-            .map(|of| of.run_durations.len())
-            .sum();
-        add(
-            Metric::Limit {
-                engine: self.engine.clone(),
-            },
-            learnt.concurrency_limit,
-            runs,
-            ran,
-        );
-        let dependency = || self.dependency.clone();
-        let called = learnt.calls.back().map_or(5.0, |(_, end)| now - end);
-        let calls = learnt.call_durations.len();
-        add(
-            Metric::CallRecent {
-                dependency: dependency(),
-            },
-            mean(&learnt.call_durations),
-            calls,
-            called,
-        );
-        // Of fewer the module has not taken its lowest yet.
-        if learnt.lowest_call_mean > 0.0 && calls >= 8 {
-            add(
-                Metric::CallLowest {
-                    dependency: dependency(),
-                },
-                learnt.lowest_call_mean,
-                calls,
-                called,
-            );
-            add(
-                Metric::CallLimit {
-                    dependency: dependency(),
-                },
-                learnt.call_limit,
-                calls,
-                called,
-            );
+    }
+
+    fn call_recent(&self) -> Metric {
+        Metric::CallRecent {
+            dependency: self.dependency.clone(),
         }
-        let failures = learnt.call_failures;
-        if failures > 0 || calls > 0 {
-            let age = if failures > 0 {
-                now - learnt.call_failed_at
-            } else {
-                called
-            };
-            let count = calls.max(failures as usize).min(24);
-            add(
-                Metric::CallFailures {
-                    dependency: dependency(),
-                },
-                f64::from(failures),
-                count,
-                age,
-            );
+    }
+
+    fn call_lowest(&self) -> Metric {
+        Metric::CallLowest {
+            dependency: self.dependency.clone(),
         }
-        add(
-            Metric::CallersAgain,
-            mean(&learnt.retry_marks),
-            learnt.retry_marks.len(),
-            ran,
-        );
-        if let Some(idle) = self.keep_idle {
-            let back = learnt
-                .return_gaps
-                .iter()
-                .filter(|gap| **gap <= idle as f64)
-                .count() as f64;
-            add(
-                Metric::CallersBack,
-                back / learnt.return_gaps.len().max(1) as f64,
-                learnt.return_gaps.len(),
-                ran,
-            );
+    }
+
+    fn call_limit(&self) -> Metric {
+        Metric::CallLimit {
+            dependency: self.dependency.clone(),
         }
-        all
     }
 
-    /// What is believed of these on the word of others.
-    pub fn beliefs(&self, now: f64, book: &ObservationStore) -> PriorEstimates {
-        let of = |subject: Metric| {
-            book.believe(now, &subject).map(|it| PriorEstimate {
-                value: it.value,
-                weight: it.weight,
+    fn call_failures(&self) -> Metric {
+        Metric::CallFailures {
+            dependency: self.dependency.clone(),
+        }
+    }
+
+    /// The observations in what the controller has learned; `now` is on the controller's clock.
+    pub fn observations(&self, now: f64, learned: &LearnedState) -> Vec<OwnObservation> {
+        let run_age_seconds = now - learned.last_progress_at;
+        let mut observations = Vec::new();
+        for (name, operation) in self.operations.iter().zip(&learned.operations) {
+            observations.extend(self.run_observations(name, operation, run_age_seconds));
+        }
+        observations.extend(OwnObservation::from_samples(
+            self.limit(),
+            learned.concurrency_limit,
+            count_runs(learned),
+            run_age_seconds,
+        ));
+        observations.extend(self.call_observations(now, learned));
+        observations.extend(self.caller_observations(run_age_seconds, learned));
+        observations
+    }
+
+    fn run_observations(
+        &self,
+        name: &str,
+        operation: &LearnedOperation,
+        age_seconds: f64,
+    ) -> impl Iterator<Item = OwnObservation> {
+        let run_count = operation.run_durations.len();
+        let total_seconds = operation.run_durations.iter().sum::<f64>();
+        let total_cost = operation.run_costs.iter().sum::<f64>();
+        let downstream = &operation.downstream_durations;
+        let calls_downstream = downstream.iter().any(|seconds| *seconds > 0.0);
+        let observations = [
+            OwnObservation::from_samples(
+                self.run_recent(name),
+                total_seconds / total_cost.max(MIN_TOTAL_COST),
+                run_count,
+                age_seconds,
+            ),
+            OwnObservation::from_samples(
+                self.run_lowest(name),
+                operation.lowest_duration,
+                run_count,
+                age_seconds,
+            ),
+            OwnObservation::from_samples(
+                self.run_downstream(name),
+                mean(downstream),
+                downstream.len(),
+                age_seconds,
+            )
+            .filter(|_| calls_downstream),
+        ];
+        observations.into_iter().flatten()
+    }
+
+    fn call_observations(
+        &self,
+        now: f64,
+        learned: &LearnedState,
+    ) -> impl Iterator<Item = OwnObservation> {
+        let last_call = learned.calls.back();
+        let age_seconds =
+            last_call.map_or(UNKNOWN_CALL_AGE_SECONDS, |(_, ended_at)| now - ended_at);
+        let call_count = learned.call_durations.len();
+        let has_lowest = learned.lowest_call_mean > 0.0 && call_count >= MIN_CALLS_FOR_LOWEST;
+        let observations = [
+            OwnObservation::from_samples(
+                self.call_recent(),
+                mean(&learned.call_durations),
+                call_count,
+                age_seconds,
+            ),
+            OwnObservation::from_samples(
+                self.call_lowest(),
+                learned.lowest_call_mean,
+                call_count,
+                age_seconds,
+            )
+            .filter(|_| has_lowest),
+            OwnObservation::from_samples(
+                self.call_limit(),
+                learned.call_limit,
+                call_count,
+                age_seconds,
+            )
+            .filter(|_| has_lowest),
+            self.failure_observation(now, learned, age_seconds),
+        ];
+        observations.into_iter().flatten()
+    }
+
+    /// No failures are an observation, too, once there were calls.
+    fn failure_observation(
+        &self,
+        now: f64,
+        learned: &LearnedState,
+        call_age_seconds: f64,
+    ) -> Option<OwnObservation> {
+        let failures = learned.call_failures;
+        let age_seconds = if failures > 0 {
+            now - learned.call_failed_at
+        } else {
+            call_age_seconds
+        };
+        let sample_count = learned.call_durations.len().max(failures as usize);
+        OwnObservation::from_samples(
+            self.call_failures(),
+            f64::from(failures),
+            sample_count.min(MAX_FAILURE_SAMPLES),
+            age_seconds,
+        )
+    }
+
+    fn caller_observations(
+        &self,
+        age_seconds: f64,
+        learned: &LearnedState,
+    ) -> impl Iterator<Item = OwnObservation> {
+        let gaps = &learned.return_gaps;
+        let returning = self.keep_alive_seconds.and_then(|keep_alive_seconds| {
+            let returned = gaps.iter().filter(|gap| **gap <= keep_alive_seconds as f64);
+            OwnObservation::from_samples(
+                Metric::ReturningCallerShare,
+                returned.count() as f64 / gaps.len().max(1) as f64,
+                gaps.len(),
+                age_seconds,
+            )
+        });
+        let retries = OwnObservation::from_samples(
+            Metric::RetryShare,
+            mean(&learned.retry_marks),
+            learned.retry_marks.len(),
+            age_seconds,
+        );
+        [retries, returning].into_iter().flatten()
+    }
+
+    /// The controller's priors, estimated from what others have observed.
+    pub fn prior_estimates(&self, now: f64, store: &ObservationStore) -> PriorEstimates {
+        let prior = |metric: Metric| {
+            let estimate = store.estimate(now, &metric)?;
+            Some(PriorEstimate {
+                value: estimate.value,
+                weight: estimate.weight,
             })
         };
-        let each = |subject: &dyn Fn(&str) -> Metric| -> Vec<Option<PriorEstimate>> {
-            self.operations
-                .iter()
-                .map(|name| of(subject(name)))
-                .collect()
+        let priors_by_operation = |metric: fn(&Scope, &str) -> Metric| {
+            let names = self.operations.iter();
+            names.map(|name| prior(metric(self, name))).collect()
         };
-        let dependency = || self.dependency.clone();
         PriorEstimates {
-            run_durations: each(&|name| self.run(true, name)),
-            lowest_durations: each(&|name| self.run(false, name)),
-            downstream_durations: each(&|name| self.below(name)),
-            concurrency_limit: of(Metric::Limit {
-                engine: self.engine.clone(),
-            }),
-            call_lowest: of(Metric::CallLowest {
-                dependency: dependency(),
-            }),
-            call_limit: of(Metric::CallLimit {
-                dependency: dependency(),
-            }),
-            call_failures: of(Metric::CallFailures {
-                dependency: dependency(),
-            }),
-            retry_share: of(Metric::CallersAgain),
-            returning_caller_share: of(Metric::CallersBack),
+            run_durations: priors_by_operation(Scope::run_recent),
+            lowest_durations: priors_by_operation(Scope::run_lowest),
+            downstream_durations: priors_by_operation(Scope::run_downstream),
+            concurrency_limit: prior(self.limit()),
+            call_lowest: prior(self.call_lowest()),
+            call_limit: prior(self.call_limit()),
+            call_failures: prior(self.call_failures()),
+            retry_share: prior(Metric::RetryShare),
+            returning_caller_share: prior(Metric::ReturningCallerShare),
         }
     }
 }
--- a/crates/merlinshelf-gossip/src/store.rs
+++ b/crates/merlinshelf-gossip/src/store.rs
@@ -1,190 +1,264 @@
-//! What an instance knows, kept in a file through crashes and power loss: which bytes are written when, over primitive
-//! operations on files that the host carries out and the tests let fail. Whatever happens to it costs the saving, never the
-//! service.
+//! The file in which observations outlive crashes and power loss: which bytes are written when,
+//! over primitive operations on files that the host carries out and the tests let fail. A failure
+//! costs the saving, never the service.
 
 use std::collections::BTreeMap;
 use std::io;
 
-use crate::observation::{GossipedObservation, Metric, Source};
-use crate::store_format::{self, FrameError, PersistedObservation, Record};
+use crate::metric::Metric;
+use crate::observation::{GossipedObservation, Source};
+use crate::store_format::{self, EncodeError, FrameError, PersistedObservation, Record, Recovered};
 
-/// Primitive operations on the files of one folder, each of which may fail or be cut short by a crash. What was written and
-/// not synced may be there after a crash, in part, or not at all; of names that holds for the folder's sync.
+/// The store's file.
+pub const STORE_FILE: &str = "knowledge";
+/// The file that is written to take its place.
+pub const STORE_FILE_NEXT: &str = "knowledge.new";
+/// Where a file that can't be read is moved aside.
+pub const STORE_FILE_ASIDE: &str = "knowledge.aside";
+/// A longer file was not written by this program.
+pub const MAX_STORE_BYTES: usize = 8 * 1024 * 1024;
+
+/// The file is rewritten once it has grown to so many times its size after the last rewriting, and
+/// by so many bytes more.
+const MAX_GROWTH: usize = 4;
+const MIN_GROWTH_BYTES: usize = 64 * 1024;
+
+/// Primitive operations on the files of one folder, each of which may fail or be cut short by a
+/// crash. What was written and not synced may be there after a crash, in part, or not at all; for
+/// names that holds until the folder is synced.
 pub trait Files {
-    /// The whole file; none where there is none.
+    /// Reads the whole file; none where there is none.
     ///
     /// # Errors
     /// The file system's.
     fn read(&mut self, name: &str) -> io::Result<Option<Vec<u8>>>;
-    /// Makes it anew and empty.
+    /// Creates an empty file, in place of one of this name.
     ///
     /// # Errors
     /// The file system's.
     fn create(&mut self, name: &str) -> io::Result<()>;
-    /// Writes behind its end.
+    /// Writes at the file's end.
     ///
     /// # Errors
     /// The file system's; a part may be written.
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
-    /// Waits until its bytes are kept.
+    /// Waits until the file's content is durable.
     ///
     /// # Errors
     /// The file system's.
     fn sync(&mut self, name: &str) -> io::Result<()>;
-    /// Gives it another name, in place of what has that name.
+    /// Renames a file, in place of one of the new name.
     ///
     /// # Errors
     /// The file system's.
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
-    /// Waits until the names are kept.
+    /// Waits until the folder's names are durable.
     ///
     /// # Errors
     /// The file system's.
     fn sync_folder(&mut self) -> io::Result<()>;
 }
 
-/// The file, the one that is made to take its place, and where one that can't be read is set aside.
-pub const STORE_FILE: &str = "knowledge";
-pub const STORE_FILE_NEXT: &str = "knowledge.new";
-pub const STORE_FILE_ASIDE: &str = "knowledge.aside";
+/// What was found at the start.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct Found {
+    /// The observations that can be read, in the order in which they were written.
+    pub observations: Vec<PersistedObservation>,
+    /// The highest number of an incarnation that began.
+    pub incarnation: u64,
+    /// What was wrong with the file.
+    pub error: Option<FrameError>,
+    /// Whether the file, or a copy of it, was moved aside for that.
+    pub was_set_aside: bool,
+}
 
-/// A log is written anew once it has so many bytes more than what counts in it, and is many times as long.
-const SPARE: usize = 64 * 1024;
-const LONGER: usize = 4;
-/// A file that is longer than this was not written here.
-pub const MAX_STORE_BYTES: usize = 8 * 1024 * 1024;
+/// What tells the observations in the file apart.
+type Key = (Metric, Source);
 
-fn copy(files: &mut dyn Files, bytes: &[u8]) -> io::Result<()> {
-    files.create(STORE_FILE_ASIDE)?;
-    files.append(STORE_FILE_ASIDE, bytes)
+/// What changes when an observation must be written again.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+struct Version {
+    sequence: u64,
+    hops: u8,
 }
 
-/// What was found at the start.
-#[derive(Clone, Debug, Default, PartialEq)]
-pub struct Found {
-    pub kept: Vec<PersistedObservation>,
-    /// The highest life that was begun by this name.
-    pub life: u64,
-    /// What was wrong with the file, and whether it was set aside.
-    pub flaw: Option<FrameError>,
-    pub set_aside: bool,
+fn key_of(observation: &GossipedObservation) -> Key {
+    (observation.metric.clone(), observation.source.clone())
+}
+
+fn version_of(observation: &GossipedObservation) -> Version {
+    Version {
+        sequence: observation.sequence,
+        hops: observation.hops,
+    }
 }
 
 /// The writing side.
 #[derive(Debug, Default)]
 pub struct Store {
-    life: u64,
-    /// What the log holds last of each figure, by its number and age's moment; nothing before the first writing.
-    written: Option<BTreeMap<(Metric, Source), (u64, u8)>>,
-    /// Bytes in the log, and of these what counted when it was made.
-    length: usize,
-    counted: usize,
+    incarnation: u64,
+    /// What the file holds last of each observation; none where that is not known, so that the next
+    /// saving rewrites the file.
+    written: Option<BTreeMap<Key, Version>>,
+    /// Bytes in the file, and how many it had after the last rewriting.
+    file_bytes: usize,
+    rewritten_bytes: usize,
 }
 
 impl Store {
-    /// Reads what is there. A file that can't be read is set aside, as far as that can be done, and told.
+    /// Reads what is there. A file that can't be read is moved aside, as far as that can be done,
+    /// and reported.
     ///
     /// # Errors
-    /// The file system's: then nothing is known of the past, and saving is tried all the same.
+    /// The file system's: then nothing is known of the past, and saving may be tried all the same.
     pub fn open(files: &mut dyn Files) -> io::Result<(Store, Found)> {
         let Some(bytes) = files.read(STORE_FILE)? else {
             return Ok((Store::default(), Found::default()));
         };
-        let recovered = if bytes.len() > MAX_STORE_BYTES {
-            store_format::Recovered {
-                flaw: Some(FrameError::Foreign),
-                ..store_format::Recovered::default()
-            }
-        } else {
-            store_format::recover(&bytes)
-        };
-        let mut found = Found {
-            flaw: recovered.flaw,
-            ..Found::default()
-        };
-        for record in recovered.records {
-            match record {
-                Record::Observation(kept) => found.kept.push(kept),
-                Record::Life(life) => found.life = found.life.max(life),
-            }
-        }
-        found.set_aside = match found.flaw {
-            Some(FrameError::Foreign) => files
-                .rename(STORE_FILE, STORE_FILE_ASIDE)
-                .and_then(|()| files.sync_folder())
-                .is_ok(),
-            // What can be read of it counts until the next saving has taken its place: a copy is set aside.
-            Some(FrameError::Garbled) => copy(files, &bytes).is_ok(),
+        let mut found = found_in(recover(&bytes));
+        found.was_set_aside = match found.error {
+            Some(FrameError::Foreign) => move_aside(files).is_ok(),
+            // What can be read of it counts until the next saving has taken its place.
+            Some(FrameError::Garbled) => copy_aside(files, &bytes).is_ok(),
             Some(FrameError::Torn) | None => false,
         };
-        Ok((
-            Store {
-                life: found.life,
-                ..Store::default()
-            },
-            found,
-        ))
+        let store = Store {
+            incarnation: found.incarnation,
+            ..Store::default()
+        };
+        Ok((store, found))
     }
 
-    /// Begins a life: its number is above all that were begun and, by the wall clock, above those that were lost.
-    pub fn begin(&mut self, unix_ms: u64) -> u64 {
-        self.life = unix_ms.max(self.life + 1);
-        self.life
+    /// Begins an incarnation. Its number is above all that began here and, by the wall clock in
+    /// milliseconds of Unix time, above those whose records were lost.
+    pub fn begin_incarnation(&mut self, unix_milliseconds: u64) -> u64 {
+        self.incarnation = unix_milliseconds.max(self.incarnation + 1);
+        self.incarnation
     }
 
-    /// Keeps all figures: what has changed is written behind the rest, or all anew where that is shorter or the file is not
-    /// known to be whole. `unix` is the wall clock, seconds.
+    /// Saves all observations. What has changed is appended, or the file is rewritten where it has
+    /// grown too long or is not known to be complete. `unix_seconds` is the wall clock.
     ///
     /// # Errors
-    /// The file system's. The next saving then writes all anew.
+    /// The file system's. The next saving then rewrites the file.
     pub fn save(
         &mut self,
         files: &mut dyn Files,
-        unix: f64,
-        all: &[GossipedObservation],
+        unix_seconds: f64,
+        observations: &[GossipedObservation],
     ) -> io::Result<()> {
-        let key = |told: &GossipedObservation| (told.subject.clone(), told.origin.clone());
-        let state = |told: &GossipedObservation| (told.number, told.hops);
-        let record = |told: &GossipedObservation| {
-            store_format::record(&Record::Observation(PersistedObservation {
-                at: unix,
-                told: told.clone(),
-            }))
+        // Whatever fails from here on, the file is not known to be complete.
+        let Some(mut written) = self.written.take() else {
+            return self.rewrite(files, unix_seconds, observations);
         };
-        // Whatever fails from here on, the file is not known to be whole.
-        let written = self.written.take();
-        if let Some(mut known) = written {
-            let mut bytes = Vec::new();
-            for told in all {
-                if known.insert(key(told), state(told)) != Some(state(told)) {
-                    bytes.extend(record(told));
-                }
-            }
-            if bytes.is_empty() || self.length < LONGER * self.counted + SPARE {
-                if !bytes.is_empty() {
-                    files.append(STORE_FILE, &bytes)?;
-                    files.sync(STORE_FILE)?;
-                }
-                self.length += bytes.len();
-                self.written = Some(known);
-                return Ok(());
-            }
+        let changes = encode_changes(&mut written, unix_seconds, observations)?;
+        let is_short = self.file_bytes < MAX_GROWTH * self.rewritten_bytes + MIN_GROWTH_BYTES;
+        if !changes.is_empty() && !is_short {
+            return self.rewrite(files, unix_seconds, observations);
+        }
+        if !changes.is_empty() {
+            files.append(STORE_FILE, &changes)?;
+            files.sync(STORE_FILE)?;
+        }
+        self.file_bytes += changes.len();
+        self.written = Some(written);
+        Ok(())
+    }
+
+    /// Replaces the file atomically and durably.
+    fn rewrite(
+        &mut self,
+        files: &mut dyn Files,
+        unix_seconds: f64,
+        observations: &[GossipedObservation],
+    ) -> io::Result<()> {
+        let mut bytes = store_format::header();
+        let incarnation = Record::Incarnation(self.incarnation);
+        bytes.extend(store_format::record(&incarnation).map_err(invalid_data)?);
+        for observation in observations {
+            bytes.extend(encode(unix_seconds, observation)?);
         }
-        let mut bytes = store_format::head();
-        bytes.extend(store_format::record(&Record::Life(self.life)));
-        all.iter().for_each(|told| bytes.extend(record(told)));
         files.create(STORE_FILE_NEXT)?;
         files.append(STORE_FILE_NEXT, &bytes)?;
         files.sync(STORE_FILE_NEXT)?;
         files.rename(STORE_FILE_NEXT, STORE_FILE)?;
         files.sync_folder()?;
-        (self.length, self.counted) = (bytes.len(), bytes.len());
-        self.written = Some(all.iter().map(|told| (key(told), state(told))).collect());
+        self.file_bytes = bytes.len();
+        self.rewritten_bytes = bytes.len();
+        let written = observations
+            .iter()
+            .map(|observation| (key_of(observation), version_of(observation)));
+        self.written = Some(written.collect());
         Ok(())
     }
 
-    /// The next saving writes all anew: something was forgotten, and must be gone from the file, too.
-    pub fn anew(&mut self) {
+    /// Makes the next saving rewrite the file: observations were removed and must be gone from the
+    /// file, too.
+    pub fn invalidate(&mut self) {
         self.written = None;
     }
 }
+
+fn recover(bytes: &[u8]) -> Recovered {
+    if bytes.len() > MAX_STORE_BYTES {
+        return Recovered {
+            error: Some(FrameError::Foreign),
+            ..Recovered::default()
+        };
+    }
+    store_format::recover(bytes)
+}
+
+fn found_in(recovered: Recovered) -> Found {
+    let mut found = Found {
+        error: recovered.error,
+        ..Found::default()
+    };
+    for record in recovered.records {
+        match record {
+            Record::Observation(observation) => found.observations.push(observation),
+            Record::Incarnation(incarnation) => {
+                found.incarnation = found.incarnation.max(incarnation);
+            }
+        }
+    }
+    found
+}
+
+fn move_aside(files: &mut dyn Files) -> io::Result<()> {
+    files.rename(STORE_FILE, STORE_FILE_ASIDE)?;
+    files.sync_folder()
+}
+
+fn copy_aside(files: &mut dyn Files, bytes: &[u8]) -> io::Result<()> {
+    files.create(STORE_FILE_ASIDE)?;
+    files.append(STORE_FILE_ASIDE, bytes)
+}
+
+/// Records of what differs from what was written, which is brought up to date.
+fn encode_changes(
+    written: &mut BTreeMap<Key, Version>,
+    unix_seconds: f64,
+    observations: &[GossipedObservation],
+) -> io::Result<Vec<u8>> {
+    let mut changes = Vec::new();
+    for observation in observations {
+        let version = version_of(observation);
+        if written.insert(key_of(observation), version) != Some(version) {
+            changes.extend(encode(unix_seconds, observation)?);
+        }
+    }
+    Ok(changes)
+}
+
+fn encode(unix_seconds: f64, observation: &GossipedObservation) -> io::Result<Vec<u8>> {
+    let record = Record::Observation(PersistedObservation {
+        saved_at: unix_seconds,
+        observation: observation.clone(),
+    });
+    store_format::record(&record).map_err(invalid_data)
+}
+
+fn invalid_data(error: EncodeError) -> io::Error {
+    io::Error::new(io::ErrorKind::InvalidData, error)
+}
--- a/crates/merlinshelf-gossip/src/store_format.rs
+++ b/crates/merlinshelf-gossip/src/store_format.rs
@@ -1,98 +1,147 @@
-//! The form in which a book is kept: a head, then records, each whole or not at all.
+//! The format of the store file: a header, then records, each complete or not there at all.
 //!
-//! The head is `MSK1` and the form's number (u32, little endian). A record is its length (u32), the CRC-32 of what follows,
-//! and so many bytes of MessagePack. In form 1 they are a figure, its age as of a wall clock's moment; in form 2, the one
-//! that is written, a figure or the number of a life that was begun. Whatever is torn, garbled or foreign is told and ends
-//! the reading there; what came before it counts.
+//! The header is `MSK1` and the format's version (u32, little endian). A record is its length
+//! (u32), the CRC-32 of its payload, and the payload in MessagePack. In version 1 that is an
+//! observation with the wall clock's time of its age; in version 2, the one that is written, an
+//! observation or the number of an incarnation that began. Reading ends at the first record that is
+//! torn, garbled or foreign, which is reported; what stands before it counts.
+//!
+//! MessagePack maps carry field names, and unknown ones are skipped. Types whose names have changed
+//! since keep the stored ones by `#[serde(rename)]`.
 
 use serde::{Deserialize, Serialize};
 
 use crate::observation::GossipedObservation;
 
-const HEAD: [u8; 8] = *b"MSK1\x02\0\0\0";
-const FIRST_FORM: [u8; 8] = *b"MSK1\x01\0\0\0";
-/// A told figure is a fraction of it.
-const RECORD_MOST: usize = 4096;
+const HEADER: [u8; 8] = *b"MSK1\x02\0\0\0";
+const HEADER_VERSION_1: [u8; 8] = *b"MSK1\x01\0\0\0";
+/// An observation takes a fraction of it.
+const MAX_RECORD_BYTES: usize = 4096;
+/// Length and checksum.
+const FRAME_HEADER_BYTES: usize = 8;
 
-/// A figure as it is written: `at` is when, in seconds of Unix time.
+/// An observation as it is written.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PersistedObservation {
-    pub at: f64,
-    pub told: GossipedObservation,
+    /// When it was written, seconds of Unix time.
+    #[serde(rename = "at")]
+    pub saved_at: f64,
+    /// The observation, as old as it was then.
+    #[serde(rename = "told")]
+    pub observation: GossipedObservation,
+}
+
+impl PersistedObservation {
+    /// The observation as old as it is at this Unix time in seconds. A wall clock that was set back
+    /// since makes it no younger than it was.
+    pub fn aged_to(self, unix_seconds: f64) -> GossipedObservation {
+        let elapsed_seconds = (unix_seconds - self.saved_at).max(0.0);
+        GossipedObservation {
+            age_seconds: self.observation.age_seconds + elapsed_seconds,
+            ..self.observation
+        }
+    }
 }
 
 /// What a record holds.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Record {
+    /// An observation; a later one of the same metric and source replaces it.
     #[serde(rename = "Figure")]
     Observation(PersistedObservation),
-    /// A life of the instance was begun under this number.
-    Life(u64),
+    /// An incarnation of the instance began under this number.
+    #[serde(rename = "Life")]
+    Incarnation(u64),
 }
 
+/// A value can't be encoded as MessagePack.
+#[derive(Debug, thiserror::Error)]
+#[error("record not encoded: {0}")]
+pub struct EncodeError(#[from] rmp_serde::encode::Error);
+
 /// Why reading ended before the end.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
-    /// The file is of another program, or of a later form.
+    /// The header is none of a known version.
+    #[error("it is of another program or of a later version")]
     Foreign,
-    /// The last record was being written when its writer ended.
+    /// The last record is incomplete.
+    #[error("its end was being written when the process or machine ended")]
     Torn,
-    /// A record's bytes are not what was written.
+    /// The checksum or the content of a record is wrong.
+    #[error("a record is not what was written")]
     Garbled,
 }
 
-/// What a file held: the records that can be read, how many bytes these are, and the flaw behind them.
+/// What a file held.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Recovered {
+    /// The records that can be read.
     pub records: Vec<Record>,
-    pub used: usize,
-    pub flaw: Option<FrameError>,
+    /// How many bytes these are, with the header.
+    pub valid_bytes: usize,
+    /// Why reading ended there; none at the file's end.
+    pub error: Option<FrameError>,
 }
 
-/// The head of a new file.
-pub fn head() -> Vec<u8> {
-    HEAD.to_vec()
+/// The header of a new file.
+pub fn header() -> Vec<u8> {
+    HEADER.to_vec()
 }
 
-/// One record.
-pub fn record(record: &Record) -> Vec<u8> {
+/// One framed record.
+///
+/// # Errors
+/// The encoder's.
+pub fn record(record: &Record) -> Result<Vec<u8>, EncodeError> {
     framed(record)
 }
 
-/// Anything in the form of a record: its length, the CRC-32 of what follows, and so many bytes of MessagePack.
-pub fn framed(value: &impl Serialize) -> Vec<u8> {
-    let bytes = rmp_serde::to_vec_named(value).unwrap_or_default();
-    let mut out = (bytes.len() as u32).to_le_bytes().to_vec();
-    out.extend(crc32fast::hash(&bytes).to_le_bytes());
-    out.extend(bytes);
-    out
+/// Any value in the frame of a record: length, CRC-32, and the value in MessagePack.
+///
+/// # Errors
+/// The encoder's.
+pub fn framed(value: &impl Serialize) -> Result<Vec<u8>, EncodeError> {
+    let payload = rmp_serde::to_vec_named(value)?;
+    let mut frame = (payload.len() as u32).to_le_bytes().to_vec();
+    frame.extend(crc32fast::hash(&payload).to_le_bytes());
+    frame.extend(payload);
+    Ok(frame)
 }
 
-/// Reads a file as far as it can be read. An empty one is new, and no flaw.
+/// Reads a file as far as it can be read. An empty one is new, which is no error.
 pub fn recover(bytes: &[u8]) -> Recovered {
     let mut recovered = Recovered::default();
     if bytes.is_empty() {
         return recovered;
     }
-    let first_form = bytes.starts_with(&FIRST_FORM);
-    if !first_form && !bytes.starts_with(&HEAD) {
-        let torn = HEAD.starts_with(bytes) || FIRST_FORM.starts_with(bytes);
-        recovered.flaw = Some(if torn {
+    let is_version_1 = bytes.starts_with(&HEADER_VERSION_1);
+    if !is_version_1 && !bytes.starts_with(&HEADER) {
+        let is_torn = HEADER.starts_with(bytes) || HEADER_VERSION_1.starts_with(bytes);
+        recovered.error = Some(if is_torn {
             FrameError::Torn
         } else {
             FrameError::Foreign
         });
         return recovered;
     }
-    recovered.used = HEAD.len();
-    while recovered.used < bytes.len() {
-        match one(&bytes[recovered.used..], first_form) {
-            Ok((record, count)) => {
+    let read_payload = if is_version_1 {
+        read_version_1
+    } else {
+        read_version_2
+    };
+    recovered.valid_bytes = HEADER.len();
+    while recovered.valid_bytes < bytes.len() {
+        let rest = &bytes[recovered.valid_bytes..];
+        let read = unframed(rest, MAX_RECORD_BYTES)
+            .and_then(|(payload, frame_bytes)| Ok((read_payload(payload)?, frame_bytes)));
+        match read {
+            Ok((record, frame_bytes)) => {
                 recovered.records.push(record);
-                recovered.used += count;
+                recovered.valid_bytes += frame_bytes;
             }
-            Err(flaw) => {
-                recovered.flaw = Some(flaw);
+            Err(error) => {
+                recovered.error = Some(error);
                 break;
             }
         }
@@ -100,44 +149,37 @@
     recovered
 }
 
-fn one(bytes: &[u8], first_form: bool) -> Result<(Record, usize), FrameError> {
-    let (record, used) = unframed(bytes, RECORD_MOST)?;
-    let record = if first_form {
-        rmp_serde::from_slice(record).map(Record::Observation)
-    } else {
-        rmp_serde::from_slice(record)
-    };
-    Ok((record.map_err(|_| FrameError::Garbled)?, used))
+fn read_version_1(payload: &[u8]) -> Result<Record, FrameError> {
+    let observation = rmp_serde::from_slice(payload).map_err(|_| FrameError::Garbled)?;
+    Ok(Record::Observation(observation))
+}
+
+fn read_version_2(payload: &[u8]) -> Result<Record, FrameError> {
+    rmp_serde::from_slice(payload).map_err(|_| FrameError::Garbled)
 }
 
-/// The bytes of the record at the front, and how long it is with its frame.
+/// The payload of the frame at the front, and how many bytes the whole frame has.
 ///
 /// # Errors
-/// It is not whole, or not what was written.
-pub fn unframed(bytes: &[u8], most: usize) -> Result<(&[u8], usize), FrameError> {
-    let number = |at: usize| {
-        let four = bytes.get(at..at + 4).and_then(|four| four.try_into().ok());
-        four.map(u32::from_le_bytes).ok_or(FrameError::Torn)
-    };
-    let (length, sum) = (number(0)? as usize, number(4)?);
-    if length == 0 || length > most {
+/// The frame is incomplete, has more than `max_bytes` of payload, or another checksum.
+pub fn unframed(bytes: &[u8], max_bytes: usize) -> Result<(&[u8], usize), FrameError> {
+    let length = read_u32(bytes, 0)? as usize;
+    let checksum = read_u32(bytes, 4)?;
+    if length == 0 || length > max_bytes {
         return Err(FrameError::Garbled);
     }
-    let record = bytes.get(8..8 + length).ok_or(FrameError::Torn)?;
-    if crc32fast::hash(record) != sum {
+    let frame_bytes = FRAME_HEADER_BYTES + length;
+    let payload = bytes
+        .get(FRAME_HEADER_BYTES..frame_bytes)
+        .ok_or(FrameError::Torn)?;
+    if crc32fast::hash(payload) != checksum {
         return Err(FrameError::Garbled);
     }
-    Ok((record, 8 + length))
+    Ok((payload, frame_bytes))
 }
 
-impl PersistedObservation {
-    /// The figure as a teacher of now would tell it: its age by the wall clock, where that makes sense. A clock that went
-    /// back since makes it no younger than it was.
-    pub fn told_at(self, unix: f64) -> GossipedObservation {
-        let since = (unix - self.at).max(0.0);
-        GossipedObservation {
-            age: self.told.age + since,
-            ..self.told
-        }
-    }
+fn read_u32(bytes: &[u8], offset: usize) -> Result<u32, FrameError> {
+    let encoded = bytes.get(offset..offset + 4).ok_or(FrameError::Torn)?;
+    let encoded = encoded.try_into().map_err(|_| FrameError::Torn)?;
+    Ok(u32::from_le_bytes(encoded))
 }
--- a/crates/merlinshelf-gossip/tests/golden.rs
+++ b/crates/merlinshelf-gossip/tests/golden.rs
@@ -1,9 +1,10 @@
-//! What outlives an instance's process, held to golden files: the store file in both of its forms and the names of its
-//! files; and the types of this package that are encoded with field names.
+//! What outlives an instance's process, held to golden files: the store file in both of its
+//! versions and the names of its files; and the types of this package that are encoded with field
+//! names.
 //!
-//! Every field of a sample has a value of its own that is not its default, so that a field that is lost, swapped or
-//! renamed on the wire shows. The files hold bytes as programs in the field wrote them: where a test fails, the code is
-//! to be mended, not the file.
+//! Every field of a sample has a value of its own that is not its default, so that a field that is
+//! lost, swapped or renamed on the wire shows. The files hold bytes as programs in the field wrote
+//! them: where a test fails, the code is to be mended, not the file.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -11,14 +12,16 @@
 use merlinshelf_gossip::store::{
     Files, Found, STORE_FILE, STORE_FILE_ASIDE, STORE_FILE_NEXT, Store,
 };
-use merlinshelf_gossip::store_format::{self, PersistedObservation, Record, Recovered};
+use merlinshelf_gossip::store_format::{
+    self, EncodeError, PersistedObservation, Record, Recovered,
+};
 use merlinshelf_gossip::{
     GossipedObservation, MembershipUpdate, Metric, Observation, Source, SourceStatus, State,
 };
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-const LIFE: u64 = 1_796_150_622_705;
+const INCARNATION: u64 = 1_796_150_622_705;
 const SAVED_AT: f64 = 1_796_150_700.25;
 const SAVED_AGAIN_AT: f64 = 1_796_150_730.5;
 
@@ -26,12 +29,16 @@
     rmp_serde::to_vec_named(value).expect("a plain structure")
 }
 
+fn encoded(record: Result<Vec<u8>, EncodeError>) -> Vec<u8> {
+    record.expect("a plain structure")
+}
+
 fn decode<T: DeserializeOwned>(bytes: &[u8]) -> T {
     rmp_serde::from_slice(bytes).expect("bytes that can be decoded")
 }
 
-/// Every subject, each with names of its own.
-fn subjects() -> Vec<Metric> {
+/// Every metric, each with names of its own.
+fn metrics() -> Vec<Metric> {
     vec![
         Metric::RunLowest {
             engine: "engine 1".into(),
@@ -56,48 +63,48 @@
         Metric::CallFailures {
             dependency: "dependency 7".into(),
         },
-        Metric::RunBelow {
+        Metric::RunDownstream {
             dependency: "dependency 8".into(),
             operation: "operation 8".into(),
         },
-        Metric::CallersAgain,
-        Metric::CallersBack,
+        Metric::RetryShare,
+        Metric::ReturningCallerShare,
     ]
 }
 
-const STANDINGS: [SourceStatus; 4] = [
+const STATUSES: [SourceStatus; 4] = [
     SourceStatus::Steady,
     SourceStatus::Recovering,
-    SourceStatus::JustTaught,
+    SourceStatus::RecentlySynced,
     SourceStatus::Leaving,
 ];
 
-/// A figure of every subject, from teachers of every standing.
-fn figures() -> Vec<GossipedObservation> {
-    let figure = |(place, subject): (usize, Metric)| GossipedObservation {
-        subject,
-        origin: Source {
+/// An observation of every metric, from sources of every status.
+fn observations() -> Vec<GossipedObservation> {
+    let observation = |(place, metric): (usize, Metric)| GossipedObservation {
+        metric,
+        source: Source {
             name: format!("n{place}"),
-            life: LIFE + 1 + place as u64,
+            incarnation: INCARNATION + 1 + place as u64,
         },
         value: 0.0625 + place as f64,
-        count: 20 + place as u32,
-        age: 40.5 + place as f64,
-        number: 300_000 + place as u64,
+        sample_count: 20 + place as u32,
+        age_seconds: 40.5 + place as f64,
+        sequence: 300_000 + place as u64,
         hops: 60 + place as u8,
-        standing: STANDINGS[place % STANDINGS.len()],
+        status: STATUSES[place % STATUSES.len()],
     };
-    subjects().into_iter().enumerate().map(figure).collect()
+    metrics().into_iter().enumerate().map(observation).collect()
 }
 
-/// A later look at the first figure.
-fn later_figure() -> GossipedObservation {
+/// A later observation in place of the first one.
+fn later_observation() -> GossipedObservation {
     GossipedObservation {
         value: 77.5,
-        count: 78,
-        age: 79.5,
-        number: 300_080,
-        ..figures().remove(0)
+        sample_count: 78,
+        age_seconds: 79.5,
+        sequence: 300_080,
+        ..observations().remove(0)
     }
 }
 
@@ -136,31 +143,36 @@
     }
 }
 
-fn kept(at: f64, told: GossipedObservation) -> PersistedObservation {
-    PersistedObservation { at, told }
+fn persisted(saved_at: f64, observation: GossipedObservation) -> PersistedObservation {
+    PersistedObservation {
+        saved_at,
+        observation,
+    }
 }
 
 /// What the store file holds after two savings, the second of which appends what has changed.
 fn stored() -> Found {
-    let first = figures().into_iter().map(|told| kept(SAVED_AT, told));
-    let second = kept(SAVED_AGAIN_AT, later_figure());
+    let first = observations()
+        .into_iter()
+        .map(|observation| persisted(SAVED_AT, observation));
+    let second = persisted(SAVED_AGAIN_AT, later_observation());
     Found {
-        kept: first.chain([second]).collect(),
-        life: LIFE,
-        flaw: None,
-        set_aside: false,
+        observations: first.chain([second]).collect(),
+        incarnation: INCARNATION,
+        error: None,
+        was_set_aside: false,
     }
 }
 
 fn write_store() -> Vec<u8> {
     let mut folder = MemoryFolder::default();
     let (mut store, _) = Store::open(&mut folder).expect("an empty folder");
-    assert_eq!(store.begin(LIFE), LIFE);
-    let mut all = figures();
+    assert_eq!(store.begin_incarnation(INCARNATION), INCARNATION);
+    let mut all = observations();
     store
         .save(&mut folder, SAVED_AT, &all)
         .expect("memory takes it");
-    all[0] = later_figure();
+    all[0] = later_observation();
     store
         .save(&mut folder, SAVED_AGAIN_AT, &all)
         .expect("memory takes it");
@@ -184,19 +196,24 @@
 /// The same bytes record by record: the form in which a handover image carries them.
 #[test]
 fn records_of_the_store_file() {
-    let figures = stored().kept.into_iter().map(Record::Observation);
-    let records: Vec<Record> = [Record::Life(LIFE)].into_iter().chain(figures).collect();
+    let observations = stored().observations.into_iter().map(Record::Observation);
+    let records: Vec<Record> = [Record::Incarnation(INCARNATION)]
+        .into_iter()
+        .chain(observations)
+        .collect();
     let encode = |records: &Vec<Record>| {
-        let framed = records.iter().flat_map(store_format::record);
-        store_format::head().into_iter().chain(framed).collect()
+        let framed = records
+            .iter()
+            .flat_map(|record| encoded(store_format::record(record)));
+        store_format::header().into_iter().chain(framed).collect()
     };
     let decode = |bytes: &[u8]| {
         let Recovered {
             records,
-            used,
-            flaw,
+            valid_bytes,
+            error,
         } = store_format::recover(bytes);
-        assert_eq!((used, flaw), (bytes.len(), None));
+        assert_eq!((valid_bytes, error), (bytes.len(), None));
         records
     };
     golden_file::assert_form("store_file", &records, encode, decode);
@@ -204,19 +221,24 @@
 
 /// Nothing writes it any more, but files of it are still to be read.
 #[test]
-fn store_file_of_the_first_form() {
-    let expected: Vec<PersistedObservation> = figures()
+fn store_file_of_version_1() {
+    let expected: Vec<PersistedObservation> = observations()
         .into_iter()
-        .map(|told| kept(SAVED_AT, told))
+        .map(|observation| persisted(SAVED_AT, observation))
         .collect();
     let encode = |all: &Vec<PersistedObservation>| {
-        let framed = all.iter().flat_map(store_format::framed);
+        let framed = all
+            .iter()
+            .flat_map(|value| encoded(store_format::framed(value)));
         b"MSK1\x01\0\0\0".iter().copied().chain(framed).collect()
     };
     let decode = |bytes: &[u8]| {
         let found = open_store(bytes);
-        assert_eq!((found.life, found.flaw, found.set_aside), (0, None, false));
-        found.kept
+        assert_eq!(
+            (found.incarnation, found.error, found.was_set_aside),
+            (0, None, false)
+        );
+        found.observations
     };
     golden_file::assert_form("store_file_first_form", &expected, encode, decode);
 }
@@ -231,41 +253,41 @@
 }
 
 #[test]
-fn figure_as_it_is_kept() {
-    let figures: Vec<Observation> = STANDINGS
+fn observation_as_it_is_held() {
+    let observations: Vec<Observation> = STATUSES
         .into_iter()
         .zip(1..)
-        .map(|(standing, place)| Observation {
+        .map(|(status, place)| Observation {
             value: 0.125 + f64::from(place),
-            count: 10 + place,
-            seen: 20.5 + f64::from(place),
-            number: 300_000 + u64::from(place),
+            sample_count: 10 + place,
+            observed_at: 20.5 + f64::from(place),
+            sequence: 300_000 + u64::from(place),
             hops: 40 + place as u8,
-            standing,
+            status,
         })
         .collect();
-    golden_file::assert_form("figures", &figures, encode, decode);
+    golden_file::assert_form("figures", &observations, encode, decode);
 }
 
 #[test]
-fn news_of_peers() {
+fn membership_updates() {
     let states = [State::Alive, State::Suspect, State::Left, State::Gone];
-    let news: Vec<MembershipUpdate> = states
+    let updates: Vec<MembershipUpdate> = states
         .into_iter()
         .zip(1..)
         .map(|(state, place)| MembershipUpdate {
             name: format!("n{place}"),
             address: format!("127.0.0.1:74{place:02}"),
-            life: LIFE + u64::from(place),
-            turn: 10 + place,
+            incarnation: INCARNATION + u64::from(place),
+            refutations: 10 + place,
             state,
         })
         .collect();
-    golden_file::assert_form("news", &news, encode, decode);
+    golden_file::assert_form("news", &updates, encode, decode);
 }
 
-/// Golden files: `tests/golden/NAME.hex`, sixteen bytes a line, each line with its offset, the bytes in hexadecimal and
-/// the same bytes as text.
+/// Golden files: `tests/golden/NAME.hex`, sixteen bytes a line, each line with its offset, the
+/// bytes in hexadecimal and the same bytes as text.
 mod golden_file {
     use std::fmt::Write as _;
     use std::path::{Path, PathBuf};
@@ -308,8 +330,9 @@
             .collect()
     }
 
-    /// The bytes of a golden file, which must be there. With `GOLDEN_WRITE=1` in the environment a file that is missing
-    /// is written from `encoded`; one that is there is never changed, since bytes in the field don't change either.
+    /// The bytes of a golden file, which must be there. With `GOLDEN_WRITE=1` in the environment a
+    /// file that is missing is written from `encoded`; one that is there is never changed, since
+    /// bytes in the field don't change either.
     pub fn read(name: &str, encoded: &[u8]) -> Vec<u8> {
         let path = path_of(name);
         if std::env::var_os("GOLDEN_WRITE").is_some_and(|value| value == "1") && !path.exists() {
@@ -333,7 +356,8 @@
         );
     }
 
-    /// Asserts that the golden bytes are decoded to exactly this value, and the value encoded to the golden bytes.
+    /// Asserts that the golden bytes are decoded to exactly this value, and the value encoded to
+    /// the golden bytes.
     pub fn assert_form<T: std::fmt::Debug + PartialEq>(
         name: &str,
         value: &T,
--- a/crates/merlinshelf-protocol/src/gossip.rs
+++ b/crates/merlinshelf-protocol/src/gossip.rs
@@ -9,7 +9,8 @@
 
 use merlinshelf_gossip::gossip_node::{MAX_OBSERVATIONS, MAX_UPDATES, Message};
 use merlinshelf_gossip::membership::{MembershipUpdate, State};
-use merlinshelf_gossip::observation::{GossipedObservation, Metric, Source, SourceStatus};
+use merlinshelf_gossip::metric::Metric;
+use merlinshelf_gossip::observation::{GossipedObservation, Source, SourceStatus};
 use percent_encoding::{AsciiSet, CONTROLS, percent_decode, utf8_percent_encode};
 use winnow::ascii::{dec_uint, float};
 use winnow::combinator::{alt, preceded};
@@ -62,10 +63,10 @@
 pub fn put_message(out: &mut impl Buffer, kind: Kind, message: &Message) {
     let Message {
         from,
-        standing,
-        wants,
-        news,
-        figures,
+        status: standing,
+        wants_observations: wants,
+        updates: news,
+        observations: figures,
     } = message;
     let word = if kind == Kind::Ask { "ask" } else { "tell" };
     put(
@@ -73,7 +74,7 @@
         format_args!(
             "{word} {PROTOCOL_VERSION} {} {} {} {}\r\n",
             peer_words(from),
-            standing.name(),
+            standing.as_str(),
             u8::from(*wants),
             format_args!("{} {}", news.len(), figures.len())
         ),
@@ -83,23 +84,23 @@
         put(out, format_args!("peer {}\r\n", peer_words(one)), None);
     }
     for told in figures {
-        let (server, operation) = told.subject.names();
+        let labels = told.metric.labels();
         let of = (
-            told.subject.kind(),
-            name_or_none(server),
-            name_or_none(operation),
+            told.metric.kind(),
+            name_or_none(labels.server),
+            name_or_none(labels.operation),
         );
         let GossipedObservation {
-            origin,
+            source: origin,
             value,
-            count,
-            age,
-            number,
+            sample_count: count,
+            age_seconds: age,
+            sequence: number,
             hops,
-            standing,
+            status: standing,
             ..
         } = told;
-        let (by, life, standing) = (name(&origin.name), origin.life, standing.name());
+        let (by, life, standing) = (name(&origin.name), origin.incarnation, standing.as_str());
         put(
             out,
             format_args!(
@@ -115,8 +116,8 @@
     format!(
         "{} {} {} {} {}",
         name(&one.name),
-        one.life,
-        one.turn,
+        one.incarnation,
+        one.refutations,
         state_name(one.state),
         if one.address.is_empty() {
             "-".into()
@@ -150,17 +151,17 @@
                     }
                     None => return Ok((used, None)),
                 },
-                Some((_, message, news, _)) if message.news.len() < *news => match peer(rest)? {
+                Some((_, message, news, _)) if message.updates.len() < *news => match peer(rest)? {
                     Some((one, count)) => {
-                        message.news.push(one);
+                        message.updates.push(one);
                         count
                     }
                     None => return Ok((used, None)),
                 },
-                Some((_, message, _, figures)) if message.figures.len() < *figures => {
+                Some((_, message, _, figures)) if message.observations.len() < *figures => {
                     match figure(rest)? {
                         Some((told, count)) => {
-                            message.figures.push(told);
+                            message.observations.push(told);
                             count
                         }
                         None => return Ok((used, None)),
@@ -210,10 +211,10 @@
             kind,
             Message {
                 from,
-                standing,
-                wants,
-                news: Vec::new(),
-                figures: Vec::new(),
+                status: standing,
+                wants_observations: wants,
+                updates: Vec::new(),
+                observations: Vec::new(),
             },
             news,
             figures,
@@ -246,7 +247,7 @@
         let subject = (word, " ", name_field, " ", name_field).verify_map(
             |(kind, _, server, _, operation)| {
                 let kind = std::str::from_utf8(kind).ok()?;
-                Metric::of(kind, server.as_deref(), operation.as_deref())
+                Metric::parse(kind, server.as_deref(), operation.as_deref())
             },
         );
         let origin = (
@@ -254,7 +255,10 @@
             " ",
             dec_uint::<_, u64, _>,
         )
-            .map(|(name, _, life)| Source { name, life });
+            .map(|(name, _, life)| Source {
+                name,
+                incarnation: life,
+            });
         let numbers = (
             float::<_, f64, _>,
             " ",
@@ -283,14 +287,14 @@
             ("figure ", subject, " ", origin, " ", numbers, " ", rest),
         )?;
         Ok(GossipedObservation {
-            subject,
-            origin,
+            metric: subject,
+            source: origin,
             value,
-            count,
-            age,
-            number,
+            sample_count: count,
+            age_seconds: age,
+            sequence: number,
             hops,
-            standing,
+            status: standing,
         })
     };
     front(
@@ -340,8 +344,8 @@
             |(name, _, life, _, turn, _, state, _, address)| MembershipUpdate {
                 name,
                 address: address.unwrap_or_default(),
-                life,
-                turn,
+                incarnation: life,
+                refutations: turn,
                 state,
             },
         )
@@ -349,6 +353,6 @@
 }
 
 fn standing(input: &mut &[u8]) -> ModalResult<SourceStatus> {
-    word.verify_map(|text: &[u8]| SourceStatus::of(std::str::from_utf8(text).ok()?))
+    word.verify_map(|text: &[u8]| SourceStatus::parse(std::str::from_utf8(text).ok()?))
         .parse_next(input)
 }
--- a/crates/merlinshelf-protocol/tests/golden.rs
+++ b/crates/merlinshelf-protocol/tests/golden.rs
@@ -19,7 +19,7 @@
 const STANDINGS: [SourceStatus; 4] = [
     SourceStatus::Steady,
     SourceStatus::Recovering,
-    SourceStatus::JustTaught,
+    SourceStatus::RecentlySynced,
     SourceStatus::Leaving,
 ];
 const STATES: [State; 4] = [State::Alive, State::Suspect, State::Left, State::Gone];
@@ -50,28 +50,28 @@
         Metric::CallFailures {
             dependency: "dependency-7".into(),
         },
-        Metric::RunBelow {
+        Metric::RunDownstream {
             dependency: "dependency-8".into(),
             operation: "operation-8".into(),
         },
-        Metric::CallersAgain,
-        Metric::CallersBack,
+        Metric::RetryShare,
+        Metric::ReturningCallerShare,
     ]
 }
 
 fn figures() -> Vec<GossipedObservation> {
     let figure = |(place, subject): (usize, Metric)| GossipedObservation {
-        subject,
-        origin: Source {
+        metric: subject,
+        source: Source {
             name: format!("origin {place}"),
-            life: LIFE + 1 + place as u64,
+            incarnation: LIFE + 1 + place as u64,
         },
         value: 0.0625 + place as f64,
-        count: 20 + place as u32,
-        age: 40.5 + place as f64,
-        number: 300_000 + place as u64,
+        sample_count: 20 + place as u32,
+        age_seconds: 40.5 + place as f64,
+        sequence: 300_000 + place as u64,
         hops: 60 + place as u8,
-        standing: STANDINGS[place % STANDINGS.len()],
+        status: STANDINGS[place % STANDINGS.len()],
     };
     subjects().into_iter().enumerate().map(figure).collect()
 }
@@ -84,8 +84,8 @@
             State::Gone => String::new(),
             _ => format!("127.0.0.1:74{place:02}"),
         },
-        life: LIFE + 100 + u64::from(place),
-        turn: 80 + place,
+        incarnation: LIFE + 100 + u64::from(place),
+        refutations: 80 + place,
         state,
     };
     STATES.into_iter().zip(1..).map(peer).collect()
@@ -99,14 +99,14 @@
         from: MembershipUpdate {
             name: "n0".into(),
             address: "127.0.0.1:7400".into(),
-            life: LIFE,
-            turn: 2,
+            incarnation: LIFE,
+            refutations: 2,
             state: State::Alive,
         },
-        standing: SourceStatus::Recovering,
-        wants: true,
-        news: news(),
-        figures: figures(),
+        status: SourceStatus::Recovering,
+        wants_observations: true,
+        updates: news(),
+        observations: figures(),
     };
     (Kind::Ask, message)
 }
@@ -115,7 +115,7 @@
 fn answers_of_peer() -> Vec<Gossip> {
     let standings = [
         SourceStatus::Steady,
-        SourceStatus::JustTaught,
+        SourceStatus::RecentlySynced,
         SourceStatus::Leaving,
     ];
     let answer = |(standing, place): (SourceStatus, usize)| {
@@ -123,14 +123,14 @@
             from: MembershipUpdate {
                 name: format!("n{place}"),
                 address: format!("127.0.0.1:75{place:02}"),
-                life: LIFE + 200 + place as u64,
-                turn: 90 + place as u32,
+                incarnation: LIFE + 200 + place as u64,
+                refutations: 90 + place as u32,
                 state: STATES[place],
             },
-            standing,
-            wants: false,
-            news: news().into_iter().take(place).collect(),
-            figures: figures().into_iter().take(2 * place).collect(),
+            status: standing,
+            wants_observations: false,
+            updates: news().into_iter().take(place).collect(),
+            observations: figures().into_iter().take(2 * place).collect(),
         };
         (Kind::Tell, message)
     };
--- a/crates/merlinshelf-protocol/tests/teaching.rs
+++ b/crates/merlinshelf-protocol/tests/teaching.rs
@@ -12,25 +12,25 @@
     MembershipUpdate {
         name: name.into(),
         address: "127.0.0.1:7400".into(),
-        life: 1_796_150_622_705,
-        turn: 2,
+        incarnation: 1_796_150_622_705,
+        refutations: 2,
         state: State::Suspect,
     }
 }
 
 fn told(subject: Metric, value: f64) -> GossipedObservation {
     GossipedObservation {
-        subject,
-        origin: Source {
+        metric: subject,
+        source: Source {
             name: "n 1/ü%".into(),
-            life: 9,
+            incarnation: 9,
         },
         value,
-        count: 24,
-        age: 0.25,
-        number: 7,
+        sample_count: 24,
+        age_seconds: 0.25,
+        sequence: 7,
         hops: 2,
-        standing: SourceStatus::JustTaught,
+        status: SourceStatus::RecentlySynced,
     }
 }
 
@@ -82,14 +82,14 @@
             0.0,
         ),
         told(
-            Metric::RunBelow {
+            Metric::RunDownstream {
                 dependency: server,
                 operation,
             },
             600.0,
         ),
-        told(Metric::CallersAgain, 0.15),
-        told(Metric::CallersBack, 1.0),
+        told(Metric::RetryShare, 0.15),
+        told(Metric::ReturningCallerShare, 1.0),
     ];
     let nowhere = MembershipUpdate {
         address: String::new(),
@@ -98,10 +98,10 @@
     };
     Message {
         from: peer("n0"),
-        standing: SourceStatus::Recovering,
-        wants: true,
-        news: vec![peer("n2"), nowhere],
-        figures,
+        status: SourceStatus::Recovering,
+        wants_observations: true,
+        updates: vec![peer("n2"), nowhere],
+        observations: figures,
     }
 }
 
@@ -123,9 +123,9 @@
         (
             Kind::Ask,
             Message {
-                news: Vec::new(),
-                figures: Vec::new(),
-                wants: false,
+                updates: Vec::new(),
+                observations: Vec::new(),
+                wants_observations: false,
                 ..message()
             },
         ),
@@ -161,8 +161,8 @@
         operation: long.clone(),
     };
     let message = Message {
-        news: vec![peer(&long); MAX_UPDATES],
-        figures: vec![told(subject, 1.0 / 3.0); MAX_OBSERVATIONS],
+        updates: vec![peer(&long); MAX_UPDATES],
+        observations: vec![told(subject, 1.0 / 3.0); MAX_OBSERVATIONS],
         ..message()
     };
     let whole = bytes(Kind::Tell, &message);
@@ -173,11 +173,11 @@
     );
     for more in [
         Message {
-            news: vec![peer("a"); MAX_UPDATES + 1],
+            updates: vec![peer("a"); MAX_UPDATES + 1],
             ..message.clone()
         },
         Message {
-            figures: vec![told(Metric::CallersBack, 0.5); MAX_OBSERVATIONS + 1],
+            observations: vec![told(Metric::ReturningCallerShare, 0.5); MAX_OBSERVATIONS + 1],
             ..message
         },
     ] {
--- a/crates/merlinshelf-testbed/src/experiments/learning/crashes.rs
+++ b/crates/merlinshelf-testbed/src/experiments/learning/crashes.rs
@@ -44,19 +44,19 @@
             operation: format!("operation-{}", rng.random_range(0..40)),
         };
         let told = GossipedObservation {
-            subject,
-            origin: Source {
+            metric: subject,
+            source: Source {
                 name: "n0".into(),
-                life: 1,
+                incarnation: 1,
             },
             value: rng.random_range(0.001..1.0),
-            count: rng.random_range(1..24),
-            age: rng.random_range(0.0..30.0),
-            number: *number,
+            sample_count: rng.random_range(1..24),
+            age_seconds: rng.random_range(0.0..30.0),
+            sequence: *number,
             hops: 1,
-            standing: SourceStatus::Steady,
+            status: SourceStatus::Steady,
         };
-        all.retain(|one| one.subject != told.subject);
+        all.retain(|one| one.metric != told.metric);
         all.push(told);
     }
     all
@@ -68,7 +68,7 @@
         .ever
         .values()
         .flatten()
-        .map(|told| told.number)
+        .map(|told| told.sequence)
         .max()
         .unwrap_or(0);
     let mut all: Vec<GossipedObservation> =
@@ -79,7 +79,7 @@
         for told in &all {
             let ever = past
                 .ever
-                .entry((told.subject.clone(), told.number))
+                .entry((told.metric.clone(), told.sequence))
                 .or_default();
             if !ever.contains(told) {
                 ever.push(told.clone());
@@ -96,18 +96,18 @@
 /// saving that went well, and no life begun under a number that was used.
 fn right(found: &Found, past: &Past) -> bool {
     let mut last: BTreeMap<&Metric, &PersistedObservation> = BTreeMap::new();
-    for kept in &found.kept {
+    for kept in &found.observations {
         let known = past
             .ever
-            .get(&(kept.told.subject.clone(), kept.told.number));
-        if !known.is_some_and(|known| known.contains(&kept.told)) {
+            .get(&(kept.observation.metric.clone(), kept.observation.sequence));
+        if !known.is_some_and(|known| known.contains(&kept.observation)) {
             return false;
         }
-        last.insert(&kept.told.subject, kept);
+        last.insert(&kept.observation.metric, kept);
     }
     past.certain.iter().all(|(_, told)| {
-        last.get(&told.subject)
-            .is_some_and(|of| of.told.number >= told.number)
+        last.get(&told.metric)
+            .is_some_and(|of| of.observation.sequence >= told.sequence)
     })
 }
 
@@ -126,7 +126,7 @@
                 }
                 if let Ok((mut store, found)) = Store::open(&mut disk) {
                     crashes.read_back += 1;
-                    let began = store.begin((clock * 1e3) as u64);
+                    let began = store.begin_incarnation((clock * 1e3) as u64);
                     if !right(&found, &past) || began <= past.life {
                         crashes.wrong += 1;
                     }
--- a/crates/merlinshelf-testbed/src/experiments/learning/fleet.rs
+++ b/crates/merlinshelf-testbed/src/experiments/learning/fleet.rs
@@ -55,7 +55,7 @@
         engine: "e".into(),
         dependency: "d".into(),
         operations: (0..8).map(|place| format!("operation-{place}")).collect(),
-        keep_idle: Some(30),
+        keep_alive_seconds: Some(30),
     }
 }
 
@@ -89,8 +89,8 @@
         address: number.to_string(),
         seeds: seeds.iter().map(usize::to_string).collect(),
         scope: scope(),
-        share: 0.01,
-        members: membership::Settings::default(),
+        cpu_share: 0.01,
+        membership: membership::Settings::default(),
     }
 }
 
@@ -161,10 +161,10 @@
                     let Some(one) = &mut self.learners[to] else {
                         continue;
                     };
-                    let Some(answer) = one.asked(now, &message) else {
+                    let Some(answer) = one.poll_received(now, &message) else {
                         continue;
                     };
-                    one.spent(2e-5);
+                    one.charge_cpu_seconds(2e-5);
                     let what = What::Answer {
                         to: from,
                         message: Box::new(answer.clone()),
@@ -174,7 +174,7 @@
                 Some(What::Answer { to, message }) => {
                     let now = self.now;
                     if let Some(one) = &mut self.learners[to] {
-                        one.answered(now, &message);
+                        one.answer_received(now, &message);
                     }
                 }
                 None => {}
@@ -189,9 +189,13 @@
         let Some(one) = &mut self.learners[number] else {
             return self.at(now + 1.0, What::Wake(number));
         };
-        let steps = one.woken(now, &mut || rng.random());
-        let wake = one.wake_at().unwrap_or(now + 1.0);
-        for Action::Ask { address, question } in steps {
+        let steps = one.timer_expired(now, &mut || rng.random());
+        let wake = one.next_timeout().unwrap_or(now + 1.0);
+        for Action::Poll {
+            address,
+            poll: question,
+        } in steps
+        {
             let Ok(to) = address.parse() else { continue };
             let what = What::Question {
                 from: number,
@@ -209,7 +213,7 @@
         self.learners
             .iter_mut()
             .flatten()
-            .for_each(|one| one.see(now, now, &learnt));
+            .for_each(|one| one.record_own_samples(now, now, &learnt));
     }
 
     /// Goes on until all that live say so, at most so long; when that was.
--- a/crates/merlinshelf-testbed/src/experiments/learning/worth.rs
+++ b/crates/merlinshelf-testbed/src/experiments/learning/worth.rs
@@ -313,7 +313,7 @@
             0.005,
         ));
         right.push((
-            Metric::RunBelow {
+            Metric::RunDownstream {
                 dependency: dependency(),
                 operation: name.into(),
             },
@@ -339,8 +339,8 @@
         },
         8.0,
     ));
-    right.push((Metric::CallersAgain, 0.01));
-    right.push((Metric::CallersBack, 0.9));
+    right.push((Metric::RetryShare, 0.01));
+    right.push((Metric::ReturningCallerShare, 0.9));
     // Told of an outage where there is none, and of none where there is one.
     let failures = if outage { 0.0 } else { 50.0 };
     right.push((
@@ -350,7 +350,7 @@
         failures,
     ));
     let told = |(place, (subject, value)): (usize, (Metric, f64))| {
-        let callers = matches!(subject, Metric::CallersAgain | Metric::CallersBack);
+        let callers = matches!(subject, Metric::RetryShare | Metric::ReturningCallerShare);
         let most = if callers { 1.0 } else { 600.0 };
         let failures = matches!(subject, Metric::CallFailures { .. });
         GossipedObservation {
@@ -359,20 +359,20 @@
             } else {
                 (value * factor(place as u64)).clamp(0.01, most)
             },
-            subject,
-            origin: Source {
+            metric: subject,
+            source: Source {
                 name: "bad".into(),
-                life: 1,
+                incarnation: 1,
             },
-            count: 24,
-            age: if teacher == Teacher::Stale {
+            sample_count: 24,
+            age_seconds: if teacher == Teacher::Stale {
                 120.0
             } else {
                 0.0
             },
-            number: 1,
+            sequence: 1,
             hops: 1,
-            standing: SourceStatus::Steady,
+            status: SourceStatus::Steady,
         }
     };
     right.into_iter().enumerate().map(told).collect()
@@ -384,8 +384,8 @@
         let from = MembershipUpdate {
             name: "bad".into(),
             address: address.clone(),
-            life: 1,
-            turn: 0,
+            incarnation: 1,
+            refutations: 0,
             state: merlinshelf_gossip::State::Alive,
         };
         let figures = figures.clone();
@@ -403,10 +403,10 @@
             }
             let answer = Message {
                 from,
-                standing: SourceStatus::Steady,
-                wants: false,
-                news: Vec::new(),
-                figures,
+                status: SourceStatus::Steady,
+                wants_observations: false,
+                updates: Vec::new(),
+                observations: figures,
             };
             let mut bytes: Vec<u8> = Vec::new();
             put_message(&mut bytes, Kind::Tell, &answer);
--- a/crates/merlinshelf-testbed/tests/fleet.rs
+++ b/crates/merlinshelf-testbed/tests/fleet.rs
@@ -11,13 +11,13 @@
     world.all_see(2, 1.0);
     world.until(6.0);
     for one in world.learners.iter().flatten() {
-        let of = one.beliefs(world.now);
+        let of = one.prior_estimates(world.now);
         assert!(
             of.run_durations.iter().flatten().all(|of| of.weight < 0.06),
             "{:?}",
             of.run_durations
         );
-        assert_ne!(one.standing(), SourceStatus::Steady);
+        assert_ne!(one.status(), SourceStatus::Steady);
     }
     // They met over it, at two messages a second each and a few at the start.
     assert!(world.messages < 40 * (6 * 2 + 2 * 60), "{}", world.messages);
@@ -37,7 +37,7 @@
     world.until(world.now + 1.0);
     let now = world.now;
     for one in world.learners[20..].iter().flatten() {
-        let of = one.beliefs(now);
+        let of = one.prior_estimates(now);
         assert!(
             of.run_durations
                 .iter()
@@ -73,7 +73,7 @@
     world.learners[..15]
         .iter_mut()
         .flatten()
-        .for_each(|one| one.see(now, now, &slow));
+        .for_each(|one| one.record_own_samples(now, now, &slow));
     world.part.fill(0);
     world
         .when(60.0, |one| one.members().alive().count() == 29)
@@ -84,7 +84,7 @@
     let of = world.learners[29]
         .as_ref()
         .expect("it lives")
-        .beliefs(now)
+        .prior_estimates(now)
         .run_durations[3]
         .expect("it is told of");
     assert!((of.value - 0.08).abs() < 1e-9, "{of:?}");
--- a/crates/merlinshelf-testbed/tests/store.rs
+++ b/crates/merlinshelf-testbed/tests/store.rs
@@ -14,27 +14,31 @@
 
 fn told(operation: &str, number: u64) -> GossipedObservation {
     GossipedObservation {
-        subject: Metric::RunRecent {
+        metric: Metric::RunRecent {
             engine: "e".into(),
             operation: operation.into(),
         },
-        origin: Source {
+        source: Source {
             name: "n0".into(),
-            life: 1,
+            incarnation: 1,
         },
         value: 0.01,
-        count: 24,
-        age: 1.0,
-        number,
+        sample_count: 24,
+        age_seconds: 1.0,
+        sequence: number,
         hops: 1,
-        standing: SourceStatus::Steady,
+        status: SourceStatus::Steady,
     }
 }
 
 fn read(disk: &mut Disk) -> Vec<GossipedObservation> {
     let found = Store::open(disk).expect("it can be read").1;
-    assert_eq!(found.flaw, None);
-    found.kept.into_iter().map(|kept| kept.told).collect()
+    assert_eq!(found.error, None);
+    found
+        .observations
+        .into_iter()
+        .map(|kept| kept.observation)
+        .collect()
 }
 
 #[test]
@@ -49,7 +53,7 @@
 fn what_changes_is_written_behind_and_all_anew_once_the_log_is_long() {
     let mut disk = disk();
     let (mut store, _) = Store::open(&mut disk).expect("it is empty");
-    store.begin(5);
+    store.begin_incarnation(5);
     let mut longest = 0;
     for number in 0..3000 {
         store
@@ -89,7 +93,7 @@
         disk.put(STORE_FILE, &bytes);
         let (mut store, found) = Store::open(&mut disk).expect("it can be read");
         assert_eq!(
-            (found.flaw, found.set_aside, found.kept.len()),
+            (found.error, found.was_set_aside, found.observations.len()),
             (Some(FrameError::Foreign), true, 0)
         );
         assert!(disk.has(STORE_FILE_ASIDE) && !disk.has(STORE_FILE));
@@ -103,8 +107,8 @@
 #[test]
 fn the_form_before_is_read_and_a_garbled_record_costs_what_follows_it() {
     let bytes = rmp_serde::to_vec_named(&PersistedObservation {
-        at: 9.0,
-        told: told("a", 4),
+        saved_at: 9.0,
+        observation: told("a", 4),
     })
     .expect("a record");
     let mut file = b"MSK1\x01\0\0\0".to_vec();
@@ -116,14 +120,14 @@
     assert_eq!(read(&mut disk), [told("a", 4)]);
     // Written by this version, it is of this form.
     let (mut store, _) = Store::open(&mut disk).expect("it can be read");
-    let life = store.begin(12);
+    let life = store.begin_incarnation(12);
     store
         .save(&mut disk, 10.0, &[told("a", 4), told("b", 5)])
         .expect("it is kept");
     let (mut again, found) = Store::open(&mut disk).expect("it can be read");
-    assert_eq!((found.life, found.kept.len()), (life, 2));
+    assert_eq!((found.incarnation, found.observations.len()), (life, 2));
     // The clock went back: the next life is a later one all the same.
-    assert_eq!(again.begin(3), life + 1);
+    assert_eq!(again.begin_incarnation(3), life + 1);
     let mut whole = merlinshelf_gossip::Files::read(&mut disk, STORE_FILE)
         .expect("it reads")
         .expect("it is there");
@@ -132,7 +136,7 @@
     disk.put(STORE_FILE, &whole);
     let (_, found) = Store::open(&mut disk).expect("it can be read");
     assert_eq!(
-        (found.flaw, found.kept.len(), found.set_aside),
+        (found.error, found.observations.len(), found.was_set_aside),
         (Some(FrameError::Garbled), 1, true)
     );
     assert!(
@@ -155,7 +159,10 @@
         disk.trouble = None;
         let found = Store::open(&mut disk).expect("it can be read").1;
         assert!(
-            found.kept.iter().any(|kept| kept.told == told("a", 1)),
+            found
+                .observations
+                .iter()
+                .any(|kept| kept.observation == told("a", 1)),
             "{trouble:?}: {found:?}"
         );
     }
