--- a/crates/merlinshelf-agent/src/agent/operator_requests.rs
+++ b/crates/merlinshelf-agent/src/agent/operator_requests.rs
@@ -40,7 +40,7 @@
     pub(super) fn handle_request(&mut self, request: PendingRequest) {
         match request {
             PendingRequest::Fleet(body, reply) => {
-                self.handle_fleet_request(&body, ReplySender::new(reply))
+                self.handle_fleet_request(&body, ReplySender::new(reply));
             }
             PendingRequest::Status(reply) => {
                 let status = status_report(&self.fleet, self.now(), &self.instance_names());
--- a/crates/merlinshelf-backend/src/exchange/arrivals.rs
+++ b/crates/merlinshelf-backend/src/exchange/arrivals.rs
@@ -43,8 +43,8 @@
     Unknown,
 }
 
-/// The bytes that an invocation holds while it is being read, of those that all may hold: dropping it gives
-/// them back.
+/// The bytes that an invocation holds while it is being read, of those that all may hold: dropping
+/// it gives them back.
 #[derive(Debug)]
 pub struct ReadReservation {
     taken: Rc<Cell<usize>>,
@@ -133,7 +133,8 @@
         }
     }
 
-    /// A place for one more invocation to be read, if there is one beside all that are read and those in hand.
+    /// A place for one more invocation to be read, if there is one beside all that are read and
+    /// those in hand.
     pub fn reserve_reading(&self) -> Option<ReadReservation> {
         let mut place = ReadReservation {
             taken: self.reading_bytes.clone(),
@@ -143,7 +144,8 @@
         (!self.is_full() && place.grow(PLACE_BYTES)).then_some(place)
     }
 
-    /// The place of one that another process was reading: it had one, and what was begun is not cut off by a bound.
+    /// The place of one that another process was reading: it had one, and what was begun is not cut
+    /// off by a bound.
     pub fn restore_reading(&self, bytes: usize) -> ReadReservation {
         let mut place = ReadReservation {
             taken: self.reading_bytes.clone(),
@@ -166,7 +168,8 @@
         self.connections.wake_all();
     }
 
-    /// An invocation was read whole. False where its id is in hand already, so that it can't be told apart.
+    /// An invocation was read whole. False where its id is in hand already, so that it can't be
+    /// told apart.
     pub fn invocation_read(&mut self, reply: ReplyAddress, arrival: Arrival) -> bool {
         if self.invocations.find(arrival.id).is_some() {
             return false;
@@ -248,9 +251,9 @@
     }
 }
 
-/// What the module is told of an arrival: its age and what is left of its budget at this moment. A wall
-/// clock that was stepped makes neither negative nor longer than its caller waits; a budget that is used
-/// up stays one of nothing, which is not the same as none.
+/// What the module is told of an arrival: its age and what is left of its budget at this moment. A
+/// wall clock that was stepped makes neither negative nor longer than its caller waits; a budget
+/// that is used up stays one of nothing, which is not the same as none.
 pub(super) fn told(arrival: &Arrival, unix_ms: f64) -> Invocation {
     let age = (unix_ms - arrival.received_at_ms).max(0.0);
     let budget = arrival
--- a/crates/merlinshelf-backend/src/exchange/calls.rs
+++ b/crates/merlinshelf-backend/src/exchange/calls.rs
@@ -148,7 +148,8 @@
         }
     }
 
-    /// By operation, what its calls are called where dependencies are told apart; a result that is without one says so.
+    /// By operation, what its calls are called where dependencies are told apart; a result that is
+    /// without one says so.
     pub fn set_dependency_names(&mut self, parts: impl Fn(&str) -> Vec<Rc<str>>) {
         self.dependency_names = Some(
             self.operation_names
--- a/crates/merlinshelf-backend/src/exchange/connections.rs
+++ b/crates/merlinshelf-backend/src/exchange/connections.rs
@@ -8,7 +8,8 @@
 use super::send_queue::SendQueue;
 use super::{Answer, Shared};
 
-/// One connection's side of the exchange. Dropping it is the one way in which the connection is released.
+/// One connection's side of the exchange. Dropping it is the one way in which the connection is
+/// released.
 pub struct ConnectionHandle {
     exchange: Shared,
     number: usize,
--- a/crates/merlinshelf-backend/src/exchange/in_flight.rs
+++ b/crates/merlinshelf-backend/src/exchange/in_flight.rs
@@ -42,7 +42,8 @@
     pub notifications: u64,
     /// When its open call times out, from the exchange's start.
     pub call_timeout_at: Option<Duration>,
-    /// The last command about it that the engine is not known to have read, and whether it was put on the link.
+    /// The last command about it that the engine is not known to have read, and whether it was put
+    /// on the link.
     pub command: Option<(Command, bool)>,
     /// Its place in the order of arrival.
     pub arrival_order: u64,
@@ -55,7 +56,8 @@
     free: Vec<usize>,
     by_id: HashMap<CallId, usize>,
     arrivals: u64,
-    /// While a journal is written: the numbers that may have changed since, and the ids that were released.
+    /// While a journal is written: the numbers that may have changed since, and the ids that were
+    /// released.
     pub unsaved: Option<(BTreeSet<usize>, Vec<CallId>)>,
 }
 
--- a/crates/merlinshelf-backend/src/exchange/journaling.rs
+++ b/crates/merlinshelf-backend/src/exchange/journaling.rs
@@ -1,5 +1,5 @@
-//! The journal of a successor on probation: each change is written down before it shows, so that the predecessor can
-//! recover everything if this process dies.
+//! The journal of a successor on probation: each change is written down before it shows, so that
+//! the predecessor can recover everything if this process dies.
 
 use merlinshelf_handover::Key;
 use serde::Serialize;
--- a/crates/merlinshelf-backend/src/exchange/mod.rs
+++ b/crates/merlinshelf-backend/src/exchange/mod.rs
@@ -1,7 +1,8 @@
 //! Where the server side and the client side meet.
 //!
-//! The exchange owns the admission controller and all invocations in flight. It feeds the controller with events and
-//! carries out its decisions, field by field in the order of the interface. Neither side knows of the other.
+//! The exchange owns the admission controller and all invocations in flight. It feeds the
+//! controller with events and carries out its decisions, field by field in the order of the
+//! interface. Neither side knows of the other.
 
 mod answer_records;
 mod arrivals;
@@ -48,11 +49,12 @@
 /// The exchange as all parts of an instance, on one thread, share it.
 pub type Shared = Rc<RefCell<Exchange>>;
 
-/// A quarter of the memory limit is for invocations in flight at 20 KB each: a body, a result and a call's two by the
-/// protocol's sizes, and as much again. Far more than the controller ever admits: it bounds what a broken peer can do.
+/// A quarter of the memory limit is for invocations in flight at 20 KB each: a body, a result and a
+/// call's two by the protocol's sizes, and as much again. Far more than the controller ever admits:
+/// it bounds what a broken peer can do.
 const IN_FLIGHT_KILOBYTES: usize = 4 * 20;
-/// A sixteenth is for those that are being read, by the bytes that were received, so that many that are begun and
-/// abandoned keep nothing from those that arrive completely.
+/// A sixteenth is for those that are being read, by the bytes that were received, so that many that
+/// are begun and abandoned keep nothing from those that arrive completely.
 const READING_PART: usize = 16;
 
 /// The invocations of one instance, and what stands between its two sides.
@@ -81,8 +83,8 @@
     is_healthy: bool,
     idle_timeout: Duration,
     is_closing: bool,
-    /// Bytes of invocations that are being read on all connections, how many these may be, and how many
-    /// invocations may be in hand.
+    /// Bytes of invocations that are being read on all connections, how many these may be, and how
+    /// many invocations may be in hand.
     reading_bytes: Rc<Cell<usize>>,
     max_reading_bytes: usize,
     max_in_flight: usize,
@@ -134,7 +136,8 @@
         if names.is_empty() || names.iter().any(|name| name.is_empty()) {
             return Err("settings: Classes lacks an operation or one's Name".into());
         }
-        // The wire brings no token by which a repeat could be known, so that such an operation might run twice.
+        // The wire brings no token by which a repeat could be known, so that such an operation
+        // might run twice.
         let has = |place: usize, effect: &str| {
             settings
                 .get(&format!("Classes.{place}.Effect"))
@@ -221,8 +224,8 @@
         }
     }
 
-    /// The notice to leave, which came `late` ago: by `stop` the process has to be gone. The grace counts from the
-    /// notice.
+    /// The notice to leave, which came `late` ago: by `stop` the process has to be gone. The grace
+    /// counts from the notice.
     pub fn begin_shutdown(&mut self, stop: Instant, late: Duration) {
         self.shutdown_at = Some(stop);
         self.shutdown_notice.notify_one();
--- a/crates/merlinshelf-backend/src/exchange/policy.rs
+++ b/crates/merlinshelf-backend/src/exchange/policy.rs
@@ -1,5 +1,6 @@
-//! The policy that holds for all instances, as this one acts on it: a lease is looked at before the module is told anything,
-//! and a change is a new module that takes up what the former one had, between two events.
+//! The policy that holds for all instances, as this one acts on it: a lease is looked at before the
+//! module is told anything, and a change is a new module that takes up what the former one had,
+//! between two events.
 
 use std::panic::catch_unwind;
 
@@ -13,7 +14,8 @@
 use super::{CallDemand, Exchange, monotonic, unix_ms};
 use crate::operator::PolicySettings;
 
-/// What else is laid under a policy: told whenever it is another one. Whether it could be is asked first.
+/// What else is laid under a policy: told whenever it is another one. Whether it could be is asked
+/// first.
 pub trait PolicyOverlay {
     /// # Errors
     /// What does not fit.
--- a/crates/merlinshelf-backend/src/exchange/quota.rs
+++ b/crates/merlinshelf-backend/src/exchange/quota.rs
@@ -1,5 +1,5 @@
-//! What a fleet's budgets let this one spend on calls below, as the module and the router are told it: before anything is decided
-//! they hear what is left, and what they made use of is counted.
+//! What a fleet's budgets let this one spend on calls below, as the module and the router are told
+//! it: before anything is decided they hear what is left, and what they made use of is counted.
 
 use std::collections::BTreeMap;
 use std::fs::{File, OpenOptions};
@@ -22,7 +22,8 @@
 use super::{Exchange, monotonic};
 use crate::operator::PolicySettings;
 
-/// Between two looks at what the host has set aside, seconds: where there is nothing, each call that is wanted would look.
+/// Between two looks at what the host has set aside, seconds: where there is nothing, each call
+/// that is wanted would look.
 const LOOK_EVERY: f64 = 0.005;
 
 /// What an instance holds of all budgets.
@@ -38,7 +39,8 @@
     looked_at: BTreeMap<(String, CallKind), f64>,
     phases: BTreeMap<String, Phase>,
     complained: bool,
-    /// Calls and connections that were bounded and made since they were last counted, and those drawn from what is set aside.
+    /// Calls and connections that were bounded and made since they were last counted, and those
+    /// drawn from what is set aside.
     made: (u64, u64),
 }
 
@@ -107,7 +109,8 @@
         any.then(|| self.spender.request(monotonic()))
     }
 
-    /// What is left of each, for a caller that was told before: what of that was `left_over`, and whether the dependency fails.
+    /// What is left of each, for a caller that was told before: what of that was `left_over`, and
+    /// whether the dependency fails.
     fn renew(
         &mut self,
         name: &str,
@@ -222,9 +225,11 @@
     }
 }
 
-/// Draws one call from the file that all instances of the host have in common. Whoever holds it is not waited for.
+/// Draws one call from the file that all instances of the host have in common. Whoever holds it is
+/// not waited for.
 fn draw(folder: &Path, name: &str, kind: CallKind, aside: u32, drift: f64) -> io::Result<bool> {
-    // Names of dependencies may be anything: as a file each byte that is no letter or digit is written as its number.
+    // Names of dependencies may be anything: as a file each byte that is no letter or digit is
+    // written as its number.
     let plain = name.bytes().map(|byte| match byte {
         b'a'..=b'z' | b'A'..=b'Z' | b'0'..=b'9' => char::from(byte).to_string(),
         _ => format!("%{byte:02x}"),
@@ -252,14 +257,16 @@
     Read::by_ref(&mut file)
         .take(64 * 1024)
         .read_to_end(&mut bytes)?;
-    // The clock is read behind the lock: what is written down stands in the order in which it was drawn.
+    // The clock is read behind the lock: what is written down stands in the order in which it was
+    // drawn.
     let (may, next) = match reserve::draw(&bytes, monotonic(), aside, drift) {
         Ok(next) => (true, Some(next)),
         Err(DrawError::Exhausted) => (false, None),
         Err(DrawError::Corrupt { replacement }) => (false, Some(replacement)),
     };
     if let Some(next) = next {
-        // Longer or the same length first, then cut: a process that dies in between leaves too many, not too few.
+        // Longer or the same length first, then cut: a process that dies in between leaves too
+        // many, not too few.
         file.rewind()?;
         file.write_all(&next)?;
         file.set_len(next.len() as u64)?;
@@ -268,7 +275,8 @@
 }
 
 impl Exchange {
-    /// Tells the module what it may spend from here on. `again`: a further call is wanted now; `call`: one that its run wants.
+    /// Tells the module what it may spend from here on. `again`: a further call is wanted now;
+    /// `call`: one that its run wants.
     pub(super) fn apply_quota(&mut self, wanting: CallDemand) {
         let Some(spending) = &mut self.quota else {
             return;
@@ -350,7 +358,8 @@
         }
     }
 
-    /// What may be spent on a dependency that is told apart, for the one who calls it: as `renew` of it says.
+    /// What may be spent on a dependency that is told apart, for the one who calls it: as `renew`
+    /// of it says.
     pub fn renew_quota(
         &mut self,
         name: &str,
--- a/crates/merlinshelf-backend/src/exchange/restoration.rs
+++ b/crates/merlinshelf-backend/src/exchange/restoration.rs
@@ -33,8 +33,8 @@
         Ok(())
     }
 
-    /// Takes up the instance and all invocations in hand from an image whose connections have come as well. The doors
-    /// must be open by now; `lines` are the calls below that go on.
+    /// Takes up the instance and all invocations in hand from an image whose connections have come
+    /// as well. The doors must be open by now; `lines` are the calls below that go on.
     pub fn restore(
         &mut self,
         image: &Image,
@@ -214,8 +214,8 @@
         }
     }
 
-    /// Commands that another process had put on the link and that may not have been read, to be looked after by the
-    /// link's part.
+    /// Commands that another process had put on the link and that may not have been read, to be
+    /// looked after by the link's part.
     pub fn take_inherited_commands(&mut self) -> Vec<(Command, u64)> {
         std::mem::take(&mut self.inherited_commands)
     }
--- a/crates/merlinshelf-backend/src/exchange/runs.rs
+++ b/crates/merlinshelf-backend/src/exchange/runs.rs
@@ -80,8 +80,8 @@
         self.commands.push((command, invocation.notifications));
     }
 
-    /// The engine has said HELLO: the module starts, cold or warm as the engine did. Starts it anew where the
-    /// engine has been started anew, whose runs are then all gone.
+    /// The engine has said HELLO: the module starts, cold or warm as the engine did. Starts it anew
+    /// where the engine has been started anew, whose runs are then all gone.
     pub fn engine_up(&mut self, warm: bool, up: f64, anew: bool) {
         if self.controller.is_some() && !anew {
             return;
@@ -134,7 +134,8 @@
         self.decide(|controller, now| controller.run_ended(now, index, outcome, took));
     }
 
-    /// A run waits for a call with this body, of the dependency that it names where that was agreed.
+    /// A run waits for a call with this body, of the dependency that it names where that was
+    /// agreed.
     pub fn call_requested(&mut self, id: CallId, number: u64, named: Option<&str>, body: &[u8]) {
         self.counters.needs += 1;
         let Some(index) = self.note_notification(id) else {
@@ -164,9 +165,9 @@
         Some(index)
     }
 
-    /// The gauges, in the order of the settings, asked for so long ago. The module hears them at this moment,
-    /// with its next wake brought forward: it takes what runs by its own count from what the engine counts,
-    /// and by the time the wake was due runs would have ended and begun.
+    /// The gauges, in the order of the settings, asked for so long ago. The module hears them at
+    /// this moment, with its next wake brought forward: it takes what runs by its own count from
+    /// what the engine counts, and by the time the wake was due runs would have ended and begun.
     pub fn gauges_received(&mut self, values: &[f64], age: Duration) {
         self.counters.stats += 1;
         if age > GAUGES_AGE {
@@ -202,10 +203,11 @@
         }
     }
 
-    /// A command may have been lost with a link, and all notices since have been read. It is given again
-    /// where that can do no harm: a run that goes on is not started twice, and a skip names its notice. A
-    /// reply names neither, but where runs make one call at most a second FEED finds the run waiting for
-    /// it or is refused. Elsewhere the module is asked about that call once more.
+    /// A command may have been lost with a link, and all notices since have been read. It is given
+    /// again where that can do no harm: a run that goes on is not started twice, and a skip names
+    /// its notice. A reply names neither, but where runs make one call at most a second FEED finds
+    /// the run waiting for it or is refused. Elsewhere the module is asked about that call once
+    /// more.
     pub fn command_lost(&mut self, command: Command, heard: u64) {
         let Some(index) = self.invocations.find(command.id()) else {
             return;
@@ -218,7 +220,8 @@
         }
         let operation = invocation.operation;
         match command {
-            // A second one might reach the run's next call, where runs of this operation make more than one.
+            // A second one might reach the run's next call, where runs of this operation make more
+            // than one.
             Command::Feed { .. } if self.makes_several_calls[operation] => {
                 if self.idempotent[operation] {
                     self.decide(|controller, now| controller.call_requested(now, index));
--- a/crates/merlinshelf-backend/src/exchange/snapshot.rs
+++ b/crates/merlinshelf-backend/src/exchange/snapshot.rs
@@ -1,7 +1,7 @@
 //! Taking a snapshot: how the exchange stops and is written into a handover image.
 //!
-//! [`Exchange::freeze`] tells all parts to stop where they stand. Each hands in its record and its connection as a
-//! [`StoppedPart`]; once all have, [`Exchange::take_snapshot`] writes the image.
+//! [`Exchange::freeze`] tells all parts to stop where they stand. Each hands in its record and its
+//! connection as a [`StoppedPart`]; once all have, [`Exchange::take_snapshot`] writes the image.
 
 use std::collections::BTreeMap;
 use std::net::TcpStream;
@@ -18,7 +18,8 @@
 use super::runs::Command;
 use super::{Exchange, Shared};
 
-/// What a part hands in when it stops where it stands: its record, and its connection where it has one.
+/// What a part hands in when it stops where it stands: its record, and its connection where it has
+/// one.
 #[derive(Debug)]
 pub enum StoppedPart {
     Client(u64, records::ClientConnectionRecord, TcpStream),
@@ -213,7 +214,8 @@
     }
 }
 
-/// Passes a new connection to the predecessor, before anything goes over it. Without one it costs nothing.
+/// Passes a new connection to the predecessor, before anything goes over it. Without one it costs
+/// nothing.
 pub async fn pass(exchange: &Shared, role: Role, socket: &impl AsFd) -> std::io::Result<()> {
     let passing = exchange.borrow().opened_connections.clone();
     let Some(passing) = passing else {
--- a/crates/merlinshelf-backend/src/exchange/tests.rs
+++ b/crates/merlinshelf-backend/src/exchange/tests.rs
@@ -215,7 +215,8 @@
     play.tell("FEED lost", |exchange| {
         exchange.command_lost(feed.clone(), 1)
     });
-    // A run that makes a second call could take a second reply for its own: from then on it is asked for anew.
+    // A run that makes a second call could take a second reply for its own: from then on it is
+    // asked for anew.
     play.tell("NEED 2", |exchange| {
         exchange.call_requested(id(1), 2, None, b"next call")
     });
--- a/crates/merlinshelf-backend/src/exchange/timers.rs
+++ b/crates/merlinshelf-backend/src/exchange/timers.rs
@@ -15,7 +15,8 @@
     CallTimeout(CallId, usize),
 }
 
-/// Pending timers, the soonest first. Times are counted from the exchange's start, on a monotonic clock.
+/// Pending timers, the soonest first. Times are counted from the exchange's start, on a monotonic
+/// clock.
 #[derive(Debug, Default)]
 pub struct TimerQueue {
     all: BinaryHeap<Reverse<(Duration, Timer)>>,
--- a/crates/merlinshelf-fleet/src/fleet_spec.rs
+++ b/crates/merlinshelf-fleet/src/fleet_spec.rs
@@ -1,7 +1,8 @@
-//! The fleet's file as operators write it, in JSON5: groups of instances, and the host's capacity for
-//! them. Its keys are part of the interface, and fields that are validated are named like their keys:
-//! `garde` reports a field's name in the path of an error, and operators look for that in their file
-//! (its `rename` does not change the path). The doc comments are the descriptions in the file's schema.
+//! The fleet's file as operators write it, in JSON5: groups of instances, and the host's capacity
+//! for them. Its keys are part of the interface, and fields that are validated are named like their
+//! keys: `garde` reports a field's name in the path of an error, and operators look for that in
+//! their file (its `rename` does not change the path). The doc comments are the descriptions in the
+//! file's schema.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -31,7 +32,8 @@
     #[garde(dive)]
     #[serde(default)]
     pub restarts: Restarts,
-    /// The consensus group of agents that decides on the policy; absent: there is none (docs/policy.md).
+    /// The consensus group of agents that decides on the policy; absent: there is none
+    /// (docs/policy.md).
     #[garde(dive)]
     #[serde(default)]
     pub council: Option<ConsensusConfig>,
@@ -47,14 +49,16 @@
     /// The name of this agent.
     #[garde(length(min = 1, max = 40))]
     pub name: String,
-    /// Where this agent listens for the others: on the loopback interface, since nothing is encrypted yet.
+    /// Where this agent listens for the others: on the loopback interface, since nothing is
+    /// encrypted yet.
     #[garde(custom(check_loopback))]
     pub listen: String,
     /// The addresses of all agents by name, this one among them.
     #[garde(length(min = 1, max = 9), custom(check_all_loopback))]
     pub agents: BTreeMap<String, String>,
-    /// Duration of a lease on a policy, in milliseconds: the longest time that a change waits for an agent that does not answer, and
-    /// that an instance without connection applies the former policy. Agreed once for the installation.
+    /// Duration of a lease on a policy, in milliseconds: the longest time that a change waits for
+    /// an agent that does not answer, and that an instance without connection applies the former
+    /// policy. Agreed once for the installation.
     #[garde(range(min = 500, max = 600_000))]
     #[serde(default = "default_lease_ms")]
     pub lease_ms: u64,
@@ -74,7 +78,8 @@
     #[garde(skip)]
     #[serde(default, rename = "without")]
     pub lease_expiry_mode: LeaseExpiryMode,
-    /// How long service is watched after a change and compared with before, in milliseconds; 0: not at all.
+    /// How long service is watched after a change and compared with before, in milliseconds; 0: not
+    /// at all.
     #[garde(range(max = 60_000))]
     #[serde(default)]
     pub watch_ms: u64,
@@ -143,7 +148,8 @@
     /// Most instances that a change takes out of service at one time.
     #[garde(range(min = 1))]
     pub out_at_once: u32,
-    /// Fraction of the serving capacity that stays in service, weighted by what each instance serves.
+    /// Fraction of the serving capacity that stays in service, weighted by what each instance
+    /// serves.
     #[garde(range(min = 0.0, max = 1.0))]
     pub floor: f64,
     /// Time for which an instance must be healthy to be warm, in milliseconds.
@@ -177,7 +183,8 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields, default)]
 pub struct Restarts {
-    /// Backoff before the start after a first crash, in milliseconds; each further crash doubles it.
+    /// Backoff before the start after a first crash, in milliseconds; each further crash doubles
+    /// it.
     #[garde(range(min = 10, max = 600_000))]
     pub pause_ms: u64,
     /// Longest backoff, in milliseconds.
@@ -226,7 +233,8 @@
     /// Address of the first instance; each further one has the next port.
     #[garde(custom(check_address))]
     pub listen: String,
-    /// Address of the first instance's engine; each further one has the next port. Absent: the configuration's for all.
+    /// Address of the first instance's engine; each further one has the next port. Absent: the
+    /// configuration's for all.
     #[garde(inner(custom(check_address)))]
     #[serde(default)]
     pub engine: Option<String>,
