--- a/crates/merlinshelf-backend/src/client/catalogue.rs
+++ b/crates/merlinshelf-backend/src/client/catalogue.rs
@@ -250,17 +250,17 @@
             let step = routing.borrow_mut().next();
             match step {
                 Some(Action::Attempt {
-                    ticket,
-                    attempt,
+                    call_id: ticket,
+                    attempt_id: attempt,
                     server,
-                    wait,
+                    timeout_seconds: wait,
                 }) => {
                     if self.tasks.len() >= self.most {
                         let step = Action::Attempt {
-                            ticket,
-                            attempt,
+                            call_id: ticket,
+                            attempt_id: attempt,
                             server,
-                            wait,
+                            timeout_seconds: wait,
                         };
                         return routing.borrow_mut().put_back(step);
                     }
@@ -289,7 +289,9 @@
                         ),
                     }
                 }
-                Some(Action::GiveUp { attempt }) => {
+                Some(Action::Cancel {
+                    attempt_id: attempt,
+                }) => {
                     self.held_attempts
                         .retain(|(_, call, _)| call.attempt != attempt);
                     let open = self
@@ -301,7 +303,7 @@
                         task.abort();
                     }
                 }
-                Some(Action::Over { .. }) => {}
+                Some(Action::Complete { .. }) => {}
                 None => return,
             }
         }
--- a/crates/merlinshelf-backend/src/operator/validation.rs
+++ b/crates/merlinshelf-backend/src/operator/validation.rs
@@ -11,9 +11,10 @@
 
 /// The dependencies, their servers and operations refer to each other consistently.
 pub(super) fn validate_dependencies(dependencies: &Dependencies, (): &()) -> garde::Result {
-    dependencies
-        .check()
-        .map_err(|errors| garde::Error::new(errors.join("; ")))
+    dependencies.check().map_err(|errors| {
+        let messages: Vec<String> = errors.iter().map(ToString::to_string).collect();
+        garde::Error::new(messages.join("; "))
+    })
 }
 
 /// The address is on the loopback interface and names a port.
--- a/crates/merlinshelf-backend/src/routing.rs
+++ b/crates/merlinshelf-backend/src/routing.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use merlinshelf_dependencies::{
-    Action, AttemptOutcome, CallRequest, Dependencies, Effect, End, Report, Router,
+    Action, AttemptOutcome, CallEnd, CallRequest, Dependencies, Effect, Report, Router,
 };
 use merlinshelf_policy::Policy;
 use merlinshelf_protocol::CallId;
@@ -80,13 +80,13 @@
 
     /// Other lists and settings from here on.
     pub fn replace(&mut self, wanted: Dependencies) {
-        self.router.replace(self.now(), wanted);
+        self.router.update_config(self.now(), wanted);
     }
 
     /// By place, what each call of an operation is called: told to callers where it is missing.
     pub fn parts(&self, operation: &str) -> Vec<Rc<str>> {
         self.router
-            .parts(operation)
+            .dependencies_of_operation(operation)
             .into_iter()
             .map(Rc::from)
             .collect()
@@ -102,7 +102,7 @@
     }
 
     pub fn wake_at(&self) -> Option<Instant> {
-        let at = self.router.wake_at()?;
+        let at = self.router.next_timeout()?;
         // A moment late rather than early: woken early it would ask for the same moment again.
         Some(self.began + Duration::from_secs_f64(at.max(0.0)) + Duration::from_micros(1))
     }
@@ -119,7 +119,7 @@
 
     /// Whether that call is the router's to make.
     pub fn knows(&self, wanted: &CallContext) -> bool {
-        self.router.knows(
+        self.router.routes_call(
             &wanted.operation,
             wanted.call_index,
             wanted.named_dependency.as_deref(),
@@ -137,20 +137,20 @@
     ) {
         let ask = CallRequest {
             operation: &wanted.operation,
-            place: wanted.call_index,
-            named: wanted.named_dependency.as_deref(),
-            wait,
-            left: wanted.caller_timeout,
+            call_index: wanted.call_index,
+            named_dependency: wanted.named_dependency.as_deref(),
+            max_wait_seconds: wait,
+            remaining_seconds: wanted.caller_timeout,
             effect: if wanted.is_idempotent {
                 Effect::Idempotent
             } else {
                 Effect::NonIdempotent
             },
-            question,
+            payload: question,
         };
         let of = self
             .router
-            .dependency(ask.operation, ask.place, ask.named)
+            .dependency_of_call(ask.operation, ask.call_index, ask.named_dependency)
             .map(str::to_owned);
         self.lay_budgets(
             exchange,
@@ -161,10 +161,10 @@
             },
         );
         if let Some(name) = &of {
-            let left = self.router.spend(name, Remaining::ALL);
-            let failing = left.is_some_and(|(left, fails)| {
-                self.router.spend(name, left);
-                fails || left.probes_only
+            let usage = self.router.update_quota(name, Remaining::ALL);
+            let failing = usage.is_some_and(|usage| {
+                self.router.update_quota(name, usage.unused);
+                usage.is_failing || usage.unused.probes_only
             });
             let kind = if failing {
                 CallKind::Probe
@@ -176,7 +176,7 @@
                 .note_dependency_call(name, Some(kind), None);
         }
         let (now, chance) = (self.now(), &mut self.chance);
-        let ticket = self.router.ask(now, &ask, &mut || chance.random());
+        let ticket = self.router.start_call(now, &ask, &mut || chance.random());
         self.calls.insert(ticket, (key, question.clone()));
         self.tickets.insert(key, ticket);
         self.follow(exchange, None);
@@ -190,7 +190,10 @@
             CallOutcome::Failed | CallOutcome::Degraded { .. } => (AttemptOutcome::Unknown, b""),
         };
         let again = ended != AttemptOutcome::Succeeded;
-        let of = self.router.at(attempt).map(str::to_owned);
+        let of = self
+            .router
+            .dependency_of_attempt(attempt)
+            .map(str::to_owned);
         if let Some(name) = &of {
             exchange.borrow_mut().note_dependency_call(
                 name,
@@ -208,7 +211,7 @@
         );
         let (now, chance) = (self.now(), &mut self.chance);
         self.router
-            .ended(now, attempt, ended, reply, &mut || chance.random());
+            .attempt_ended(now, attempt, ended, reply, &mut || chance.random());
         self.follow(exchange, Some(called));
     }
 
@@ -220,10 +223,11 @@
         self.calls.remove(&ticket);
         self.lay_budgets(exchange, None, CallDemand::default());
         let (now, chance) = (self.now(), &mut self.chance);
-        self.router.give_up(now, ticket, &mut || chance.random());
+        self.router
+            .cancel_call(now, ticket, &mut || chance.random());
         // An attempt of it that has not been made yet need not be.
         self.todo
-            .retain(|step| !matches!(step, Action::Attempt { ticket: of, .. } if *of == ticket));
+            .retain(|step| !matches!(step, Action::Attempt { call_id, .. } if *call_id == ticket));
         self.follow(exchange, None);
         true
     }
@@ -231,19 +235,23 @@
     pub fn woken(&mut self, exchange: &exchange::Shared) {
         self.lay_budgets(exchange, None, CallDemand::default());
         let (now, chance) = (self.now(), &mut self.chance);
-        self.router.woken(now, &mut || chance.random());
+        self.router.handle_timeout(now, &mut || chance.random());
         self.follow(exchange, None);
     }
 
     /// Everything stops where it stands.
     pub fn forget_open(&mut self) {
-        self.router.forget_open();
+        self.router.discard_calls();
         (self.calls, self.tickets, self.todo) = Default::default();
     }
 
     /// The dependency that an open attempt is at.
     pub fn dependency_of(&self, attempt: u64) -> Rc<str> {
-        Rc::from(self.router.at(attempt).unwrap_or_default())
+        Rc::from(
+            self.router
+                .dependency_of_attempt(attempt)
+                .unwrap_or_default(),
+        )
     }
 
     /// The call whose attempt it is, and what is asked.
@@ -260,7 +268,7 @@
     ) {
         let mut exchange = exchange.borrow_mut();
         for name in exchange.limited_dependencies() {
-            let Some((over, fails)) = self.router.spend(&name, Remaining::ALL) else {
+            let Some(usage) = self.router.update_quota(&name, Remaining::ALL) else {
                 continue;
             };
             let wanting = if wanted == Some(name.as_str()) {
@@ -268,10 +276,10 @@
             } else {
                 CallDemand::default()
             };
-            self.router.spend(
+            self.router.update_quota(
                 &name,
                 exchange
-                    .renew_quota(&name, over, fails, wanting)
+                    .renew_quota(&name, usage.unused, usage.is_failing, wanting)
                     .unwrap_or(Remaining::ALL),
             );
         }
@@ -279,8 +287,12 @@
 
     /// Ends are told at once, so that what a reply changes and that its line is gone can be noted together.
     fn follow(&mut self, exchange: &exchange::Shared, called: Option<&CallOutcome>) {
-        while let Some(step) = self.router.next_step() {
-            let Action::Over { ticket, end } = step else {
+        while let Some(step) = self.router.poll_action() {
+            let Action::Complete {
+                call_id: ticket,
+                end,
+            } = step
+            else {
                 self.todo.push_back(step);
                 self.wake.notify_one();
                 continue;
@@ -290,9 +302,9 @@
             };
             self.tickets.remove(&(id, number));
             let end = match (end, called) {
-                (End::Reply { missing: None }, Some(called)) => called.clone(),
+                (CallEnd::Reply { missing: None }, Some(called)) => called.clone(),
                 (
-                    End::Reply {
+                    CallEnd::Reply {
                         missing: Some(missing),
                     },
                     Some(CallOutcome::Succeeded(reply)),
@@ -300,12 +312,12 @@
                     reply: Some(reply.clone()),
                     missing: missing.into(),
                 },
-                (End::Degraded { bytes, missing }, _) => CallOutcome::Degraded {
+                (CallEnd::Degraded { bytes, missing }, _) => CallOutcome::Degraded {
                     reply: bytes.map(Rc::from),
                     missing: missing.into(),
                 },
-                (End::NeverRan, _) => CallOutcome::NeverRan,
-                (End::Failed | End::Reply { .. }, _) => CallOutcome::Failed,
+                (CallEnd::NeverRan, _) => CallOutcome::NeverRan,
+                (CallEnd::Failed | CallEnd::Reply { .. }, _) => CallOutcome::Failed,
             };
             exchange.borrow_mut().call_ended(id, number, end);
         }
--- a/crates/merlinshelf-backend/tests/golden_settings.rs
+++ b/crates/merlinshelf-backend/tests/golden_settings.rs
@@ -91,20 +91,22 @@
             zone: "erlangen".into(),
             weight: 1.5,
         }],
-        out_most: 0.375,
-        subset: Some(1),
-        instead: None,
+        max_ejected_share: 0.375,
+        subset_size: Some(1),
+        fallback_dependency: None,
     };
     let call = Call {
-        to: "catalogue".into(),
-        share: Some(0.25),
-        needed: true,
-        cost: 0.125,
-        instead: Fallback::Kept { within_s: 60.5 },
+        dependency: "catalogue".into(),
+        deadline_share: Some(0.25),
+        is_required: true,
+        value_loss: 0.125,
+        fallback: Fallback::Cached {
+            max_age_seconds: 60.5,
+        },
     };
     let page = Operation {
         calls: vec![call],
-        at_once: false,
+        is_concurrent: false,
     };
     let base = Policy {
         note: "base".into(),
@@ -217,24 +219,31 @@
     };
     let dependency = |servers: Vec<ServerConfig>| Dependency {
         servers,
-        out_most: 0.5,
-        subset: None,
-        instead: None,
+        max_ejected_share: 0.5,
+        subset_size: None,
+        fallback_dependency: None,
     };
-    let call = |to: &str, needed: bool, cost: f64, instead: Fallback| Call {
-        to: to.into(),
-        share: None,
-        needed,
-        cost,
-        instead,
+    let call = |to: &str, is_required: bool, value_loss: f64, fallback: Fallback| Call {
+        dependency: to.into(),
+        deadline_share: None,
+        is_required,
+        value_loss,
+        fallback,
     };
     let calls = vec![
         call("catalogue", true, 0.0, Fallback::Nothing),
-        call("thumbs", false, 0.2, Fallback::Kept { within_s: 60.0 }),
+        call(
+            "thumbs",
+            false,
+            0.2,
+            Fallback::Cached {
+                max_age_seconds: 60.0,
+            },
+        ),
     ];
     let thumbnail = Operation {
         calls,
-        at_once: false,
+        is_concurrent: false,
     };
     Operator {
         control: Some(Control {
--- a/crates/merlinshelf-dependencies/src/lib.rs
+++ b/crates/merlinshelf-dependencies/src/lib.rs
@@ -1,29 +1,38 @@
-//! Downstream calls to several dependencies with several servers each: health checks and the choice
-//! of a server ([`servers`]), the few of many servers that an instance connects to
-//! ([`mod@subset`]), concurrency limits and queues ([`limits`]), deadlines ([`budget`]), retries and
-//! hedged requests ([`attempts`]), fallbacks ([`fallback`]), and the router that holds it together
-//! ([`router`]).
+//! Downstream calls to several dependencies with several servers each.
 //!
-//! Everything is fed with the time, in seconds, and with events; nothing here does I/O. How many calls
-//! are made, in whose favour, and the circuit breaker are decided by the admission controller.
+//! Health checks and the choice of a server ([`server_pool`]), the few of many servers that an
+//! instance connects to ([`mod@subset`]), concurrency limits ([`concurrency_limit`]) and the queue
+//! before them ([`wait_queue`]), deadlines ([`deadline`]), retries and hedged requests
+//! ([`retry_budget`]), fallbacks ([`fallback`]), and the router that combines them ([`router`]).
+//!
+//! Everything is fed with events and the time, in seconds on one monotonic clock; nothing here does
+//! I/O. How many calls are made, by which priority, and the circuit breaker are decided by the
+//! admission controller.
 
-pub mod attempts;
-pub mod budget;
+pub mod concurrency_limit;
 pub mod config;
-pub mod counts;
+mod config_check;
+pub mod counters;
+pub mod deadline;
 pub mod fallback;
-pub mod limits;
 pub mod report;
+pub mod retry_budget;
 pub mod router;
-pub mod servers;
+mod samples;
+pub mod server;
+pub mod server_pool;
 pub mod subset;
+pub mod wait_queue;
 
-pub use attempts::{AttemptOutcome, Effect, RetryBudget};
-pub use budget::allowance;
+pub use concurrency_limit::ConcurrencyLimit;
 pub use config::Dependencies;
-pub use fallback::{CallResult, DegradedResult, Missing};
-pub use limits::{ConcurrencyLimit, WaitQueue};
+pub use config_check::ConfigError;
+pub use deadline::deadline_share;
+pub use fallback::{CallResult, DegradedResult, MissingParts};
 pub use report::Report;
-pub use router::{Action, CallRequest, End, Router};
-pub use servers::{Outcome, Pool, Server, ServerHealth};
+pub use retry_budget::{AttemptOutcome, Effect, RetryBudget};
+pub use router::{Action, CallEnd, CallRequest, Router};
+pub use server::{EjectionReason, Server, ServerHealth, ServerOutcome};
+pub use server_pool::ServerPool;
 pub use subset::subset;
+pub use wait_queue::WaitQueue;
--- a/crates/merlinshelf-dependencies/src/report.rs
+++ b/crates/merlinshelf-dependencies/src/report.rs
@@ -1,77 +1,116 @@
-//! How dependencies stand, for those who look after them.
+//! Reports of dependencies and their servers for operators. The JSON has the names that operators'
+//! tools read, also where a field was renamed.
 
 use serde::Serialize;
 
-use crate::counts::Counts;
-use crate::router::{Place, Router};
-use crate::servers::{Server, ServerHealth};
+use crate::counters::Counters;
+use crate::router::Router;
+use crate::router::dependency_state::DependencyState;
+use crate::server::{Server, ServerHealth};
 
-/// One server, for reports.
+/// The report of one server.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct ServerReport {
+    /// IP address and port.
     pub address: String,
+    /// Its zone; empty where none is configured.
     pub zone: String,
-    pub state: &'static str,
-    pub why: Option<&'static str>,
-    pub open: u32,
-    /// Calls that it bears at one time; none before it was measured.
-    pub limit: Option<f64>,
+    /// Its health: `in`, `out` (ejected) or `on trial` (probing).
+    #[serde(rename = "state")]
+    pub health: &'static str,
+    /// Why it was ejected, while it is.
+    #[serde(rename = "why")]
+    pub ejection_reason: Option<&'static str>,
+    /// Calls in flight.
+    #[serde(rename = "open")]
+    pub in_flight: u32,
+    /// Its concurrency limit; `None` before the first success.
+    #[serde(rename = "limit")]
+    pub concurrency_limit: Option<f64>,
+    /// Mean duration of the latest calls in milliseconds; `None` before the first one.
     pub mean_ms: Option<f64>,
-    pub failures: f64,
+    /// Share of the latest calls that failed, 0 to 1.
+    #[serde(rename = "failures")]
+    pub failure_rate: f64,
 }
 
-/// One dependency, for reports.
+/// The report of one dependency.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Report {
+    /// Its name.
     pub name: String,
-    pub fails: bool,
-    pub limit: f64,
-    pub open: usize,
+    /// Whether it fails as a whole.
+    #[serde(rename = "fails")]
+    pub is_failing: bool,
+    /// Its concurrency limit.
+    #[serde(rename = "limit")]
+    pub concurrency_limit: f64,
+    /// Attempts in flight.
+    #[serde(rename = "open")]
+    pub in_flight: usize,
+    /// Calls that wait for capacity.
     pub waiting: usize,
-    pub attempts_left: f64,
+    /// Retries and hedged requests that its retry budget has.
+    #[serde(rename = "attempts_left")]
+    pub retry_tokens: f64,
+    /// Its counters.
     #[serde(flatten)]
-    pub counts: Counts,
+    pub counters: Counters,
+    /// Its servers.
     pub servers: Vec<ServerReport>,
 }
 
 impl Router {
-    /// How all stand.
+    /// Reports of all dependencies, by name.
     pub fn report(&self) -> Vec<Report> {
-        let of_server = |place: &Place, server: &Server| {
-            let (state, why) = match server.standing {
-                ServerHealth::In => ("in", None),
-                ServerHealth::Out { why, .. } => ("out", Some(why)),
-                ServerHealth::OnTrial { .. } => ("on trial", None),
-            };
-            ServerReport {
-                address: server.name.clone(),
-                zone: server.zone.clone(),
-                state,
-                why,
-                open: server.open,
-                limit: place
-                    .limits
-                    .get(&server.name)
-                    .map(|limit| limit.get().floor()),
-                mean_ms: server.mean().map(|mean| (mean * 1e6).round() / 1e3),
-                failures: (server.failures() * 1e3).round() / 1e3,
-            }
-        };
-        let of = |(name, place): (&String, &Place)| Report {
-            name: name.clone(),
-            fails: place.attempts.fails(),
-            limit: place.limit.get(),
-            open: place.open,
-            waiting: place.waiting.len(),
-            attempts_left: place.attempts.left(),
-            counts: place.counts,
-            servers: place
-                .pool
-                .servers()
-                .iter()
-                .map(|server| of_server(place, server))
-                .collect(),
-        };
-        self.places.iter().map(of).collect()
+        self.states
+            .iter()
+            .map(|(name, state)| report(name, state))
+            .collect()
+    }
+}
+
+fn report(name: &str, state: &DependencyState) -> Report {
+    Report {
+        name: name.to_owned(),
+        is_failing: state.retry_budget.is_failing(),
+        concurrency_limit: state.concurrency_limit.get(),
+        in_flight: state.in_flight,
+        waiting: state.wait_queue.len(),
+        retry_tokens: state.retry_budget.tokens(),
+        counters: state.counters,
+        servers: state
+            .pool
+            .servers()
+            .iter()
+            .map(|server| server_report(state, server))
+            .collect(),
+    }
+}
+
+fn server_report(state: &DependencyState, server: &Server) -> ServerReport {
+    let ejection_reason = match server.health {
+        ServerHealth::Ejected { reason, .. } => Some(reason.as_str()),
+        ServerHealth::Healthy | ServerHealth::Probing { .. } => None,
+    };
+    let health = match server.health {
+        ServerHealth::Healthy => "in",
+        ServerHealth::Ejected { .. } => "out",
+        ServerHealth::Probing { .. } => "on trial",
+    };
+    ServerReport {
+        address: server.name.clone(),
+        zone: server.zone.clone(),
+        health,
+        ejection_reason,
+        in_flight: server.in_flight,
+        concurrency_limit: state
+            .server_limits
+            .get(&server.name)
+            .map(|limit| limit.get().floor()),
+        mean_ms: server
+            .mean_seconds()
+            .map(|mean_seconds| (mean_seconds * 1e6).round() / 1e3),
+        failure_rate: (server.failure_rate() * 1e3).round() / 1e3,
     }
 }
--- /dev/null
+++ b/crates/merlinshelf-dependencies/src/samples.rs
@@ -0,0 +1,11 @@
+//! Bounded windows of the latest samples.
+
+use std::collections::VecDeque;
+
+/// Appends a sample and drops the oldest one of a full window.
+pub(crate) fn push_bounded<T>(samples: &mut VecDeque<T>, sample: T, capacity: usize) {
+    if samples.len() == capacity {
+        samples.pop_front();
+    }
+    samples.push_back(sample);
+}
--- /dev/null
+++ b/crates/merlinshelf-dependencies/src/server_pool.rs
@@ -0,0 +1,302 @@
+//! The servers of one dependency: which one gets the next call, and outlier ejection. A server is
+//! judged by its peers alone: where all are slow none is ejected for it.
+
+use crate::config::ServerConfig;
+use crate::server::{EjectionReason, SLOW_START_SECONDS, Server, ServerHealth, ServerOutcome};
+
+/// Fewest samples by which a server is judged.
+const MIN_SAMPLES: usize = 8;
+/// A server is an outlier if its mean is so many times the median of its peers', or if its failure
+/// rate is so much higher than their median.
+const OUTLIER_SLOWDOWN: f64 = 3.0;
+const OUTLIER_FAILURE_RATE: f64 = 0.3;
+/// Servers with a higher failure rate don't count for the typical duration.
+const MOSTLY_FAILING: f64 = 0.5;
+/// Probes in a row that must succeed until a server is readmitted.
+const PROBES_TO_READMIT: u32 = 3;
+/// With more servers the cheaper of two random ones is nearly as good as the cheapest of all.
+const MAX_COMPARED: usize = 8;
+/// Servers of the own zone are used while they cost at most so many times what others do.
+const ZONE_PREFERENCE: f64 = 2.0;
+/// What a call is assumed to take before any was measured.
+const UNMEASURED_SECONDS: f64 = 0.01;
+
+/// The servers of one dependency, as one instance sees them.
+#[derive(Clone, Debug)]
+pub struct ServerPool {
+    servers: Vec<Server>,
+    zone: String,
+    /// The share of the servers that may be ejected at one time.
+    max_ejected_share: f64,
+}
+
+/// A server that may get a call.
+#[derive(Clone, Copy, Debug)]
+struct Candidate {
+    index: usize,
+    cost: f64,
+}
+
+/// What the healthy peers of a server show.
+#[derive(Clone, Copy, Debug)]
+struct PeerStatistics {
+    /// Median of the mean durations of those that mostly succeed: errors that come at once make no
+    /// other server slow.
+    typical_seconds: Option<f64>,
+    failure_rate: Option<f64>,
+}
+
+fn median(mut values: Vec<f64>) -> Option<f64> {
+    values.sort_by(f64::total_cmp);
+    values.get(values.len() / 2).copied()
+}
+
+impl ServerPool {
+    /// A pool of these servers for an instance in `zone`, with at most `max_ejected_share` (0 to 1)
+    /// of them ejected at one time.
+    pub fn new(
+        now: f64,
+        servers: &[ServerConfig],
+        zone: &str,
+        max_ejected_share: f64,
+    ) -> ServerPool {
+        // At the start all servers are alike: none needs to warm up.
+        let healthy_since = now - SLOW_START_SECONDS;
+        let servers = servers
+            .iter()
+            .map(|config| Server::new(config, healthy_since))
+            .collect();
+        ServerPool {
+            servers,
+            zone: zone.to_owned(),
+            max_ejected_share: max_ejected_share.clamp(0.0, 1.0),
+        }
+    }
+
+    /// All servers; methods that take an index mean theirs in this slice.
+    pub fn servers(&self) -> &[Server] {
+        &self.servers
+    }
+
+    /// Applies another list: a server that stays keeps what is known of it, a new one warms up, a
+    /// removed one gets no more calls. Indices change; calls in flight are identified by name.
+    pub fn update_servers(&mut self, now: f64, servers: &[ServerConfig]) {
+        let mut previous = std::mem::take(&mut self.servers);
+        for config in servers {
+            let known = previous
+                .iter()
+                .position(|server| server.name == config.address);
+            let mut server = match known {
+                Some(index) => previous.swap_remove(index),
+                None => Server::new(config, now),
+            };
+            server.update_config(config);
+            self.servers.push(server);
+        }
+    }
+
+    /// The index of a server by its name.
+    pub fn index_of(&self, name: &str) -> Option<usize> {
+        self.servers.iter().position(|server| server.name == name)
+    }
+
+    /// Chooses the server of the next call, which counts as in flight from here on.
+    ///
+    /// A server that is due for a probe comes first; else the cheapest of few or the cheaper of two
+    /// random ones of many, in the own zone while that costs little more. `excluded` are servers
+    /// that are not to be used. `None`: there is no usable server.
+    pub fn pick(
+        &mut self,
+        now: f64,
+        excluded: &[usize],
+        random: &mut dyn FnMut() -> f64,
+    ) -> Option<usize> {
+        let typical_seconds = self.typical_seconds().unwrap_or(UNMEASURED_SECONDS);
+        if let Some(probed) = self.pick_probed(now, excluded) {
+            return Some(probed);
+        }
+        let usable: Vec<usize> = (0..self.servers.len())
+            .filter(|index| !excluded.contains(index))
+            .filter(|index| self.servers[*index].health == ServerHealth::Healthy)
+            .collect();
+        let own_zone: Vec<usize> = usable
+            .iter()
+            .copied()
+            .filter(|index| self.servers[*index].zone == self.zone)
+            .collect();
+        let near = self.cheapest(now, &own_zone, typical_seconds, random);
+        let any = self.cheapest(now, &usable, typical_seconds, random)?;
+        let chosen = match near {
+            Some(near) if near.cost <= ZONE_PREFERENCE * any.cost => near,
+            _ => any,
+        };
+        self.servers[chosen.index].in_flight += 1;
+        Some(chosen.index)
+    }
+
+    /// Begins to probe the servers whose ejection ends, and picks one without a probe in flight.
+    fn pick_probed(&mut self, now: f64, excluded: &[usize]) -> Option<usize> {
+        for (index, server) in self.servers.iter_mut().enumerate() {
+            if let ServerHealth::Ejected {
+                until, ejections, ..
+            } = server.health
+                && now >= until
+            {
+                server.health = ServerHealth::Probing {
+                    ejections,
+                    successes: 0,
+                };
+            }
+            let needs_probe = server.health.is_probing() && server.in_flight == 0;
+            if needs_probe && !excluded.contains(&index) {
+                server.in_flight += 1;
+                return Some(index);
+            }
+        }
+        None
+    }
+
+    fn cheapest(
+        &self,
+        now: f64,
+        indices: &[usize],
+        typical_seconds: f64,
+        random: &mut dyn FnMut() -> f64,
+    ) -> Option<Candidate> {
+        // A random start, so that the first of equal servers does not get all calls.
+        let start = (random() * indices.len() as f64) as usize;
+        let compared: Vec<usize> = if indices.len() <= MAX_COMPARED {
+            let (before, after) = indices.split_at(start);
+            after.iter().chain(before).copied().collect()
+        } else {
+            let distance = 1 + (random() * (indices.len() - 1) as f64) as usize;
+            let other = (start + distance) % indices.len();
+            vec![indices[start], indices[other]]
+        };
+        compared
+            .into_iter()
+            .map(|index| Candidate {
+                index,
+                cost: self.servers[index].expected_cost(now, typical_seconds),
+            })
+            .min_by(|a, b| a.cost.total_cmp(&b.cost))
+    }
+
+    /// Median duration with healthy servers that mostly succeed, or with all healthy ones where
+    /// none does: errors that come at once are no measure.
+    fn typical_seconds(&self) -> Option<f64> {
+        let healthy = || {
+            self.servers
+                .iter()
+                .filter(|server| server.health == ServerHealth::Healthy)
+        };
+        let succeeding = healthy().filter(|server| server.failure_rate() < MOSTLY_FAILING);
+        median(succeeding.filter_map(Server::mean_seconds).collect())
+            .or_else(|| median(healthy().filter_map(Server::mean_seconds).collect()))
+    }
+
+    /// Records that a call to a server ended after `duration_seconds`, and ejects or readmits the
+    /// server.
+    pub fn record_outcome(
+        &mut self,
+        now: f64,
+        index: usize,
+        outcome: ServerOutcome,
+        duration_seconds: f64,
+    ) {
+        let peers = self.peer_statistics(index);
+        let may_eject = self.may_eject_one_more();
+        let Some(server) = self.servers.get_mut(index) else {
+            return;
+        };
+        server.in_flight = server.in_flight.saturating_sub(1);
+        let is_cancelled = outcome == ServerOutcome::Cancelled;
+        let is_longer_than_typical = peers
+            .typical_seconds
+            .is_some_and(|typical| duration_seconds >= typical);
+        if is_cancelled && !is_longer_than_typical {
+            return; // it shows nothing of the server
+        }
+        let succeeded = outcome == ServerOutcome::Succeeded;
+        server.record_sample(now, duration_seconds, succeeded || is_cancelled);
+        match server.health {
+            ServerHealth::Probing {
+                ejections,
+                successes,
+            } => {
+                let is_quick = peers
+                    .typical_seconds
+                    .is_none_or(|typical| duration_seconds <= OUTLIER_SLOWDOWN * typical);
+                if !succeeded || !is_quick {
+                    let reason = EjectionReason::ProbeFailed;
+                    server.health = ServerHealth::ejected(now, ejections + 1, reason);
+                } else if successes + 1 >= PROBES_TO_READMIT {
+                    server.readmit(now);
+                } else {
+                    server.health = ServerHealth::Probing {
+                        ejections,
+                        successes: successes + 1,
+                    };
+                }
+            }
+            ServerHealth::Healthy if may_eject => {
+                if let Some(reason) = peers.outlier_reason(server) {
+                    server.health = ServerHealth::ejected(now, 1, reason);
+                }
+            }
+            ServerHealth::Healthy | ServerHealth::Ejected { .. } => {}
+        }
+    }
+
+    fn peer_statistics(&self, index: usize) -> PeerStatistics {
+        let peers: Vec<&Server> = self
+            .servers
+            .iter()
+            .enumerate()
+            .filter(|(other, _)| *other != index)
+            .map(|(_, server)| server)
+            .filter(|server| server.health == ServerHealth::Healthy)
+            .filter(|server| server.sample_count() >= MIN_SAMPLES)
+            .collect();
+        let means_seconds = peers
+            .iter()
+            .filter(|server| server.failure_rate() < MOSTLY_FAILING)
+            .filter_map(|server| server.mean_seconds())
+            .collect();
+        let failure_rates = peers.iter().map(|server| server.failure_rate()).collect();
+        PeerStatistics {
+            typical_seconds: median(means_seconds),
+            failure_rate: median(failure_rates),
+        }
+    }
+
+    fn may_eject_one_more(&self) -> bool {
+        let ejected = self
+            .servers
+            .iter()
+            .filter(|server| server.health != ServerHealth::Healthy)
+            .count();
+        ejected as f64 + 1.0 <= self.max_ejected_share * self.servers.len() as f64
+    }
+}
+
+impl PeerStatistics {
+    /// Why a server is an outlier among these peers; `None` where it is none.
+    fn outlier_reason(&self, server: &Server) -> Option<EjectionReason> {
+        if server.sample_count() < MIN_SAMPLES {
+            return None;
+        }
+        let fails_more = self
+            .failure_rate
+            .is_some_and(|peers| server.failure_rate() > peers + OUTLIER_FAILURE_RATE);
+        let is_slower = self
+            .typical_seconds
+            .zip(server.mean_seconds())
+            .is_some_and(|(typical, own)| own > OUTLIER_SLOWDOWN * typical);
+        match (fails_more, is_slower) {
+            (true, _) => Some(EjectionReason::MoreFailures),
+            (false, true) => Some(EjectionReason::Slower),
+            (false, false) => None,
+        }
+    }
+}
--- a/crates/merlinshelf-dependencies/src/subset.rs
+++ b/crates/merlinshelf-dependencies/src/subset.rs
@@ -1,29 +1,33 @@
-//! Which few of many servers an instance uses: the ones that rank highest by a number drawn from both their names. A server that
-//! comes or goes changes one place in some lists, an instance that comes or goes none but its own.
+//! Deterministic subsetting by rendezvous hashing: which few of many servers an instance uses. A
+//! server that is added or removed changes one entry in some instances' subsets; an instance that
+//! is added or removed changes no other instance's subset.
 
-/// Places in the list of servers, the highest ranks first, as many as are wanted or there are.
+/// Indices into `servers`, the highest ranks first: `count` of them, or all where there are fewer.
+///
+/// `instance` and `servers` are hashes of names; every version must rank alike.
 pub fn subset(instance: u64, servers: &[u64], count: usize) -> Vec<usize> {
     let mut ranked: Vec<(u64, usize)> = servers
         .iter()
         .enumerate()
-        .map(|(place, server)| (mixed(instance, *server), place))
+        .map(|(index, server)| (rank(instance, *server), index))
         .collect();
     if count > 0 && ranked.len() > count {
         ranked.select_nth_unstable_by(count - 1, |a, b| b.cmp(a));
     }
     ranked.truncate(count);
     ranked.sort_unstable_by(|a, b| b.cmp(a));
-    ranked.into_iter().map(|(_, place)| place).collect()
+    ranked.into_iter().map(|(_, index)| index).collect()
 }
 
-/// A number from two, each of whose bits depends on all of theirs (the finish of splitmix64, twice).
-fn mixed(one: u64, other: u64) -> u64 {
-    let finish = |mut bits: u64| {
-        bits = (bits ^ (bits >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
-        bits = (bits ^ (bits >> 27)).wrapping_mul(0x94D0_49BB_1331_11EB);
-        bits ^ (bits >> 31)
-    };
-    finish(
-        finish(one.wrapping_add(0x9E37_79B9_7F4A_7C15)) ^ other.wrapping_mul(0x9E37_79B9_7F4A_7C15),
-    )
+/// The rank of a server for an instance; each bit depends on all bits of both.
+fn rank(instance: u64, server: u64) -> u64 {
+    let instance_hash = finalize(instance.wrapping_add(0x9E37_79B9_7F4A_7C15));
+    finalize(instance_hash ^ server.wrapping_mul(0x9E37_79B9_7F4A_7C15))
+}
+
+/// The finalizer of splitmix64.
+fn finalize(mut bits: u64) -> u64 {
+    bits = (bits ^ (bits >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
+    bits = (bits ^ (bits >> 27)).wrapping_mul(0x94D0_49BB_1331_11EB);
+    bits ^ (bits >> 31)
 }
--- a/crates/merlinshelf-dependencies/tests/golden.rs
+++ b/crates/merlinshelf-dependencies/tests/golden.rs
@@ -1,21 +1,24 @@
-//! Golden files of every form of this package that outlives a process or passes between two: the operators' settings of
-//! dependencies (a section of their file, in JSON5), the report of how dependencies stand (JSON over the control socket), and
-//! which servers an instance chooses, which all versions must choose alike.
+//! Golden files of every format of this package that outlives a process or passes between two: the
+//! operators' settings of dependencies (a section of their file, in JSON5), the report of
+//! dependencies (JSON over the control socket), and the subset of servers that an instance chooses,
+//! which all versions must choose alike.
 //!
-//! In an upgrade nothing of this package is handed over: of calls under way the names of dependencies, addresses of servers
-//! and numbers pass in the records of `merlinshelf-handover`, and the successor begins with a new router.
+//! In an upgrade nothing of this package is handed over: of calls in flight the names of
+//! dependencies, addresses of servers and numbers pass in the records of `merlinshelf-handover`,
+//! and the successor begins with a new router.
 //!
-//! A report is encoded as the program encodes it and must give the bytes of its file under `tests/golden/`. No program
-//! writes the operators' settings: kept files must be read as the expected values, whatever form a later version would write
-//! them in. Every field of a sample has a value of its own that is not the default, so that a field that is lost by another
-//! name shows. A test that fails here means that operators' files or tools of an earlier version are misunderstood.
-//! `GOLDEN_WRITE=1` writes what the program encodes anew; without it a missing file is a failure.
+//! A report is encoded as the program encodes it and must give the bytes of its file under
+//! `tests/golden/`. No program writes the operators' settings: stored files must be read as the
+//! expected values, whatever form a later version would write them in. Every field of a sample has
+//! a value of its own that is not the default, so that a field that is lost by a rename shows. A
+//! test that fails here means that operators' files or tools of an earlier version are
+//! misunderstood. `GOLDEN_WRITE=1` writes the files anew; without it a missing file is a failure.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Path, PathBuf};
 
 use merlinshelf_dependencies::config::{Call, Dependency, Fallback, Operation, ServerConfig};
-use merlinshelf_dependencies::counts::Counts;
+use merlinshelf_dependencies::counters::Counters;
 use merlinshelf_dependencies::report::ServerReport;
 use merlinshelf_dependencies::{
     Action, AttemptOutcome, CallRequest, Dependencies, Effect, Report, Router,
@@ -51,7 +54,7 @@
     golden
 }
 
-/// Operators' settings, which must be read as `expected`, and still after they were written and read once more.
+/// Operators' settings, which must be decoded as `expected`, also after they were encoded anew.
 fn assert_settings(name: &str, expected: &Dependencies) {
     let golden = String::from_utf8(read_golden(name)).expect("text");
     let decoded: Dependencies = json5::from_str(&golden).expect("the golden file is decoded");
@@ -71,77 +74,76 @@
 
 // The operators' settings.
 
-#[test]
-fn settings_with_every_field() {
+fn filled_dependencies() -> BTreeMap<String, Dependency> {
     let server = |address: &str, zone: &str, weight: f64| ServerConfig {
         address: address.into(),
         zone: zone.into(),
         weight,
     };
-    let call = |to: &str, share: f64, needed: bool, cost: f64, instead: Fallback| Call {
-        to: to.into(),
-        share: Some(share),
-        needed,
-        cost,
-        instead,
+    let catalogue = Dependency {
+        servers: vec![
+            server("127.0.0.1:5441", "garching", 1.5),
+            server("127.0.0.1:5442", "erlangen", 2.5),
+        ],
+        max_ejected_share: 0.375,
+        subset_size: Some(1),
+        fallback_dependency: Some("thumbs".into()),
+    };
+    let thumbs = Dependency {
+        servers: vec![server("127.0.0.1:5451", "munich", 3.5)],
+        max_ejected_share: 0.625,
+        subset_size: Some(2),
+        fallback_dependency: None,
+    };
+    BTreeMap::from([("catalogue".into(), catalogue), ("thumbs".into(), thumbs)])
+}
+
+fn filled_operations() -> BTreeMap<String, Operation> {
+    let catalogue = Call {
+        dependency: "catalogue".into(),
+        deadline_share: Some(0.25),
+        is_required: true,
+        value_loss: 0.125,
+        fallback: Fallback::Nothing,
+    };
+    let fixed = Call {
+        dependency: "thumbs".into(),
+        deadline_share: Some(0.3125),
+        is_required: false,
+        value_loss: 0.1875,
+        fallback: Fallback::Fixed("no picture".into()),
+    };
+    let cached = Call {
+        dependency: "thumbs".into(),
+        deadline_share: Some(0.4375),
+        is_required: false,
+        value_loss: 0.0625,
+        fallback: Fallback::Cached {
+            max_age_seconds: 60.5,
+        },
     };
-    let fixed = Fallback::Fixed("no picture".into());
+    let page = Operation {
+        calls: vec![catalogue, fixed, cached],
+        is_concurrent: false,
+    };
+    let search = Operation {
+        calls: Vec::new(),
+        is_concurrent: true, // decoded, though `check` rejects it
+    };
+    BTreeMap::from([("page".into(), page), ("search".into(), search)])
+}
+
+#[test]
+fn settings_with_every_field() {
     let expected = Dependencies {
         zone: "garching".into(),
-        dependencies: BTreeMap::from([
-            (
-                "catalogue".into(),
-                Dependency {
-                    servers: vec![
-                        server("127.0.0.1:5441", "garching", 1.5),
-                        server("127.0.0.1:5442", "erlangen", 2.5),
-                    ],
-                    out_most: 0.375,
-                    subset: Some(1),
-                    instead: Some("thumbs".into()),
-                },
-            ),
-            (
-                "thumbs".into(),
-                Dependency {
-                    servers: vec![server("127.0.0.1:5451", "munich", 3.5)],
-                    out_most: 0.625,
-                    subset: Some(2),
-                    instead: None,
-                },
-            ),
-        ]),
-        operations: BTreeMap::from([
-            (
-                "page".into(),
-                Operation {
-                    calls: vec![
-                        call("catalogue", 0.25, true, 0.125, Fallback::Nothing),
-                        call("thumbs", 0.3125, false, 0.1875, fixed),
-                        call(
-                            "thumbs",
-                            0.4375,
-                            false,
-                            0.0625,
-                            Fallback::Kept { within_s: 60.5 },
-                        ),
-                    ],
-                    at_once: false,
-                },
-            ),
-            (
-                "search".into(),
-                Operation {
-                    calls: Vec::new(),
-                    at_once: true, // read, though `check` turns it down up to now
-                },
-            ),
-        ]),
+        dependencies: filled_dependencies(),
+        operations: filled_operations(),
     };
     assert_settings("settings_filled.json", &expected);
 }
 
-/// What may be left out, and what stands for it.
+/// Optional fields and their defaults.
 #[test]
 fn settings_with_required_fields_alone() {
     let expected = Dependencies {
@@ -154,22 +156,22 @@
                     zone: String::new(),
                     weight: 1.0,
                 }],
-                out_most: 0.5,
-                subset: None,
-                instead: None,
+                max_ejected_share: 0.5,
+                subset_size: None,
+                fallback_dependency: None,
             },
         )]),
         operations: BTreeMap::from([(
             "page".into(),
             Operation {
                 calls: vec![Call {
-                    to: "catalogue".into(),
-                    share: None,
-                    needed: false,
-                    cost: 0.0,
-                    instead: Fallback::Nothing,
+                    dependency: "catalogue".into(),
+                    deadline_share: None,
+                    is_required: false,
+                    value_loss: 0.0,
+                    fallback: Fallback::Nothing,
                 }],
-                at_once: false,
+                is_concurrent: false,
             },
         )]),
     };
@@ -182,46 +184,46 @@
 
 #[test]
 fn report_with_every_field() {
-    let counts = Counts {
+    let counters = Counters {
         calls: 101,
         attempts: 102,
         succeeded: 103,
-        again: 104,
+        retries: 104,
         hedges: 105,
         hedges_won: 106,
         hedges_lost: 107,
-        lesser: 108,
+        degraded: 108,
         not_made: 109,
-        out_of_time: 110,
+        timed_out: 110,
     };
     let ejected = ServerReport {
         address: "127.0.0.1:5441".into(),
         zone: "garching".into(),
-        state: "out",
-        why: Some("slower than its peers"),
-        open: 3,
-        limit: Some(17.0),
+        health: "out",
+        ejection_reason: Some("slower than its peers"),
+        in_flight: 3,
+        concurrency_limit: Some(17.0),
         mean_ms: Some(12.375),
-        failures: 0.125,
+        failure_rate: 0.125,
     };
     let unmeasured = ServerReport {
         address: "127.0.0.1:5442".into(),
         zone: "erlangen".into(),
-        state: "in",
-        why: None,
-        open: 0,
-        limit: None,
+        health: "in",
+        ejection_reason: None,
+        in_flight: 0,
+        concurrency_limit: None,
         mean_ms: None,
-        failures: 0.0,
+        failure_rate: 0.0,
     };
     let report = Report {
         name: "catalogue".into(),
-        fails: true,
-        limit: 32.5,
-        open: 21,
+        is_failing: true,
+        concurrency_limit: 32.5,
+        in_flight: 21,
         waiting: 22,
-        attempts_left: 9.25,
-        counts,
+        retry_tokens: 9.25,
+        counters,
         servers: vec![ejected, unmeasured],
     };
     assert_report("report.json", &[report]);
@@ -235,13 +237,13 @@
         thumbs: {servers: [{address: '127.0.0.1:5451', zone: 'erlangen'}]},
     }}";
     let settings: Dependencies = json5::from_str(text).expect("settings");
-    settings.check().expect("it holds together");
+    settings.check().expect("valid settings");
     let router = Router::new(0.0, settings, "n1");
     assert_report("report_new.json", &router.report());
 }
 
-/// Makes rounds of calls to servers of which two fail mostly, one is slow and the others do well, until those that are out
-/// have been tried again; which states the reports gave, with their reasons.
+/// Makes rounds of calls to servers of which two fail mostly, one is slow and the others succeed,
+/// until ejected ones have been probed; returns the states in the reports, with their reasons.
 fn reported_states() -> BTreeSet<(String, Option<String>)> {
     let servers: Vec<String> = (1..=8)
         .map(|port| format!("{{address: '127.0.0.1:{port}'}}"))
@@ -253,37 +255,45 @@
     let settings: Dependencies = json5::from_str(&text).expect("settings");
     let mut router = Router::new(0.0, settings, "n1");
     let mut random = Pcg64Mcg::seed_from_u64(7);
-    let (mut now, mut attempts, mut states) = (0.0, 0, BTreeSet::new());
+    let mut now = 0.0;
+    let mut attempts = 0;
+    let mut states = BTreeSet::new();
     for _ in 0..200 {
         for _ in 0..24 {
-            let ask = CallRequest {
+            let request = CallRequest {
                 operation: "page",
-                place: 0,
-                named: None,
-                wait: 10.0,
-                left: Some(10.0),
+                call_index: 0,
+                named_dependency: None,
+                max_wait_seconds: 10.0,
+                remaining_seconds: Some(10.0),
                 effect: Effect::NonIdempotent, // no hedged requests
-                question: b"question",
+                payload: b"request",
             };
-            router.ask(now, &ask, &mut || random.random());
+            router.start_call(now, &request, &mut || random.random());
         }
-        while let Some(step) = router.next_step() {
+        while let Some(action) = router.poll_action() {
             let Action::Attempt {
-                attempt, server, ..
-            } = step
+                attempt_id, server, ..
+            } = action
             else {
                 continue;
             };
             attempts += 1;
-            let (took, ended) = match server.as_str() {
+            let (delay_seconds, outcome) = match server.as_str() {
                 "127.0.0.1:1" | "127.0.0.1:2" if attempts % 3 > 0 => (0.0, AttemptOutcome::Refused),
                 "127.0.0.1:3" => (0.05, AttemptOutcome::Succeeded),
                 _ => (0.0, AttemptOutcome::Succeeded),
             };
-            // While the attempt is open a server that is tried again shows as such.
+            // A probed server shows as such while the attempt is in flight.
             states.extend(states_of(&router));
             let random = &mut || random.random();
-            router.ended(now + 0.01 + took, attempt, ended, b"reply", random);
+            router.attempt_ended(
+                now + 0.01 + delay_seconds,
+                attempt_id,
+                outcome,
+                b"reply",
+                random,
+            );
             states.extend(states_of(&router));
         }
         now += 0.1;
@@ -292,8 +302,16 @@
 }
 
 fn states_of(router: &Router) -> BTreeSet<(String, Option<String>)> {
-    let servers = router.report().into_iter().flat_map(|of| of.servers);
-    let state = |server: ServerReport| (server.state.into(), server.why.map(str::to_owned));
+    let servers = router
+        .report()
+        .into_iter()
+        .flat_map(|report| report.servers);
+    let state = |server: ServerReport| {
+        (
+            server.health.into(),
+            server.ejection_reason.map(str::to_owned),
+        )
+    };
     servers.map(state).collect()
 }
 
@@ -310,16 +328,16 @@
         ("out", Some("its trial failed")),
         ("out", Some("slower than its peers")),
     ];
-    let expected = expected.map(|(state, why)| (state.to_owned(), why.map(str::to_owned)));
+    let expected = expected.map(|(state, reason)| (state.to_owned(), reason.map(str::to_owned)));
     assert_eq!(decoded, BTreeSet::from(expected));
 }
 
-// Chosen alike by all versions.
+// Subsets are chosen alike by all versions.
 
-/// Which few of many servers an instance uses follows from its name and their addresses alone: an upgrade that chose others
-/// would shift load between servers.
+/// The subset of an instance follows from its name and the addresses alone: an upgrade that chose
+/// another one would shift load between servers.
 #[test]
-fn servers_that_an_instance_chooses() {
+fn subset_of_an_instance() {
     let servers: Vec<String> = (1..=9)
         .map(|port| format!("{{address: '10.0.0.1:{port}'}}"))
         .collect();
@@ -330,7 +348,10 @@
     let settings: Dependencies = json5::from_str(&text).expect("settings");
     let chosen = |instance: &str| {
         let router = Router::new(0.0, settings.clone(), instance);
-        let servers = router.report().into_iter().flat_map(|of| of.servers);
+        let servers = router
+            .report()
+            .into_iter()
+            .flat_map(|report| report.servers);
         servers.map(|server| server.address).collect::<Vec<_>>()
     };
     let all: BTreeMap<&str, Vec<String>> = ["n0", "n1", "n2", "workers-17"]
--- /dev/null
+++ b/crates/merlinshelf-dependencies/tests/router/quota.rs
@@ -0,0 +1,68 @@
+//! The fleet's budgets.
+
+use merlinshelf_dependencies::AttemptOutcome;
+use merlinshelf_quota::Remaining;
+
+use crate::simulation::{ServerReply, Simulation, succeeds};
+
+#[test]
+fn fleet_quota_bounds_calls_and_the_fleet_s_health_counts() {
+    let mut simulation = Simulation::new("{to: 'a'}", |_, _| {
+        Some(ServerReply {
+            duration_seconds: 0.005,
+            outcome: AttemptOutcome::Refused,
+        })
+    });
+    let three_first_calls = Remaining {
+        first_calls: 3,
+        retries: 1,
+        probes: 0,
+        ..Remaining::ALL
+    };
+    simulation.router.update_quota("a", three_first_calls);
+    // Three first calls are made, one of them is retried, and then nothing more.
+    for _ in 0..5 {
+        simulation.start_call();
+        simulation.run_for(0.02);
+    }
+    assert_eq!(simulation.attempts(), 4);
+    let two_probes = Remaining {
+        probes_only: true,
+        first_calls: 9,
+        retries: 9,
+        probes: 2,
+        ..Remaining::ALL
+    };
+    let usage = simulation
+        .router
+        .update_quota("a", two_probes)
+        .expect("it is there");
+    let used_up = Remaining {
+        first_calls: 0,
+        retries: 0,
+        probes: 0,
+        ..Remaining::ALL
+    };
+    assert_eq!(usage.unused, used_up);
+    assert!(!usage.is_failing);
+    // It fails for the fleet: only probes, one at a time.
+    for _ in 0..9 {
+        simulation.start_call();
+        simulation.run_for(0.2);
+    }
+    assert_eq!(simulation.attempts(), 6);
+    // It has recovered for the fleet: its failures here no longer count.
+    simulation.behaviour = succeeds;
+    let reopened = Remaining {
+        reopened: true,
+        ..Remaining::ALL
+    };
+    let usage = simulation
+        .router
+        .update_quota("a", reopened)
+        .expect("it is there");
+    assert_eq!(usage.unused.probes, 0);
+    assert!(usage.unused.probes_only);
+    let completion = simulation.run_load(50.0, simulation.now + 0.5);
+    assert_eq!(completion.complete, completion.calls);
+}
--- a/crates/merlinshelf-policy/src/overlay.rs
+++ b/crates/merlinshelf-policy/src/overlay.rs
@@ -97,8 +97,8 @@
                 });
                 continue;
             };
-            dependency.out_most = policy.out_most.unwrap_or(dependency.out_most);
-            dependency.subset = policy.subset.or(dependency.subset);
+            dependency.max_ejected_share = policy.out_most.unwrap_or(dependency.max_ejected_share);
+            dependency.subset_size = policy.subset.or(dependency.subset_size);
         }
         mismatches
     }
@@ -164,8 +164,8 @@
     };
     let mut is_known = false;
     for call in &mut operation.calls {
-        if call.to == dependency {
-            call.share = Some(fraction);
+        if call.dependency == dependency {
+            call.deadline_share = Some(fraction);
             is_known = true;
         }
     }
--- a/crates/merlinshelf-policy/tests/document.rs
+++ b/crates/merlinshelf-policy/tests/document.rs
@@ -103,9 +103,9 @@
     let shares: Vec<Option<f64>> = dependencies.operations["page"]
         .calls
         .iter()
-        .map(|call| call.share)
+        .map(|call| call.deadline_share)
         .collect();
-    assert_eq!(dependencies.dependencies["a"].out_most, 0.2);
+    assert_eq!(dependencies.dependencies["a"].max_ejected_share, 0.2);
     assert_eq!(shares, [Some(0.4), Some(0.4)]);
     // Together the two calls would exceed the caller's time.
     let policy = parse("{operations: {page: {calls: {a: 0.6}}}}").expect("it is valid");
--- a/crates/merlinshelf-testbed/src/experiments/dependencies/many.rs
+++ b/crates/merlinshelf-testbed/src/experiments/dependencies/many.rs
@@ -56,9 +56,9 @@
     }
 
     fn steps(&mut self, instance: usize) {
-        while let Some(step) = self.routers[instance].next_step() {
+        while let Some(step) = self.routers[instance].poll_action() {
             if let Action::Attempt {
-                attempt, server, ..
+                attempt_id, server, ..
             } = step
             {
                 let place = self.places[&server];
@@ -71,10 +71,18 @@
                 let took = -(self.rng.random::<f64>().max(1e-9)).ln() * TAKES * self.slow[place];
                 let end = free[first].max(self.now) + took;
                 free[first] = end;
-                self.at(end + 0.0005, What::Ends { instance, attempt });
+                self.at(
+                    end + 0.0005,
+                    What::Ends {
+                        instance,
+                        attempt: attempt_id,
+                    },
+                );
             }
         }
-        let wake = self.routers[instance].wake_at().unwrap_or(f64::INFINITY);
+        let wake = self.routers[instance]
+            .next_timeout()
+            .unwrap_or(f64::INFINITY);
         if wake < self.wakes[instance] || self.wakes[instance] <= self.now {
             self.wakes[instance] = wake;
             if wake.is_finite() {
@@ -98,25 +106,25 @@
                 What::Ask(instance) => {
                     let ask = CallRequest {
                         operation: "page",
-                        place: 0,
-                        named: None,
-                        wait: 1.0,
-                        left: Some(1.0),
+                        call_index: 0,
+                        named_dependency: None,
+                        max_wait_seconds: 1.0,
+                        remaining_seconds: Some(1.0),
                         effect: Effect::Idempotent,
-                        question: b"",
+                        payload: b"",
                     };
-                    self.routers[instance].ask(now, &ask, &mut chance);
+                    self.routers[instance].start_call(now, &ask, &mut chance);
                     let next = now - self.rng.random::<f64>().max(1e-9).ln() / RATE;
                     self.at(next, What::Ask(instance));
                     instance
                 }
                 What::Wake(usize::MAX) => continue,
                 What::Wake(instance) => {
-                    self.routers[instance].woken(now, &mut chance);
+                    self.routers[instance].handle_timeout(now, &mut chance);
                     instance
                 }
                 What::Ends { instance, attempt } => {
-                    self.routers[instance].ended(
+                    self.routers[instance].attempt_ended(
                         now,
                         attempt,
                         AttemptOutcome::Succeeded,
@@ -175,7 +183,7 @@
                 .routers
                 .iter()
                 .step_by(10)
-                .filter_map(|router| Some(router.report().first()?.limit)),
+                .filter_map(|router| Some(router.report().first()?.concurrency_limit)),
         );
     }
     let mean = world.calls.iter().sum::<u64>() as f64 / servers as f64;
