--- a/crates/merlinshelf-agent/src/consensus_log.rs
+++ b/crates/merlinshelf-agent/src/consensus_log.rs
@@ -6,7 +6,7 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 
 use log::error;
-use merlinshelf_backend::learning::folder::Disk;
+use merlinshelf_backend::gossip::disk::Disk;
 use merlinshelf_consensus::{FILE_HEADER, Record, recover};
 use merlinshelf_gossip::Files;
 use tokio::sync::mpsc::UnboundedSender;
--- a/crates/merlinshelf-agent/src/store/mod.rs
+++ b/crates/merlinshelf-agent/src/store/mod.rs
@@ -9,7 +9,7 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 
 use log::{info, warn};
-use merlinshelf_backend::learning::folder::Disk;
+use merlinshelf_backend::gossip::disk::Disk;
 use merlinshelf_fleet::Record;
 use merlinshelf_gossip::Files;
 use merlinshelf_gossip::store_format::{FrameError, framed, unframed};
--- /dev/null
+++ b/crates/merlinshelf-backend/src/gossip/answering.rs
@@ -0,0 +1,128 @@
+//! Answers to the polls of peers: a connection each, with a time in which all of it must be done.
+
+use std::cell::Cell;
+use std::io;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+
+use log::{debug, info, warn};
+use merlinshelf_gossip::Message;
+use merlinshelf_protocol::gossip::{Kind, put_message};
+use tokio::io::AsyncWriteExt;
+use tokio::net::{TcpListener, TcpSocket, TcpStream};
+use tokio::task::spawn_local;
+use tokio::time::{sleep, timeout};
+
+use super::Shared;
+use super::messages::{MessageError, read_message};
+use super::transport::{Plain, Transport};
+use crate::exchange::monotonic;
+
+/// Peers that poll at one time; the connection of one more is closed at once.
+const MAX_CONNECTIONS: usize = 16;
+/// Within this time a poll must have come and its answer be read.
+const CONNECTION_TIMEOUT: Duration = Duration::from_millis(500);
+/// After a failed listen or accept.
+const RETRY_PAUSE: Duration = Duration::from_millis(200);
+
+/// Answers whoever polls, until it is aborted.
+pub(super) async fn run(address: String, state: Shared) {
+    let listener = open_listener(&address).await;
+    info!("gossip listening at {address}");
+    let connection_count = Rc::new(Cell::new(0_usize));
+    loop {
+        let stream = match listener.accept().await {
+            Ok((stream, _)) => stream,
+            Err(error) => {
+                debug!("gossip connection not accepted: {error}");
+                sleep(RETRY_PAUSE).await;
+                continue;
+            }
+        };
+        if connection_count.get() >= MAX_CONNECTIONS {
+            continue; // closed at once
+        }
+        let permit = ConnectionPermit::acquire(&connection_count);
+        let state = state.clone();
+        spawn_local(async move {
+            let _permit = permit;
+            match timeout(CONNECTION_TIMEOUT, answer(stream, state)).await {
+                Ok(Ok(())) => {}
+                Ok(Err(error)) => debug!("poll not answered: {error}"),
+                Err(_) => debug!("poll not answered in time"),
+            }
+        });
+    }
+}
+
+/// Tries until it listens; the first failure is logged.
+async fn open_listener(address: &str) -> TcpListener {
+    let mut is_logged = false;
+    loop {
+        match listen(address) {
+            Ok(listener) => return listener,
+            Err(error) => {
+                if !is_logged {
+                    warn!("gossip listener not open: {address}: {error}");
+                }
+                is_logged = true;
+                sleep(RETRY_PAUSE).await;
+            }
+        }
+    }
+}
+
+/// An address that a predecessor has only just released can be listened at.
+fn listen(address: &str) -> io::Result<TcpListener> {
+    let address: SocketAddr = address.parse().map_err(io::Error::other)?;
+    let socket = if address.is_ipv6() {
+        TcpSocket::new_v6()
+    } else {
+        TcpSocket::new_v4()
+    }?;
+    socket.set_reuseaddr(true)?;
+    socket.bind(address)?;
+    socket.listen(MAX_CONNECTIONS as u32)
+}
+
+async fn answer(stream: TcpStream, state: Shared) -> io::Result<()> {
+    let mut stream = Plain.accept(stream).await?;
+    let (kind, poll) = read_message(&mut stream).await?;
+    if kind != Kind::Ask {
+        return Err(MessageError::AnswerInsteadOfPoll.into());
+    }
+    let Some(bytes) = encode_answer(&poll, &state) else {
+        return Ok(());
+    };
+    stream.write_all(&bytes).await?;
+    stream.shutdown().await
+}
+
+/// None before the node has started, and where answering has taken its CPU time.
+fn encode_answer(poll: &Message, state: &Shared) -> Option<Vec<u8>> {
+    let started_at = Instant::now();
+    let mut state = state.borrow_mut();
+    let node = state.node.as_mut()?;
+    let answer = node.poll_received(monotonic(), poll)?;
+    let mut bytes = Vec::new();
+    put_message(&mut bytes, Kind::Tell, &answer);
+    node.charge_cpu_seconds(started_at.elapsed().as_secs_f64());
+    Some(bytes)
+}
+
+/// One of the connections at one time; dropping it is the one way in which it is given back.
+struct ConnectionPermit(Rc<Cell<usize>>);
+
+impl ConnectionPermit {
+    fn acquire(connection_count: &Rc<Cell<usize>>) -> ConnectionPermit {
+        connection_count.set(connection_count.get() + 1);
+        ConnectionPermit(connection_count.clone())
+    }
+}
+
+impl Drop for ConnectionPermit {
+    fn drop(&mut self) {
+        self.0.set(self.0.get() - 1);
+    }
+}
--- a/crates/merlinshelf-backend/src/learning/secure.rs
+++ b/crates/merlinshelf-backend/src/gossip/transport.rs
@@ -1,5 +1,5 @@
-//! What a connection between instances is wrapped in. Nothing as yet, which is why only loopback addresses are allowed; a
-//! layer with keys is another implementor.
+//! What a connection between instances is wrapped in. Nothing as yet, which is why only loopback
+//! addresses are allowed; an encrypted transport is another implementor.
 
 use std::io;
 
@@ -7,12 +7,13 @@
 use tokio::net::TcpStream;
 
 /// A way to secure connections, for both of their ends.
-pub trait Secure {
+pub trait Transport {
+    /// The secured connection.
     type Stream: AsyncRead + AsyncWrite + Unpin;
 
-    /// The end of the one who is asked.
+    /// The end that is polled.
     fn accept(&self, stream: TcpStream) -> impl Future<Output = io::Result<Self::Stream>>;
-    /// The end of the one who asks, at this address.
+    /// The end that polls, at this address.
     fn connect(
         &self,
         stream: TcpStream,
@@ -20,10 +21,10 @@
     ) -> impl Future<Output = io::Result<Self::Stream>>;
 }
 
-/// As it comes.
+/// The connection as it is.
 pub struct Plain;
 
-impl Secure for Plain {
+impl Transport for Plain {
     type Stream = TcpStream;
 
     async fn accept(&self, stream: TcpStream) -> io::Result<TcpStream> {
--- a/crates/merlinshelf-backend/src/logger/line.rs
+++ b/crates/merlinshelf-backend/src/logger/line.rs
@@ -22,11 +22,15 @@
 /// around all others.
 pub(super) fn part(target: &str) -> &str {
     let mut modules = target.split("::").skip(1);
-    if let Some("process" | "instance" | "upgrade" | "startup_wait" | "control") = modules.next() {
-        return "merlinshelf";
+    match modules.next() {
+        Some("process" | "instance" | "upgrade" | "startup_wait" | "control") => {
+            return "merlinshelf";
+        }
+        // Its name in the operators' file.
+        Some("gossip") => return "learning",
+        _ => {}
     }
     match target.rsplit("::").next().unwrap_or("") {
-        "folder" | "peers" => "learning",
         // Modules of the agent's process.
         "host" | "event_loop" | "probing" | "instance_processes" | "recovery" => "merlinshelf",
         module => module,
--- a/crates/merlinshelf-backend/src/logger/tests.rs
+++ b/crates/merlinshelf-backend/src/logger/tests.rs
@@ -53,7 +53,7 @@
         "merlinshelf_backend::startup_wait",
         "merlinshelf_backend::control",
         "merlinshelf_backend::exchange::runs",
-        "merlinshelf_backend::learning::folder",
+        "merlinshelf_backend::gossip::store_thread",
         "merlinshelf_backend::client::registration",
         "merlinshelf_agent::host",
     ]
--- a/crates/merlinshelf-backend/src/process/control_requests.rs
+++ b/crates/merlinshelf-backend/src/process/control_requests.rs
@@ -10,7 +10,7 @@
 use super::{Flow, Process};
 use crate::control::PendingRequest;
 use crate::exchange::Shared;
-use crate::learning::Learning;
+use crate::gossip::Gossip;
 
 impl Process {
     /// Answers a request, at once or in the course of an upgrade.
@@ -23,7 +23,7 @@
                 let _ = response.send(self.drain_requested());
             }
             PendingRequest::Knowledge(response) => {
-                let _ = response.send(self.gossip.as_ref().map(Learning::knowledge));
+                let _ = response.send(self.gossip.as_ref().map(Gossip::observation_pages));
             }
             PendingRequest::Fleet(_, response) => {
                 let text = "an instance listens here, not an agent";
@@ -34,7 +34,8 @@
             }
             PendingRequest::Forget(source, response) => {
                 let gossip = self.gossip.as_mut();
-                let _ = response.send(gossip.map(|gossip| gossip.forget(source.as_deref())));
+                let _ = response
+                    .send(gossip.map(|gossip| gossip.remove_observations(source.as_deref())));
             }
             PendingRequest::Upgrade(client) => self.upgrade_requested(client),
         }
--- a/crates/merlinshelf-backend/src/process/mod.rs
+++ b/crates/merlinshelf-backend/src/process/mod.rs
@@ -29,8 +29,8 @@
 use crate::control::{self, Control, PendingRequest};
 use crate::counters;
 use crate::exchange::{Exchange, OpenedConnection};
+use crate::gossip::Gossip;
 use crate::instance::{Instance, InstanceOptions, RestoredInstance};
-use crate::learning::Learning;
 use crate::operator::Operator;
 use crate::routing::{self, LaidOver, Routing};
 use crate::server;
@@ -60,7 +60,7 @@
     /// `None` before the process serves and while it is frozen.
     instance: Option<Instance>,
     /// `None` where the operators' file does not switch gossip on.
-    gossip: Option<Learning>,
+    gossip: Option<Gossip>,
     /// `None` where the operators name no dependencies.
     routing: Option<routing::Shared>,
     /// As the operators' file has them.
@@ -106,7 +106,7 @@
         let gossip = operator
             .learning
             .clone()
-            .map(|settings| Learning::new(&config.name, &config.settings, settings));
+            .map(|settings| Gossip::new(&config.name, &config.settings, settings));
         let routing = operator.dependencies.clone().map(|dependencies| {
             let routing = Routing::new(dependencies, &config.name, config.seed);
             Rc::new(RefCell::new(routing))
@@ -228,7 +228,7 @@
     fn start_gossip(&mut self) {
         if let (Some(gossip), Some(instance)) = (&mut self.gossip, &self.instance) {
             let store = std::mem::take(&mut instance.exchange.borrow_mut().gossip_state);
-            gossip.go(&instance.exchange, store);
+            gossip.start(&instance.exchange, store);
         }
     }
 
--- a/crates/merlinshelf-backend/src/process/predecessor_role.rs
+++ b/crates/merlinshelf-backend/src/process/predecessor_role.rs
@@ -159,7 +159,7 @@
         let instance = self.instance.take().ok_or(FreezeFailure::NotServing)?;
         if let Some(gossip) = &mut self.gossip {
             gossip.stop();
-            instance.exchange.borrow_mut().gossip_state = gossip.pass_on();
+            instance.exchange.borrow_mut().gossip_state = gossip.export();
         }
         let frozen = instance.freeze().await?;
         let guard = self.predecessor.guard.as_mut();
--- a/crates/merlinshelf-backend/src/process/restoration.rs
+++ b/crates/merlinshelf-backend/src/process/restoration.rs
@@ -47,7 +47,7 @@
         instance.exchange.borrow_mut().counters.taken_back += 1;
         self.instance = Some(instance);
         if let Some(gossip) = &mut self.gossip {
-            gossip.taken_back();
+            gossip.handover_rolled_back();
         }
         self.start_gossip();
         self.try_open_control();
--- a/crates/merlinshelf-backend/src/process/status.rs
+++ b/crates/merlinshelf-backend/src/process/status.rs
@@ -5,7 +5,7 @@
 use super::{Process, VERSION};
 use crate::counters::ResourceUsage;
 use crate::exchange::Exchange;
-use crate::learning::Learning;
+use crate::gossip::Gossip;
 
 impl Process {
     /// The report of this moment.
@@ -28,7 +28,7 @@
             "run_ms": exchange.and_then(Exchange::run_ms),
             "memory_kb": usage.memory_kb,
             "descriptors": usage.descriptors,
-            "learning": self.gossip.as_ref().map(Learning::status),
+            "learning": self.gossip.as_ref().map(Gossip::status),
             "dependencies": self.routing.as_ref().map(|routing| routing.borrow().report()),
             "policy": exchange.and_then(policy_status),
             "budgets": exchange.and_then(Exchange::quota_report),
--- a/crates/merlinshelf-backend/tests/golden.rs
+++ b/crates/merlinshelf-backend/tests/golden.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use merlinshelf_backend::control::{PendingRequest, open};
-use merlinshelf_backend::learning::folder;
+use merlinshelf_backend::gossip::disk;
 use merlinshelf_backend::{Start, serve};
 use merlinshelf_gossip::store_format::{self, PersistedObservation, Record};
 use merlinshelf_gossip::{GossipedObservation, Metric, Source, SourceStatus};
@@ -341,7 +341,7 @@
     golden_file::assert_json("instance_reports", &without_figures(&reports));
 
     // What it has kept, under the names by which a later program looks for it.
-    let found = folder::look(&store).expect("a folder that can be read");
+    let found = disk::read_store(&store).expect("a folder that can be read");
     assert_eq!((found.observations.len(), found.error), (1, None));
     let entries = std::fs::read_dir(&store).expect("a folder");
     let name = |entry: std::io::Result<std::fs::DirEntry>| entry.expect("an entry").file_name();
--- a/crates/merlinshelf-cli/src/knowledge.rs
+++ b/crates/merlinshelf-cli/src/knowledge.rs
@@ -7,7 +7,7 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use merlinshelf_agent::control_client::BlockingControlClient;
-use merlinshelf_backend::learning::folder::look;
+use merlinshelf_backend::gossip::disk::read_store;
 use merlinshelf_gossip::GossipedObservation;
 use merlinshelf_protocol::control::{ControlMessage, ControlRequest};
 use serde_json::{Value, json};
@@ -48,7 +48,7 @@
 
 /// All figures that a folder keeps, as old as they are by now; what is wrong with the file is said on standard error.
 fn kept(folder: &Path) -> io::Result<Vec<Value>> {
-    let found = look(folder)?;
+    let found = read_store(folder)?;
     if let Some(flaw) = found.error {
         eprintln!("merlinshelf: {}: not read whole: {flaw}", folder.display());
     }
--- a/crates/merlinshelf-cli/tests/learning.rs
+++ b/crates/merlinshelf-cli/tests/learning.rs
@@ -189,7 +189,7 @@
         instance.says("saved again", saved).await?;
         playing.leave();
         instance.crash().await?;
-        instance.logged("from its own past", 1).await?;
+        instance.logged("of earlier incarnations", 1).await?;
         instance
             .says("taught by its past", |status| {
                 is_taught_by(status, "n20 (its own past)")
@@ -225,10 +225,12 @@
             instance.crash().await?;
             instance.logged("the engine is up", 2 + times).await?;
             if spoil == "no folder" {
-                instance.logged("what is known is not kept", 1).await?;
+                instance.logged("gossip store not written", 1).await?;
             } else {
-                instance.logged("can't be read whole", times).await?;
-                instance.logged("set aside", times).await?;
+                instance
+                    .logged("gossip store not read completely", times)
+                    .await?;
+                instance.logged("moved aside", times).await?;
                 assert!(folder.join("knowledge.aside").exists());
             }
             let (load, playing) = load(&instance, 100 + times as u64).await?;
@@ -361,10 +363,10 @@
             .says("taught", |status| is_taught_by(status, "bad"))
             .await?;
         instance
-            .logged("2 figures of bad are not taken: values that can't be", 1)
+            .logged("rejected 2 observations of bad: values that can't be", 1)
             .await?;
         instance
-            .logged("1 figures of bad are not taken: ages that can't be", 1)
+            .logged("rejected 1 observations of bad: ages that can't be", 1)
             .await?;
         let (load, playing) = load(&instance, 7).await?;
         let verdict = check(&instance, &load, playing).await;
@@ -457,7 +459,7 @@
                 .any(|one| one["origin"] == "n61" && one["own"] == false),
             "{figures:?}"
         );
-        pupil.logged("teaches at", 2).await?;
+        pupil.logged("gossip listening at", 2).await?;
         // The folder is the successor's by now.
         pupil
             .says("saved", |status| {
--- a/crates/merlinshelf-gossip/tests/observation_store.rs
+++ b/crates/merlinshelf-gossip/tests/observation_store.rs
@@ -65,13 +65,13 @@
             changed(|valid| valid.age_seconds = 120.0),
         ),
         ("of two samples", changed(|valid| valid.sample_count = 2)),
-        ("forwarded once", changed(|valid| valid.hops = 2)),
+        ("forwarded only once", changed(|valid| valid.hops = 2)),
         (
-            "from a recovering source",
+            "from a source that is recovering",
             changed(|valid| valid.status = SourceStatus::Recovering),
         ),
         (
-            "from a recently synced source",
+            "from a source that recently synced",
             changed(|valid| valid.status = SourceStatus::RecentlySynced),
         ),
     ];
