--- a/crates/merlinshelf-backend/src/client/catalogue.rs
+++ b/crates/merlinshelf-backend/src/client/catalogue.rs
@@ -26,7 +26,7 @@
 use crate::exchange::{CallCommand, CallNumber, CallOutcome, Shared, StoppedPart, pass};
 use crate::fault;
 use crate::ring::{IoProgress, Ring};
-use crate::routing;
+use crate::routing::{RoutedCall, SharedRouting};
 
 /// How long a connection is kept idle. The far end closes or forgets idle ones, and a call that meets this has
 /// an end that proves nothing; a new connection costs a fraction of a millisecond.
@@ -80,7 +80,7 @@
     tasks: JoinSet<(Attempt, Made)>,
     open: BTreeMap<Attempt, AbortHandle>,
     /// The calls that go to dependencies, where the operators name some.
-    routing: Option<routing::Shared>,
+    routing: Option<SharedRouting>,
     waiting: VecDeque<Call>,
     /// The first of them waits for a connection that may not be opened yet.
     held: bool,
@@ -100,7 +100,7 @@
     exchange: Shared,
     most: usize,
     resumed: Rc<RefCell<Vec<Resumed>>>,
-    routing: Option<routing::Shared>,
+    routing: Option<SharedRouting>,
 ) {
     let wake = exchange.borrow().call_commands_waker();
     let mut freezing = exchange.borrow().freeze_notice();
@@ -109,7 +109,7 @@
     let (waiting, idle) = (VecDeque::new(), VecDeque::new());
     let routed = routing
         .as_ref()
-        .map_or_else(Rc::default, |routing| routing.borrow().wake());
+        .map_or_else(Rc::default, |routing| routing.borrow().waker());
     let mut calls = Calls {
         exchange,
         address,
@@ -132,7 +132,7 @@
         let due = calls
             .routing
             .as_ref()
-            .and_then(|routing| routing.borrow().wake_at());
+            .and_then(|routing| routing.borrow().next_timeout());
         let oldest = calls.idle.front().map(|line| line.idle_since + IDLE_MOST);
         select! {
             () = wake.notified() => {}
@@ -151,7 +151,7 @@
         calls.ended(ended);
     }
     if let Some(routing) = &calls.routing {
-        routing.borrow_mut().forget_open();
+        routing.borrow_mut().discard_calls();
     }
 }
 
@@ -167,8 +167,8 @@
                     body,
                     context: wanted,
                 }) => match &self.routing {
-                    Some(routing) if routing.borrow().knows(&wanted) => {
-                        routing.borrow_mut().ask(
+                    Some(routing) if routing.borrow().routes_call(&wanted) => {
+                        routing.borrow_mut().start_call(
                             &self.exchange,
                             (id, number),
                             wait,
@@ -187,7 +187,9 @@
                 // Closing its connection gives a call up, with nothing of it left to come.
                 Some(CallCommand::Abandon { id, number }) => {
                     if let Some(routing) = &self.routing {
-                        routing.borrow_mut().give_up(&self.exchange, (id, number));
+                        routing
+                            .borrow_mut()
+                            .cancel_call(&self.exchange, (id, number));
                     }
                     self.waiting
                         .retain(|call| (call.id, call.number) != (id, number));
@@ -247,7 +249,7 @@
             return;
         };
         loop {
-            let step = routing.borrow_mut().next();
+            let step = routing.borrow_mut().poll_action();
             match step {
                 Some(Action::Attempt {
                     call_id: ticket,
@@ -262,15 +264,19 @@
                             server,
                             timeout_seconds: wait,
                         };
-                        return routing.borrow_mut().put_back(step);
+                        return routing.borrow_mut().requeue_action(step);
                     }
-                    let call = routing.borrow().call_of(ticket);
-                    let Some(((id, number), body)) = call else {
+                    let call = routing.borrow().call(ticket);
+                    let Some(RoutedCall {
+                        key: (id, number),
+                        body,
+                    }) = call
+                    else {
                         continue;
                     };
                     match server.parse() {
                         Ok(address) => {
-                            let name = routing.borrow().dependency_of(attempt);
+                            let name = routing.borrow().dependency_of_attempt(attempt);
                             self.exchange.borrow_mut().note_connection_demand(&name);
                             let call = Call {
                                 id,
@@ -282,7 +288,7 @@
                             self.held_attempts.push_back((name, call, address));
                             self.make_held();
                         }
-                        Err(_) => routing.borrow_mut().ended(
+                        Err(_) => routing.borrow_mut().attempt_ended(
                             &self.exchange,
                             attempt,
                             &CallOutcome::NeverRan,
@@ -323,7 +329,7 @@
 
     fn woken(&mut self) {
         if let Some(routing) = &self.routing {
-            routing.borrow_mut().woken(&self.exchange);
+            routing.borrow_mut().handle_timeout(&self.exchange);
         }
     }
 
@@ -439,7 +445,7 @@
     kept: Option<Line>,
     address: SocketAddr,
     exchange: &Shared,
-    routing: Option<&routing::Shared>,
+    routing: Option<&SharedRouting>,
 ) -> Made {
     let (reused, mut freezing) = (kept.is_some(), exchange.borrow().freeze_notice());
     let mut line = match kept {
@@ -516,7 +522,7 @@
     line: Line,
     call: Attempt,
     exchange: &Shared,
-    routing: Option<&routing::Shared>,
+    routing: Option<&SharedRouting>,
     kind: &str,
 ) -> Made {
     let mut held = Held {
@@ -567,12 +573,14 @@
 /// Tells how an attempt has ended: those of a dependency to what decides on further ones.
 fn tell(
     exchange: &Shared,
-    routing: Option<&routing::Shared>,
+    routing: Option<&SharedRouting>,
     (id, number, attempt): Attempt,
     called: CallOutcome,
 ) {
     match routing.filter(|_| attempt > 0) {
-        Some(routing) => routing.borrow_mut().ended(exchange, attempt, &called),
+        Some(routing) => routing
+            .borrow_mut()
+            .attempt_ended(exchange, attempt, &called),
         None => exchange.borrow_mut().call_ended(id, number, called),
     }
 }
--- a/crates/merlinshelf-backend/src/instance/mod.rs
+++ b/crates/merlinshelf-backend/src/instance/mod.rs
@@ -17,7 +17,7 @@
 
 use crate::config::{Config, Peers};
 use crate::exchange::{PassedDescriptors, Shared};
-use crate::routing;
+use crate::routing::SharedRouting;
 use crate::server::Listening;
 use drain::Drain;
 use task::Task;
@@ -49,7 +49,7 @@
     /// The servers that it connects to.
     pub peers: Peers,
     /// Routing of calls to several dependencies, if the operators name any.
-    pub routing: Option<routing::Shared>,
+    pub routing: Option<SharedRouting>,
     /// Whether clients may speak uwsgi as well as FastCGI.
     pub accepts_uwsgi: bool,
 }
--- a/crates/merlinshelf-backend/src/instance/restored.rs
+++ b/crates/merlinshelf-backend/src/instance/restored.rs
@@ -19,7 +19,7 @@
 use crate::exchange::{ConnectionHandle, Exchange, OpenedConnection, PassedDescriptors, Shared};
 use crate::journal::Journal;
 use crate::ring::discard;
-use crate::routing;
+use crate::routing::SharedRouting;
 use crate::server::{self, Listening, Server};
 use crate::upgrade::kernel::{self, OpenedBy};
 
@@ -220,8 +220,11 @@
     /// Runs it.
     pub fn run(self, options: InstanceOptions) -> Instance {
         if let Some(routing) = &options.routing {
-            let parts = |operation: &str| routing.borrow().parts(operation);
-            self.exchange.borrow_mut().set_dependency_names(parts);
+            let dependencies =
+                |operation: &str| routing.borrow().dependencies_of_operation(operation);
+            self.exchange
+                .borrow_mut()
+                .set_dependency_names(dependencies);
         }
         let max_calls = client::calls_most(options.config.sockets);
         let max_connections = server::doors_most(options.config.sockets, max_calls);
@@ -288,7 +291,7 @@
         &self,
         max_calls: usize,
         connections: Vec<ResumedDownstreamConnection>,
-        routing: Option<routing::Shared>,
+        routing: Option<SharedRouting>,
     ) -> Task {
         let exchange = self.exchange.clone();
         let peers = self.peers.clone();
--- a/crates/merlinshelf-backend/src/process/mod.rs
+++ b/crates/merlinshelf-backend/src/process/mod.rs
@@ -32,7 +32,7 @@
 use crate::instance::{Instance, InstanceOptions, RestoredInstance};
 use crate::learning::Learning;
 use crate::operator::Operator;
-use crate::routing::{self, LaidOver, Routing};
+use crate::routing::{DependencyOverlay, Routing, SharedRouting};
 use crate::server;
 use crate::startup_wait::StartupWait;
 use events::Signals;
@@ -62,7 +62,7 @@
     /// `None` where the operators' file does not switch gossip on.
     gossip: Option<Learning>,
     /// `None` where the operators name no dependencies.
-    routing: Option<routing::Shared>,
+    routing: Option<SharedRouting>,
     /// As the operators' file has them.
     dependencies: Rc<RefCell<Option<Dependencies>>>,
     /// A fresh start that waits for a policy lease.
@@ -194,8 +194,8 @@
         let Some(policy) = &self.operator.policy else {
             return Ok(());
         };
-        let overlay = LaidOver {
-            own: self.dependencies.clone(),
+        let overlay = DependencyOverlay {
+            configured: self.dependencies.clone(),
             routing: self.routing.clone(),
         };
         exchange
--- a/crates/merlinshelf-backend/src/process/signals.rs
+++ b/crates/merlinshelf-backend/src/process/signals.rs
@@ -104,10 +104,14 @@
         };
         let count = dependencies.dependencies.len();
         *self.dependencies.borrow_mut() = Some(dependencies.clone());
-        routing.borrow_mut().replace(dependencies);
+        routing.borrow_mut().update_config(dependencies);
         if let Some(instance) = &self.instance {
-            let parts = |operation: &str| routing.borrow().parts(operation);
-            instance.exchange.borrow_mut().set_dependency_names(parts);
+            let dependencies =
+                |operation: &str| routing.borrow().dependencies_of_operation(operation);
+            instance
+                .exchange
+                .borrow_mut()
+                .set_dependency_names(dependencies);
             instance.exchange.borrow().reapply_overlay();
         }
         info!(count = count; "dependencies reloaded: {count}");
--- a/crates/merlinshelf-backend/src/routing.rs
+++ b/crates/merlinshelf-backend/src/routing.rs
@@ -1,5 +1,6 @@
-//! Carries out what `merlinshelf-dependencies` decides of calls below: keeps its clock and chance, and which call has which ticket.
-//! It outlives the part that makes calls, so that what is known of servers does.
+//! The host of the router of `merlinshelf-dependencies`: its clock, its randomness, and which call
+//! has which number there. It outlives the task that makes the calls, so that what is known of
+//! servers does.
 
 use std::cell::RefCell;
 use std::collections::{HashMap, VecDeque};
@@ -19,72 +20,84 @@
 
 use crate::exchange::{self, CallContext, CallDemand, CallNumber, CallOutcome};
 
-/// One call: its invocation, and which of its calls it is.
+/// One call: its invocation, and its number among that one's calls.
 pub type CallKey = (CallId, CallNumber);
 
+/// A call that the router makes.
+#[derive(Clone)]
+pub struct RoutedCall {
+    /// The call.
+    pub key: CallKey,
+    /// The request.
+    pub body: Rc<[u8]>,
+}
+
+/// The router of calls to dependencies, with its clock and its randomness.
 pub struct Routing {
     router: Router,
-    began: Instant,
-    chance: Pcg64Mcg,
-    /// By ticket, with what is asked.
-    calls: HashMap<u64, (CallKey, Rc<[u8]>)>,
-    tickets: HashMap<CallKey, u64>,
-    /// Attempts to be made and given up.
-    todo: VecDeque<Action>,
-    wake: Rc<Notify>,
+    started_at: Instant,
+    random: Pcg64Mcg,
+    /// By the router's number.
+    calls: HashMap<u64, RoutedCall>,
+    call_ids: HashMap<CallKey, u64>,
+    /// Attempts to be made and cancelled.
+    actions: VecDeque<Action>,
+    waker: Rc<Notify>,
 }
 
-pub type Shared = Rc<RefCell<Routing>>;
+/// The routing, shared by the process and its instance.
+pub type SharedRouting = Rc<RefCell<Routing>>;
 
-/// The operators' dependencies, and the policy that is laid over them.
-pub struct LaidOver {
+/// The operators' dependencies, which the policy in force overlays.
+pub struct DependencyOverlay {
     /// As the operators' file has them.
-    pub own: Rc<RefCell<Option<Dependencies>>>,
-    pub routing: Option<Shared>,
+    pub configured: Rc<RefCell<Option<Dependencies>>>,
+    /// Where calls are routed.
+    pub routing: Option<SharedRouting>,
 }
 
-impl exchange::PolicyOverlay for LaidOver {
+impl exchange::PolicyOverlay for DependencyOverlay {
     fn fits(&self, policy: &Policy) -> Result<(), String> {
         policy
-            .dependencies(self.own.borrow().as_ref())
+            .dependencies(self.configured.borrow().as_ref())
             .map(|_| ())
             .map_err(|mismatch| mismatch.to_string())
     }
 
     fn lay(&self, policy: &Policy) {
-        if let (Some(routing), Ok(Some(wanted))) = (
-            &self.routing,
-            policy.dependencies(self.own.borrow().as_ref()),
-        ) {
-            routing.borrow_mut().replace(wanted);
+        let overlaid = policy.dependencies(self.configured.borrow().as_ref());
+        if let (Some(routing), Ok(Some(dependencies))) = (&self.routing, overlaid) {
+            routing.borrow_mut().update_config(dependencies);
         }
     }
 }
 
 impl Routing {
-    pub fn new(wanted: Dependencies, name: &str, seed: u64) -> Routing {
+    /// Routing by these settings for the instance of this name.
+    pub fn new(dependencies: Dependencies, instance: &str, seed: u64) -> Routing {
         Routing {
-            router: Router::new(0.0, wanted, name),
-            began: Instant::now(),
-            chance: Pcg64Mcg::seed_from_u64(seed),
+            router: Router::new(0.0, dependencies, instance),
+            started_at: Instant::now(),
+            random: Pcg64Mcg::seed_from_u64(seed),
             calls: HashMap::new(),
-            tickets: HashMap::new(),
-            todo: VecDeque::new(),
-            wake: Rc::default(),
+            call_ids: HashMap::new(),
+            actions: VecDeque::new(),
+            waker: Rc::default(),
         }
     }
 
+    /// Seconds on the router's clock.
     fn now(&self) -> f64 {
-        self.began.elapsed().as_secs_f64()
+        self.started_at.elapsed().as_secs_f64()
     }
 
-    /// Other lists and settings from here on.
-    pub fn replace(&mut self, wanted: Dependencies) {
-        self.router.update_config(self.now(), wanted);
+    /// Applies other settings from here on.
+    pub fn update_config(&mut self, dependencies: Dependencies) {
+        self.router.update_config(self.now(), dependencies);
     }
 
-    /// By place, what each call of an operation is called: told to callers where it is missing.
-    pub fn parts(&self, operation: &str) -> Vec<Rc<str>> {
+    /// The dependencies of an operation's calls, by index: callers are notified of missing ones.
+    pub fn dependencies_of_operation(&self, operation: &str) -> Vec<Rc<str>> {
         self.router
             .dependencies_of_operation(operation)
             .into_iter()
@@ -92,234 +105,256 @@
             .collect()
     }
 
+    /// Reports of all dependencies.
     pub fn report(&self) -> Vec<Report> {
         self.router.report()
     }
 
-    /// Told when there is something to do.
-    pub fn wake(&self) -> Rc<Notify> {
-        self.wake.clone()
+    /// Notified when there is an action.
+    pub fn waker(&self) -> Rc<Notify> {
+        self.waker.clone()
     }
 
-    pub fn wake_at(&self) -> Option<Instant> {
-        let at = self.router.next_timeout()?;
-        // A moment late rather than early: woken early it would ask for the same moment again.
-        Some(self.began + Duration::from_secs_f64(at.max(0.0)) + Duration::from_micros(1))
+    /// When [`handle_timeout`](Routing::handle_timeout) must be called.
+    pub fn next_timeout(&self) -> Option<Instant> {
+        let timeout = Duration::from_secs_f64(self.router.next_timeout()?.max(0.0));
+        // Late rather than early: an early call would find nothing due and sleep for no time.
+        Some(self.started_at + timeout + Duration::from_micros(1))
     }
 
-    /// The next attempt to be made or given up.
-    pub fn next(&mut self) -> Option<Action> {
-        self.todo.pop_front()
+    /// The next attempt to be made or cancelled.
+    pub fn poll_action(&mut self) -> Option<Action> {
+        self.actions.pop_front()
     }
 
-    /// There was no room for it yet.
-    pub fn put_back(&mut self, step: Action) {
-        self.todo.push_front(step);
+    /// Puts back an attempt that there was no capacity for; it is the next action.
+    pub fn requeue_action(&mut self, action: Action) {
+        self.actions.push_front(action);
     }
 
-    /// Whether that call is the router's to make.
-    pub fn knows(&self, wanted: &CallContext) -> bool {
+    /// Whether the router makes that call.
+    pub fn routes_call(&self, context: &CallContext) -> bool {
         self.router.routes_call(
-            &wanted.operation,
-            wanted.call_index,
-            wanted.named_dependency.as_deref(),
+            &context.operation,
+            context.call_index,
+            context.named_dependency.as_deref(),
         )
     }
 
-    /// A call is wanted.
-    pub fn ask(
+    /// Starts a call that takes `max_wait_seconds` at the most.
+    pub fn start_call(
         &mut self,
         exchange: &exchange::Shared,
         key: CallKey,
-        wait: f64,
-        question: &Rc<[u8]>,
-        wanted: &CallContext,
+        max_wait_seconds: f64,
+        body: &Rc<[u8]>,
+        context: &CallContext,
     ) {
-        let ask = CallRequest {
-            operation: &wanted.operation,
-            call_index: wanted.call_index,
-            named_dependency: wanted.named_dependency.as_deref(),
-            max_wait_seconds: wait,
-            remaining_seconds: wanted.caller_timeout,
-            effect: if wanted.is_idempotent {
+        let request = CallRequest {
+            operation: &context.operation,
+            call_index: context.call_index,
+            named_dependency: context.named_dependency.as_deref(),
+            max_wait_seconds,
+            remaining_seconds: context.caller_timeout,
+            effect: if context.is_idempotent {
                 Effect::Idempotent
             } else {
                 Effect::NonIdempotent
             },
-            payload: question,
+            payload: body,
         };
-        let of = self
+        let dependency = self
             .router
-            .dependency_of_call(ask.operation, ask.call_index, ask.named_dependency)
+            .dependency_of_call(
+                request.operation,
+                request.call_index,
+                request.named_dependency,
+            )
             .map(str::to_owned);
-        self.lay_budgets(
-            exchange,
-            of.as_deref(),
-            CallDemand {
-                wants_call: true,
-                wants_retry: false,
-            },
-        );
-        if let Some(name) = &of {
-            let usage = self.router.update_quota(name, Remaining::ALL);
-            let failing = usage.is_some_and(|usage| {
-                self.router.update_quota(name, usage.unused);
-                usage.is_failing || usage.unused.probes_only
-            });
-            let kind = if failing {
-                CallKind::Probe
-            } else {
-                CallKind::FirstCall
-            };
+        let demand = CallDemand {
+            wants_call: true,
+            wants_retry: false,
+        };
+        self.renew_quotas(exchange, dependency.as_deref(), demand);
+        if let Some(name) = &dependency {
+            let kind = self.first_call_kind(name);
             exchange
                 .borrow_mut()
                 .note_dependency_call(name, Some(kind), None);
         }
-        let (now, chance) = (self.now(), &mut self.chance);
-        let ticket = self.router.start_call(now, &ask, &mut || chance.random());
-        self.calls.insert(ticket, (key, question.clone()));
-        self.tickets.insert(key, ticket);
-        self.follow(exchange, None);
+        let now = self.now();
+        let random = &mut self.random;
+        let call_id = self
+            .router
+            .start_call(now, &request, &mut || random.random());
+        let call = RoutedCall {
+            key,
+            body: body.clone(),
+        };
+        self.calls.insert(call_id, call);
+        self.call_ids.insert(key, call_id);
+        self.process_actions(exchange, None);
+    }
+
+    /// First calls to a dependency that fails are probes.
+    fn first_call_kind(&mut self, dependency: &str) -> CallKind {
+        let usage = self.router.update_quota(dependency, Remaining::ALL);
+        let is_failing = usage.is_some_and(|usage| {
+            self.router.update_quota(dependency, usage.unused);
+            usage.is_failing || usage.unused.probes_only
+        });
+        if is_failing {
+            CallKind::Probe
+        } else {
+            CallKind::FirstCall
+        }
     }
 
-    /// An attempt has ended.
-    pub fn ended(&mut self, exchange: &exchange::Shared, attempt: u64, called: &CallOutcome) {
-        let (ended, reply): (AttemptOutcome, &[u8]) = match called {
+    /// An attempt ended.
+    pub fn attempt_ended(
+        &mut self,
+        exchange: &exchange::Shared,
+        attempt_id: u64,
+        result: &CallOutcome,
+    ) {
+        let (outcome, reply): (AttemptOutcome, &[u8]) = match result {
             CallOutcome::Succeeded(reply) => (AttemptOutcome::Succeeded, reply),
             CallOutcome::NeverRan => (AttemptOutcome::Refused, b""),
             CallOutcome::Failed | CallOutcome::Degraded { .. } => (AttemptOutcome::Unknown, b""),
         };
-        let again = ended != AttemptOutcome::Succeeded;
-        let of = self
+        let succeeded = outcome == AttemptOutcome::Succeeded;
+        let dependency = self
             .router
-            .dependency_of_attempt(attempt)
+            .dependency_of_attempt(attempt_id)
             .map(str::to_owned);
-        if let Some(name) = &of {
-            exchange.borrow_mut().note_dependency_call(
-                name,
-                again.then_some(CallKind::Retry),
-                Some(!again),
-            );
+        if let Some(name) = &dependency {
+            let retry = (!succeeded).then_some(CallKind::Retry);
+            exchange
+                .borrow_mut()
+                .note_dependency_call(name, retry, Some(succeeded));
         }
-        self.lay_budgets(
-            exchange,
-            of.as_deref(),
-            CallDemand {
-                wants_call: false,
-                wants_retry: again,
-            },
-        );
-        let (now, chance) = (self.now(), &mut self.chance);
+        let demand = CallDemand {
+            wants_call: false,
+            wants_retry: !succeeded,
+        };
+        self.renew_quotas(exchange, dependency.as_deref(), demand);
+        let now = self.now();
+        let random = &mut self.random;
         self.router
-            .attempt_ended(now, attempt, ended, reply, &mut || chance.random());
-        self.follow(exchange, Some(called));
+            .attempt_ended(now, attempt_id, outcome, reply, &mut || random.random());
+        self.process_actions(exchange, Some(result));
     }
 
-    /// Nobody waits for that call any more. False: it is none of these.
-    pub fn give_up(&mut self, exchange: &exchange::Shared, key: CallKey) -> bool {
-        let Some(ticket) = self.tickets.remove(&key) else {
-            return false;
+    /// Cancels a call that nobody waits for any more, if the router makes it.
+    pub fn cancel_call(&mut self, exchange: &exchange::Shared, key: CallKey) {
+        let Some(cancelled) = self.call_ids.remove(&key) else {
+            return;
         };
-        self.calls.remove(&ticket);
-        self.lay_budgets(exchange, None, CallDemand::default());
-        let (now, chance) = (self.now(), &mut self.chance);
+        self.calls.remove(&cancelled);
+        self.renew_quotas(exchange, None, CallDemand::default());
+        let now = self.now();
+        let random = &mut self.random;
         self.router
-            .cancel_call(now, ticket, &mut || chance.random());
-        // An attempt of it that has not been made yet need not be.
-        self.todo
-            .retain(|step| !matches!(step, Action::Attempt { call_id, .. } if *call_id == ticket));
-        self.follow(exchange, None);
-        true
+            .cancel_call(now, cancelled, &mut || random.random());
+        // Attempts of it that have not been made yet need not be.
+        let is_cancelled = |action: &Action| matches!(action, Action::Attempt { call_id, .. } if *call_id == cancelled);
+        self.actions.retain(|action| !is_cancelled(action));
+        self.process_actions(exchange, None);
     }
 
-    pub fn woken(&mut self, exchange: &exchange::Shared) {
-        self.lay_budgets(exchange, None, CallDemand::default());
-        let (now, chance) = (self.now(), &mut self.chance);
-        self.router.handle_timeout(now, &mut || chance.random());
-        self.follow(exchange, None);
+    /// The time of [`next_timeout`](Routing::next_timeout) has come.
+    pub fn handle_timeout(&mut self, exchange: &exchange::Shared) {
+        self.renew_quotas(exchange, None, CallDemand::default());
+        let now = self.now();
+        let random = &mut self.random;
+        self.router.handle_timeout(now, &mut || random.random());
+        self.process_actions(exchange, None);
     }
 
-    /// Everything stops where it stands.
-    pub fn forget_open(&mut self) {
+    /// Drops all calls: a successor carries them on.
+    pub fn discard_calls(&mut self) {
         self.router.discard_calls();
-        (self.calls, self.tickets, self.todo) = Default::default();
+        self.calls.clear();
+        self.call_ids.clear();
+        self.actions.clear();
     }
 
-    /// The dependency that an open attempt is at.
-    pub fn dependency_of(&self, attempt: u64) -> Rc<str> {
+    /// The dependency that an attempt in flight was sent to.
+    pub fn dependency_of_attempt(&self, attempt_id: u64) -> Rc<str> {
         Rc::from(
             self.router
-                .dependency_of_attempt(attempt)
+                .dependency_of_attempt(attempt_id)
                 .unwrap_or_default(),
         )
     }
 
-    /// The call whose attempt it is, and what is asked.
-    pub fn call_of(&self, ticket: u64) -> Option<(CallKey, Rc<[u8]>)> {
-        self.calls.get(&ticket).cloned()
+    /// A call by the router's number.
+    pub fn call(&self, call_id: u64) -> Option<RoutedCall> {
+        self.calls.get(&call_id).cloned()
     }
 
-    /// Tells the router what the fleet's budgets leave; of one dependency something may be wanted now.
-    fn lay_budgets(
+    /// Sets what the fleet's budgets leave, in the router; one dependency may have a demand now.
+    fn renew_quotas(
         &mut self,
         exchange: &exchange::Shared,
-        wanted: Option<&str>,
-        wanting: CallDemand,
+        dependency: Option<&str>,
+        demand: CallDemand,
     ) {
         let mut exchange = exchange.borrow_mut();
         for name in exchange.limited_dependencies() {
             let Some(usage) = self.router.update_quota(&name, Remaining::ALL) else {
                 continue;
             };
-            let wanting = if wanted == Some(name.as_str()) {
-                wanting
+            let demand = if dependency == Some(name.as_str()) {
+                demand
             } else {
                 CallDemand::default()
             };
-            self.router.update_quota(
-                &name,
-                exchange
-                    .renew_quota(&name, usage.unused, usage.is_failing, wanting)
-                    .unwrap_or(Remaining::ALL),
-            );
+            let quota = exchange
+                .renew_quota(&name, usage.unused, usage.is_failing, demand)
+                .unwrap_or(Remaining::ALL);
+            self.router.update_quota(&name, quota);
         }
     }
 
-    /// Ends are told at once, so that what a reply changes and that its line is gone can be noted together.
-    fn follow(&mut self, exchange: &exchange::Shared, called: Option<&CallOutcome>) {
-        while let Some(step) = self.router.poll_action() {
-            let Action::Complete {
-                call_id: ticket,
-                end,
-            } = step
-            else {
-                self.todo.push_back(step);
-                self.wake.notify_one();
+    /// Reports calls that ended, and queues attempts. Ends are reported at once, so that what a
+    /// reply changes and the end of its connection can be journaled together.
+    fn process_actions(&mut self, exchange: &exchange::Shared, result: Option<&CallOutcome>) {
+        while let Some(action) = self.router.poll_action() {
+            let Action::Complete { call_id, end } = action else {
+                self.actions.push_back(action);
+                self.waker.notify_one();
                 continue;
             };
-            let Some(((id, number), _)) = self.calls.remove(&ticket) else {
+            let Some(call) = self.calls.remove(&call_id) else {
                 continue;
             };
-            self.tickets.remove(&(id, number));
-            let end = match (end, called) {
-                (CallEnd::Reply { missing: None }, Some(called)) => called.clone(),
-                (
-                    CallEnd::Reply {
-                        missing: Some(missing),
-                    },
-                    Some(CallOutcome::Succeeded(reply)),
-                ) => CallOutcome::Degraded {
-                    reply: Some(reply.clone()),
-                    missing: missing.into(),
-                },
-                (CallEnd::Degraded { bytes, missing }, _) => CallOutcome::Degraded {
-                    reply: bytes.map(Rc::from),
-                    missing: missing.into(),
-                },
-                (CallEnd::NeverRan, _) => CallOutcome::NeverRan,
-                (CallEnd::Failed | CallEnd::Reply { .. }, _) => CallOutcome::Failed,
-            };
-            exchange.borrow_mut().call_ended(id, number, end);
+            self.call_ids.remove(&call.key);
+            let (id, number) = call.key;
+            let outcome = call_outcome(end, result);
+            exchange.borrow_mut().call_ended(id, number, outcome);
         }
     }
 }
+
+/// The outcome of a call by its end, and by the result of the attempt that ended it.
+fn call_outcome(end: CallEnd, result: Option<&CallOutcome>) -> CallOutcome {
+    match (end, result) {
+        (CallEnd::Reply { missing: None }, Some(result)) => result.clone(),
+        (
+            CallEnd::Reply {
+                missing: Some(missing),
+            },
+            Some(CallOutcome::Succeeded(reply)),
+        ) => CallOutcome::Degraded {
+            reply: Some(reply.clone()),
+            missing: missing.into(),
+        },
+        (CallEnd::Degraded { bytes, missing }, _) => CallOutcome::Degraded {
+            reply: bytes.map(Rc::from),
+            missing: missing.into(),
+        },
+        (CallEnd::NeverRan, _) => CallOutcome::NeverRan,
+        (CallEnd::Failed | CallEnd::Reply { .. }, _) => CallOutcome::Failed,
+    }
+}
