--- a/crates/merlinshelf-agent/src/control_client.rs
+++ b/crates/merlinshelf-agent/src/control_client.rs
@@ -37,7 +37,7 @@
         let send = async {
             let mut stream = UnixStream::connect(socket).await?;
             let mut bytes: Vec<u8> = Vec::new();
-            control::ask(&mut bytes, request, body.to_string().as_bytes());
+            control::write_request(&mut bytes, request, body.to_string().as_bytes());
             stream.write_all(&bytes).await?;
             Ok::<_, io::Error>(stream)
         };
@@ -68,15 +68,18 @@
 
     /// Takes a complete reply out of the buffer.
     fn decode_reply(&mut self) -> io::Result<Option<(ControlMessage, Value)>> {
-        let frame = control::word(&self.buffer).map_err(|fault| io::Error::other(fault.0))?;
-        let Some(((version, message, body), length)) = frame else {
+        let frame =
+            control::read_message(&self.buffer).map_err(|fault| io::Error::other(fault.0))?;
+        let Some((frame, length)) = frame else {
             return Ok(None);
         };
+        let version = frame.version;
         if version != PROTOCOL_VERSION {
             let text = format!("it speaks form {version}, this program form {PROTOCOL_VERSION}");
             return Err(io::Error::other(text));
         }
-        let body = serde_json::from_slice(body)?;
+        let body = serde_json::from_slice(frame.body)?;
+        let message = frame.message;
         self.buffer.drain(..length);
         Ok(Some((message, body)))
     }
--- a/crates/merlinshelf-agent/src/peer_transport.rs
+++ b/crates/merlinshelf-agent/src/peer_transport.rs
@@ -108,7 +108,7 @@
             Err(error) => return warn!("message to {to} not encoded: {error}"),
         };
         let mut bytes = Vec::new();
-        control::ask(&mut bytes, ControlRequest::Consensus, &body);
+        control::write_request(&mut bytes, ControlRequest::Consensus, &body);
         let _ = queue.try_send(bytes); // full where the peer is not reached: the message is lost
     }
 
@@ -196,15 +196,17 @@
 
 /// A complete message at the start of the bytes, and its length.
 fn decode(bytes: &[u8]) -> io::Result<Option<(ReceivedMessage, usize)>> {
-    let frame = control::council(bytes).map_err(|fault| io::Error::other(fault.0))?;
-    let Some(((version, _, body), length)) = frame else {
+    let frame =
+        control::read_consensus_request(bytes).map_err(|fault| io::Error::other(fault.0))?;
+    let Some((frame, length)) = frame else {
         return Ok(None);
     };
+    let version = frame.version;
     if version != PROTOCOL_VERSION {
         return Err(io::Error::other(format!(
             "protocol version {version} is not supported"
         )));
     }
-    let (from, message) = rmp_serde::from_slice(body).map_err(io::Error::other)?;
+    let (from, message) = rmp_serde::from_slice(frame.body).map_err(io::Error::other)?;
     Ok(Some((ReceivedMessage { from, message }, length)))
 }
--- a/crates/merlinshelf-agent/tests/golden/support/agent.rs
+++ b/crates/merlinshelf-agent/tests/golden/support/agent.rs
@@ -199,16 +199,16 @@
                 // connection.
                 while let Ok(count @ 1..) = stream.read(&mut part) {
                     bytes.extend(&part[..count]);
-                    let Ok(Some(((_, request, body), _))) = control::question(&bytes) else {
+                    let Ok(Some((frame, _))) = control::read_request(&bytes) else {
                         continue;
                     };
-                    let (name, answer) = match request {
+                    let (name, answer) = match frame.message {
                         ControlRequest::Status => ("status", &status),
                         ControlRequest::Policy => ("policy", &policy),
                         other => panic!("{other:?} is no request to an instance that serves"),
                     };
                     let mut reply = Vec::new();
-                    control::say(
+                    control::write_message(
                         &mut reply,
                         ControlMessage::Done,
                         answer.to_string().as_bytes(),
@@ -216,7 +216,7 @@
                     received
                         .lock()
                         .expect("no poison")
-                        .insert(name, body.to_vec());
+                        .insert(name, frame.body.to_vec());
                     let _ = stream.write_all(&reply);
                     break;
                 }
--- a/crates/merlinshelf-agent/tests/golden/support/peers.rs
+++ b/crates/merlinshelf-agent/tests/golden/support/peers.rs
@@ -31,17 +31,17 @@
 pub fn encode(sender: &str, message: &PeerMessage) -> Vec<u8> {
     let body = rmp_serde::to_vec_named(&(sender, message)).expect("a message can be encoded");
     let mut bytes = Vec::new();
-    control::ask(&mut bytes, ControlRequest::Consensus, &body);
+    control::write_request(&mut bytes, ControlRequest::Consensus, &body);
     bytes
 }
 
 /// Who sends a message, and the message; the bytes must hold it and nothing else.
 pub fn decode(bytes: &[u8]) -> (String, PeerMessage) {
-    let ((form, _, body), used) = control::council(bytes)
+    let (frame, used) = control::read_consensus_request(bytes)
         .expect("a frame")
         .expect("a complete frame");
-    assert_eq!((form, used), (PROTOCOL_VERSION, bytes.len()));
-    rmp_serde::from_slice(body).expect("a message between agents")
+    assert_eq!((frame.version, used), (PROTOCOL_VERSION, bytes.len()));
+    rmp_serde::from_slice(frame.body).expect("a message between agents")
 }
 
 /// A message that the agent under test has sent: to whom, and its bytes.
@@ -264,7 +264,7 @@
     let (mut bytes, mut part) = (Vec::new(), [0; 65536]);
     while let Ok(count @ 1..) = stream.read(&mut part) {
         bytes.extend(&part[..count]);
-        while let Ok(Some((_, used))) = control::council(&bytes) {
+        while let Ok(Some((_, used))) = control::read_consensus_request(&bytes) {
             let message = Incoming {
                 receiver: name.to_owned(),
                 bytes: bytes.drain(..used).collect(),
--- a/crates/merlinshelf-backend/src/client/catalogue.rs
+++ b/crates/merlinshelf-backend/src/client/catalogue.rs
@@ -337,7 +337,8 @@
 
     /// Goes on with a call that another process has begun.
     fn resume(&mut self, (socket, stream, record): Resumed) {
-        let (Some(id), Ok(address)) = (CallId::read(&record.invocation_id), record.address.parse())
+        let (Some(id), Ok(address)) =
+            (CallId::parse(&record.invocation_id), record.address.parse())
         else {
             return;
         };
@@ -356,7 +357,7 @@
             carried: record
                 .carried_invocation_ids
                 .iter()
-                .filter_map(|id| CallId::read(id))
+                .filter_map(|id| CallId::parse(id))
                 .collect(),
             idle_since: Instant::now(),
         };
@@ -462,7 +463,7 @@
         (false, _) => "a new line".into(),
     };
     line.carried.push(call.id);
-    catalogue::invoke(
+    catalogue::write_invoke(
         &mut line.going,
         call.id,
         (call.wait * 1e3).ceil() as u64,
@@ -653,23 +654,24 @@
     /// The reply to this invocation's call, if it has come; others are copies or nobody's.
     fn take_in(&mut self, expected: CallId, exchange: &Shared) -> io::Result<Option<CallOutcome>> {
         let mut called = None;
-        self.coming.read(|bytes| match catalogue::reply(bytes) {
-            _ if called.is_some() => Ok(0),
-            Ok(None) => Ok(0),
-            Ok(Some(((id, reply), count))) => {
-                if id == expected {
-                    called = Some(match reply {
-                        Reply::Succeeded(body) => CallOutcome::Succeeded(body.into()),
-                        Reply::Overload | Reply::Stale => CallOutcome::NeverRan,
-                        Reply::Internal | Reply::Deadline => CallOutcome::Failed,
-                    });
-                } else {
-                    exchange.borrow_mut().counters.late_replies += 1;
+        self.coming
+            .read(|bytes| match catalogue::read_reply(bytes) {
+                _ if called.is_some() => Ok(0),
+                Ok(None) => Ok(0),
+                Ok(Some(((id, reply), count))) => {
+                    if id == expected {
+                        called = Some(match reply {
+                            Reply::Succeeded(body) => CallOutcome::Succeeded(body.into()),
+                            Reply::Overload | Reply::Stale => CallOutcome::NeverRan,
+                            Reply::Internal | Reply::Deadline => CallOutcome::Failed,
+                        });
+                    } else {
+                        exchange.borrow_mut().counters.late_replies += 1;
+                    }
+                    Ok(count)
                 }
-                Ok(count)
-            }
-            Err(fault) => Err(unreadable(fault, bytes)),
-        })?;
+                Err(fault) => Err(unreadable(fault, bytes)),
+            })?;
         Ok(called)
     }
 }
--- a/crates/merlinshelf-backend/src/client/engine.rs
+++ b/crates/merlinshelf-backend/src/client/engine.rs
@@ -194,7 +194,8 @@
             asked,
             ask_at,
         };
-        engine::attach(&mut link.going, self.last, self.offer);
+        let offered = self.offer.then_some(engine::NAMES_EXTENSION);
+        engine::write_attach(&mut link.going, self.last, offered);
         Ok(link)
     }
 
@@ -332,7 +333,7 @@
             }
             None if link.hello && now >= link.ask_at => {
                 self.tag += 1;
-                engine::stat(&mut link.going, self.tag);
+                engine::write_stat(&mut link.going, self.tag);
                 (link.asked, link.ask_at) = (Some(now), now + ASK_EVERY);
             }
             _ => {}
@@ -350,9 +351,9 @@
                     id,
                     operation,
                     body,
-                } => engine::run(&mut link.going, *id, operation, body),
-                Command::Feed { id, reply } => engine::feed(&mut link.going, *id, reply),
-                Command::Skip { id, need } => engine::skip(&mut link.going, *id, *need),
+                } => engine::write_run(&mut link.going, *id, operation, body),
+                Command::Feed { id, reply } => engine::write_feed(&mut link.going, *id, reply),
+                Command::Skip { id, need } => engine::write_skip(&mut link.going, *id, *need),
             }
             self.unsure.push_back((self.tag + 1, command, heard));
         }
@@ -360,7 +361,7 @@
 
     fn take_in(&mut self, link: &mut Link) -> io::Result<()> {
         let mut coming = std::mem::take(&mut link.coming);
-        let result = coming.read(|bytes| match engine::notice(bytes) {
+        let result = coming.read(|bytes| match engine::read_notification(bytes) {
             Ok(None) => Ok(0),
             // What was not agreed is not read as something else.
             Ok(Some((EngineNotification::Need { named: Some(_), .. }, _))) if !link.names => {
@@ -424,7 +425,7 @@
                 let named = named.and_then(|name| std::str::from_utf8(name).ok());
                 exchange.call_requested(id, number, named, body);
             }
-            EngineNotification::No { what } => match engine::refused(what) {
+            EngineNotification::No { what } => match engine::parse_rejected_command(what) {
                 Some((word, id)) => exchange.command_refused(word, id),
                 None => warn!("the engine refused {}", what.escape_ascii()),
             },
--- a/crates/merlinshelf-backend/src/client/registration.rs
+++ b/crates/merlinshelf-backend/src/client/registration.rs
@@ -38,9 +38,13 @@
                 (address, kept) = (now, None);
             }
         }
-        let up = !exchange.borrow().is_shutting_down();
+        let phase = if exchange.borrow().is_shutting_down() {
+            registration::Phase::Out
+        } else {
+            registration::Phase::Up
+        };
         let mut going = Ring::default();
-        registration::report(&mut going, &address.to_string(), &name, up);
+        registration::write_report(&mut going, &address.to_string(), &name, phase);
         let outcome = match timeout(WAIT_MOST, once(address, kept.take(), going)).await {
             Ok(outcome) => outcome,
             Err(late) => Err(late.into()),
@@ -87,7 +91,7 @@
             return Err(io::ErrorKind::UnexpectedEof.into());
         }
         let mut answer = None;
-        coming.read(|bytes| match registration::answer(bytes) {
+        coming.read(|bytes| match registration::read_response(bytes) {
             Ok(None) => Ok(0),
             Ok(Some((one, count))) => {
                 answer = Some(one);
@@ -97,7 +101,9 @@
         })?;
         match answer {
             None => {}
-            Some(answer) if answer.status == 204 => return Ok(answer.keep.then_some(socket)),
+            Some(answer) if answer.status == 204 => {
+                return Ok(answer.is_reusable.then_some(socket));
+            }
             Some(answer) => return Err(io::Error::other(format!("status {}", answer.status))),
         }
     }
--- a/crates/merlinshelf-backend/src/control/connection.rs
+++ b/crates/merlinshelf-backend/src/control/connection.rs
@@ -187,13 +187,12 @@
     async fn read_request(&self) -> io::Result<Request> {
         let mut received = Vec::new();
         loop {
-            match control::question(&received) {
-                Ok(Some(((version, kind, body), _))) => {
-                    let body = body.to_vec();
+            match control::read_request(&received) {
+                Ok(Some((frame, _))) => {
                     return Ok(Request {
-                        version,
-                        kind,
-                        body,
+                        version: frame.version,
+                        kind: frame.message,
+                        body: frame.body.to_vec(),
                     });
                 }
                 Ok(None) if received.len() <= MAX_REQUEST_BYTES => {}
@@ -213,7 +212,7 @@
 
     async fn send(&self, message: ControlMessage, report: &Value) -> io::Result<()> {
         let mut bytes: Vec<u8> = Vec::new();
-        control::say(&mut bytes, message, report.to_string().as_bytes());
+        control::write_message(&mut bytes, message, report.to_string().as_bytes());
         timeout(MESSAGE_TIMEOUT, self.write_all(&bytes)).await?
     }
 
--- a/crates/merlinshelf-backend/src/exchange/snapshot.rs
+++ b/crates/merlinshelf-backend/src/exchange/snapshot.rs
@@ -369,7 +369,7 @@
         for key in image.keys() {
             match key {
                 Key::Invocation(name) => {
-                    let id = CallId::read(&name);
+                    let id = CallId::parse(&name);
                     invocations.extend(id.zip(image.get(key)));
                 }
                 Key::ResponseQueue(stream) => {
--- a/crates/merlinshelf-backend/src/exchange/tests.rs
+++ b/crates/merlinshelf-backend/src/exchange/tests.rs
@@ -21,7 +21,7 @@
 }
 
 fn id(number: u16) -> CallId {
-    CallId::read(format!("{number:016x}").as_bytes()).expect("an id")
+    CallId::parse(format!("{number:016x}").as_bytes()).expect("an id")
 }
 
 fn arrival(number: u16, operation: usize) -> Arrival {
--- a/crates/merlinshelf-backend/src/gossip/answering.rs
+++ b/crates/merlinshelf-backend/src/gossip/answering.rs
@@ -8,7 +8,7 @@
 
 use log::{debug, info, warn};
 use merlinshelf_gossip::Message;
-use merlinshelf_protocol::gossip::{Kind, put_message};
+use merlinshelf_protocol::gossip::{MessageKind, write_message};
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::task::spawn_local;
@@ -89,7 +89,7 @@
 async fn answer(stream: TcpStream, state: Shared) -> io::Result<()> {
     let mut stream = Plain.accept(stream).await?;
     let (kind, poll) = read_message(&mut stream).await?;
-    if kind != Kind::Ask {
+    if kind != MessageKind::Poll {
         return Err(MessageError::AnswerInsteadOfPoll.into());
     }
     let Some(bytes) = encode_answer(&poll, &state) else {
@@ -106,7 +106,7 @@
     let node = state.node.as_mut()?;
     let answer = node.poll_received(monotonic(), poll)?;
     let mut bytes = Vec::new();
-    put_message(&mut bytes, Kind::Tell, &answer);
+    write_message(&mut bytes, MessageKind::Answer, &answer);
     node.charge_cpu_seconds(started_at.elapsed().as_secs_f64());
     Some(bytes)
 }
--- a/crates/merlinshelf-backend/src/gossip/messages.rs
+++ b/crates/merlinshelf-backend/src/gossip/messages.rs
@@ -3,7 +3,7 @@
 use std::io;
 
 use merlinshelf_gossip::Message;
-use merlinshelf_protocol::gossip::{Kind, MESSAGE_MOST, Reading};
+use merlinshelf_protocol::gossip::{MAX_MESSAGE_BYTES, MessageKind, MessageReader};
 use tokio::io::{AsyncRead, AsyncReadExt};
 
 const READ_BYTES: usize = 4096;
@@ -33,8 +33,8 @@
 /// The connection's, or what is wrong with the message.
 pub(super) async fn read_message(
     stream: &mut (impl AsyncRead + Unpin),
-) -> io::Result<(Kind, Message)> {
-    let mut reading = Reading::default();
+) -> io::Result<(MessageKind, Message)> {
+    let mut reader = MessageReader::default();
     let mut unread = Vec::new();
     let mut total_bytes = 0;
     loop {
@@ -45,13 +45,13 @@
         }
         unread.extend(&buffer[..count]);
         total_bytes += count;
-        let read = reading.read(&unread);
+        let read = reader.read(&unread);
         let (used, message) = read.map_err(|fault| MessageError::Malformed(fault.0))?;
         unread.drain(..used);
         if let Some(message) = message {
             return Ok(message);
         }
-        if total_bytes > MESSAGE_MOST {
+        if total_bytes > MAX_MESSAGE_BYTES {
             return Err(MessageError::TooLong.into());
         }
     }
--- a/crates/merlinshelf-backend/src/gossip/polling.rs
+++ b/crates/merlinshelf-backend/src/gossip/polling.rs
@@ -7,7 +7,7 @@
 
 use log::{debug, info, warn};
 use merlinshelf_gossip::{InvalidObservation, Message};
-use merlinshelf_protocol::gossip::{Kind, put_message};
+use merlinshelf_protocol::gossip::{MessageKind, write_message};
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
@@ -52,11 +52,11 @@
     let stream = TcpStream::connect(address).await?;
     let mut stream = Plain.connect(stream, address).await?;
     let mut bytes: Vec<u8> = Vec::new();
-    put_message(&mut bytes, Kind::Ask, poll);
+    write_message(&mut bytes, MessageKind::Poll, poll);
     stream.write_all(&bytes).await?;
     match read_message(&mut stream).await? {
-        (Kind::Tell, answer) => Ok(answer),
-        (Kind::Ask, _) => Err(MessageError::PollInsteadOfAnswer.into()),
+        (MessageKind::Answer, answer) => Ok(answer),
+        (MessageKind::Poll, _) => Err(MessageError::PollInsteadOfAnswer.into()),
     }
 }
 
--- a/crates/merlinshelf-backend/src/server/codec.rs
+++ b/crates/merlinshelf-backend/src/server/codec.rs
@@ -1,7 +1,7 @@
 //! What tells the fronts' protocols apart on a connection; everything else about a connection is the same for both.
 
 use merlinshelf_protocol::Fault;
-use merlinshelf_protocol::fastcgi::{self, Records, Status};
+use merlinshelf_protocol::fastcgi::{self, Records, RecordsState, Status};
 use merlinshelf_protocol::uwsgi::{self, Request};
 
 use super::bad::Bad;
@@ -12,8 +12,8 @@
 
 /// What has come.
 pub enum Piece<'a> {
-    FastCgi(fastcgi::Piece<'a>),
-    Uwsgi(uwsgi::Piece<'a>),
+    FastCgi(fastcgi::Fragment<'a>),
+    Uwsgi(uwsgi::Fragment<'a>),
 }
 
 #[derive(Debug)]
@@ -39,7 +39,7 @@
 
     pub fn next<'a>(&mut self, input: &'a [u8]) -> Result<(usize, Option<Piece<'a>>), Fault> {
         if let (Codec::Undecided, Some(first)) = (&*self, input.first()) {
-            *self = match uwsgi::begins(*first) {
+            *self = match uwsgi::is_first_byte(*first) {
                 true => Codec::Uwsgi(Request::default()),
                 false => Codec::FastCgi(Records::default()),
             };
@@ -59,8 +59,8 @@
     pub fn within(&self) -> bool {
         match self {
             Codec::Undecided => false,
-            Codec::FastCgi(records) => records.within(),
-            Codec::Uwsgi(request) => request.within(),
+            Codec::FastCgi(records) => records.is_partial(),
+            Codec::Uwsgi(request) => request.is_partial(),
         }
     }
 
@@ -76,11 +76,11 @@
     pub fn answer(&self, out: &mut Ring, id: u16, keep: bool, head: &str, body: &[u8]) -> bool {
         match self {
             Codec::Uwsgi(_) => {
-                uwsgi::answer(out, head, body);
+                uwsgi::write_answer(out, head, body);
                 false
             }
             _ => {
-                fastcgi::answer(out, id, head, body);
+                fastcgi::write_answer(out, id, head, body);
                 keep
             }
         }
@@ -91,7 +91,7 @@
         match self {
             Codec::Uwsgi(_) => self.answer(out, id, false, head, b""),
             _ => {
-                fastcgi::end(out, id, Status::Overloaded);
+                fastcgi::write_end(out, id, Status::Overloaded);
                 true
             }
         }
@@ -99,7 +99,16 @@
 
     pub fn state(&self) -> State {
         match self {
-            Codec::FastCgi(records) => (0, records.state()),
+            Codec::FastCgi(records) => {
+                let state = records.state();
+                let record = (
+                    state.kind,
+                    state.id,
+                    state.content_bytes,
+                    state.padding_bytes,
+                );
+                (0, record)
+            }
             Codec::Uwsgi(request) => {
                 let (kind, count) = request.state();
                 (1, (kind, 0, count, 0))
@@ -111,9 +120,17 @@
     /// One that goes on from where another stood.
     pub fn resumed((front, state): State, uwsgi: bool) -> Codec {
         match front {
-            1 => Codec::Uwsgi(Request::resumed((state.0, state.2))),
+            1 => Codec::Uwsgi(Request::resume((state.0, state.2))),
             2 => Codec::new(uwsgi),
-            _ => Codec::FastCgi(Records::resumed(state)),
+            _ => {
+                let (kind, id, content_bytes, padding_bytes) = state;
+                Codec::FastCgi(Records::resume(RecordsState {
+                    kind,
+                    id,
+                    content_bytes,
+                    padding_bytes,
+                }))
+            }
         }
     }
 }
--- a/crates/merlinshelf-backend/src/server/connection.rs
+++ b/crates/merlinshelf-backend/src/server/connection.rs
@@ -10,7 +10,7 @@
 use log::{debug, warn};
 use merlinshelf_handover::{Flow, Key, Role, records};
 use merlinshelf_protocol::Fault;
-use merlinshelf_protocol::fastcgi::{self, Piece, Status};
+use merlinshelf_protocol::fastcgi::{self, Fragment, Status};
 use merlinshelf_protocol::uwsgi;
 use rustix::net::{Shutdown, shutdown};
 use tokio::io::{AsyncWrite, Interest};
@@ -504,32 +504,32 @@
         (self.said, self.astray, self.unfinished_since) = (self.said.max(what), 0, None);
     }
 
-    fn piece(&mut self, piece: Piece) -> Result<(), Fault> {
+    fn piece(&mut self, piece: Fragment) -> Result<(), Fault> {
         match piece {
-            Piece::Begin { id, .. }
+            Fragment::Begin { id, .. }
                 if id == 0 || self.open.contains_key(&id) || self.assembly.holds(id) =>
             {
                 return Err(Fault("a begin with an id that is in use"));
             }
-            Piece::Begin {
+            Fragment::Begin {
                 id,
                 responder: false,
                 ..
             } => {
                 self.faults += 1;
-                fastcgi::end(&mut self.going, id, Status::UnknownRole);
+                fastcgi::write_end(&mut self.going, id, Status::UnknownRole);
             }
-            Piece::Begin { id, keep, .. } => self.begin(id, keep),
-            Piece::Params { id, bytes } => {
+            Fragment::Begin { id, keep, .. } => self.begin(id, keep),
+            Fragment::Params { id, bytes } => {
                 let step = self.assembly.params(id, bytes);
                 self.step(id, step, bytes.len());
             }
-            Piece::Stdin { id, bytes } => {
+            Fragment::Stdin { id, bytes } => {
                 let step = self.assembly.body(id, bytes);
                 self.step(id, step, bytes.len());
             }
-            Piece::Abort { id } => self.abort(id),
-            Piece::GetValues { names } => {
+            Fragment::Abort { id } => self.abort(id),
+            Fragment::GetValues { names } => {
                 let most = self.connections_most;
                 let known = [
                     ("FCGI_MAX_CONNS", most.to_string()),
@@ -537,11 +537,11 @@
                     ("FCGI_MPXS_CONNS", "1".to_owned()),
                 ];
                 self.faults += 1; // no edge node asks often
-                fastcgi::values(&mut self.going, names, &known)?;
+                fastcgi::write_values(&mut self.going, names, &known)?;
             }
-            Piece::Unknown { kind } => {
+            Fragment::Unknown { kind } => {
                 self.faults += 1;
-                fastcgi::unknown(&mut self.going, kind);
+                fastcgi::write_unknown(&mut self.going, kind);
             }
         }
         Ok(())
@@ -561,21 +561,21 @@
     }
 
     /// The same of a request of uwsgi: its ends are told with its pieces, not by pieces of their own.
-    fn piece_of_uwsgi(&mut self, piece: uwsgi::Piece) {
+    fn piece_of_uwsgi(&mut self, piece: uwsgi::Fragment) {
         let (bytes, last) = match piece {
-            uwsgi::Piece::Begin => return self.begin(ONLY, false),
-            uwsgi::Piece::Part { bytes } => {
+            uwsgi::Fragment::Begin => return self.begin(ONLY, false),
+            uwsgi::Fragment::VariablesPart { bytes } => {
                 let step = self.assembly.params(ONLY, bytes);
                 return self.step(ONLY, step, bytes.len());
             }
-            uwsgi::Piece::Vars { bytes, body } => {
+            uwsgi::Fragment::Variables { bytes, body } => {
                 let step = self.assembly.params(ONLY, bytes);
                 self.step(ONLY, step, bytes.len());
                 let step = self.assembly.params(ONLY, b"");
                 self.step(ONLY, step, 0);
                 (&b""[..], body == 0)
             }
-            uwsgi::Piece::Body { bytes, last } => (bytes, last),
+            uwsgi::Fragment::Body { bytes, last } => (bytes, last),
         };
         if !bytes.is_empty() {
             let step = self.assembly.body(ONLY, bytes);
--- a/crates/merlinshelf-backend/src/server/fields.rs
+++ b/crates/merlinshelf-backend/src/server/fields.rs
@@ -52,7 +52,7 @@
             .ok_or_else(|| Bad::new(404, format!("no such operation: {}", class.escape_ascii())))?;
         let id = self.need("HTTP_X_CALL_ID")?;
         let id =
-            CallId::read(id).ok_or_else(|| Bad::new(400, "HTTP_X_CALL_ID is no 16 hex digits"))?;
+            CallId::parse(id).ok_or_else(|| Bad::new(400, "HTTP_X_CALL_ID is no 16 hex digits"))?;
         let patience = self.real("HTTP_X_PATIENCE_MS")?;
         if patience.is_none() && exchange.passes_caller_timeout() {
             return Err(missing("HTTP_X_PATIENCE_MS"));
--- a/crates/merlinshelf-backend/tests/golden.rs
+++ b/crates/merlinshelf-backend/tests/golden.rs
@@ -63,9 +63,10 @@
     let mut bytes = Vec::new();
     stream.read_to_end(&mut bytes)?;
     let (mut rest, mut answers) = (bytes.as_slice(), Vec::new());
-    while let Ok(Some(((form, word, body), used))) = control::word(rest) {
-        let body: Value = serde_json::from_slice(body).expect("JSON");
-        answers.push(json!({ "form": form, "word": name_of(word), "body": body }));
+    while let Ok(Some((frame, used))) = control::read_message(rest) {
+        let body: Value = serde_json::from_slice(frame.body).expect("JSON");
+        answers
+            .push(json!({ "form": frame.version, "word": name_of(frame.message), "body": body }));
         rest = &rest[used..];
     }
     assert!(rest.is_empty(), "{}", rest.escape_ascii());
@@ -74,7 +75,7 @@
 
 fn encode(question: ControlRequest, body: &Value) -> Vec<u8> {
     let mut bytes: Vec<u8> = Vec::new();
-    control::ask(&mut bytes, question, body.to_string().as_bytes());
+    control::write_request(&mut bytes, question, body.to_string().as_bytes());
     bytes
 }
 
--- a/crates/merlinshelf-protocol/src/control.rs
+++ b/crates/merlinshelf-protocol/src/control.rs
@@ -1,52 +1,71 @@
-//! The control socket: questions of operators' tools, one a connection, and what is said to them.
+//! The control socket: requests of operators' tools, one a connection, and the messages that answer
+//! them; and the messages that agents send each other in the same framing.
 //!
-//! Both are a line of words, the last of them a length, so many bytes of JSON, and CR LF:
-//! `ask 1 status 2` and `{}`; `say 1 done 17` and the report. The number is the form of what follows; another one is
-//! answered `failed` and never guessed at. A question may be followed by several `say more` before its last word.
+//! A frame is a line, the last field of which is a length, so many bytes of body, and CR LF:
+//! `ask 1 status 2` and `{}`; `say 1 done 17` and the report. The number is the version of what
+//! follows; another one is answered `failed`. A request may be answered by several `say more`
+//! before the final message.
 
 use winnow::ascii::dec_uint;
 use winnow::combinator::{alt, preceded, terminated};
+use winnow::error::{ContextError, ErrMode};
 use winnow::{ModalResult, Parser};
 
 use crate::{
-    BODY_MOST, Buffer, Bytes, Fault, Front, LINE_MOST, body_up_to, front, line, put, within,
+    Buffer, Bytes, Fault, MAX_BODY_BYTES, MAX_LINE_BYTES, Parsed, body_up_to, line, parse_front,
+    parse_line, write_with_body,
 };
 
-/// The form that is spoken here.
+/// The version that is spoken here.
 pub const PROTOCOL_VERSION: u32 = 1;
-/// The longest word of an agent to another: a snapshot of what they have decided.
+/// The longest message between agents: a snapshot of their log.
 pub const MAX_CONSENSUS_BYTES: usize = 4 * 1024 * 1024;
 
-/// What may be asked.
+/// What may be requested.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ControlRequest {
+    /// A report of the process.
     Status,
+    /// A graceful shutdown.
     Drain,
+    /// A handover to a new process.
     Upgrade,
-    /// What is known, from whom and how old.
+    /// All observations, with their sources and ages.
     Knowledge,
-    /// Forget what was told: by the `origin` that the body names, or by all.
+    /// Removes gossiped observations: of the source that the body names, or of all.
     Forget,
-    /// What the body says is for the agent of a fleet.
+    /// A request to the agent of a fleet, which the body holds.
     Fleet,
-    /// A beat of the host's agent: what to act on, and how long (`merlinshelf-policy`).
+    /// A heartbeat of the host's agent: the policy in force, and for how long.
     Policy,
-    /// What one agent says to another, in MessagePack; nothing is said to it on the same connection.
+    /// A message of one agent to another, in MessagePack; it is not answered.
     Consensus,
 }
 
-/// How far what was asked for has come.
+/// An answer, and how far the request has come with it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ControlMessage {
-    /// More follows.
+    /// More answers follow.
     More,
+    /// It was carried out.
     Done,
-    /// It was tried, and failed.
+    /// It was attempted and failed.
     Failed,
-    /// It was not tried.
+    /// It was not attempted.
     Refused,
 }
 
+/// One frame.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Frame<'a, T> {
+    /// Version of what the body holds.
+    pub version: u32,
+    /// The request or message.
+    pub message: T,
+    /// JSON, or MessagePack between agents.
+    pub body: &'a [u8],
+}
+
 impl ControlRequest {
     fn name(self) -> &'static str {
         match self {
@@ -73,9 +92,12 @@
     }
 }
 
-/// Reads a question off the front: its form, the question and its body.
-pub fn question(input: &[u8]) -> Front<(u32, ControlRequest, &[u8])> {
-    let words = alt((
+/// Reads a request off the front.
+///
+/// # Errors
+/// The bytes can't become a request.
+pub fn read_request(input: &[u8]) -> Parsed<Frame<'_, ControlRequest>> {
+    let request = alt((
         "status".value(ControlRequest::Status),
         "drain".value(ControlRequest::Drain),
         "upgrade".value(ControlRequest::Upgrade),
@@ -85,73 +107,78 @@
         "policy".value(ControlRequest::Policy),
         "council".value(ControlRequest::Consensus),
     ));
-    message(
-        input,
-        "ask ",
-        words,
-        BODY_MOST,
-        Fault("unreadable question"),
-    )
+    let fault = Fault("unreadable question");
+    read_frame(input, "ask ", request, MAX_BODY_BYTES, fault)
 }
 
-/// Reads a question that one agent sends another off the front; its body may hold a part of their log.
-pub fn council(input: &[u8]) -> Front<(u32, ControlRequest, &[u8])> {
-    message(
-        input,
-        "ask ",
-        "council".value(ControlRequest::Consensus),
-        MAX_CONSENSUS_BYTES,
-        Fault("unreadable word of an agent"),
-    )
+/// Reads a message of another agent off the front; its body may hold a part of the agents' log.
+///
+/// # Errors
+/// The bytes can't become such a message.
+pub fn read_consensus_request(input: &[u8]) -> Parsed<Frame<'_, ControlRequest>> {
+    let request = "council".value(ControlRequest::Consensus);
+    let fault = Fault("unreadable word of an agent");
+    read_frame(input, "ask ", request, MAX_CONSENSUS_BYTES, fault)
 }
 
-/// Reads what is said off the front: its form, the word and its body.
-pub fn word(input: &[u8]) -> Front<(u32, ControlMessage, &[u8])> {
-    let words = alt((
+/// Reads an answer off the front.
+///
+/// # Errors
+/// The bytes can't become an answer.
+pub fn read_message(input: &[u8]) -> Parsed<Frame<'_, ControlMessage>> {
+    let message = alt((
         "more".value(ControlMessage::More),
         "done".value(ControlMessage::Done),
         "failed".value(ControlMessage::Failed),
         "refused".value(ControlMessage::Refused),
     ));
-    message(input, "say ", words, BODY_MOST, Fault("unreadable answer"))
+    let fault = Fault("unreadable answer");
+    read_frame(input, "say ", message, MAX_BODY_BYTES, fault)
 }
 
-fn message<'i, T>(
+fn read_frame<'i, T>(
     input: &'i [u8],
-    first: &'static str,
-    mut words: impl Parser<&'i [u8], T, winnow::error::ErrMode<winnow::error::ContextError>>,
-    most: usize,
+    prefix: &'static str,
+    mut message: impl Parser<&'i [u8], T, ErrMode<ContextError>>,
+    max_body_bytes: usize,
     fault: Fault,
-) -> Front<(u32, T, &'i [u8])> {
-    let whole = |input: &mut Bytes<'i>| -> ModalResult<(u32, T, &'i [u8])> {
+) -> Parsed<Frame<'i, T>> {
+    let frame = |input: &mut Bytes<'i>| -> ModalResult<Frame<'i, T>> {
         let text = line(input)?;
         let mut fields = (
-            preceded(first, terminated(dec_uint, " ")),
-            terminated(words.by_ref(), " "),
+            preceded(prefix, terminated(dec_uint, " ")),
+            terminated(message.by_ref(), " "),
             dec_uint::<_, usize, _>,
         );
-        let (form, word, length) = within(text, fields.by_ref())?;
-        Ok((form, word, body_up_to(length, most)(input)?))
+        let (version, message, length) = parse_line(text, fields.by_ref())?;
+        let body = body_up_to(length, max_body_bytes)(input)?;
+        Ok(Frame {
+            version,
+            message,
+            body,
+        })
     };
-    front(input, LINE_MOST + most, fault, whole)
+    parse_front(input, MAX_LINE_BYTES + max_body_bytes, fault, frame)
 }
 
-pub fn ask(out: &mut impl Buffer, question: ControlRequest, body: &[u8]) {
-    put(
+/// Writes a request.
+pub fn write_request(out: &mut impl Buffer, request: ControlRequest, body: &[u8]) {
+    let name = request.name();
+    let length = body.len();
+    write_with_body(
         out,
-        format_args!(
-            "ask {PROTOCOL_VERSION} {} {}\r\n",
-            question.name(),
-            body.len()
-        ),
-        Some(body),
+        format_args!("ask {PROTOCOL_VERSION} {name} {length}\r\n"),
+        body,
     );
 }
 
-pub fn say(out: &mut impl Buffer, word: ControlMessage, body: &[u8]) {
-    put(
+/// Writes an answer.
+pub fn write_message(out: &mut impl Buffer, message: ControlMessage, body: &[u8]) {
+    let name = message.name();
+    let length = body.len();
+    write_with_body(
         out,
-        format_args!("say {PROTOCOL_VERSION} {} {}\r\n", word.name(), body.len()),
-        Some(body),
+        format_args!("say {PROTOCOL_VERSION} {name} {length}\r\n"),
+        body,
     );
 }
--- a/crates/merlinshelf-protocol/src/fastcgi.rs
+++ b/crates/merlinshelf-protocol/src/fastcgi.rs
@@ -1,4 +1,5 @@
-//! FastCGI 1.0 as a Responder sees it: records cut into pieces as they come, name-value pairs, answers.
+//! FastCGI 1.0 as a Responder sees it: a stream of records cut into fragments as they come,
+//! name-value pairs, and answers.
 
 use winnow::binary::{be_u16, be_u32, u8};
 use winnow::combinator::{repeat, seq};
@@ -18,43 +19,66 @@
 const GET_VALUES_RESULT: u8 = 10;
 const UNKNOWN_TYPE: u8 = 11;
 
-const HEADER: usize = 8;
-/// Content of one record, padded to eights.
-const CONTENT_MOST: usize = 65_528;
-/// The names of all values that can be asked for fit into a fraction of this.
-const VALUES_MOST: usize = 1024;
+const HEADER_BYTES: usize = 8;
+const BEGIN_BODY_BYTES: usize = 8;
+const RESPONDER_ROLE: [u8; 2] = [0, 1];
+const KEEP_CONNECTION: u8 = 1;
+/// Content of one record, a multiple of the padding.
+const MAX_CONTENT_BYTES: usize = 65_528;
+const PADDING_BYTES: usize = 8;
+/// The names of all values that can be requested fit into a fraction of this.
+const MAX_VALUES_BYTES: usize = 1024;
 
-/// How an invocation's exchange has ended, in the protocol's own terms.
+/// How the exchange of an invocation ended, in the protocol's own terms.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Status {
+    /// With an answer.
     Complete = 0,
+    /// Rejected: too many are in flight.
     Overloaded = 2,
+    /// Rejected: this is a Responder only.
     UnknownRole = 3,
 }
 
-/// What records bring, piece by piece. An empty `Params` or `Stdin` ends its stream.
+/// What records bring, part by part. An empty `Params` or `Stdin` ends its stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Piece<'a> {
+pub enum Fragment<'a> {
+    /// An invocation begins.
     Begin {
+        /// Id of the invocation on its connection.
         id: u16,
+        /// Whether a Responder is to serve it.
         responder: bool,
+        /// Whether the connection is kept open after its end.
         keep: bool,
     },
+    /// The client has given up.
     Abort {
+        /// Id of the invocation.
         id: u16,
     },
+    /// A part of the parameters.
     Params {
+        /// Id of the invocation.
         id: u16,
+        /// The part.
         bytes: &'a [u8],
     },
+    /// A part of the body.
     Stdin {
+        /// Id of the invocation.
         id: u16,
+        /// The part.
         bytes: &'a [u8],
     },
+    /// A request for values of the server.
     GetValues {
+        /// Their names, as name-value pairs.
         names: &'a [u8],
     },
+    /// A management record of another type.
     Unknown {
+        /// The type.
         kind: u8,
     },
 }
@@ -79,112 +103,136 @@
     .parse_next(input)
 }
 
-/// Cuts a stream of bytes into pieces. Long contents need not have come whole.
+/// Where a parser stands, for a process that continues it.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct RecordsState {
+    /// Type of the current record.
+    pub kind: u8,
+    /// Its invocation's id.
+    pub id: u16,
+    /// Bytes of its content that are still to come.
+    pub content_bytes: usize,
+    /// Bytes of its padding that are still to come.
+    pub padding_bytes: usize,
+}
+
+/// Cuts a stream of bytes into fragments. Long contents need not have come completely.
 #[derive(Debug, Default)]
 pub struct Records {
-    header: Header,
-    /// Bytes of the current record still to come, its padding apart.
-    content: usize,
-    padding: usize,
+    state: RecordsState,
 }
 
 impl Records {
-    /// Reads on: how many bytes are used up and what they brought; 0 bytes until more has come.
-    pub fn next<'a>(&mut self, input: &'a [u8]) -> Result<(usize, Option<Piece<'a>>), Fault> {
-        if self.content == 0 && self.padding > 0 {
-            let used = self.padding.min(input.len());
-            self.padding -= used;
-            return Ok((used, None));
+    /// Reads on. Returns how many bytes are consumed, 0 until more have come, and what they
+    /// brought.
+    ///
+    /// # Errors
+    /// The bytes are no FastCGI.
+    pub fn next<'a>(&mut self, input: &'a [u8]) -> Result<(usize, Option<Fragment<'a>>), Fault> {
+        if self.state.content_bytes > 0 {
+            return Ok(self.read_content(input));
         }
-        if self.content > 0 {
-            return Ok(self.content(input));
+        if self.state.padding_bytes > 0 {
+            let used = self.state.padding_bytes.min(input.len());
+            self.state.padding_bytes -= used;
+            return Ok((used, None));
         }
-        let Some((mut head, rest)) = input.split_at_checked(HEADER) else {
+        let Some((mut head, rest)) = input.split_at_checked(HEADER_BYTES) else {
             return Ok((0, None));
         };
-        let read = header(&mut head).map_err(|_| Fault("no FastCGI 1.0 record"))?;
-        let (length, padding) = (usize::from(read.content), usize::from(read.padding));
-        // What must be seen whole: short ones, so that little is ever kept back.
-        let whole = match read.kind {
-            BEGIN_REQUEST if length != 8 => return Err(Fault("a begin of the wrong length")),
-            BEGIN_REQUEST => true,
-            GET_VALUES if length > VALUES_MOST => return Err(Fault("too many values asked for")),
-            GET_VALUES => true,
-            _ => false,
-        };
-        if whole && rest.len() < length {
-            return Ok((0, None));
-        }
-        self.header = read;
-        let id = read.id;
-        if whole {
-            self.padding = padding;
-            let content = &rest[..length];
-            let piece = match read.kind {
-                GET_VALUES => Piece::GetValues { names: content },
-                _ => {
-                    let responder = content[..2] == [0, 1];
-                    Piece::Begin {
-                        id,
-                        responder,
-                        keep: content[2] & 1 == 1,
-                    }
-                }
+        let header = header(&mut head).map_err(|_| Fault("no FastCGI 1.0 record"))?;
+        if needs_whole_content(header)? {
+            let Some(content) = rest.get(..usize::from(header.content)) else {
+                return Ok((0, None));
+            };
+            self.state = RecordsState {
+                kind: header.kind,
+                id: header.id,
+                content_bytes: 0,
+                padding_bytes: header.padding.into(),
             };
-            return Ok((HEADER + length, Some(piece)));
+            let fragment = whole_fragment(header, content);
+            return Ok((HEADER_BYTES + content.len(), Some(fragment)));
         }
-        (self.content, self.padding) = (length, padding);
-        let piece = match read.kind {
-            ABORT_REQUEST => Some(Piece::Abort { id }),
-            PARAMS if length == 0 => Some(Piece::Params { id, bytes: b"" }),
-            STDIN if length == 0 => Some(Piece::Stdin { id, bytes: b"" }),
-            PARAMS | STDIN => None,
-            kind if id == 0 => Some(Piece::Unknown { kind }),
-            _ => None, // of an open invocation: passed over
+        self.state = RecordsState {
+            kind: header.kind,
+            id: header.id,
+            content_bytes: header.content.into(),
+            padding_bytes: header.padding.into(),
         };
-        Ok((HEADER, piece))
+        Ok((HEADER_BYTES, header_fragment(header)))
     }
 
-    /// Where it stands: the current record's kind and id, and how many bytes of its content and of its padding are still
-    /// to come.
-    pub fn state(&self) -> (u8, u16, usize, usize) {
-        (self.header.kind, self.header.id, self.content, self.padding)
+    /// Where it stands.
+    pub fn state(&self) -> RecordsState {
+        self.state
     }
 
-    /// One that goes on from where another stood.
-    pub fn resumed((kind, id, content, padding): (u8, u16, usize, usize)) -> Records {
-        Records {
-            header: Header {
-                kind,
-                id,
-                ..Header::default()
-            },
-            content,
-            padding,
-        }
+    /// A parser that continues where another stood.
+    pub fn resume(state: RecordsState) -> Records {
+        Records { state }
     }
 
     /// Whether the current record has not come to its end.
-    pub fn within(&self) -> bool {
-        self.content > 0 || self.padding > 0
+    pub fn is_partial(&self) -> bool {
+        self.state.content_bytes > 0 || self.state.padding_bytes > 0
     }
 
-    fn content<'a>(&mut self, input: &'a [u8]) -> (usize, Option<Piece<'a>>) {
-        let used = self.content.min(input.len());
-        self.content -= used;
-        let (id, bytes) = (self.header.id, &input[..used]);
-        let piece = match self.header.kind {
+    fn read_content<'a>(&mut self, input: &'a [u8]) -> (usize, Option<Fragment<'a>>) {
+        let used = self.state.content_bytes.min(input.len());
+        self.state.content_bytes -= used;
+        let id = self.state.id;
+        let bytes = &input[..used];
+        let fragment = match self.state.kind {
             _ if used == 0 => None,
-            PARAMS => Some(Piece::Params { id, bytes }),
-            STDIN => Some(Piece::Stdin { id, bytes }),
+            PARAMS => Some(Fragment::Params { id, bytes }),
+            STDIN => Some(Fragment::Stdin { id, bytes }),
             _ => None,
         };
-        (used, piece)
+        (used, fragment)
+    }
+}
+
+/// Whether the record must be seen completely: short ones, so that little is ever held back.
+fn needs_whole_content(header: Header) -> Result<bool, Fault> {
+    let content_bytes = usize::from(header.content);
+    match header.kind {
+        BEGIN_REQUEST if content_bytes != BEGIN_BODY_BYTES => {
+            Err(Fault("a begin of the wrong length"))
+        }
+        GET_VALUES if content_bytes > MAX_VALUES_BYTES => Err(Fault("too many values asked for")),
+        BEGIN_REQUEST | GET_VALUES => Ok(true),
+        _ => Ok(false),
+    }
+}
+
+fn whole_fragment(header: Header, content: &[u8]) -> Fragment<'_> {
+    if header.kind == GET_VALUES {
+        return Fragment::GetValues { names: content };
+    }
+    Fragment::Begin {
+        id: header.id,
+        responder: content[..2] == RESPONDER_ROLE,
+        keep: content[2] & KEEP_CONNECTION != 0,
+    }
+}
+
+/// What a header brings whose content comes as it comes.
+fn header_fragment(header: Header) -> Option<Fragment<'static>> {
+    let id = header.id;
+    match header.kind {
+        ABORT_REQUEST => Some(Fragment::Abort { id }),
+        PARAMS if header.content == 0 => Some(Fragment::Params { id, bytes: b"" }),
+        STDIN if header.content == 0 => Some(Fragment::Stdin { id, bytes: b"" }),
+        PARAMS | STDIN => None,
+        kind if id == 0 => Some(Fragment::Unknown { kind }),
+        _ => None, // of an open invocation: skipped
     }
 }
 
 fn length(input: &mut &[u8]) -> ModalResult<usize> {
-    if input.first().is_some_and(|first| first & 0x80 != 0) {
+    let has_long_form = input.first().is_some_and(|first| first & 0x80 != 0);
+    if has_long_form {
         return be_u32
             .map(|long| (long & 0x7fff_ffff) as usize)
             .parse_next(input);
@@ -200,42 +248,64 @@
     (take(name), take(value)).parse_next(input)
 }
 
-/// The name-value pairs of a whole stream.
+/// The name-value pairs of a complete stream.
+///
+/// # Errors
+/// A length does not fit.
 pub fn pairs(bytes: &[u8]) -> Result<Vec<Pair<'_>>, Fault> {
     repeat(0.., pair)
         .parse(bytes)
         .map_err(|_| Fault("name-value pairs that do not fit"))
 }
 
-fn record(out: &mut impl Buffer, kind: u8, id: u16, content: &[u8]) {
-    let padding = content.len().wrapping_neg() % 8;
-    let ([id1, id0], [long1, long0]) = (id.to_be_bytes(), (content.len() as u16).to_be_bytes());
-    out.extend(&[VERSION, kind, id1, id0, long1, long0, padding as u8, 0]);
+fn write_record(out: &mut impl Buffer, kind: u8, id: u16, content: &[u8]) {
+    let padding = content.len().wrapping_neg() % PADDING_BYTES;
+    let [id_high, id_low] = id.to_be_bytes();
+    let [length_high, length_low] = (content.len() as u16).to_be_bytes();
+    out.extend(&[
+        VERSION,
+        kind,
+        id_high,
+        id_low,
+        length_high,
+        length_low,
+        padding as u8,
+        0,
+    ]);
     out.extend(content);
-    out.extend(&[0; 8][..padding]);
+    out.extend(&[0; PADDING_BYTES][..padding]);
 }
 
-/// One whole answer: head and body on STDOUT, its end, and the end of the invocation.
-pub fn answer(out: &mut impl Buffer, id: u16, head: &str, body: &[u8]) {
-    let whole = [head.as_bytes(), body].concat();
-    whole
-        .chunks(CONTENT_MOST)
-        .for_each(|part| record(out, STDOUT, id, part));
-    record(out, STDOUT, id, b"");
-    end(out, id, Status::Complete);
+/// Writes a whole answer: head and body on STDOUT, its end, and the end of the invocation.
+pub fn write_answer(out: &mut impl Buffer, id: u16, head: &str, body: &[u8]) {
+    let answer = [head.as_bytes(), body].concat();
+    for part in answer.chunks(MAX_CONTENT_BYTES) {
+        write_record(out, STDOUT, id, part);
+    }
+    write_record(out, STDOUT, id, b"");
+    write_end(out, id, Status::Complete);
 }
 
-/// The end of an invocation that got no answer of its own.
-pub fn end(out: &mut impl Buffer, id: u16, status: Status) {
-    record(out, END_REQUEST, id, &[0, 0, 0, 0, status as u8, 0, 0, 0]);
+/// Writes the end of an invocation, which may have no answer of its own.
+pub fn write_end(out: &mut impl Buffer, id: u16, status: Status) {
+    let content = [0, 0, 0, 0, status as u8, 0, 0, 0];
+    write_record(out, END_REQUEST, id, &content);
 }
 
-pub fn unknown(out: &mut impl Buffer, kind: u8) {
-    record(out, UNKNOWN_TYPE, 0, &[kind, 0, 0, 0, 0, 0, 0, 0]);
+/// Writes that management records of this type are unknown.
+pub fn write_unknown(out: &mut impl Buffer, kind: u8) {
+    write_record(out, UNKNOWN_TYPE, 0, &[kind, 0, 0, 0, 0, 0, 0, 0]);
 }
 
-/// Answers a GET_VALUES: of the names asked for, those that are known.
-pub fn values(out: &mut impl Buffer, names: &[u8], known: &[(&str, String)]) -> Result<(), Fault> {
+/// Answers a request for values with those that are known.
+///
+/// # Errors
+/// The names can't be read.
+pub fn write_values(
+    out: &mut impl Buffer,
+    names: &[u8],
+    known: &[(&str, String)],
+) -> Result<(), Fault> {
     let mut content = Vec::new();
     for (name, _) in pairs(names)? {
         if let Some((name, value)) = known.iter().find(|(known, _)| known.as_bytes() == name) {
@@ -244,6 +314,6 @@
             content.extend(value.as_bytes());
         }
     }
-    record(out, GET_VALUES_RESULT, 0, &content);
+    write_record(out, GET_VALUES_RESULT, 0, &content);
     Ok(())
 }
--- a/crates/merlinshelf-protocol/src/gossip.rs
+++ b/crates/merlinshelf-protocol/src/gossip.rs
@@ -1,9 +1,11 @@
-//! What instances tell each other: one question and one answer a connection, each a head that says how many lines follow.
+//! Gossip between instances: one poll and one answer a connection, each a header line that says how
+//! many lines follow.
 //!
-//! `ask 1 n0 1700 2 alive 127.0.0.1:7400 steady 1 1 0`, then `peer` lines with news and `figure` lines; `tell` answers in
-//! the same form. The number behind the first word is the form; another one is a fault. Names have every byte that does not
-//! print escaped as in addresses of the web; a name that is not there is `-`. Every line is read once, however slowly it
-//! comes, and what is longer than its head may say is a fault.
+//! `ask 1 n0 1700 2 alive 127.0.0.1:7400 steady 1 1 0`, then `peer` lines with membership updates
+//! and `figure` lines with observations; `tell` answers in the same form. The number behind the
+//! first word is the version; another one is a fault. Names have every byte that does not print
+//! percent-encoded; an absent name is `-`. Every line is read once, however slowly it comes, and
+//! more lines or bytes than the limits are a fault.
 
 use std::borrow::Cow;
 
@@ -17,342 +19,322 @@
 use winnow::token::take_while;
 use winnow::{ModalResult, Parser};
 
-use crate::{Buffer, Bytes, Fault, Front, LINE_MOST, front, line, put, within};
+use crate::{
+    Buffer, Bytes, Fault, LINE_END_BYTES, MAX_LINE_BYTES, Parsed, line, parse_front, parse_line,
+    write_line,
+};
 
-/// The form that is spoken here.
+/// The version that is spoken here.
 pub const PROTOCOL_VERSION: u32 = 1;
 /// The longest message there is.
-pub const MESSAGE_MOST: usize = (1 + MAX_UPDATES + MAX_OBSERVATIONS) * (LINE_MOST + 2);
+pub const MAX_MESSAGE_BYTES: usize =
+    (1 + MAX_UPDATES + MAX_OBSERVATIONS) * (MAX_LINE_BYTES + LINE_END_BYTES);
 
+/// Which message of an exchange it is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
-    Ask,
-    Tell,
+pub enum MessageKind {
+    /// The first.
+    Poll,
+    /// The second.
+    Answer,
 }
 
 const ESCAPED: &AsciiSet = &CONTROLS.add(b' ').add(b'%');
+const ABSENT: &str = "-";
+const ESCAPED_HYPHEN: &str = "%2D";
 
-fn name(text: &str) -> String {
-    if text == "-" {
-        "%2D".into()
+const STATES: [State; 4] = [State::Alive, State::Suspect, State::Left, State::Gone];
+
+/// The name of a state on the wire.
+fn state_name(state: State) -> &'static str {
+    match state {
+        State::Alive => "alive",
+        State::Suspect => "suspect",
+        State::Left => "left",
+        State::Gone => "gone",
+    }
+}
+
+fn escape(name: &str) -> String {
+    if name == ABSENT {
+        ESCAPED_HYPHEN.into()
     } else {
-        utf8_percent_encode(text, ESCAPED).to_string()
+        utf8_percent_encode(name, ESCAPED).to_string()
     }
 }
 
-fn name_or_none(text: Option<&str>) -> Cow<'static, str> {
-    text.map_or(Cow::Borrowed("-"), |text| Cow::Owned(name(text)))
+fn escape_optional(name: Option<&str>) -> Cow<'static, str> {
+    name.map_or(Cow::Borrowed(ABSENT), |name| Cow::Owned(escape(name)))
 }
 
-/// Names of states, as they stand on the wire.
-const STATES: [(&str, State); 4] = [
-    ("alive", State::Alive),
-    ("suspect", State::Suspect),
-    ("left", State::Left),
-    ("gone", State::Gone),
-];
+/// Writes a message.
+pub fn write_message(out: &mut impl Buffer, kind: MessageKind, message: &Message) {
+    write_header(out, kind, message);
+    for update in &message.updates {
+        write_line(out, format_args!("peer {}\r\n", format_update(update)));
+    }
+    for observation in &message.observations {
+        write_observation(out, observation);
+    }
+}
 
-fn state_name(state: State) -> &'static str {
-    STATES
-        .iter()
-        .find(|(_, one)| *one == state)
-        .map_or("gone", |(name, _)| name)
+fn write_header(out: &mut impl Buffer, kind: MessageKind, message: &Message) {
+    let kind = match kind {
+        MessageKind::Poll => "ask",
+        MessageKind::Answer => "tell",
+    };
+    let from = format_update(&message.from);
+    let status = message.status.as_str();
+    let wants_observations = u8::from(message.wants_observations);
+    let update_count = message.updates.len();
+    let observation_count = message.observations.len();
+    write_line(
+        out,
+        format_args!(
+            "{kind} {PROTOCOL_VERSION} {from} {status} {wants_observations} {update_count} \
+             {observation_count}\r\n"
+        ),
+    );
 }
 
-/// Writes a message.
-pub fn put_message(out: &mut impl Buffer, kind: Kind, message: &Message) {
-    let Message {
-        from,
-        status: standing,
-        wants_observations: wants,
-        updates: news,
-        observations: figures,
-    } = message;
-    let word = if kind == Kind::Ask { "ask" } else { "tell" };
-    put(
+fn write_observation(out: &mut impl Buffer, observation: &GossipedObservation) {
+    let GossipedObservation {
+        metric,
+        source,
+        value,
+        sample_count,
+        age_seconds,
+        sequence,
+        hops,
+        status,
+    } = observation;
+    let labels = metric.labels();
+    let kind = metric.kind();
+    let server = escape_optional(labels.server);
+    let operation = escape_optional(labels.operation);
+    let source_name = escape(&source.name);
+    let incarnation = source.incarnation;
+    let status = status.as_str();
+    write_line(
         out,
         format_args!(
-            "{word} {PROTOCOL_VERSION} {} {} {} {}\r\n",
-            peer_words(from),
-            standing.as_str(),
-            u8::from(*wants),
-            format_args!("{} {}", news.len(), figures.len())
+            "figure {kind} {server} {operation} {source_name} {incarnation} {value} {sample_count} \
+             {age_seconds} {sequence} {hops} {status}\r\n"
         ),
-        None,
     );
-    for one in news {
-        put(out, format_args!("peer {}\r\n", peer_words(one)), None);
-    }
-    for told in figures {
-        let labels = told.metric.labels();
-        let of = (
-            told.metric.kind(),
-            name_or_none(labels.server),
-            name_or_none(labels.operation),
-        );
-        let GossipedObservation {
-            source: origin,
-            value,
-            sample_count: count,
-            age_seconds: age,
-            sequence: number,
-            hops,
-            status: standing,
-            ..
-        } = told;
-        let (by, life, standing) = (name(&origin.name), origin.incarnation, standing.as_str());
-        put(
-            out,
-            format_args!(
-                "figure {} {} {} {by} {life} {value} {count} {age} {number} {hops} {standing}\r\n",
-                of.0, of.1, of.2
-            ),
-            None,
-        );
-    }
 }
 
-fn peer_words(one: &MembershipUpdate) -> String {
+fn format_update(update: &MembershipUpdate) -> String {
+    let address = Some(update.address.as_str()).filter(|address| !address.is_empty());
     format!(
         "{} {} {} {} {}",
-        name(&one.name),
-        one.incarnation,
-        one.refutations,
-        state_name(one.state),
-        if one.address.is_empty() {
-            "-".into()
-        } else {
-            name(&one.address)
-        }
+        escape(&update.name),
+        update.incarnation,
+        update.refutations,
+        state_name(update.state),
+        escape_optional(address)
     )
 }
 
-/// A message that is coming, line by line.
+/// A message that is still coming.
+#[derive(Debug)]
+struct PartialMessage {
+    kind: MessageKind,
+    message: Message,
+    update_count: usize,
+    observation_count: usize,
+}
+
+/// Reads a message line by line.
 #[derive(Debug, Default)]
-pub struct Reading {
-    /// Its kind, the message as far as it has come, and how many news and figures it is to have.
-    begun: Option<(Kind, Message, usize, usize)>,
+pub struct MessageReader {
+    partial: Option<PartialMessage>,
 }
 
-impl Reading {
-    /// Reads all whole lines at the front. How many bytes these were, and the message once it is whole.
+impl MessageReader {
+    /// Reads all complete lines at the front. Returns how many bytes these were, and the message
+    /// once it is complete.
     ///
     /// # Errors
-    /// What is no such message; the connection that it came on ends.
-    pub fn read(&mut self, input: &[u8]) -> Result<(usize, Option<(Kind, Message)>), Fault> {
+    /// The bytes are no such message; the connection that they came on ends.
+    pub fn read(&mut self, input: &[u8]) -> Result<(usize, Option<(MessageKind, Message)>), Fault> {
         let mut used = 0;
         loop {
-            let rest = &input[used..];
-            let count = match &mut self.begun {
-                None => match head(rest)? {
-                    Some((begun, count)) => {
-                        self.begun = Some(begun);
-                        count
-                    }
-                    None => return Ok((used, None)),
-                },
-                Some((_, message, news, _)) if message.updates.len() < *news => match peer(rest)? {
-                    Some((one, count)) => {
-                        message.updates.push(one);
-                        count
-                    }
-                    None => return Ok((used, None)),
-                },
-                Some((_, message, _, figures)) if message.observations.len() < *figures => {
-                    match figure(rest)? {
-                        Some((told, count)) => {
-                            message.observations.push(told);
-                            count
-                        }
-                        None => return Ok((used, None)),
-                    }
-                }
-                Some(_) => {
-                    return Ok((
-                        used,
-                        self.begun.take().map(|(kind, message, ..)| (kind, message)),
-                    ));
-                }
+            let complete = self.partial.take_if(|partial| partial.is_complete());
+            if let Some(partial) = complete {
+                return Ok((used, Some((partial.kind, partial.message))));
+            }
+            match self.read_line(&input[used..])? {
+                Some(line_bytes) => used += line_bytes,
+                None => return Ok((used, None)),
+            }
+        }
+    }
+
+    /// Reads one line, and returns its length; none until it is complete.
+    fn read_line(&mut self, input: &[u8]) -> Result<Option<usize>, Fault> {
+        let Some(partial) = &mut self.partial else {
+            let Some((partial, line_bytes)) = read_header(input)? else {
+                return Ok(None);
+            };
+            self.partial = Some(partial);
+            return Ok(Some(line_bytes));
+        };
+        if partial.message.updates.len() < partial.update_count {
+            let Some((update, line_bytes)) = read_update(input)? else {
+                return Ok(None);
             };
-            used += count;
+            partial.message.updates.push(update);
+            return Ok(Some(line_bytes));
         }
+        let Some((observation, line_bytes)) = read_observation(input)? else {
+            return Ok(None);
+        };
+        partial.message.observations.push(observation);
+        Ok(Some(line_bytes))
     }
 }
 
-type Begun = (Kind, Message, usize, usize);
+impl PartialMessage {
+    fn is_complete(&self) -> bool {
+        self.message.updates.len() >= self.update_count
+            && self.message.observations.len() >= self.observation_count
+    }
+}
 
-fn head(input: &[u8]) -> Front<Begun> {
-    let whole = |input: &mut Bytes| -> ModalResult<Begun> {
-        let text = line(input)?;
-        let kind = alt(("ask".value(Kind::Ask), "tell".value(Kind::Tell)));
-        let form = dec_uint::<_, u32, _>.verify(|form| *form == PROTOCOL_VERSION);
-        let counts = (
-            dec_uint::<_, usize, _>.verify(|count| *count <= MAX_UPDATES),
-            " ",
-            dec_uint::<_, usize, _>.verify(|count| *count <= MAX_OBSERVATIONS),
-        );
-        let (kind, _, _, _, from, _, standing, _, wants, _, (news, _, figures)) = within(
-            text,
-            (
-                kind,
-                " ",
-                form,
-                " ",
-                peer_fields,
-                " ",
-                standing,
-                " ",
-                alt(("0".value(false), "1".value(true))),
-                " ",
-                counts,
-            ),
-        )?;
-        Ok((
-            kind,
-            Message {
-                from,
-                status: standing,
-                wants_observations: wants,
-                updates: Vec::new(),
-                observations: Vec::new(),
-            },
-            news,
-            figures,
-        ))
-    };
-    front(
-        input,
-        LINE_MOST + 2,
-        Fault("unreadable message of a peer"),
-        whole,
-    )
+fn read_header(input: &[u8]) -> Parsed<PartialMessage> {
+    read_line(input, Fault("unreadable message of a peer"), header)
 }
 
-fn peer(input: &[u8]) -> Front<MembershipUpdate> {
-    let whole = |input: &mut Bytes| -> ModalResult<MembershipUpdate> {
-        let text = line(input)?;
-        within(text, preceded("peer ", peer_fields))
-    };
-    front(
-        input,
-        LINE_MOST + 2,
-        Fault("unreadable news of a peer"),
-        whole,
-    )
+fn read_update(input: &[u8]) -> Parsed<MembershipUpdate> {
+    let fault = Fault("unreadable news of a peer");
+    read_line(input, fault, |input: &mut &[u8]| {
+        preceded("peer ", update).parse_next(input)
+    })
+}
+
+fn read_observation(input: &[u8]) -> Parsed<GossipedObservation> {
+    read_line(input, Fault("unreadable figure of a peer"), observation)
 }
 
-fn figure(input: &[u8]) -> Front<GossipedObservation> {
-    let whole = |input: &mut Bytes| -> ModalResult<GossipedObservation> {
+fn read_line<T>(
+    input: &[u8],
+    fault: Fault,
+    fields: impl Fn(&mut &[u8]) -> ModalResult<T>,
+) -> Parsed<T> {
+    let whole_line = |input: &mut Bytes| -> ModalResult<T> {
         let text = line(input)?;
-        let subject = (word, " ", name_field, " ", name_field).verify_map(
-            |(kind, _, server, _, operation)| {
-                let kind = std::str::from_utf8(kind).ok()?;
-                Metric::parse(kind, server.as_deref(), operation.as_deref())
-            },
-        );
-        let origin = (
-            name_field.verify_map(|name| name),
-            " ",
-            dec_uint::<_, u64, _>,
-        )
-            .map(|(name, _, life)| Source {
-                name,
-                incarnation: life,
-            });
-        let numbers = (
-            float::<_, f64, _>,
-            " ",
-            dec_uint::<_, u32, _>,
-            " ",
-            float::<_, f64, _>,
-        );
-        let rest = (
-            dec_uint::<_, u64, _>,
-            " ",
-            dec_uint::<_, u8, _>,
-            " ",
-            standing,
-        );
-        let (
-            _,
-            subject,
-            _,
-            origin,
-            _,
-            (value, _, count, _, age),
-            _,
-            (number, _, hops, _, standing),
-        ) = within(
-            text,
-            ("figure ", subject, " ", origin, " ", numbers, " ", rest),
-        )?;
-        Ok(GossipedObservation {
-            metric: subject,
-            source: origin,
-            value,
-            sample_count: count,
-            age_seconds: age,
-            sequence: number,
-            hops,
-            status: standing,
-        })
+        parse_line(text, |input: &mut &[u8]| fields(input))
     };
-    front(
-        input,
-        LINE_MOST + 2,
-        Fault("unreadable figure of a peer"),
-        whole,
-    )
+    parse_front(input, MAX_LINE_BYTES + LINE_END_BYTES, fault, whole_line)
 }
 
-fn word<'i>(input: &mut &'i [u8]) -> ModalResult<&'i [u8]> {
-    take_while(1.., b'!'..=b'~').parse_next(input)
+fn header(input: &mut &[u8]) -> ModalResult<PartialMessage> {
+    let kind = alt((
+        "ask".value(MessageKind::Poll),
+        "tell".value(MessageKind::Answer),
+    ));
+    let version = dec_uint::<_, u32, _>.verify(|version| *version == PROTOCOL_VERSION);
+    let wants_observations = alt(("0".value(false), "1".value(true)));
+    let update_count = dec_uint::<_, usize, _>.verify(|count| *count <= MAX_UPDATES);
+    let observation_count = dec_uint::<_, usize, _>.verify(|count| *count <= MAX_OBSERVATIONS);
+    let (kind, _, _) = (kind, " ", version).parse_next(input)?;
+    let (_, from, _, status) = (" ", update, " ", status).parse_next(input)?;
+    let (_, wants_observations) = (" ", wants_observations).parse_next(input)?;
+    let (_, update_count) = (" ", update_count).parse_next(input)?;
+    let (_, observation_count) = (" ", observation_count).parse_next(input)?;
+    Ok(PartialMessage {
+        kind,
+        message: Message {
+            from,
+            status,
+            wants_observations,
+            updates: Vec::new(),
+            observations: Vec::new(),
+        },
+        update_count,
+        observation_count,
+    })
 }
 
-/// A name, or none where it is `-`.
-fn name_field(input: &mut &[u8]) -> ModalResult<Option<String>> {
-    word.verify_map(|text: &[u8]| match text {
-        b"-" => Some(None),
-        text => percent_decode(text)
-            .decode_utf8()
-            .ok()
-            .map(|text| Some(text.into_owned())),
+fn observation(input: &mut &[u8]) -> ModalResult<GossipedObservation> {
+    let (_, metric) = ("figure ", metric).parse_next(input)?;
+    let (_, source) = (" ", source).parse_next(input)?;
+    let (_, value) = (" ", float::<_, f64, _>).parse_next(input)?;
+    let (_, sample_count) = (" ", dec_uint::<_, u32, _>).parse_next(input)?;
+    let (_, age_seconds) = (" ", float::<_, f64, _>).parse_next(input)?;
+    let (_, sequence) = (" ", dec_uint::<_, u64, _>).parse_next(input)?;
+    let (_, hops) = (" ", dec_uint::<_, u8, _>).parse_next(input)?;
+    let (_, status) = (" ", status).parse_next(input)?;
+    Ok(GossipedObservation {
+        metric,
+        source,
+        value,
+        sample_count,
+        age_seconds,
+        sequence,
+        hops,
+        status,
     })
-    .parse_next(input)
 }
 
-fn peer_fields(input: &mut &[u8]) -> ModalResult<MembershipUpdate> {
-    let state = word.verify_map(|text: &[u8]| {
-        STATES
-            .iter()
-            .find(|(name, _)| name.as_bytes() == text)
-            .map(|(_, state)| *state)
-    });
-    let whole = (
-        name_field.verify_map(|name| name),
-        " ",
-        dec_uint::<_, u64, _>,
-        " ",
-        dec_uint::<_, u32, _>,
-        " ",
-        state,
-        " ",
-        name_field,
-    );
-    whole
-        .map(
-            |(name, _, life, _, turn, _, state, _, address)| MembershipUpdate {
-                name,
-                address: address.unwrap_or_default(),
-                incarnation: life,
-                refutations: turn,
-                state,
-            },
-        )
+fn metric(input: &mut &[u8]) -> ModalResult<Metric> {
+    (word, " ", optional_name, " ", optional_name)
+        .verify_map(|(kind, _, server, _, operation)| {
+            let kind = std::str::from_utf8(kind).ok()?;
+            Metric::parse(kind, server.as_deref(), operation.as_deref())
+        })
         .parse_next(input)
 }
 
-fn standing(input: &mut &[u8]) -> ModalResult<SourceStatus> {
+fn source(input: &mut &[u8]) -> ModalResult<Source> {
+    let (name, _, incarnation) = (name, " ", dec_uint::<_, u64, _>).parse_next(input)?;
+    Ok(Source { name, incarnation })
+}
+
+fn update(input: &mut &[u8]) -> ModalResult<MembershipUpdate> {
+    let (name, _, incarnation) = (name, " ", dec_uint::<_, u64, _>).parse_next(input)?;
+    let (_, refutations, _, state) = (" ", dec_uint::<_, u32, _>, " ", state).parse_next(input)?;
+    let (_, address) = (" ", optional_name).parse_next(input)?;
+    Ok(MembershipUpdate {
+        name,
+        // A peer that can't be reached has none.
+        address: address.unwrap_or_default(),
+        incarnation,
+        refutations,
+        state,
+    })
+}
+
+fn state(input: &mut &[u8]) -> ModalResult<State> {
+    word.verify_map(|text: &[u8]| {
+        let mut states = STATES.into_iter();
+        states.find(|state| state_name(*state).as_bytes() == text)
+    })
+    .parse_next(input)
+}
+
+fn status(input: &mut &[u8]) -> ModalResult<SourceStatus> {
     word.verify_map(|text: &[u8]| SourceStatus::parse(std::str::from_utf8(text).ok()?))
         .parse_next(input)
 }
+
+fn word<'i>(input: &mut &'i [u8]) -> ModalResult<&'i [u8]> {
+    take_while(1.., b'!'..=b'~').parse_next(input)
+}
+
+fn name(input: &mut &[u8]) -> ModalResult<String> {
+    optional_name.verify_map(|name| name).parse_next(input)
+}
+
+/// A name, or none where it is absent.
+fn optional_name(input: &mut &[u8]) -> ModalResult<Option<String>> {
+    word.verify_map(|text: &[u8]| {
+        if text == ABSENT.as_bytes() {
+            return Some(None);
+        }
+        let name = percent_decode(text).decode_utf8().ok()?;
+        Some(Some(name.into_owned()))
+    })
+    .parse_next(input)
+}
--- a/crates/merlinshelf-protocol/src/lib.rs
+++ b/crates/merlinshelf-protocol/src/lib.rs
@@ -1,5 +1,7 @@
-//! What a backend speaks with its edge nodes, its engine, the catalogue below, the membership service, operators' tools and
-//! other instances: parsers over bytes that may have come in part, and encoders into any buffer. No input or output here.
+//! What a backend speaks with its edge nodes ([`fastcgi`], [`uwsgi`]), its engine ([`engine`]), the
+//! catalogue ([`catalogue`]), the membership service ([`registration`]), operators' tools
+//! ([`control`]) and other instances ([`gossip`]): parsers over bytes that may have come in part,
+//! and encoders into any buffer. Nothing here does I/O.
 
 pub mod catalogue;
 pub mod control;
@@ -17,25 +19,30 @@
 use winnow::token::{take, take_until, take_while};
 use winnow::{ModalResult, Parser, Partial};
 
-/// What can't be read, by a name for the log: the connection that it came on ends.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+/// The longest line, without its end.
+const MAX_LINE_BYTES: usize = 1024;
+/// CR LF.
+const LINE_END_BYTES: usize = 2;
+/// The longest body that any peer may send after a line.
+const MAX_BODY_BYTES: usize = 64 * 1024;
+const CALL_ID_DIGITS: usize = 16;
+
+/// What can't be parsed, named for the log. The connection that it came on ends.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{0}")]
 pub struct Fault(pub &'static str);
 
-impl fmt::Display for Fault {
-    fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
-        out.write_str(self.0)
-    }
-}
-
-/// The id of one try: the 16 hex digits just as they came.
+/// The id of one attempt: its 16 hexadecimal digits just as they came.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct CallId([u8; 16]);
+pub struct CallId([u8; CALL_ID_DIGITS]);
 
 impl CallId {
-    pub fn read(text: &[u8]) -> Option<CallId> {
+    /// The id of these digits; none where they are not 16 hexadecimal digits.
+    pub fn parse(text: &[u8]) -> Option<CallId> {
         call_id.parse(text).ok()
     }
 
+    /// The digits.
     pub fn as_bytes(&self) -> &[u8] {
         &self.0
     }
@@ -54,8 +61,8 @@
 }
 
 fn call_id(input: &mut &[u8]) -> ModalResult<CallId> {
-    let digits = take_while(16, AsChar::is_hex_digit).parse_next(input)?;
-    let mut id = [0; 16];
+    let digits = take_while(CALL_ID_DIGITS, AsChar::is_hex_digit).parse_next(input)?;
+    let mut id = [0; CALL_ID_DIGITS];
     id.copy_from_slice(digits);
     Ok(CallId(id))
 }
@@ -64,76 +71,81 @@
 pub trait Buffer: for<'a> Extend<&'a u8> {}
 impl<T: for<'a> Extend<&'a u8>> Buffer for T {}
 
-/// The longest line, its end left out, and the longest body that any peer may send after one.
-const LINE_MOST: usize = 1024;
-const BODY_MOST: usize = 64 * 1024;
-
-/// One message off the front of what has come, and its length; nothing until more has come.
-pub type Front<T> = Result<Option<(T, usize)>, Fault>;
+/// One message off the front of the bytes, and its length; none until more bytes have come.
+pub type Parsed<T> = Result<Option<(T, usize)>, Fault>;
 
 type Bytes<'i> = Partial<&'i [u8]>;
 
-fn front<'i, T>(
+/// Parses a message that is complete within `max_bytes` off the front.
+fn parse_front<'i, T>(
     input: &'i [u8],
-    most: usize,
+    max_bytes: usize,
     fault: Fault,
     mut parser: impl Parser<Bytes<'i>, T, ErrMode<ContextError>>,
-) -> Front<T> {
+) -> Parsed<T> {
     let mut rest = Partial::new(input);
     let start = rest.checkpoint();
     match parser.parse_next(&mut rest) {
         Ok(message) => Ok(Some((message, rest.offset_from(&start)))),
-        Err(ErrMode::Incomplete(_)) if input.len() < most => Ok(None),
+        Err(ErrMode::Incomplete(_)) if input.len() < max_bytes => Ok(None),
         Err(_) => Err(fault),
     }
 }
 
-/// One line of words without its CR LF. What has come without an end is judged as far as it goes.
+/// One line without its CR LF. An incomplete one is judged as far as it goes.
 fn line<'i>(input: &mut Bytes<'i>) -> ModalResult<&'i [u8]> {
-    let come = &input[..input.len().min(LINE_MOST + 2)];
-    let ended = come.windows(2).any(|two| two == b"\r\n");
-    // A CR that came last may be half of the end; anything else that does not print is in no line.
-    let odd = |byte: &u8| !matches!(byte, b' '..=b'~' | b'\t' | 0x80..);
-    if !ended
-        && (come.len() > LINE_MOST || come.strip_suffix(b"\r").unwrap_or(come).iter().any(odd))
-    {
+    let received = &input[..input.len().min(MAX_LINE_BYTES + LINE_END_BYTES)];
+    if !has_line_end(received) && !may_become_line(received) {
         return Err(ErrMode::Cut(ContextError::new()));
     }
-    terminated(take_until(0..=LINE_MOST, "\r\n"), "\r\n").parse_next(input)
+    terminated(take_until(0..=MAX_LINE_BYTES, "\r\n"), "\r\n").parse_next(input)
+}
+
+fn has_line_end(bytes: &[u8]) -> bool {
+    bytes.windows(LINE_END_BYTES).any(|pair| pair == b"\r\n")
+}
+
+fn may_become_line(received: &[u8]) -> bool {
+    // A CR that came last may be half of the end; other control characters are in no line.
+    let text = received.strip_suffix(b"\r").unwrap_or(received);
+    let is_printable = |byte: &u8| matches!(byte, b' '..=b'~' | b'\t' | 0x80..);
+    received.len() <= MAX_LINE_BYTES && text.iter().all(is_printable)
 }
 
-/// Reads the words of one whole line; what does not fit can't become right by more bytes.
-fn within<'i, T>(
+/// Parses the whole text of a line; one that does not fit can't be mended by more bytes.
+fn parse_line<'i, T>(
     text: &'i [u8],
-    mut words: impl Parser<&'i [u8], T, ErrMode<ContextError>>,
+    mut fields: impl Parser<&'i [u8], T, ErrMode<ContextError>>,
 ) -> ModalResult<T> {
-    words
+    fields
         .parse(text)
         .map_err(|error| ErrMode::Cut(error.into_inner()))
 }
 
-/// The bytes that a line's last word announced, and their CR LF.
+/// The body whose length a line announced, without its CR LF.
 fn body<'i>(length: usize) -> impl FnMut(&mut Bytes<'i>) -> ModalResult<&'i [u8]> {
-    body_up_to(length, BODY_MOST)
+    body_up_to(length, MAX_BODY_BYTES)
 }
 
-/// The same, with another bound.
+/// The same, with another limit.
 fn body_up_to<'i>(
     length: usize,
-    most: usize,
+    max_bytes: usize,
 ) -> impl FnMut(&mut Bytes<'i>) -> ModalResult<&'i [u8]> {
     move |input| {
-        if length > most {
+        if length > max_bytes {
             return Err(ErrMode::Cut(ContextError::new()));
         }
         terminated(take(length), "\r\n").parse_next(input)
     }
 }
 
-fn put(out: &mut impl Buffer, text: fmt::Arguments, body: Option<&[u8]>) {
+fn write_line(out: &mut impl Buffer, text: fmt::Arguments) {
     out.extend(text.to_string().as_bytes());
-    if let Some(body) = body {
-        out.extend(body);
-        out.extend(b"\r\n");
-    }
+}
+
+fn write_with_body(out: &mut impl Buffer, text: fmt::Arguments, body: &[u8]) {
+    write_line(out, text);
+    out.extend(body);
+    out.extend(b"\r\n");
 }
--- a/crates/merlinshelf-protocol/src/registration.rs
+++ b/crates/merlinshelf-protocol/src/registration.rs
@@ -1,95 +1,120 @@
-//! Reports to the membership service: HTTP/1.1, as far as one kind of call needs it.
+//! Reports to the membership service: HTTP/1.1, as far as one kind of request needs it.
 
 use winnow::ascii::{Caseless, dec_uint, digit1, space0};
 use winnow::combinator::{alt, delimited, preceded, terminated};
 use winnow::token::{rest, take, take_until, take_while};
 use winnow::{ModalResult, Parser};
 
-use crate::{BODY_MOST, Buffer, Bytes, Fault, Front, LINE_MOST, front, line, put, within};
+use crate::{
+    Buffer, Bytes, Fault, MAX_BODY_BYTES, MAX_LINE_BYTES, Parsed, line, parse_front, parse_line,
+    write_line,
+};
 
-/// More header lines than this are no answer of this service.
-const HEADERS_MOST: usize = 64;
+/// A response with more header lines is none of this service.
+const MAX_HEADERS: usize = 64;
+/// A response of this status has no body, and neither have those below `FIRST_FINAL_STATUS`.
+const NO_CONTENT: u16 = 204;
+const FIRST_FINAL_STATUS: u16 = 200;
 
-pub fn report(out: &mut impl Buffer, host: &str, name: &str, up: bool) {
-    let body = if up {
-        r#"{"phase":"UP"}"#
-    } else {
-        r#"{"phase":"OUT"}"#
+/// The phase that an instance reports.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Phase {
+    /// It serves.
+    Up,
+    /// It is shutting down.
+    Out,
+}
+
+/// Writes the report of an instance's phase.
+pub fn write_report(out: &mut impl Buffer, host: &str, name: &str, phase: Phase) {
+    let body = match phase {
+        Phase::Up => r#"{"phase":"UP"}"#,
+        Phase::Out => r#"{"phase":"OUT"}"#,
     };
     let length = body.len();
-    let head = format_args!(
+    let request = format_args!(
         "PUT /members/{name} HTTP/1.1\r\nHost: {host}\r\nContent-Type: application/json\r\n\
          Content-Length: {length}\r\n\r\n{body}"
     );
-    put(out, head, None);
+    write_line(out, request);
 }
 
-/// What came back: the status, and whether the connection may carry the next report.
+/// A response, without its body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Answer {
+pub struct Response {
+    /// The status code.
     pub status: u16,
-    pub keep: bool,
+    /// Whether the connection may carry the next report.
+    pub is_reusable: bool,
 }
 
-/// Reads one answer off the front, its body passed over.
-pub fn answer(input: &[u8]) -> Front<Answer> {
-    front(
+/// Reads one response off the front and skips its body.
+///
+/// # Errors
+/// The bytes can't become a response.
+pub fn read_response(input: &[u8]) -> Parsed<Response> {
+    parse_front(
         input,
-        HEADERS_MOST * LINE_MOST + BODY_MOST,
+        MAX_HEADERS * MAX_LINE_BYTES + MAX_BODY_BYTES,
         Fault("unreadable answer"),
-        whole,
+        response,
     )
 }
 
-fn whole(input: &mut Bytes) -> ModalResult<Answer> {
-    let (minor, status) = within(line(input)?, status_line)?;
-    let (mut length, mut chunked, mut keep) = (None, false, minor == b"1");
-    for _ in 0..HEADERS_MOST {
+fn response(input: &mut Bytes) -> ModalResult<Response> {
+    let (minor_version, status) = parse_line(line(input)?, status_line)?;
+    let mut content_length = None;
+    let mut is_chunked = false;
+    let mut is_reusable = minor_version == b"1";
+    for _ in 0..MAX_HEADERS {
         let text = line(input)?;
         if text.is_empty() {
             break;
         }
-        match within(text, header)? {
-            Header::Length(bytes) => length = Some(bytes),
-            Header::Chunked => chunked = true,
-            Header::Close => keep = false,
+        match parse_line(text, header)? {
+            Header::ContentLength(bytes) => content_length = Some(bytes),
+            Header::Chunked => is_chunked = true,
+            Header::Close => is_reusable = false,
             Header::Other => {}
         }
     }
-    if chunked {
-        keep = false; // the rest of it is left unread with the connection
-    } else if status != 204 && status >= 200 {
-        take(length.unwrap_or(0).min(BODY_MOST))
-            .void()
-            .parse_next(input)?;
-        keep &= length.is_some_and(|length| length <= BODY_MOST);
+    if is_chunked {
+        is_reusable = false; // the rest of it is left unread with the connection
+    } else if status != NO_CONTENT && status >= FIRST_FINAL_STATUS {
+        let body_bytes = content_length.unwrap_or(0).min(MAX_BODY_BYTES);
+        take(body_bytes).void().parse_next(input)?;
+        is_reusable &= content_length.is_some_and(|length| length <= MAX_BODY_BYTES);
     }
-    Ok(Answer { status, keep })
+    Ok(Response {
+        status,
+        is_reusable,
+    })
 }
 
+/// The minor version and the status code.
 fn status_line<'i>(input: &mut &'i [u8]) -> ModalResult<(&'i [u8], u16)> {
-    let minor = delimited("HTTP/1.", digit1, " ");
+    let minor_version = delimited("HTTP/1.", digit1, " ");
     let status = take_while(3, b'0'..=b'9').and_then(dec_uint::<_, u16, _>);
-    terminated((minor, status), rest).parse_next(input)
+    terminated((minor_version, status), rest).parse_next(input)
 }
 
 #[derive(Clone)]
 enum Header {
-    Length(usize),
+    ContentLength(usize),
     Chunked,
     Close,
     Other,
 }
 
 fn header(input: &mut &[u8]) -> ModalResult<Header> {
-    let length = preceded(
+    let content_length = preceded(
         (Caseless("content-length:"), space0),
         terminated(dec_uint, space0),
     );
     let chunked = (Caseless("transfer-encoding:"), rest);
     let close = (Caseless("connection:"), space0, Caseless("close"), space0);
     alt((
-        length.map(Header::Length),
+        content_length.map(Header::ContentLength),
         chunked.value(Header::Chunked),
         close.value(Header::Close),
         (take_until(1.., ":"), rest).value(Header::Other),
--- a/crates/merlinshelf-protocol/src/uwsgi.rs
+++ b/crates/merlinshelf-protocol/src/uwsgi.rs
@@ -1,9 +1,10 @@
-//! uwsgi as an application server sees it, from the public description of the protocol: one packet of variables, the body that these
-//! announce, one answer, and the end of the connection.
+//! uwsgi as an application server sees it, from the public description of the protocol: one packet
+//! of variables, the body that these announce, one answer, and the end of the connection.
 //!
-//! A packet is a head of four bytes (modifier1, size of the variables, little-endian, modifier2) and the variables, each a name and
-//! a value with their lengths in two bytes, little-endian. Modifier1 is 0 for a request of this kind. The description leaves
-//! open how the body ends: here CONTENT_LENGTH says so, and without it there is none.
+//! A packet is a header of four bytes (modifier1, size of the variables, little-endian, modifier2)
+//! and the variables, each a name and a value with their lengths in two bytes, little-endian.
+//! Modifier1 is 0 for a request of this kind. The description leaves open how the body ends: here
+//! CONTENT_LENGTH says so, and without it there is none.
 
 use winnow::binary::le_u16;
 use winnow::combinator::repeat;
@@ -13,25 +14,34 @@
 use crate::fastcgi::Pair;
 use crate::{Buffer, Fault};
 
-const HEAD: usize = 4;
-/// Variables that are longer are handed on as they come, to be turned down where all parameters are.
-const VARS_MOST: usize = 4 * 1024;
+const HEADER_BYTES: usize = 4;
+/// Longer variables are forwarded as they come, to be rejected where all parameters are.
+const MAX_VARIABLES_BYTES: usize = 4 * 1024;
+/// The lengths of one variable's name and value.
+const LENGTHS_BYTES: usize = 4;
 
-/// What a request brings. There is one on a connection, so that it needs no number.
+/// What a request brings. There is one on a connection, so that it needs no id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Piece<'a> {
+pub enum Fragment<'a> {
+    /// A request begins.
     Begin,
-    /// All variables, and the length of the body that they announce.
-    Vars {
+    /// All variables.
+    Variables {
+        /// The variables, for [`pairs`].
         bytes: &'a [u8],
+        /// Length of the body that they announce.
         body: usize,
     },
     /// A part of variables that are too long; never the last.
-    Part {
+    VariablesPart {
+        /// The part.
         bytes: &'a [u8],
     },
+    /// A part of the body.
     Body {
+        /// The part.
         bytes: &'a [u8],
+        /// Whether the body ends with it.
         last: bool,
     },
 }
@@ -39,126 +49,134 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum State {
     #[default]
-    Head,
-    Vars(usize),
-    /// Too long: so much is still to come.
-    Long(usize),
+    Header,
+    /// All variables are awaited; how many bytes they have.
+    Variables(usize),
+    /// Too long; how many bytes are still to come.
+    LongVariables(usize),
+    /// How many bytes are still to come.
     Body(usize),
     /// What comes now belongs to nothing.
-    Over,
+    Ended,
 }
 
-/// Cuts what comes on a connection into pieces.
+/// Cuts what comes on a connection into fragments.
 #[derive(Debug, Default)]
 pub struct Request(State);
 
 impl Request {
-    /// Reads on: how many bytes are used up and what they brought; 0 bytes until more has come.
+    /// Reads on. Returns how many bytes are consumed, 0 until more have come, and what they
+    /// brought.
     ///
     /// # Errors
-    /// What is no such request.
-    pub fn next<'a>(&mut self, input: &'a [u8]) -> Result<(usize, Option<Piece<'a>>), Fault> {
+    /// The bytes are no such request.
+    pub fn next<'a>(&mut self, input: &'a [u8]) -> Result<(usize, Option<Fragment<'a>>), Fault> {
         if input.is_empty() {
             return Ok((0, None));
         }
         match self.0 {
-            State::Head => {
-                let Some((head, _)) = input.split_at_checked(HEAD) else {
-                    return Ok((0, None));
+            State::Header => self.read_header(input),
+            State::Variables(size) => Ok(self.read_variables(input, size)),
+            State::LongVariables(remaining) => {
+                let (bytes, remaining) = split_part(input, remaining);
+                self.0 = match remaining {
+                    0 => State::Ended,
+                    _ => State::LongVariables(remaining),
                 };
-                if (head[0], head[3]) != (0, 0) {
-                    return Err(Fault("a uwsgi packet of another kind"));
-                }
-                let size = usize::from(u16::from_le_bytes([head[1], head[2]]));
-                self.0 = if size > VARS_MOST {
-                    State::Long(size)
-                } else {
-                    State::Vars(size)
-                };
-                if size == 0 {
-                    return Err(Fault("a uwsgi packet without variables"));
-                }
-                Ok((HEAD, Some(Piece::Begin)))
-            }
-            State::Vars(size) => {
-                let Some((bytes, _)) = input.split_at_checked(size) else {
-                    return Ok((0, None));
-                };
-                // What can't be read announces nothing, and is turned down with the variables.
-                let body = pairs(bytes)
-                    .ok()
-                    .and_then(|pairs| announced(&pairs))
-                    .unwrap_or(0);
-                self.0 = if body > 0 {
-                    State::Body(body)
-                } else {
-                    State::Over
-                };
-                Ok((size, Some(Piece::Vars { bytes, body })))
+                Ok((bytes.len(), Some(Fragment::VariablesPart { bytes })))
             }
-            State::Long(left) => {
-                let used = left.min(input.len());
-                self.0 = if used < left {
-                    State::Long(left - used)
+            State::Body(remaining) => {
+                let (bytes, remaining) = split_part(input, remaining);
+                let last = remaining == 0;
+                self.0 = if last {
+                    State::Ended
                 } else {
-                    State::Over
+                    State::Body(remaining)
                 };
-                Ok((
-                    used,
-                    Some(Piece::Part {
-                        bytes: &input[..used],
-                    }),
-                ))
+                Ok((bytes.len(), Some(Fragment::Body { bytes, last })))
             }
-            State::Body(left) => {
-                let used = left.min(input.len());
-                self.0 = if used < left {
-                    State::Body(left - used)
-                } else {
-                    State::Over
-                };
-                Ok((
-                    used,
-                    Some(Piece::Body {
-                        bytes: &input[..used],
-                        last: used == left,
-                    }),
-                ))
-            }
-            State::Over => Ok((input.len(), None)),
+            State::Ended => Ok((input.len(), None)),
         }
     }
 
+    fn read_header<'a>(&mut self, input: &'a [u8]) -> Result<(usize, Option<Fragment<'a>>), Fault> {
+        let Some(header) = input.first_chunk::<HEADER_BYTES>() else {
+            return Ok((0, None));
+        };
+        let [modifier1, size_low, size_high, modifier2] = *header;
+        if (modifier1, modifier2) != (0, 0) {
+            return Err(Fault("a uwsgi packet of another kind"));
+        }
+        let size = usize::from(u16::from_le_bytes([size_low, size_high]));
+        self.0 = if size > MAX_VARIABLES_BYTES {
+            State::LongVariables(size)
+        } else {
+            State::Variables(size)
+        };
+        if size == 0 {
+            return Err(Fault("a uwsgi packet without variables"));
+        }
+        Ok((HEADER_BYTES, Some(Fragment::Begin)))
+    }
+
+    fn read_variables<'a>(
+        &mut self,
+        input: &'a [u8],
+        size: usize,
+    ) -> (usize, Option<Fragment<'a>>) {
+        let Some(bytes) = input.get(..size) else {
+            return (0, None);
+        };
+        // Variables that can't be read announce nothing, and are rejected by who parses them.
+        let variables = pairs(bytes).unwrap_or_else(|_| Vec::new());
+        let body = content_length(&variables).unwrap_or(0);
+        self.0 = if body > 0 {
+            State::Body(body)
+        } else {
+            State::Ended
+        };
+        (size, Some(Fragment::Variables { bytes, body }))
+    }
+
     /// Whether the request has begun and not come to its end.
-    pub fn within(&self) -> bool {
-        !matches!(self.0, State::Head | State::Over)
+    pub fn is_partial(&self) -> bool {
+        !matches!(self.0, State::Header | State::Ended)
     }
 
-    /// Where it stands, for a process that carries it on.
+    /// Where it stands, for a process that continues it: a number for the part of the request, and
+    /// how many of its bytes are awaited.
     pub fn state(&self) -> (u8, usize) {
         match self.0 {
-            State::Head => (0, 0),
-            State::Vars(size) => (1, size),
-            State::Long(left) => (2, left),
-            State::Body(left) => (3, left),
-            State::Over => (4, 0),
+            State::Header => (0, 0),
+            State::Variables(size) => (1, size),
+            State::LongVariables(remaining) => (2, remaining),
+            State::Body(remaining) => (3, remaining),
+            State::Ended => (4, 0),
         }
     }
 
-    /// One that goes on from where another stood.
-    pub fn resumed((kind, count): (u8, usize)) -> Request {
-        Request(match kind {
-            0 => State::Head,
-            1 => State::Vars(count),
-            2 => State::Long(count),
-            3 => State::Body(count),
-            _ => State::Over,
+    /// A parser that continues where another stood.
+    pub fn resume((part, bytes): (u8, usize)) -> Request {
+        Request(match part {
+            0 => State::Header,
+            1 => State::Variables(bytes),
+            2 => State::LongVariables(bytes),
+            3 => State::Body(bytes),
+            _ => State::Ended,
         })
     }
 }
 
-fn announced(pairs: &[Pair]) -> Option<usize> {
-    let (_, text) = pairs.iter().find(|(name, _)| *name == b"CONTENT_LENGTH")?;
+/// As much as has come of what remains, and how many bytes remain behind it.
+fn split_part(input: &[u8], remaining: usize) -> (&[u8], usize) {
+    let count = remaining.min(input.len());
+    (&input[..count], remaining - count)
+}
+
+fn content_length(variables: &[Pair]) -> Option<usize> {
+    let (_, text) = variables
+        .iter()
+        .find(|(name, _)| *name == b"CONTENT_LENGTH")?;
     std::str::from_utf8(text).ok()?.parse().ok()
 }
 
@@ -171,50 +189,45 @@
     (text, text).parse_next(input)
 }
 
-/// The variables of a whole packet.
+/// The variables of a complete packet.
 ///
 /// # Errors
-/// They do not fit into it.
+/// A length does not fit.
 pub fn pairs(bytes: &[u8]) -> Result<Vec<Pair<'_>>, Fault> {
     repeat(0.., pair)
         .parse(bytes)
         .map_err(|_| Fault("name-value pairs that do not fit"))
 }
 
-/// One whole answer: a CGI head becomes that of an HTTP response, whose end is told by its length and by the connection's.
-pub fn answer(out: &mut impl Buffer, head: &str, body: &[u8]) {
+/// Writes a whole answer. A CGI head becomes that of an HTTP response, the end of which is given by
+/// its length and by the connection's.
+pub fn write_answer(out: &mut impl Buffer, head: &str, body: &[u8]) {
     let head = head.strip_prefix("Status: ").unwrap_or(head);
-    out.extend(b"HTTP/1.1 ");
     let (status, fields) = head.split_once("\r\n").unwrap_or((head, "\r\n"));
-    out.extend(status.as_bytes());
-    out.extend(
-        format!(
-            "\r\nContent-Length: {}\r\nConnection: close\r\n",
-            body.len()
-        )
-        .as_bytes(),
-    );
-    out.extend(fields.as_bytes());
+    let length = body.len();
+    let head =
+        format!("HTTP/1.1 {status}\r\nContent-Length: {length}\r\nConnection: close\r\n{fields}");
+    out.extend(head.as_bytes());
     out.extend(body);
 }
 
-/// The packet of a request, as a front end writes it; the body follows.
-pub fn request(out: &mut impl Buffer, vars: &[(&str, &str)]) {
-    let size: usize = vars
+/// Writes the packet of a request, as a front end does; the body follows.
+pub fn write_request(out: &mut impl Buffer, variables: &[(&str, &str)]) {
+    let sizes = variables
         .iter()
-        .map(|(name, value)| 4 + name.len() + value.len())
-        .sum();
+        .map(|(name, value)| LENGTHS_BYTES + name.len() + value.len());
+    let size: usize = sizes.sum();
     out.extend(&[0]);
     out.extend(&(size as u16).to_le_bytes());
     out.extend(&[0]);
-    for text in vars.iter().flat_map(|(name, value)| [name, value]) {
+    for text in variables.iter().flat_map(|(name, value)| [name, value]) {
         out.extend(&(text.len() as u16).to_le_bytes());
         out.extend(text.as_bytes());
     }
 }
 
-/// Whether a connection that begins with this byte may be one of these: FastCGI's begin with its version, 1, those of HTTP with a
-/// letter, those of TLS with 22.
-pub fn begins(first: u8) -> bool {
+/// Whether a connection that begins with this byte may carry uwsgi: FastCGI begins with its
+/// version, 1, HTTP with a letter, TLS with 22.
+pub fn is_first_byte(first: u8) -> bool {
     first == 0
 }
--- a/crates/merlinshelf-protocol/tests/golden.rs
+++ b/crates/merlinshelf-protocol/tests/golden.rs
@@ -1,22 +1,23 @@
-//! What two processes of ours say to each other in text, held to golden files: the messages of gossip with every
-//! subject, standing and state, and the framing of the control socket with every question and word. Beside them what
-//! `wire.rs` has no sample of: a report to the membership service that an instance is up, a run that failed, and the
-//! numbers by which a handover image tells where a parser stood.
+//! What two processes of ours send each other in text, held to golden files: the messages of gossip
+//! with every metric, status and state, and the framing of the control socket with every request
+//! and message. Beside them what `wire.rs` has no sample of: a report to the membership service
+//! that an instance is up, a run that failed, and the numbers by which a handover image tells where
+//! a parser stood.
 //!
-//! Every field of a sample has a value of its own that is not its default, so that a field that is lost or swapped
-//! shows. The files hold bytes as programs in the field wrote them: where a test fails, the code is to be mended, not
-//! the file.
+//! Every field of a sample has a value of its own that is not its default, so that a field that is
+//! lost or swapped shows. The files hold bytes as programs in the field wrote them: where a test
+//! fails, the code is to be mended, not the file.
 
 use merlinshelf_gossip::{
     GossipedObservation, MembershipUpdate, Message, Metric, Source, SourceStatus, State,
 };
-use merlinshelf_protocol::control::{self, ControlRequest};
+use merlinshelf_protocol::control::{self, ControlRequest, Frame};
 use merlinshelf_protocol::engine::{self, End, EngineNotification};
-use merlinshelf_protocol::gossip::{Kind, Reading, put_message};
-use merlinshelf_protocol::{CallId, Front, fastcgi, registration, uwsgi};
+use merlinshelf_protocol::gossip::{MessageKind, MessageReader, write_message};
+use merlinshelf_protocol::{CallId, Parsed, fastcgi, registration, uwsgi};
 
-const LIFE: u64 = 1_796_150_622_705;
-const STANDINGS: [SourceStatus; 4] = [
+const INCARNATION: u64 = 1_796_150_622_705;
+const STATUSES: [SourceStatus; 4] = [
     SourceStatus::Steady,
     SourceStatus::Recovering,
     SourceStatus::RecentlySynced,
@@ -24,8 +25,8 @@
 ];
 const STATES: [State; 4] = [State::Alive, State::Suspect, State::Left, State::Gone];
 
-/// Every subject, each with names of its own: some have bytes that are escaped.
-fn subjects() -> Vec<Metric> {
+/// Every metric, each with names of its own: some have bytes that are escaped.
+fn metrics() -> Vec<Metric> {
     vec![
         Metric::RunLowest {
             engine: "engine 1".into(),
@@ -59,32 +60,32 @@
     ]
 }
 
-fn figures() -> Vec<GossipedObservation> {
-    let figure = |(place, subject): (usize, Metric)| GossipedObservation {
-        metric: subject,
+fn observations() -> Vec<GossipedObservation> {
+    let observation = |(place, metric): (usize, Metric)| GossipedObservation {
+        metric,
         source: Source {
             name: format!("origin {place}"),
-            incarnation: LIFE + 1 + place as u64,
+            incarnation: INCARNATION + 1 + place as u64,
         },
         value: 0.0625 + place as f64,
         sample_count: 20 + place as u32,
         age_seconds: 40.5 + place as f64,
         sequence: 300_000 + place as u64,
         hops: 60 + place as u8,
-        status: STANDINGS[place % STANDINGS.len()],
+        status: STATUSES[place % STATUSES.len()],
     };
-    subjects().into_iter().enumerate().map(figure).collect()
+    metrics().into_iter().enumerate().map(observation).collect()
 }
 
 /// A peer in every state, the last of them without an address.
-fn news() -> Vec<MembershipUpdate> {
+fn updates() -> Vec<MembershipUpdate> {
     let peer = |(state, place): (State, u32)| MembershipUpdate {
         name: format!("peer {place}"),
         address: match state {
             State::Gone => String::new(),
             _ => format!("127.0.0.1:74{place:02}"),
         },
-        incarnation: LIFE + 100 + u64::from(place),
+        incarnation: INCARNATION + 100 + u64::from(place),
         refutations: 80 + place,
         state,
     };
@@ -92,55 +93,56 @@
 }
 
 /// What says which kind of message it is, and the message.
-type Gossip = (Kind, Message);
+type Gossip = (MessageKind, Message);
 
-fn question_of_peer() -> Gossip {
+fn poll_of_peer() -> Gossip {
     let message = Message {
         from: MembershipUpdate {
             name: "n0".into(),
             address: "127.0.0.1:7400".into(),
-            incarnation: LIFE,
+            incarnation: INCARNATION,
             refutations: 2,
             state: State::Alive,
         },
         status: SourceStatus::Recovering,
         wants_observations: true,
-        updates: news(),
-        observations: figures(),
+        updates: updates(),
+        observations: observations(),
     };
-    (Kind::Ask, message)
+    (MessageKind::Poll, message)
 }
 
-/// With counts of news and figures that differ, and the three standings that the question does not have.
+/// With counts of updates and observations that differ, and the three statuses that the poll does
+/// not have.
 fn answers_of_peer() -> Vec<Gossip> {
-    let standings = [
+    let statuses = [
         SourceStatus::Steady,
         SourceStatus::RecentlySynced,
         SourceStatus::Leaving,
     ];
-    let answer = |(standing, place): (SourceStatus, usize)| {
+    let answer = |(status, place): (SourceStatus, usize)| {
         let message = Message {
             from: MembershipUpdate {
                 name: format!("n{place}"),
                 address: format!("127.0.0.1:75{place:02}"),
-                incarnation: LIFE + 200 + place as u64,
+                incarnation: INCARNATION + 200 + place as u64,
                 refutations: 90 + place as u32,
                 state: STATES[place],
             },
-            status: standing,
+            status,
             wants_observations: false,
-            updates: news().into_iter().take(place).collect(),
-            observations: figures().into_iter().take(2 * place).collect(),
+            updates: updates().into_iter().take(place).collect(),
+            observations: observations().into_iter().take(2 * place).collect(),
         };
-        (Kind::Tell, message)
+        (MessageKind::Answer, message)
     };
-    standings.into_iter().zip(1..).map(answer).collect()
+    statuses.into_iter().zip(1..).map(answer).collect()
 }
 
 fn encode_gossip(all: &[Gossip]) -> Vec<u8> {
     let mut bytes: Vec<u8> = Vec::new();
     for (kind, message) in all {
-        put_message(&mut bytes, *kind, message);
+        write_message(&mut bytes, *kind, message);
     }
     bytes
 }
@@ -148,7 +150,7 @@
 fn decode_gossip(mut rest: &[u8]) -> Vec<Gossip> {
     let mut all = Vec::new();
     while !rest.is_empty() {
-        let (used, message) = Reading::default().read(rest).expect("a message");
+        let (used, message) = MessageReader::default().read(rest).expect("a message");
         all.push(message.expect("a complete message"));
         rest = &rest[used..];
     }
@@ -156,10 +158,10 @@
 }
 
 #[test]
-fn question_of_a_peer() {
+fn poll_of_a_peer() {
     golden_file::assert_form(
         "gossip_question",
-        &vec![question_of_peer()],
+        &vec![poll_of_peer()],
         |all| encode_gossip(all),
         decode_gossip,
     );
@@ -175,36 +177,36 @@
     );
 }
 
-/// A word of the control socket with the form's number and the body.
+/// A request or message of the control socket with the version and the body.
 type Framed<T> = (u32, T, Vec<u8>);
 
 const PROTOCOL_VERSION: u32 = 1;
 
 fn decode_framed<T>(
     mut rest: &[u8],
-    read: impl Fn(&[u8]) -> Front<(u32, T, &[u8])>,
+    read: impl Fn(&[u8]) -> Parsed<Frame<'_, T>>,
 ) -> Vec<Framed<T>> {
     let mut all = Vec::new();
     while !rest.is_empty() {
-        let ((form, word, body), used) = read(rest).expect("a word").expect("a complete word");
-        all.push((form, word, body.to_vec()));
+        let (frame, used) = read(rest).expect("a frame").expect("a complete frame");
+        all.push((frame.version, frame.message, frame.body.to_vec()));
         rest = &rest[used..];
     }
     all
 }
 
 /// Each with a body of its own: none, one of several lines, one that is not text.
-fn framed<T: Copy>(words: &[T]) -> Vec<Framed<T>> {
+fn framed<T: Copy>(messages: &[T]) -> Vec<Framed<T>> {
     let bodies: [&[u8]; 4] = [b"{\"of\":1}", b"", b"{\r\n\"of\":3}\r\n", b"\x81\xa2of\x04"];
     let bodies = bodies.into_iter().cycle().map(<[u8]>::to_vec);
-    let all = words.iter().zip(bodies);
-    all.map(|(word, body)| (PROTOCOL_VERSION, *word, body))
+    let all = messages.iter().zip(bodies);
+    all.map(|(message, body)| (PROTOCOL_VERSION, *message, body))
         .collect()
 }
 
 #[test]
-fn questions_at_the_control_socket() {
-    let questions = framed(&[
+fn requests_at_the_control_socket() {
+    let requests = framed(&[
         ControlRequest::Status,
         ControlRequest::Drain,
         ControlRequest::Upgrade,
@@ -214,15 +216,15 @@
         ControlRequest::Policy,
         ControlRequest::Consensus,
     ]);
-    let encode = |questions: &Vec<Framed<ControlRequest>>| {
+    let encode = |requests: &Vec<Framed<ControlRequest>>| {
         let mut bytes: Vec<u8> = Vec::new();
-        for (_, question, body) in questions {
-            control::ask(&mut bytes, *question, body);
+        for (_, request, body) in requests {
+            control::write_request(&mut bytes, *request, body);
         }
         bytes
     };
-    let decode = |bytes: &[u8]| decode_framed(bytes, control::question);
-    golden_file::assert_form("control_questions", &questions, encode, decode);
+    let decode = |bytes: &[u8]| decode_framed(bytes, control::read_request);
+    golden_file::assert_form("control_questions", &requests, encode, decode);
 }
 
 /// What one agent says to another has a reader of its own.
@@ -231,52 +233,55 @@
     let message = framed(&[ControlRequest::Consensus]);
     let encode = |message: &Vec<Framed<ControlRequest>>| {
         let mut bytes: Vec<u8> = Vec::new();
-        control::ask(&mut bytes, message[0].1, &message[0].2);
+        control::write_request(&mut bytes, message[0].1, &message[0].2);
         bytes
     };
-    let decode = |bytes: &[u8]| decode_framed(bytes, control::council);
+    let decode = |bytes: &[u8]| decode_framed(bytes, control::read_consensus_request);
     golden_file::assert_form("control_between_agents", &message, encode, decode);
 }
 
 #[test]
 fn answers_at_the_control_socket() {
     use control::ControlMessage;
-    let words = framed(&[
+    let messages = framed(&[
         ControlMessage::More,
         ControlMessage::Done,
         ControlMessage::Failed,
         ControlMessage::Refused,
     ]);
-    let encode = |words: &Vec<Framed<ControlMessage>>| {
+    let encode = |messages: &Vec<Framed<ControlMessage>>| {
         let mut bytes: Vec<u8> = Vec::new();
-        for (_, word, body) in words {
-            control::say(&mut bytes, *word, body);
+        for (_, message, body) in messages {
+            control::write_message(&mut bytes, *message, body);
         }
         bytes
     };
-    let decode = |bytes: &[u8]| decode_framed(bytes, control::word);
-    golden_file::assert_form("control_answers", &words, encode, decode);
+    let decode = |bytes: &[u8]| decode_framed(bytes, control::read_message);
+    golden_file::assert_form("control_answers", &messages, encode, decode);
 }
 
 #[test]
 fn report_that_an_instance_is_up() {
     let mut bytes: Vec<u8> = Vec::new();
-    registration::report(&mut bytes, "127.0.0.1:8761", "n3", true);
+    registration::write_report(&mut bytes, "127.0.0.1:8761", "n3", registration::Phase::Up);
     golden_file::assert_encoded("registration_up", &bytes);
 }
 
 #[test]
-fn notice_of_a_run_that_failed() {
-    let id = CallId::read(b"9b1f03aa5c7e2d41").expect("an id");
+fn notification_of_a_run_that_failed() {
+    let id = CallId::parse(b"9b1f03aa5c7e2d41").expect("an id");
     let bytes = b"DONE 6 9b1f03aa5c7e2d41 ERROR 12.5 4\r\nfail\r\n";
-    let notice = EngineNotification::Done {
+    let notification = EngineNotification::Done {
         number: 6,
         id,
         end: End::Errored,
         took_ms: 12.5,
         result: b"fail",
     };
-    assert_eq!(engine::notice(bytes), Ok(Some((notice, bytes.len()))));
+    assert_eq!(
+        engine::read_notification(bytes),
+        Ok(Some((notification, bytes.len())))
+    );
 }
 
 /// A handover image carries these four numbers (`records::Edge::record`).
@@ -287,18 +292,21 @@
     let (head, _) = records.next(&begun).expect("a record's head");
     let (body, _) = records.next(&begun[head..]).expect("a part of its content");
     assert_eq!((head, body), (8, 4));
-    assert_eq!(records.state(), (5, 0x0102, 5, 7));
-    assert_eq!(
-        fastcgi::Records::resumed((5, 0x0102, 5, 7)).state(),
-        (5, 0x0102, 5, 7)
-    );
+    let state = fastcgi::RecordsState {
+        kind: 5,
+        id: 0x0102,
+        content_bytes: 5,
+        padding_bytes: 7,
+    };
+    assert_eq!(records.state(), state);
+    assert_eq!(fastcgi::Records::resume(state).state(), state);
 }
 
 /// And these two in the same place for a request in uwsgi.
 #[test]
 fn where_a_parser_of_uwsgi_stood() {
     let mut packet: Vec<u8> = Vec::new();
-    uwsgi::request(&mut packet, &[("CONTENT_LENGTH", "9")]);
+    uwsgi::write_request(&mut packet, &[("CONTENT_LENGTH", "9")]);
     let mut request = uwsgi::Request::default();
     let mut states = vec![request.state()];
     let mut rest = [&packet[..], b"four", b"-five"].concat();
@@ -317,12 +325,12 @@
     let (used, _) = request.next(&[0, 0xff, 0xff, 0]).expect("a head");
     assert_eq!((used, request.state()), (4, (2, 0xffff)));
     for state in [(0, 0), (1, 11), (2, 12), (3, 13), (4, 0)] {
-        assert_eq!(uwsgi::Request::resumed(state).state(), state);
+        assert_eq!(uwsgi::Request::resume(state).state(), state);
     }
 }
 
-/// Golden files: `tests/golden/NAME.hex`, sixteen bytes a line, each line with its offset, the bytes in hexadecimal and
-/// the same bytes as text.
+/// Golden files: `tests/golden/NAME.hex`, sixteen bytes a line, each line with its offset, the
+/// bytes in hexadecimal and the same bytes as text.
 mod golden_file {
     use std::fmt::Write as _;
     use std::path::{Path, PathBuf};
@@ -365,8 +373,9 @@
             .collect()
     }
 
-    /// The bytes of a golden file, which must be there. With `GOLDEN_WRITE=1` in the environment a file that is missing
-    /// is written from `encoded`; one that is there is never changed, since bytes in the field don't change either.
+    /// The bytes of a golden file, which must be there. With `GOLDEN_WRITE=1` in the environment a
+    /// file that is missing is written from `encoded`; one that is there is never changed, since
+    /// bytes in the field don't change either.
     pub fn read(name: &str, encoded: &[u8]) -> Vec<u8> {
         let path = path_of(name);
         if std::env::var_os("GOLDEN_WRITE").is_some_and(|value| value == "1") && !path.exists() {
@@ -390,7 +399,8 @@
         );
     }
 
-    /// Asserts that the golden bytes are decoded to exactly this value, and the value encoded to the golden bytes.
+    /// Asserts that the golden bytes are decoded to exactly this value, and the value encoded to
+    /// the golden bytes.
     pub fn assert_form<T: std::fmt::Debug + PartialEq>(
         name: &str,
         value: &T,
--- a/crates/merlinshelf-protocol/tests/uwsgi.rs
+++ b/crates/merlinshelf-protocol/tests/uwsgi.rs
@@ -1,11 +1,12 @@
-//! What the parser of uwsgi makes of requests, whole, cut at every byte, and of bytes that are none.
+//! What the parser of uwsgi makes of requests, whole, cut at every byte, and of bytes that are
+//! none.
 
-use merlinshelf_protocol::uwsgi::{self, Piece, Request};
+use merlinshelf_protocol::uwsgi::{self, Fragment, Request};
 use proptest::prelude::*;
 
-fn whole(body: &[u8], length: &str) -> Vec<u8> {
+fn request_bytes(body: &[u8], length: &str) -> Vec<u8> {
     let mut bytes: Vec<u8> = Vec::new();
-    uwsgi::request(
+    uwsgi::write_request(
         &mut bytes,
         &[
             ("REQUEST_METHOD", "POST"),
@@ -17,48 +18,61 @@
     bytes
 }
 
-/// Variables, body, whether its last part came, and bytes that belong to nothing.
-type Read = (Vec<u8>, Vec<u8>, bool, usize);
+#[derive(Debug, Default, PartialEq)]
+struct ReadRequest {
+    variables: Vec<u8>,
+    body: Vec<u8>,
+    /// Whether the body's last part came.
+    has_ended: bool,
+    /// Bytes that belong to nothing.
+    stray_bytes: usize,
+}
 
 /// What bytes bring that come in parts so long, or the fault.
-fn read(bytes: &[u8], part: usize) -> Result<Read, &'static str> {
-    let (mut request, mut from, mut come) = (Request::default(), 0, 0);
-    let (mut vars, mut body, mut last, mut over) = (Vec::new(), Vec::new(), false, 0);
-    while come < bytes.len() {
-        come = bytes.len().min(come + part.max(1));
+fn read(bytes: &[u8], part: usize) -> Result<ReadRequest, &'static str> {
+    let mut request = Request::default();
+    let mut result = ReadRequest::default();
+    let mut from = 0;
+    let mut received = 0;
+    while received < bytes.len() {
+        received = bytes.len().min(received + part.max(1));
         loop {
             // As after an upgrade: where it stands is all that it knows.
-            request = Request::resumed(request.state());
-            let (used, piece) = request.next(&bytes[from..come]).map_err(|fault| fault.0)?;
+            request = Request::resume(request.state());
+            let next = request.next(&bytes[from..received]);
+            let (used, fragment) = next.map_err(|fault| fault.0)?;
             from += used;
-            match piece {
-                Some(Piece::Begin) => assert!(vars.is_empty() && body.is_empty()),
-                Some(Piece::Vars { bytes, body }) => {
-                    vars.extend(bytes);
-                    last = body == 0;
+            match fragment {
+                Some(Fragment::Begin) => {
+                    assert!(result.variables.is_empty() && result.body.is_empty());
+                }
+                Some(Fragment::Variables { bytes, body }) => {
+                    result.variables.extend(bytes);
+                    result.has_ended = body == 0;
                 }
-                Some(Piece::Part { bytes }) => vars.extend(bytes),
-                Some(Piece::Body { bytes, last: end }) => {
-                    assert!(!last && !bytes.is_empty());
-                    body.extend(bytes);
-                    last = end;
+                Some(Fragment::VariablesPart { bytes }) => result.variables.extend(bytes),
+                Some(Fragment::Body { bytes, last }) => {
+                    assert!(!result.has_ended && !bytes.is_empty());
+                    result.body.extend(bytes);
+                    result.has_ended = last;
                 }
-                None => over += used,
+                None => result.stray_bytes += used,
             }
             if used == 0 {
                 break;
             }
         }
     }
-    Ok((vars, body, last, over))
+    Ok(result)
 }
 
 #[test]
-fn a_request_cut_at_every_byte_is_the_same_as_whole() {
-    let bytes = [whole(b"four", "4"), b"and more".to_vec()].concat();
+fn a_request_cut_at_every_byte_is_the_same_as_uncut() {
+    let bytes = [request_bytes(b"four", "4"), b"and more".to_vec()].concat();
     let once = read(&bytes, bytes.len()).expect("it can be read");
-    assert_eq!((once.1.as_slice(), once.2, once.3), (&b"four"[..], true, 8));
-    let pairs = uwsgi::pairs(&once.0).expect("they fit");
+    assert_eq!(once.body, b"four");
+    assert_eq!((once.has_ended, once.stray_bytes), (true, 8));
+    let pairs = uwsgi::pairs(&once.variables).expect("they fit");
     assert_eq!(
         pairs,
         [
@@ -74,36 +88,41 @@
 
 #[test]
 fn what_is_no_request_or_announces_nothing() {
-    for (bytes, why) in [
+    for (bytes, reason) in [
         (&[5, 0, 0, 0][..], "another kind"),
         (&[0, 9, 0, 1], "another kind"),
         (&[0; 4], "without variables"),
     ] {
         assert!(
-            read(bytes, 1).is_err_and(|fault| fault.contains(why)),
+            read(bytes, 1).is_err_and(|fault| fault.contains(reason)),
             "{bytes:?}"
         );
     }
     // A length that is none is the variables' fault, and nothing is waited for.
     for length in ["", "-1", "1e3", "99999999999999999999999"] {
         assert!(
-            read(&whole(b"", length), 7).is_ok_and(|(_, body, last, _)| body.is_empty() && last),
+            read(&request_bytes(b"", length), 7)
+                .is_ok_and(|read| read.body.is_empty() && read.has_ended),
             "{length}"
         );
     }
     let wrong = [&[0, 6, 0, 0][..], &[9, 0, b'a', 0, 0, 0]].concat();
-    let (vars, _, last, _) = read(&wrong, 3).expect("its packet is whole");
-    assert!(last && uwsgi::pairs(&vars).is_err());
-    // Too long ones are handed on as they come and never end.
+    let unreadable = read(&wrong, 3).expect("a complete packet");
+    assert!(unreadable.has_ended && uwsgi::pairs(&unreadable.variables).is_err());
+    // Too long ones are forwarded as they come and never end.
     let long = [&[0, 0xff, 0xff, 0][..], &[1; 70_000]].concat();
-    let (vars, _, last, over) = read(&long, 1000).expect("it can be passed over");
-    assert_eq!((vars.len(), last, over), (0xffff, false, 70_000 - 0xffff));
+    let skipped = read(&long, 1000).expect("it can be skipped");
+    assert_eq!(skipped.variables.len(), 0xffff);
+    assert_eq!(
+        (skipped.has_ended, skipped.stray_bytes),
+        (false, 70_000 - 0xffff)
+    );
 }
 
 #[test]
 fn an_answer_is_that_of_http_with_its_length() {
     let mut out: Vec<u8> = Vec::new();
-    uwsgi::answer(
+    uwsgi::write_answer(
         &mut out,
         "Status: 503 Service Unavailable\r\nX-Come-Back-Ms: 40\r\n\r\n",
         b"abc",
@@ -111,7 +130,8 @@
     let text = String::from_utf8(out).expect("text");
     assert_eq!(
         text,
-        "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 3\r\nConnection: close\r\nX-Come-Back-Ms: 40\r\n\r\nabc"
+        "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 3\r\nConnection: close\r\n\
+         X-Come-Back-Ms: 40\r\n\r\nabc"
     );
 }
 
@@ -119,11 +139,13 @@
     #![proptest_config(ProptestConfig { cases: 2000, ..ProptestConfig::default() })]
     #[test]
     fn no_bytes_make_it_panic_and_parts_change_nothing(
-        mut bytes in prop::collection::vec(any::<u8>(), 0..300), request in any::<bool>(), part in 1..40_usize,
+        mut bytes in prop::collection::vec(any::<u8>(), 0..300),
+        request in any::<bool>(),
+        part in 1..40_usize,
         changes in prop::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 0..4),
     ) {
         if request {
-            bytes = [whole(b"a body", "6"), bytes].concat();
+            bytes = [request_bytes(b"a body", "6"), bytes].concat();
         }
         for (place, byte) in changes {
             if !bytes.is_empty() {
--- a/crates/merlinshelf-protocol/tests/wire.rs
+++ b/crates/merlinshelf-protocol/tests/wire.rs
@@ -1,8 +1,8 @@
 //! What parsers make of bytes, whole and in parts, and what encoders write.
 
 use insta::assert_snapshot;
-use merlinshelf_protocol::fastcgi::{self, Piece, Records};
-use merlinshelf_protocol::{CallId, Front, catalogue, engine, registration};
+use merlinshelf_protocol::fastcgi::{self, Fragment, Records};
+use merlinshelf_protocol::{CallId, Parsed, catalogue, engine, registration};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
 
@@ -31,34 +31,37 @@
 }
 
 /// What the stream brings when it comes in parts of at most that many bytes.
-fn pieces(bytes: &[u8], part: usize) -> Vec<String> {
-    let (mut records, mut seen) = (Records::default(), Vec::<String>::new());
-    let (mut from, mut come) = (0, 0);
-    while come < bytes.len() {
-        come = bytes.len().min(come + part);
+fn fragments(bytes: &[u8], part: usize) -> Vec<String> {
+    let mut records = Records::default();
+    let mut seen = Vec::<String>::new();
+    let mut from = 0;
+    let mut received = 0;
+    while received < bytes.len() {
+        received = bytes.len().min(received + part);
         loop {
-            match records.next(&bytes[from..come]) {
+            match records.next(&bytes[from..received]) {
                 Ok((0, None)) => break,
                 Ok((used, None)) => from += used,
-                Ok((used, Some(piece))) => {
+                Ok((used, Some(fragment))) => {
                     from += used;
                     // Contents may come in any parts: those of one stream are put together again.
-                    match (piece, seen.last_mut()) {
-                        (Piece::Params { bytes, .. } | Piece::Stdin { bytes, .. }, Some(last))
-                            if !bytes.is_empty() && last.ends_with('+') =>
-                        {
+                    match (fragment, seen.last_mut()) {
+                        (
+                            Fragment::Params { bytes, .. } | Fragment::Stdin { bytes, .. },
+                            Some(last),
+                        ) if !bytes.is_empty() && last.ends_with('+') => {
                             last.insert_str(last.len() - 1, &bytes.escape_ascii().to_string());
                         }
-                        (Piece::Params { id, bytes }, _) if !bytes.is_empty() => {
+                        (Fragment::Params { id, bytes }, _) if !bytes.is_empty() => {
                             seen.push(format!("params {id} {}+", bytes.escape_ascii()));
                         }
-                        (Piece::Stdin { id, bytes }, _) if !bytes.is_empty() => {
+                        (Fragment::Stdin { id, bytes }, _) if !bytes.is_empty() => {
                             seen.push(format!("stdin {id} {}+", bytes.escape_ascii()));
                         }
-                        (Piece::GetValues { names }, _) => {
-                            seen.push(format!("values {}", names.len()))
+                        (Fragment::GetValues { names }, _) => {
+                            seen.push(format!("values {}", names.len()));
                         }
-                        (piece, _) => seen.push(format!("{piece:?}")),
+                        (fragment, _) => seen.push(format!("{fragment:?}")),
                     }
                 }
                 Err(fault) => {
@@ -73,10 +76,10 @@
 
 #[test]
 fn records_may_be_split_anywhere() {
-    let whole = pieces(&stream(), usize::MAX);
-    assert_snapshot!(whole.join("\n"));
+    let unsplit = fragments(&stream(), usize::MAX);
+    assert_snapshot!(unsplit.join("\n"));
     for part in 1..stream().len() {
-        assert_eq!(pieces(&stream(), part), whole, "in parts of {part}");
+        assert_eq!(fragments(&stream(), part), unsplit, "in parts of {part}");
     }
 }
 
@@ -88,7 +91,7 @@
         &record(1, 1, b"short", 0),
         &long,
     ]
-    .map(|bytes| pieces(bytes, 16));
+    .map(|bytes| fragments(bytes, 16));
     assert_snapshot!(format!("{trace:#?}"));
 }
 
@@ -104,8 +107,12 @@
     let pairs = fastcgi::pairs(&bytes).expect("pairs that fit");
     assert_eq!(pairs, [(&b"A"[..], &long[..]), (b"BB", b"")]);
     for cut in 1..bytes.len() {
-        let whole = cut == 306; // just behind the first pair
-        assert_eq!(fastcgi::pairs(&bytes[..cut]).is_ok(), whole, "cut at {cut}");
+        let is_complete = cut == 306; // just behind the first pair
+        assert_eq!(
+            fastcgi::pairs(&bytes[..cut]).is_ok(),
+            is_complete,
+            "cut at {cut}"
+        );
     }
     assert!(fastcgi::pairs(b"\xff\xff\xff\xff\xff\xff\xff\xff").is_err());
 }
@@ -113,10 +120,11 @@
 #[test]
 fn answers_keep_every_byte() {
     let mut out = Vec::new();
-    fastcgi::answer(&mut out, 258, "Status: 200 OK\r\n\r\n", b"\0\xff\r\n");
-    fastcgi::end(&mut out, 3, fastcgi::Status::Overloaded);
-    fastcgi::unknown(&mut out, 77);
-    fastcgi::values(&mut out, b"\x01\0A\x01\0B", &[("B", "32".into())]).expect("names that fit");
+    fastcgi::write_answer(&mut out, 258, "Status: 200 OK\r\n\r\n", b"\0\xff\r\n");
+    fastcgi::write_end(&mut out, 3, fastcgi::Status::Overloaded);
+    fastcgi::write_unknown(&mut out, 77);
+    fastcgi::write_values(&mut out, b"\x01\0A\x01\0B", &[("B", "32".into())])
+        .expect("names that fit");
     assert_snapshot!(
         out.chunks(8)
             .map(|row| format!("{}\n", row.escape_ascii()))
@@ -125,7 +133,7 @@
     // More than one record holds: cut, and all there.
     let body: Vec<u8> = (0..70_000u32).map(|n| n as u8).collect();
     let mut out = Vec::new();
-    fastcgi::answer(&mut out, 1, "", &body);
+    fastcgi::write_answer(&mut out, 1, "", &body);
     let first = usize::from(u16::from_be_bytes([out[4], out[5]]));
     let second = usize::from(u16::from_be_bytes([out[first + 12], out[first + 13]]));
     assert_eq!(
@@ -134,8 +142,8 @@
     );
 }
 
-/// Reads messages one after the other, and sees to it that no part of one passes for a whole.
-fn messages<T: std::fmt::Debug>(bytes: &[u8], read: impl Fn(&[u8]) -> Front<T>) -> String {
+/// Reads messages one after the other, and asserts that no part of one passes for a complete one.
+fn messages<T: std::fmt::Debug>(bytes: &[u8], read: impl Fn(&[u8]) -> Parsed<T>) -> String {
     let (mut from, mut trace) = (0, String::new());
     while from < bytes.len() {
         match read(&bytes[from..]) {
@@ -156,18 +164,21 @@
     trace
 }
 
-fn notices(bytes: &[u8]) -> String {
+fn notifications(bytes: &[u8]) -> String {
     messages(bytes, |bytes| {
-        engine::notice(bytes).map(|read| read.map(|(notice, used)| (format!("{notice:?}"), used)))
+        engine::read_notification(bytes)
+            .map(|read| read.map(|(notification, used)| (format!("{notification:?}"), used)))
     })
 }
 
 #[test]
-fn the_engines_notices_are_read() {
-    let bytes = b"HELLO COLD 120\r\nDONE 1 9b1f03aa5c7e2d41 OK 88 6\r\na\r\nb\0c\r\nNEED 2 9b1f03aa5c7e2d42 0\r\n\r\n\
+fn the_engines_notifications_are_read() {
+    let bytes = b"HELLO COLD 120\r\nDONE 1 9b1f03aa5c7e2d41 OK 88 6\r\na\r\nb\0c\r\n\
+        NEED 2 9b1f03aa5c7e2d42 0\r\n\r\n\
         STATS 17 0.62 3 0.41 120\r\nNO RUN 9b1f03aa5c7e2d41\r\nNOTE 3 all is well\r\n\
-        DONE 4 9b1f03aa5c7e2d41 MOOT 0 0\r\n\r\nDONE 5 9b1f03aa5c7e2d41 STOPPED 0.5 0\r\n\r\nHELLO WA";
-    let mut trace = notices(bytes);
+        DONE 4 9b1f03aa5c7e2d41 MOOT 0 0\r\n\r\n\
+        DONE 5 9b1f03aa5c7e2d41 STOPPED 0.5 0\r\n\r\nHELLO WA";
+    let mut trace = notifications(bytes);
     for bad in [
         &b"DONE x 9b1f03aa5c7e2d41 OK 88 6\r\n"[..],
         b"DONE 1 9b1f OK 88 0\r\n\r\n",
@@ -176,20 +187,22 @@
         b"\xff\xfe\r\n",
         &[b'a'; 70_000],
     ] {
-        trace += &notices(bad);
+        trace += &notifications(bad);
     }
-    let refused = [&b"RUN 9b1f03aa5c7e2d41"[..], b"ODD", b"RUN 12"].map(engine::refused);
-    assert_snapshot!(format!("{trace}{refused:?}"));
+    let rejected =
+        [&b"RUN 9b1f03aa5c7e2d41"[..], b"ODD", b"RUN 12"].map(engine::parse_rejected_command);
+    assert_snapshot!(format!("{trace}{rejected:?}"));
 }
 
 #[test]
-fn replies_from_below_are_read() {
+fn replies_of_the_catalogue_are_read() {
     let id = "9b1f03aa5c7e2d41";
     let bytes = format!(
         "{id} ok 4\r\n\r\n\r\n\r\n{id} overload\r\n{id} internal\r\n{id} deadline\r\n{id} stale\r\n"
     );
     let read = |bytes: &[u8]| {
-        catalogue::reply(bytes).map(|read| read.map(|(reply, used)| (format!("{reply:?}"), used)))
+        catalogue::read_reply(bytes)
+            .map(|read| read.map(|(reply, used)| (format!("{reply:?}"), used)))
     };
     let bad = [
         format!("{id} maybe\r\n"),
@@ -212,35 +225,36 @@
 fn commands_and_calls_are_written() {
     let (mut out, id) = (
         Vec::new(),
-        CallId::read(b"9b1f03aa5c7e2d41").expect("an id"),
+        CallId::parse(b"9b1f03aa5c7e2d41").expect("an id"),
     );
-    engine::attach(&mut out, 7, false);
-    engine::run(&mut out, id, "thumbnail", b"\0\r\n");
-    engine::feed(&mut out, id, b"");
-    engine::skip(&mut out, id, 12);
-    engine::stat(&mut out, 3);
-    catalogue::invoke(&mut out, id, 250, b"body");
-    registration::report(&mut out, "127.0.0.1:8761", "n3", false);
+    engine::write_attach(&mut out, 7, None);
+    engine::write_run(&mut out, id, "thumbnail", b"\0\r\n");
+    engine::write_feed(&mut out, id, b"");
+    engine::write_skip(&mut out, id, 12);
+    engine::write_stat(&mut out, 3);
+    catalogue::write_invoke(&mut out, id, 250, b"body");
+    registration::write_report(&mut out, "127.0.0.1:8761", "n3", registration::Phase::Out);
     assert_snapshot!(out.escape_ascii().to_string().replace("\\n", "\\n\n"));
     let bad = [
         &b"9b1f03aa5c7e2d4"[..],
         b"9b1f03aa5c7e2d411",
         b"9b1f03aa5c7e2d4g",
     ]
-    .map(CallId::read);
+    .map(CallId::parse);
     assert_eq!(bad, [None; 3]);
 }
 
 #[test]
 fn names_of_dependencies_are_offered_agreed_and_read() {
     let mut out = Vec::new();
-    engine::attach(&mut out, 7, true);
+    engine::write_attach(&mut out, 7, Some(engine::NAMES_EXTENSION));
     assert_eq!(out, b"ATTACH 7 NAMES/1\r\n");
     let long = "n".repeat(65);
-    let bytes = "HELLO WARM 5 NAMES/1\r\nHELLO COLD 5\r\nNEED 2 9b1f03aa5c7e2d41 thumbs-2 3\r\nabc\r\nNEED 3 9b1f03aa5c7e2d41 0\r\n\r\n";
+    let bytes = "HELLO WARM 5 NAMES/1\r\nHELLO COLD 5\r\n\
+        NEED 2 9b1f03aa5c7e2d41 thumbs-2 3\r\nabc\r\nNEED 3 9b1f03aa5c7e2d41 0\r\n\r\n";
     let read = |bytes: &[u8]| {
-        engine::notice(bytes)
-            .map(|front| front.map(|(notice, count)| (format!("{notice:?}"), count)))
+        engine::read_notification(bytes)
+            .map(|front| front.map(|(notification, count)| (format!("{notification:?}"), count)))
     };
     assert_snapshot!(messages(bytes.as_bytes(), read));
     for bad in [
@@ -250,27 +264,29 @@
         "NEED 2 9b1f03aa5c7e2d41 a b 3",
     ] {
         assert!(
-            engine::notice(format!("{bad}\r\nabc\r\n").as_bytes()).is_err(),
+            engine::read_notification(format!("{bad}\r\nabc\r\n").as_bytes()).is_err(),
             "{bad}"
         );
     }
 }
 
 #[test]
-fn answers_of_the_membership_service_are_read() {
+fn responses_of_the_membership_service_are_read() {
     let bytes =
         b"HTTP/1.1 204 No Content\r\n\r\nHTTP/1.1 503 Busy\r\ncontent-LENGTH: 3 \r\n\r\nnow\
         HTTP/1.1 204 \r\nConnection: close\r\nX: y\r\n\r\nHTTP/1.0 200 OK\r\n\r\n\
         HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nHTTP/2 200\r\n";
-    assert_snapshot!(messages(bytes, registration::answer));
+    assert_snapshot!(messages(bytes, registration::read_response));
 }
 
-/// Whole messages with bytes changed, cut out and put in: whatever comes, nothing panics or makes no end.
+/// Complete messages with bytes changed, cut off and inserted: nothing panics or never ends.
 #[test]
 fn no_bytes_make_a_parser_panic() {
     let seeds = [
         stream(),
-        b"DONE 1 9b1f03aa5c7e2d41 OK 88 6\r\na\r\nb\0c\r\nSTATS 1 0.5 1 2 3\r\nNEED 2 9b1f03aa5c7e2d41 0\r\n\r\n".to_vec(),
+        b"DONE 1 9b1f03aa5c7e2d41 OK 88 6\r\na\r\nb\0c\r\nSTATS 1 0.5 1 2 3\r\n\
+          NEED 2 9b1f03aa5c7e2d41 0\r\n\r\n"
+            .to_vec(),
         b"9b1f03aa5c7e2d41 ok 4\r\nabcd\r\n9b1f03aa5c7e2d41 stale\r\n".to_vec(),
         b"HTTP/1.1 503 Busy\r\nContent-Length: 3\r\n\r\nnow".to_vec(),
     ];
@@ -288,20 +304,20 @@
                 }
             }
             faults += usize::from(
-                pieces(&bytes, 64)
+                fragments(&bytes, 64)
                     .iter()
                     .any(|line| line.starts_with("fault")),
             );
             let _ = fastcgi::pairs(&bytes);
-            let _ = engine::refused(&bytes);
-            faults += usize::from(notices_end(&bytes));
+            let _ = engine::parse_rejected_command(&bytes);
+            faults += usize::from(has_fault(&bytes));
         }
     }
     assert!(faults > 1000, "only {faults} were found unreadable");
 }
 
-fn notices_end(bytes: &[u8]) -> bool {
-    engine::notice(bytes).is_err()
-        | catalogue::reply(bytes).is_err()
-        | registration::answer(bytes).is_err()
+fn has_fault(bytes: &[u8]) -> bool {
+    engine::read_notification(bytes).is_err()
+        | catalogue::read_reply(bytes).is_err()
+        | registration::read_response(bytes).is_err()
 }
--- a/crates/merlinshelf-testbed/src/experiments/learning/fleet.rs
+++ b/crates/merlinshelf-testbed/src/experiments/learning/fleet.rs
@@ -6,7 +6,7 @@
 use merlinshelf_admission::{LearnedOperation, LearnedState};
 use merlinshelf_gossip::gossip_node::{Action, GossipNode, Settings};
 use merlinshelf_gossip::{Message, Scope, State, membership};
-use merlinshelf_protocol::gossip::{Kind, put_message};
+use merlinshelf_protocol::gossip::{MessageKind, write_message};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -132,11 +132,11 @@
         self.queue.push(Reverse(((at * 1e6) as u64, place)));
     }
 
-    fn send(&mut self, from: usize, to: usize, kind: Kind, message: &Message, what: What) {
+    fn send(&mut self, from: usize, to: usize, kind: MessageKind, message: &Message, what: What) {
         self.messages += 1;
         if self.messages.is_multiple_of(self.measured) {
             let mut bytes: Vec<u8> = Vec::new();
-            put_message(&mut bytes, kind, message);
+            write_message(&mut bytes, kind, message);
             self.bytes += bytes.len() as u64 * self.measured;
         }
         let delay = 0.001 + 0.004 * self.rng.random::<f64>();
@@ -169,7 +169,7 @@
                         to: from,
                         message: Box::new(answer.clone()),
                     };
-                    self.send(to, from, Kind::Tell, &answer, what);
+                    self.send(to, from, MessageKind::Answer, &answer, what);
                 }
                 Some(What::Answer { to, message }) => {
                     let now = self.now;
@@ -202,7 +202,7 @@
                 to,
                 message: Box::new(question.clone()),
             };
-            self.send(number, to, Kind::Ask, &question, what);
+            self.send(number, to, MessageKind::Poll, &question, what);
         }
         self.at(wake.max(now + 1e-4), What::Wake(number));
     }
--- a/crates/merlinshelf-testbed/src/experiments/learning/worth.rs
+++ b/crates/merlinshelf-testbed/src/experiments/learning/worth.rs
@@ -7,7 +7,7 @@
 
 use merlinshelf_gossip::{GossipedObservation, Metric, Source, SourceStatus};
 use merlinshelf_gossip::{MembershipUpdate, Message};
-use merlinshelf_protocol::gossip::{Kind, Reading, put_message};
+use merlinshelf_protocol::gossip::{MessageKind, MessageReader, write_message};
 use serde_json::{Value, json};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
@@ -390,7 +390,7 @@
         };
         let figures = figures.clone();
         spawn_local(async move {
-            let (mut reading, mut come) = (Reading::default(), Vec::new());
+            let (mut reading, mut come) = (MessageReader::default(), Vec::new());
             loop {
                 match stream.read_buf(&mut come).await {
                     Ok(count) if count > 0 => {}
@@ -409,7 +409,7 @@
                 observations: figures,
             };
             let mut bytes: Vec<u8> = Vec::new();
-            put_message(&mut bytes, Kind::Tell, &answer);
+            write_message(&mut bytes, MessageKind::Answer, &answer);
             let _ = stream.write_all(&bytes).await; // it may have given up
         });
     }
--- a/crates/merlinshelf-testbed/src/wire.rs
+++ b/crates/merlinshelf-testbed/src/wire.rs
@@ -53,7 +53,7 @@
         .map(|(name, value)| (name.as_str(), value.as_str()))
         .collect();
     let mut bytes: Vec<u8> = Vec::new();
-    merlinshelf_protocol::uwsgi::request(&mut bytes, &fields);
+    merlinshelf_protocol::uwsgi::write_request(&mut bytes, &fields);
     bytes.extend(body);
     bytes
 }
