--- a/crates/merlinshelf-backend/src/instance/restored.rs
+++ b/crates/merlinshelf-backend/src/instance/restored.rs
@@ -16,6 +16,7 @@
 use super::task::Task;
 use super::{Instance, InstanceOptions, run_timers};
 use crate::client;
+use crate::client::catalogue::ResumedConnection;
 use crate::exchange::{ConnectionHandle, Exchange, OpenedConnection, PassedDescriptors, Shared};
 use crate::journal::Journal;
 use crate::ring::discard;
@@ -290,7 +291,7 @@
     fn downstream(
         &self,
         max_calls: usize,
-        connections: Vec<ResumedDownstreamConnection>,
+        connections: Vec<ResumedConnection>,
         routing: Option<SharedRouting>,
     ) -> Task {
         let exchange = self.exchange.clone();
@@ -316,9 +317,6 @@
     }
 }
 
-/// As the downstream client takes it: socket, stream number and record.
-type ResumedDownstreamConnection = (TcpStream, u64, records::DownstreamConnectionRecord);
-
 fn resume_client_connections(server: &Server, connections: Vec<ClientConnection>) {
     for connection in connections {
         let discard_bytes = connection.reconciliation.discard_bytes;
@@ -346,13 +344,15 @@
     (connection.record, socket)
 }
 
-fn resume_downstream_connections(
-    connections: Vec<DownstreamConnection>,
-) -> Vec<ResumedDownstreamConnection> {
+fn resume_downstream_connections(connections: Vec<DownstreamConnection>) -> Vec<ResumedConnection> {
     let mut resumed = Vec::new();
     for connection in connections {
         match discard(&connection.socket, connection.reconciliation.discard_bytes) {
-            Ok(()) => resumed.push((connection.socket, connection.stream, connection.record)),
+            Ok(()) => resumed.push(ResumedConnection {
+                socket: connection.socket,
+                stream: connection.stream,
+                record: connection.record,
+            }),
             Err(error) => warn!("downstream connection lost: {error}"),
         }
     }
--- a/crates/merlinshelf-backend/src/routing.rs
+++ b/crates/merlinshelf-backend/src/routing.rs
@@ -257,8 +257,10 @@
         self.router
             .cancel_call(now, cancelled, &mut || random.random());
         // Attempts of it that have not been made yet need not be.
-        let is_cancelled = |action: &Action| matches!(action, Action::Attempt { call_id, .. } if *call_id == cancelled);
-        self.actions.retain(|action| !is_cancelled(action));
+        self.actions.retain(|action| match action {
+            Action::Attempt { call_id, .. } => *call_id != cancelled,
+            Action::Cancel { .. } | Action::Complete { .. } => true,
+        });
         self.process_actions(exchange, None);
     }
 
