--- a/crates/merlinshelf-backend/src/client/engine.rs
+++ b/crates/merlinshelf-backend/src/client/engine.rs
@@ -1,4 +1,5 @@
-//! The engine's link: held open, taken up again where it breaks, with the last notice that was read.
+//! The engine's link: held open, taken up again where it breaks, with the last notice that was
+//! read.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -23,13 +24,14 @@
 use crate::fault;
 use crate::ring::{IoProgress, Ring};
 
-/// From one attempt at a link to the next: one that stood for longer is replaced at once, since the cores run dry
-/// meanwhile.
+/// From one attempt at a link to the next: one that stood for longer is replaced at once, since the
+/// cores run dry meanwhile.
 const PAUSE: Duration = Duration::from_millis(50);
-/// Between two questions for the gauges: a little less than the module's beat of 10 ms, so that mostly the
-/// answer brings the beat and the timer need not.
+/// Between two questions for the gauges: a little less than the module's beat of 10 ms, so that
+/// mostly the answer brings the beat and the timer need not.
 const ASK_EVERY: Duration = Duration::from_millis(8);
-/// A link on which a question or a later ATTACH stays unanswered for so long is dead and is replaced.
+/// A link on which a question or a later ATTACH stays unanswered for so long is dead and is
+/// replaced.
 const SILENT_MOST: Duration = Duration::from_secs(3);
 /// Two words on when the engine was started that lie no further apart mean the same start.
 const SAME_START: Duration = Duration::from_secs(1);
@@ -41,11 +43,12 @@
     exchange: Shared,
     /// The number of the last notice that was read.
     last: u64,
-    /// Sent and not known to have been read: with each, how much had been heard of its invocation, and the
-    /// tag of the next question, whose answer proves that it was read.
+    /// Sent and not known to have been read: with each, how much had been heard of its invocation,
+    /// and the tag of the next question, whose answer proves that it was read.
     unsure: VecDeque<(u64, Command, u64)>,
     tag: u64,
-    /// Whether the next link offers that calls may name their dependency: an engine that does not know of it closes such a link.
+    /// Whether the next link offers that calls may name their dependency: an engine that does not
+    /// know of it closes such a link.
     offer: bool,
     /// When the engine was started, as it said.
     born: Option<Instant>,
@@ -71,7 +74,8 @@
 /// A link that another process has held, as it left it; without its connection where that was down.
 pub type Resumed = (records::EngineConnectionRecord, Option<TcpStream>);
 
-/// Holds the link until everything is to stop where it stands; goes on with one that another process has held.
+/// Holds the link until everything is to stop where it stands; goes on with one that another
+/// process has held.
 pub async fn hold(mut peers: Watched, exchange: Shared, resumed: Rc<RefCell<Option<Resumed>>>) {
     let mut freezing = exchange.borrow().freeze_notice();
     let offer = exchange.borrow().names_dependencies();
@@ -168,7 +172,8 @@
 }
 
 impl Engine {
-    /// A new link on a connection, known to a predecessor that watches before anything goes over it.
+    /// A new link on a connection, known to a predecessor that watches before anything goes over
+    /// it.
     async fn attach(&mut self, socket: TcpStream, address: SocketAddr) -> io::Result<Link> {
         let stream = {
             let mut exchange = self.exchange.borrow_mut();
@@ -178,7 +183,8 @@
         pass(&self.exchange, Role::EngineConnection(stream), &socket).await?;
         let now = Instant::now();
         let (coming, going) = (Ring::default(), Ring::default());
-        // The first HELLO waits for the engine to be up; any later one is a question's answer like another.
+        // The first HELLO waits for the engine to be up; any later one is a question's answer like
+        // another.
         let asked = self.born.map(|_| now);
         let (hello, caught_up, ask_at) = (false, false, now);
         let names = false;
@@ -207,7 +213,8 @@
         self.born = record
             .engine_started_at
             .and_then(|born| now.checked_sub(age(born)));
-        // The next question's answer proves that they were read, if the link holds; else its break says what to do.
+        // The next question's answer proves that they were read, if the link holds; else its break
+        // says what to do.
         let proof = self.tag + 1;
         let inherited = self.exchange.borrow_mut().take_inherited_commands();
         self.unsure = inherited
@@ -378,7 +385,8 @@
     }
 
     fn notice(&mut self, link: &mut Link, notice: &EngineNotification) {
-        // A remark's number is nobody's business: were it ahead of the next notice's, that one would be lost.
+        // A remark's number is nobody's business: were it ahead of the next notice's, that one
+        // would be lost.
         if let Some(number) = notice.number() {
             if number <= self.last {
                 self.exchange.borrow_mut().counters.repeated += 1;
@@ -444,8 +452,9 @@
         }
     }
 
-    /// The question of that tag was answered: all that was sent before it has been read. The first answer on
-    /// a link also ends the replay; what was sent on the last one and is still unsure may have been lost.
+    /// The question of that tag was answered: all that was sent before it has been read. The first
+    /// answer on a link also ends the replay; what was sent on the last one and is still unsure may
+    /// have been lost.
     fn answered(&mut self, link: &mut Link, tag: u64) {
         if link.caught_up {
             while self.unsure.front().is_some_and(|(proof, ..)| *proof <= tag) {
--- a/crates/merlinshelf-backend/src/client/mod.rs
+++ b/crates/merlinshelf-backend/src/client/mod.rs
@@ -1,4 +1,5 @@
-//! The side of what a backend itself talks to: its engine, the catalogue below, the membership service.
+//! The side of what a backend itself talks to: its engine, the catalogue below, the membership
+//! service.
 
 pub mod catalogue;
 pub mod engine;
--- a/crates/merlinshelf-backend/src/client/registration.rs
+++ b/crates/merlinshelf-backend/src/client/registration.rs
@@ -1,4 +1,5 @@
-//! Reports to the membership service that keep this backend listed. Whatever becomes of them harms nothing.
+//! Reports to the membership service that keep this backend listed. Whatever becomes of them harms
+//! nothing.
 
 use std::io;
 use std::net::SocketAddr;
