--- a/crates/merlinshelf-admission/src/controller.rs
+++ b/crates/merlinshelf-admission/src/controller.rs
@@ -201,7 +201,7 @@
         self.advance_to(now);
         if self.invocations.contains(number) {
             let invocation = &mut self.invocations[number];
-            invocation.stage = Stage::AtCall;
+            invocation.stage = Stage::AwaitingCall;
             invocation.stage_entered_at = now;
             self.load.last_progress_at = now;
         }
@@ -218,7 +218,7 @@
             invocation.stage = if outcome.succeeded {
                 Stage::Running
             } else {
-                Stage::AtCall
+                Stage::AwaitingCall
             };
             self.load.last_progress_at = now;
         }
--- a/crates/merlinshelf-admission/src/downstream.rs
+++ b/crates/merlinshelf-admission/src/downstream.rs
@@ -98,7 +98,7 @@
         let invocation = &mut self.invocations[number];
         let stage = invocation.stage;
         let entered_at = invocation.stage_entered_at;
-        if matches!(stage, Stage::AtCall | Stage::Calling) {
+        if matches!(stage, Stage::AwaitingCall | Stage::Calling) {
             invocation.off_core_seconds = invocation.off_core_seconds + now - entered_at;
             invocation.stage_entered_at = now;
         }
@@ -280,7 +280,7 @@
             let is_worthless =
                 self.now > invocation.objective_deadline && settings.late_value == 0.0;
             let can_not_call = settings.value_without_call == 0.0 && !self.may_call(invocation);
-            invocation.stage == Stage::AtCall
+            invocation.stage == Stage::AwaitingCall
                 && !invocation.is_answered
                 && (is_worthless || can_not_call)
         })
@@ -304,7 +304,7 @@
                     || self.is_call_too_late(invocation)
                     || lacks_room()
             };
-            invocation.stage == Stage::AtCall
+            invocation.stage == Stage::AwaitingCall
                 && !invocation.is_answered
                 && settings.value_without_call > 0.0
                 && does_better_without()
@@ -349,7 +349,7 @@
 
     fn highest_call_stake(&self) -> f64 {
         self.invocations
-            .matching(|invocation| invocation.stage == Stage::AtCall)
+            .matching(|invocation| invocation.stage == Stage::AwaitingCall)
             .map(|invocation| self.call_stake(invocation))
             .fold(f64::NEG_INFINITY, f64::max)
     }
@@ -357,7 +357,7 @@
     /// The run that loses most without its call, while there is room for one.
     pub(crate) fn find_callable(&self) -> Option<usize> {
         let waits = |invocation: &InvocationState| {
-            invocation.stage == Stage::AtCall
+            invocation.stage == Stage::AwaitingCall
                 && !invocation.is_answered
                 && self.may_call(invocation)
         };
--- a/crates/merlinshelf-admission/src/handover.rs
+++ b/crates/merlinshelf-admission/src/handover.rs
@@ -25,8 +25,9 @@
     Queued,
     /// On a core of the engine, or about to be.
     Running,
-    /// Its run waits for leave to make a downstream call.
-    AtCall,
+    /// Its run waits for permission to make a downstream call.
+    #[serde(rename = "AtCall")]
+    AwaitingCall,
     /// Its downstream call is open.
     Calling,
     /// It waits for the result of the invocation that it repeats.
--- a/crates/merlinshelf-admission/src/memory.rs
+++ b/crates/merlinshelf-admission/src/memory.rs
@@ -24,7 +24,7 @@
         let factor = self.settings.number("FamilyInfo.RunFactor", 1.0);
         let needs = |invocation: &InvocationState| match invocation.stage {
             Stage::Read | Stage::Queued | Stage::Joined => invocation.request.held_kilobytes,
-            Stage::Running | Stage::AtCall | Stage::Calling => {
+            Stage::Running | Stage::AwaitingCall | Stage::Calling => {
                 invocation.request.held_kilobytes * factor
             }
         };
--- a/crates/merlinshelf-admission/src/prior.rs
+++ b/crates/merlinshelf-admission/src/prior.rs
@@ -44,7 +44,7 @@
     /// The limit of invocations in flight.
     pub concurrency_limit: Option<PriorEstimate>,
     /// The lowest mean duration of downstream calls.
-    pub call_lowest: Option<PriorEstimate>,
+    pub lowest_call_mean: Option<PriorEstimate>,
     /// The limit of downstream calls at once.
     pub call_limit: Option<PriorEstimate>,
     /// Downstream calls that failed in a row.
@@ -81,7 +81,7 @@
         if let Some(prior) = priors.call_limit.filter(|_| quota.is_finite()) {
             state.limit = prior.shift(start).clamp(call_limit_floor(quota), start);
         }
-        if let Some(prior) = priors.call_lowest {
+        if let Some(prior) = priors.lowest_call_mean {
             // Measured anew from a window of own calls.
             state.lowest_mean = prior.value;
             state.calls_until_probe = WINDOW as u32;
--- a/crates/merlinshelf-admission/src/queue.rs
+++ b/crates/merlinshelf-admission/src/queue.rs
@@ -27,7 +27,7 @@
         let running = self.invocations.running();
         let at_calls = self
             .invocations
-            .count(|invocation| matches!(invocation.stage, Stage::AtCall | Stage::Calling));
+            .count(|invocation| matches!(invocation.stage, Stage::AwaitingCall | Stage::Calling));
         let cores_are_full = running as f64 >= self.cores_for_runs();
         let is_crowded = (running + at_calls) as f64 >= self.survivable_concurrency();
         if cores_are_full || is_crowded || self.is_hanging() {
@@ -51,7 +51,7 @@
     fn is_jammed_downstream(&self) -> bool {
         let is_stuck = |invocation: &InvocationState| {
             let settings = &self.operations[invocation.request.operation].settings;
-            invocation.stage == Stage::AtCall && settings.value_without_call == 0.0
+            invocation.stage == Stage::AwaitingCall && settings.value_without_call == 0.0
         };
         self.is_breaker_open()
             || self.invocations.count(is_stuck) as f64 >= JAMMED_PART * self.settings.cores()
--- a/crates/merlinshelf-admission/src/retry_after.rs
+++ b/crates/merlinshelf-admission/src/retry_after.rs
@@ -24,7 +24,7 @@
             return self.reject(number);
         }
         invocation.is_answered = true;
-        if matches!(invocation.stage, Stage::AtCall | Stage::Calling) {
+        if matches!(invocation.stage, Stage::AwaitingCall | Stage::Calling) {
             // Its time at the call counts, else a slow dependency shows only in the calls that it
             // let through.
             let downstream = invocation.off_core_seconds + now - invocation.stage_entered_at;
--- a/crates/merlinshelf-admission/tests/golden.rs
+++ b/crates/merlinshelf-admission/tests/golden.rs
@@ -110,7 +110,7 @@
         Stage::Read,
         Stage::Queued,
         Stage::Running,
-        Stage::AtCall,
+        Stage::AwaitingCall,
         Stage::Calling,
         Stage::Joined,
     ];
--- a/crates/merlinshelf-admission/tests/traces.rs
+++ b/crates/merlinshelf-admission/tests/traces.rs
@@ -789,7 +789,7 @@
     let estimates = PriorEstimates {
         concurrency_limit: prior(6.0, 1.0),
         call_limit: prior(1e6, 1.0),
-        call_lowest: prior(0.004, 0.7),
+        lowest_call_mean: prior(0.004, 0.7),
         lowest_durations: vec![prior(0.02, 0.7); 3],
         ..PriorEstimates::default()
     };
--- a/crates/merlinshelf-backend/src/exchange/quota.rs
+++ b/crates/merlinshelf-backend/src/exchange/quota.rs
@@ -292,7 +292,7 @@
             self.invocations.all().into_iter().any(|index| {
                 controller
                     .invocation(index)
-                    .is_some_and(|state| state.stage == Stage::AtCall)
+                    .is_some_and(|state| state.stage == Stage::AwaitingCall)
             })
         };
         let wanting = CallDemand {
--- a/crates/merlinshelf-gossip/src/own_samples.rs
+++ b/crates/merlinshelf-gossip/src/own_samples.rs
@@ -279,7 +279,7 @@
             lowest_durations: priors_by_operation(Scope::run_lowest),
             downstream_durations: priors_by_operation(Scope::run_downstream),
             concurrency_limit: prior(self.limit()),
-            call_lowest: prior(self.call_lowest()),
+            lowest_call_mean: prior(self.call_lowest()),
             call_limit: prior(self.call_limit()),
             call_failures: prior(self.call_failures()),
             retry_share: prior(Metric::RetryShare),
--- a/crates/merlinshelf-gossip/tests/gossip_node.rs
+++ b/crates/merlinshelf-gossip/tests/gossip_node.rs
@@ -96,7 +96,7 @@
     let priors = other.prior_estimates(100.0);
     let mut of_runs = priors.run_durations.iter().chain(&priors.lowest_durations);
     assert!(of_runs.all(Option::is_none) && priors.concurrency_limit.is_none());
-    assert!(priors.call_lowest.is_some());
+    assert!(priors.lowest_call_mean.is_some());
     assert!(priors.downstream_durations.iter().all(Option::is_some));
 }
 
--- a/crates/merlinshelf-handover/tests/golden.rs
+++ b/crates/merlinshelf-handover/tests/golden.rs
@@ -316,7 +316,7 @@
         (
             b"9b1f03aa5c7e2d54",
             Some((Command::Skip(151), true)),
-            Stage::AtCall,
+            Stage::AwaitingCall,
         ),
         (
             b"9b1f03aa5c7e2d55",
