--- a/crates/merlinshelf-admission/src/callers.rs
+++ b/crates/merlinshelf-admission/src/callers.rs
@@ -1,57 +1,65 @@
-//! What is remembered of callers and customers, and how long their idle connections stay open.
+//! History of callers and customers, and the idle timeout of connections derived from it.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::controller::AdmissionController;
-use crate::samples::{are_few, push};
+use crate::samples::{lacks_samples, push};
 
-/// Callers over which those that have not come lately are forgotten, and what "lately" is then, in
-/// seconds.
-const MANY_CALLERS: usize = 4096;
-const MANY_CALLERS_IDLE: f64 = 1.0;
-/// Idle connections stay for this part of the callers' own idle time while half of the callers come
-/// back. A fifth measured: quiet days lose to connections opened anew.
-const IDLE_DIVISOR: f64 = 3.0;
-const RETURNING_PART: f64 = 0.5;
-/// The shortest idle timeout, seconds.
-pub(crate) const LEAST_IDLE_TIMEOUT: f64 = 0.01;
+/// Number of remembered callers above which entries are kept for only
+/// [`PRUNED_CALLER_RETENTION_SECONDS`].
+const CALLER_PRUNING_THRESHOLD: usize = 4096;
+/// How long a caller is remembered while the history is above its threshold, in seconds.
+const PRUNED_CALLER_RETENTION_SECONDS: f64 = 1.0;
+/// Idle connections stay open for the callers' idle time divided by this, while enough callers
+/// return. With a divisor of 5, reopened connections cost throughput on days with little load.
+const IDLE_TIMEOUT_DIVISOR: f64 = 3.0;
+/// Share of returning callers from which idle connections are kept open.
+const MIN_RETURNING_SHARE: f64 = 0.5;
+/// Lower bound of the idle timeout, in seconds.
+pub(crate) const MIN_IDLE_TIMEOUT_SECONDS: f64 = 0.01;
 
 /// The expected work of an arrival.
 pub(crate) struct OfferedWork {
+    /// Seconds of the controller's clock.
     pub arrived_at: f64,
+    /// Expected time on a core, in seconds.
     pub core_seconds: f64,
 }
 
-/// The last arrivals, by who sent them. Times are seconds of the controller's clock.
+/// History of recent arrivals by caller and customer. Times are seconds of the controller's clock.
 #[derive(Default)]
 pub(crate) struct CallerHistory {
-    /// When each caller came last.
+    /// Time of each caller's last arrival.
     pub last_arrivals: BTreeMap<u64, f64>,
-    /// After how long the callers of the last arrivals had come back.
+    /// For each recent arrival, the seconds since its caller's previous arrival; infinite for a new
+    /// caller.
     pub return_gaps: VecDeque<f64>,
-    /// 1 for each of the last arrivals that was a retry, else 0. Where callers mark none: 1 for
-    /// each of the last decisions that was a rejection.
+    /// For each recent arrival, 1 if it was a retry, else 0. If callers don't mark retries: for
+    /// each recent decision, 1 if it was a rejection, else 0.
     pub retry_marks: VecDeque<f64>,
+    /// Times of the recent arrivals of each customer, by its index in the settings.
     pub arrivals_by_customer: BTreeMap<usize, VecDeque<f64>>,
+    /// Expected work of the recent arrivals, including rejected ones.
     pub offered_work: VecDeque<OfferedWork>,
 }
 
 impl CallerHistory {
-    /// Records when a caller comes.
+    /// Records an arrival of a caller.
     pub fn record_arrival(&mut self, now: f64, caller: u64) {
-        let before = self
+        let previous = self
             .last_arrivals
             .insert(caller, now)
             .unwrap_or(f64::NEG_INFINITY);
-        push(&mut self.return_gaps, now - before);
+        push(&mut self.return_gaps, now - previous);
     }
 
-    /// Forgets callers that came before `since`: a later arrival counts as new, as it would anyway.
+    /// Removes callers whose last arrival was before `since`. Their next arrival counts as that of
+    /// a new caller, which its long gap would imply anyway.
     fn forget_before(&mut self, since: f64) {
         self.last_arrivals.retain(|_, &mut last| last >= since);
     }
 
-    /// Callers that came since then, one at the least.
+    /// Number of callers with an arrival at or after `since`, at least 1.
     pub fn count_since(&self, since: f64) -> f64 {
         let count = self
             .last_arrivals
@@ -61,8 +69,9 @@
         count.max(1) as f64
     }
 
-    /// The part of the last arrivals whose callers had come within this time before.
-    fn returning_part(&self, within: f64) -> f64 {
+    /// Share of the recent arrivals whose caller's previous arrival was at most `within` seconds
+    /// earlier.
+    fn returning_share(&self, within: f64) -> f64 {
         let returning = self
             .return_gaps
             .iter()
@@ -73,11 +82,11 @@
 }
 
 impl AdmissionController {
-    /// What the last arrivals ask for, as a part of what the cores can do, whatever is then
-    /// decided.
+    /// Expected work of the recent arrivals relative to the capacity of the cores in that time.
+    /// Rejected arrivals count too.
     fn offered_load(&self) -> f64 {
         let offered = &self.callers.offered_work;
-        let since = offered
+        let span = offered
             .front()
             .map_or(0.0, |work| self.now - work.arrived_at)
             .max(1e-9);
@@ -86,36 +95,39 @@
             .rev()
             .map(|work| work.core_seconds)
             .sum::<f64>();
-        work / (self.settings.cores() * since)
+        work / (self.settings.cores() * span)
     }
 
-    /// How long idle connections stay open, seconds: a third of the callers' own idle time while
-    /// half of the last callers had come back within that time, else hardly at all. That keeps the
-    /// table from filling with callers who don't come back; harm: a few busy ones open anew. All of
-    /// it where arrivals ask for more than the cores can do and no mark tells retries: a full table
-    /// rejects at no cost, while opening a connection takes a seventh of a run. Harm: lost in a
-    /// short rush.
+    /// How long idle connections stay open, in seconds.
+    ///
+    /// It is a third of the callers' idle time while at least half of the recent callers returned
+    /// within that time, else [`MIN_IDLE_TIMEOUT_SECONDS`]. This keeps connections of callers that
+    /// don't return from filling the connection table. Drawback: a few busy callers must reconnect.
+    ///
+    /// If the offered load exceeds the capacity of the cores and callers don't mark retries, it is
+    /// the callers' full idle time: a full connection table rejects at no cost, while opening a
+    /// connection takes a seventh of a run. Drawback: work is lost in a short burst.
     pub(crate) fn idle_timeout(&mut self) -> f64 {
         let caller_idle = self.settings.seconds("FamilyInfo.CallerIdleUs", 0.0);
-        let remembered = if self.callers.last_arrivals.len() > MANY_CALLERS {
-            caller_idle.min(MANY_CALLERS_IDLE)
+        let retention = if self.callers.last_arrivals.len() > CALLER_PRUNING_THRESHOLD {
+            caller_idle.min(PRUNED_CALLER_RETENTION_SECONDS)
         } else {
             caller_idle
         };
-        self.callers.forget_before(self.now - remembered);
-        let returning = if are_few(&self.callers.return_gaps) {
+        self.callers.forget_before(self.now - retention);
+        let returning = if lacks_samples(&self.callers.return_gaps) {
             self.prior_estimates
                 .returning_caller_share
                 .map_or(1.0, |prior| prior.value)
         } else {
-            self.callers.returning_part(caller_idle)
+            self.callers.returning_share(caller_idle)
         };
         if !self.marks_retries && self.offered_load() > 1.0 {
             caller_idle
-        } else if returning >= RETURNING_PART {
-            caller_idle / IDLE_DIVISOR
+        } else if returning >= MIN_RETURNING_SHARE {
+            caller_idle / IDLE_TIMEOUT_DIVISOR
         } else {
-            caller_idle.min(LEAST_IDLE_TIMEOUT)
+            caller_idle.min(MIN_IDLE_TIMEOUT_SECONDS)
         }
     }
 }
--- a/crates/merlinshelf-admission/src/controller.rs
+++ b/crates/merlinshelf-admission/src/controller.rs
@@ -1,4 +1,4 @@
-//! The controller: its state, the events that it is fed, and the evaluation of the rules.
+//! The admission controller: its state, its event methods and the evaluation of the rules.
 
 use std::collections::BTreeMap;
 
@@ -9,7 +9,7 @@
 use crate::callers::{CallerHistory, OfferedWork};
 use crate::deadline::{Deadlines, deadlines_of};
 use crate::deduplication::RepeatTable;
-use crate::downstream::{BREAKER_FAILURES, DownstreamState, START_PART};
+use crate::downstream::{BREAKER_FAILURES, DownstreamState, INITIAL_LIMIT_FRACTION};
 use crate::drain::Shutdown;
 use crate::estimator::{Operation, OperationSamples};
 use crate::invocations::InvocationTable;
@@ -26,54 +26,59 @@
 #[cfg(test)]
 mod tests;
 
-/// Between looks at the clock: well under any slack, a hundred cheap timers a second.
+/// Interval of the timer that re-evaluates the rules, in seconds. It is well below the slack of any
+/// deadline, and a hundred timers a second cost little.
 pub(crate) const TICK_SECONDS: f64 = 0.01;
-/// Answers go out two ticks before they are due.
+/// How long before its deadline an answer is sent, in seconds: two ticks.
 pub(crate) const ANSWER_MARGIN_SECONDS: f64 = 0.02;
-/// The shortest duration that a run is measured with, seconds.
-const LEAST_RUN_SECONDS: f64 = 1e-6;
+/// Lower bound of a measured run duration, in seconds.
+const MIN_RUN_SECONDS: f64 = 1e-6;
 
 /// Decides what a backend admits, queues, runs, calls downstream, rejects, and advertises.
 ///
-/// A host calls one method for each event, with the clock in seconds, and carries out the
-/// [`Decisions`] that come back. A method records the event; then the rules are evaluated until
-/// none applies. It does no I/O, reads no clock and draws from a seeded generator alone, so that
-/// the same events yield the same decisions.
+/// A host calls one method for each event, with the clock in seconds, and carries out the returned
+/// [`Decisions`]. Each method records its event and then evaluates the rules until none applies.
+/// The controller does no I/O, reads no clock and takes random numbers only from a seeded
+/// generator, so that the same events yield the same decisions.
 #[derive(Default)]
 pub struct AdmissionController {
     pub(crate) settings: SettingsReader,
+    /// Time of the current event, in seconds of the controller's clock.
     pub(crate) now: f64,
-    /// What is decided since the last event.
+    /// Decisions collected during the current event.
     pub(crate) decisions: Decisions,
     random: Option<Pcg32>,
     pub(crate) seed: u64,
+    /// Seconds of the controller's clock.
     pub(crate) engine_started_at: f64,
     pub(crate) shutdown: Option<Shutdown>,
-    /// By index of the settings.
+    /// By index in the settings.
     pub(crate) operations: Vec<Operation>,
-    /// Whether billed value is counted by work instead of by invocation.
+    /// Whether billed value is proportional to work instead of per invocation.
     pub(crate) counts_value_by_work: bool,
     /// Whether callers mark retries.
     pub(crate) marks_retries: bool,
-    /// Expected seconds of core by unit of cost, by operation.
-    pub(crate) run_rates: Vec<f64>,
+    /// Expected core seconds per unit of cost, by operation.
+    pub(crate) core_seconds_per_cost: Vec<f64>,
     pub(crate) invocations: InvocationTable,
-    /// The limit of invocations in flight.
+    /// Limit of invocations in flight.
     pub(crate) limit: f64,
     pub(crate) load: LoadGauges,
     pub(crate) repeats: RepeatTable,
     pub(crate) downstream: DownstreamState,
     pub(crate) callers: CallerHistory,
     pub(crate) advertisement: Advertisement,
-    /// What others estimate: nothing on the ordinary path.
+    /// Estimates made by other instances; empty unless the host sets them.
     pub(crate) prior_estimates: PriorEstimates,
 }
 
 impl AdmissionController {
-    /// A new instance, with what it decides at once. `seed` numbers it among all instances.
+    /// Creates a controller and returns it with its first decisions. `seed` is the instance's
+    /// number among all instances.
     ///
     /// # Errors
-    /// A setting that it uses and cannot read.
+    /// Returns an error if a required setting is missing or a numeric setting is not a finite
+    /// number.
     pub fn start(
         now: f64,
         seed: u64,
@@ -95,7 +100,7 @@
                 ..LoadGauges::default()
             },
             downstream: DownstreamState {
-                limit: settings.call_quota() * START_PART,
+                limit: settings.call_quota() * INITIAL_LIMIT_FRACTION,
                 ..DownstreamState::default()
             },
             settings,
@@ -107,7 +112,7 @@
         Ok((controller, decisions))
     }
 
-    /// An invocation was read, and is known by this number until it is released.
+    /// Records that an invocation was read. It is identified by `number` until it is released.
     pub fn invocation_arrived(
         &mut self,
         now: f64,
@@ -118,7 +123,10 @@
         request.operation = request.operation.min(self.operations.len() - 1);
         self.detect_unmarked_retry(&mut request);
         let operation = &self.operations[request.operation];
-        let Deadlines { due_at, objective } = deadlines_of(&request, operation, now);
+        let Deadlines {
+            due_at,
+            objective_deadline,
+        } = deadlines_of(&request, operation, now);
         let exceeds_quota = self.record_customer_arrival(request.customer);
         self.callers.record_arrival(now, request.caller);
         if self.marks_retries {
@@ -127,13 +135,13 @@
         }
         let repeats_released = request
             .original
-            .is_some_and(|original| self.repeats.released_unrun.contains(&original));
+            .is_some_and(|original| self.repeats.released_without_run.contains(&original));
         request.is_repeat &= !repeats_released;
         let state = InvocationState {
             arrived_at: now - request.age,
             request,
             due_at,
-            objective_deadline: objective,
+            objective_deadline,
             stage_entered_at: now,
             exceeds_quota,
             ..InvocationState::default()
@@ -148,20 +156,20 @@
         self.decide()
     }
 
-    /// A run, or the invocation that a repeat had joined, has ended. `lasted` is its duration in
-    /// seconds, calls included.
+    /// Records the end of a run, or of the wait of a repeat that joined another invocation.
+    /// `duration` is in seconds and includes downstream calls.
     pub fn run_ended(
         &mut self,
         now: f64,
         number: usize,
         outcome: Outcome,
-        lasted: f64,
+        duration: f64,
     ) -> Decisions {
         self.advance_to(now);
         if !self.invocations.contains(number) {
             return self.decide();
         }
-        self.leave_call(number, outcome);
+        self.record_call_end(number, outcome);
         let invocation = &self.invocations[number];
         let operation = invocation.request.operation;
         let has_table_entry = invocation.has_table_entry;
@@ -171,22 +179,22 @@
                 let downstream = invocation.off_core_seconds;
                 self.record_run(&FinishedRun {
                     operation,
-                    duration: (lasted - downstream).max(LEAST_RUN_SECONDS),
+                    duration: (duration - downstream).max(MIN_RUN_SECONDS),
                     cost: invocation.request.cost_hint.unwrap_or(1.0),
                     downstream,
                 });
             }
         }
-        let shared_for = self.settings.seconds("FamilyInfo.ShareForUs", 0.0);
+        let sharing_seconds = self.settings.seconds("FamilyInfo.ShareForUs", 0.0);
         let is_idempotent = self.operations[operation].settings.is_idempotent;
-        if outcome.succeeded && shared_for > 0.0 && has_table_entry && is_idempotent {
-            self.remember(number, shared_for);
+        if outcome.succeeded && sharing_seconds > 0.0 && has_table_entry && is_idempotent {
+            self.cache_for_repeats(number, sharing_seconds);
         }
         self.release(number);
         self.decide()
     }
 
-    /// The caller of an invocation has gone, or gave up.
+    /// Records that the caller of an invocation disconnected or timed out.
     pub fn caller_disconnected(&mut self, now: f64, number: usize) -> Decisions {
         self.advance_to(now);
         if self.invocations.contains(number) {
@@ -196,7 +204,7 @@
         self.decide()
     }
 
-    /// A run waits for leave to make its downstream call.
+    /// Records that a run waits for permission to make its downstream call.
     pub fn call_requested(&mut self, now: f64, number: usize) -> Decisions {
         self.advance_to(now);
         if self.invocations.contains(number) {
@@ -208,11 +216,11 @@
         self.decide()
     }
 
-    /// A downstream call has ended, by its result or its timeout.
+    /// Records that a downstream call returned a result or timed out.
     pub fn call_ended(&mut self, now: f64, number: usize, outcome: Outcome) -> Decisions {
         self.advance_to(now);
         if self.invocations.contains(number) && self.invocations[number].stage == Stage::Calling {
-            self.leave_call(number, outcome);
+            self.record_call_end(number, outcome);
             let invocation = &mut self.invocations[number];
             invocation.has_uncertain_call = !outcome.succeeded && !outcome.never_ran;
             invocation.stage = if outcome.succeeded {
@@ -225,7 +233,7 @@
         self.decide()
     }
 
-    /// The process is to shut down gracefully, and must be gone after so many seconds.
+    /// Starts the graceful shutdown of the process, which must have exited in `stop_seconds`.
     pub fn shutdown_requested(&mut self, now: f64, stop_seconds: f64) -> Decisions {
         self.advance_to(now);
         self.shutdown = Some(Shutdown {
@@ -235,8 +243,8 @@
         self.decide()
     }
 
-    /// A timer has fired; gauges of the engine come with it, by name. One tick keeps all that waits
-    /// on the clock moving.
+    /// Records the gauges of the engine, by name, and re-evaluates all rules that depend on the
+    /// time. One timer per tick serves all deadlines, so the handle is not used.
     pub fn timer_fired(
         &mut self,
         now: f64,
@@ -256,8 +264,8 @@
         self.decide()
     }
 
-    /// Sets what a fleet's budgets leave for downstream calls until the next time, and what the
-    /// fleet knows of the dependency. Returns what became of the quota before.
+    /// Replaces the quota of downstream calls that the fleet's budgets leave to this instance, with
+    /// the health of the dependency as the fleet knows it. Returns the usage of the previous quota.
     pub fn set_downstream_quota(&mut self, quota: DownstreamQuota) -> DownstreamUsage {
         let state = &mut self.downstream;
         let is_failing = state.is_failing();
@@ -272,9 +280,10 @@
         DownstreamUsage { unused, is_failing }
     }
 
-    /// Evaluates the rules, the first that applies first, until none does.
+    /// Applies the first rule that matches, again and again until none matches, and returns the
+    /// decisions.
     fn decide(&mut self) -> Decisions {
-        self.update_run_rates();
+        self.update_core_seconds_per_cost();
         while let Some((number, effect)) = RULES
             .iter()
             .find_map(|rule| Some(((rule.condition)(self)?, rule.effect)))
@@ -284,10 +293,10 @@
         std::mem::take(&mut self.decisions)
     }
 
-    /// Time goes on; what has expired by now is dropped.
+    /// Sets the current time and removes expired entries.
     fn advance_to(&mut self, now: f64) {
         if now > self.now {
-            self.repeats.released_unrun.clear();
+            self.repeats.released_without_run.clear();
         }
         self.now = now;
         self.repeats.expire(now);
@@ -295,7 +304,7 @@
         self.downstream.calls.retain(|call| call.ended_at > from);
     }
 
-    /// A number from 0 to 1.
+    /// A random number in the range 0 to 1.
     pub(crate) fn random(&mut self) -> f64 {
         self.random.as_mut().map_or(0.5, RngExt::random)
     }
--- a/crates/merlinshelf-admission/src/controller/tests.rs
+++ b/crates/merlinshelf-admission/src/controller/tests.rs
@@ -138,13 +138,13 @@
             );
             (controller, decisions)
         }),
-        ("reject arrivals after the drain grace", || {
+        ("reject arrivals after the shutdown grace", || {
             let mut controller = instance(&[]);
             controller.shutdown_requested(0.0, 5.0);
             let decisions = controller.invocation_arrived(1.5, 7, invocation(0));
             (controller, decisions)
         }),
-        ("reject groups above the threshold", || {
+        ("reject cohort groups above the threshold", || {
             let mut controller = instance(&[]);
             controller.timer_fired(0.0, 0, &gauges(1.0));
             for number in 0..2 {
@@ -171,7 +171,7 @@
             let decisions = controller.invocation_arrived(0.9, 7, invocation(0));
             (controller, decisions)
         }),
-        ("reject queued work past its objective", || {
+        ("reject queued work that misses its objective", || {
             let mut controller = with_one_queued(0, 7);
             controller.timer_fired(0.99, 0, &BTreeMap::new());
             assert!(
@@ -190,11 +190,11 @@
         }),
     ];
     let serving = [
-        "stop runs that nobody waits for",
+        "stop abandoned runs",
         "join repeats to the first attempt",
-        "raise the limit while cores idle",
-        "queue the rest",
-        "skip calls that would come too late",
+        "raise the limit while cores are idle",
+        "queue admitted arrivals",
+        "continue without calls that are too late or blocked",
         "call downstream within the quota",
         "start the best queued work while cores are free",
         "advertise health and load",
--- a/crates/merlinshelf-admission/src/deadline.rs
+++ b/crates/merlinshelf-admission/src/deadline.rs
@@ -1,30 +1,31 @@
-//! Deadlines: when a caller must have its answer, and what can't make its latency objective any
-//! more.
+//! Deadlines of invocations, and detection of invocations that miss their latency objective.
 
 use crate::controller::{ANSWER_MARGIN_SECONDS, AdmissionController};
 use crate::estimator::Operation;
 use crate::samples::push;
 use crate::{Invocation, InvocationState, Stage};
 
-/// The part of its objective that a retry has spent elsewhere, where no timeout tells. 0 measured:
+/// Upper bound of the fraction of its objective that a retry is assumed to have spent on earlier
+/// attempts; the assumed fraction itself if the caller's timeout is unknown. Assuming 0 performs
 /// worse.
-const RETRY_SPENT_PART: f64 = 0.4;
-/// An unmarked arrival whose caller waits less than this part of the longest wait lately is a
-/// retry.
-const RETRY_TIMEOUT_PART: f64 = 0.75;
-/// The part of the expected service that queued work must still have. 1 measured: no better.
-const QUEUED_SERVICE_PART: f64 = 0.7;
+const MAX_RETRY_SPENT_FRACTION: f64 = 0.4;
+/// An unmarked arrival is taken for a retry if its caller's timeout is less than this fraction of
+/// the longest recent timeout.
+const RETRY_TIMEOUT_RATIO: f64 = 0.75;
+/// Queued work is late if less than this fraction of its expected service time remains before its
+/// objective.
+const QUEUED_SERVICE_FRACTION: f64 = 0.7;
 
-/// Times by which an invocation is answered, seconds of the controller's clock.
+/// Deadlines of an invocation, in seconds of the controller's clock.
 pub(crate) struct Deadlines {
-    /// When its caller gives up.
+    /// When its caller times out.
     pub due_at: f64,
-    /// Until when an answer makes the latency objective.
-    pub objective: f64,
+    /// Until when an answer meets the latency objective.
+    pub objective_deadline: f64,
 }
 
-/// The deadlines of an arrival. A retry has spent a part of its objective elsewhere, less where its
-/// caller's timeout shows so.
+/// Computes the deadlines of an arrival. The objective of a retry is shortened by the time that
+/// earlier attempts are assumed to have taken; the caller's timeout can show that they took less.
 pub(crate) fn deadlines_of(request: &Invocation, operation: &Operation, now: f64) -> Deadlines {
     let settings = &operation.settings;
     let arrived_at = now - request.age;
@@ -34,23 +35,24 @@
     let stretched =
         settings.objective + settings.objective_stretch * request.cost_hint.unwrap_or(0.0);
     let objective = stretched.min(settings.timeout);
-    let spent_at_most = request.caller_timeout.map_or(objective, |timeout| {
+    let max_spent = request.caller_timeout.map_or(objective, |timeout| {
         settings.timeout - timeout - request.age
     });
     let spent = if request.is_retry {
-        spent_at_most.clamp(0.0, RETRY_SPENT_PART * objective)
+        max_spent.clamp(0.0, MAX_RETRY_SPENT_FRACTION * objective)
     } else {
         0.0
     };
     Deadlines {
         due_at,
-        objective: (arrived_at + objective - spent).min(due_at),
+        objective_deadline: (arrived_at + objective - spent).min(due_at),
     }
 }
 
 impl AdmissionController {
-    /// Where callers do not mark retries, their timeouts tell: first attempts wait alike, retries
-    /// with what remains. Harm: callers that wait less than others are taken for retries.
+    /// Detects retries by their timeouts if callers don't mark them: first attempts have similar
+    /// timeouts, retries only the remainder. Drawback: callers with shorter timeouts than others
+    /// are taken for retries.
     pub(crate) fn detect_unmarked_retry(&mut self, request: &mut Invocation) {
         let Some(timeout) = request.caller_timeout.filter(|_| !self.marks_retries) else {
             return;
@@ -61,10 +63,10 @@
         let longest = timeouts
             .iter()
             .fold(0.0, |longest: f64, &timeout| longest.max(timeout));
-        request.is_retry = at_arrival < RETRY_TIMEOUT_PART * longest;
+        request.is_retry = at_arrival < RETRY_TIMEOUT_RATIO * longest;
     }
 
-    /// When an invocation must be answered: by its caller's deadline, and before this process
+    /// When an invocation must be answered: before its caller times out and before this process
     /// stops.
     pub(crate) fn due_at(&self, invocation: &InvocationState) -> f64 {
         self.shutdown.map_or(invocation.due_at, |shutdown| {
@@ -74,17 +76,19 @@
         })
     }
 
-    /// The first one that is owed an answer now.
+    /// The first unanswered invocation that must be answered now.
     pub(crate) fn find_due(&self) -> Option<usize> {
         self.invocations.first(|invocation| {
             !invocation.is_answered && self.now + ANSWER_MARGIN_SECONDS >= self.due_at(invocation)
         })
     }
 
-    /// An arrival that can't make its objective behind the better work in flight. A first attempt
-    /// is rejected even with cores idle, since others may be faster (harm: else it is lost); one
-    /// run of an operation stays, to see whether that still holds.
-    pub(crate) fn find_too_late(&self) -> Option<usize> {
+    /// An arrival that can't meet its objective after the work in flight of at least its priority.
+    ///
+    /// A first attempt is rejected even while cores are idle, since other instances may be faster;
+    /// drawback: it is lost if none is. One run of each operation is always admitted, to detect
+    /// when the estimate no longer holds.
+    pub(crate) fn find_arrival_missing_objective(&self) -> Option<usize> {
         let number = self.invocations.newly_read()?;
         let arrival = &self.invocations[number];
         let operation = &self.operations[arrival.request.operation];
@@ -92,12 +96,12 @@
             return Some(number);
         }
         let cores_are_full = self.invocations.running() as f64 >= self.cores_for_runs();
-        let runs_like_it = |invocation: &InvocationState| {
+        let runs_same_operation = |invocation: &InvocationState| {
             invocation.stage == Stage::Running
                 && invocation.request.operation == arrival.request.operation
         };
         let may_reject = cores_are_full
-            || !arrival.request.is_retry && self.invocations.first(runs_like_it).is_some();
+            || !arrival.request.is_retry && self.invocations.first(runs_same_operation).is_some();
         if !may_reject {
             return None;
         }
@@ -110,7 +114,7 @@
         (ends_at > arrival.objective_deadline).then_some(number)
     }
 
-    /// Core seconds that remain of runs, and of queued work with at least the priority of an
+    /// Remaining core seconds of all runs, and of queued work with at least the priority of an
     /// arrival.
     fn work_ahead_of(&self, arrival: &InvocationState) -> f64 {
         let ahead = |invocation: &InvocationState| match invocation.stage {
@@ -125,15 +129,15 @@
         self.invocations.all().map(ahead).sum()
     }
 
-    /// Queued work that can't make its objective any more: of no value, or of little while more is
-    /// queued.
-    pub(crate) fn find_misses_objective(&self) -> Option<usize> {
+    /// Queued work that can no longer meet its objective. It is rejected if its answer has no value
+    /// any more, or if other work is queued.
+    pub(crate) fn find_queued_missing_objective(&self) -> Option<usize> {
         let queued = self
             .invocations
             .count(|invocation| invocation.stage == Stage::Queued);
         self.invocations.first(|invocation| {
             let settings = &self.operations[invocation.request.operation].settings;
-            let needed = QUEUED_SERVICE_PART * self.expected_service(invocation);
+            let needed = QUEUED_SERVICE_FRACTION * self.expected_service(invocation);
             let is_late = self.now + needed > invocation.objective_deadline;
             let is_worthless =
                 self.now > invocation.objective_deadline && settings.late_value == 0.0;
--- a/crates/merlinshelf-admission/src/downstream.rs
+++ b/crates/merlinshelf-admission/src/downstream.rs
@@ -1,5 +1,5 @@
-//! Downstream calls: their quota, their own Vegas limit, the circuit breaker, which run calls and
-//! which does without.
+//! Downstream calls: their quota, their own Vegas limit, the circuit breaker, and the choice of the
+//! runs that call and of those that continue without a call.
 
 use std::cell::LazyCell;
 use std::collections::VecDeque;
@@ -7,93 +7,102 @@
 use crate::controller::AdmissionController;
 use crate::estimator::Operation;
 use crate::limiter::vegas_step;
-use crate::samples::{WINDOW, are_few, mean, mean_with_prior, push};
+use crate::samples::{WINDOW, lacks_samples, mean, mean_with_prior, push};
 use crate::{DownstreamQuota, InvocationState, Outcome, Stage};
 
-/// Failures in a row that open the breaker: hardly chance.
+/// Consecutive failures that open the breaker: five are unlikely to be chance.
 pub(crate) const BREAKER_FAILURES: u32 = 5;
-/// Seconds after a failure before an open breaker lets the next trial call through. Not tuned.
-pub(crate) const BREAKER_PAUSE: f64 = 0.5;
-/// Attempts of one run.
-const ATTEMPTS_MOST: u32 = 3;
-
-/// The part of its quota that an instance uses, guarding against what others' cold starts add. 0.5
-/// measured: too few calls.
-const QUOTA_PART: f64 = 0.8;
-/// The limit starts at this part of the quota. The dependency slows well before its quota is full:
-/// half of it at the start let all backends jam it together before they had samples; a quarter took
-/// long to rise where it had room.
-pub(crate) const START_PART: f64 = 0.4;
-/// The limit falls to this part of the quota, but not under one call. A tenth fitted no call and
-/// shut some for good.
-const FLOOR_PART: f64 = 0.25;
-/// The limit moves by this part of itself.
-const LIMIT_STEP: f64 = 0.05;
-/// Bounds of the part of a mean call that counts as time in a queue. The mean of 8 calls strays by
-/// a third and the lowest of many means of 24 lies as far under: twice that may be chance (0.4 held
-/// a free dependency's calls back), three times is not.
-const ALPHA: f64 = 0.5;
-const BETA: f64 = 0.67;
-/// The recent mean is of the calls of the last seconds; where they are few, of the last eight: a
-/// full window would be ten seconds old on a small backend.
+/// Time after a failure before an open breaker lets the next trial call through, in seconds.
+pub(crate) const BREAKER_PAUSE_SECONDS: f64 = 0.5;
+/// Maximum number of call attempts of one run.
+const MAX_CALL_ATTEMPTS: u32 = 3;
+
+/// Fraction of its quota that an instance uses; the rest covers additional calls while other
+/// instances start cold. With 0.5, too few calls were made.
+const USABLE_QUOTA_FRACTION: f64 = 0.8;
+/// Initial limit on calls, as a fraction of the quota. The dependency slows down well before its
+/// quota is used up: starting at 0.5, all backends together overloaded it before they had samples;
+/// starting at 0.25, the limit rose too slowly while the dependency had spare capacity.
+pub(crate) const INITIAL_LIMIT_FRACTION: f64 = 0.4;
+/// Lower bound of the limit on calls, as a fraction of the quota, but at most one call. With 0.1,
+/// no call fitted into the limit, and some instances never called again.
+const MIN_LIMIT_FRACTION: f64 = 0.25;
+/// Step by which the limit on calls changes, as a fraction of the limit.
+const LIMIT_STEP_FRACTION: f64 = 0.05;
+/// The limit rises while the fraction of a mean call that counts as queueing time is below this.
+///
+/// The mean of 8 calls deviates by a third from the true mean, and the lowest of many means of 24
+/// calls lies as far below it. A ratio of two between the means can therefore be chance, a ratio of
+/// three can't. With 0.4, calls to an idle dependency were held back.
+const QUEUE_ALPHA: f64 = 0.5;
+/// The limit falls while the fraction of a mean call that counts as queueing time is above this.
+const QUEUE_BETA: f64 = 0.67;
+/// The recent mean covers the calls of this many seconds.
 const RECENT_SECONDS: f64 = 2.0;
-const RECENT_LEAST: usize = 8;
-/// Calls until the lowest mean is measured anew: a minute or so. Not tuned.
+/// The recent mean covers at least this many calls. A full window would reach ten seconds back on a
+/// small backend.
+const MIN_RECENT_CALLS: usize = 8;
+/// Calls after which the lowest mean is reset, about a minute's worth.
 const PROBE_AFTER_CALLS: u32 = 400;
 
-/// Part of the window over which the pace of calls is measured.
-const PACE_PART: f64 = 0.2;
-/// Half of the limit is kept for operations that can't do without their call.
-const KEPT_FOR_NEEDS: f64 = 0.5;
-/// A call cut short stays downstream all the same: none starts without time for so many mean ones.
-const MEAN_CALLS_OF_ROOM: f64 = 4.0;
-/// Stays of an abandoned call that the window holds at the least.
-const STAYS_IN_WINDOW: f64 = 3.0;
-/// A call that can be skipped may take this part of the time, so that what skipping earns is still
-/// earned.
-const SKIPPABLE_TIMEOUT_PART: f64 = 0.7;
-/// The shortest timeout of a call, seconds.
-const LEAST_CALL_TIMEOUT: f64 = 0.02;
-/// Part of the expected run that is still to come after a call.
-const RUN_PART_AFTER_CALL: f64 = 0.5;
-
-/// A call that has ended. Times are seconds of the controller's clock.
+/// Fraction of the call window over which the current use of the limit is measured.
+const PACE_WINDOW_FRACTION: f64 = 0.2;
+/// Fraction of the limit that is reserved for operations that need their call.
+const RESERVED_LIMIT_FRACTION: f64 = 0.5;
+/// A call starts only if the remaining time budget covers this many calls of mean duration, since
+/// the dependency keeps processing a call that times out early.
+const MIN_BUDGET_IN_MEAN_CALLS: f64 = 4.0;
+/// The call window is at least so long that the quota covers the processing of this many abandoned
+/// calls.
+const MIN_STAYS_PER_WINDOW: f64 = 3.0;
+/// Timeout of a call that can be skipped, as a fraction of the time to its objective. The rest is
+/// left to finish the run without the call in time.
+const SKIPPABLE_TIMEOUT_FRACTION: f64 = 0.7;
+/// Lower bound of the timeout of a call, in seconds.
+const MIN_CALL_TIMEOUT_SECONDS: f64 = 0.02;
+/// Fraction of the expected run that follows the call.
+const RUN_FRACTION_AFTER_CALL: f64 = 0.5;
+
+/// Start and end of a finished call. Times are seconds of the controller's clock.
 #[derive(Clone, Copy)]
 pub(crate) struct CallSpan {
     pub started_at: f64,
-    /// Its end; of an abandoned call, the end of its stay downstream.
+    /// End of the call; for an abandoned call, when the dependency is expected to stop processing
+    /// it.
     pub ended_at: f64,
 }
 
-/// What is known of the dependency and of this instance's calls to it.
+/// State of the dependency and of this instance's calls to it.
 #[derive(Default)]
 pub(crate) struct DownstreamState {
-    /// The last calls, as long as they count in the window.
+    /// Calls that ended within the call window.
     pub calls: VecDeque<CallSpan>,
-    /// Durations of the last calls, seconds.
+    /// Durations of the recent calls, in seconds.
     pub durations: VecDeque<f64>,
-    /// The lowest mean duration, and how many more calls end before it is measured anew.
+    /// Lowest mean duration of calls, in seconds.
     pub lowest_mean: f64,
+    /// Number of calls that end before the lowest mean is reset.
     pub calls_until_probe: u32,
-    /// Calls at once, as a mean.
+    /// Limit of the mean number of concurrent calls.
     pub limit: f64,
     pub consecutive_failures: u32,
+    /// Seconds of the controller's clock.
     pub last_failure_at: f64,
-    /// What the fleet's budgets leave: all of it on the ordinary path.
+    /// Remaining calls by the fleet's budgets; unlimited unless the host sets them.
     pub quota: DownstreamQuota,
 }
 
 impl DownstreamState {
-    /// Whether so many calls failed in a row that the breaker is open.
+    /// Whether so many consecutive calls failed that the breaker is open.
     pub fn is_failing(&self) -> bool {
         self.consecutive_failures >= BREAKER_FAILURES
     }
 }
 
 impl AdmissionController {
-    /// A run leaves its call, or the wait for one: by its end, without one, or because it ends
-    /// itself.
-    pub(crate) fn leave_call(&mut self, number: usize, outcome: Outcome) {
+    /// Records the end of a run's call or of its wait for one. `outcome` is that of the call, or of
+    /// the run if the run ended.
+    pub(crate) fn record_call_end(&mut self, number: usize, outcome: Outcome) {
         let now = self.now;
         let invocation = &mut self.invocations[number];
         let stage = invocation.stage;
@@ -109,8 +118,8 @@
 
     fn record_call(&mut self, started_at: f64, outcome: Outcome) {
         let now = self.now;
-        let stays_on = !outcome.succeeded && !outcome.never_ran;
-        let ended_at = if stays_on {
+        let may_still_run = !outcome.succeeded && !outcome.never_ran;
+        let ended_at = if may_still_run {
             now + self.settings.seconds("FamilyInfo.StaysForUs", 0.0)
         } else {
             now
@@ -119,8 +128,8 @@
             started_at,
             ended_at,
         });
-        if outcome.succeeded || stays_on && !outcome.stopped {
-            // Of an abandoned call this is the least that it would have taken.
+        if outcome.succeeded || may_still_run && !outcome.stopped {
+            // For an abandoned call this is a lower bound of its duration.
             self.record_call_duration(now - started_at);
         }
         if outcome.succeeded {
@@ -131,15 +140,15 @@
         }
     }
 
-    /// The Vegas update for calls: guards against a dependency that is slow, shrunken or crowded by
-    /// whomever. Harm: it holds calls back after the dependency has turned slower for good, until
-    /// the lowest mean is measured anew.
+    /// The Vegas update of the limit on calls. It protects a dependency that is slow, has lost
+    /// capacity or is overloaded by any caller. Drawback: if the dependency becomes slower
+    /// permanently, calls are held back until the lowest mean is reset.
     fn record_call_duration(&mut self, duration: f64) {
         let now = self.now;
         let quota = self.settings.call_quota();
         let state = &mut self.downstream;
         push(&mut state.durations, duration);
-        if are_few(&state.durations) {
+        if lacks_samples(&state.durations) {
             return;
         }
         let recent_calls = state
@@ -147,7 +156,7 @@
             .iter()
             .filter(|call| call.ended_at > now - RECENT_SECONDS)
             .count()
-            .clamp(RECENT_LEAST, WINDOW);
+            .clamp(MIN_RECENT_CALLS, WINDOW);
         let recent_durations = state.durations.iter().rev().take(recent_calls);
         let recent = mean(&recent_durations.copied().collect());
         let mean_duration = mean(&state.durations);
@@ -158,13 +167,13 @@
         }
         state.lowest_mean = state.lowest_mean.min(mean_duration);
         let queued = 1.0 - state.lowest_mean / recent;
-        let step = vegas_step(queued < ALPHA, queued > BETA);
-        let moved = state.limit * (1.0 + LIMIT_STEP * step);
-        state.limit = moved.clamp(call_limit_floor(quota), QUOTA_PART * quota);
+        let step = vegas_step(queued < QUEUE_ALPHA, queued > QUEUE_BETA);
+        let updated = state.limit * (1.0 + LIMIT_STEP_FRACTION * step);
+        state.limit = updated.clamp(min_call_limit(quota), USABLE_QUOTA_FRACTION * quota);
     }
 
-    /// Time that calls have taken over the last `span` seconds, open ones too, abandoned ones with
-    /// their stay.
+    /// Total duration of calls within the last `span` seconds, in seconds. Open calls count too,
+    /// and abandoned ones until the dependency is expected to stop processing them.
     fn call_seconds(&self, span: f64) -> f64 {
         let from = self.now - span;
         let within = |start: f64, end: f64| (end - start.max(from)).max(0.0);
@@ -177,51 +186,54 @@
             .sum()
     }
 
-    /// The window that the settings name, seconds, or a longer one where the quota is so small that
-    /// its time would hold no call.
+    /// Length of the window over which the quota is enforced, in seconds: the configured one, or a
+    /// longer one if the quota is too small for a call in the configured window.
     pub(crate) fn call_window(&self) -> f64 {
         let quota = self.settings.call_quota().max(1e-6);
         let stay = self.settings.seconds("FamilyInfo.StaysForUs", 0.0);
         self.configured_call_window()
-            .max(STAYS_IN_WINDOW * stay / quota)
+            .max(MIN_STAYS_PER_WINDOW * stay / quota)
     }
 
     fn configured_call_window(&self) -> f64 {
         self.settings.seconds("FamilyInfo.DepWindowUs", 5.0)
     }
 
-    /// Whether calls have taken this part of their limit over the last fifth of the window.
+    /// Whether calls used more than this fraction of their limit over the last fifth of the window.
     fn exceeds_call_pace(&self, part: f64) -> bool {
-        let span = PACE_PART * self.call_window();
+        let span = PACE_WINDOW_FRACTION * self.call_window();
         self.call_seconds(span) > part * span * self.downstream.limit
     }
 
-    /// Seconds that a call may take: what the quota leaves in its window, less a part for what
-    /// others' cold starts add and one stay; none over the limit on calls. Under one call the limit
-    /// is a mean over a fifth of the window: that guards against hundreds of backends that always
-    /// keep one, or burst together.
-    fn call_room(&self) -> f64 {
-        let quota = self.settings.call_quota() * QUOTA_PART;
+    /// How long a new call may take, in seconds; 0 if no call may start.
+    ///
+    /// It is the unused call time of the usable quota in the window, less the time for which the
+    /// dependency may process one abandoned call. It is 0 at the limit on calls. A limit below one
+    /// call is enforced as a mean over a fifth of the window: this prevents hundreds of backends
+    /// from each keeping one call open all the time, or from bursting at the same time.
+    fn call_time_budget(&self) -> f64 {
+        let quota = self.settings.call_quota() * USABLE_QUOTA_FRACTION;
         let window = self.call_window();
         let limit = self.downstream.limit;
-        let has_none = self.is_call_limit_reached(quota)
+        let is_blocked = self.is_call_limit_reached(quota)
             || !self.is_own_turn(window)
             || limit < 1.0 && self.exceeds_call_pace(1.0);
         let stay = self.settings.seconds("FamilyInfo.StaysForUs", 0.0);
-        let room = quota * window - self.call_seconds(window) - stay;
+        let budget = quota * window - self.call_seconds(window) - stay;
         let needed = if self.downstream.durations.is_empty() {
             f64::MAX
         } else {
-            MEAN_CALLS_OF_ROOM * mean(&self.downstream.durations)
+            MIN_BUDGET_IN_MEAN_CALLS * mean(&self.downstream.durations)
         };
-        if has_none || room < needed.min(0.5 * quota * window) {
+        if is_blocked || budget < needed.min(0.5 * quota * window) {
             0.0
         } else {
-            room.max(0.0)
+            budget.max(0.0)
         }
     }
 
-    /// Open calls, abandoned ones during their stay too, against twice the limit.
+    /// Whether the number of open calls has reached twice the limit. Abandoned calls count until
+    /// the dependency is expected to stop processing them.
     fn is_call_limit_reached(&self, quota: f64) -> bool {
         let abandoned = self
             .downstream
@@ -233,12 +245,12 @@
             .invocations
             .count(|invocation| invocation.stage == Stage::Calling);
         let open = (calling + abandoned) as f64;
-        let most = (2.0 * self.downstream.limit).ceil().min(quota.floor());
-        open >= most.max(1.0)
+        let max_open = (2.0 * self.downstream.limit).ceil().min(quota.floor());
+        open >= max_open.max(1.0)
     }
 
-    /// In a window longer than the configured one backends take turns by seed: together they keep
-    /// to the configured.
+    /// Whether this instance may call now. If the window is longer than the configured one, the
+    /// backends take turns by seed, so that together they stay within the configured window.
     fn is_own_turn(&self, window: f64) -> bool {
         let configured = self.configured_call_window().max(1e-6);
         let turns = (window / configured).ceil() as u64; // 1 or more
@@ -246,8 +258,9 @@
         turn.is_multiple_of(turns)
     }
 
-    /// After five failures in a row one trial call at a time, each after a pause; and nothing that
-    /// the fleet's budgets do not leave.
+    /// Whether the breaker allows no call now. After five consecutive failures it allows one trial
+    /// call at a time, each after a pause. It also blocks calls for which the fleet's budgets leave
+    /// nothing.
     pub(crate) fn is_breaker_open(&self) -> bool {
         let state = &self.downstream;
         if !state.is_failing() {
@@ -257,24 +270,24 @@
             .invocations
             .count(|invocation| invocation.stage == Stage::Calling)
             > 0;
-        let waits = is_trial_open || self.now < state.last_failure_at + BREAKER_PAUSE;
-        waits || state.quota.probes == 0
+        let must_wait = is_trial_open || self.now < state.last_failure_at + BREAKER_PAUSE_SECONDS;
+        must_wait || state.quota.probes == 0
     }
 
-    /// Whether a run may make another attempt: never after one that may have taken effect, unless
-    /// that does no harm.
+    /// Whether a run may make another call attempt. After an attempt that may have taken effect
+    /// this is allowed only for idempotent operations.
     fn may_call(&self, invocation: &InvocationState) -> bool {
         let settings = &self.operations[invocation.request.operation].settings;
         let may_repeat = settings.is_idempotent || !invocation.has_uncertain_call;
         let is_first = invocation.calls == 0;
-        invocation.calls < ATTEMPTS_MOST
+        invocation.calls < MAX_CALL_ATTEMPTS
             && may_repeat
             && (is_first || self.downstream.quota.retries > 0)
     }
 
-    /// A run that waits for a call which can't come any more, or for an answer that is worth
-    /// nothing any more.
-    pub(crate) fn find_lost_call(&self) -> Option<usize> {
+    /// A run that waits for a call which it may no longer make, or whose answer has no value any
+    /// more.
+    pub(crate) fn find_run_to_fail(&self) -> Option<usize> {
         self.invocations.first(|invocation| {
             let settings = &self.operations[invocation.request.operation].settings;
             let is_worthless =
@@ -286,39 +299,43 @@
         })
     }
 
-    /// A run that does better without its call. What holds for all of them is found out once: with
-    /// hundreds waiting each would look through all others, until nothing but this was done any
-    /// more.
+    /// A run that should continue without its call. Conditions common to all runs are evaluated
+    /// only once: evaluating them for each of hundreds of waiting runs took quadratic time and
+    /// starved everything else.
     pub(crate) fn find_skippable_call(&self) -> Option<usize> {
         let is_breaker_open = LazyCell::new(|| self.is_breaker_open());
-        let is_rest_kept = LazyCell::new(|| self.keeps_calls_for_needs());
-        let is_full = LazyCell::new(|| self.call_room() == 0.0);
-        let highest_stake = LazyCell::new(|| self.highest_call_stake());
+        let is_reserve_reached = LazyCell::new(|| self.is_call_reserve_reached());
+        let is_budget_used = LazyCell::new(|| self.call_time_budget() == 0.0);
+        let highest_loss = LazyCell::new(|| self.highest_value_lost_without_call());
         self.invocations.first(|invocation| {
             let settings = &self.operations[invocation.request.operation].settings;
-            let lacks_room =
-                || *is_rest_kept || *is_full && *highest_stake > self.call_stake(invocation);
-            let does_better_without = || {
+            let lacks_budget = || {
+                *is_reserve_reached
+                    || *is_budget_used && *highest_loss > self.value_lost_without_call(invocation)
+            };
+            let should_skip = || {
                 !self.may_call(invocation)
                     || *is_breaker_open
                     || self.is_call_too_late(invocation)
-                    || lacks_room()
+                    || lacks_budget()
             };
             invocation.stage == Stage::AwaitingCall
                 && !invocation.is_answered
                 && settings.value_without_call > 0.0
-                && does_better_without()
+                && should_skip()
         })
     }
 
-    /// Half of the limit is kept for operations that can't do without, if such run here.
-    fn keeps_calls_for_needs(&self) -> bool {
-        let needs = |operation: &Operation| {
+    /// Whether only the part of the limit is left that is reserved for operations that need their
+    /// call. Nothing is reserved if no such operation runs here.
+    fn is_call_reserve_reached(&self) -> bool {
+        let uses_reserve = |operation: &Operation| {
             operation.settings.needs_call() && !operation.samples.run_durations.is_empty()
         };
-        self.operations.iter().any(needs) && self.exceeds_call_pace(KEPT_FOR_NEEDS)
+        self.operations.iter().any(uses_reserve) && self.exceeds_call_pace(RESERVED_LIMIT_FRACTION)
     }
 
+    /// Whether the expected answer after the call misses the objective.
     fn is_call_too_late(&self, invocation: &InvocationState) -> bool {
         let operation = invocation.request.operation;
         let priors = &self.prior_estimates.downstream_durations;
@@ -326,36 +343,36 @@
             &self.operations[operation].samples.downstream_durations,
             priors.get(operation).copied().flatten(),
         );
-        let run_after = RUN_PART_AFTER_CALL * self.expected_run(invocation);
+        let run_after = RUN_FRACTION_AFTER_CALL * self.expected_run(invocation);
         self.now + downstream + run_after > invocation.objective_deadline
     }
 
-    /// The run goes on without its call.
+    /// Lets a run continue without its call.
     pub(crate) fn skip_call(&mut self, number: usize) {
         let outcome = Outcome {
             succeeded: true,
             ..Outcome::default()
         };
-        self.leave_call(number, outcome);
+        self.record_call_end(number, outcome);
         self.invocations[number].stage = Stage::Running;
         self.decisions.degraded.push(number);
     }
 
-    /// Billed value, by second of core, that is lost with the call.
-    fn call_stake(&self, invocation: &InvocationState) -> f64 {
+    /// Billed value per core second that is lost if a run skips its call.
+    fn value_lost_without_call(&self, invocation: &InvocationState) -> f64 {
         let settings = &self.operations[invocation.request.operation].settings;
         self.priority_weight(invocation) * (1.0 - settings.value_without_call)
     }
 
-    fn highest_call_stake(&self) -> f64 {
+    fn highest_value_lost_without_call(&self) -> f64 {
         self.invocations
             .matching(|invocation| invocation.stage == Stage::AwaitingCall)
-            .map(|invocation| self.call_stake(invocation))
+            .map(|invocation| self.value_lost_without_call(invocation))
             .fold(f64::NEG_INFINITY, f64::max)
     }
 
-    /// The run that loses most without its call, while there is room for one.
-    pub(crate) fn find_callable(&self) -> Option<usize> {
+    /// The run that loses the most value without its call, if a call may start.
+    pub(crate) fn find_run_to_call(&self) -> Option<usize> {
         let waits = |invocation: &InvocationState| {
             invocation.stage == Stage::AwaitingCall
                 && !invocation.is_answered
@@ -363,8 +380,8 @@
         };
         let best = self
             .invocations
-            .highest(waits, |invocation| self.call_stake(invocation))?;
-        (self.call_room() > 0.0 && !self.is_breaker_open()).then_some(best)
+            .highest(waits, |invocation| self.value_lost_without_call(invocation))?;
+        (self.call_time_budget() > 0.0 && !self.is_breaker_open()).then_some(best)
     }
 
     pub(crate) fn start_call(&mut self, number: usize) {
@@ -380,29 +397,29 @@
         self.decisions.called.push((number, timeout));
     }
 
-    /// Seconds that a call may take.
+    /// Timeout of a call, in seconds.
     fn call_timeout(&self, number: usize) -> f64 {
         let invocation = &self.invocations[number];
         let settings = &self.operations[invocation.request.operation].settings;
         let can_skip = settings.value_without_call > 0.0;
-        let until = if settings.late_value > 0.0 && settings.value_without_call == 0.0 {
+        let deadline = if settings.late_value > 0.0 && settings.value_without_call == 0.0 {
             self.due_at(invocation)
         } else {
             invocation.objective_deadline
         };
-        let part = if can_skip {
-            SKIPPABLE_TIMEOUT_PART
+        let fraction = if can_skip {
+            SKIPPABLE_TIMEOUT_FRACTION
         } else {
             1.0
         };
-        ((until - self.now) * part)
-            .min(self.call_room())
-            .max(LEAST_CALL_TIMEOUT)
+        ((deadline - self.now) * fraction)
+            .min(self.call_time_budget())
+            .max(MIN_CALL_TIMEOUT_SECONDS)
     }
 }
 
 impl DownstreamState {
-    /// Counts a call against what the fleet's budgets leave.
+    /// Counts a call against the remaining calls of the fleet's budgets.
     fn spend_quota(&mut self, is_retry: bool) {
         let is_failing = self.is_failing();
         let left = if is_failing {
@@ -416,7 +433,7 @@
     }
 }
 
-/// The lowest limit on calls for a quota.
-pub(crate) fn call_limit_floor(quota: f64) -> f64 {
-    (FLOOR_PART * quota).min(1.0)
+/// Lower bound of the limit on calls for a quota.
+pub(crate) fn min_call_limit(quota: f64) -> f64 {
+    (MIN_LIMIT_FRACTION * quota).min(1.0)
 }
--- a/crates/merlinshelf-admission/src/drain.rs
+++ b/crates/merlinshelf-admission/src/drain.rs
@@ -1,20 +1,20 @@
-//! Graceful shutdown, and runs that nobody waits for any more.
+//! Graceful shutdown, and runs whose caller no longer waits.
 
 use crate::controller::AdmissionController;
 use crate::{InvocationState, Stage};
 
-/// Both are times of the controller's clock, in seconds.
+/// A graceful shutdown in progress. Times are seconds of the controller's clock.
 #[derive(Clone, Copy)]
 pub(crate) struct Shutdown {
-    /// What arrived after it is not run.
+    /// Arrivals after this time are not run.
     pub grace_ends_at: f64,
-    /// The process must be gone.
+    /// When the process must have exited.
     pub stop_at: f64,
 }
 
 impl AdmissionController {
-    /// What arrived after the grace and has not run.
-    pub(crate) fn find_after_grace(&self) -> Option<usize> {
+    /// An invocation that arrived after the grace and has not run.
+    pub(crate) fn find_arrival_after_grace(&self) -> Option<usize> {
         let shutdown = self.shutdown?;
         self.invocations.first(|invocation| {
             matches!(invocation.stage, Stage::Read | Stage::Queued)
@@ -22,14 +22,15 @@
         })
     }
 
-    /// A run whose caller has its answer, where it may be stopped and run again without harm.
+    /// A run whose invocation is already answered, if the operation is idempotent and the settings
+    /// allow runs to be stopped.
     pub(crate) fn find_abandoned_run(&self) -> Option<usize> {
-        let is_wasted = |invocation: &InvocationState| {
+        let is_abandoned = |invocation: &InvocationState| {
             invocation.is_answered && invocation.stage == Stage::Running && !invocation.is_stopping
         };
         let found = self.invocations.first(|invocation| {
             let settings = &self.operations[invocation.request.operation].settings;
-            is_wasted(invocation) && settings.is_idempotent
+            is_abandoned(invocation) && settings.is_idempotent
         });
         found.filter(|_| matches!(self.settings.text("FamilyInfo.Halt"), "discard" | "freeze"))
     }
--- a/crates/merlinshelf-admission/src/handover.rs
+++ b/crates/merlinshelf-admission/src/handover.rs
@@ -1,8 +1,9 @@
-//! State that a host can pass on to a successor: the invocations in flight, and what was learned.
+//! State that a host can pass on to a successor: the invocations in flight, and the learned state.
 //!
 //! It is written into the handover image by field name. A renamed field keeps its stored name by
-//! `#[serde(rename)]`; tests/golden.rs holds the bytes. See [`AdmissionController::learned_state`]
-//! and its siblings.
+//! `#[serde(rename)]`; tests/golden.rs checks the bytes. See
+//! [`AdmissionController::learned_state`], [`AdmissionController::restore_learned_state`],
+//! [`AdmissionController::invocation`] and [`AdmissionController::restore_invocation`].
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -14,46 +15,46 @@
 use crate::drain::Shutdown;
 use crate::estimator::Operation;
 
-/// How far an invocation has come.
+/// Processing stage of an invocation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Stage {
-    /// Read, and not decided on yet.
+    /// Read, and not yet admitted or rejected.
     #[default]
     Read,
-    /// In the queue before the engine.
+    /// Queued until a core of the engine is free.
     #[serde(rename = "Held")]
     Queued,
-    /// On a core of the engine, or about to be.
+    /// On a core of the engine, or about to be scheduled there.
     Running,
-    /// Its run waits for permission to make a downstream call.
+    /// Its run is waiting for permission to make a downstream call.
     #[serde(rename = "AtCall")]
     AwaitingCall,
     /// Its downstream call is open.
     Calling,
-    /// It waits for the result of the invocation that it repeats.
+    /// Waiting for the result of the invocation that it repeats.
     Joined,
 }
 
-/// All that the controller keeps of one invocation. It is plain so that a host can pass it on to a
-/// successor. Times are seconds of the controller's clock.
+/// State that the controller keeps of one invocation. All fields are public so that a host can pass
+/// them on to a successor. Times are seconds of the controller's clock.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct InvocationState {
-    /// What was known of it when it had been read.
+    /// The invocation as it was read.
     #[serde(rename = "told")]
     pub request: Invocation,
     /// When it reached the machine.
     #[serde(rename = "arrived")]
     pub arrived_at: f64,
-    /// When its caller gives up.
+    /// When its caller times out.
     #[serde(rename = "due")]
     pub due_at: f64,
-    /// Until when its answer makes the latency objective.
+    /// Until when its answer meets the latency objective.
     #[serde(rename = "by")]
     pub objective_deadline: f64,
-    /// How far it has come.
+    /// Current stage.
     pub stage: Stage,
-    /// When it came to that stage.
+    /// When it entered that stage.
     #[serde(rename = "since")]
     pub stage_entered_at: f64,
     /// When its run was started.
@@ -62,108 +63,110 @@
     /// Seconds since `started_at` that were not spent on the cores.
     #[serde(rename = "away")]
     pub off_core_seconds: f64,
-    /// It has its final answer, or its caller has gone.
+    /// Its final answer was sent, or its caller disconnected.
     #[serde(rename = "answered")]
     pub is_answered: bool,
-    /// Its run was asked to stop.
+    /// The host was told to stop its run.
     #[serde(rename = "stopping")]
     pub is_stopping: bool,
     /// Its run was started.
     #[serde(rename = "ran")]
     pub has_run: bool,
-    /// Repeats may find it in the table.
+    /// It was added to the table of repeats.
     #[serde(rename = "entry")]
     pub has_table_entry: bool,
-    /// It came over its customer's quota.
+    /// It arrived while its customer exceeded its quota.
     #[serde(rename = "over_share")]
     pub exceeds_quota: bool,
-    /// Attempts of its downstream call.
+    /// Number of attempts of its downstream call.
     pub calls: u32,
-    /// A call of it may have taken effect.
+    /// A failed call may have taken effect.
     #[serde(rename = "unsure")]
     pub has_uncertain_call: bool,
 }
 
-/// What was learned of one operation: the last few samples, the oldest first. Times are seconds.
+/// Learned state of one operation: its recent samples, oldest first. Times are seconds.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct LearnedOperation {
-    /// Durations of runs without calls.
+    /// Run durations without downstream calls.
     #[serde(rename = "runs")]
     pub run_durations: VecDeque<f64>,
-    /// Hinted costs of those runs, 1 where there are no hints.
+    /// Cost hints of those runs, 1 for a run without a hint.
     #[serde(rename = "costs")]
     pub run_costs: VecDeque<f64>,
-    /// Time at downstream calls and waiting for them, by run.
+    /// Time that each run spent in downstream calls and waiting for them.
     #[serde(rename = "below")]
     pub downstream_durations: VecDeque<f64>,
-    /// The lowest duration by unit of cost.
+    /// Lowest run duration per unit of cost.
     #[serde(rename = "lowest")]
     pub lowest_duration: f64,
-    /// Runs that finish before the lowest duration is measured anew.
+    /// Number of runs that finish before the lowest duration is reset.
     #[serde(rename = "until_probe")]
     pub finishes_until_probe: f64,
 }
 
-/// What an instance has learned of the engine, of downstream calls and of its callers. Times are
-/// seconds of the controller's clock, durations seconds.
+/// What an instance has learned about the engine, downstream calls and callers. Times are seconds
+/// of the controller's clock, durations are seconds.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct LearnedState {
     /// When the engine was started.
     #[serde(rename = "born")]
     pub engine_started_at: f64,
-    /// While shutting down: when the grace ends, and when the process must be gone.
+    /// During a graceful shutdown: when the grace ends, and when the process must have exited.
     #[serde(rename = "leave_at")]
     pub shutdown_at: Option<(f64, f64)>,
-    /// By operation, in the order of the settings.
+    /// Learned state of each operation, by its index in the settings.
     pub operations: Vec<LearnedOperation>,
-    /// The limit of invocations in flight.
+    /// Limit of invocations in flight.
     #[serde(rename = "limit")]
     pub concurrency_limit: f64,
-    /// Part of the cores that were busy, 0 to 1.
+    /// Fraction of the cores that was busy, 0 to 1.
     pub busy: f64,
-    /// When that was measured.
+    /// When `busy` was measured.
     pub busy_at: f64,
-    /// What needed a core beside runs, by tick.
+    /// Number of tasks other than runs that needed a core, at each recent tick.
     #[serde(rename = "others")]
     pub other_work: VecDeque<f64>,
-    /// When a run last moved on.
+    /// When a run last made progress.
     #[serde(rename = "progress")]
     pub last_progress_at: f64,
-    /// Start and end of the last downstream calls, of abandoned ones with their stay.
+    /// Start and end of the recent downstream calls; for an abandoned call, the end includes the
+    /// time for which the dependency keeps processing it.
     pub calls: VecDeque<(f64, f64)>,
-    /// Durations of the last downstream calls.
+    /// Durations of the recent downstream calls.
     #[serde(rename = "call_times")]
     pub call_durations: VecDeque<f64>,
-    /// The lowest mean of those durations.
+    /// Lowest mean of those durations.
     #[serde(rename = "call_lowest")]
     pub lowest_call_mean: f64,
-    /// Calls that end before the lowest mean is measured anew.
+    /// Number of calls that end before the lowest mean is reset.
     #[serde(rename = "call_probe")]
     pub calls_until_probe: u32,
-    /// The limit of downstream calls at once, as a mean.
+    /// Limit of the mean number of concurrent downstream calls.
     pub call_limit: f64,
-    /// Downstream calls that failed in a row.
+    /// Number of consecutive failed downstream calls.
     pub call_failures: u32,
-    /// When the last one failed.
+    /// When the last downstream call failed.
     pub call_failed_at: f64,
-    /// The last arrivals of each customer, by its index in the settings.
+    /// Times of the recent arrivals of each customer, by its index in the settings.
     #[serde(rename = "arrivals")]
     pub arrivals_by_customer: BTreeMap<usize, VecDeque<f64>>,
-    /// When each caller came last.
+    /// Time of each caller's last arrival, by caller.
     #[serde(rename = "callers")]
     pub last_arrivals: BTreeMap<u64, f64>,
-    /// After how long the callers of the last arrivals had come back.
+    /// For each recent arrival, the seconds since its caller's previous arrival.
     #[serde(rename = "gaps")]
     pub return_gaps: VecDeque<f64>,
-    /// 1 for each of the last arrivals that was a retry, else 0.
+    /// For each recent arrival, 1 if it was a retry, else 0. If callers don't mark retries: for
+    /// each recent decision, 1 if it was a rejection, else 0.
     #[serde(rename = "agains")]
     pub retry_marks: VecDeque<f64>,
 }
 
 impl AdmissionController {
-    /// What this instance has learned, for a successor on the same engine and clock.
+    /// Returns the learned state, for a successor on the same engine and clock.
     pub fn learned_state(&self) -> LearnedState {
         LearnedState {
             engine_started_at: self.engine_started_at,
@@ -195,7 +198,8 @@
         }
     }
 
-    /// Takes up what a predecessor on the same engine and clock had learned, right after the start.
+    /// Restores the learned state of a predecessor on the same engine and clock. To be called right
+    /// after [`AdmissionController::start`].
     pub fn restore_learned_state(&mut self, learned: LearnedState) {
         for (operation, learned) in self.operations.iter_mut().zip(learned.operations) {
             restore_operation(operation, learned);
@@ -231,15 +235,15 @@
         self.callers.retry_marks = learned.retry_marks;
     }
 
-    /// All that is kept of an invocation in flight.
+    /// Returns the state of an invocation in flight.
     pub fn invocation(&self, number: usize) -> Option<&InvocationState> {
         self.invocations
             .contains(number)
             .then(|| &self.invocations[number])
     }
 
-    /// Takes an invocation up where a predecessor left it, in the order of arrival. It is decided
-    /// on with the next event.
+    /// Restores an invocation of a predecessor. Invocations must be restored in order of arrival.
+    /// Decisions on them are made at the next event.
     pub fn restore_invocation(&mut self, number: usize, mut state: InvocationState) {
         state.request.operation = state.request.operation.min(self.operations.len() - 1);
         self.invocations.insert(number, state);
--- a/crates/merlinshelf-admission/src/interface.rs
+++ b/crates/merlinshelf-admission/src/interface.rs
@@ -1,8 +1,8 @@
-//! The plain types that a host and the controller exchange.
+//! Data types that a host and the controller exchange.
 
 use serde::{Deserialize, Serialize};
 
-/// What is known of an invocation when it has been read. Times are seconds.
+/// An invocation as it was read. Times are seconds.
 ///
 /// It is part of the handover image: a renamed field keeps its stored name.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -12,107 +12,107 @@
     pub operation: usize,
     /// Index of the customer (tenant) in the settings.
     pub customer: usize,
-    /// A number for who sends it.
+    /// Number that identifies its caller.
     pub caller: u64,
-    /// How long its caller still waits, where that is passed on.
+    /// How long its caller still waits, if the caller passes its timeout on.
     #[serde(rename = "budget")]
     pub caller_timeout: Option<f64>,
-    /// How long ago it reached the machine.
+    /// Time since it reached the machine.
     pub age: f64,
-    /// Expected work in seconds of a standard core, where a hint is given.
+    /// Expected work in seconds of a standard core, if a hint is given.
     #[serde(rename = "cost")]
     pub cost_hint: Option<f64>,
-    /// Memory that it takes until it is answered.
+    /// Memory that it takes until it is answered, in kilobytes.
     #[serde(rename = "held_kb")]
     pub held_kilobytes: f64,
-    /// Its place among all invocations, 0 to 1; 0 is the lowest priority.
+    /// Priority rank among all invocations, from 0 (lowest) to 1.
     pub rank: f64,
-    /// A retry or a hedged request, as far as callers mark them.
+    /// Whether it is a retry or a hedged request, if its caller marks these.
     #[serde(rename = "again")]
     pub is_retry: bool,
-    /// Whether it has a subject by which reads can be joined.
+    /// Whether it has a subject by which concurrent reads can share one result.
     pub has_subject: bool,
-    /// It repeats an invocation that this backend keeps or has run.
+    /// Whether it repeats an invocation that this backend has in its table or has run.
     #[serde(rename = "repeats")]
     pub is_repeat: bool,
-    /// The number of the invocation that it repeats, while the host still knows it.
+    /// Number of the invocation that it repeats, if the host still knows it.
     #[serde(rename = "earlier")]
     pub original: Option<usize>,
 }
 
-/// How a run or a downstream call has ended.
+/// How a run or a downstream call ended.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Outcome {
-    /// It ended well.
+    /// Whether it completed successfully.
     pub succeeded: bool,
-    /// Proof that nothing was run.
+    /// Whether it certainly was not executed, so that it can't have taken effect.
     pub never_ran: bool,
-    /// Stopped on request.
+    /// Whether it was stopped on request.
     pub stopped: bool,
 }
 
-/// An invocation that is refused without having run.
+/// The rejection of an invocation that has not run.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Rejection {
-    /// Its number.
+    /// Number of the invocation.
     pub invocation: usize,
-    /// After how long its caller may come back, seconds; 0 where the settings allow no such advice.
+    /// Time after which its caller may retry, in seconds; 0 if the settings allow no such advice.
     pub retry_after_seconds: f64,
-    /// Its caller is asked not to try another server.
+    /// Whether its caller is asked not to try another server.
     pub no_failover: bool,
 }
 
-/// What a host carries out after an event, field by field in this order. Numbers are those of
-/// invocations, times are seconds from now.
+/// Decisions that a host carries out after an event, in the order of the fields. Integers are
+/// numbers of invocations, times are seconds from now.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Decisions {
-    /// Refused without having run.
+    /// Invocations to reject; they have not run.
     pub rejected: Vec<Rejection>,
-    /// Answered with an error, having run or joined another.
+    /// Invocations to answer with an error; they have run or joined another invocation.
     pub failed: Vec<usize>,
-    /// Running work to stop.
+    /// Runs to stop.
     pub stopped: Vec<usize>,
-    /// Kept in the table of repeats for that long.
+    /// Invocations to keep in the table of repeats, each with the time to keep it.
     pub cached: Vec<(usize, f64)>,
-    /// Dropped from the table of repeats.
+    /// Invocations to remove from the table of repeats.
     pub evicted: Vec<usize>,
-    /// Answered with the result of the invocation they repeat.
+    /// Repeats to answer with the result of the invocation that they repeat.
     pub joined: Vec<usize>,
     /// Runs to start.
     pub started: Vec<usize>,
     /// Downstream calls to make, each with its timeout.
     pub called: Vec<(usize, f64)>,
-    /// Runs that go on without their downstream call.
+    /// Runs that continue without their downstream call, with a degraded result.
     pub degraded: Vec<usize>,
-    /// Health, good or not, where it has changed; health checks are answered from what was last
-    /// said here.
+    /// Whether the instance is healthy, if that changed. Health checks are answered with the last
+    /// value.
     pub health: Option<bool>,
-    /// The load value that goes out with answers, where it has changed.
+    /// The advertised level to send with answers, if it changed.
     pub level: Option<f64>,
-    /// Idle time after which connections are closed, where it has changed.
+    /// Idle time after which connections are closed, if it changed.
     pub idle_timeout: Option<f64>,
     /// When to call [`timer_fired`](crate::AdmissionController::timer_fired), and the handle to
     /// pass.
     pub timers: Vec<(f64, u64)>,
-    /// Lines for the operators' log.
+    /// Messages for the operators' log.
     pub notes: Vec<String>,
-    /// Numbers that the controller has done with; the host may hand them out again.
+    /// Numbers of finished invocations; the host may assign them again.
     pub released: Vec<usize>,
 }
 
-/// What the budgets of a fleet leave one instance for downstream calls at this moment, and how the
-/// dependency fares for all. The default bounds nothing.
+/// Downstream calls that the fleet's budgets currently leave to one instance, and the health of the
+/// dependency as seen by the fleet. The default has no limits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DownstreamQuota {
-    /// First attempts.
+    /// Number of first attempts.
     pub first_calls: u32,
-    /// Further attempts.
+    /// Number of further attempts.
     pub retries: u32,
-    /// Trial calls while the breaker is open.
+    /// Number of trial calls while the breaker is open.
     pub probes: u32,
-    /// It fails for all: trial calls alone.
+    /// Whether the dependency fails for the whole fleet, so that only trial calls are allowed.
     pub probes_only: bool,
-    /// It has come back for all, after it failed.
+    /// Whether the dependency has recovered for the whole fleet since the previous quota.
     pub reopened: bool,
 }
 
@@ -128,11 +128,11 @@
     }
 }
 
-/// What became of the downstream quota that was set before.
+/// Usage of the previous downstream quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DownstreamUsage {
-    /// What was not used of it.
+    /// The part of the quota that was not used.
     pub unused: DownstreamQuota,
-    /// The dependency fails, as seen by this instance.
+    /// Whether the dependency fails as seen by this instance.
     pub is_failing: bool,
 }
--- a/crates/merlinshelf-admission/src/invocations.rs
+++ b/crates/merlinshelf-admission/src/invocations.rs
@@ -1,10 +1,10 @@
-//! The invocations in flight, by the numbers that the host gave them.
+//! Table of the invocations in flight, by the numbers that the host assigned.
 
 use std::ops::{Index, IndexMut};
 
 use crate::{InvocationState, Stage};
 
-/// All invocations in flight, in their order of arrival.
+/// All invocations in flight, in order of arrival.
 #[derive(Default)]
 pub(crate) struct InvocationTable {
     states: Vec<InvocationState>,
@@ -13,7 +13,7 @@
 }
 
 impl InvocationTable {
-    /// Adds an invocation as the last arrival, under a number that is free.
+    /// Adds an invocation as the last arrival, under an unused number.
     pub fn insert(&mut self, number: usize, state: InvocationState) {
         let length = self.states.len().max(number + 1);
         self.states.resize_with(length, InvocationState::default);
@@ -31,12 +31,12 @@
         self.live.contains(&number)
     }
 
-    /// All in flight, by arrival.
+    /// All invocations in flight, in order of arrival.
     pub fn all(&self) -> impl Iterator<Item = &InvocationState> {
         self.live.iter().map(|&number| &self.states[number])
     }
 
-    /// Those that match, by arrival.
+    /// The invocations that match, in order of arrival.
     pub fn matching(
         &self,
         predicate: impl Fn(&InvocationState) -> bool,
@@ -44,12 +44,12 @@
         self.all().filter(move |invocation| predicate(invocation))
     }
 
-    /// How many match.
+    /// Number of invocations that match.
     pub fn count(&self, predicate: impl Fn(&InvocationState) -> bool) -> usize {
         self.matching(predicate).count()
     }
 
-    /// The number of the first one, by arrival, that matches.
+    /// The number of the earliest arrival that matches.
     pub fn first(&self, predicate: impl Fn(&InvocationState) -> bool) -> Option<usize> {
         self.live
             .iter()
@@ -57,8 +57,8 @@
             .find(|&number| predicate(&self.states[number]))
     }
 
-    /// The number of the one with the highest priority of those that match; of equals, the one
-    /// whose objective comes first.
+    /// The number of the matching invocation with the highest priority; among equal priorities, the
+    /// one with the earliest objective deadline.
     pub fn highest(
         &self,
         predicate: impl Fn(&InvocationState) -> bool,
@@ -81,17 +81,17 @@
         })
     }
 
-    /// The first one that was read and is not decided on yet.
+    /// The earliest arrival that is neither admitted nor rejected yet.
     pub fn newly_read(&self) -> Option<usize> {
         self.first(|invocation| invocation.stage == Stage::Read)
     }
 
-    /// Runs on the cores.
+    /// Number of runs on the cores.
     pub fn running(&self) -> usize {
         self.count(|invocation| invocation.stage == Stage::Running)
     }
 
-    /// Read, queued or running: what the limit counts.
+    /// Number of invocations that count towards the concurrency limit.
     pub fn in_flight(&self) -> usize {
         self.count(|invocation| {
             matches!(
--- a/crates/merlinshelf-admission/src/lib.rs
+++ b/crates/merlinshelf-admission/src/lib.rs
@@ -1,14 +1,15 @@
-//! Admission control of one backend process: what is admitted, queued, run, called downstream and
-//! rejected.
+//! Admission control and scheduling of one backend process. It decides which invocations are
+//! admitted, queued, run or rejected, and which runs may call downstream.
 //!
-//! The core is the load shedding guide of Quarkus: a concurrency limit by TCP Vegas, and over it a
-//! rejection threshold for cohort groups that falls with the cube of the CPU load (docs/design.md).
-//! A host makes one [`AdmissionController`] per backend process and feeds it events with the clock
-//! in seconds; each event returns [`Decisions`], which the host carries out. Invocations go by
-//! small numbers that the host hands out, and may hand out again once they are `released`.
+//! The algorithm follows the load shedding guide of Quarkus: a concurrency limit by TCP Vegas, and
+//! above the limit a rejection threshold for cohort groups that falls with the cube of the CPU load
+//! (docs/design.md). A host creates one [`AdmissionController`] per backend process and calls one
+//! method for each event, with the clock in seconds. Each method returns [`Decisions`], which the
+//! host carries out. Invocations are identified by small numbers that the host assigns, and may
+//! assign again once they are `released`.
 //!
-//! The order of all decisions stands in one place, the table in `rules`. Each module holds the
-//! conditions and effects of one concern.
+//! The order of all decisions is defined by the table in `rules`. Each module holds the conditions
+//! and effects of one concern.
 
 mod advertisement;
 mod callers;
--- a/crates/merlinshelf-admission/src/memory.rs
+++ b/crates/merlinshelf-admission/src/memory.rs
@@ -3,11 +3,12 @@
 use crate::controller::AdmissionController;
 use crate::{InvocationState, Stage};
 
-/// A tenth stays free for what is read before an answer can be given.
-const USABLE_PART: f64 = 0.9;
+/// Fraction of the memory limit that is used. The rest is for invocations that are read before they
+/// can be answered.
+const USABLE_FRACTION: f64 = 0.9;
 
 impl AdmissionController {
-    /// An arrival whose entry in the table of repeats does not fit any more.
+    /// An arrival that, with its entry in the table of repeats, exceeds the memory limit.
     pub(crate) fn find_exceeding_memory(&self) -> Option<usize> {
         let number = self.invocations.newly_read()?;
         let operation = self.invocations[number].request.operation;
@@ -19,7 +20,7 @@
         (entry > self.free_kilobytes()).then_some(number)
     }
 
-    /// Memory that is not in use; below 0 where the limit is exceeded.
+    /// Unused memory in kilobytes; negative if the limit is exceeded.
     pub(crate) fn free_kilobytes(&self) -> f64 {
         let factor = self.settings.number("FamilyInfo.RunFactor", 1.0);
         let needs = |invocation: &InvocationState| match invocation.stage {
@@ -32,6 +33,6 @@
         let table =
             self.repeats.entries.len() as f64 * self.settings.number("FamilyInfo.KeyKb", 0.0);
         let used = in_flight + table;
-        USABLE_PART * self.settings.number("FamilyInfo.HeapKb", f64::INFINITY) - used
+        USABLE_FRACTION * self.settings.number("FamilyInfo.HeapKb", f64::INFINITY) - used
     }
 }
--- a/crates/merlinshelf-admission/src/priority.rs
+++ b/crates/merlinshelf-admission/src/priority.rs
@@ -1,4 +1,4 @@
-//! Priority load shedding: cohort groups, the rejection threshold, quotas of customers, priority
+//! Priority load shedding: cohort groups, the rejection threshold, customer quotas and priority
 //! weights.
 //!
 //! Source: the load shedding guide of Quarkus, 2.2 (docs/design.md).
@@ -7,36 +7,38 @@
 use crate::controller::AdmissionController;
 use crate::samples::push;
 
-/// Priority buckets, by rank; the lowest rank is in the last one.
-const BUCKETS: f64 = 5.0;
-/// Cohorts of callers in each bucket.
-const COHORTS: f64 = 128.0;
-/// Bits of a hash that number a cohort are its highest ones.
+/// Number of priority buckets. The lowest ranks are in the last bucket.
+const PRIORITY_BUCKETS: f64 = 5.0;
+/// Number of caller cohorts in each bucket.
+const COHORTS_PER_BUCKET: f64 = 128.0;
+/// Shift that reduces a 64-bit hash to a cohort number: its seven highest bits.
 const COHORT_SHIFT: u32 = 57;
 const SECONDS_PER_HOUR: f64 = 3600.0;
-/// What a retry's priority weight is of a first attempt's: it keeps retries from taking the cores
-/// of first attempts. Harm: one that was rejected at once waits longer. 0.2 measured: no better.
-const RETRY_WEIGHT: f64 = 0.5;
-/// A customer is over its quota once its rate is so many deviations above it: a few arrivals at one
-/// of hundreds of backends say little.
+/// Priority weight of a retry relative to a first attempt. It keeps retries from displacing first
+/// attempts on the cores. Drawback: a retry of an invocation that was rejected immediately waits
+/// longer.
+const RETRY_WEIGHT_FACTOR: f64 = 0.5;
+/// A customer exceeds its quota once its rate is this many standard deviations above it, since a
+/// few arrivals at one of hundreds of backends are weak evidence.
 const QUOTA_DEVIATIONS: f64 = 2.0;
 
 impl AdmissionController {
-    /// The CPU load up to which nothing is rejected by group; the guide's own.
+    /// CPU load above which cohort groups are rejected, from the guide.
     pub(crate) const REJECTION_LOAD: f64 = 0.8;
 
-    /// An arrival over the limit, on busy cores, whose group is above the threshold.
+    /// An arrival above the limit whose group is above the rejection threshold, while the CPU load
+    /// is high.
     pub(crate) fn find_above_threshold(&self) -> Option<usize> {
         let load = self.cpu_load();
-        let is_over = self.invocations.in_flight() as f64 > self.limit;
-        let sheds = is_over && load > AdmissionController::REJECTION_LOAD;
+        let exceeds_limit = self.invocations.in_flight() as f64 > self.limit;
+        let sheds = exceeds_limit && load > AdmissionController::REJECTION_LOAD;
         self.invocations
             .newly_read()
             .filter(|&number| sheds && self.cohort_group(number) > rejection_threshold(load))
     }
 
-    /// The cohort group of an invocation, from 1. The instance's seed goes into the cohort, so that
-    /// no caller is shut out on all servers for the same hour.
+    /// The cohort group of an invocation, from 1. The cohort depends on the instance's seed and the
+    /// hour, so that no caller is rejected by all instances during the same hour.
     fn cohort_group(&self, number: usize) -> f64 {
         let invocation = &self.invocations[number];
         let rank = if invocation.exceeds_quota {
@@ -44,18 +46,18 @@
         } else {
             invocation.request.rank.clamp(0.0, 0.999)
         };
-        let bucket = (BUCKETS - 1.0) - (rank * BUCKETS).floor();
+        let bucket = (PRIORITY_BUCKETS - 1.0) - (rank * PRIORITY_BUCKETS).floor();
         let hour = (self.now / SECONDS_PER_HOUR) as u64;
         let hash = (invocation.request.caller ^ self.seed.rotate_left(17) ^ hour.rotate_left(40))
             .wrapping_mul(0x9E37_79B9_7F4A_7C15);
-        bucket * COHORTS + (hash >> COHORT_SHIFT) as f64 + 1.0
+        bucket * COHORTS_PER_BUCKET + (hash >> COHORT_SHIFT) as f64 + 1.0
     }
 
-    /// Billed value by second of core.
+    /// Billed value per core second.
     pub(crate) fn priority_weight(&self, invocation: &InvocationState) -> f64 {
         let value = self.operations[invocation.request.operation].settings.value;
         let retry = if invocation.request.is_retry {
-            RETRY_WEIGHT
+            RETRY_WEIGHT_FACTOR
         } else {
             1.0
         };
@@ -72,8 +74,9 @@
         value * (retry * quota) / work
     }
 
-    /// Records an arrival of a customer. Whether it is over the customer's quota: by chance, in
-    /// proportion, once the customer clearly is over it here.
+    /// Records an arrival of a customer and returns whether it counts as above the customer's
+    /// quota. Once the customer clearly exceeds the quota, this is drawn at random, with a
+    /// probability equal to the excess fraction of its rate.
     pub(crate) fn record_customer_arrival(&mut self, customer: usize) -> bool {
         let setting = format!("Tenants.{customer}.QuotaPerS");
         let quota = self.settings.number(&setting, 0.0);
@@ -86,12 +89,12 @@
         push(arrivals, self.now);
         let count = arrivals.len() as f64;
         let rate = servers * (count - 1.0) / (self.now - arrivals[0]).max(0.5);
-        let bound = quota * (1.0 + QUOTA_DEVIATIONS / count.sqrt());
-        quota > 0.0 && rate > bound && self.random() < 1.0 - quota / rate
+        let max_rate = quota * (1.0 + QUOTA_DEVIATIONS / count.sqrt());
+        quota > 0.0 && rate > max_rate && self.random() < 1.0 - quota / rate
     }
 }
 
-/// Groups above this are rejected at a CPU load of 0 to 1.
+/// The highest cohort group that is admitted at a CPU load from 0 to 1.
 fn rejection_threshold(load: f64) -> f64 {
-    BUCKETS * COHORTS * (1.0 - load.powi(3))
+    PRIORITY_BUCKETS * COHORTS_PER_BUCKET * (1.0 - load.powi(3))
 }
--- a/crates/merlinshelf-admission/src/retry_after.rs
+++ b/crates/merlinshelf-admission/src/retry_after.rs
@@ -1,22 +1,23 @@
-//! Final answers to what is not served: rejections with a time to come back, and failures.
+//! Final answers to invocations that are not served: rejections with a retry time, and failures.
 
 use crate::controller::{AdmissionController, TICK_SECONDS};
 use crate::samples::{mean_with_prior, push};
 use crate::{Rejection, Stage};
 
-/// Part of retries among the last arrivals over which callers are asked not to try elsewhere: all
-/// reject then. It keeps storms of retries from growing. Harm: work is lost where other servers
-/// have room.
-const RETRY_STORM_PART: f64 = 0.15;
-/// Retry-After is drawn between a quarter and three quarters of the time that the work in flight
-/// takes.
-const RETRY_AFTER_LEAST_PART: f64 = 0.25;
-const RETRY_AFTER_SPREAD: f64 = 0.5;
+/// Share of retries among the recent arrivals above which callers are asked not to fail over, since
+/// other instances are then likely to reject too. This keeps retry storms from growing. Drawback:
+/// work is lost if other instances have capacity.
+const RETRY_STORM_SHARE: f64 = 0.15;
+/// Retry-After is drawn at random between this fraction of the expected time to finish the work in
+/// flight and the sum of this fraction and [`RETRY_AFTER_FRACTION_SPREAD`].
+const MIN_RETRY_AFTER_FRACTION: f64 = 0.25;
+/// Width of the range from which the fraction for Retry-After is drawn.
+const RETRY_AFTER_FRACTION_SPREAD: f64 = 0.5;
 
 impl AdmissionController {
-    /// The final answer to what can't be served: rejected if it has not run, else failed, as is a
-    /// repeat.
-    pub(crate) fn give_up(&mut self, number: usize) {
+    /// Sends the final answer to an invocation that can't be served: a rejection if it has not run
+    /// and is no repeat, else a failure.
+    pub(crate) fn reject_or_fail(&mut self, number: usize) {
         let now = self.now;
         let invocation = &mut self.invocations[number];
         if matches!(invocation.stage, Stage::Read | Stage::Queued) && !invocation.request.is_repeat
@@ -25,8 +26,8 @@
         }
         invocation.is_answered = true;
         if matches!(invocation.stage, Stage::AwaitingCall | Stage::Calling) {
-            // Its time at the call counts, else a slow dependency shows only in the calls that it
-            // let through.
+            // Without its time in the call, the samples of a slow dependency would cover only the
+            // calls that succeeded.
             let downstream = invocation.off_core_seconds + now - invocation.stage_entered_at;
             let operation = &mut self.operations[invocation.request.operation];
             push(&mut operation.samples.downstream_durations, downstream);
@@ -35,7 +36,7 @@
         self.release_if_not_run(number);
     }
 
-    /// Rejects what has not run.
+    /// Rejects an invocation that has not run.
     pub(crate) fn reject(&mut self, number: usize) {
         let is_retry = self.invocations[number].request.is_retry;
         let operation = self.invocations[number].request.operation;
@@ -43,7 +44,7 @@
         let retry_after_seconds = self.retry_after(is_switched_off);
         let retry_share =
             mean_with_prior(&self.callers.retry_marks, self.prior_estimates.retry_share);
-        let no_failover = is_switched_off || is_retry || retry_share > RETRY_STORM_PART;
+        let no_failover = is_switched_off || is_retry || retry_share > RETRY_STORM_SHARE;
         self.decisions.rejected.push(Rejection {
             invocation: number,
             retry_after_seconds,
@@ -56,11 +57,11 @@
         self.release(number);
     }
 
-    /// After how long a caller may come back: about half the time that the work in flight takes,
-    /// drawn, so that callers do not return in a wave; as late as settings allow where no sooner
-    /// return could help.
+    /// Time after which a rejected caller may retry, in seconds. It is drawn at random around half
+    /// of the expected time to finish the work in flight, so that callers don't return all at once.
+    /// If an earlier retry can't succeed, it is the maximum that the settings allow.
     fn retry_after(&mut self, is_switched_off: bool) -> f64 {
-        let most = if self.settings.text("Allowed.RetryAfter") == "true" {
+        let max_seconds = if self.settings.text("Allowed.RetryAfter") == "true" {
             self.settings.seconds("Allowed.MaxRetryAfterUs", 0.0)
         } else {
             0.0
@@ -70,24 +71,25 @@
             .all()
             .map(|invocation| self.expected_run(invocation))
             .sum();
-        let part = RETRY_AFTER_LEAST_PART + RETRY_AFTER_SPREAD * self.random();
-        let drawn = work / self.settings.cores() * part;
+        let fraction = MIN_RETRY_AFTER_FRACTION + RETRY_AFTER_FRACTION_SPREAD * self.random();
+        let drawn = work / self.settings.cores() * fraction;
         if is_switched_off || self.shutdown.is_some() {
-            most
+            max_seconds
         } else {
-            drawn.max(TICK_SECONDS).min(most)
+            drawn.max(TICK_SECONDS).min(max_seconds)
         }
     }
 
-    /// Where callers do not mark retries, the part of decisions that were rejections stands in for
-    /// that of retries.
+    /// Records a decision: 1 for a rejection, 0 for a start. If callers don't mark retries, the
+    /// share of rejections is used in place of the share of retries.
     pub(crate) fn record_decision(&mut self, rejected: f64) {
         if !self.marks_retries {
             push(&mut self.callers.retry_marks, rejected);
         }
     }
 
-    /// Releases what has not run or waits for another's result; a run is released at its end.
+    /// Releases an invocation that has not run, or that waits for another's result. A run is
+    /// released when it ends.
     pub(crate) fn release_if_not_run(&mut self, number: usize) {
         let stage = self.invocations[number].stage;
         if matches!(stage, Stage::Read | Stage::Queued | Stage::Joined) {
--- a/crates/merlinshelf-admission/src/samples.rs
+++ b/crates/merlinshelf-admission/src/samples.rs
@@ -1,16 +1,17 @@
-//! Windows of the last few samples.
+//! Windows of recent samples, and their combination with prior estimates.
 
 use std::collections::VecDeque;
 
 use crate::PriorEstimate;
 
-/// Samples that a window holds: a second or two of a busy operation, recent but not jumpy.
+/// Number of samples in a window. It covers one or two seconds of a busy operation: recent enough,
+/// and large enough for a stable mean.
 pub(crate) const WINDOW: usize = 24;
 
-/// Own samples from which on a prior estimate counts nothing.
-const PRIOR_UNTIL: usize = 8;
-/// What a prior estimate counts for, in samples, at its full weight.
-const PRIOR_SAMPLES: f64 = 3.0;
+/// Number of own samples from which a prior estimate is ignored.
+const SUFFICIENT_SAMPLES: usize = 8;
+/// Number of samples that a prior estimate of full weight counts as.
+const MAX_PRIOR_SAMPLES: f64 = 3.0;
 
 /// Adds a sample and drops the oldest one of a full window.
 pub(crate) fn push<T>(samples: &mut VecDeque<T>, value: T) {
@@ -25,20 +26,21 @@
     samples.iter().sum::<f64>() / samples.len().max(1) as f64
 }
 
-/// A prior estimate as so many samples of one value.
+/// A prior estimate expressed as a number of samples of the same value.
 #[derive(Clone, Copy)]
 pub(crate) struct WeightedPrior {
     pub value: f64,
+    /// Number of samples, not necessarily an integer.
     pub samples: f64,
 }
 
-/// What a prior estimate counts beside so many own samples: as three at the most, nothing beside
-/// eight.
+/// Weighs a prior estimate against a number of own samples: it counts as at most three samples, and
+/// as none from eight own samples on.
 pub(crate) fn weigh_prior(own_samples: usize, prior: Option<PriorEstimate>) -> WeightedPrior {
     match prior {
-        Some(prior) if own_samples < PRIOR_UNTIL => WeightedPrior {
+        Some(prior) if own_samples < SUFFICIENT_SAMPLES => WeightedPrior {
             value: prior.value,
-            samples: PRIOR_SAMPLES * prior.weight.clamp(0.0, 1.0),
+            samples: MAX_PRIOR_SAMPLES * prior.weight.clamp(0.0, 1.0),
         },
         _ => WeightedPrior {
             value: 0.0,
@@ -54,7 +56,7 @@
     sum / (samples.len() as f64 + prior.samples).max(1e-9)
 }
 
-/// Whether fewer samples are there than make a prior estimate unnecessary.
-pub(crate) fn are_few(samples: &VecDeque<f64>) -> bool {
-    samples.len() < PRIOR_UNTIL
+/// Whether there are fewer samples than make a prior estimate unnecessary.
+pub(crate) fn lacks_samples(samples: &VecDeque<f64>) -> bool {
+    samples.len() < SUFFICIENT_SAMPLES
 }
--- a/crates/merlinshelf-admission/src/settings.rs
+++ b/crates/merlinshelf-admission/src/settings.rs
@@ -1,32 +1,34 @@
-//! The settings that the platform hands over: names and values as text, read where they are used.
+//! The settings passed by the platform: names and values as text, parsed when they are used.
 
 use std::collections::BTreeMap;
 
 use thiserror::Error;
 
-/// The settings as they were handed over at the start: names and values, unread.
+/// The settings as passed at the start: names and unparsed values.
 pub type Settings = BTreeMap<String, String>;
 
-/// Why an instance can't start with its settings.
+/// Error in the settings that prevents an instance from starting.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum SettingError {
-    /// The value is used as a number and is not a finite one.
+    /// The value of a numeric setting is not a finite number.
     #[error("setting {name}={value:?} is no number")]
     NotANumber {
         /// Name of the setting.
         name: String,
-        /// Its value as handed over.
+        /// Its unparsed value.
         value: String,
     },
-    /// An operation with an idempotency key names no time for which its keys are remembered.
-    #[error("setting Classes.{operation}.MemorySpanUs is missing or 0, but its effect needs it")]
+    /// An operation with an idempotency key has no time for which its keys are kept.
+    #[error(
+        "setting Classes.{operation}.MemorySpanUs is missing or 0, but operations with an idempotency key need it"
+    )]
     MissingIdempotencyWindow {
         /// Index of the operation in the settings.
         operation: usize,
     },
 }
 
-/// Settings whose names end so are numbers.
+/// Name suffixes of the numeric settings.
 const NUMERIC_SUFFIXES: [&str; 14] = [
     "Us",
     "Kb",
@@ -44,7 +46,7 @@
     "Servers",
 ];
 
-/// Settings whose names end so take one of a few words.
+/// Name suffixes of the settings that accept only certain words, with these words.
 const ENUMERATIONS: [(&str, &str); 2] = [
     (".Effect", "read_like idempotency_key non_idempotent"),
     (".Halt", "silent discard freeze"),
@@ -52,18 +54,18 @@
 
 const MICROSECONDS: f64 = 1e6;
 
-/// Reads settings by name. Parsing is repeated at each use: a policy may replace the settings at
-/// any time.
+/// Reads settings by name. They are parsed at each use, since a policy may replace them at any
+/// time.
 #[derive(Default)]
 pub(crate) struct SettingsReader(Settings);
 
 impl SettingsReader {
-    /// Checks what will be read later. Words that are not known are returned as lines for the log:
-    /// an unknown effect is taken for `non_idempotent` and an unknown halt for none, the strictest
-    /// reading of each.
+    /// Validates the settings. Unknown words are returned as warnings for the log: an unknown
+    /// effect is treated as `non_idempotent`, and with an unknown halt no run is stopped, which is
+    /// the safest interpretation of each.
     ///
     /// # Errors
-    /// The first setting, by name, that is to be a number and is not.
+    /// Returns an error for the first numeric setting, by name, that is not a finite number.
     pub fn new(settings: Settings) -> Result<(SettingsReader, Vec<String>), SettingError> {
         let mut warnings = Vec::new();
         for (name, value) in &settings {
@@ -86,40 +88,40 @@
         Ok((SettingsReader(settings), warnings))
     }
 
-    /// The text of a setting, empty where it is absent.
+    /// The value of a setting; empty if it is absent.
     pub fn text(&self, name: &str) -> &str {
         self.0.get(name).map_or("", String::as_str)
     }
 
-    /// A number, or `absent` where there is none.
-    pub fn number(&self, name: &str, absent: f64) -> f64 {
+    /// The value of a numeric setting, or `default` if it is absent.
+    pub fn number(&self, name: &str, default: f64) -> f64 {
         self.0
             .get(name)
             .and_then(|text| text.parse().ok())
-            .unwrap_or(absent)
+            .unwrap_or(default)
     }
 
-    /// A time that the settings give in microseconds, in seconds; `absent`, in seconds, where there
-    /// is none.
-    pub fn seconds(&self, name: &str, absent: f64) -> f64 {
+    /// The value of a setting in microseconds, converted to seconds; `default`, in seconds, if it
+    /// is absent.
+    pub fn seconds(&self, name: &str, default: f64) -> f64 {
         self.0
             .get(name)
             .and_then(|text| text.parse().ok())
-            .map_or(absent, |microseconds: f64| microseconds / MICROSECONDS)
+            .map_or(default, |microseconds: f64| microseconds / MICROSECONDS)
     }
 
-    /// Whether a setting is switched on, in either of the two forms that platforms write.
+    /// Whether a setting is switched on, in either of the two notations that platforms use.
     pub fn is_on(&self, name: &str) -> bool {
         is_true(self.text(name))
     }
 
-    /// Cores of the engine, one at the least.
+    /// Number of cores of the engine, at least 1.
     pub fn cores(&self) -> f64 {
         self.number("FamilyInfo.Cores", 1.0).max(1.0)
     }
 
-    /// Mean number of downstream calls that this instance may have open; infinite where the
-    /// settings name none.
+    /// Mean number of downstream calls that this instance may have open; infinite if the settings
+    /// give no quota.
     pub fn call_quota(&self) -> f64 {
         self.number("FamilyInfo.CallShare", f64::INFINITY)
     }
@@ -133,29 +135,30 @@
     matches!(text, "true" | "1")
 }
 
-/// What the settings say of one operation. Times are seconds.
+/// Settings of one operation. Times are seconds.
 #[derive(Default)]
 pub(crate) struct OperationSettings {
-    /// Running it twice does no harm.
+    /// Whether it may safely run more than once.
     pub is_idempotent: bool,
-    /// Repeats carry the same idempotency key and are answered with the first one's result.
+    /// Whether repeats carry an idempotency key and are answered with the result of the first
+    /// attempt.
     pub has_idempotency_key: bool,
-    /// Latency objective; 0 where the operators have switched the operation off.
+    /// Latency objective; 0 if the operators have switched the operation off.
     pub objective: f64,
-    /// What the objective grows by for each second of hinted cost.
+    /// Seconds added to the objective for each second of the cost hint.
     pub objective_stretch: f64,
-    /// After this long the caller gives up.
+    /// Timeout of the caller.
     pub timeout: f64,
     /// Billed value of an answer within the objective.
     pub value: f64,
-    /// Part of the value that a later answer still has.
+    /// Fraction of the value that an answer after the objective still has.
     pub late_value: f64,
-    /// For how long a repeat of an arrival may come.
+    /// How long after an arrival its repeats may arrive.
     pub idempotency_window: f64,
-    /// Part of the value that an answer without its downstream call has; 0 where it can't do
-    /// without.
+    /// Fraction of the value that an answer without its downstream call has; 0 if the operation
+    /// needs its call.
     pub value_without_call: f64,
-    /// It makes downstream calls.
+    /// Whether it makes downstream calls.
     pub makes_calls: bool,
 }
 
@@ -183,12 +186,12 @@
         }
     }
 
-    /// It can't be answered without its downstream call.
+    /// Whether it can't be answered without its downstream call.
     pub fn needs_call(&self) -> bool {
         self.makes_calls && self.value_without_call == 0.0
     }
 
-    /// Whether the operators have switched it off: an objective of nothing is met by nothing.
+    /// Whether the operators have switched it off. No answer can meet an objective of 0.
     pub fn is_switched_off(&self) -> bool {
         self.objective == 0.0
     }
