--- a/crates/merlinshelf-admission/src/controller/tests.rs
+++ b/crates/merlinshelf-admission/src/controller/tests.rs
@@ -1,9 +1,9 @@
-//! Tests of what can't be seen from outside: remembered callers, names of rules, settings.
+//! Tests of internal state: the caller history, the rules by name, settings, advertised values.
 
 use super::*;
 use crate::rules::Rule;
 
-fn read<'a>(settings: impl IntoIterator<Item = &'a (&'a str, &'a str)>) -> Settings {
+fn settings_from<'a>(settings: impl IntoIterator<Item = &'a (&'a str, &'a str)>) -> Settings {
     settings
         .into_iter()
         .map(|&(name, value)| (name.to_owned(), value.to_owned()))
@@ -15,16 +15,16 @@
 }
 
 #[test]
-fn callers_that_are_always_new_do_not_fill_the_memory() {
+fn the_caller_history_stays_bounded_when_all_callers_are_new() {
     let settings = [
         ("Classes.count", "1"),
         ("FamilyInfo.CallerIdleUs", "30000000"),
     ];
     let (mut controller, _) =
-        AdmissionController::start(0.0, 1, read(&settings)).expect("settings that are read");
-    let mut most = 0;
-    // Two a millisecond for a while, then ten a second; one comes back all the time and stays
-    // known.
+        AdmissionController::start(0.0, 1, settings_from(&settings)).expect("valid settings");
+    let mut max_remembered = 0;
+    // Two new callers per millisecond for 8 seconds, then ten per second. Caller 0 returns all the
+    // time and must stay in the history.
     for number in 0..20_000u32 {
         let now = if number < 16_000 {
             f64::from(number) / 2e3
@@ -46,11 +46,11 @@
             },
         );
         controller.timer_fired(now, 0, &BTreeMap::new());
-        most = most.max(controller.callers.last_arrivals.len());
+        max_remembered = max_remembered.max(controller.callers.last_arrivals.len());
     }
     assert!(
-        most <= 5_000 && controller.callers.last_arrivals.contains_key(&0),
-        "{most}"
+        max_remembered <= 5_000 && controller.callers.last_arrivals.contains_key(&0),
+        "{max_remembered}"
     );
     assert!(
         controller.callers.last_arrivals.len() <= 310,
@@ -59,7 +59,7 @@
     );
 }
 
-fn instance(extra: &[(&str, &str)]) -> AdmissionController {
+fn start_controller(extra: &[(&str, &str)]) -> AdmissionController {
     let base = [
         ("Classes.count", "3"),
         ("Classes.0.Effect", "read_like"),
@@ -83,8 +83,8 @@
         ("Allowed.RetryAfter", "true"),
         ("Allowed.MaxRetryAfterUs", "1000000"),
     ];
-    AdmissionController::start(0.0, 1, read(base.iter().chain(extra)))
-        .expect("settings that are read")
+    AdmissionController::start(0.0, 1, settings_from(base.iter().chain(extra)))
+        .expect("valid settings")
         .0
 }
 
@@ -97,10 +97,10 @@
     }
 }
 
-/// Both cores busy with runs 0 and 1 of the operation, and `number` queued, which does not decide
-/// anything yet.
+/// A controller with invocations 0 and 1 of the operation running on both cores, and `number`
+/// queued behind them.
 fn with_one_queued(operation: usize, number: usize) -> AdmissionController {
-    let mut controller = instance(&[]);
+    let mut controller = start_controller(&[]);
     for running in 0..2 {
         controller.invocation_arrived(0.0, running, invocation(operation));
     }
@@ -113,21 +113,21 @@
     controller
 }
 
-/// What a rule that gives up has ceased to mean to serve is answered in that same decision: no rule
-/// may keep it until near its caller's timeout.
+/// A rule that rejects or fails an invocation must answer it in the same decisions: an invocation
+/// that won't be served must not wait until shortly before its caller times out.
 #[test]
-#[expect(clippy::too_many_lines, reason = "a table of one scene a rule")]
-fn whatever_is_given_up_is_answered_in_that_same_decision() {
-    type Scene = fn() -> (AdmissionController, Decisions);
-    let scenes: &[(&str, Scene)] = &[
+#[expect(clippy::too_many_lines, reason = "a table with one scenario per rule")]
+fn rules_that_reject_or_fail_an_invocation_answer_it_in_the_same_decisions() {
+    type ScenarioFn = fn() -> (AdmissionController, Decisions);
+    let scenarios: &[(&str, ScenarioFn)] = &[
         ("answer before the deadline", || {
-            let mut controller = instance(&[("Classes.2.AimUs", "4000000")]);
+            let mut controller = start_controller(&[("Classes.2.AimUs", "4000000")]);
             controller.invocation_arrived(0.0, 7, invocation(2));
             let decisions = controller.timer_fired(3.99, 0, &BTreeMap::new());
             (controller, decisions)
         }),
         ("stay within the memory limit", || {
-            let mut controller = instance(&[("FamilyInfo.HeapKb", "100")]);
+            let mut controller = start_controller(&[("FamilyInfo.HeapKb", "100")]);
             let decisions = controller.invocation_arrived(
                 0.0,
                 7,
@@ -139,13 +139,13 @@
             (controller, decisions)
         }),
         ("reject arrivals after the shutdown grace", || {
-            let mut controller = instance(&[]);
+            let mut controller = start_controller(&[]);
             controller.shutdown_requested(0.0, 5.0);
             let decisions = controller.invocation_arrived(1.5, 7, invocation(0));
             (controller, decisions)
         }),
         ("reject cohort groups above the threshold", || {
-            let mut controller = instance(&[]);
+            let mut controller = start_controller(&[]);
             controller.timer_fired(0.0, 0, &gauges(1.0));
             for number in 0..2 {
                 controller.invocation_arrived(0.0, number, invocation(0));
@@ -154,7 +154,7 @@
             (controller, decisions)
         }),
         ("reject arrivals that miss their objective", || {
-            let mut controller = instance(&[]);
+            let mut controller = start_controller(&[]);
             controller.invocation_arrived(0.0, 0, invocation(0));
             controller.run_ended(
                 0.9,
@@ -176,20 +176,20 @@
             controller.timer_fired(0.99, 0, &BTreeMap::new());
             assert!(
                 controller.invocation(7).is_some(),
-                "meant to serve until its objective"
+                "stays queued until its objective"
             );
             let decisions = controller.timer_fired(1.01, 0, &BTreeMap::new());
             (controller, decisions)
         }),
         ("fail runs whose call can't succeed", || {
-            let mut controller = instance(&[]);
+            let mut controller = start_controller(&[]);
             controller.invocation_arrived(0.0, 7, invocation(2));
             controller.call_requested(0.1, 7);
             let decisions = controller.call_ended(0.2, 7, Outcome::default());
             (controller, decisions)
         }),
     ];
-    let serving = [
+    let serving_rules = [
         "stop abandoned runs",
         "join repeats to the first attempt",
         "raise the limit while cores are idle",
@@ -200,14 +200,14 @@
         "advertise health and load",
     ];
     for Rule { name, .. } in RULES {
-        let gives_up = scenes.iter().any(|(scene, _)| scene == name);
+        let has_scenario = scenarios.iter().any(|(rule, _)| rule == name);
         assert!(
-            gives_up != serving.contains(name),
-            "{name}: played here, or sorted among those that serve"
+            has_scenario != serving_rules.contains(name),
+            "{name}: must have a scenario or be listed as a serving rule, not both"
         );
     }
-    for (name, scene) in scenes {
-        let (controller, decisions) = scene();
+    for (name, run_scenario) in scenarios {
+        let (controller, decisions) = run_scenario();
         let rejection = decisions
             .rejected
             .iter()
@@ -218,19 +218,19 @@
         );
         assert!(
             rejection.is_none_or(|rejection| rejection.retry_after_seconds > 0.0),
-            "{name}: when to come back {decisions:?}"
+            "{name}: no retry time in {decisions:?}"
         );
         assert!(
             controller
                 .invocation(7)
                 .is_none_or(|state| state.is_answered),
-            "{name}: no answer is owed any more"
+            "{name}: invocation 7 is still unanswered"
         );
     }
 }
 
 #[test]
-fn repeats_that_joined_an_invocation_given_up_before_its_run_are_answered_in_that_same_decision() {
+fn repeats_of_an_invocation_rejected_before_its_run_fail_in_the_same_decisions() {
     let mut controller = with_one_queued(1, 7);
     let repeat = Invocation {
         is_repeat: true,
@@ -251,8 +251,8 @@
         [7]
     );
     assert_eq!((decisions.failed, decisions.evicted), (vec![8], vec![7]));
-    // Its number may be handed out again: who waits for an answer of a run is not taken for its
-    // repeat.
+    // When a number is assigned again, a repeat that joined its previous invocation must not be
+    // taken for a repeat of the new one.
     controller.invocation_arrived(
         1.1,
         9,
@@ -286,7 +286,7 @@
 }
 
 #[test]
-fn a_repeat_read_together_with_the_first_caller_s_disconnect_starts_afresh() {
+fn a_repeat_read_at_the_same_time_as_the_disconnect_of_the_first_caller_is_queued_itself() {
     let mut controller = with_one_queued(1, 7);
     assert_eq!(controller.caller_disconnected(0.5, 7).evicted, [7]);
     let decisions = controller.invocation_arrived(
@@ -301,19 +301,19 @@
     assert_eq!(
         (decisions.joined, decisions.cached.len()),
         (vec![], 1),
-        "nothing has run: it is queued for itself"
+        "nothing has run, so the repeat is queued itself"
     );
 }
 
 #[test]
-fn settings_that_at_most_once_rests_on_are_never_read_as_harmless_ones() {
+fn invalid_settings_of_at_most_once_execution_are_never_treated_as_permissive() {
     let start = |name: &str, value: &str| {
         let settings = [
             ("Classes.count", "1"),
             ("Classes.0.Effect", "idempotency_key"),
             (name, value),
         ];
-        AdmissionController::start(0.0, 1, read(&settings))
+        AdmissionController::start(0.0, 1, settings_from(&settings))
             .err()
             .map(|error| error.to_string())
             .unwrap_or_default()
@@ -331,17 +331,17 @@
     }
     assert!(
         start("FamilyInfo.Cores", "2").contains("Classes.0.MemorySpanUs"),
-        "no window to keep keys for"
+        "no window for idempotency keys"
     );
     assert_eq!(start("Classes.0.MemorySpanUs", "5000000"), "");
-    // Not a known word: named at the start and taken for the strictest.
+    // Unknown words cause a warning at the start and are treated as the strictest value.
     let settings = [
         ("Classes.count", "1"),
         ("Classes.0.Effect", "idempotent-ish"),
         ("FamilyInfo.Halt", "kill"),
     ];
     let (mut controller, decisions) =
-        AdmissionController::start(0.0, 1, read(&settings)).expect("it starts");
+        AdmissionController::start(0.0, 1, settings_from(&settings)).expect("valid settings");
     for (note, name) in decisions
         .notes
         .iter()
@@ -362,12 +362,12 @@
     assert_eq!(
         (after_disconnect.stopped, controller.invocation(7).is_some()),
         (vec![], true),
-        "what runs is not stopped"
+        "the run is not stopped"
     );
 }
 
 #[test]
-fn long_runs_on_busy_cores_are_no_hang() {
+fn long_runs_on_busy_cores_are_not_taken_for_a_hang() {
     let mut controller = with_one_queued(0, 7);
     for (busy, healthy) in [(1.0, true), (0.1, false)] {
         controller.timer_fired(if healthy { 0.97 } else { 0.98 }, 0, &gauges(busy));
@@ -380,9 +380,9 @@
 }
 
 #[test]
-fn unmarked_retries_show_by_rejections_and_keep_connections() {
-    let play = |marks: &str| {
-        let mut controller = instance(&[
+fn without_retry_marks_rejections_disable_failover_and_keep_connections_open() {
+    let run_with_marks = |marks: &str| {
+        let mut controller = start_controller(&[
             ("FamilyInfo.CallerIdleUs", "30000000"),
             ("Callers.MarksRetry", marks),
         ]);
@@ -397,7 +397,7 @@
             },
             0.3,
         );
-        let mut last = false;
+        let mut no_failover = false;
         for number in 0..60 {
             let now = 0.31 + 0.01 * number as f64;
             controller.timer_fired(now, 0, &gauges(1.0));
@@ -410,38 +410,38 @@
                     ..invocation(0)
                 },
             );
-            last = decisions
+            no_failover = decisions
                 .rejected
                 .first()
-                .map_or(last, |rejection| rejection.no_failover);
+                .map_or(no_failover, |rejection| rejection.no_failover);
         }
         (
-            last,
+            no_failover,
             controller.advertisement.last.map(|last| last.idle_timeout),
         )
     };
     assert_eq!(
-        play("false"),
+        run_with_marks("false"),
         (true, Some(30.0)),
-        "all reject: no failover, no new connections"
+        "most arrivals are rejected: no failover, connections stay open"
     );
     assert_eq!(
-        play("true"),
+        run_with_marks("true"),
         (false, Some(0.01)),
-        "no attempt was marked as a retry: others have room"
+        "no attempt is marked as a retry: failover is allowed"
     );
 }
 
 #[test]
-fn a_caller_timeout_well_under_the_longest_lately_marks_a_retry() {
-    let play = |marks: &str| {
-        let mut controller = instance(&[("Callers.MarksRetry", marks)]);
-        let mut arrive = |number, budget| {
+fn a_caller_timeout_well_below_the_longest_recent_one_indicates_a_retry() {
+    let run_with_marks = |marks: &str| {
+        let mut controller = start_controller(&[("Callers.MarksRetry", marks)]);
+        let mut arrive = |number, timeout| {
             controller.invocation_arrived(
                 0.0,
                 number,
                 Invocation {
-                    caller_timeout: Some(budget),
+                    caller_timeout: Some(timeout),
                     age: 0.1,
                     ..invocation(0)
                 },
@@ -455,17 +455,17 @@
             arrive(3, 1.9),
         ]
     };
-    assert_eq!(play("false"), [false, false, true, true]);
+    assert_eq!(run_with_marks("false"), [false, false, true, true]);
     assert_eq!(
-        play("true"),
+        run_with_marks("true"),
         [false; 4],
-        "where retries are marked the mark alone counts"
+        "if callers mark retries, only the mark counts"
     );
 }
 
 #[test]
-fn an_allowance_is_divided_by_the_callers_that_are_here() {
-    let mut controller = instance(&[
+fn an_allowance_is_divided_by_the_recent_callers() {
+    let mut controller = start_controller(&[
         ("FamilyInfo.Say", "allowance"),
         ("FamilyInfo.HeededUs", "1000000"),
         ("FamilyInfo.ClientsTotal", "1000"),
@@ -487,7 +487,7 @@
         assert_eq!(
             controller.advertisement.last.and_then(|last| last.level),
             value,
-            "twice a limit of two, by those here"
+            "twice the limit of 2, divided by the recent callers"
         );
     }
 }
--- a/crates/merlinshelf-admission/src/deadline.rs
+++ b/crates/merlinshelf-admission/src/deadline.rs
@@ -85,9 +85,9 @@
 
     /// An arrival that can't meet its objective after the work in flight of at least its priority.
     ///
-    /// A first attempt is rejected even while cores are idle, since other instances may be faster;
-    /// drawback: it is lost if none is. One run of each operation is always admitted, to detect
-    /// when the estimate no longer holds.
+    /// While cores are idle, only first attempts are rejected, since other instances may be faster;
+    /// drawback: the invocation is lost if none is. Even then an arrival is admitted if no run of
+    /// its operation is in progress, to detect when the estimate no longer holds.
     pub(crate) fn find_arrival_missing_objective(&self) -> Option<usize> {
         let number = self.invocations.newly_read()?;
         let arrival = &self.invocations[number];
--- a/crates/merlinshelf-admission/src/downstream.rs
+++ b/crates/merlinshelf-admission/src/downstream.rs
@@ -54,7 +54,7 @@
 const MIN_BUDGET_IN_MEAN_CALLS: f64 = 4.0;
 /// The call window is at least so long that the quota covers the processing of this many abandoned
 /// calls.
-const MIN_STAYS_PER_WINDOW: f64 = 3.0;
+const MIN_ABANDONED_CALLS_PER_WINDOW: f64 = 3.0;
 /// Timeout of a call that can be skipped, as a fraction of the time to its objective. The rest is
 /// left to finish the run without the call in time.
 const SKIPPABLE_TIMEOUT_FRACTION: f64 = 0.7;
@@ -190,9 +190,9 @@
     /// longer one if the quota is too small for a call in the configured window.
     pub(crate) fn call_window(&self) -> f64 {
         let quota = self.settings.call_quota().max(1e-6);
-        let stay = self.settings.seconds("FamilyInfo.StaysForUs", 0.0);
+        let abandoned_call_seconds = self.settings.seconds("FamilyInfo.StaysForUs", 0.0);
         self.configured_call_window()
-            .max(MIN_STAYS_PER_WINDOW * stay / quota)
+            .max(MIN_ABANDONED_CALLS_PER_WINDOW * abandoned_call_seconds / quota)
     }
 
     fn configured_call_window(&self) -> f64 {
@@ -200,9 +200,9 @@
     }
 
     /// Whether calls used more than this fraction of their limit over the last fifth of the window.
-    fn exceeds_call_pace(&self, part: f64) -> bool {
+    fn exceeds_call_pace(&self, fraction: f64) -> bool {
         let span = PACE_WINDOW_FRACTION * self.call_window();
-        self.call_seconds(span) > part * span * self.downstream.limit
+        self.call_seconds(span) > fraction * span * self.downstream.limit
     }
 
     /// How long a new call may take, in seconds; 0 if no call may start.
@@ -218,8 +218,8 @@
         let is_blocked = self.is_call_limit_reached(quota)
             || !self.is_own_turn(window)
             || limit < 1.0 && self.exceeds_call_pace(1.0);
-        let stay = self.settings.seconds("FamilyInfo.StaysForUs", 0.0);
-        let budget = quota * window - self.call_seconds(window) - stay;
+        let abandoned_call_seconds = self.settings.seconds("FamilyInfo.StaysForUs", 0.0);
+        let budget = quota * window - self.call_seconds(window) - abandoned_call_seconds;
         let needed = if self.downstream.durations.is_empty() {
             f64::MAX
         } else {
@@ -292,10 +292,10 @@
             let settings = &self.operations[invocation.request.operation].settings;
             let is_worthless =
                 self.now > invocation.objective_deadline && settings.late_value == 0.0;
-            let can_not_call = settings.value_without_call == 0.0 && !self.may_call(invocation);
+            let cannot_call = settings.value_without_call == 0.0 && !self.may_call(invocation);
             invocation.stage == Stage::AwaitingCall
                 && !invocation.is_answered
-                && (is_worthless || can_not_call)
+                && (is_worthless || cannot_call)
         })
     }
 
--- a/crates/merlinshelf-admission/src/estimator.rs
+++ b/crates/merlinshelf-admission/src/estimator.rs
@@ -49,8 +49,8 @@
     }
 
     /// Expected duration of an operation's runs per unit of cost. Unfinished runs that have already
-    /// lasted twice as long count too, so that a sudden slowdown is detected before one of them
-    /// ends. Drawback: a single long run raises the estimate for the next ones.
+    /// lasted twice the expected duration count too, so that a sudden slowdown is detected before
+    /// one of them ends. Drawback: a single long run raises the estimate for the next ones.
     fn estimate_core_seconds_per_cost(&self, operation: usize) -> f64 {
         let samples = &self.operations[operation].samples;
         let prior = weigh_prior(
--- a/crates/merlinshelf-admission/src/limiter.rs
+++ b/crates/merlinshelf-admission/src/limiter.rs
@@ -9,8 +9,9 @@
 
 /// The limit rises while the estimated queue is shorter than this multiple of log10 of the limit.
 ///
-/// The guide's bounds of 3 and 6 suit nearly constant durations. Run durations vary by more than
-/// half their mean here, which alone makes seven tenths of the limit appear to be queued.
+/// With the guide's bounds of 3 and 6, every run that is longer than the shortest one would count
+/// as queued: run durations vary by more than half their mean, which alone makes seven tenths of
+/// the limit appear to be queued.
 const QUEUE_ALPHA: f64 = 8.0;
 /// The limit falls while the estimated queue is longer than this multiple of log10 of the limit.
 const QUEUE_BETA: f64 = 16.0;
--- a/crates/merlinshelf-admission/tests/golden.rs
+++ b/crates/merlinshelf-admission/tests/golden.rs
@@ -1,10 +1,9 @@
-//! The types of this package that outlive a process, held to golden files: what a handover image
-//! carries of one invocation and of what an instance has learnt, in MessagePack with field names as
-//! the image writes it.
+//! Golden tests of the types of this package that are stored in a handover image: the state of an
+//! invocation and the learned state of an instance, in MessagePack with field names.
 //!
-//! Every field of a sample has a value of its own that is not its default, so that a field that is
-//! lost, swapped or renamed on the wire shows. The files hold bytes as programs in the field wrote
-//! them: where a test fails, the code is to be mended, not the file.
+//! Every field of a sample has a distinct value that is not its default, so that a lost, swapped or
+//! renamed field makes a test fail. The files hold bytes as written by released programs: if a test
+//! fails, fix the code, not the file.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -13,11 +12,11 @@
 use serde::de::DeserializeOwned;
 
 fn encode(value: &impl Serialize) -> Vec<u8> {
-    rmp_serde::to_vec_named(value).expect("a plain structure")
+    rmp_serde::to_vec_named(value).expect("encodable value")
 }
 
 fn decode<T: DeserializeOwned>(bytes: &[u8]) -> T {
-    rmp_serde::from_slice(bytes).expect("bytes that can be decoded")
+    rmp_serde::from_slice(bytes).expect("decodable bytes")
 }
 
 fn invocation() -> Invocation {
@@ -57,7 +56,7 @@
     }
 }
 
-fn learned_of_operation(first: f64) -> LearnedOperation {
+fn learned_operation(first: f64) -> LearnedOperation {
     LearnedOperation {
         run_durations: VecDeque::from([first, first + 0.25]),
         run_costs: VecDeque::from([first + 1.0, first + 1.25]),
@@ -71,7 +70,7 @@
     LearnedState {
         engine_started_at: 11.5,
         shutdown_at: Some((12.5, 13.5)),
-        operations: vec![learned_of_operation(20.0), learned_of_operation(30.0)],
+        operations: vec![learned_operation(20.0), learned_operation(30.0)],
         concurrency_limit: 40.5,
         busy: 0.41,
         busy_at: 42.5,
@@ -95,7 +94,7 @@
 }
 
 #[test]
-fn invocation_as_it_was_read() {
+fn invocation_as_read() {
     golden_file::assert_form("invocation", &invocation(), encode, decode);
 }
 
@@ -118,10 +117,10 @@
 }
 
 #[test]
-fn state_learned_of_one_operation() {
+fn learned_state_of_an_operation() {
     golden_file::assert_form(
         "learned_of_operation",
-        &learned_of_operation(0.5),
+        &learned_operation(0.5),
         encode,
         decode,
     );
@@ -132,19 +131,19 @@
     golden_file::assert_form("learned_state", &learned_state(), encode, decode);
 }
 
-/// What is not there takes the same bytes as ever, too.
+/// Default values must keep their encoding as well.
 #[test]
-fn records_of_nothing() {
-    let nothing = (
+fn default_values() {
+    let defaults = (
         Invocation::default(),
         InvocationState::default(),
         LearnedOperation::default(),
         LearnedState::default(),
     );
-    golden_file::assert_form("defaults", &nothing, encode, decode);
+    golden_file::assert_form("defaults", &defaults, encode, decode);
 }
 
-/// Golden files: `tests/golden/NAME.hex`, sixteen bytes a line, each line with its offset, the
+/// Golden files `tests/golden/NAME.hex`: sixteen bytes per line, each line with its offset, the
 /// bytes in hexadecimal and the same bytes as text.
 mod golden_file {
     use std::fmt::Write as _;
@@ -188,14 +187,15 @@
             .collect()
     }
 
-    /// The bytes of a golden file, which must be there. With `GOLDEN_WRITE=1` in the environment a
-    /// file that is missing is written from `encoded`; one that is there is never changed, since
-    /// bytes in the field don't change either.
+    /// Reads the bytes of a golden file, which must exist. With `GOLDEN_WRITE=1` in the
+    /// environment, a missing file is written from `encoded`. An existing file is never changed,
+    /// since bytes written by released programs don't change either.
     pub fn read(name: &str, encoded: &[u8]) -> Vec<u8> {
         let path = path_of(name);
         if std::env::var_os("GOLDEN_WRITE").is_some_and(|value| value == "1") && !path.exists() {
-            std::fs::create_dir_all(path.parent().expect("a folder")).expect("a folder");
-            std::fs::write(&path, format_bytes(encoded)).expect("a file that can be written");
+            std::fs::create_dir_all(path.parent().expect("a directory"))
+                .expect("creatable directory");
+            std::fs::write(&path, format_bytes(encoded)).expect("writable file");
         }
         let text = std::fs::read_to_string(&path)
             .unwrap_or_else(|error| panic!("golden file {}: {error}", path.display()));
@@ -204,7 +204,7 @@
         bytes
     }
 
-    /// Asserts that a value is encoded to the golden bytes.
+    /// Asserts that the encoded value equals the golden bytes.
     pub fn assert_encoded(name: &str, encoded: &[u8]) {
         let golden = read(name, encoded);
         assert_eq!(
@@ -214,7 +214,7 @@
         );
     }
 
-    /// Asserts that the golden bytes are decoded to exactly this value, and the value encoded to
+    /// Asserts that the golden bytes decode to exactly this value, and that the value is encoded to
     /// the golden bytes.
     pub fn assert_form<T: std::fmt::Debug + PartialEq>(
         name: &str,
@@ -226,7 +226,7 @@
         let decoded = decode(&read(name, &encoded));
         assert_eq!(
             &decoded, value,
-            "{name}.hex is no longer decoded to the value it was written from"
+            "{name}.hex no longer decodes to the value it was written from"
         );
         assert_encoded(name, &encoded);
     }
--- a/crates/merlinshelf-admission/tests/helpers/mod.rs
+++ b/crates/merlinshelf-admission/tests/helpers/mod.rs
@@ -1,33 +1,35 @@
-//! Plays calls to one instance and keeps a line of trace for each that decisions something.
+//! Sends events to one controller and records a line of trace for each event, with its decisions.
 
 use std::collections::BTreeMap;
 
 use merlinshelf_admission::{AdmissionController, Decisions, Invocation, Outcome, Settings};
 
-pub struct Play {
+/// A controller and the trace of its decisions.
+pub struct Scenario {
     pub controller: AdmissionController,
     pub trace: String,
 }
 
-pub const OK: Outcome = Outcome {
+pub const SUCCEEDED: Outcome = Outcome {
     succeeded: true,
     never_ran: false,
     stopped: false,
 };
-pub const LOST: Outcome = Outcome {
+pub const UNKNOWN_OUTCOME: Outcome = Outcome {
     succeeded: false,
     never_ran: false,
     stopped: false,
 };
-pub const UNSEEN: Outcome = Outcome {
+pub const NEVER_RAN: Outcome = Outcome {
     succeeded: false,
     never_ran: true,
     stopped: false,
 };
 
-/// Two cores and three operations: 0 idempotent and skippable, 1 with an idempotency key, 2
-/// non-idempotent.
-pub fn play(extra: &[(&str, &str)]) -> Play {
+/// Starts a controller with two cores and three operations: operation 0 is idempotent and can skip
+/// its call, operation 1 has an idempotency key, and operation 2 is neither idempotent nor can it
+/// skip its call. `extra` adds or replaces settings.
+pub fn scenario(extra: &[(&str, &str)]) -> Scenario {
     let mut settings = Settings::new();
     let base = [
         ("Classes.count", "3"),
@@ -61,17 +63,17 @@
             .or_insert("2000000".into());
     }
     let (controller, decisions) =
-        AdmissionController::start(100.0, 7, settings).expect("good settings");
-    let mut play = Play {
+        AdmissionController::start(100.0, 7, settings).expect("valid settings");
+    let mut scenario = Scenario {
         controller,
         trace: String::new(),
     };
-    play.note("start", &decisions);
-    play
+    scenario.append_to_trace("start", &decisions);
+    scenario
 }
 
-/// Cuts the digits of fractions after the third.
-fn rounded(text: &str) -> String {
+/// Truncates decimal fractions after the third digit.
+fn truncate_fractions(text: &str) -> String {
     let mut after_point = None;
     let mut out = String::new();
     for character in text.replace("-0.0", "0.0").chars() {
@@ -87,8 +89,8 @@
     out
 }
 
-/// The fields that say something, timers and released numbers aside, each as `name: value;`.
-fn shown_fields(decisions: &Decisions) -> String {
+/// Formats the non-empty fields as `name: value;`, without timers and released numbers.
+fn format_decisions(decisions: &Decisions) -> String {
     let Decisions {
         rejected,
         failed,
@@ -138,53 +140,55 @@
         .collect()
 }
 
-impl Play {
-    fn note(&mut self, what: &str, decisions: &Decisions) {
-        let line = rounded(&shown_fields(decisions));
+impl Scenario {
+    fn append_to_trace(&mut self, what: &str, decisions: &Decisions) {
+        let line = truncate_fractions(&format_decisions(decisions));
         self.trace.push_str(&format!("{what} ->{line}\n"));
     }
 
-    pub fn arrive(&mut self, at: f64, number: usize, request: Invocation) {
+    pub fn arrive(&mut self, now: f64, number: usize, request: Invocation) {
         let decisions = self
             .controller
-            .invocation_arrived(100.0 + at, number, request);
-        self.note(&format!("{at:.2} arrives {number}"), &decisions);
+            .invocation_arrived(100.0 + now, number, request);
+        self.append_to_trace(&format!("{now:.2} arrives {number}"), &decisions);
     }
 
-    pub fn end_run(&mut self, at: f64, number: usize, outcome: Outcome, duration: f64) {
+    pub fn end_run(&mut self, now: f64, number: usize, outcome: Outcome, duration: f64) {
         let decisions = self
             .controller
-            .run_ended(100.0 + at, number, outcome, duration);
-        self.note(&format!("{at:.2} ends {number}"), &decisions);
+            .run_ended(100.0 + now, number, outcome, duration);
+        self.append_to_trace(&format!("{now:.2} ends {number}"), &decisions);
     }
 
-    pub fn request_call(&mut self, at: f64, number: usize) {
-        let decisions = self.controller.call_requested(100.0 + at, number);
-        self.note(&format!("{at:.2} requests a call {number}"), &decisions);
+    pub fn request_call(&mut self, now: f64, number: usize) {
+        let decisions = self.controller.call_requested(100.0 + now, number);
+        self.append_to_trace(&format!("{now:.2} requests a call {number}"), &decisions);
     }
 
-    pub fn end_call(&mut self, at: f64, number: usize, outcome: Outcome) {
-        let decisions = self.controller.call_ended(100.0 + at, number, outcome);
-        self.note(&format!("{at:.2} call of {number} ends"), &decisions);
+    pub fn end_call(&mut self, now: f64, number: usize, outcome: Outcome) {
+        let decisions = self.controller.call_ended(100.0 + now, number, outcome);
+        self.append_to_trace(&format!("{now:.2} call of {number} ends"), &decisions);
     }
 
-    pub fn disconnect(&mut self, at: f64, number: usize) {
-        let decisions = self.controller.caller_disconnected(100.0 + at, number);
-        self.note(
-            &format!("{at:.2} caller of {number} disconnected"),
+    pub fn disconnect(&mut self, now: f64, number: usize) {
+        let decisions = self.controller.caller_disconnected(100.0 + now, number);
+        self.append_to_trace(
+            &format!("{now:.2} caller of {number} disconnected"),
             &decisions,
         );
     }
 
-    pub fn shut_down(&mut self, at: f64, stop_seconds: f64) {
-        let decisions = self.controller.shutdown_requested(100.0 + at, stop_seconds);
-        self.note(&format!("{at:.2} begins graceful shutdown"), &decisions);
+    pub fn shut_down(&mut self, now: f64, stop_seconds: f64) {
+        let decisions = self
+            .controller
+            .shutdown_requested(100.0 + now, stop_seconds);
+        self.append_to_trace(&format!("{now:.2} begins graceful shutdown"), &decisions);
     }
 
-    pub fn tick(&mut self, at: f64, busy: f64) {
+    pub fn tick(&mut self, now: f64, busy: f64) {
         let gauges = BTreeMap::from([("cpu_busy".to_owned(), busy)]);
-        let decisions = self.controller.timer_fired(100.0 + at, 0, &gauges);
-        self.note(&format!("{at:.2} timer, busy {busy}"), &decisions);
+        let decisions = self.controller.timer_fired(100.0 + now, 0, &gauges);
+        self.append_to_trace(&format!("{now:.2} timer, busy {busy}"), &decisions);
     }
 }
 
--- a/crates/merlinshelf-admission/tests/traces.rs
+++ b/crates/merlinshelf-admission/tests/traces.rs
@@ -1,19 +1,20 @@
-//! Each test plays a few moments of one backend and compares what was decided with a kept trace.
+//! Each test sends a short sequence of events to one controller and compares the trace of its
+//! decisions with a snapshot.
 
 mod helpers;
 
-use helpers::{LOST, OK, Play, UNSEEN, invocation, play};
+use helpers::{NEVER_RAN, SUCCEEDED, Scenario, UNKNOWN_OUTCOME, invocation, scenario};
 use merlinshelf_admission::{DownstreamQuota, Invocation, Outcome, PriorEstimate, PriorEstimates};
 
 #[test]
 fn over_the_limit_low_priority_buckets_are_rejected_on_arrival() {
-    let mut play = play(&[]);
-    play.tick(0.0, 0.95);
+    let mut scenario = scenario(&[]);
+    scenario.tick(0.0, 0.95);
     for number in 0..3 {
-        play.arrive(0.01, number, invocation(0));
+        scenario.arrive(0.01, number, invocation(0));
     }
-    // 640 x (1 - 0.95^3) is 91: only the highest bucket can pass.
-    play.arrive(
+    // The threshold is 640 x (1 - 0.95^3) = 91, so that only the highest bucket can pass.
+    scenario.arrive(
         0.02,
         3,
         Invocation {
@@ -21,7 +22,7 @@
             ..invocation(0)
         },
     );
-    play.arrive(
+    scenario.arrive(
         0.02,
         4,
         Invocation {
@@ -29,8 +30,8 @@
             ..invocation(2)
         },
     );
-    play.tick(0.03, 0.7);
-    play.arrive(
+    scenario.tick(0.03, 0.7);
+    scenario.arrive(
         0.04,
         5,
         Invocation {
@@ -38,28 +39,28 @@
             ..invocation(0)
         },
     );
-    insta::assert_snapshot!(play.trace);
+    insta::assert_snapshot!(scenario.trace);
 }
 
 #[test]
 fn a_stale_gauge_or_a_hang_does_not_admit_everything() {
-    let mut play = play(&[]);
-    play.tick(0.0, 0.1);
+    let mut scenario = scenario(&[]);
+    scenario.tick(0.0, 0.1);
     for number in 0..4 {
-        play.arrive(0.01, number, invocation(0));
+        scenario.arrive(0.01, number, invocation(0));
     }
-    play.tick(0.96, 0.0);
-    play.arrive(0.97, 4, invocation(0));
-    insta::assert_snapshot!(play.trace);
+    scenario.tick(0.96, 0.0);
+    scenario.arrive(0.97, 4, invocation(0));
+    insta::assert_snapshot!(scenario.trace);
 }
 
 #[test]
-fn answers_come_before_their_deadline() {
-    let mut play = play(&[
+fn answers_are_sent_before_their_deadline() {
+    let mut scenario = scenario(&[
         ("FamilyInfo.Halt", "freeze"),
         ("Classes.0.LateWorth", "0.2"),
     ]);
-    play.arrive(
+    scenario.arrive(
         0.0,
         0,
         Invocation {
@@ -67,7 +68,7 @@
             ..invocation(0)
         },
     );
-    play.arrive(
+    scenario.arrive(
         0.0,
         1,
         Invocation {
@@ -75,8 +76,8 @@
             ..invocation(2)
         },
     );
-    play.request_call(0.1, 1);
-    play.arrive(
+    scenario.request_call(0.1, 1);
+    scenario.arrive(
         0.1,
         2,
         Invocation {
@@ -84,7 +85,7 @@
             ..invocation(2)
         },
     );
-    play.arrive(
+    scenario.arrive(
         0.1,
         3,
         Invocation {
@@ -93,22 +94,22 @@
         },
     );
     for tick in 0..170 {
-        play.tick(0.1 + f64::from(tick) * 0.01, 0.5);
+        scenario.tick(0.1 + f64::from(tick) * 0.01, 0.5);
     }
-    play.trace = play
+    scenario.trace = scenario
         .trace
         .lines()
         .filter(|line| !line.ends_with("->"))
         .collect::<Vec<_>>()
         .join("\n");
-    insta::assert_snapshot!(play.trace);
+    insta::assert_snapshot!(scenario.trace);
 }
 
 #[test]
 fn an_invocation_with_an_idempotency_key_runs_once() {
-    let mut play = play(&[]);
-    play.arrive(0.0, 0, invocation(1));
-    play.arrive(
+    let mut scenario = scenario(&[]);
+    scenario.arrive(0.0, 0, invocation(1));
+    scenario.arrive(
         0.0,
         1,
         Invocation {
@@ -117,12 +118,12 @@
             ..invocation(1)
         },
     );
-    play.end_run(0.3, 0, OK, 0.3);
-    play.end_run(0.31, 1, OK, 0.01);
-    // Run and no longer known by its number: its result is all that can be had, also during a
-    // shutdown.
-    play.shut_down(0.4, 5.0);
-    play.arrive(
+    scenario.end_run(0.3, 0, SUCCEEDED, 0.3);
+    scenario.end_run(0.31, 1, SUCCEEDED, 0.01);
+    // The original has run and its number is no longer known: the repeat can only receive its
+    // cached result, also during a shutdown.
+    scenario.shut_down(0.4, 5.0);
+    scenario.arrive(
         2.0,
         2,
         Invocation {
@@ -130,14 +131,14 @@
             ..invocation(1)
         },
     );
-    play.tick(3.99, 0.5);
-    insta::assert_snapshot!(play.trace);
+    scenario.tick(3.99, 0.5);
+    insta::assert_snapshot!(scenario.trace);
 }
 
 #[test]
-fn a_key_rejected_before_its_run_starts_afresh_in_the_same_batch() {
-    let mut play = play(&[("FamilyInfo.HeapKb", "1000")]);
-    play.arrive(
+fn a_repeat_of_an_invocation_rejected_at_the_same_time_runs() {
+    let mut scenario = scenario(&[("FamilyInfo.HeapKb", "1000")]);
+    scenario.arrive(
         0.0,
         0,
         Invocation {
@@ -145,7 +146,7 @@
             ..invocation(0)
         },
     );
-    play.arrive(
+    scenario.arrive(
         0.0,
         1,
         Invocation {
@@ -153,8 +154,8 @@
             ..invocation(1)
         },
     );
-    play.end_run(0.0, 0, OK, 0.1);
-    play.arrive(
+    scenario.end_run(0.0, 0, SUCCEEDED, 0.1);
+    scenario.arrive(
         0.0,
         2,
         Invocation {
@@ -163,127 +164,133 @@
             ..invocation(1)
         },
     );
-    insta::assert_snapshot!(play.trace);
+    insta::assert_snapshot!(scenario.trace);
 }
 
 #[test]
 fn a_call_with_unknown_outcome_is_not_retried_unless_idempotent() {
-    let mut play = play(&[]);
-    play.arrive(0.0, 0, invocation(2));
-    play.request_call(0.1, 0);
-    play.end_call(0.2, 0, UNSEEN);
-    play.end_call(0.3, 0, LOST);
-    play.end_run(
+    let mut scenario = scenario(&[]);
+    scenario.arrive(0.0, 0, invocation(2));
+    scenario.request_call(0.1, 0);
+    scenario.end_call(0.2, 0, NEVER_RAN);
+    scenario.end_call(0.3, 0, UNKNOWN_OUTCOME);
+    scenario.end_run(
         0.31,
         0,
         Outcome {
             stopped: true,
-            ..LOST
+            ..UNKNOWN_OUTCOME
         },
         0.31,
     );
-    play.arrive(0.4, 1, invocation(0));
-    play.request_call(0.5, 1);
-    play.end_call(0.6, 1, LOST);
-    insta::assert_snapshot!(play.trace);
+    scenario.arrive(0.4, 1, invocation(0));
+    scenario.request_call(0.5, 1);
+    scenario.end_call(0.6, 1, UNKNOWN_OUTCOME);
+    insta::assert_snapshot!(scenario.trace);
 }
 
 #[test]
-fn after_consecutive_failures_the_breaker_lets_single_trials_through() {
-    let mut play = play(&[
+fn after_consecutive_failures_the_breaker_allows_single_trial_calls() {
+    let mut scenario = scenario(&[
         ("FamilyInfo.CallShare", "20"),
         ("Classes.0.AimUs", "2000000"),
     ]);
     for number in 0..5 {
-        let at = f64::from(number) * 0.02;
+        let now = f64::from(number) * 0.02;
         let number = number as usize;
-        play.arrive(at, number, invocation(0));
-        play.request_call(at, number);
-        play.end_call(at + 0.01, number, LOST);
-        play.disconnect(at + 0.01, number);
-        play.end_run(
-            at + 0.01,
+        scenario.arrive(now, number, invocation(0));
+        scenario.request_call(now, number);
+        scenario.end_call(now + 0.01, number, UNKNOWN_OUTCOME);
+        scenario.disconnect(now + 0.01, number);
+        scenario.end_run(
+            now + 0.01,
             number,
             Outcome {
                 stopped: true,
-                ..LOST
+                ..UNKNOWN_OUTCOME
             },
             0.01,
         );
     }
-    play.arrive(0.2, 5, invocation(0));
-    play.request_call(0.21, 5);
-    play.tick(0.65, 0.5);
-    play.arrive(0.7, 6, invocation(0));
-    play.arrive(0.7, 7, invocation(0));
-    play.request_call(0.71, 6);
-    play.request_call(0.72, 7);
-    play.end_call(0.73, 6, OK);
-    insta::assert_snapshot!(play.trace);
+    scenario.arrive(0.2, 5, invocation(0));
+    scenario.request_call(0.21, 5);
+    scenario.tick(0.65, 0.5);
+    scenario.arrive(0.7, 6, invocation(0));
+    scenario.arrive(0.7, 7, invocation(0));
+    scenario.request_call(0.71, 6);
+    scenario.request_call(0.72, 7);
+    scenario.end_call(0.73, 6, SUCCEEDED);
+    insta::assert_snapshot!(scenario.trace);
 }
 
 #[test]
-fn an_open_breaker_still_lets_one_run_start_for_the_trial() {
-    let mut play = play(&[("FamilyInfo.CallShare", "20")]);
+fn after_the_breaker_pause_queued_runs_start_for_the_trial_call() {
+    let mut scenario = scenario(&[("FamilyInfo.CallShare", "20")]);
     for number in 0..5 {
-        play.arrive(0.0, number, invocation(2));
-        play.request_call(0.0, number);
-        play.end_call(0.01, number, LOST);
-        play.end_run(
+        scenario.arrive(0.0, number, invocation(2));
+        scenario.request_call(0.0, number);
+        scenario.end_call(0.01, number, UNKNOWN_OUTCOME);
+        scenario.end_run(
             0.01,
             number,
             Outcome {
                 stopped: true,
-                ..LOST
+                ..UNKNOWN_OUTCOME
             },
             0.01,
         );
     }
-    play.arrive(0.1, 5, invocation(2));
-    play.arrive(0.1, 6, invocation(2));
-    play.tick(0.2, 0.5);
-    play.tick(0.6, 0.5);
-    play.request_call(0.61, 5);
-    play.trace = play.trace.lines().skip(21).collect::<Vec<_>>().join("\n");
-    insta::assert_snapshot!(play.trace);
+    scenario.arrive(0.1, 5, invocation(2));
+    scenario.arrive(0.1, 6, invocation(2));
+    scenario.tick(0.2, 0.5);
+    scenario.tick(0.6, 0.5);
+    scenario.request_call(0.61, 5);
+    scenario.trace = scenario
+        .trace
+        .lines()
+        .skip(21)
+        .collect::<Vec<_>>()
+        .join("\n");
+    insta::assert_snapshot!(scenario.trace);
 }
 
 #[test]
-fn what_costs_much_to_read_leaves_fewer_cores_to_runs() {
-    let mut play = play(&[("FamilyInfo.Cores", "4")]);
+fn work_other_than_runs_leaves_fewer_cores_for_runs() {
+    let mut scenario = scenario(&[("FamilyInfo.Cores", "4")]);
     for tick in 0..24 {
         let gauges = [("cpu_busy".to_owned(), 0.5), ("runnable".to_owned(), 1.5)].into();
-        play.controller
+        scenario
+            .controller
             .timer_fired(100.0 + 0.01 * f64::from(tick), 0, &gauges);
     }
     for number in 0..4 {
-        play.arrive(0.3, number, invocation(0));
+        scenario.arrive(0.3, number, invocation(0));
     }
-    insta::assert_snapshot!(play.trace);
+    insta::assert_snapshot!(scenario.trace);
 }
 
 #[test]
-fn a_slow_start_shows_before_the_first_run_ends() {
-    let mut play = play(&[("Classes.2.AimUs", "800000")]);
-    play.arrive(0.0, 0, invocation(2));
-    play.arrive(0.0, 1, invocation(2));
-    play.tick(0.8, 0.5);
-    play.arrive(0.85, 2, invocation(2));
-    insta::assert_snapshot!(play.trace);
+fn overdue_runs_raise_the_expected_duration_before_the_first_run_ends() {
+    let mut scenario = scenario(&[("Classes.2.AimUs", "800000")]);
+    scenario.arrive(0.0, 0, invocation(2));
+    scenario.arrive(0.0, 1, invocation(2));
+    scenario.tick(0.8, 0.5);
+    scenario.arrive(0.85, 2, invocation(2));
+    insta::assert_snapshot!(scenario.trace);
 }
 
 #[test]
-fn a_backend_warming_up_judges_by_hints_before_its_first_sample() {
+fn while_warming_up_cost_hints_are_used_until_the_first_sample() {
     for fresh in ["true", "false"] {
         let cold = [
             ("FamilyInfo.FreshStart", fresh),
             ("Rules.WarmUpUs", "10000000"),
             ("Rules.StartCapacity", "0.2"),
         ];
-        let mut play = play(&cold);
-        play.tick(0.1, 0.5);
+        let mut scenario = scenario(&cold);
+        scenario.tick(0.1, 0.5);
         for number in 0..4 {
-            play.arrive(
+            scenario.arrive(
                 0.1,
                 number,
                 Invocation {
@@ -292,14 +299,14 @@
                 },
             );
         }
-        insta::assert_snapshot!(format!("fresh_{fresh}"), play.trace);
+        insta::assert_snapshot!(format!("fresh_{fresh}"), scenario.trace);
     }
 }
 
 #[test]
-fn a_first_attempt_too_long_for_this_machine_goes_elsewhere() {
-    let mut play = play(&[]);
-    play.arrive(
+fn a_first_attempt_expected_to_miss_its_objective_is_rejected_with_idle_cores() {
+    let mut scenario = scenario(&[]);
+    scenario.arrive(
         0.0,
         0,
         Invocation {
@@ -307,8 +314,8 @@
             ..invocation(0)
         },
     );
-    play.end_run(0.6, 0, OK, 0.6);
-    play.arrive(
+    scenario.end_run(0.6, 0, SUCCEEDED, 0.6);
+    scenario.arrive(
         1.0,
         1,
         Invocation {
@@ -316,7 +323,7 @@
             ..invocation(0)
         },
     );
-    play.arrive(
+    scenario.arrive(
         1.0,
         2,
         Invocation {
@@ -324,7 +331,7 @@
             ..invocation(0)
         },
     );
-    play.arrive(
+    scenario.arrive(
         1.0,
         3,
         Invocation {
@@ -333,35 +340,35 @@
             ..invocation(0)
         },
     );
-    insta::assert_snapshot!(play.trace);
+    insta::assert_snapshot!(scenario.trace);
 }
 
 #[test]
-fn abandoned_calls_show_that_the_dependency_is_slow() {
-    let mut play = play(&[]);
-    play.arrive(0.0, 0, invocation(2));
-    play.request_call(0.0, 0);
-    play.end_call(1.01, 0, LOST);
-    play.end_run(
+fn abandoned_calls_raise_the_expected_downstream_duration() {
+    let mut scenario = scenario(&[]);
+    scenario.arrive(0.0, 0, invocation(2));
+    scenario.request_call(0.0, 0);
+    scenario.end_call(1.01, 0, UNKNOWN_OUTCOME);
+    scenario.end_run(
         1.01,
         0,
         Outcome {
             stopped: true,
-            ..LOST
+            ..UNKNOWN_OUTCOME
         },
         1.01,
     );
-    play.arrive(1.1, 1, invocation(2));
-    play.arrive(1.2, 2, invocation(2));
-    insta::assert_snapshot!(play.trace);
+    scenario.arrive(1.1, 1, invocation(2));
+    scenario.arrive(1.2, 2, invocation(2));
+    insta::assert_snapshot!(scenario.trace);
 }
 
 #[test]
-fn a_flood_of_repeats_keeps_within_memory() {
-    let mut play = play(&[("FamilyInfo.HeapKb", "600")]);
-    play.arrive(0.0, 0, invocation(1));
+fn a_flood_of_repeats_stays_within_the_memory_limit() {
+    let mut scenario = scenario(&[("FamilyInfo.HeapKb", "600")]);
+    scenario.arrive(0.0, 0, invocation(1));
     for number in 1..7 {
-        play.arrive(
+        scenario.arrive(
             0.1,
             number,
             Invocation {
@@ -371,67 +378,72 @@
             },
         );
     }
-    insta::assert_snapshot!(play.trace);
+    insta::assert_snapshot!(scenario.trace);
 }
 
 #[test]
-fn scarce_calls_go_to_what_loses_most_without_them() {
-    let mut play = play(&[("FamilyInfo.CallShare", "1.2")]);
-    play.arrive(0.0, 0, invocation(0));
-    play.arrive(0.0, 1, invocation(0));
-    play.request_call(0.1, 0);
-    play.request_call(0.1, 1);
-    play.arrive(0.2, 2, invocation(2));
-    play.request_call(0.3, 2);
-    play.end_call(0.4, 0, OK);
-    insta::assert_snapshot!(play.trace);
+fn scarce_calls_go_to_the_run_that_loses_the_most_value_without_one() {
+    let mut scenario = scenario(&[("FamilyInfo.CallShare", "1.2")]);
+    scenario.arrive(0.0, 0, invocation(0));
+    scenario.arrive(0.0, 1, invocation(0));
+    scenario.request_call(0.1, 0);
+    scenario.request_call(0.1, 1);
+    scenario.arrive(0.2, 2, invocation(2));
+    scenario.request_call(0.3, 2);
+    scenario.end_call(0.4, 0, SUCCEEDED);
+    insta::assert_snapshot!(scenario.trace);
 }
 
 #[test]
-fn abandoned_calls_count_while_they_stay_downstream() {
-    let mut play = play(&[
+fn abandoned_calls_use_the_quota_while_the_dependency_processes_them() {
+    let mut scenario = scenario(&[
         ("FamilyInfo.CallShare", "0.7"),
         ("FamilyInfo.DepWindowUs", "1000000"),
         ("Classes.2.AimUs", "2000000"),
     ]);
-    play.arrive(0.0, 0, invocation(2));
-    play.request_call(0.1, 0);
-    play.disconnect(0.15, 0);
-    play.end_run(
+    scenario.arrive(0.0, 0, invocation(2));
+    scenario.request_call(0.1, 0);
+    scenario.disconnect(0.15, 0);
+    scenario.end_run(
         0.15,
         0,
         Outcome {
             stopped: true,
-            ..LOST
+            ..UNKNOWN_OUTCOME
         },
         0.15,
     );
-    play.arrive(0.15, 1, invocation(2));
-    play.request_call(0.16, 1);
-    play.tick(0.25, 0.5);
-    play.tick(1.6, 0.5);
-    insta::assert_snapshot!(play.trace);
+    scenario.arrive(0.15, 1, invocation(2));
+    scenario.request_call(0.16, 1);
+    scenario.tick(0.25, 0.5);
+    scenario.tick(1.6, 0.5);
+    insta::assert_snapshot!(scenario.trace);
 }
 
 #[test]
-fn calls_that_slow_down_with_their_number_lower_their_limit() {
-    let mut play = play(&[("FamilyInfo.CallShare", "20"), ("FamilyInfo.Cores", "12")]);
-    let mut at = 0.0;
+fn calls_that_slow_down_under_concurrency_lower_the_call_limit() {
+    let mut scenario = scenario(&[("FamilyInfo.CallShare", "20"), ("FamilyInfo.Cores", "12")]);
+    let mut now = 0.0;
     for round in 0..40 {
         for number in 0..8 {
-            play.arrive(at, number, invocation(2));
-            play.request_call(at, number);
+            scenario.arrive(now, number, invocation(2));
+            scenario.request_call(now, number);
         }
-        let took = if round < 4 { 0.02 } else { 0.08 };
+        let call_duration = if round < 4 { 0.02 } else { 0.08 };
         for number in 0..8 {
-            play.end_call(at + took, number, OK);
-            play.end_run(at + took, number, OK, took + 0.001);
+            scenario.end_call(now + call_duration, number, SUCCEEDED);
+            scenario.end_run(
+                now + call_duration,
+                number,
+                SUCCEEDED,
+                call_duration + 0.001,
+            );
         }
-        at += 0.2;
+        now += 0.2;
     }
     let calls = |round: usize| {
         let from = format!("{:.2} ", round as f64 * 0.2);
-        let lines = play
+        let lines = scenario
             .trace
             .lines()
             .filter(|line| line.starts_with(&from) && line.contains("requests"));
@@ -445,12 +457,12 @@
 }
 
 #[test]
-fn a_draining_backend_runs_nothing_from_after_the_grace_and_answers_all() {
-    let mut play = play(&[]);
-    play.arrive(0.0, 0, invocation(0));
-    play.arrive(0.0, 1, invocation(2));
-    play.shut_down(0.1, 1.5);
-    play.arrive(
+fn during_shutdown_arrivals_after_the_grace_are_not_run_and_all_are_answered() {
+    let mut scenario = scenario(&[]);
+    scenario.arrive(0.0, 0, invocation(0));
+    scenario.arrive(0.0, 1, invocation(2));
+    scenario.shut_down(0.1, 1.5);
+    scenario.arrive(
         0.9,
         2,
         Invocation {
@@ -458,37 +470,37 @@
             ..invocation(0)
         },
     );
-    play.arrive(1.2, 3, invocation(0));
-    play.tick(1.59, 0.5);
-    insta::assert_snapshot!(play.trace);
+    scenario.arrive(1.2, 3, invocation(0));
+    scenario.tick(1.59, 0.5);
+    insta::assert_snapshot!(scenario.trace);
 }
 
 #[test]
-fn memory_and_concurrency_delay_starts_sooner_while_warming_up() {
+fn fewer_runs_start_while_warming_up_or_short_of_memory() {
     let cold = [
         ("FamilyInfo.FreshStart", "true"),
         ("Rules.WarmUpUs", "10000000"),
         ("Rules.StartCapacity", "0.1"),
         ("FamilyInfo.CallShare", "100"),
     ];
-    for at in [0.0, 12.0] {
-        let mut play = play(&cold);
-        play.tick(at, 0.5);
+    for now in [0.0, 12.0] {
+        let mut scenario = scenario(&cold);
+        scenario.tick(now, 0.5);
         for number in 0..9 {
-            play.arrive(at, number, invocation(2));
-            play.request_call(at, number);
+            scenario.arrive(now, number, invocation(2));
+            scenario.request_call(now, number);
         }
-        let started = play.trace.matches("started").count();
+        let started = scenario.trace.matches("started").count();
         insta::assert_snapshot!(
-            format!("started_at_{at}"),
+            format!("started_at_{now}"),
             format!("started before any came back: {started}")
         );
     }
-    let mut play = play(&[("FamilyInfo.HeapKb", "700")]);
+    let mut scenario = scenario(&[("FamilyInfo.HeapKb", "700")]);
     for number in 0..9 {
-        play.arrive(0.0, number, invocation(0));
+        scenario.arrive(0.0, number, invocation(0));
     }
-    insta::assert_snapshot!(play.trace);
+    insta::assert_snapshot!(scenario.trace);
 }
 
 #[test]
@@ -499,12 +511,12 @@
         ("Tenants.1.QuotaPerS", "900"),
         ("Servers", "2"),
     ];
-    let mut play = play(&shares);
-    play.tick(0.0, 0.85);
+    let mut scenario = scenario(&shares);
+    scenario.tick(0.0, 0.85);
     for number in 0..40 {
-        let at = 0.005 * number as f64;
-        play.arrive(
-            at,
+        let now = 0.005 * number as f64;
+        scenario.arrive(
+            now,
             number,
             Invocation {
                 customer: number % 2,
@@ -513,7 +525,7 @@
             },
         );
     }
-    let trace = &play.trace;
+    let trace = &scenario.trace;
     let rejected = |rest: usize| {
         (0..40).filter(move |n| n % 2 == rest && trace.contains(&format!("rejected: [({n},")))
     };
@@ -526,10 +538,10 @@
 
 #[test]
 fn retries_wait_behind_first_attempts() {
-    let mut play = play(&[]);
-    play.arrive(0.0, 0, invocation(0));
-    play.arrive(0.0, 1, invocation(0));
-    play.arrive(
+    let mut scenario = scenario(&[]);
+    scenario.arrive(0.0, 0, invocation(0));
+    scenario.arrive(0.0, 1, invocation(0));
+    scenario.arrive(
         0.1,
         2,
         Invocation {
@@ -537,18 +549,18 @@
             ..invocation(0)
         },
     );
-    play.arrive(0.2, 3, invocation(0));
-    play.end_run(0.3, 0, OK, 0.3);
-    play.end_run(0.31, 1, OK, 0.31);
-    insta::assert_snapshot!(play.trace);
+    scenario.arrive(0.2, 3, invocation(0));
+    scenario.end_run(0.3, 0, SUCCEEDED, 0.3);
+    scenario.end_run(0.31, 1, SUCCEEDED, 0.31);
+    insta::assert_snapshot!(scenario.trace);
 }
 
 #[test]
-fn short_caller_timeouts_are_no_reason_to_reject_with_idle_cores() {
-    let mut play = play(&[]);
-    play.arrive(0.0, 0, invocation(0));
-    play.end_run(0.6, 0, OK, 0.6);
-    play.arrive(
+fn a_retry_with_a_short_timeout_is_not_rejected_with_idle_cores() {
+    let mut scenario = scenario(&[]);
+    scenario.arrive(0.0, 0, invocation(0));
+    scenario.end_run(0.6, 0, SUCCEEDED, 0.6);
+    scenario.arrive(
         1.0,
         1,
         Invocation {
@@ -557,11 +569,11 @@
             ..invocation(0)
         },
     );
-    insta::assert_snapshot!(play.trace);
+    insta::assert_snapshot!(scenario.trace);
 }
 
 #[test]
-fn what_is_advertised_follows_the_settings() {
+fn the_advertised_value_has_the_form_selected_by_the_settings() {
     let mut shown = String::new();
     for say in ["silent", "floor", "allowance", "weight"] {
         let extra = [
@@ -569,30 +581,30 @@
             ("FamilyInfo.CallerIdleUs", "30000000"),
             ("FamilyInfo.ClientsTotal", "2"),
         ];
-        let mut play = play(&extra);
-        play.shut_down(0.1, 1.0);
-        shown.push_str(&format!("{say}:\n{}", play.trace));
+        let mut scenario = scenario(&extra);
+        scenario.shut_down(0.1, 1.0);
+        shown.push_str(&format!("{say}:\n{}", scenario.trace));
     }
     insta::assert_snapshot!(shown);
 }
 
 #[test]
-fn idle_connections_close_where_callers_hardly_come_back() {
+fn the_idle_timeout_is_short_when_few_callers_return() {
     for callers in [3, 900] {
-        let mut play = play(&[("FamilyInfo.CallerIdleUs", "30000000")]);
+        let mut scenario = scenario(&[("FamilyInfo.CallerIdleUs", "30000000")]);
         for number in 0..30 {
-            let at = 0.2 * number as f64;
-            play.arrive(
-                at,
+            let now = 0.2 * number as f64;
+            scenario.arrive(
+                now,
                 number,
                 Invocation {
                     caller: number as u64 % callers,
                     ..invocation(0)
                 },
             );
-            play.end_run(at + 0.1, number, OK, 0.1);
+            scenario.end_run(now + 0.1, number, SUCCEEDED, 0.1);
         }
-        let lines = play
+        let lines = scenario
             .trace
             .lines()
             .filter(|line| line.contains("idle_timeout"))
@@ -604,37 +616,37 @@
 
 #[test]
 fn in_a_retry_storm_callers_are_asked_not_to_fail_over() {
-    let mut play = play(&[]);
-    let full = |number: usize| Invocation {
+    let mut scenario = scenario(&[]);
+    let large_invocation = |number: usize| Invocation {
         is_retry: number % 4 == 3,
         held_kilobytes: 9000.0,
         ..invocation(0)
     };
-    (0..8).for_each(|number| play.arrive(0.1, number, full(number)));
-    insta::assert_snapshot!(play.trace);
+    (0..8).for_each(|number| scenario.arrive(0.1, number, large_invocation(number)));
+    insta::assert_snapshot!(scenario.trace);
 }
 
 #[test]
-fn a_call_quota_below_one_is_spread_and_no_call_cut_short() {
-    let mut play = play(&[
+fn calls_under_a_quota_below_one_are_spread_and_have_full_timeouts() {
+    let mut scenario = scenario(&[
         ("FamilyInfo.CallShare", "0.3"),
         ("Classes.2.AimUs", "9000000"),
     ]);
     for number in 0..24 {
-        let at = 0.2 * number as f64;
-        play.arrive(
-            at,
+        let now = 0.2 * number as f64;
+        scenario.arrive(
+            now,
             number,
             Invocation {
                 caller_timeout: Some(9.0),
                 ..invocation(2)
             },
         );
-        play.request_call(at + 0.01, number);
-        play.end_call(at + 0.05, number, OK);
-        play.end_run(at + 0.06, number, OK, 0.05);
+        scenario.request_call(now + 0.01, number);
+        scenario.end_call(now + 0.05, number, SUCCEEDED);
+        scenario.end_run(now + 0.06, number, SUCCEEDED, 0.05);
     }
-    let calls = play
+    let calls = scenario
         .trace
         .lines()
         .filter(|line| line.contains("called:"))
@@ -645,25 +657,25 @@
 
 #[test]
 fn under_a_tiny_call_quota_backends_take_turns() {
-    let mut play = play(&[
+    let mut scenario = scenario(&[
         ("FamilyInfo.CallShare", "0.03"),
         ("Classes.2.AimUs", "9000000"),
     ]);
     for number in 0..30 {
-        let at = 2.0 * number as f64;
-        play.arrive(
-            at,
+        let now = 2.0 * number as f64;
+        scenario.arrive(
+            now,
             number,
             Invocation {
                 caller_timeout: Some(1.0),
                 ..invocation(2)
             },
         );
-        play.request_call(at + 0.01, number);
-        play.end_call(at + 0.05, number, OK);
-        play.end_run(at + 0.06, number, OK, 0.05);
+        scenario.request_call(now + 0.01, number);
+        scenario.end_call(now + 0.05, number, SUCCEEDED);
+        scenario.end_run(now + 0.06, number, SUCCEEDED, 0.05);
     }
-    let calls = play
+    let calls = scenario
         .trace
         .lines()
         .filter(|line| line.contains("called:"))
@@ -673,8 +685,8 @@
 }
 
 #[test]
-fn half_of_the_calls_is_reserved_for_what_needs_them() {
-    let mut play = play(&[
+fn half_of_the_calls_is_reserved_for_operations_that_need_them() {
+    let mut scenario = scenario(&[
         ("FamilyInfo.CallShare", "0.3"),
         ("Classes.0.AimUs", "9000000"),
     ]);
@@ -683,31 +695,31 @@
         ..invocation(0)
     };
     for (number, operation) in [2, 0, 0, 0, 2].into_iter().enumerate() {
-        let at = 0.2 * number as f64;
-        play.arrive(
-            at,
+        let now = 0.2 * number as f64;
+        scenario.arrive(
+            now,
             number,
             Invocation {
                 operation,
                 ..wait.clone()
             },
         );
-        play.request_call(at + 0.01, number);
-        play.end_call(at + 0.05, number, OK);
-        play.end_run(at + 0.06, number, OK, 0.05);
+        scenario.request_call(now + 0.01, number);
+        scenario.end_call(now + 0.05, number, SUCCEEDED);
+        scenario.end_run(now + 0.06, number, SUCCEEDED, 0.05);
     }
-    insta::assert_snapshot!(play.trace);
+    insta::assert_snapshot!(scenario.trace);
 }
 
 #[test]
-fn a_retry_whose_caller_has_hardly_waited_has_its_full_objective() {
-    let mut play = play(&[]);
-    play.arrive(0.0, 0, invocation(0));
-    play.end_run(0.5, 0, OK, 0.5);
-    play.arrive(1.0, 1, invocation(0));
-    play.arrive(1.0, 2, invocation(0));
-    play.tick(1.15, 0.5);
-    play.arrive(
+fn a_retry_whose_caller_has_waited_briefly_keeps_its_full_objective() {
+    let mut scenario = scenario(&[]);
+    scenario.arrive(0.0, 0, invocation(0));
+    scenario.end_run(0.5, 0, SUCCEEDED, 0.5);
+    scenario.arrive(1.0, 1, invocation(0));
+    scenario.arrive(1.0, 2, invocation(0));
+    scenario.tick(1.15, 0.5);
+    scenario.arrive(
         1.2,
         3,
         Invocation {
@@ -716,7 +728,7 @@
             ..invocation(0)
         },
     );
-    play.arrive(
+    scenario.arrive(
         1.2,
         4,
         Invocation {
@@ -725,12 +737,12 @@
             ..invocation(0)
         },
     );
-    play.end_run(1.5, 1, OK, 0.5);
-    insta::assert_snapshot!(play.trace);
+    scenario.end_run(1.5, 1, SUCCEEDED, 0.5);
+    insta::assert_snapshot!(scenario.trace);
 }
 
 #[test]
-fn a_setting_that_cannot_be_read_is_named() {
+fn an_invalid_setting_is_named_in_the_error() {
     let settings = [("FamilyInfo.Cores".to_owned(), "six".to_owned())].into();
     insta::assert_snapshot!(
         merlinshelf_admission::AdmissionController::start(0.0, 1, settings)
@@ -745,47 +757,50 @@
 }
 
 #[test]
-fn with_a_prior_estimate_of_an_outage_the_first_call_is_a_trial_that_may_end_it() {
-    for (weight, outcome) in [(0.6, OK), (0.6, LOST), (0.1, OK)] {
-        let mut play = play(&[("FamilyInfo.CallShare", "20"), ("FamilyInfo.Cores", "8")]);
-        play.controller.set_prior_estimates(PriorEstimates {
+fn with_a_prior_estimate_of_an_outage_the_first_call_is_a_trial_that_can_close_the_breaker() {
+    for (weight, outcome) in [(0.6, SUCCEEDED), (0.6, UNKNOWN_OUTCOME), (0.1, SUCCEEDED)] {
+        let mut scenario = scenario(&[("FamilyInfo.CallShare", "20"), ("FamilyInfo.Cores", "8")]);
+        scenario.controller.set_prior_estimates(PriorEstimates {
             call_failures: prior(9.0, weight),
             ..PriorEstimates::default()
         });
         for number in 0..3 {
-            play.arrive(0.0, number, invocation(0));
-            play.request_call(0.01, number);
+            scenario.arrive(0.0, number, invocation(0));
+            scenario.request_call(0.01, number);
         }
-        play.end_call(0.03, 0, outcome);
-        // Set again, it changes nothing any more.
-        play.controller.set_prior_estimates(PriorEstimates {
+        scenario.end_call(0.03, 0, outcome);
+        // After the first call, another estimate has no effect.
+        scenario.controller.set_prior_estimates(PriorEstimates {
             call_failures: prior(12.0, weight),
             ..PriorEstimates::default()
         });
-        play.arrive(0.04, 3, invocation(0));
-        play.request_call(0.05, 3);
-        insta::assert_snapshot!(format!("prior_{weight}_{}", outcome.succeeded), play.trace);
+        scenario.arrive(0.04, 3, invocation(0));
+        scenario.request_call(0.05, 3);
+        insta::assert_snapshot!(
+            format!("prior_{weight}_{}", outcome.succeeded),
+            scenario.trace
+        );
     }
 }
 
 #[test]
-fn prior_run_durations_count_during_a_trial_and_are_dropped_once_it_was_twice_as_fast() {
-    let mut play = play(&[]);
-    play.controller.set_prior_estimates(PriorEstimates {
+fn prior_run_durations_apply_during_a_trial_and_are_ignored_if_it_is_twice_as_fast() {
+    let mut scenario = scenario(&[]);
+    scenario.controller.set_prior_estimates(PriorEstimates {
         run_durations: vec![None, None, prior(5.0, 0.7)],
         ..PriorEstimates::default()
     });
-    play.arrive(0.0, 0, invocation(2));
-    play.arrive(0.01, 1, invocation(2)); // estimated to last 5 s, against an objective of 1 s: rejected
-    play.end_run(0.05, 0, OK, 0.05);
-    play.arrive(0.06, 2, invocation(2)); // seen to last 50 ms: the estimate is dropped
-    play.arrive(0.07, 3, invocation(2));
-    play.end_run(0.09, 2, OK, 0.03);
-    insta::assert_snapshot!(play.trace);
+    scenario.arrive(0.0, 0, invocation(2));
+    scenario.arrive(0.01, 1, invocation(2)); // expected to last 5 s with an objective of 1 s: rejected
+    scenario.end_run(0.05, 0, SUCCEEDED, 0.05);
+    scenario.arrive(0.06, 2, invocation(2)); // the trial lasted 50 ms: the estimate is ignored
+    scenario.arrive(0.07, 3, invocation(2));
+    scenario.end_run(0.09, 2, SUCCEEDED, 0.03);
+    insta::assert_snapshot!(scenario.trace);
 }
 
 #[test]
-fn limits_start_from_prior_estimates_and_own_samples_move_them() {
+fn limits_start_from_prior_estimates_and_follow_own_samples() {
     let estimates = PriorEstimates {
         concurrency_limit: prior(6.0, 1.0),
         call_limit: prior(1e6, 1.0),
@@ -793,10 +808,10 @@
         lowest_durations: vec![prior(0.02, 0.7); 3],
         ..PriorEstimates::default()
     };
-    let mut play = play(&[("FamilyInfo.CallShare", "20"), ("FamilyInfo.Cores", "2")]);
-    play.controller.set_prior_estimates(estimates.clone());
-    let learned = play.controller.learned_state();
-    // Within what the settings allow, whatever is estimated.
+    let mut scenario = scenario(&[("FamilyInfo.CallShare", "20"), ("FamilyInfo.Cores", "2")]);
+    scenario.controller.set_prior_estimates(estimates.clone());
+    let learned = scenario.controller.learned_state();
+    // Estimates are limited to the range that the settings allow.
     assert_eq!(
         (
             learned.concurrency_limit,
@@ -805,7 +820,7 @@
         ),
         (4.0, 8.0, 0.004)
     );
-    // An estimate is not passed on as a sample.
+    // Estimates are not passed on as samples.
     assert!(
         learned
             .operations
@@ -814,17 +829,17 @@
             && learned.call_durations.is_empty()
     );
     for number in 0..40 {
-        let at = 0.1 * number as f64;
-        play.arrive(at, number, invocation(0));
-        play.request_call(at + 0.01, number);
-        play.end_call(at + 0.03, number, OK);
-        play.end_run(at + 0.05, number, OK, 0.05);
+        let now = 0.1 * number as f64;
+        scenario.arrive(now, number, invocation(0));
+        scenario.request_call(now + 0.01, number);
+        scenario.end_call(now + 0.03, number, SUCCEEDED);
+        scenario.end_run(now + 0.05, number, SUCCEEDED, 0.05);
     }
-    play.controller.set_prior_estimates(estimates);
-    let learned = play.controller.learned_state();
+    scenario.controller.set_prior_estimates(estimates);
+    let learned = scenario.controller.learned_state();
     assert!(
         (0.019..0.021).contains(&learned.lowest_call_mean),
-        "its own by now: {}",
+        "replaced by own samples: {}",
         learned.lowest_call_mean
     );
     assert!(
@@ -836,47 +851,47 @@
 }
 
 #[test]
-fn beside_eight_own_samples_no_prior_estimate_counts() {
-    let lie = PriorEstimates {
+fn prior_estimates_are_ignored_after_eight_own_samples() {
+    let wrong_estimates = PriorEstimates {
         run_durations: vec![prior(0.06, 1.0); 3],
         downstream_durations: vec![prior(500.0, 1.0); 3],
         retry_share: prior(1.0, 1.0),
         returning_caller_share: prior(0.0, 1.0),
         ..PriorEstimates::default()
     };
-    let traces = [PriorEstimates::default(), lie].map(|prior_estimates| {
-        let mut play = play(&[
+    let traces = [PriorEstimates::default(), wrong_estimates].map(|prior_estimates| {
+        let mut scenario = scenario(&[
             ("FamilyInfo.CallShare", "20"),
             ("FamilyInfo.CallerIdleUs", "30000000"),
         ]);
         for number in 0..10 {
-            let at = 0.1 * number as f64;
-            play.arrive(at, number, invocation(0));
-            play.request_call(at + 0.01, number);
-            play.end_call(at + 0.03, number, OK);
-            play.end_run(at + 0.05, number, OK, 0.05);
+            let now = 0.1 * number as f64;
+            scenario.arrive(now, number, invocation(0));
+            scenario.request_call(now + 0.01, number);
+            scenario.end_call(now + 0.03, number, SUCCEEDED);
+            scenario.end_run(now + 0.05, number, SUCCEEDED, 0.05);
         }
-        play.controller.set_prior_estimates(prior_estimates);
-        play.trace.clear();
+        scenario.controller.set_prior_estimates(prior_estimates);
+        scenario.trace.clear();
         for number in 10..20 {
-            play.arrive(1.0, number, invocation(0));
+            scenario.arrive(1.0, number, invocation(0));
         }
         for number in 10..20 {
-            play.request_call(1.05, number);
-            play.end_run(1.1, number, OK, 0.1);
+            scenario.request_call(1.05, number);
+            scenario.end_run(1.1, number, SUCCEEDED, 0.1);
         }
-        play.tick(1.3, 0.9);
-        play.trace
+        scenario.tick(1.3, 0.9);
+        scenario.trace
     });
     assert_eq!(traces[0], traces[1]);
 }
 
 #[test]
-fn an_operation_with_an_objective_of_zero_is_rejected_also_with_all_cores_free() {
-    let mut play = play(&[("Classes.0.AimUs", "0"), ("Classes.0.LateWorth", "1")]);
-    play.tick(0.0, 0.1);
-    play.arrive(0.01, 0, invocation(0));
-    play.arrive(
+fn an_operation_with_an_objective_of_zero_is_rejected_even_with_idle_cores() {
+    let mut scenario = scenario(&[("Classes.0.AimUs", "0"), ("Classes.0.LateWorth", "1")]);
+    scenario.tick(0.0, 0.1);
+    scenario.arrive(0.01, 0, invocation(0));
+    scenario.arrive(
         0.02,
         1,
         Invocation {
@@ -884,49 +899,50 @@
             ..invocation(0)
         },
     );
-    play.arrive(0.03, 2, invocation(2));
-    insta::assert_snapshot!(play.trace);
+    scenario.arrive(0.03, 2, invocation(2));
+    insta::assert_snapshot!(scenario.trace);
 }
 
 #[test]
 fn a_downstream_quota_limits_calls() {
-    let mut play = play(&[("FamilyInfo.CallShare", "50")]);
-    let set_quota = |play: &mut Play, left: [u32; 3], closed: bool, opens: bool| {
-        let [first_calls, retries, probes] = left;
-        let usage = play.controller.set_downstream_quota(DownstreamQuota {
-            first_calls,
-            retries,
-            probes,
-            probes_only: closed,
-            reopened: opens,
-        });
-        let unused = [
-            usage.unused.first_calls,
-            usage.unused.retries,
-            usage.unused.probes,
-        ];
-        play.trace.push_str(&format!(
-            "unused quota {:?}, failing {}\n",
-            unused.map(|calls| calls.min(99)),
-            usage.is_failing
-        ));
-    };
-    play.arrive(0.01, 0, invocation(0));
-    play.arrive(0.02, 1, invocation(2));
-    set_quota(&mut play, [1, 0, 0], false, false);
-    play.request_call(0.10, 0); // a first call, and the last of them
-    play.request_call(0.11, 1); // can't do without: waits
-    set_quota(&mut play, [1, 0, 0], false, false);
-    play.tick(0.12, 0.1); // its turn
-    play.end_call(0.14, 0, LOST); // no retry is left: it does without
-    set_quota(&mut play, [9, 1, 0], false, false);
-    play.end_call(0.16, 1, UNSEEN); // a retry
-    set_quota(&mut play, [9, 9, 0], true, false); // it fails for all
-    play.end_call(0.20, 1, UNSEEN); // no probe is left
-    set_quota(&mut play, [9, 9, 1], true, false);
-    play.tick(0.80, 0.1); // the probe
-    set_quota(&mut play, [9, 9, 0], false, true); // it is back for all
-    play.end_call(0.90, 1, OK);
-    set_quota(&mut play, [9, 9, 9], false, false);
-    insta::assert_snapshot!(play.trace);
+    let mut scenario = scenario(&[("FamilyInfo.CallShare", "50")]);
+    let set_quota =
+        |scenario: &mut Scenario, remaining: [u32; 3], probes_only: bool, reopened: bool| {
+            let [first_calls, retries, probes] = remaining;
+            let usage = scenario.controller.set_downstream_quota(DownstreamQuota {
+                first_calls,
+                retries,
+                probes,
+                probes_only,
+                reopened,
+            });
+            let unused = [
+                usage.unused.first_calls,
+                usage.unused.retries,
+                usage.unused.probes,
+            ];
+            scenario.trace.push_str(&format!(
+                "unused quota {:?}, failing {}\n",
+                unused.map(|calls| calls.min(99)),
+                usage.is_failing
+            ));
+        };
+    scenario.arrive(0.01, 0, invocation(0));
+    scenario.arrive(0.02, 1, invocation(2));
+    set_quota(&mut scenario, [1, 0, 0], false, false);
+    scenario.request_call(0.10, 0); // uses the only first call
+    scenario.request_call(0.11, 1); // needs its call: waits
+    set_quota(&mut scenario, [1, 0, 0], false, false);
+    scenario.tick(0.12, 0.1); // starts its first call
+    scenario.end_call(0.14, 0, UNKNOWN_OUTCOME); // no retry is left: it continues without its call
+    set_quota(&mut scenario, [9, 1, 0], false, false);
+    scenario.end_call(0.16, 1, NEVER_RAN); // starts a retry
+    set_quota(&mut scenario, [9, 9, 0], true, false); // the dependency fails for the whole fleet
+    scenario.end_call(0.20, 1, NEVER_RAN); // no trial call is left
+    set_quota(&mut scenario, [9, 9, 1], true, false);
+    scenario.tick(0.80, 0.1); // starts the trial call
+    set_quota(&mut scenario, [9, 9, 0], false, true); // the dependency has recovered for the whole fleet
+    scenario.end_call(0.90, 1, SUCCEEDED);
+    set_quota(&mut scenario, [9, 9, 9], false, false);
+    insta::assert_snapshot!(scenario.trace);
 }
