--- a/crates/merlinshelf-adapter/src/main.rs
+++ b/crates/merlinshelf-adapter/src/main.rs
@@ -1,4 +1,5 @@
-//! Decodes the bench's wire into calls of the decision module and encodes what they return.
+//! Connects a simulator to the admission controller: decodes the simulator's lines into events and
+//! encodes the decisions as reply lines.
 
 use std::any::Any;
 use std::collections::{BTreeMap, HashMap};
@@ -9,18 +10,24 @@
 
 use merlinshelf_admission::{AdmissionController, Decisions, Invocation, Outcome, Settings};
 
-/// One hosted instance and the numbers by which it knows invocations.
+/// One simulated backend: its controller, and the numbers by which the controller identifies
+/// invocations.
 struct Instance {
-    shedder: AdmissionController,
+    controller: AdmissionController,
+    /// Numbers of the invocations, by job name.
     numbers: HashMap<String, usize>,
+    /// Job names, by number.
     names: Vec<String>,
+    /// Numbers that may be assigned again.
     free: Vec<usize>,
-    /// Freed at the end of the batch, since a later line of it may still name them.
+    /// Numbers to free at the end of the batch, since a later line of the batch may still refer to
+    /// them.
     released: Vec<usize>,
 }
 
 impl Instance {
-    fn number(&mut self, name: &str) -> usize {
+    /// Assigns a number to an invocation.
+    fn assign_number(&mut self, name: &str) -> usize {
         let number = self.free.pop().unwrap_or(self.names.len());
         if number == self.names.len() {
             self.names.push(String::new());
@@ -30,6 +37,7 @@
         number
     }
 
+    /// Frees the numbers that were released during the batch.
     fn end_batch(&mut self) {
         for number in self.released.drain(..) {
             self.numbers.remove(&self.names[number]);
@@ -39,7 +47,7 @@
     }
 }
 
-/// The named parts of one line.
+/// The `name=value` fields of one line.
 struct Fields<'a>(Vec<(&'a str, &'a str)>);
 
 impl<'a> Fields<'a> {
@@ -58,7 +66,8 @@
             .map(|field| field.1)
     }
 
-    fn need(&self, name: &str) -> Result<&'a str, String> {
+    /// The text of a field that must be present and not empty.
+    fn required(&self, name: &str) -> Result<&'a str, String> {
         self.text(name)
             .filter(|text| !text.is_empty())
             .ok_or(format!("{name} is missing"))
@@ -68,12 +77,13 @@
         self.text(name)
             .map(|text| {
                 text.parse()
-                    .map_err(|_| format!("{name}={text:?} is no number of its kind"))
+                    .map_err(|_| format!("{name}={text:?} is not a valid number"))
             })
             .transpose()
     }
 
-    fn real(&self, name: &str) -> Result<Option<f64>, String> {
+    /// A finite number that is not negative.
+    fn non_negative(&self, name: &str) -> Result<Option<f64>, String> {
         match self.number::<f64>(name)? {
             Some(value) if !value.is_finite() || value < 0.0 => {
                 Err(format!("{name} is out of range"))
@@ -82,6 +92,7 @@
         }
     }
 
+    /// A time in microseconds, converted to seconds.
     fn seconds(&self, name: &str) -> Result<Option<f64>, String> {
         Ok(self.number::<u64>(name)?.map(|us| us as f64 / 1e6))
     }
@@ -90,12 +101,13 @@
         match self.text(name) {
             None | Some("0") => Ok(false),
             Some("1") => Ok(true),
-            Some(text) => Err(format!("{name}={text:?} is neither 0 nor 1")),
+            Some(text) => Err(format!("{name}={text:?} is not 0 or 1")),
         }
     }
 
+    /// The outcome of a run or a downstream call, from its state code.
     fn outcome(&self) -> Result<Outcome, String> {
-        let code = self.need("StateCode")?;
+        let code = self.required("StateCode")?;
         Ok(Outcome {
             succeeded: code == "completed",
             never_ran: matches!(code, "saturated" | "refused_conn" | "superseded"),
@@ -103,6 +115,7 @@
         })
     }
 
+    /// The gauges by name, from comma-separated `name:value` pairs.
     fn gauges(&self) -> Result<BTreeMap<String, f64>, String> {
         let pairs = self
             .text("Stats")
@@ -116,23 +129,28 @@
                     .ok_or(format!("no ':' in gauge {pair:?}"))?;
                 let value = value
                     .parse()
-                    .map_err(|_| format!("gauge {pair:?} is no number"))?;
+                    .map_err(|_| format!("gauge {pair:?} is not a valid number"))?;
                 Ok((name.to_owned(), value))
             })
             .collect()
     }
 }
 
+/// All simulated backends, and the state of the current batch.
 #[derive(Default)]
 struct Host {
     instances: BTreeMap<String, Instance>,
+    /// Simulated time in microseconds.
     now_us: u64,
+    /// Number of the open batch.
     turn: Option<String>,
+    /// Reply lines of the current batch.
     reply: String,
 }
 
 impl Host {
-    fn line(&mut self, line: &str) -> Result<bool, String> {
+    /// Handles one line and returns whether it ends the batch.
+    fn handle_line(&mut self, line: &str) -> Result<bool, String> {
         let mut parts = line.split('\t');
         let kind = parts.next().unwrap_or("");
         if self.turn.is_none() && kind != "SYNC" {
@@ -143,7 +161,7 @@
             };
         }
         match kind {
-            "SYNC" if self.turn.is_some() => return Err("a batch within a batch".into()),
+            "SYNC" if self.turn.is_some() => return Err("SYNC inside an open batch".into()),
             "SYNC" => {
                 let fields = Fields::parse(parts)?;
                 self.now_us = fields.number("TimeUs")?.ok_or("TimeUs is missing")?;
@@ -163,7 +181,7 @@
             "INIT" => self.init(&Fields::parse(parts)?)?,
             "CRASH_NOW" => {
                 let fields = Fields::parse(parts)?;
-                self.instances.remove(fields.need("Backend")?);
+                self.instances.remove(fields.required("Backend")?);
             }
             "SUBMIT" | "RESULT" | "EXPIRED" | "WANTS_CALL" | "CALL_ENDED" | "NOTICE" | "ALARM" => {
                 self.event(kind, &Fields::parse(parts)?)?;
@@ -173,8 +191,9 @@
         Ok(false)
     }
 
+    /// Starts the controller of a backend.
     fn init(&mut self, fields: &Fields) -> Result<(), String> {
-        let name = fields.need("Backend")?.to_owned();
+        let name = fields.required("Backend")?.to_owned();
         let seed = fields.number::<u64>("Salt")?.unwrap_or(0);
         let settings: Settings = fields
             .0
@@ -184,35 +203,44 @@
         let now = self.now_us as f64 / 1e6;
         match catch_unwind(|| AdmissionController::start(now, seed, settings)) {
             Ok(started) => {
-                let (shedder, decided) = started.map_err(|error| error.to_string())?;
+                let (controller, decisions) = started.map_err(|error| error.to_string())?;
                 let (numbers, names, free, released) = Default::default();
                 let mut instance = Instance {
-                    shedder,
+                    controller,
                     numbers,
                     names,
                     free,
                     released,
                 };
-                encode(&mut self.reply, &name, &mut instance, self.now_us, decided);
+                encode(
+                    &mut self.reply,
+                    &name,
+                    &mut instance,
+                    self.now_us,
+                    decisions,
+                );
                 self.instances.insert(name, instance);
             }
-            Err(panic) => fault(&mut self.reply, &name, &*panic),
+            Err(panic) => write_fault(&mut self.reply, &name, &*panic),
         }
         Ok(())
     }
 
+    /// Passes an event to the controller of its backend and encodes the decisions. Events of
+    /// unknown backends and invocations are ignored.
     fn event(&mut self, kind: &str, fields: &Fields) -> Result<(), String> {
-        let name = fields.need("Backend")?;
+        let name = fields.required("Backend")?;
         let now = self.now_us as f64 / 1e6;
-        // The line is read in full before anything is decided, so that a bad one is named in any case.
+        // The whole line is parsed first, so that a malformed line is reported even if its backend
+        // or invocation is unknown.
         let (mut arrival, mut outcome, mut gauges) = Default::default();
-        let (mut prior, mut handle, mut span, mut job) = (None, 0, 0.0, "");
+        let (mut original, mut handle, mut seconds, mut job) = (None, 0, 0.0, "");
         match kind {
             "SUBMIT" => {
-                job = fields.need("Job")?;
-                prior = fields
+                job = fields.required("Job")?;
+                original = fields
                     .text("Prior")
-                    .filter(|prior| !matches!(*prior, "" | "0"));
+                    .filter(|original| !matches!(*original, "" | "0"));
                 arrival = Invocation {
                     operation: fields.number("Band")?.unwrap_or(0),
                     customer: fields.number("Team")?.unwrap_or(0),
@@ -222,49 +250,49 @@
                         .filter(|budget| *budget > 0.0),
                     age: fields.seconds("AgeUs")?.unwrap_or(0.0),
                     cost_hint: fields.seconds("ExpectedUs")?.filter(|cost| *cost > 0.0),
-                    held_kilobytes: fields.real("HeldKb")?.unwrap_or(0.0),
-                    rank: fields.real("Rank")?.unwrap_or(0.0),
+                    held_kilobytes: fields.non_negative("HeldKb")?.unwrap_or(0.0),
+                    rank: fields.non_negative("Rank")?.unwrap_or(0.0),
                     is_retry: fields.flag("AgainByClient")?,
                     has_subject: fields.text("NameKey").is_some_and(|key| !key.is_empty()),
-                    is_repeat: prior.is_some(),
+                    is_repeat: original.is_some(),
                     original: None,
                 };
                 fields.flag("IsWrite")?;
             }
             "RESULT" | "CALL_ENDED" => {
-                job = fields.need("Job")?;
+                job = fields.required("Job")?;
                 outcome = fields.outcome()?;
-                span = fields.seconds("ElapsedUs")?.unwrap_or(0.0);
+                seconds = fields.seconds("ElapsedUs")?.unwrap_or(0.0);
             }
-            "NOTICE" => span = fields.seconds("TimeBudgetUs")?.unwrap_or(0.0),
+            "NOTICE" => seconds = fields.seconds("TimeBudgetUs")?.unwrap_or(0.0),
             "ALARM" => {
                 handle = fields.number("Handle")?.unwrap_or(0);
                 gauges = fields.gauges()?;
             }
-            _ => job = fields.need("Job")?,
+            _ => job = fields.required("Job")?,
         }
         let Some(instance) = self.instances.get_mut(name) else {
             return Ok(());
         };
-        arrival.original = prior.and_then(|prior| instance.numbers.get(prior).copied());
-        let inv = match kind {
-            "SUBMIT" => Some(instance.number(job)),
+        arrival.original = original.and_then(|original| instance.numbers.get(original).copied());
+        let invocation = match kind {
+            "SUBMIT" => Some(instance.assign_number(job)),
             _ => instance.numbers.get(job).copied(),
         };
-        let shedder = &mut instance.shedder;
-        let decided = catch_unwind(AssertUnwindSafe(|| match (kind, inv) {
-            ("SUBMIT", Some(inv)) => shedder.invocation_arrived(now, inv, arrival),
-            ("RESULT", Some(inv)) => shedder.run_ended(now, inv, outcome, span),
-            ("EXPIRED", Some(inv)) => shedder.caller_disconnected(now, inv),
-            ("WANTS_CALL", Some(inv)) => shedder.call_requested(now, inv),
-            ("CALL_ENDED", Some(inv)) => shedder.call_ended(now, inv, outcome),
-            ("NOTICE", _) => shedder.shutdown_requested(now, span),
-            ("ALARM", _) => shedder.timer_fired(now, handle, &gauges),
+        let controller = &mut instance.controller;
+        let decisions = catch_unwind(AssertUnwindSafe(|| match (kind, invocation) {
+            ("SUBMIT", Some(invocation)) => controller.invocation_arrived(now, invocation, arrival),
+            ("RESULT", Some(invocation)) => controller.run_ended(now, invocation, outcome, seconds),
+            ("EXPIRED", Some(invocation)) => controller.caller_disconnected(now, invocation),
+            ("WANTS_CALL", Some(invocation)) => controller.call_requested(now, invocation),
+            ("CALL_ENDED", Some(invocation)) => controller.call_ended(now, invocation, outcome),
+            ("NOTICE", _) => controller.shutdown_requested(now, seconds),
+            ("ALARM", _) => controller.timer_fired(now, handle, &gauges),
             _ => Decisions::default(),
         }));
-        match decided {
-            Ok(decided) => encode(&mut self.reply, name, instance, self.now_us, decided),
-            Err(panic) => fault(&mut self.reply, name, &*panic),
+        match decisions {
+            Ok(decisions) => encode(&mut self.reply, name, instance, self.now_us, decisions),
+            Err(panic) => write_fault(&mut self.reply, name, &*panic),
         }
         Ok(())
     }
@@ -274,73 +302,83 @@
     (seconds * 1e6).round().max(0.0) as u64
 }
 
-/// Writes what was decided, in the order in which the interface lists it.
-fn encode(out: &mut String, name: &str, instance: &mut Instance, now_us: u64, decided: Decisions) {
-    let job = |inv: usize| &instance.names[inv];
-    let mut put = |verb: &str, rest: std::fmt::Arguments| {
+/// Encodes decisions, in the order of their fields.
+fn encode(
+    out: &mut String,
+    name: &str,
+    instance: &mut Instance,
+    now_us: u64,
+    decisions: Decisions,
+) {
+    let job = |invocation: usize| &instance.names[invocation];
+    let mut write_line = |verb: &str, rest: std::fmt::Arguments| {
         let _ = writeln!(out, "{verb}\tBackend={name}\t{rest}");
     };
-    for rejection in decided.rejected {
-        let (inv, away) = (rejection.invocation, micros(rejection.retry_after_seconds));
-        let last = u8::from(rejection.no_failover);
-        put(
+    for rejection in decisions.rejected {
+        let (invocation, cool_down) = (rejection.invocation, micros(rejection.retry_after_seconds));
+        let no_retry = u8::from(rejection.no_failover);
+        write_line(
             "OVERLOAD_REPLY",
-            format_args!("Job={}\tCoolDownUs={away}\tNoRetry={last}", job(inv)),
+            format_args!(
+                "Job={}\tCoolDownUs={cool_down}\tNoRetry={no_retry}",
+                job(invocation)
+            ),
         );
     }
-    let mut each = |verb: &str, list: &[usize]| {
+    let mut write_each = |verb: &str, list: &[usize]| {
         list.iter()
-            .for_each(|&inv| put(verb, format_args!("Job={}", job(inv))));
+            .for_each(|&invocation| write_line(verb, format_args!("Job={}", job(invocation))));
     };
-    each("ERROR", &decided.failed);
-    each("PREEMPT", &decided.stopped);
-    for (inv, span) in decided.cached {
-        put(
+    write_each("ERROR", &decisions.failed);
+    write_each("PREEMPT", &decisions.stopped);
+    for (invocation, span) in decisions.cached {
+        write_line(
             "REMEMBER",
-            format_args!("Job={}\tSpanUs={}", job(inv), micros(span)),
+            format_args!("Job={}\tSpanUs={}", job(invocation), micros(span)),
         );
     }
-    let mut each = |verb: &str, list: &[usize]| {
+    let mut write_each = |verb: &str, list: &[usize]| {
         list.iter()
-            .for_each(|&inv| put(verb, format_args!("Job={}", job(inv))));
+            .for_each(|&invocation| write_line(verb, format_args!("Job={}", job(invocation))));
     };
-    each("ERASE", &decided.evicted);
-    each("SHARE", &decided.joined);
-    each("DISPATCH", &decided.started);
-    for (inv, patience) in decided.called {
-        put(
+    write_each("ERASE", &decisions.evicted);
+    write_each("SHARE", &decisions.joined);
+    write_each("DISPATCH", &decisions.started);
+    for (invocation, timeout) in decisions.called {
+        write_line(
             "CALL",
-            format_args!("Job={}\tPatienceUs={}", job(inv), micros(patience)),
+            format_args!("Job={}\tPatienceUs={}", job(invocation), micros(timeout)),
         );
     }
-    for inv in decided.degraded {
-        put("DEGRADE", format_args!("Job={}", job(inv)));
+    for invocation in decisions.degraded {
+        write_line("DEGRADE", format_args!("Job={}", job(invocation)));
     }
-    if let Some(good) = decided.health {
-        put(
+    if let Some(is_healthy) = decisions.health {
+        write_line(
             "SET_HEALTH",
-            format_args!("Cached=1\tEnable={}", u8::from(good)),
+            format_args!("Cached=1\tEnable={}", u8::from(is_healthy)),
         );
     }
-    if let Some(level) = decided.level {
-        put("SIGNAL", format_args!("X={level:.4}"));
+    if let Some(level) = decisions.level {
+        write_line("SIGNAL", format_args!("X={level:.4}"));
     }
-    if let Some(idle) = decided.idle_timeout {
-        put("TRIM_AFTER", format_args!("SpanUs={}", micros(idle)));
+    if let Some(idle) = decisions.idle_timeout {
+        write_line("TRIM_AFTER", format_args!("SpanUs={}", micros(idle)));
     }
-    for (after, handle) in decided.timers {
-        put(
+    for (after, handle) in decisions.timers {
+        write_line(
             "SLEEP",
             format_args!("AtUs={}\tHandle={handle}", now_us + micros(after).max(1)),
         );
     }
-    for note in decided.notes {
-        put("TRACE", format_args!("Msg={note}"));
+    for note in decisions.notes {
+        write_line("TRACE", format_args!("Msg={note}"));
     }
-    instance.released.extend(decided.released);
+    instance.released.extend(decisions.released);
 }
 
-fn fault(out: &mut String, name: &str, panic: &(dyn Any + Send)) {
+/// Reports a panic of the controller as a FAULT line.
+fn write_fault(out: &mut String, name: &str, panic: &(dyn Any + Send)) {
     let text = panic.downcast_ref::<String>().map(String::as_str);
     let text = text
         .or(panic.downcast_ref::<&str>().copied())
@@ -356,7 +394,7 @@
     let (mut input, mut output) = (io::stdin().lock(), io::BufWriter::new(io::stdout().lock()));
     let mut host = Host::default();
     let mut line = Vec::new();
-    for count in 1u64.. {
+    for line_number in 1u64.. {
         line.clear();
         if input
             .read_until(b'\n', &mut line)
@@ -365,11 +403,12 @@
         {
             break;
         }
-        let text = std::str::from_utf8(&line).map_err(|_| format!("line {count}: not UTF-8"))?;
+        let text =
+            std::str::from_utf8(&line).map_err(|_| format!("line {line_number}: not UTF-8"))?;
         let text = text.trim_end_matches(['\n', '\r']);
         if host
-            .line(text)
-            .map_err(|error| format!("line {count}: {error}"))?
+            .handle_line(text)
+            .map_err(|error| format!("line {line_number}: {error}"))?
         {
             let written = output
                 .write_all(host.reply.as_bytes())
@@ -379,7 +418,7 @@
         }
     }
     match host.turn {
-        Some(turn) => Err(format!("the input ends within batch {turn}")),
+        Some(turn) => Err(format!("the input ends inside batch {turn}")),
         None => Ok(()),
     }
 }
