--- a/crates/merlinshelf-backend/src/client/catalogue/connection.rs
+++ b/crates/merlinshelf-backend/src/client/catalogue/connection.rs
@@ -15,7 +15,7 @@
 
 use super::attempt::AttemptKey;
 use crate::client::{connect, unreadable};
-use crate::exchange::{CallOutcome, Shared, pass};
+use crate::exchange::{CallOutcome, Shared, pass_to_predecessor};
 use crate::fault;
 use crate::ring::{IoProgress, Ring};
 
@@ -77,7 +77,7 @@
     ) -> io::Result<DownstreamConnection> {
         let socket = connect(address).await?;
         let stream = exchange.borrow_mut().next_stream();
-        pass(exchange, Role::DownstreamConnection(stream), &socket).await?;
+        pass_to_predecessor(exchange, Role::DownstreamConnection(stream), &socket).await?;
         Ok(DownstreamConnection {
             socket,
             stream,
--- a/crates/merlinshelf-backend/src/client/catalogue/mod.rs
+++ b/crates/merlinshelf-backend/src/client/catalogue/mod.rs
@@ -207,9 +207,9 @@
             if connection.is_none() {
                 let mut exchange = self.exchange.borrow_mut();
                 if !std::mem::take(&mut self.is_deferred) {
-                    exchange.note_connection_demand(CATALOGUE);
+                    exchange.record_connection_demand(CATALOGUE);
                 }
-                if !exchange.may_open_connection(CATALOGUE) {
+                if !exchange.try_acquire_connection(CATALOGUE) {
                     // It waits within its time; the admission controller cancels it after that.
                     self.is_deferred = true;
                     return self.waiting.push_front(call);
@@ -279,7 +279,7 @@
         let dependency = routing.borrow().dependency_of_attempt(attempt_id);
         self.exchange
             .borrow_mut()
-            .note_connection_demand(&dependency);
+            .record_connection_demand(&dependency);
         self.deferred_attempts.push_back(DeferredAttempt {
             dependency,
             call,
@@ -309,7 +309,7 @@
                 || self
                     .exchange
                     .borrow_mut()
-                    .may_open_connection(&deferred.dependency);
+                    .try_acquire_connection(&deferred.dependency);
             if may_start {
                 self.start_attempt(deferred.call, connection, deferred.address);
             } else {
--- a/crates/merlinshelf-backend/src/client/engine.rs
+++ b/crates/merlinshelf-backend/src/client/engine.rs
@@ -20,7 +20,7 @@
 use tokio::time::{Instant, sleep, sleep_until};
 
 use super::{Watched, connect, unreadable};
-use crate::exchange::{Command, Shared, StoppedPart, monotonic, pass};
+use crate::exchange::{Command, Shared, StoppedPart, monotonic_seconds, pass_to_predecessor};
 use crate::fault;
 use crate::ring::{IoProgress, Ring};
 
@@ -180,7 +180,7 @@
             exchange.counters.engine_links += 1;
             exchange.next_stream()
         };
-        pass(&self.exchange, Role::EngineConnection(stream), &socket).await?;
+        pass_to_predecessor(&self.exchange, Role::EngineConnection(stream), &socket).await?;
         let now = Instant::now();
         let (coming, going) = (Ring::default(), Ring::default());
         // The first HELLO waits for the engine to be up; any later one is a question's answer like
@@ -209,7 +209,7 @@
     fn resume(&mut self, (record, socket): Resumed) -> Option<Link> {
         let now = Instant::now();
         (self.last, self.tag) = (record.last_notification, record.last_request_tag);
-        let age = |born: f64| Duration::from_secs_f64((monotonic() - born).clamp(0.0, 1e6));
+        let age = |born: f64| Duration::from_secs_f64((monotonic_seconds() - born).clamp(0.0, 1e6));
         self.born = record
             .engine_started_at
             .and_then(|born| now.checked_sub(age(born)));
@@ -261,9 +261,9 @@
             is_greeted: link.is_some_and(|link| link.hello),
             is_caught_up: link.is_some_and(|link| link.caught_up),
             names_dependencies: link.is_some_and(|link| link.names),
-            engine_started_at: self
-                .born
-                .map(|born| monotonic() - now.saturating_duration_since(born).as_secs_f64()),
+            engine_started_at: self.born.map(|born| {
+                monotonic_seconds() - now.saturating_duration_since(born).as_secs_f64()
+            }),
             flow: link.map(flow).unwrap_or_default(),
         }
     }
--- a/crates/merlinshelf-backend/src/exchange/arrivals.rs
+++ b/crates/merlinshelf-backend/src/exchange/arrivals.rs
@@ -135,7 +135,7 @@
 
     /// A place for one more invocation to be read, if there is one beside all that are read and
     /// those in hand.
-    pub fn reserve_reading(&self) -> Option<ReadReservation> {
+    pub fn reserve_read(&self) -> Option<ReadReservation> {
         let mut place = ReadReservation {
             taken: self.reading_bytes.clone(),
             most: self.max_reading_bytes,
@@ -146,7 +146,7 @@
 
     /// The place of one that another process was reading: it had one, and what was begun is not cut
     /// off by a bound.
-    pub fn restore_reading(&self, bytes: usize) -> ReadReservation {
+    pub fn restore_read_reservation(&self, bytes: usize) -> ReadReservation {
         let mut place = ReadReservation {
             taken: self.reading_bytes.clone(),
             most: usize::MAX,
--- a/crates/merlinshelf-backend/src/exchange/mod.rs
+++ b/crates/merlinshelf-backend/src/exchange/mod.rs
@@ -43,7 +43,9 @@
 pub use quota::CallDemand;
 pub use runs::Command;
 use send_queue::SendQueue;
-pub use snapshot::{OpenedConnection, PassedDescriptors, StoppedPart, monotonic, pass};
+pub use snapshot::{
+    OpenedConnection, PassedDescriptors, StoppedPart, monotonic_seconds, pass_to_predecessor,
+};
 use timers::{Timer, TimerQueue};
 
 /// The exchange as all parts of an instance, on one thread, share it.
--- a/crates/merlinshelf-backend/src/exchange/policy.rs
+++ b/crates/merlinshelf-backend/src/exchange/policy.rs
@@ -11,16 +11,19 @@
 use merlinshelf_quota::budget;
 
 use super::quota::QuotaSpending;
-use super::{CallDemand, Exchange, monotonic, unix_ms};
+use super::{CallDemand, Exchange, monotonic_seconds, unix_ms};
 use crate::operator::PolicySettings;
 
-/// What else is laid under a policy: told whenever it is another one. Whether it could be is asked
-/// first.
+/// Applies the parts of a policy that are not settings of the admission controller. A policy is
+/// checked before it comes into force.
 pub trait PolicyOverlay {
+    /// Whether the policy could be applied.
+    ///
     /// # Errors
-    /// What does not fit.
-    fn fits(&self, policy: &Policy) -> Result<(), String>;
-    fn lay(&self, policy: &Policy);
+    /// What in the policy does not fit this instance.
+    fn check(&self, policy: &Policy) -> Result<(), String>;
+    /// Called each time another policy comes into force.
+    fn apply(&self, policy: &Policy);
 }
 
 pub struct ActivePolicy {
@@ -28,7 +31,7 @@
     acting: EffectivePolicy,
     /// The settings as they were configured.
     base: Settings,
-    laid: Box<dyn PolicyOverlay>,
+    overlay: Box<dyn PolicyOverlay>,
 }
 
 /// A number that no other process of this machine has, nor this one at another time.
@@ -44,26 +47,26 @@
     pub fn enable_policy(
         &mut self,
         of: &PolicySettings,
-        laid: Box<dyn PolicyOverlay>,
+        overlay: Box<dyn PolicyOverlay>,
     ) -> Result<(), String> {
         let base = std::mem::take(&mut self.settings);
         let settings = of
             .base
             .settings(&base)
             .map_err(|mismatch| mismatch.to_string())
-            .and_then(|settings| laid.fits(&of.base).map(|()| settings));
+            .and_then(|settings| overlay.check(&of.base).map(|()| settings));
         let settings = settings.map_err(|why| format!("policy.base: {why}"));
         let life = life();
         let holder = LeaseHolder::new(life, of.base.clone(), of.without, of.drift);
         self.quota = Some(QuotaSpending::new(life, self.seed, of));
-        let acting = holder.effective_policy(monotonic());
-        laid.lay(&of.base);
+        let acting = holder.effective_policy(monotonic_seconds());
+        overlay.apply(&of.base);
         self.settings = settings?;
         self.policy = Some(ActivePolicy {
             holder,
             acting,
             base,
-            laid,
+            overlay,
         });
         Ok(())
     }
@@ -118,13 +121,16 @@
         let seed = self.seed;
         let policed = self.policy.as_mut()?;
         let ActivePolicy {
-            holder, base, laid, ..
+            holder,
+            base,
+            overlay,
+            ..
         } = policed;
         let given = beat.quota_grants.clone();
         let aside = holder.base_policy().budgets.clone();
-        let mut said = holder.handle_heartbeat(monotonic(), beat, |policy| {
+        let mut said = holder.handle_heartbeat(monotonic_seconds(), beat, |policy| {
             let settings = policy.settings(base)?;
-            laid.fits(policy)?;
+            overlay.check(policy)?;
             budget::validate_against_reserve(&policy.budgets, &aside, None)?;
             AdmissionController::start(0.0, seed, settings).map_err(|error| error.to_string())?;
             Ok(())
@@ -137,17 +143,17 @@
         Some(said)
     }
 
-    /// What is laid beside the settings is laid anew, for whoever changed what it is laid on.
+    /// Applies the overlay again, after the configuration that it modifies has changed.
     pub fn reapply_overlay(&self) {
         if let Some(policed) = &self.policy {
-            policed.laid.lay(policed.holder.policy(policed.acting));
+            policed.overlay.apply(policed.holder.policy(policed.acting));
         }
     }
 
     pub fn policy_status(&self) -> Option<InstanceStatus> {
         self.policy
             .as_ref()
-            .map(|policed| policed.holder.status(monotonic()))
+            .map(|policed| policed.holder.status(monotonic_seconds()))
     }
 
     /// How long callers are to stay away where nothing may be served.
@@ -178,7 +184,7 @@
         let Some(policed) = &mut self.policy else {
             return;
         };
-        let acting = policed.holder.effective_policy(monotonic());
+        let acting = policed.holder.effective_policy(monotonic_seconds());
         if acting == policed.acting {
             return;
         }
@@ -187,7 +193,7 @@
             Ok(settings) => settings,
             Err(why) => return error!("a policy that was found to fit does not: {why}"),
         };
-        policed.laid.lay(policed.holder.policy(acting));
+        policed.overlay.apply(policed.holder.policy(acting));
         if let Some(spending) = &mut self.quota {
             spending.bound(&policed.holder.policy(acting).budgets);
         }
--- a/crates/merlinshelf-backend/src/exchange/quota.rs
+++ b/crates/merlinshelf-backend/src/exchange/quota.rs
@@ -19,7 +19,7 @@
 use rustix::fs::{FlockOperation, flock};
 use serde_json::{Value, json};
 
-use super::{Exchange, monotonic};
+use super::{Exchange, monotonic_seconds};
 use crate::operator::PolicySettings;
 
 /// Between two looks at what the host has set aside, seconds: where there is nothing, each call
@@ -90,7 +90,7 @@
     }
 
     pub(super) fn heard(&mut self, given: &QuotaGrantBatch) {
-        let (now, chance) = (monotonic(), &mut self.chance);
+        let (now, chance) = (monotonic_seconds(), &mut self.chance);
         self.spender
             .handle_grants(now, given, &mut || chance.random());
         for name in given.dependencies.keys() {
@@ -106,7 +106,7 @@
     /// What is asked of the host; none where nothing is bounded.
     pub(super) fn asks(&mut self) -> Option<QuotaRequestBatch> {
         let any = self.spender.limited_kinds().next().is_some();
-        any.then(|| self.spender.request(monotonic()))
+        any.then(|| self.spender.request(monotonic_seconds()))
     }
 
     /// What is left of each, for a caller that was told before: what of that was `left_over`, and
@@ -118,7 +118,7 @@
         fails: bool,
         wanting: CallDemand,
     ) -> Option<Remaining> {
-        let now = monotonic();
+        let now = monotonic_seconds();
         let before = self.told.get(name).map(|(left, _)| *left);
         if !self.spender.has_budget(name) {
             // It is bounded no more: told once.
@@ -172,7 +172,8 @@
     }
 
     fn wants(&mut self, name: &str, kind: CallKind) {
-        self.spender.record_demand(monotonic(), name, kind, 1.0);
+        self.spender
+            .record_demand(monotonic_seconds(), name, kind, 1.0);
     }
 
     /// One call of what the host has set aside, where nothing else is left of it.
@@ -259,7 +260,7 @@
         .read_to_end(&mut bytes)?;
     // The clock is read behind the lock: what is written down stands in the order in which it was
     // drawn.
-    let (may, next) = match reserve::draw(&bytes, monotonic(), aside, drift) {
+    let (may, next) = match reserve::draw(&bytes, monotonic_seconds(), aside, drift) {
         Ok(next) => (true, Some(next)),
         Err(DrawError::Exhausted) => (false, None),
         Err(DrawError::Corrupt { replacement }) => (false, Some(replacement)),
@@ -351,7 +352,7 @@
         if let Some(spending) = &mut self.quota {
             spending
                 .spender
-                .record_call_end(monotonic(), CATALOGUE, outcome(well));
+                .record_call_end(monotonic_seconds(), CATALOGUE, outcome(well));
             if again {
                 spending.wants(CATALOGUE, CallKind::Retry);
             }
@@ -360,7 +361,7 @@
 
     /// What may be spent on a dependency that is told apart, for the one who calls it: as `renew`
     /// of it says.
-    pub fn renew_quota(
+    pub fn update_quota(
         &mut self,
         name: &str,
         left_over: Remaining,
@@ -387,7 +388,7 @@
     }
 
     /// A call to a dependency that is told apart is wanted, or has ended.
-    pub fn note_dependency_call(
+    pub fn record_dependency_call(
         &mut self,
         name: &str,
         wants: Option<CallKind>,
@@ -402,23 +403,23 @@
         if let Some(well) = ended {
             spending
                 .spender
-                .record_call_end(monotonic(), name, outcome(well));
+                .record_call_end(monotonic_seconds(), name, outcome(well));
         }
     }
 
     /// A connection is to be opened for a call that waits for it.
-    pub fn note_connection_demand(&mut self, name: &str) {
+    pub fn record_connection_demand(&mut self, name: &str) {
         if let Some(spending) = &mut self.quota {
             spending.wants(name, CallKind::NewConnection);
         }
     }
 
     /// Whether a connection may be opened now; it is counted where it may.
-    pub fn may_open_connection(&mut self, name: &str) -> bool {
+    pub fn try_acquire_connection(&mut self, name: &str) -> bool {
         let Some(spending) = &mut self.quota else {
             return true;
         };
-        let now = monotonic();
+        let now = monotonic_seconds();
         if !spending
             .spender
             .is_limited(now, name, CallKind::NewConnection)
@@ -437,7 +438,7 @@
     /// What is held of each budget, for reports.
     pub fn quota_report(&self) -> Option<Value> {
         let spending = self.quota.as_ref()?;
-        let now = monotonic();
+        let now = monotonic_seconds();
         let of = |(name, kind): (&String, CallKind)| {
             json!({
                 "dependency": name, "kind": kind, "share": spending.spender.granted(now, name, kind),
--- a/crates/merlinshelf-backend/src/exchange/restoration.rs
+++ b/crates/merlinshelf-backend/src/exchange/restoration.rs
@@ -12,7 +12,7 @@
 
 use super::in_flight::{InFlightInvocation, ReplyAddress};
 use super::runs::Command;
-use super::snapshot::monotonic;
+use super::snapshot::monotonic_seconds;
 use super::timers::Timer;
 use super::{CallCommand, Exchange};
 
@@ -47,7 +47,7 @@
             _ => None,
         });
         self.next_stream = numbers.fold(self.next_stream, u64::max);
-        let (now, since_origin) = (monotonic(), self.origin.elapsed());
+        let (now, since_origin) = (monotonic_seconds(), self.origin.elapsed());
         self.epoch = instance.clock_offset_seconds + now - since_origin.as_secs_f64();
         self.next_stream = self.next_stream.max(instance.next_stream);
         self.is_healthy = instance.is_healthy;
--- a/crates/merlinshelf-backend/src/exchange/snapshot.rs
+++ b/crates/merlinshelf-backend/src/exchange/snapshot.rs
@@ -31,14 +31,14 @@
 pub struct OpenedConnection {
     pub role: Role,
     pub descriptor: OwnedFd,
-    pub passed: oneshot::Sender<()>,
+    pub acknowledged: oneshot::Sender<()>,
 }
 
 /// Connections that a process hands over, by what they are.
 pub type PassedDescriptors = BTreeMap<Role, OwnedFd>;
 
 /// Now, by the clock that all processes of the machine read alike.
-pub fn monotonic() -> f64 {
+pub fn monotonic_seconds() -> f64 {
     let now = clock_gettime(ClockId::Monotonic);
     now.tv_sec as f64 + now.tv_nsec as f64 / 1e9
 }
@@ -114,7 +114,7 @@
             .map(AdmissionController::learned_state);
         let fresh_start = self.settings.get("FamilyInfo.FreshStart").cloned();
         records::Instance {
-            clock_offset_seconds: self.seconds() - monotonic(),
+            clock_offset_seconds: self.seconds() - monotonic_seconds(),
             operations: self
                 .operation_names
                 .iter()
@@ -124,7 +124,7 @@
             is_healthy: self.is_healthy,
             idle_timeout_seconds: self.idle_timeout.as_secs_f64(),
             drain_deadline_at: self.shutdown_at.map(|stop| {
-                monotonic()
+                monotonic_seconds()
                     + stop
                         .saturating_duration_since(tokio::time::Instant::now())
                         .as_secs_f64()
@@ -180,8 +180,9 @@
             };
             (command, *sent)
         });
-        let until =
-            |at: Duration| monotonic() + at.as_secs_f64() - self.origin.elapsed().as_secs_f64();
+        let until = |at: Duration| {
+            monotonic_seconds() + at.as_secs_f64() - self.origin.elapsed().as_secs_f64()
+        };
         let record = records::Invocation {
             operation: invocation.operation,
             body: bytes(&invocation.body),
@@ -216,22 +217,26 @@
 
 /// Passes a new connection to the predecessor, before anything goes over it. Without one it costs
 /// nothing.
-pub async fn pass(exchange: &Shared, role: Role, socket: &impl AsFd) -> std::io::Result<()> {
+pub async fn pass_to_predecessor(
+    exchange: &Shared,
+    role: Role,
+    socket: &impl AsFd,
+) -> std::io::Result<()> {
     let passing = exchange.borrow().opened_connections.clone();
     let Some(passing) = passing else {
         return Ok(());
     };
-    let (told, passed) = oneshot::channel();
+    let (acknowledged, acknowledgement) = oneshot::channel();
     let descriptor = socket.as_fd().try_clone_to_owned()?;
     if passing
         .send(OpenedConnection {
             role,
             descriptor,
-            passed: told,
+            acknowledged,
         })
         .is_ok()
     {
-        let _ = passed.await; // an error: nobody watches any more
+        let _ = acknowledgement.await; // an error: nobody watches any more
     }
     Ok(())
 }
--- a/crates/merlinshelf-backend/src/exchange/tests.rs
+++ b/crates/merlinshelf-backend/src/exchange/tests.rs
@@ -402,8 +402,7 @@
     let most = play.shared.borrow().max_in_flight;
     assert_eq!(most, 192 * 1024 / 80);
     // Many that are begun and left take bytes, and no place of those that come whole.
-    let mut places: Vec<_> =
-        std::iter::from_fn(|| play.shared.borrow().reserve_reading()).collect();
+    let mut places: Vec<_> = std::iter::from_fn(|| play.shared.borrow().reserve_read()).collect();
     assert_eq!(places.len(), 192 * 1024 * 1024 / 16 / 256);
     assert!(!places[0].grow(1) && !play.shared.borrow().is_full());
     places.pop();
@@ -411,7 +410,7 @@
     drop(places);
     play.shared.borrow_mut().max_in_flight = 6;
     (1..=6).for_each(|number| play.arrives(number, 1));
-    assert!(play.shared.borrow().is_full() && play.shared.borrow().reserve_reading().is_none());
+    assert!(play.shared.borrow().is_full() && play.shared.borrow().reserve_read().is_none());
 }
 
 #[test]
--- a/crates/merlinshelf-backend/src/gossip/answering.rs
+++ b/crates/merlinshelf-backend/src/gossip/answering.rs
@@ -17,7 +17,7 @@
 use super::Shared;
 use super::messages::{MessageError, read_message};
 use super::transport::{Plain, Transport};
-use crate::exchange::monotonic;
+use crate::exchange::monotonic_seconds;
 
 /// Peers that poll at one time; the connection of one more is closed at once.
 const MAX_CONNECTIONS: usize = 16;
@@ -104,7 +104,7 @@
     let started_at = Instant::now();
     let mut state = state.borrow_mut();
     let node = state.node.as_mut()?;
-    let answer = node.poll_received(monotonic(), poll)?;
+    let answer = node.poll_received(monotonic_seconds(), poll)?;
     let mut bytes = Vec::new();
     write_message(&mut bytes, MessageKind::Answer, &answer);
     node.charge_cpu_seconds(started_at.elapsed().as_secs_f64());
--- a/crates/merlinshelf-backend/src/gossip/mod.rs
+++ b/crates/merlinshelf-backend/src/gossip/mod.rs
@@ -23,7 +23,7 @@
 use tokio::sync::Notify;
 use tokio::task::{JoinHandle, spawn_local};
 
-use crate::exchange::{Shared as Exchange, monotonic, unix_ms};
+use crate::exchange::{Shared as Exchange, monotonic_seconds, unix_ms};
 use crate::operator;
 use store_thread::StoreThread;
 use task::GossipTask;
@@ -120,7 +120,7 @@
         };
         let saved_at = unix_ms() / 1e3;
         let mut bytes = store_format::header();
-        for observation in node.export(monotonic()) {
+        for observation in node.export(monotonic_seconds()) {
             let record = Record::Observation(PersistedObservation {
                 saved_at,
                 observation,
@@ -137,7 +137,7 @@
     /// A successor failed and this process serves again.
     pub fn handover_rolled_back(&mut self) {
         if let Some(node) = &mut self.state.borrow_mut().node {
-            node.handover_rolled_back(monotonic());
+            node.handover_rolled_back(monotonic_seconds());
         }
     }
 
--- a/crates/merlinshelf-backend/src/gossip/polling.rs
+++ b/crates/merlinshelf-backend/src/gossip/polling.rs
@@ -16,7 +16,7 @@
 use super::Shared;
 use super::messages::{MessageError, read_message};
 use super::transport::{Plain, Transport};
-use crate::exchange::monotonic;
+use crate::exchange::monotonic_seconds;
 
 /// Polls a peer, and hands the node what is answered in time.
 pub(super) async fn poll_peer(
@@ -36,7 +36,7 @@
         return;
     };
     let is_first_answer = !node.peer_statistics().contains_key(&answer.from.name);
-    let rejected = node.answer_received(monotonic(), &answer);
+    let rejected = node.answer_received(monotonic_seconds(), &answer);
     if answer.observations.is_empty() {
         return;
     }
--- a/crates/merlinshelf-backend/src/gossip/report.rs
+++ b/crates/merlinshelf-backend/src/gossip/report.rs
@@ -5,14 +5,14 @@
 use serde_json::{Value, json};
 
 use super::{SaveOutcome, State};
-use crate::exchange::monotonic;
+use crate::exchange::monotonic_seconds;
 
 /// Observations in one answer of the control socket.
 const PAGE_LENGTH: usize = 100;
 
 /// For the report of the instance's status.
 pub(super) fn status(state: &State) -> Value {
-    let now = monotonic();
+    let now = monotonic_seconds();
     let Some(node) = &state.node else {
         return json!({ "standing": "starting" });
     };
@@ -80,7 +80,7 @@
 
 /// All observations, in pages that fit an answer of the control socket each.
 pub(super) fn observation_pages(state: &State) -> Vec<Value> {
-    let now = monotonic();
+    let now = monotonic_seconds();
     let Some(node) = &state.node else {
         return Vec::new();
     };
--- a/crates/merlinshelf-backend/src/gossip/task.rs
+++ b/crates/merlinshelf-backend/src/gossip/task.rs
@@ -18,7 +18,7 @@
 
 use super::store_thread::{StoreEvent, StoreThread};
 use super::{SaveOutcome, Shared, polling};
-use crate::exchange::{Shared as Exchange, monotonic, unix_ms};
+use crate::exchange::{Shared as Exchange, monotonic_seconds, unix_ms};
 
 /// Between two recordings of own samples.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(500);
@@ -108,7 +108,7 @@
                 () = sleep(STORE_TIMEOUT) => warn!("gossip store slow; serving before it is read"),
             }
         }
-        let now = monotonic();
+        let now = monotonic_seconds();
         let mut node = GossipNode::new(now, incarnation, self.settings.clone());
         if self.state.borrow().is_leaving {
             node.leave();
@@ -144,14 +144,14 @@
         let was_awaited = std::mem::take(&mut self.awaits_found);
         let observations = observations_in(found);
         if let (true, Some(node)) = (was_awaited, &mut self.state.borrow_mut().node) {
-            log_restored(node.restore(monotonic(), observations));
+            log_restored(node.restore(monotonic_seconds(), observations));
         }
     }
 
     /// Of equal failures in a row the first one is logged.
     fn save_ended(&mut self, error: Option<String>) {
         let outcome = SaveOutcome {
-            ended_at: monotonic(),
+            ended_at: monotonic_seconds(),
             error: error.clone(),
         };
         let earlier = self.state.borrow_mut().save_outcome.replace(outcome);
@@ -174,13 +174,13 @@
         let learned_state = self.exchange.borrow().learned_state();
         let mut state = self.state.borrow_mut();
         if let (Some((controller_now, learned)), Some(node)) = (learned_state, &mut state.node) {
-            node.record_own_samples(monotonic(), controller_now, &learned);
+            node.record_own_samples(monotonic_seconds(), controller_now, &learned);
         }
     }
 
     fn poll_peers(&mut self, rng: &mut Pcg64Mcg) {
         let actions = match &mut self.state.borrow_mut().node {
-            Some(node) => node.timer_expired(monotonic(), &mut || rng.random()),
+            Some(node) => node.timer_expired(monotonic_seconds(), &mut || rng.random()),
             None => Vec::new(),
         };
         let timeout = Duration::from_secs_f64(self.settings.membership.answer_timeout_seconds);
@@ -193,7 +193,7 @@
 
     fn update_priors(&mut self) {
         if let Some(node) = &self.state.borrow().node {
-            let priors = node.prior_estimates(monotonic());
+            let priors = node.prior_estimates(monotonic_seconds());
             self.exchange.borrow_mut().set_prior_estimates(priors);
         }
     }
@@ -207,7 +207,7 @@
         let Some(node) = &state.node else {
             return;
         };
-        let observations = node.export(monotonic());
+        let observations = node.export(monotonic_seconds());
         if state.needs_rewrite {
             state.needs_rewrite = !store.rewrite(observations);
         } else {
@@ -223,7 +223,7 @@
         let Some(timeout) = state.node.as_ref().and_then(GossipNode::next_timeout) else {
             return sample_at;
         };
-        let seconds = (timeout - monotonic()).clamp(MIN_SLEEP_SECONDS, MAX_SLEEP_SECONDS);
+        let seconds = (timeout - monotonic_seconds()).clamp(MIN_SLEEP_SECONDS, MAX_SLEEP_SECONDS);
         sample_at.min(Instant::now() + Duration::from_secs_f64(seconds))
     }
 }
--- a/crates/merlinshelf-backend/src/process/signals.rs
+++ b/crates/merlinshelf-backend/src/process/signals.rs
@@ -9,7 +9,7 @@
 
 use super::start::load_config;
 use super::{Flow, Process};
-use crate::exchange::monotonic;
+use crate::exchange::monotonic_seconds;
 use crate::operator::Operator;
 
 /// A deadline that lies further ahead is none; this fits into a `Duration`.
@@ -21,7 +21,7 @@
         if self.startup_wait.is_some() {
             return Flow::Exit(0); // no client could connect yet
         }
-        let deadline = monotonic() + self.config.drain_timeout.as_secs_f64();
+        let deadline = monotonic_seconds() + self.config.drain_timeout.as_secs_f64();
         match &mut self.successor {
             Some(role) if role.state.is_owner() => role.state.drain(deadline),
             // The predecessor observes the exit and goes on.
@@ -49,7 +49,7 @@
         if self.drain.is_some() {
             return;
         }
-        let remaining_seconds = (deadline - monotonic()).clamp(0.0, MAX_DRAIN_SECONDS);
+        let remaining_seconds = (deadline - monotonic_seconds()).clamp(0.0, MAX_DRAIN_SECONDS);
         let remaining = Duration::from_secs_f64(remaining_seconds);
         let remaining_ms = remaining.as_millis() as u64;
         let in_flight = instance.exchange.borrow().in_flight();
--- a/crates/merlinshelf-backend/src/process/successor_role.rs
+++ b/crates/merlinshelf-backend/src/process/successor_role.rs
@@ -164,7 +164,7 @@
             let _ = channel.send(&message, &[opened.descriptor.as_fd()]).await;
         }
         // The task that opened it may have ended meanwhile.
-        let _ = opened.passed.send(());
+        let _ = opened.acknowledged.send(());
     }
 
     /// Drives the state machine, and records how the instance stands at each of its turns.
--- a/crates/merlinshelf-backend/src/routing.rs
+++ b/crates/merlinshelf-backend/src/routing.rs
@@ -57,14 +57,14 @@
 }
 
 impl exchange::PolicyOverlay for DependencyOverlay {
-    fn fits(&self, policy: &Policy) -> Result<(), String> {
+    fn check(&self, policy: &Policy) -> Result<(), String> {
         policy
             .dependencies(self.configured.borrow().as_ref())
             .map(|_| ())
             .map_err(|mismatch| mismatch.to_string())
     }
 
-    fn lay(&self, policy: &Policy) {
+    fn apply(&self, policy: &Policy) {
         let overlaid = policy.dependencies(self.configured.borrow().as_ref());
         if let (Some(routing), Ok(Some(dependencies))) = (&self.routing, overlaid) {
             routing.borrow_mut().update_config(dependencies);
@@ -180,7 +180,7 @@
             let kind = self.first_call_kind(name);
             exchange
                 .borrow_mut()
-                .note_dependency_call(name, Some(kind), None);
+                .record_dependency_call(name, Some(kind), None);
         }
         let now = self.now();
         let random = &mut self.random;
@@ -231,7 +231,7 @@
             let retry = (!succeeded).then_some(CallKind::Retry);
             exchange
                 .borrow_mut()
-                .note_dependency_call(name, retry, Some(succeeded));
+                .record_dependency_call(name, retry, Some(succeeded));
         }
         let demand = CallDemand {
             wants_call: false,
@@ -313,7 +313,7 @@
                 CallDemand::default()
             };
             let quota = exchange
-                .renew_quota(&name, usage.unused, usage.is_failing, demand)
+                .update_quota(&name, usage.unused, usage.is_failing, demand)
                 .unwrap_or(Remaining::ALL);
             self.router.update_quota(&name, quota);
         }
--- a/crates/merlinshelf-backend/src/server/connection.rs
+++ b/crates/merlinshelf-backend/src/server/connection.rs
@@ -25,7 +25,8 @@
 use super::fields::{Asked, Fields};
 use super::table::{Said, Seat};
 use crate::exchange::{
-    Answer, ConnectionHandle, ReadReservation, ReplyAddress, Shared, StoppedPart, pass,
+    Answer, ConnectionHandle, ReadReservation, ReplyAddress, Shared, StoppedPart,
+    pass_to_predecessor,
 };
 use crate::fault;
 use crate::ring::{IoProgress, Ring};
@@ -139,7 +140,7 @@
         for partial in record.partials {
             let place = exchange
                 .borrow()
-                .restore_reading(partial.params.len() + partial.body.len());
+                .restore_read_reservation(partial.params.len() + partial.body.len());
             connection.assembly.resume(partial, place);
         }
         connection.open = record.unanswered.into_iter().collect();
@@ -191,7 +192,7 @@
     pub async fn serve(mut self) {
         if !self.resumed {
             // One that a predecessor has opened is known to it.
-            if let Err(error) = pass(
+            if let Err(error) = pass_to_predecessor(
                 &self.exchange,
                 Role::ClientConnection(self.door.stream()),
                 &self.socket,
@@ -401,7 +402,7 @@
     fn place(&self) -> Option<ReadReservation> {
         let open = self.open.len() + self.assembly.len();
         (open < OPEN_MOST)
-            .then(|| self.exchange.borrow().reserve_reading())
+            .then(|| self.exchange.borrow().reserve_read())
             .flatten()
     }
 
--- a/crates/merlinshelf-backend/src/server/mod.rs
+++ b/crates/merlinshelf-backend/src/server/mod.rs
@@ -162,9 +162,9 @@
 fn may_take_in(exchange: &Shared, paced: &mut bool) -> bool {
     let mut exchange = exchange.borrow_mut();
     if !std::mem::replace(paced, true) {
-        exchange.note_connection_demand(CALLERS);
+        exchange.record_connection_demand(CALLERS);
     }
-    let may = exchange.may_open_connection(CALLERS);
+    let may = exchange.try_acquire_connection(CALLERS);
     *paced = !may;
     may
 }
