--- a/crates/merlinshelf-backend/src/exchange/mod.rs
+++ b/crates/merlinshelf-backend/src/exchange/mod.rs
@@ -1,8 +1,10 @@
-//! Where the server side and the client side meet.
+//! The exchange connects the server side (clients) with the client side (engine, dependencies).
 //!
-//! The exchange owns the admission controller and all invocations in flight. It feeds the
-//! controller with events and carries out its decisions, field by field in the order of the
-//! interface. Neither side knows of the other.
+//! It owns the admission controller and all invocations in flight. It passes events to the
+//! controller and carries out its decisions, field by field in the order in which [`Decisions`]
+//! declares them. Neither side depends on the other.
+//!
+//! [`Decisions`]: merlinshelf_admission::Decisions
 
 mod answer_records;
 mod arrivals;
@@ -48,30 +50,33 @@
 };
 use timers::{Timer, TimerQueue};
 
-/// The exchange as all parts of an instance, on one thread, share it.
+/// The exchange, shared by all tasks of an instance, which run on one thread.
 pub type Shared = Rc<RefCell<Exchange>>;
 
-/// A quarter of the memory limit is for invocations in flight at 20 KB each: a body, a result and a
-/// call's two by the protocol's sizes, and as much again. Far more than the controller ever admits:
-/// it bounds what a broken peer can do.
-const IN_FLIGHT_KILOBYTES: usize = 4 * 20;
-/// A sixteenth is for those that are being read, by the bytes that were received, so that many that
-/// are begun and abandoned keep nothing from those that arrive completely.
-const READING_PART: usize = 16;
+/// Kilobytes of the memory limit per invocation in flight. A quarter of the limit is for invocations
+/// in flight, at 20 KB each: an invocation, its result, a call and its reply at the protocol's sizes,
+/// and the same amount again. The admission controller admits far fewer; this bounds the damage of
+/// a broken peer.
+const LIMIT_KILOBYTES_PER_INVOCATION: usize = 4 * 20;
+/// One sixteenth of the memory limit is for invocations that are still being read, counted by
+/// received bytes. Invocations that clients begin and abandon then take no capacity from those that
+/// arrive completely.
+const READ_MEMORY_DIVISOR: usize = 16;
 
-/// The invocations of one instance, and what stands between its two sides.
+/// All invocations of one instance, and the queues between its server side and its client side.
 pub struct Exchange {
     settings: Settings,
     seed: u64,
     operations: HashMap<Vec<u8>, usize>,
     operation_names: Vec<Rc<str>>,
-    /// By operation, whether it may run and call again.
+    /// By operation, whether its runs and calls may be repeated.
     idempotent: Vec<bool>,
-    /// By operation, whether a run was ever seen to make more than one call.
+    /// By operation, whether any run has made more than one call so far.
     makes_several_calls: Vec<bool>,
     gauge_names: Vec<String>,
     origin: Instant,
-    /// The module's clock at the origin: Unix time then, so that its hours are those of the day.
+    /// The admission controller's clock at the origin: Unix time, so that its hours are hours of
+    /// the day.
     epoch: f64,
     controller: Option<AdmissionController>,
     shutdown_at: Option<Instant>,
@@ -85,44 +90,53 @@
     is_healthy: bool,
     idle_timeout: Duration,
     is_closing: bool,
-    /// Bytes of invocations that are being read on all connections, how many these may be, and how
-    /// many invocations may be in hand.
+    /// Bytes of the invocations that are being read on all connections.
     reading_bytes: Rc<Cell<usize>>,
     max_reading_bytes: usize,
     max_in_flight: usize,
-    /// The number of the next connection, of whatever kind.
+    /// The number of the next connection, whether of a client, the engine or a dependency.
     next_stream: u64,
-    /// Told once when everything is to stop where it stands, to be carried on elsewhere.
+    /// Becomes true once all tasks are to stop, so that a successor can continue their work.
     freeze: watch::Sender<bool>,
-    /// What was handed in since then, and how many connections are done with it.
+    /// State and connections that frozen tasks have deposited.
     stopped_parts: Vec<StoppedPart>,
+    /// Number of client connections that were closed here after the freeze.
     stopped_connections: usize,
-    /// Where changes are noted before they show, as long as a predecessor watches.
+    /// Records each change before its effect is visible, while the predecessor observes this
+    /// process.
     journal: Option<Journal>,
-    /// Where new connections are passed to it.
+    /// Sends opened connections to the task that passes them to the predecessor.
     opened_connections: Option<mpsc::UnboundedSender<OpenedConnection>>,
-    /// Commands that were on the link when another process left it.
+    /// Commands that another process wrote to the engine connection and whose receipt the engine
+    /// has not acknowledged.
     inherited_commands: Vec<(Command, u64)>,
-    /// By operation, the dependencies of its calls; none where there is but the one catalogue.
+    /// By operation, the names of the dependencies that its calls go to; `None` where the catalogue
+    /// is the only dependency.
     dependency_names: Option<Vec<Vec<Rc<str>>>>,
-    /// What is believed on the word of others, for whichever module runs.
+    /// Estimates of other instances, for this admission controller and those that replace it.
     prior_estimates: PriorEstimates,
-    /// What is known, in the form of its file, for whoever carries this on.
+    /// Gossip observations in the format of their file, which a successor continues with.
     pub gossip_state: Vec<u8>,
-    /// The policy for all, where that is on.
+    /// The policy by lease, if enabled.
     policy: Option<policy::ActivePolicy>,
-    /// What it may spend of the fleet's budgets, where policies are on.
+    /// This instance's quota of the fleet's call budgets, if policies are enabled.
     quota: Option<quota::QuotaSpending>,
     pub counters: Counters,
 }
 
 impl Exchange {
-    /// One for a configuration.
+    /// An exchange for this configuration.
+    ///
+    /// # Errors
+    /// The admission controller rejects a setting; the text names it.
     pub fn from_config(config: &Config) -> Result<Exchange, String> {
         Exchange::new(config.settings.clone(), config.seed, config.memory_mb)
     }
 
-    /// Fails where the module can't read a setting, naming it.
+    /// An exchange with these settings of the admission controller.
+    ///
+    /// # Errors
+    /// The admission controller rejects a setting; the text names it.
     pub fn new(settings: Settings, seed: u64, memory_mb: u64) -> Result<Exchange, String> {
         let count = settings
             .get("Classes.count")
@@ -136,19 +150,19 @@
         });
         let names: Vec<Rc<str>> = names.collect();
         if names.is_empty() || names.iter().any(|name| name.is_empty()) {
-            return Err("settings: Classes lacks an operation or one's Name".into());
+            return Err("settings: Classes has no operation, or an operation without Name".into());
         }
-        // The wire brings no token by which a repeat could be known, so that such an operation
-        // might run twice.
+        // The protocol carries no idempotency key, so a repeated invocation can't be recognised and
+        // such an operation might run twice.
         let has = |place: usize, effect: &str| {
             settings
                 .get(&format!("Classes.{place}.Effect"))
-                .is_some_and(|known| known == effect)
+                .is_some_and(|configured| configured == effect)
         };
-        let tokened = |place: &usize| has(*place, "idempotency_key");
-        if let Some(place) = (0..count).find(tokened) {
+        let needs_key = |place: &usize| has(*place, "idempotency_key");
+        if let Some(place) = (0..count).find(needs_key) {
             return Err(format!(
-                "settings: Classes.{place}.Effect: repeats can't be known on this wire"
+                "settings: Classes.{place}.Effect: this protocol carries no idempotency key"
             ));
         }
         AdmissionController::start(0.0, seed, settings.clone())
@@ -189,8 +203,8 @@
             is_healthy: true,
             is_closing: false,
             reading_bytes: Rc::default(),
-            max_reading_bytes: memory_mb as usize * 1024 * 1024 / READING_PART,
-            max_in_flight: (memory_mb as usize * 1024 / IN_FLIGHT_KILOBYTES).max(1),
+            max_reading_bytes: memory_mb as usize * 1024 * 1024 / READ_MEMORY_DIVISOR,
+            max_in_flight: (memory_mb as usize * 1024 / LIMIT_KILOBYTES_PER_INVOCATION).max(1),
             next_stream: 1,
             freeze: watch::Sender::new(false),
             stopped_parts: Vec::new(),
@@ -207,6 +221,7 @@
         })
     }
 
+    /// Notified when the next timer has become earlier.
     pub fn timers_changed(&self) -> Rc<Notify> {
         self.timers_changed.clone()
     }
@@ -215,58 +230,67 @@
         self.timers.next().map(|at| self.origin + at)
     }
 
-    /// Lets all happen whose time has come.
+    /// Handles all timers that are due.
     pub fn fire_timers(&mut self) {
         let now = self.origin.elapsed();
-        while let Some(alarm) = self.timers.pop_due(now) {
-            match alarm {
+        while let Some(timer) = self.timers.pop_due(now) {
+            match timer {
                 Timer::CallTimeout(id, number) => self.call_timed_out(id, number),
                 Timer::Admission(handle) => self.fire_admission_timer(handle, &BTreeMap::new()),
             }
         }
     }
 
-    /// The notice to leave, which came `late` ago: by `stop` the process has to be gone. The grace
-    /// counts from the notice.
-    pub fn begin_shutdown(&mut self, stop: Instant, late: Duration) {
-        self.shutdown_at = Some(stop);
+    /// Begins the graceful shutdown, which was requested `elapsed` ago. The process must have exited
+    /// by `deadline`. The grace counts from the request.
+    pub fn begin_shutdown(&mut self, deadline: Instant, elapsed: Duration) {
+        self.shutdown_at = Some(deadline);
         self.shutdown_notice.notify_one();
-        let left = stop.saturating_duration_since(Instant::now()).as_secs_f64();
-        let late = late.as_secs_f64();
-        self.decide(|controller, now| controller.shutdown_requested(now - late, left + late));
+        let remaining = deadline
+            .saturating_duration_since(Instant::now())
+            .as_secs_f64();
+        let elapsed = elapsed.as_secs_f64();
+        self.decide(|controller, now| {
+            controller.shutdown_requested(now - elapsed, remaining + elapsed)
+        });
     }
 
     pub fn is_shutting_down(&self) -> bool {
         self.shutdown_at.is_some()
     }
 
-    /// Told once, when the notice to leave comes.
+    /// Notified once, when the graceful shutdown begins.
     pub fn shutdown_notice(&self) -> Rc<Notify> {
         self.shutdown_notice.clone()
     }
 
-    /// What the module has learnt by now, and its clock; none while the engine was never up.
+    /// The admission controller's clock and estimates; `None` until the engine has been up once.
     pub fn learned_state(&self) -> Option<(f64, LearnedState)> {
         self.controller
             .as_ref()
             .map(|controller| (self.seconds(), controller.learned_state()))
     }
 
-    /// How long runs take lately, of all operations together, in ms.
+    /// Mean duration of recent runs over all operations, in milliseconds.
     pub fn run_ms(&self) -> Option<f64> {
         let learned = self.controller.as_ref()?.learned_state();
-        let all = || learned.operations.iter().flat_map(|of| &of.run_durations);
-        let count = all().count();
-        (count > 0).then(|| all().sum::<f64>() * 1e3 / count as f64)
+        let durations = || {
+            learned
+                .operations
+                .iter()
+                .flat_map(|operation| &operation.run_durations)
+        };
+        let count = durations().count();
+        (count > 0).then(|| durations().sum::<f64>() * 1e3 / count as f64)
     }
 
-    /// What is believed on the word of others from here on.
-    pub fn set_prior_estimates(&mut self, beliefs: PriorEstimates) {
-        if beliefs != self.prior_estimates {
+    /// Replaces the estimates that were received from other instances.
+    pub fn set_prior_estimates(&mut self, estimates: PriorEstimates) {
+        if estimates != self.prior_estimates {
             if let Some(controller) = &mut self.controller {
-                controller.set_prior_estimates(beliefs.clone());
+                controller.set_prior_estimates(estimates.clone());
             }
-            self.prior_estimates = beliefs;
+            self.prior_estimates = estimates;
         }
     }
 
@@ -274,22 +298,25 @@
         self.invocations.len()
     }
 
+    /// The admission controller's clock.
     fn seconds(&self) -> f64 {
         self.epoch + self.origin.elapsed().as_secs_f64()
     }
 
-    fn set_timer(&mut self, at: Duration, alarm: Timer) {
+    fn set_timer(&mut self, at: Duration, timer: Timer) {
         if self.timers.next().is_none_or(|next| at < next) {
             self.timers_changed.notify_one();
         }
-        self.timers.set(at, alarm);
+        self.timers.set(at, timer);
     }
 }
 
+/// An idle timeout within the supported range.
 fn idle_time(seconds: f64) -> Duration {
     Duration::from_secs_f64(seconds.clamp(0.01, 3600.0))
 }
 
+/// Milliseconds since the Unix epoch, by the wall clock.
 pub fn unix_ms() -> f64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/crates/merlinshelf-backend/src/exchange/send_queue.rs
+++ b/crates/merlinshelf-backend/src/exchange/send_queue.rs
@@ -1,11 +1,11 @@
-//! A queue from the exchange to one side, which wakes that side.
+//! A queue from the exchange to a task, which is woken when an item is added.
 
 use std::collections::VecDeque;
 use std::rc::Rc;
 
 use tokio::sync::Notify;
 
-/// Items for one side, which takes them when it is woken.
+/// Items for a task, which removes them when it is woken.
 #[derive(Debug)]
 pub struct SendQueue<T> {
     waiting: VecDeque<T>,
@@ -43,7 +43,7 @@
         self.waiting.clear();
     }
 
-    /// Wakes the side without a message, to look at the exchange anew.
+    /// Wakes the task without an item, so that it checks the state of the exchange.
     pub fn wake(&self) {
         self.wake.notify_one();
     }
--- a/crates/merlinshelf-backend/src/exchange/tests.rs
+++ b/crates/merlinshelf-backend/src/exchange/tests.rs
@@ -369,7 +369,7 @@
             .gauges_received(&[0.5, 1.0], Duration::from_millis(age))
     };
     let beat_in = || {
-        let wakes = play.shared.borrow().timers.wakes().clone();
+        let wakes = play.shared.borrow().timers.admission_timers().clone();
         let now = play.shared.borrow().origin.elapsed();
         wakes
             .values()
--- a/crates/merlinshelf-backend/src/exchange/timers.rs
+++ b/crates/merlinshelf-backend/src/exchange/timers.rs
@@ -1,4 +1,4 @@
-//! What is to happen at a time, soonest first.
+//! The exchange's pending timers.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -6,37 +6,38 @@
 
 use merlinshelf_protocol::CallId;
 
-/// What fires.
+/// A timer and what it is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Timer {
-    /// The controller asked for a timer with this handle.
+    /// The admission controller's timer with this handle.
     Admission(u64),
-    /// The timeout of an invocation's call of that number.
+    /// The timeout of the invocation's call with this number.
     CallTimeout(CallId, usize),
 }
 
-/// Pending timers, the soonest first. Times are counted from the exchange's start, on a monotonic
+/// Pending timers, ordered by time. Times are relative to the exchange's start, on a monotonic
 /// clock.
 #[derive(Debug, Default)]
 pub struct TimerQueue {
     all: BinaryHeap<Reverse<(Duration, Timer)>>,
-    /// The one timer of each handle that counts: the last that was set.
+    /// By handle, the time that was set last. Earlier entries of the same handle in `all` are stale.
     admission_timers: BTreeMap<u64, Duration>,
 }
 
 impl TimerQueue {
-    /// An admission timer replaces one with the same handle that has not fired yet.
-    pub fn set(&mut self, at: Duration, alarm: Timer) {
-        if let Timer::Admission(handle) = alarm {
+    /// Sets a timer. An admission timer replaces a pending one with the same handle.
+    pub fn set(&mut self, at: Duration, timer: Timer) {
+        if let Timer::Admission(handle) = timer {
             self.admission_timers.insert(handle, at);
         }
-        self.all.push(Reverse((at, alarm)));
+        self.all.push(Reverse((at, timer)));
     }
 
     pub fn next(&self) -> Option<Duration> {
         self.all.peek().map(|Reverse((at, _))| *at)
     }
 
+    /// Removes and returns the next timer that is due, skipping replaced ones.
     pub fn pop_due(&mut self, now: Duration) -> Option<Timer> {
         while let Some(at) = self.next().filter(|at| *at <= now) {
             match self.all.pop()?.0.1 {
@@ -45,13 +46,13 @@
                     self.admission_timers.remove(&handle);
                     return Some(Timer::Admission(handle));
                 }
-                alarm => return Some(alarm),
+                timer => return Some(timer),
             }
         }
         None
     }
 
-    /// Takes the soonest admission timer, to be fired now, and returns its handle.
+    /// Removes the earliest admission timer, which the caller fires now, and returns its handle.
     pub fn take_next_admission(&mut self) -> Option<u64> {
         let (handle, _) = self.admission_timers.iter().min_by_key(|(_, at)| **at)?;
         let handle = *handle;
@@ -60,7 +61,7 @@
     }
 
     #[cfg(test)]
-    pub fn wakes(&self) -> &BTreeMap<u64, Duration> {
+    pub fn admission_timers(&self) -> &BTreeMap<u64, Duration> {
         &self.admission_timers
     }
 
