--- a/crates/merlinshelf-backend/src/exchange/arrivals.rs
+++ b/crates/merlinshelf-backend/src/exchange/arrivals.rs
@@ -1,4 +1,4 @@
-//! The exchange towards the server side: doors, arrivals, and what connections ask of it.
+//! The exchange's interface to the server side: client connections and arriving invocations.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -12,14 +12,14 @@
 use super::in_flight::InFlightInvocation;
 use super::{Exchange, ReplyAddress, unix_ms};
 
-/// An invocation as it was read.
+/// An invocation that was read completely.
 #[derive(Clone, Debug)]
 pub struct Arrival {
     pub id: CallId,
     pub operation: usize,
     pub body: Rc<[u8]>,
     pub caller: u64,
-    /// When it came to the machine and how long its caller waits from then on.
+    /// When it arrived at this host, in Unix milliseconds, and how long its caller waits from then.
     pub received_at_ms: f64,
     pub timeout_ms: Option<f64>,
     pub is_retry: bool,
@@ -32,7 +32,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
     Succeeded(Rc<[u8]>),
-    /// Succeeded without these parts, as the caller is told.
+    /// Succeeded without the replies of these dependencies, whose names the caller receives.
     Partial(Rc<[u8]>, Rc<str>),
     Rejected {
         retry_after_seconds: f64,
@@ -43,25 +43,27 @@
     Unknown,
 }
 
-/// The bytes that an invocation holds while it is being read, of those that all may hold: dropping
-/// it gives them back.
+/// The share of the read memory that one invocation holds while it is being read. Dropping it
+/// returns the bytes.
 #[derive(Debug)]
 pub struct ReadReservation {
-    taken: Rc<Cell<usize>>,
-    most: usize,
+    /// Bytes that all reservations hold together.
+    reserved: Rc<Cell<usize>>,
+    /// Maximum of `reserved`.
+    limit: usize,
     bytes: usize,
 }
 
-/// What each needs beside the bytes that came.
-const PLACE_BYTES: usize = 256;
+/// Bytes that each invocation needs besides its content.
+const READ_OVERHEAD_BYTES: usize = 256;
 
 impl ReadReservation {
-    /// Room for so many bytes more; false where all together would hold too many.
+    /// Reserves more bytes; false, and unchanged, if that would exceed the limit.
     pub fn grow(&mut self, bytes: usize) -> bool {
-        let taken = self.taken.get() + bytes;
-        let fits = taken <= self.most;
+        let reserved = self.reserved.get() + bytes;
+        let fits = reserved <= self.limit;
         if fits {
-            self.taken.set(taken);
+            self.reserved.set(reserved);
             self.bytes += bytes;
         }
         fits
@@ -70,7 +72,7 @@
 
 impl Drop for ReadReservation {
     fn drop(&mut self) {
-        self.taken.set(self.taken.get() - self.bytes);
+        self.reserved.set(self.reserved.get() - self.bytes);
     }
 }
 
@@ -86,19 +88,21 @@
         opened
     }
 
-    /// Nobody is left behind it: the module is told of all that would have been answered there.
+    /// The client has disconnected: reports this to the admission controller for each invocation
+    /// that was to be answered on this connection.
     pub(super) fn close_connection(&mut self, number: usize) {
         if self.is_frozen() {
-            self.stopped_connections += 1; // it goes on elsewhere, and the image still names it
+            // Another process continues the connection, and the image still names it.
+            self.stopped_connections += 1;
             return;
         }
         for index in self.invocations.answered_on(number) {
-            self.caller_gone(index);
+            self.caller_disconnected(index);
         }
         self.counters.unheard += self.connections.close(number) as u64;
     }
 
-    pub(super) fn caller_gone(&mut self, index: usize) {
+    pub(super) fn caller_disconnected(&mut self, index: usize) {
         if let Some(invocation) = self.invocations.get_mut(index) {
             invocation.reply = None;
         }
@@ -124,7 +128,7 @@
         self.is_healthy
     }
 
-    /// How long a connection with nothing open may stay; none at all once the program is closing.
+    /// How long a connection without open invocations may stay idle; zero during the shutdown.
     pub fn idle_timeout(&self) -> Duration {
         if self.is_closing {
             Duration::ZERO
@@ -133,49 +137,49 @@
         }
     }
 
-    /// A place for one more invocation to be read, if there is one beside all that are read and
-    /// those in hand.
+    /// A reservation for reading one more invocation; `None` if the read memory is used up or the
+    /// maximum number of invocations is in flight.
     pub fn reserve_read(&self) -> Option<ReadReservation> {
-        let mut place = ReadReservation {
-            taken: self.reading_bytes.clone(),
-            most: self.max_reading_bytes,
+        let mut reservation = ReadReservation {
+            reserved: self.reading_bytes.clone(),
+            limit: self.max_reading_bytes,
             bytes: 0,
         };
-        (!self.is_full() && place.grow(PLACE_BYTES)).then_some(place)
+        (!self.is_full() && reservation.grow(READ_OVERHEAD_BYTES)).then_some(reservation)
     }
 
-    /// The place of one that another process was reading: it had one, and what was begun is not cut
-    /// off by a bound.
+    /// The reservation of an invocation that another process had begun to read. It is granted even
+    /// above the limit, since that process had reserved it already.
     pub fn restore_read_reservation(&self, bytes: usize) -> ReadReservation {
-        let mut place = ReadReservation {
-            taken: self.reading_bytes.clone(),
-            most: usize::MAX,
+        let mut reservation = ReadReservation {
+            reserved: self.reading_bytes.clone(),
+            limit: usize::MAX,
             bytes: 0,
         };
-        place.grow(PLACE_BYTES + bytes);
-        place.most = self.max_reading_bytes;
-        place
+        reservation.grow(READ_OVERHEAD_BYTES + bytes);
+        reservation.limit = self.max_reading_bytes;
+        reservation
     }
 
-    /// Whether as many are in hand as there may be.
+    /// Whether the maximum number of invocations is in flight.
     pub fn is_full(&self) -> bool {
         self.invocations.len() >= self.max_in_flight
     }
 
-    /// From now on connections with nothing open are closed.
+    /// From now on, connections without open invocations are closed.
     pub fn close_idle_connections(&mut self) {
         self.is_closing = true;
         self.connections.wake_all();
     }
 
-    /// An invocation was read whole. False where its id is in hand already, so that it can't be
-    /// told apart.
+    /// An invocation was read completely. False if another one with the same id is in flight: the
+    /// two could not be distinguished.
     pub fn invocation_read(&mut self, reply: ReplyAddress, arrival: Arrival) -> bool {
         if self.invocations.find(arrival.id).is_some() {
             return false;
         }
         self.counters.invocations += 1;
-        let told = told(&arrival, unix_ms());
+        let admission_request = admission_request(&arrival, unix_ms());
         let Arrival {
             id,
             operation,
@@ -191,8 +195,8 @@
             named_dependency: None,
             calls_requested: 0,
             missing_parts: Vec::new(),
-            due_at: told.caller_timeout.map(|budget| {
-                self.origin.elapsed() + Duration::from_secs_f64(budget.clamp(0.0, 1e6))
+            due_at: admission_request.caller_timeout.map(|timeout| {
+                self.origin.elapsed() + Duration::from_secs_f64(timeout.clamp(0.0, 1e6))
             }),
             calls: 0,
             is_calling: false,
@@ -208,11 +212,11 @@
             .most_in_hand
             .max(self.invocations.len() as u64);
         self.apply_current_policy();
-        if let Some(away) = self.rejection_by_policy() {
+        if let Some(retry_after_seconds) = self.rejection_by_policy() {
             self.answer(
                 index,
                 Answer::Rejected {
-                    retry_after_seconds: away,
+                    retry_after_seconds,
                     no_failover: false,
                 },
             );
@@ -220,7 +224,7 @@
             return true;
         }
         if self.controller.is_none() {
-            warn!("{id} came before the engine was up");
+            warn!("invocation {id} rejected: the engine is not up yet");
             self.answer(
                 index,
                 Answer::Rejected {
@@ -231,19 +235,19 @@
             self.invocations.remove(index);
             return true;
         }
-        self.decide(|controller, now| controller.invocation_arrived(now, index, told));
+        self.decide(|controller, now| controller.invocation_arrived(now, index, admission_request));
         true
     }
 
-    /// An edge node has given one up by name.
+    /// An edge node has aborted this invocation explicitly.
     pub fn invocation_aborted(&mut self, reply: ReplyAddress) {
-        let behind = self.invocations.answered_on(reply.connection);
-        let same = |index: &usize| {
+        let on_connection = self.invocations.answered_on(reply.connection);
+        let is_aborted = |index: &usize| {
             self.invocations
                 .get_mut(*index)
                 .is_some_and(|invocation| invocation.reply == Some(reply))
         };
-        if let Some(index) = behind.into_iter().find(same) {
+        if let Some(index) = on_connection.into_iter().find(is_aborted) {
             self.counters.aborted += 1;
             self.answer(index, Answer::Failed);
             self.decide(|controller, now| controller.caller_disconnected(now, index));
@@ -251,20 +255,20 @@
     }
 }
 
-/// What the module is told of an arrival: its age and what is left of its budget at this moment. A
-/// wall clock that was stepped makes neither negative nor longer than its caller waits; a budget
-/// that is used up stays one of nothing, which is not the same as none.
-pub(super) fn told(arrival: &Arrival, unix_ms: f64) -> Invocation {
+/// The arrival as the admission controller receives it, with its age and its remaining timeout at
+/// this moment. If the wall clock was stepped, neither is negative nor longer than the caller waits.
+/// An expired timeout stays zero, which differs from no timeout.
+pub(super) fn admission_request(arrival: &Arrival, unix_ms: f64) -> Invocation {
     let age = (unix_ms - arrival.received_at_ms).max(0.0);
-    let budget = arrival
+    let caller_timeout = arrival
         .timeout_ms
-        .map(|patience| (patience - age).max(0.0) / 1e3);
-    let most = arrival.timeout_ms.unwrap_or(f64::INFINITY);
+        .map(|timeout| (timeout - age).max(0.0) / 1e3);
+    let max_age = arrival.timeout_ms.unwrap_or(f64::INFINITY);
     Invocation {
         operation: arrival.operation,
         caller: arrival.caller,
-        caller_timeout: budget,
-        age: age.min(most) / 1e3,
+        caller_timeout,
+        age: age.min(max_age) / 1e3,
         held_kilobytes: arrival.held_kilobytes,
         rank: arrival.rank,
         is_retry: arrival.is_retry,
--- a/crates/merlinshelf-backend/src/exchange/calls.rs
+++ b/crates/merlinshelf-backend/src/exchange/calls.rs
@@ -1,4 +1,4 @@
-//! The exchange towards the catalogue: calls below, their time-outs and their ends.
+//! The exchange's interface to the dependencies: downstream calls, their timeouts and outcomes.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,10 +11,10 @@
 use super::timers::Timer;
 use super::{CallDemand, Exchange};
 
-/// Which call of its invocation one is: the first is 1.
+/// Number of a call within its invocation, from 1; retries count.
 pub type CallNumber = usize;
 
-/// What the catalogue is to be asked.
+/// A command to the task that makes downstream calls.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CallCommand {
     Invoke {
@@ -30,30 +30,30 @@
     },
 }
 
-/// Whose call it is, as far as dependencies are told apart.
+/// What routing to a dependency depends on.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CallContext {
     pub operation: Rc<str>,
-    /// Which of the calls that its run wants it is, from 0.
+    /// Index among the calls that the run has requested, from 0; retries do not count.
     pub call_index: usize,
     /// The dependency that the run named.
     pub named_dependency: Option<Rc<str>>,
-    /// Seconds that its caller still waits.
+    /// Seconds until the caller's timeout expires.
     pub caller_timeout: Option<f64>,
     pub is_idempotent: bool,
 }
 
-/// How a call below has ended.
+/// How a downstream call has ended.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CallOutcome {
     Succeeded(Rc<[u8]>),
-    /// A lesser answer, or nothing, in place of the reply of this dependency.
+    /// A fallback, or nothing, in place of the reply of this dependency.
     Degraded {
         reply: Option<Rc<[u8]>>,
         missing: Rc<str>,
     },
     NeverRan,
-    /// It may have had its effect.
+    /// The call may have taken effect.
     Failed,
 }
 
@@ -66,7 +66,7 @@
         self.call_commands.pop()
     }
 
-    /// Whether that call of that invocation is open.
+    /// Whether this call of this invocation is open.
     pub(super) fn is_call_open(&mut self, id: CallId, number: CallNumber) -> bool {
         let invocation = self
             .invocations
@@ -76,22 +76,22 @@
     }
 
     /// A call has ended.
-    pub fn call_ended(&mut self, id: CallId, number: CallNumber, called: CallOutcome) {
-        let awaited = self.is_call_open(id, number);
-        let Some(index) = self.invocations.find(id).filter(|_| awaited) else {
+    pub fn call_ended(&mut self, id: CallId, number: CallNumber, call_outcome: CallOutcome) {
+        let is_open = self.is_call_open(id, number);
+        let Some(index) = self.invocations.find(id).filter(|_| is_open) else {
             self.counters.late_replies += 1;
             return;
         };
         let outcome = Outcome {
-            // With a lesser answer the run goes on as with any other.
+            // With a fallback the run continues as with a reply.
             succeeded: matches!(
-                called,
+                call_outcome,
                 CallOutcome::Succeeded(_) | CallOutcome::Degraded { .. }
             ),
-            never_ran: called == CallOutcome::NeverRan,
+            never_ran: call_outcome == CallOutcome::NeverRan,
             stopped: false,
         };
-        match &called {
+        match &call_outcome {
             CallOutcome::Succeeded(_) => self.counters.calls_succeeded += 1,
             CallOutcome::Degraded { .. } => self.counters.calls_lesser += 1,
             CallOutcome::NeverRan => self.counters.calls_never_ran += 1,
@@ -100,13 +100,13 @@
         if let Some(invocation) = self.invocations.get_mut(index) {
             (invocation.is_calling, invocation.call_timeout_at) = (false, None);
         }
-        match called {
+        match call_outcome {
             CallOutcome::Succeeded(reply) => {
                 self.counters.feeds += 1;
                 self.send_command(index, Command::Feed { id, reply });
             }
             CallOutcome::Degraded { reply, missing } => {
-                self.note_missing(index, missing);
+                self.record_missing_part(index, missing);
                 match reply {
                     Some(reply) => {
                         self.counters.feeds += 1;
@@ -120,11 +120,11 @@
         self.finish_call(index, outcome);
     }
 
-    /// Whose call the one is that this invocation's run wants now.
+    /// The context of the call that this invocation's run requests now.
     pub(super) fn call_context(&mut self, index: usize) -> CallContext {
         let now = self.origin.elapsed();
         let Some(invocation) = self.invocations.get(index) else {
-            unreachable!("a call of nobody")
+            unreachable!("a call without an invocation")
         };
         CallContext {
             operation: self.operation_names[invocation.operation].clone(),
@@ -137,8 +137,8 @@
         }
     }
 
-    /// The result will be without this part.
-    fn note_missing(&mut self, index: usize, part: Rc<str>) {
+    /// The result will lack the reply of this dependency.
+    fn record_missing_part(&mut self, index: usize, part: Rc<str>) {
         if let Some(invocation) = self
             .invocations
             .get_mut(index)
@@ -148,42 +148,42 @@
         }
     }
 
-    /// By operation, what its calls are called where dependencies are told apart; a result that is
-    /// without one says so.
-    pub fn set_dependency_names(&mut self, parts: impl Fn(&str) -> Vec<Rc<str>>) {
+    /// Sets, by operation, the names of the dependencies that its calls go to. A partial result names
+    /// those that it lacks.
+    pub fn set_dependency_names(&mut self, dependencies: impl Fn(&str) -> Vec<Rc<str>>) {
         self.dependency_names = Some(
             self.operation_names
                 .iter()
-                .map(|name| parts(name))
+                .map(|name| dependencies(name))
                 .collect(),
         );
     }
 
-    /// Whether runs may name the dependencies of their calls.
+    /// Whether runs may name the dependency of a call.
     pub fn names_dependencies(&self) -> bool {
         self.dependency_names.is_some()
     }
 
-    /// The module leaves a call out: the result is without that part.
-    pub(super) fn note_skipped_call(&mut self, index: usize) {
-        let Some(parts) = &self.dependency_names else {
+    /// The admission controller skips a call: the result will lack that reply.
+    pub(super) fn record_skipped_call(&mut self, index: usize) {
+        let Some(dependencies) = &self.dependency_names else {
             return;
         };
         let Some(invocation) = self.invocations.get(index) else {
             return;
         };
         let part = invocation.named_dependency.clone().or_else(|| {
-            parts
+            dependencies
                 .get(invocation.operation)?
                 .get(invocation.calls_requested.saturating_sub(1))
                 .cloned()
         });
         if let Some(part) = part {
-            self.note_missing(index, part);
+            self.record_missing_part(index, part);
         }
     }
 
-    /// Gives up an open call of this invocation.
+    /// Abandons the open call of this invocation; false if it has none.
     pub(super) fn abandon_call(&mut self, index: usize) -> bool {
         let Some(invocation) = self
             .invocations
@@ -215,24 +215,24 @@
     }
 
     fn finish_call(&mut self, index: usize, outcome: Outcome) {
-        // Only what may be called again spends a further call.
-        let repeats = self
+        // Only a call that may be repeated needs quota for a retry.
+        let may_repeat = self
             .invocations
             .get(index)
             .is_some_and(|invocation| self.idempotent[invocation.operation])
             || outcome.never_ran;
-        let again = !outcome.succeeded && repeats;
-        self.note_call_end(outcome.succeeded, again);
-        let wanting = CallDemand {
+        let wants_retry = !outcome.succeeded && may_repeat;
+        self.record_call_end(outcome.succeeded, wants_retry);
+        let demand = CallDemand {
             wants_call: false,
-            wants_retry: again,
+            wants_retry,
         };
-        self.decide_with_demand(wanting, |controller, now| {
+        self.decide_with_demand(demand, |controller, now| {
             controller.call_ended(now, index, outcome)
         });
     }
 
-    pub(super) fn start_call(&mut self, index: usize, wait: f64) {
+    pub(super) fn start_call(&mut self, index: usize, timeout_seconds: f64) {
         self.abandon_call(index);
         let Some(invocation) = self.invocations.get_mut(index) else {
             return;
@@ -240,19 +240,20 @@
         let Some((_, body)) = invocation.call_request.clone() else {
             return;
         };
-        let at = self.origin.elapsed() + Duration::from_secs_f64(wait.clamp(0.001, 3600.0));
+        let timeout_at =
+            self.origin.elapsed() + Duration::from_secs_f64(timeout_seconds.clamp(0.001, 3600.0));
         invocation.calls += 1;
-        (invocation.is_calling, invocation.call_timeout_at) = (true, Some(at));
+        (invocation.is_calling, invocation.call_timeout_at) = (true, Some(timeout_at));
         let (id, number) = (invocation.id, invocation.calls);
         self.counters.calls += 1;
-        let wanted = self.call_context(index);
+        let context = self.call_context(index);
         self.call_commands.push(CallCommand::Invoke {
             id,
             number,
-            timeout_seconds: wait,
+            timeout_seconds,
             body,
-            context: wanted,
+            context,
         });
-        self.set_timer(at, Timer::CallTimeout(id, number));
+        self.set_timer(timeout_at, Timer::CallTimeout(id, number));
     }
 }
--- a/crates/merlinshelf-backend/src/exchange/decisions.rs
+++ b/crates/merlinshelf-backend/src/exchange/decisions.rs
@@ -112,7 +112,7 @@
             self.start_call(index, wait);
         }
         for index in decisions.degraded {
-            self.note_skipped_call(index);
+            self.record_skipped_call(index);
             self.skip_call(index);
         }
         if let Some(good) = decisions.health {
--- a/crates/merlinshelf-backend/src/exchange/quota.rs
+++ b/crates/merlinshelf-backend/src/exchange/quota.rs
@@ -330,7 +330,7 @@
     }
 
     /// A run wants a call to the one dependency of the platform.
-    pub(super) fn note_call_demand(&mut self) {
+    pub(super) fn record_call_demand(&mut self) {
         if let Some(spending) = &mut self.quota {
             let failing = spending
                 .told
@@ -348,7 +348,7 @@
     }
 
     /// A call to it has ended; whether a further one may follow.
-    pub(super) fn note_call_end(&mut self, well: bool, again: bool) {
+    pub(super) fn record_call_end(&mut self, well: bool, again: bool) {
         if let Some(spending) = &mut self.quota {
             spending
                 .spender
--- a/crates/merlinshelf-backend/src/exchange/restoration.rs
+++ b/crates/merlinshelf-backend/src/exchange/restoration.rs
@@ -210,7 +210,7 @@
             }
         }
         if unheard {
-            self.caller_gone(index);
+            self.caller_disconnected(index);
         }
     }
 
--- a/crates/merlinshelf-backend/src/exchange/runs.rs
+++ b/crates/merlinshelf-backend/src/exchange/runs.rs
@@ -107,7 +107,7 @@
     /// A run is over.
     pub fn run_ended(&mut self, id: CallId, end: End, took: f64, result: &[u8]) {
         self.counters.done += 1;
-        let Some(index) = self.note_notification(id) else {
+        let Some(index) = self.record_notification(id) else {
             return debug!("{id} is over, and not in hand");
         };
         match end {
@@ -138,7 +138,7 @@
     /// agreed.
     pub fn call_requested(&mut self, id: CallId, number: u64, named: Option<&str>, body: &[u8]) {
         self.counters.needs += 1;
-        let Some(index) = self.note_notification(id) else {
+        let Some(index) = self.record_notification(id) else {
             return debug!("{id} wants a call, and is not in hand");
         };
         self.abandon_call(index);
@@ -148,7 +148,7 @@
             (invocation.named_dependency, invocation.calls_requested) =
                 (named.map(Rc::from), invocation.calls_requested + 1);
         }
-        self.note_call_demand();
+        self.record_call_demand();
         let wanting = CallDemand {
             wants_call: true,
             wants_retry: false,
@@ -158,7 +158,7 @@
         });
     }
 
-    pub(super) fn note_notification(&mut self, id: CallId) -> Option<usize> {
+    pub(super) fn record_notification(&mut self, id: CallId) -> Option<usize> {
         let index = self.invocations.find(id)?;
         let invocation = self.invocations.get_mut(index)?;
         (invocation.notifications, invocation.command) = (invocation.notifications + 1, None);
--- a/crates/merlinshelf-backend/src/exchange/tests.rs
+++ b/crates/merlinshelf-backend/src/exchange/tests.rs
@@ -7,7 +7,7 @@
 use merlinshelf_protocol::engine::End;
 use tokio::time::advance;
 
-use super::arrivals::told;
+use super::arrivals::admission_request;
 use super::*;
 use crate::config::Config;
 
@@ -420,8 +420,8 @@
         ..arrival(1, 0)
     };
     let at = |unix_ms: f64| {
-        let told = told(&invocation, unix_ms);
-        (told.age, told.caller_timeout)
+        let request = admission_request(&invocation, unix_ms);
+        (request.age, request.caller_timeout)
     };
     assert_eq!(at(1_000_500.0), (0.5, Some(1.5)));
     assert_eq!(
@@ -432,7 +432,7 @@
     assert_eq!(at(900_000.0), (0.0, Some(2.0)), "stepped back");
     assert_eq!(at(9_000_000.0), (2.0, Some(0.0)), "stepped forward");
     assert_eq!(
-        told(
+        admission_request(
             &Arrival {
                 timeout_ms: None,
                 ..invocation.clone()
