--- a/crates/merlinshelf-backend/src/exchange/answer_records.rs
+++ b/crates/merlinshelf-backend/src/exchange/answer_records.rs
@@ -1,4 +1,4 @@
-//! Answers as records of the handover image.
+//! Conversion of answers to and from records of the handover image.
 
 use merlinshelf_handover::records;
 use serde_bytes::ByteBuf;
@@ -13,11 +13,11 @@
                 records::Answer::Partial(ByteBuf::from(result.as_ref()), missing.to_string())
             }
             Answer::Rejected {
-                retry_after_seconds: away,
-                no_failover: last,
+                retry_after_seconds,
+                no_failover,
             } => records::Answer::Throttled {
-                retry_after_seconds: *away,
-                forbids_failover: *last,
+                retry_after_seconds: *retry_after_seconds,
+                forbids_failover: *no_failover,
             },
             Answer::Failed => records::Answer::Errored,
             Answer::Unknown => records::Answer::Unknown,
@@ -33,11 +33,11 @@
                 Answer::Partial(result.as_slice().into(), missing.into())
             }
             records::Answer::Throttled {
-                retry_after_seconds: away,
-                forbids_failover: last,
+                retry_after_seconds,
+                forbids_failover,
             } => Answer::Rejected {
-                retry_after_seconds: away,
-                no_failover: last,
+                retry_after_seconds,
+                no_failover: forbids_failover,
             },
             records::Answer::Errored => Answer::Failed,
             records::Answer::Unknown => Answer::Unknown,
--- a/crates/merlinshelf-backend/src/exchange/connections.rs
+++ b/crates/merlinshelf-backend/src/exchange/connections.rs
@@ -1,4 +1,4 @@
-//! The connections of the server side as the exchange sees them: a queue of answers each.
+//! The exchange's view of client connections: a queue of answers for each.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -8,12 +8,12 @@
 use super::send_queue::SendQueue;
 use super::{Answer, Shared};
 
-/// One connection's side of the exchange. Dropping it is the one way in which the connection is
-/// released.
+/// A client connection's access to the exchange. Dropping it releases the connection; nothing else
+/// does.
 pub struct ConnectionHandle {
     exchange: Shared,
     number: usize,
-    /// The connection's number among all that ever were, also in processes before this one.
+    /// Number that is unique among all connections, including those of earlier processes.
     stream: u64,
     answers_ready: Rc<Notify>,
 }
@@ -29,7 +29,7 @@
         }
     }
 
-    /// The handle of a connection that another process has opened.
+    /// A handle for a connection that another process has opened.
     pub fn reopen(exchange: &Shared, stream: u64) -> ConnectionHandle {
         let (number, stream, wake) = exchange.borrow_mut().open_connection(Some(stream));
         ConnectionHandle {
@@ -48,7 +48,7 @@
         self.stream
     }
 
-    /// Waits until there may be an answer, or connections are to close.
+    /// Waits until there may be an answer or the connection may have to close.
     pub async fn answer_ready(&self) {
         self.answers_ready.notified().await;
     }
@@ -70,12 +70,13 @@
 
 type Answers = SendQueue<(u16, Answer)>;
 
-/// All connections, by the numbers of their handles.
+/// All client connections, by the numbers of their handles.
 #[derive(Debug, Default)]
 pub struct ConnectionTable {
     slots: Vec<Option<(u64, Answers)>>,
     free: Vec<usize>,
-    /// While a journal is written: the connections whose answers may have changed since.
+    /// While a journal is written: the connections whose answers may have changed since the last
+    /// write.
     pub unsaved: Option<BTreeSet<usize>>,
 }
 
@@ -89,7 +90,7 @@
         (number, queue.waker())
     }
 
-    /// Returns how many answers were not sent.
+    /// Closes a connection. Returns the number of answers that were not sent.
     pub fn close(&mut self, number: usize) -> usize {
         self.free.push(number);
         self.slots[number]
@@ -97,7 +98,7 @@
             .map_or(0, |(_, queue)| queue.len())
     }
 
-    /// For changes.
+    /// The connection's answers for modification: the next write of the journal includes them.
     pub fn queue_mut(&mut self, number: usize) -> Option<&mut Answers> {
         if let Some(changes) = &mut self.unsaved {
             changes.insert(number);
@@ -105,7 +106,7 @@
         self.slots.get_mut(number)?.as_mut().map(|(_, queue)| queue)
     }
 
-    /// The connection of a handle, and the answers that wait there.
+    /// The connection's unique number and its pending answers.
     pub fn queue(&self, number: usize) -> Option<(u64, &Answers)> {
         self.slots
             .get(number)?
@@ -118,7 +119,7 @@
         self.slots
             .iter()
             .enumerate()
-            .filter(|(_, place)| place.is_some())
+            .filter(|(_, slot)| slot.is_some())
             .map(|(number, _)| number)
     }
 
--- a/crates/merlinshelf-backend/src/exchange/decisions.rs
+++ b/crates/merlinshelf-backend/src/exchange/decisions.rs
@@ -1,4 +1,5 @@
-//! The exchange towards the module: it is told what happens, and what it decides is carried out.
+//! The exchange's interface to the admission controller: passes events to it and carries out its
+//! decisions.
 
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::time::Duration;
@@ -11,58 +12,67 @@
 use super::{Answer, CallDemand, Exchange, idle_time};
 
 impl Exchange {
-    /// Starts the module as of the engine's own start.
-    pub(super) fn start_controller(&mut self, up: f64) {
+    /// Starts the admission controller as of the engine's start, which was `engine_uptime` seconds
+    /// ago.
+    pub(super) fn start_controller(&mut self, engine_uptime: f64) {
         let (seed, settings) = (self.seed, self.settings.clone());
-        let born = (self.seconds() - up).max(0.0);
-        match catch_unwind(|| AdmissionController::start(born, seed, settings)) {
+        let engine_started_at = (self.seconds() - engine_uptime).max(0.0);
+        match catch_unwind(|| AdmissionController::start(engine_started_at, seed, settings)) {
             Ok(Ok((mut controller, decisions))) => {
                 controller.set_prior_estimates(self.prior_estimates.clone());
                 self.controller = Some(controller);
                 self.carry_out(decisions);
             }
-            Ok(Err(reason)) => error!("the module does not start: {reason}"),
-            Err(_) => error!("the module panicked at its start"),
+            Ok(Err(reason)) => error!("admission controller not started: {reason}"),
+            Err(_) => error!("admission controller panicked at its start"),
         }
         if let Some(stop) = self.shutdown_at {
             let left = stop.saturating_duration_since(Instant::now()).as_secs_f64();
             if !self.attempt(|controller, now| controller.shutdown_requested(now, left)) {
-                self.controller = None; // and everything is throttled until the end
+                // Everything is throttled until the process exits.
+                self.controller = None;
             }
         }
     }
 
-    /// Tells the module something and carries out what it decides.
-    pub(super) fn decide(&mut self, tell: impl FnOnce(&mut AdmissionController, f64) -> Decisions) {
-        self.decide_with_demand(CallDemand::default(), tell);
+    /// Passes an event to the admission controller and carries out its decisions.
+    pub(super) fn decide(
+        &mut self,
+        event: impl FnOnce(&mut AdmissionController, f64) -> Decisions,
+    ) {
+        self.decide_with_demand(CallDemand::default(), event);
     }
 
-    /// The same where it is about a call below.
+    /// As [`Exchange::decide`], for an event that may need quota for downstream calls.
     pub(super) fn decide_with_demand(
         &mut self,
-        wanting: CallDemand,
-        tell: impl FnOnce(&mut AdmissionController, f64) -> Decisions,
+        demand: CallDemand,
+        event: impl FnOnce(&mut AdmissionController, f64) -> Decisions,
     ) {
         self.apply_current_policy();
-        self.apply_quota(wanting);
-        if !self.attempt(tell) {
+        self.apply_quota(demand);
+        if !self.attempt(event) {
             self.start_over(0.0);
         }
     }
 
-    /// False if the module panicked.
-    fn attempt(&mut self, tell: impl FnOnce(&mut AdmissionController, f64) -> Decisions) -> bool {
+    /// False if the admission controller panicked.
+    fn attempt(&mut self, event: impl FnOnce(&mut AdmissionController, f64) -> Decisions) -> bool {
         let now = self.seconds();
         let Some(controller) = &mut self.controller else {
             return true;
         };
-        let decisions = catch_unwind(AssertUnwindSafe(|| tell(controller, now)));
+        let decisions = catch_unwind(AssertUnwindSafe(|| event(controller, now)));
         decisions.map(|decisions| self.carry_out(decisions)).is_ok()
     }
 
-    /// What the module had in hand is lost to it: all is answered at once, and it starts afresh.
-    pub(super) fn start_over(&mut self, up: f64) {
-        error!("starts over with {} in hand", self.invocations.len());
+    /// The admission controller's state is lost: answers all invocations at once and starts a new
+    /// controller.
+    pub(super) fn start_over(&mut self, engine_uptime: f64) {
+        error!(
+            "admission controller restarted, {} invocations in flight answered",
+            self.invocations.len()
+        );
         self.controller = None;
         self.timers.clear();
         for index in self.invocations.all() {
@@ -82,19 +92,18 @@
             self.release(index);
         }
         self.commands.clear();
-        self.start_controller(up);
+        self.start_controller(engine_uptime);
     }
 
-    /// Carries out what was decided, in the order in which the interface lists it.
+    /// Carries out decisions, in the order in which [`Decisions`] declares them.
     pub(super) fn carry_out(&mut self, decisions: Decisions) {
         for rejection in decisions.rejected {
             let index = rejection.invocation;
-            let (away, last) = (rejection.retry_after_seconds, rejection.no_failover);
             self.answer(
                 index,
                 Answer::Rejected {
-                    retry_after_seconds: away,
-                    no_failover: last,
+                    retry_after_seconds: rejection.retry_after_seconds,
+                    no_failover: rejection.no_failover,
                 },
             );
         }
@@ -103,21 +112,24 @@
             self.answer(index, Answer::Failed);
         }
         for index in decisions.stopped {
-            warn!("invocation {index} can't be stopped: this engine has no command for it");
+            warn!("run of invocation {index} not stopped: the engine has no command for that");
         }
         for index in decisions.started {
             self.start_run(index);
         }
-        for (index, wait) in decisions.called {
-            self.start_call(index, wait);
+        for (index, timeout_seconds) in decisions.called {
+            self.start_call(index, timeout_seconds);
         }
         for index in decisions.degraded {
             self.record_skipped_call(index);
             self.skip_call(index);
         }
-        if let Some(good) = decisions.health {
-            info!("health is now {}", if good { "good" } else { "bad" });
-            self.is_healthy = good;
+        if let Some(is_healthy) = decisions.health {
+            info!(
+                "health changed to {}",
+                if is_healthy { "healthy" } else { "unhealthy" }
+            );
+            self.is_healthy = is_healthy;
         }
         if let Some(idle) = decisions.idle_timeout {
             self.idle_timeout = idle_time(idle);
@@ -128,13 +140,15 @@
             self.set_timer(at, Timer::Admission(handle));
         }
         for note in decisions.notes {
-            info!("module: {note}");
+            info!("admission controller: {note}");
         }
         for index in decisions.released {
             self.release(index);
         }
     }
 
+    /// Queues the answer to an invocation, unless it was answered before or its client has
+    /// disconnected.
     pub(super) fn answer(&mut self, index: usize, answer: Answer) {
         let Some(reply) = self
             .invocations
@@ -157,7 +171,8 @@
         }
     }
 
-    /// The module has done with it. Whatever happened, nothing read is left without its answer.
+    /// Removes an invocation that the admission controller has released. One that is still without
+    /// an answer is answered as failed.
     pub(super) fn release(&mut self, index: usize) {
         self.abandon_call(index);
         self.answer(index, Answer::Failed);
--- a/crates/merlinshelf-backend/src/exchange/journaling.rs
+++ b/crates/merlinshelf-backend/src/exchange/journaling.rs
@@ -1,5 +1,5 @@
-//! The journal of a successor on probation: each change is written down before it shows, so that
-//! the predecessor can recover everything if this process dies.
+//! The journal of a successor on probation: each change is recorded before its effect is visible
+//! outside, so that the predecessor can recover everything if this process dies.
 
 use merlinshelf_handover::Key;
 use serde::Serialize;
@@ -10,18 +10,19 @@
 use crate::journal::Journal;
 
 impl Exchange {
-    /// From here on every change is noted before it shows.
+    /// From now on, records every change before its effect is visible, and passes opened connections
+    /// to `opened`.
     pub fn start_journal(
         &mut self,
         journal: Journal,
-        passing: mpsc::UnboundedSender<OpenedConnection>,
+        opened: mpsc::UnboundedSender<OpenedConnection>,
     ) {
-        (self.journal, self.opened_connections) = (Some(journal), Some(passing));
+        (self.journal, self.opened_connections) = (Some(journal), Some(opened));
         (self.invocations.unsaved, self.connections.unsaved) =
             (Some(Default::default()), Some(Default::default()));
     }
 
-    /// Nobody watches any more.
+    /// Stops recording, since no predecessor observes this process any more.
     pub fn stop_journal(&mut self) {
         (self.journal, self.opened_connections) = (None, None);
         (self.invocations.unsaved, self.connections.unsaved) = (None, None);
@@ -31,38 +32,38 @@
         self.journal.is_some()
     }
 
-    /// Memory that notes take which the predecessor has not read, in bytes.
+    /// Size of the records that the predecessor has not read, in bytes.
     pub fn unread_journal_bytes(&self) -> u64 {
         self.journal.as_ref().map_or(0, Journal::unread_bytes)
     }
 
-    /// Puts a part's own record with what is noted next.
+    /// Adds the record of another component to the next write.
     pub fn journal_record(&mut self, key: Key, record: &impl Serialize) {
         if let Some(journal) = &mut self.journal {
             journal.put(key, record);
         }
     }
 
-    /// What stood under these keys is gone.
+    /// Adds the removal of these keys to the next write.
     pub fn journal_removal(&mut self, keys: &[Key]) {
         if let Some(journal) = &mut self.journal {
             keys.iter().for_each(|key| journal.remove(*key));
         }
     }
 
-    /// Notes all that has changed. Whatever shows outside comes after this.
+    /// Writes all changes since the last write. Must precede every effect that is visible outside.
     pub fn write_journal(&mut self) {
         let Some(mut journal) = self.journal.take() else {
             return;
         };
-        if let Some((changed, gone)) = self.invocations.unsaved.replace(Default::default()) {
-            for id in gone {
-                let mut name = [0; 16];
-                name.copy_from_slice(id.as_bytes());
-                journal.remove(Key::Invocation(name));
+        if let Some((changed, released)) = self.invocations.unsaved.replace(Default::default()) {
+            for id in released {
+                let mut key = [0; 16];
+                key.copy_from_slice(id.as_bytes());
+                journal.remove(Key::Invocation(key));
             }
-            for number in changed {
-                if let Some((key, record)) = self.invocation_record(number) {
+            for index in changed {
+                if let Some((key, record)) = self.invocation_record(index) {
                     journal.put(key, &record);
                 }
             }
@@ -81,7 +82,7 @@
         self.journal = Some(journal);
     }
 
-    /// Notes the instance as a whole, without what was learnt.
+    /// Writes the record of the instance, without learned state and gossip observations.
     pub fn write_instance_to_journal(&mut self) {
         if self.is_journaling() {
             let instance = self.instance_record(false);
--- a/crates/merlinshelf-backend/src/exchange/runs.rs
+++ b/crates/merlinshelf-backend/src/exchange/runs.rs
@@ -1,4 +1,4 @@
-//! The exchange towards the engine: commands out, notices in.
+//! The exchange's interface to the engine: commands to it and notifications from it.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -12,10 +12,10 @@
 
 use super::{Answer, CallDemand, Exchange};
 
-/// Gauges that may be older than this say nothing about now.
-pub(super) const GAUGES_AGE: Duration = Duration::from_millis(100);
+/// Gauges that may be older than this are ignored.
+pub(super) const MAX_GAUGE_AGE: Duration = Duration::from_millis(100);
 
-/// What the engine is to do.
+/// A command to the engine.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
     Run {
@@ -46,9 +46,10 @@
         self.commands.waker()
     }
 
-    /// The next command, and how much had been heard of its invocation when it was given.
+    /// The next command, and how many notifications about its invocation had been received when it
+    /// was queued.
     pub fn next_command(&mut self) -> Option<(Command, u64)> {
-        let (command, heard) = self.commands.pop()?;
+        let (command, notifications) = self.commands.pop()?;
         let invocation = self
             .invocations
             .find(command.id())
@@ -56,22 +57,24 @@
         if let Some((_, sent)) = invocation.and_then(|invocation| invocation.command.as_mut()) {
             *sent = true;
         }
-        Some((command, heard))
+        Some((command, notifications))
     }
 
-    /// The engine has read a command that was given when so much had been heard of its invocation.
-    pub fn command_acknowledged(&mut self, command: &Command, heard: u64) {
+    /// The engine has read a command that was queued after this many notifications about its
+    /// invocation.
+    pub fn command_acknowledged(&mut self, command: &Command, notifications: u64) {
         let invocation = self
             .invocations
             .find(command.id())
             .and_then(|index| self.invocations.get_mut(index));
-        if let Some(invocation) = invocation.filter(|invocation| invocation.notifications == heard)
+        if let Some(invocation) =
+            invocation.filter(|invocation| invocation.notifications == notifications)
         {
             invocation.command = None;
         }
     }
 
-    /// The one place where a command is given.
+    /// Queues a command. All commands pass through here.
     pub(super) fn send_command(&mut self, index: usize, command: Command) {
         let Some(invocation) = self.invocations.get_mut(index) else {
             return;
@@ -80,10 +83,11 @@
         self.commands.push((command, invocation.notifications));
     }
 
-    /// The engine has said HELLO: the module starts, cold or warm as the engine did. Starts it anew
-    /// where the engine has been started anew, whose runs are then all gone.
-    pub fn engine_up(&mut self, warm: bool, up: f64, anew: bool) {
-        if self.controller.is_some() && !anew {
+    /// The engine has sent HELLO, `uptime` seconds after its start: starts the admission controller,
+    /// cold or warm as the engine started. A restarted engine has lost all runs, so the controller
+    /// starts over.
+    pub fn engine_up(&mut self, warm: bool, uptime: f64, restarted: bool) {
+        if self.controller.is_some() && !restarted {
             return;
         }
         let name = "FamilyInfo.FreshStart";
@@ -91,24 +95,24 @@
         if self
             .settings
             .insert(name.into(), fresh.into())
-            .is_some_and(|told| told != fresh)
+            .is_some_and(|configured| configured != fresh)
         {
             info!(
-                "the engine started {}, other than {name} says",
+                "the engine started {}, which differs from {name}",
                 if warm { "warm" } else { "cold" }
             );
         }
-        if anew {
-            return self.start_over(up);
+        if restarted {
+            return self.start_over(uptime);
         }
-        self.start_controller(up);
+        self.start_controller(uptime);
     }
 
-    /// A run is over.
-    pub fn run_ended(&mut self, id: CallId, end: End, took: f64, result: &[u8]) {
+    /// A run has ended after `duration` seconds.
+    pub fn run_ended(&mut self, id: CallId, end: End, duration: f64, result: &[u8]) {
         self.counters.done += 1;
         let Some(index) = self.record_notification(id) else {
-            return debug!("{id} is over, and not in hand");
+            return debug!("run of {id} ended, but the invocation is not in flight");
         };
         match end {
             End::Succeeded => {
@@ -131,33 +135,41 @@
             never_ran: end == End::Moot,
             stopped: end == End::Stopped,
         };
-        self.decide(|controller, now| controller.run_ended(now, index, outcome, took));
+        self.decide(|controller, now| controller.run_ended(now, index, outcome, duration));
     }
 
-    /// A run waits for a call with this body, of the dependency that it names where that was
-    /// agreed.
-    pub fn call_requested(&mut self, id: CallId, number: u64, named: Option<&str>, body: &[u8]) {
+    /// A run waits for a call with this body. It names the dependency if that was negotiated with the
+    /// engine.
+    pub fn call_requested(
+        &mut self,
+        id: CallId,
+        number: u64,
+        dependency: Option<&str>,
+        body: &[u8],
+    ) {
         self.counters.needs += 1;
         let Some(index) = self.record_notification(id) else {
-            return debug!("{id} wants a call, and is not in hand");
+            return debug!("run of {id} requests a call, but the invocation is not in flight");
         };
         self.abandon_call(index);
         if let Some(invocation) = self.invocations.get_mut(index) {
             self.makes_several_calls[invocation.operation] |= invocation.call_request.is_some();
             invocation.call_request = Some((number, body.into()));
             (invocation.named_dependency, invocation.calls_requested) =
-                (named.map(Rc::from), invocation.calls_requested + 1);
+                (dependency.map(Rc::from), invocation.calls_requested + 1);
         }
         self.record_call_demand();
-        let wanting = CallDemand {
+        let demand = CallDemand {
             wants_call: true,
             wants_retry: false,
         };
-        self.decide_with_demand(wanting, |controller, now| {
+        self.decide_with_demand(demand, |controller, now| {
             controller.call_requested(now, index)
         });
     }
 
+    /// Counts a notification about an invocation, which also acknowledges its last command. The
+    /// index, if the invocation is in flight.
     pub(super) fn record_notification(&mut self, id: CallId) -> Option<usize> {
         let index = self.invocations.find(id)?;
         let invocation = self.invocations.get_mut(index)?;
@@ -165,12 +177,12 @@
         Some(index)
     }
 
-    /// The gauges, in the order of the settings, asked for so long ago. The module hears them at
-    /// this moment, with its next wake brought forward: it takes what runs by its own count from
-    /// what the engine counts, and by the time the wake was due runs would have ended and begun.
+    /// The engine's gauges, in the order of the settings, requested `age` ago. The admission
+    /// controller receives them at once, by firing its next timer early: it subtracts its own count
+    /// of runs from the engine's, and by the time the timer is due runs have ended and begun.
     pub fn gauges_received(&mut self, values: &[f64], age: Duration) {
         self.counters.stats += 1;
-        if age > GAUGES_AGE {
+        if age > MAX_GAUGE_AGE {
             return;
         }
         let gauges = self.named_gauges(values);
@@ -179,7 +191,7 @@
         }
     }
 
-    /// By the names of the settings; what is no number is left out.
+    /// The gauges by the names in the settings, without values that are not finite.
     pub(super) fn named_gauges(&self, values: &[f64]) -> BTreeMap<String, f64> {
         let named = self.gauge_names.iter().cloned().zip(values.iter().copied());
         named.filter(|(_, value)| value.is_finite()).collect()
@@ -189,10 +201,13 @@
         self.decide(|controller, now| controller.timer_fired(now, handle, gauges));
     }
 
-    /// The engine did not carry out a command.
+    /// The engine has refused a command.
     pub fn command_refused(&mut self, word: &[u8], id: CallId) {
         self.counters.refused_commands += 1;
-        warn!("the engine refused {} {id}", word.escape_ascii());
+        warn!(
+            "the engine refused the command {} {id}",
+            word.escape_ascii()
+        );
         if let (b"RUN", Some(index)) = (word, self.invocations.find(id)) {
             self.answer(index, Answer::Unknown);
             let outcome = Outcome {
@@ -203,25 +218,25 @@
         }
     }
 
-    /// A command may have been lost with a link, and all notices since have been read. It is given
-    /// again where that can do no harm: a run that goes on is not started twice, and a skip names
-    /// its notice. A reply names neither, but where runs make one call at most a second FEED finds
-    /// the run waiting for it or is refused. Elsewhere the module is asked about that call once
-    /// more.
-    pub fn command_lost(&mut self, command: Command, heard: u64) {
+    /// A command may have been lost with the engine connection, and all notifications since have been
+    /// read. It is repeated where that is safe: the engine does not start a run twice, and SKIP names
+    /// the notification that it refers to. FEED names nothing, but where runs make at most one call,
+    /// a second FEED either finds the run waiting for it or is refused. Otherwise the admission
+    /// controller decides about that call again.
+    pub fn command_lost(&mut self, command: Command, notifications: u64) {
         let Some(index) = self.invocations.find(command.id()) else {
             return;
         };
         let Some(invocation) = self.invocations.get_mut(index) else {
             return;
         };
-        if invocation.notifications != heard {
+        if invocation.notifications != notifications {
             return;
         }
         let operation = invocation.operation;
         match command {
-            // A second one might reach the run's next call, where runs of this operation make more
-            // than one.
+            // Runs of this operation make several calls: a second FEED might be taken as the reply
+            // to the next one.
             Command::Feed { .. } if self.makes_several_calls[operation] => {
                 if self.idempotent[operation] {
                     self.decide(|controller, now| controller.call_requested(now, index));
