--- a/crates/merlinshelf-backend/src/exchange/policy.rs
+++ b/crates/merlinshelf-backend/src/exchange/policy.rs
@@ -1,6 +1,6 @@
-//! The policy that holds for all instances, as this one acts on it: a lease is looked at before the
-//! module is told anything, and a change is a new module that takes up what the former one had,
-//! between two events.
+//! The policy by lease, as this instance acts on it. The lease is checked before each event. When
+//! another policy comes into force, a new admission controller takes over the state of the former
+//! one between two events.
 
 use std::panic::catch_unwind;
 
@@ -26,187 +26,200 @@
     fn apply(&self, policy: &Policy);
 }
 
+/// The policy that this instance acts on, and its lease.
 pub struct ActivePolicy {
     holder: LeaseHolder,
-    acting: EffectivePolicy,
-    /// The settings as they were configured.
-    base: Settings,
+    effective: EffectivePolicy,
+    /// The settings as they were configured, without any policy.
+    configured: Settings,
     overlay: Box<dyn PolicyOverlay>,
 }
 
-/// A number that no other process of this machine has, nor this one at another time.
-fn life() -> u64 {
+/// A number that no other process of this host uses, nor this process at another time.
+fn new_incarnation() -> u64 {
     ((unix_ms() * 1e3) as u64) << 22 ^ u64::from(std::process::id())
 }
 
 impl Exchange {
-    /// Switches the policy for all on.
+    /// Enables policies by lease, beginning with the base policy.
     ///
     /// # Errors
     /// The base policy does not fit this instance.
     pub fn enable_policy(
         &mut self,
-        of: &PolicySettings,
+        policy_settings: &PolicySettings,
         overlay: Box<dyn PolicyOverlay>,
     ) -> Result<(), String> {
-        let base = std::mem::take(&mut self.settings);
-        let settings = of
-            .base
-            .settings(&base)
+        let configured = std::mem::take(&mut self.settings);
+        let base = &policy_settings.base;
+        let settings = base
+            .settings(&configured)
             .map_err(|mismatch| mismatch.to_string())
-            .and_then(|settings| overlay.check(&of.base).map(|()| settings));
-        let settings = settings.map_err(|why| format!("policy.base: {why}"));
-        let life = life();
-        let holder = LeaseHolder::new(life, of.base.clone(), of.without, of.drift);
-        self.quota = Some(QuotaSpending::new(life, self.seed, of));
-        let acting = holder.effective_policy(monotonic_seconds());
-        overlay.apply(&of.base);
+            .and_then(|settings| overlay.check(base).map(|()| settings));
+        let settings = settings.map_err(|reason| format!("policy.base: {reason}"));
+        let incarnation = new_incarnation();
+        let holder = LeaseHolder::new(
+            incarnation,
+            base.clone(),
+            policy_settings.without,
+            policy_settings.drift,
+        );
+        self.quota = Some(QuotaSpending::new(incarnation, self.seed, policy_settings));
+        let effective = holder.effective_policy(monotonic_seconds());
+        overlay.apply(base);
         self.settings = settings?;
         self.policy = Some(ActivePolicy {
             holder,
-            acting,
-            base,
+            effective,
+            configured,
             overlay,
         });
         Ok(())
     }
 
-    /// What a successor goes on with. This one holds no lease from here on, also if it takes back.
+    /// The policy lease and the quotas for a successor, encoded. This process holds none from now on,
+    /// also if it recovers from a failed handover.
     pub(super) fn begin_policy_handover(&mut self) -> (Vec<u8>, Vec<u8>) {
-        let life = life();
-        self.apply_quota(CallDemand::default()); // what was spent since is counted
-        let passed = self
+        let incarnation = new_incarnation();
+        self.apply_quota(CallDemand::default()); // subtracts what was used since the last event
+        let handed_over = self
             .policy
             .as_mut()
-            .map(|policed| policed.holder.begin_handover(life));
-        let policy = passed
-            .and_then(|passed| rmp_serde::to_vec_named(&passed).ok())
+            .map(|active| active.holder.begin_handover(incarnation));
+        let policy = handed_over
+            .and_then(|state| rmp_serde::to_vec_named(&state).ok())
             .unwrap_or_default();
         (
             policy,
             self.quota
                 .as_mut()
-                .map(|spending| spending.pass(life))
+                .map(|spending| spending.begin_handover(incarnation))
                 .unwrap_or_default(),
         )
     }
 
-    /// Goes on with what a predecessor passed.
-    pub fn resume_policy(&mut self, passed: &[u8], shares: &[u8]) {
-        if let Some(spending) = self.quota.as_mut().filter(|_| !shares.is_empty()) {
-            spending.take(shares);
+    /// Continues with the encoded policy lease and quotas of a predecessor.
+    pub fn resume_policy(&mut self, policy: &[u8], quota: &[u8]) {
+        if let Some(spending) = self.quota.as_mut().filter(|_| !quota.is_empty()) {
+            spending.resume(quota);
         }
-        if let Some(policed) = &mut self.policy {
-            let passed: HandoverState = rmp_serde::from_slice(passed).unwrap_or_default();
-            policed.holder.resume(passed);
+        if let Some(active) = &mut self.policy {
+            let state: HandoverState = rmp_serde::from_slice(policy).unwrap_or_default();
+            active.holder.resume(state);
         }
     }
 
-    /// Whether it may take invocations: it knows which policy holds, or has stopped waiting.
+    /// Whether invocations may be accepted: the instance knows which policy is in force, or has
+    /// stopped waiting for a lease.
     pub fn is_policy_ready(&self) -> bool {
         self.policy
             .as_ref()
-            .is_none_or(|policed| policed.holder.is_ready())
+            .is_none_or(|active| active.holder.is_ready())
     }
 
-    /// Nobody is waited for any more.
+    /// Stops waiting for a policy lease.
     pub fn stop_waiting_for_policy(&mut self) {
-        if let Some(policed) = &mut self.policy {
-            policed.holder.stop_waiting();
+        if let Some(active) = &mut self.policy {
+            active.holder.stop_waiting();
         }
     }
 
-    /// A beat of this host's agent; none where policies are off.
-    pub fn handle_heartbeat(&mut self, beat: Heartbeat) -> Option<InstanceStatus> {
+    /// Handles a heartbeat of this host's agent. The response; `None` if policies are disabled.
+    pub fn handle_heartbeat(&mut self, heartbeat: Heartbeat) -> Option<InstanceStatus> {
         let seed = self.seed;
-        let policed = self.policy.as_mut()?;
+        let active = self.policy.as_mut()?;
         let ActivePolicy {
             holder,
-            base,
+            configured,
             overlay,
             ..
-        } = policed;
-        let given = beat.quota_grants.clone();
-        let aside = holder.base_policy().budgets.clone();
-        let mut said = holder.handle_heartbeat(monotonic_seconds(), beat, |policy| {
-            let settings = policy.settings(base)?;
+        } = active;
+        let grants = heartbeat.quota_grants.clone();
+        let reserve = holder.base_policy().budgets.clone();
+        let mut status = holder.handle_heartbeat(monotonic_seconds(), heartbeat, |policy| {
+            let settings = policy.settings(configured)?;
             overlay.check(policy)?;
-            budget::validate_against_reserve(&policy.budgets, &aside, None)?;
+            budget::validate_against_reserve(&policy.budgets, &reserve, None)?;
             AdmissionController::start(0.0, seed, settings).map_err(|error| error.to_string())?;
             Ok(())
         });
         self.apply_current_policy();
         if let Some(spending) = &mut self.quota {
-            given.iter().for_each(|given| spending.heard(given));
-            said.quota_requests = spending.asks();
+            grants
+                .iter()
+                .for_each(|grants| spending.handle_grants(grants));
+            status.quota_requests = spending.request();
         }
-        Some(said)
+        Some(status)
     }
 
     /// Applies the overlay again, after the configuration that it modifies has changed.
     pub fn reapply_overlay(&self) {
-        if let Some(policed) = &self.policy {
-            policed.overlay.apply(policed.holder.policy(policed.acting));
+        if let Some(active) = &self.policy {
+            active.overlay.apply(active.holder.policy(active.effective));
         }
     }
 
     pub fn policy_status(&self) -> Option<InstanceStatus> {
         self.policy
             .as_ref()
-            .map(|policed| policed.holder.status(monotonic_seconds()))
+            .map(|active| active.holder.status(monotonic_seconds()))
     }
 
-    /// How long callers are to stay away where nothing may be served.
+    /// The seconds after which callers may retry, if the policy rejects all invocations.
     pub(super) fn rejection_by_policy(&self) -> Option<f64> {
-        let away = self
+        let rejects_all = self
             .policy
             .as_ref()
-            .is_some_and(|policed| policed.acting == EffectivePolicy::RejectAll);
-        let allowed = self
+            .is_some_and(|active| active.effective == EffectivePolicy::RejectAll);
+        let allows_retry_after = self
             .settings
             .get("Allowed.RetryAfter")
             .is_some_and(|text| text == "true");
-        let most = self
+        let max_retry_after_us = self
             .settings
             .get("Allowed.MaxRetryAfterUs")
             .and_then(|text| text.parse::<f64>().ok());
-        away.then(|| {
-            if allowed {
-                most.unwrap_or(0.0) / 1e6
+        rejects_all.then(|| {
+            if allows_retry_after {
+                max_retry_after_us.unwrap_or(0.0) / 1e6
             } else {
                 0.0
             }
         })
     }
 
-    /// Looks whether something else is to be acted on by now.
+    /// Applies the policy that is in force now, if it differs from the last one.
     pub(super) fn apply_current_policy(&mut self) {
-        let Some(policed) = &mut self.policy else {
+        let Some(active) = &mut self.policy else {
             return;
         };
-        let acting = policed.holder.effective_policy(monotonic_seconds());
-        if acting == policed.acting {
+        let effective = active.holder.effective_policy(monotonic_seconds());
+        if effective == active.effective {
             return;
         }
-        let before = std::mem::replace(&mut policed.acting, acting);
-        let mut settings = match policed.holder.settings(acting, &policed.base) {
+        let previous = std::mem::replace(&mut active.effective, effective);
+        let mut settings = match active.holder.settings(effective, &active.configured) {
             Ok(settings) => settings,
-            Err(why) => return error!("a policy that was found to fit does not: {why}"),
+            Err(reason) => {
+                return error!("policy not applied, although its check passed: {reason}");
+            }
         };
-        policed.overlay.apply(policed.holder.policy(acting));
+        active.overlay.apply(active.holder.policy(effective));
         if let Some(spending) = &mut self.quota {
-            spending.bound(&policed.holder.policy(acting).budgets);
+            spending.set_budgets(&active.holder.policy(effective).budgets);
         }
         if let Some(fresh) = self.settings.get("FamilyInfo.FreshStart") {
             settings.insert("FamilyInfo.FreshStart".into(), fresh.clone());
         }
         self.settings = settings;
         self.counters.policies += 1;
-        info!(before = format!("{before:?}"), acts = format!("{acting:?}"), in_hand = self.invocations.len(); "policy: acts on {acting:?}, before on {before:?}");
+        info!(before = format!("{previous:?}"), acts = format!("{effective:?}"), in_hand = self.invocations.len(); "policy changed from {previous:?} to {effective:?}");
         self.replace_controller();
     }
 
-    /// A new module under the settings as they are takes up all that the former one had.
+    /// Starts an admission controller with the current settings, which takes over the state of the
+    /// former one.
     fn replace_controller(&mut self) {
         let Some(former) = self.controller.take() else {
             return;
@@ -217,25 +230,28 @@
             Ok(Ok((mut controller, mut decisions))) => {
                 controller.restore_learned_state(learned);
                 controller.set_prior_estimates(self.prior_estimates.clone());
-                let mut numbers: Vec<(u64, usize)> = self
+                let mut indexes: Vec<(u64, usize)> = self
                     .invocations
                     .all()
                     .into_iter()
                     .filter_map(|index| Some((self.invocations.get(index)?.arrival_order, index)))
                     .collect();
-                numbers.sort_unstable();
-                for (_, index) in numbers {
-                    if let Some(it) = former.invocation(index) {
-                        controller.restore_invocation(index, it.clone());
+                indexes.sort_unstable();
+                for (_, index) in indexes {
+                    if let Some(state) = former.invocation(index) {
+                        controller.restore_invocation(index, state.clone());
                     }
                 }
-                decisions.health = decisions.health.filter(|good| *good != self.is_healthy);
+                decisions.health = decisions
+                    .health
+                    .filter(|is_healthy| *is_healthy != self.is_healthy);
                 self.controller = Some(controller);
                 self.carry_out(decisions);
             }
             _ => {
                 error!(
-                    "the module does not start under another policy: it goes on under the former one"
+                    "admission controller not started under the new policy: \
+                     the former controller continues"
                 );
                 self.controller = Some(former);
             }
--- a/crates/merlinshelf-backend/src/exchange/quota.rs
+++ b/crates/merlinshelf-backend/src/exchange/quota.rs
@@ -1,5 +1,6 @@
-//! What a fleet's budgets let this one spend on calls below, as the module and the router are told
-//! it: before anything is decided they hear what is left, and what they made use of is counted.
+//! This instance's quota of the fleet's budgets for downstream calls. The admission controller and
+//! the router receive the remaining quota before each decision, and what they have used of it is
+//! subtracted.
 
 use std::collections::BTreeMap;
 use std::fs::{File, OpenOptions};
@@ -22,186 +23,195 @@
 use super::{Exchange, monotonic_seconds};
 use crate::operator::PolicySettings;
 
-/// Between two looks at what the host has set aside, seconds: where there is nothing, each call
-/// that is wanted would look.
-const LOOK_EVERY: f64 = 0.005;
+/// Minimum time between two draws from a host's reserve, by dependency and kind of call. Without it,
+/// every waiting call would access the file of an exhausted reserve.
+const RESERVE_INTERVAL_SECONDS: f64 = 0.005;
 
-/// What an instance holds of all budgets.
+/// The quota of an instance and what it has spent of it.
 pub struct QuotaSpending {
-    spender: QuotaClient,
-    /// What the host has set aside, and where that is kept; nowhere: nothing is.
-    aside: Budgets,
-    folder: Option<PathBuf>,
+    client: QuotaClient,
+    /// The budgets of the host's reserve.
+    reserve: Budgets,
+    /// The folder with the reserve's files; without one nothing is drawn.
+    reserve_folder: Option<PathBuf>,
     drift: f64,
-    chance: Pcg64Mcg,
-    /// By dependency: what was left when its caller was last told, and whether it failed then.
-    told: BTreeMap<String, (Remaining, bool)>,
-    looked_at: BTreeMap<(String, CallKind), f64>,
+    random: Pcg64Mcg,
+    /// By dependency, the remaining quota that its caller has last received, and whether the
+    /// dependency failed then.
+    reported: BTreeMap<String, (Remaining, bool)>,
+    last_reserve_draws: BTreeMap<(String, CallKind), f64>,
     phases: BTreeMap<String, Phase>,
-    complained: bool,
-    /// Calls and connections that were bounded and made since they were last counted, and those
-    /// drawn from what is set aside.
-    made: (u64, u64),
+    has_logged_reserve_error: bool,
+    /// Limited calls and connections since the last update of the counters.
+    uncounted_calls: u64,
+    /// Calls drawn from the reserve since the last update of the counters.
+    uncounted_draws: u64,
 }
 
-/// What is wanted of a dependency at the moment.
+/// The calls to a dependency that need quota now.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct CallDemand {
-    /// A first call, or a probe where it fails.
+    /// A first call, or a probe if the dependency fails.
     pub wants_call: bool,
-    /// A further one.
+    /// A retry.
     pub wants_retry: bool,
 }
 
 impl QuotaSpending {
-    pub(super) fn new(life: u64, seed: u64, of: &PolicySettings) -> QuotaSpending {
-        let lease = LeaseTerms {
-            lease_seconds: of.lease_ms as f64 / 1e3,
-            drift: of.drift,
+    pub(super) fn new(incarnation: u64, seed: u64, settings: &PolicySettings) -> QuotaSpending {
+        let terms = LeaseTerms {
+            lease_seconds: settings.lease_ms as f64 / 1e3,
+            drift: settings.drift,
         };
-        let mut spender = QuotaClient::new(life, lease);
-        spender.set_budgets(&of.base.budgets);
+        let mut client = QuotaClient::new(incarnation, terms);
+        client.set_budgets(&settings.base.budgets);
         QuotaSpending {
-            spender,
-            aside: of.base.budgets.clone(),
-            folder: of.aside.clone(),
-            drift: of.drift,
-            chance: Pcg64Mcg::seed_from_u64(seed ^ life),
-            told: BTreeMap::new(),
-            looked_at: BTreeMap::new(),
+            client,
+            reserve: settings.base.budgets.clone(),
+            reserve_folder: settings.aside.clone(),
+            drift: settings.drift,
+            random: Pcg64Mcg::seed_from_u64(seed ^ incarnation),
+            reported: BTreeMap::new(),
+            last_reserve_draws: BTreeMap::new(),
             phases: BTreeMap::new(),
-            complained: false,
-            made: (0, 0),
+            has_logged_reserve_error: false,
+            uncounted_calls: 0,
+            uncounted_draws: 0,
         }
     }
 
-    pub(super) fn bound(&mut self, budgets: &Budgets) {
-        self.spender.set_budgets(budgets);
+    pub(super) fn set_budgets(&mut self, budgets: &Budgets) {
+        self.client.set_budgets(budgets);
     }
 
-    pub(super) fn pass(&mut self, life: u64) -> Vec<u8> {
-        rmp_serde::to_vec_named(&self.spender.begin_handover(life)).unwrap_or_default()
+    /// The quotas for a successor, encoded. This instance continues without any.
+    pub(super) fn begin_handover(&mut self, next_incarnation: u64) -> Vec<u8> {
+        rmp_serde::to_vec_named(&self.client.begin_handover(next_incarnation)).unwrap_or_default()
     }
 
-    pub(super) fn take(&mut self, passed: &[u8]) {
-        if let Ok(spender) = rmp_serde::from_slice(passed) {
-            self.spender = spender;
+    /// Continues with the quotas of a predecessor. Bytes that can't be decoded are ignored.
+    pub(super) fn resume(&mut self, handed_over: &[u8]) {
+        if let Ok(client) = rmp_serde::from_slice(handed_over) {
+            self.client = client;
         }
     }
 
-    pub(super) fn heard(&mut self, given: &QuotaGrantBatch) {
-        let (now, chance) = (monotonic_seconds(), &mut self.chance);
-        self.spender
-            .handle_grants(now, given, &mut || chance.random());
-        for name in given.dependencies.keys() {
-            let Some(phase) = self.spender.phase(now, name) else {
+    /// The host's agent has granted quotas.
+    pub(super) fn handle_grants(&mut self, grants: &QuotaGrantBatch) {
+        let (now, random) = (monotonic_seconds(), &mut self.random);
+        self.client
+            .handle_grants(now, grants, &mut || random.random());
+        for name in grants.dependencies.keys() {
+            let Some(phase) = self.client.phase(now, name) else {
                 continue;
             };
             if self.phases.insert(name.clone(), phase).unwrap_or_default() != phase {
-                info!(dependency = name.as_str(); "budgets: {name} {} for all", said(phase));
+                info!(dependency = name.as_str(); "budgets: {name} is {} fleet-wide", phase_name(phase));
             }
         }
     }
 
-    /// What is asked of the host; none where nothing is bounded.
-    pub(super) fn asks(&mut self) -> Option<QuotaRequestBatch> {
-        let any = self.spender.limited_kinds().next().is_some();
-        any.then(|| self.spender.request(monotonic_seconds()))
+    /// What this instance requests of the host's agent; `None` if no calls are limited.
+    pub(super) fn request(&mut self) -> Option<QuotaRequestBatch> {
+        let has_limits = self.client.limited_kinds().next().is_some();
+        has_limits.then(|| self.client.request(monotonic_seconds()))
     }
 
-    /// What is left of each, for a caller that was told before: what of that was `left_over`, and
-    /// whether the dependency fails.
-    fn renew(
+    /// The remaining quota for the caller of a dependency; `None` if the dependency has no budget.
+    /// `unused` is what the caller has not used of the quota that it received before, and
+    /// `is_failing` whether the dependency fails for it.
+    fn update(
         &mut self,
         name: &str,
-        left_over: Remaining,
-        fails: bool,
-        wanting: CallDemand,
+        unused: Remaining,
+        is_failing: bool,
+        demand: CallDemand,
     ) -> Option<Remaining> {
         let now = monotonic_seconds();
-        let before = self.told.get(name).map(|(left, _)| *left);
-        if !self.spender.has_budget(name) {
-            // It is bounded no more: told once.
-            return self.told.remove(name).map(|_| Remaining::ALL);
+        let reported = self.reported.get(name).map(|(remaining, _)| *remaining);
+        if !self.client.has_budget(name) {
+            // The budget was removed, which is reported once.
+            return self.reported.remove(name).map(|_| Remaining::ALL);
         }
-        if let Some(before) = before {
-            for (kind, told, over) in [
+        if let Some(reported) = reported {
+            for (kind, reported, unused) in [
                 (
                     CallKind::FirstCall,
-                    before.first_calls,
-                    left_over.first_calls,
+                    reported.first_calls,
+                    unused.first_calls,
                 ),
-                (CallKind::Retry, before.retries, left_over.retries),
-                (CallKind::Probe, before.probes, left_over.probes),
+                (CallKind::Retry, reported.retries, unused.retries),
+                (CallKind::Probe, reported.probes, unused.probes),
             ] {
-                if told != u32::MAX && told > over {
-                    self.spend(now, name, kind, told - over);
+                if reported != u32::MAX && reported > unused {
+                    self.spend(now, name, kind, reported - unused);
                 }
             }
         }
-        self.spender.set_failing(now, name, fails);
-        let closed = self.spender.phase(now, name) == Some(Phase::Failing);
-        let call = if fails || closed {
+        self.client.set_failing(now, name, is_failing);
+        let fails_fleet_wide = self.client.phase(now, name) == Some(Phase::Failing);
+        let call = if is_failing || fails_fleet_wide {
             CallKind::Probe
         } else {
             CallKind::FirstCall
         };
-        if wanting.wants_call {
-            self.draw(now, name, call);
+        if demand.wants_call {
+            self.draw_from_reserve(now, name, call);
         }
-        if wanting.wants_retry {
-            self.draw(now, name, CallKind::Retry);
+        if demand.wants_retry {
+            self.draw_from_reserve(now, name, CallKind::Retry);
         }
-        let left = self.spender.remaining(now, name);
-        self.told.insert(
+        let remaining = self.client.remaining(now, name);
+        self.reported.insert(
             name.to_owned(),
             (
                 Remaining {
                     reopened: false,
-                    ..left
+                    ..remaining
                 },
-                fails,
+                is_failing,
             ),
         );
-        Some(left)
+        Some(remaining)
     }
 
     fn spend(&mut self, now: f64, name: &str, kind: CallKind, calls: u32) {
-        self.made.0 += u64::from(calls);
-        self.spender.record_spent(now, name, kind, calls);
+        self.uncounted_calls += u64::from(calls);
+        self.client.record_spent(now, name, kind, calls);
     }
 
-    fn wants(&mut self, name: &str, kind: CallKind) {
-        self.spender
+    fn record_demand(&mut self, name: &str, kind: CallKind) {
+        self.client
             .record_demand(monotonic_seconds(), name, kind, 1.0);
     }
 
-    /// One call of what the host has set aside, where nothing else is left of it.
-    fn draw(&mut self, now: f64, name: &str, kind: CallKind) {
-        let aside = budget::find_budget(&self.aside, name, kind).unwrap_or(0);
-        let Some(folder) = self.folder.as_ref().filter(|_| aside > 0) else {
+    /// Draws one call from the host's reserve, if no other quota remains.
+    fn draw_from_reserve(&mut self, now: f64, name: &str, kind: CallKind) {
+        let reserve = budget::find_budget(&self.reserve, name, kind).unwrap_or(0);
+        let Some(folder) = self.reserve_folder.as_ref().filter(|_| reserve > 0) else {
             return;
         };
-        let looked = self
-            .looked_at
+        let last_draw = self
+            .last_reserve_draws
             .get(&(name.to_owned(), kind))
             .copied()
             .unwrap_or(f64::NEG_INFINITY);
-        if now < looked + LOOK_EVERY || !self.spender.needs_reserve(now, name, kind) {
+        if now < last_draw + RESERVE_INTERVAL_SECONDS || !self.client.needs_reserve(now, name, kind)
+        {
             return;
         }
-        let drawn = draw(folder, name, kind, aside, self.drift);
-        self.looked_at.insert((name.to_owned(), kind), now);
+        let drawn = draw_from_reserve_file(folder, name, kind, reserve, self.drift);
+        self.last_reserve_draws.insert((name.to_owned(), kind), now);
         match drawn {
             Ok(true) => {
-                self.made.1 += 1;
-                self.spender.record_reserve_draw(now, name, kind);
+                self.uncounted_draws += 1;
+                self.client.record_reserve_draw(now, name, kind);
             }
             Ok(false) => {}
-            Err(error) if !self.complained => {
-                self.complained = true;
+            Err(error) if !self.has_logged_reserve_error => {
+                self.has_logged_reserve_error = true;
                 warn!(
-                    "budgets: what the host has set aside can't be had: {}: {error}",
+                    "budgets: the host's reserve can't be used: {}: {error}",
                     folder.display()
                 );
             }
@@ -210,32 +220,38 @@
     }
 }
 
-fn outcome(well: bool) -> CallOutcome {
-    if well {
+fn call_outcome(succeeded: bool) -> CallOutcome {
+    if succeeded {
         CallOutcome::Succeeded
     } else {
         CallOutcome::Failed
     }
 }
 
-fn said(phase: Phase) -> &'static str {
+fn phase_name(phase: Phase) -> &'static str {
     match phase {
-        Phase::Healthy => "is well",
-        Phase::Recovering => "returns",
-        Phase::Failing => "fails",
+        Phase::Healthy => "healthy",
+        Phase::Recovering => "recovering",
+        Phase::Failing => "failing",
     }
 }
 
-/// Draws one call from the file that all instances of the host have in common. Whoever holds it is
-/// not waited for.
-fn draw(folder: &Path, name: &str, kind: CallKind, aside: u32, drift: f64) -> io::Result<bool> {
-    // Names of dependencies may be anything: as a file each byte that is no letter or digit is
-    // written as its number.
-    let plain = name.bytes().map(|byte| match byte {
+/// Draws one call from the file of the host's reserve, which all instances of the host share. False
+/// if the reserve is exhausted, or without waiting if another process has locked the file.
+fn draw_from_reserve_file(
+    folder: &Path,
+    name: &str,
+    kind: CallKind,
+    reserve: u32,
+    drift: f64,
+) -> io::Result<bool> {
+    // Names of dependencies may contain any character: in the file name, each byte other than a
+    // letter or digit is written as its hexadecimal value.
+    let encoded = name.bytes().map(|byte| match byte {
         b'a'..=b'z' | b'A'..=b'Z' | b'0'..=b'9' => char::from(byte).to_string(),
         _ => format!("%{byte:02x}"),
     });
-    let path = folder.join(format!("{}.{}", plain.collect::<String>(), kind.name()));
+    let path = folder.join(format!("{}.{}", encoded.collect::<String>(), kind.name()));
     let open = || {
         OpenOptions::new()
             .create(true)
@@ -258,87 +274,85 @@
     Read::by_ref(&mut file)
         .take(64 * 1024)
         .read_to_end(&mut bytes)?;
-    // The clock is read behind the lock: what is written down stands in the order in which it was
-    // drawn.
-    let (may, next) = match reserve::draw(&bytes, monotonic_seconds(), aside, drift) {
+    // The clock is read with the file locked, so that the recorded times are in the order of the
+    // draws.
+    let (is_drawn, next) = match reserve::draw(&bytes, monotonic_seconds(), reserve, drift) {
         Ok(next) => (true, Some(next)),
         Err(DrawError::Exhausted) => (false, None),
         Err(DrawError::Corrupt { replacement }) => (false, Some(replacement)),
     };
     if let Some(next) = next {
-        // Longer or the same length first, then cut: a process that dies in between leaves too
-        // many, not too few.
+        // Written before the file is truncated: a process that dies in between leaves too many
+        // times in it, not too few.
         file.rewind()?;
         file.write_all(&next)?;
         file.set_len(next.len() as u64)?;
     }
-    Ok(may)
+    Ok(is_drawn)
 }
 
 impl Exchange {
-    /// Tells the module what it may spend from here on. `again`: a further call is wanted now;
-    /// `call`: one that its run wants.
-    pub(super) fn apply_quota(&mut self, wanting: CallDemand) {
+    /// Sets the admission controller's quota for calls to the catalogue. `demand` is what the next
+    /// event may need.
+    pub(super) fn apply_quota(&mut self, demand: CallDemand) {
         let Some(spending) = &mut self.quota else {
             return;
         };
-        if !spending.spender.has_budget(CATALOGUE) && !spending.told.contains_key(CATALOGUE) {
+        if !spending.client.has_budget(CATALOGUE) && !spending.reported.contains_key(CATALOGUE) {
             return;
         }
         let Some(controller) = &mut self.controller else {
             return;
         };
         let usage = controller.set_downstream_quota(DownstreamQuota::default());
-        let waits = || {
+        let is_call_waiting = || {
             self.invocations.all().into_iter().any(|index| {
                 controller
                     .invocation(index)
                     .is_some_and(|state| state.stage == Stage::AtCall)
             })
         };
-        let wanting = CallDemand {
-            wants_call: wanting.wants_call || waits(),
-            ..wanting
+        let demand = CallDemand {
+            wants_call: demand.wants_call || is_call_waiting(),
+            ..demand
         };
-        let over = Remaining {
+        let unused = Remaining {
             first_calls: usage.unused.first_calls,
             retries: usage.unused.retries,
             probes: usage.unused.probes,
             ..Remaining::ALL
         };
-        let left = spending
-            .renew(CATALOGUE, over, usage.is_failing, wanting)
+        let remaining = spending
+            .update(CATALOGUE, unused, usage.is_failing, demand)
             .unwrap_or(Remaining::ALL);
         controller.set_downstream_quota(DownstreamQuota {
-            first_calls: left.first_calls,
-            retries: left.retries,
-            probes: left.probes,
-            probes_only: left.probes_only,
-            reopened: left.reopened,
+            first_calls: remaining.first_calls,
+            retries: remaining.retries,
+            probes: remaining.probes,
+            probes_only: remaining.probes_only,
+            reopened: remaining.reopened,
         });
         self.count_quota_use();
     }
 
+    /// Adds what was spent since the last time to the counters.
     fn count_quota_use(&mut self) {
         if let Some(spending) = &mut self.quota {
-            let (made, drawn) = std::mem::take(&mut spending.made);
-            (self.counters.budget_calls, self.counters.budget_drawn) = (
-                self.counters.budget_calls + made,
-                self.counters.budget_drawn + drawn,
-            );
+            self.counters.budget_calls += std::mem::take(&mut spending.uncounted_calls);
+            self.counters.budget_drawn += std::mem::take(&mut spending.uncounted_draws);
         }
     }
 
-    /// A run wants a call to the one dependency of the platform.
+    /// A run requests a call to the catalogue.
     pub(super) fn record_call_demand(&mut self) {
         if let Some(spending) = &mut self.quota {
-            let failing = spending
-                .told
+            let needs_probe = spending
+                .reported
                 .get(CATALOGUE)
-                .is_some_and(|(left, fails)| *fails || left.probes_only);
-            spending.wants(
+                .is_some_and(|(remaining, is_failing)| *is_failing || remaining.probes_only);
+            spending.record_demand(
                 CATALOGUE,
-                if failing {
+                if needs_probe {
                     CallKind::Probe
                 } else {
                     CallKind::FirstCall
@@ -347,105 +361,110 @@
         }
     }
 
-    /// A call to it has ended; whether a further one may follow.
-    pub(super) fn record_call_end(&mut self, well: bool, again: bool) {
+    /// A call to the catalogue has ended; `wants_retry` if a retry may follow.
+    pub(super) fn record_call_end(&mut self, succeeded: bool, wants_retry: bool) {
         if let Some(spending) = &mut self.quota {
-            spending
-                .spender
-                .record_call_end(monotonic_seconds(), CATALOGUE, outcome(well));
-            if again {
-                spending.wants(CATALOGUE, CallKind::Retry);
+            spending.client.record_call_end(
+                monotonic_seconds(),
+                CATALOGUE,
+                call_outcome(succeeded),
+            );
+            if wants_retry {
+                spending.record_demand(CATALOGUE, CallKind::Retry);
             }
         }
     }
 
-    /// What may be spent on a dependency that is told apart, for the one who calls it: as `renew`
-    /// of it says.
+    /// The remaining quota for the caller of a named dependency; `None` if the dependency has no
+    /// budget. `unused` is what the caller has not used of the quota that it received before, and
+    /// `is_failing` whether the dependency fails for it.
     pub fn update_quota(
         &mut self,
         name: &str,
-        left_over: Remaining,
-        fails: bool,
-        wanting: CallDemand,
+        unused: Remaining,
+        is_failing: bool,
+        demand: CallDemand,
     ) -> Option<Remaining> {
-        self.quota.as_mut()?.renew(name, left_over, fails, wanting)
+        self.quota
+            .as_mut()?
+            .update(name, unused, is_failing, demand)
     }
 
-    /// Dependencies whose budgets its caller is to be told of.
+    /// Named dependencies with a budget, or whose removed budget was not reported yet.
     pub fn limited_dependencies(&self) -> Vec<String> {
         let Some(spending) = &self.quota else {
             return Vec::new();
         };
         let names = spending
-            .spender
+            .client
             .limited_kinds()
             .map(|(name, _)| name)
-            .chain(spending.told.keys());
+            .chain(spending.reported.keys());
         let mut names: Vec<String> = names.filter(|name| *name != CATALOGUE).cloned().collect();
         names.sort_unstable();
         names.dedup();
         names
     }
 
-    /// A call to a dependency that is told apart is wanted, or has ended.
+    /// A call to a named dependency is needed, or has ended with success or failure.
     pub fn record_dependency_call(
         &mut self,
         name: &str,
-        wants: Option<CallKind>,
-        ended: Option<bool>,
+        demand: Option<CallKind>,
+        succeeded: Option<bool>,
     ) {
         let Some(spending) = &mut self.quota else {
             return;
         };
-        if let Some(kind) = wants {
-            spending.wants(name, kind);
+        if let Some(kind) = demand {
+            spending.record_demand(name, kind);
         }
-        if let Some(well) = ended {
+        if let Some(succeeded) = succeeded {
             spending
-                .spender
-                .record_call_end(monotonic_seconds(), name, outcome(well));
+                .client
+                .record_call_end(monotonic_seconds(), name, call_outcome(succeeded));
         }
     }
 
-    /// A connection is to be opened for a call that waits for it.
+    /// A call waits for a connection to be opened.
     pub fn record_connection_demand(&mut self, name: &str) {
         if let Some(spending) = &mut self.quota {
-            spending.wants(name, CallKind::NewConnection);
+            spending.record_demand(name, CallKind::NewConnection);
         }
     }
 
-    /// Whether a connection may be opened now; it is counted where it may.
+    /// Whether a connection may be opened now. If so, it is subtracted from the quota.
     pub fn try_acquire_connection(&mut self, name: &str) -> bool {
         let Some(spending) = &mut self.quota else {
             return true;
         };
         let now = monotonic_seconds();
         if !spending
-            .spender
+            .client
             .is_limited(now, name, CallKind::NewConnection)
         {
             return true;
         }
-        spending.draw(now, name, CallKind::NewConnection);
-        let may = spending.spender.remaining_connections(now, name) > 0;
-        if may {
+        spending.draw_from_reserve(now, name, CallKind::NewConnection);
+        let is_allowed = spending.client.remaining_connections(now, name) > 0;
+        if is_allowed {
             spending.spend(now, name, CallKind::NewConnection, 1);
         }
         self.count_quota_use();
-        may
+        is_allowed
     }
 
-    /// What is held of each budget, for reports.
+    /// The quota of each budget, for status reports.
     pub fn quota_report(&self) -> Option<Value> {
         let spending = self.quota.as_ref()?;
         let now = monotonic_seconds();
-        let of = |(name, kind): (&String, CallKind)| {
+        let report = |(name, kind): (&String, CallKind)| {
             json!({
-                "dependency": name, "kind": kind, "share": spending.spender.granted(now, name, kind),
-                "fares": spending.spender.phase(now, name),
+                "dependency": name, "kind": kind, "share": spending.client.granted(now, name, kind),
+                "fares": spending.client.phase(now, name),
             })
         };
-        let all: Vec<Value> = spending.spender.limited_kinds().map(of).collect();
+        let all: Vec<Value> = spending.client.limited_kinds().map(report).collect();
         (!all.is_empty()).then_some(Value::from(all))
     }
 }
