--- a/crates/merlinshelf-backend/src/exchange/restoration.rs
+++ b/crates/merlinshelf-backend/src/exchange/restoration.rs
@@ -1,4 +1,4 @@
-//! Restoring the exchange from a handover image, in a successor or in a predecessor that recovers.
+//! Restores the exchange from a handover image, in a successor or in a predecessor that recovers.
 
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
@@ -17,36 +17,40 @@
 use super::{CallCommand, Exchange};
 
 impl Exchange {
-    /// Whether what the image holds can go on under these settings.
+    /// Whether the image can be continued with these settings.
+    ///
+    /// # Errors
+    /// The image has no instance, or its operations differ from those of the settings.
     pub fn check_image(&self, image: &Image) -> Result<(), String> {
         let instance: records::Instance = image
             .get(Key::Instance)
-            .ok_or("the image holds no instance")?;
+            .ok_or("the image has no record of the instance")?;
         if instance
             .operations
             .iter()
             .map(String::as_str)
             .ne(self.operation_names.iter().map(AsRef::as_ref))
         {
-            return Err("the settings name other operations than the image".into());
+            return Err("the operations in the settings differ from those in the image".into());
         }
         Ok(())
     }
 
-    /// Takes up the instance and all invocations in hand from an image whose connections have come
-    /// as well. The doors must be open by now; `lines` are the calls below that go on.
+    /// Restores the instance and all invocations in flight from an image. Its client connections must
+    /// have been reopened before. `continued_calls` are the downstream calls whose connections
+    /// continue; `learned` is used if the image has no learned state.
     pub fn restore(
         &mut self,
         image: &Image,
-        lines: &[records::DownstreamConnectionRecord],
+        continued_calls: &[records::DownstreamConnectionRecord],
         learned: Option<merlinshelf_admission::LearnedState>,
     ) {
         let instance: records::Instance = image.get(Key::Instance).unwrap_or_default();
-        let numbers = image.keys().filter_map(|key| match key {
+        let next_streams = image.keys().filter_map(|key| match key {
             Key::ClientConnection(stream) | Key::DownstreamConnection(stream) => Some(stream + 1),
             _ => None,
         });
-        self.next_stream = numbers.fold(self.next_stream, u64::max);
+        self.next_stream = next_streams.fold(self.next_stream, u64::max);
         let (now, since_origin) = (monotonic_seconds(), self.origin.elapsed());
         self.epoch = instance.clock_offset_seconds + now - since_origin.as_secs_f64();
         self.next_stream = self.next_stream.max(instance.next_stream);
@@ -60,8 +64,8 @@
             self.settings.insert("FamilyInfo.FreshStart".into(), fresh);
         }
         if let Some(stop) = instance.drain_deadline_at {
-            let left = Duration::from_secs_f64((stop - now).clamp(0.0, 1e6));
-            self.shutdown_at = Some(tokio::time::Instant::now() + left);
+            let remaining = Duration::from_secs_f64((stop - now).clamp(0.0, 1e6));
+            self.shutdown_at = Some(tokio::time::Instant::now() + remaining);
         }
         self.gossip_state = instance.gossip.into_vec();
         let Some(learned) = instance.learned.or(learned) else {
@@ -77,7 +81,7 @@
                 self.controller = Some(controller);
                 self.carry_out(decisions);
             }
-            Err(reason) => return error!("the module does not start: {reason}"),
+            Err(reason) => return error!("admission controller not started: {reason}"),
         }
         let connections: HashMap<u64, usize> = self
             .connections
@@ -87,8 +91,8 @@
         let mut invocations: Vec<(CallId, records::Invocation)> = Vec::new();
         for key in image.keys() {
             match key {
-                Key::Invocation(name) => {
-                    let id = CallId::parse(&name);
+                Key::Invocation(id) => {
+                    let id = CallId::parse(&id);
                     invocations.extend(id.zip(image.get(key)));
                 }
                 Key::ResponseQueue(stream) => {
@@ -100,20 +104,21 @@
                         answers
                             .answers
                             .into_iter()
-                            .for_each(|(tag, invocation)| queue.push((tag, invocation.into())));
+                            .for_each(|(tag, answer)| queue.push((tag, answer.into())));
                     }
                 }
                 _ => {}
             }
         }
         invocations.sort_by_key(|(_, invocation)| invocation.arrival_order);
-        let called: HashSet<(&[u8], usize)> = lines
+        let continued_calls: HashSet<(&[u8], usize)> = continued_calls
             .iter()
-            .map(|line| (line.invocation_id.as_slice(), line.call_index))
+            .map(|call| (call.invocation_id.as_slice(), call.call_index))
             .collect();
         for (id, invocation) in invocations {
-            let called = called.contains(&(id.as_bytes() as &[u8], invocation.call_count));
-            self.restore_invocation(id, invocation, &connections, called, now);
+            let is_call_continued =
+                continued_calls.contains(&(id.as_bytes() as &[u8], invocation.call_count));
+            self.restore_invocation(id, invocation, &connections, is_call_continued, now);
         }
     }
 
@@ -122,27 +127,27 @@
         id: CallId,
         invocation: records::Invocation,
         connections: &HashMap<u64, usize>,
-        called: bool,
+        is_call_continued: bool,
         now: f64,
     ) {
         if invocation.operation >= self.operation_names.len() || self.invocations.find(id).is_some()
         {
             return error!(
-                "{id} can't be carried on: operation {}",
+                "invocation {id} not restored: operation {} does not exist, or the id is in use",
                 invocation.operation
             );
         }
-        let until = invocation
+        let call_timeout = invocation
             .call_deadline_at
-            .map(|until| Duration::from_secs_f64((until - now).clamp(0.001, 3600.0)));
+            .map(|deadline| Duration::from_secs_f64((deadline - now).clamp(0.001, 3600.0)));
         let reply = invocation.response_target.and_then(|(stream, tag)| {
             Some(ReplyAddress {
                 connection: *connections.get(&stream)?,
                 tag,
             })
         });
-        let unheard = reply.is_none() && invocation.response_target.is_some();
-        let need = invocation
+        let is_client_lost = reply.is_none() && invocation.response_target.is_some();
+        let call_request = invocation
             .call_notification
             .map(|(number, body)| (number, body.as_slice().into()));
         let index = self.invocations.insert(InFlightInvocation {
@@ -150,16 +155,16 @@
             operation: invocation.operation,
             body: invocation.body.as_slice().into(),
             reply,
-            call_request: need,
+            call_request,
             named_dependency: invocation.dependency.map(Rc::from),
             calls_requested: invocation.requested_calls,
             missing_parts: invocation.missing_parts.into_iter().map(Rc::from).collect(),
             due_at: None,
             calls: invocation.call_count,
-            is_calling: until.is_some(),
+            is_calling: call_timeout.is_some(),
             has_started: invocation.has_started,
             notifications: invocation.notification_count,
-            call_timeout_at: until.map(|until| self.origin.elapsed() + until),
+            call_timeout_at: call_timeout.map(|timeout| self.origin.elapsed() + timeout),
             command: None,
             arrival_order: 0,
         });
@@ -182,40 +187,40 @@
             if sent {
                 self.inherited_commands
                     .push((command.clone(), invocation.notification_count));
-                if let Some(known) = self.invocations.get_mut(index) {
-                    known.command = Some((command, true));
+                if let Some(restored) = self.invocations.get_mut(index) {
+                    restored.command = Some((command, true));
                 }
             } else {
                 self.send_command(index, command);
             }
         }
-        if let Some(until) = until {
-            let at = self.origin.elapsed() + until;
-            self.set_timer(at, Timer::CallTimeout(id, invocation.call_count));
+        if let Some(timeout) = call_timeout {
+            let timeout_at = self.origin.elapsed() + timeout;
+            self.set_timer(timeout_at, Timer::CallTimeout(id, invocation.call_count));
             let body = self
                 .invocations
                 .get(index)
                 .and_then(|invocation| invocation.call_request.as_ref())
                 .map(|(_, body)| body.clone());
-            if let (false, Some(body)) = (called, body) {
-                // It was decided on and never sent: its line would be here otherwise.
-                let (wait, wanted) = (until.as_secs_f64(), self.call_context(index));
+            if let (false, Some(body)) = (is_call_continued, body) {
+                // The call was decided on but not sent: its connection would continue otherwise.
+                let context = self.call_context(index);
                 self.call_commands.push(CallCommand::Invoke {
                     id,
                     number: invocation.call_count,
-                    timeout_seconds: wait,
+                    timeout_seconds: timeout.as_secs_f64(),
                     body,
-                    context: wanted,
+                    context,
                 });
             }
         }
-        if unheard {
+        if is_client_lost {
             self.caller_disconnected(index);
         }
     }
 
-    /// Commands that another process had put on the link and that may not have been read, to be
-    /// looked after by the link's part.
+    /// Commands that another process wrote to the engine connection and that the engine may not have
+    /// read; the task of the engine connection repeats those that were lost.
     pub fn take_inherited_commands(&mut self) -> Vec<(Command, u64)> {
         std::mem::take(&mut self.inherited_commands)
     }
--- a/crates/merlinshelf-backend/src/exchange/snapshot.rs
+++ b/crates/merlinshelf-backend/src/exchange/snapshot.rs
@@ -1,7 +1,8 @@
-//! Taking a snapshot: how the exchange stops and is written into a handover image.
+//! Snapshots: how the exchange is frozen and written into a handover image.
 //!
-//! [`Exchange::freeze`] tells all parts to stop where they stand. Each hands in its record and its
-//! connection as a [`StoppedPart`]; once all have, [`Exchange::take_snapshot`] writes the image.
+//! [`Exchange::freeze`] notifies all tasks to stop at their next turn. Each deposits the records of
+//! its connections, with their sockets, as [`StoppedPart`]s; once all have done so,
+//! [`Exchange::take_snapshot`] writes the image.
 
 use std::collections::BTreeMap;
 use std::net::TcpStream;
@@ -18,8 +19,8 @@
 use super::runs::Command;
 use super::{Exchange, Shared};
 
-/// What a part hands in when it stops where it stands: its record, and its connection where it has
-/// one.
+/// What a task deposits when it is frozen: the record of a connection, and its socket if it is
+/// established.
 #[derive(Debug)]
 pub enum StoppedPart {
     Client(u64, records::ClientConnectionRecord, TcpStream),
@@ -27,31 +28,30 @@
     Engine(records::EngineConnectionRecord, Option<TcpStream>),
 }
 
-/// A connection on its way to the predecessor, and where to say that it has arrived there.
+/// A connection that is to be sent to the predecessor, and the channel that acknowledges that.
 pub struct OpenedConnection {
     pub role: Role,
     pub descriptor: OwnedFd,
     pub acknowledged: oneshot::Sender<()>,
 }
 
-/// Connections that a process hands over, by what they are.
+/// Descriptors that a process hands over, by their role.
 pub type PassedDescriptors = BTreeMap<Role, OwnedFd>;
 
-/// Now, by the clock that all processes of the machine read alike.
+/// Seconds on the monotonic clock, which all processes of the host share.
 pub fn monotonic_seconds() -> f64 {
     let now = clock_gettime(ClockId::Monotonic);
     now.tv_sec as f64 + now.tv_nsec as f64 / 1e9
 }
 
 impl Exchange {
+    /// A new connection number.
     pub fn next_stream(&mut self) -> u64 {
         self.next_stream += 1;
         self.next_stream - 1
     }
 
-    // To be carried on elsewhere.
-
-    /// Turns true when every part is to stop where it stands and to hand itself in.
+    /// Becomes true when every task is to stop and to deposit its connections.
     pub fn freeze_notice(&self) -> watch::Receiver<bool> {
         self.freeze.subscribe()
     }
@@ -60,57 +60,60 @@
         *self.freeze.borrow()
     }
 
-    /// Stops everything where it stands.
+    /// Notifies all tasks to stop and to deposit their connections.
     pub fn freeze(&mut self) {
         self.freeze.send_replace(true);
         self.connections.wake_all();
     }
 
-    pub fn add_stopped_part(&mut self, deposit: StoppedPart) {
-        self.stopped_parts.push(deposit);
+    /// Deposits a connection of a frozen task.
+    pub fn add_stopped_part(&mut self, part: StoppedPart) {
+        self.stopped_parts.push(part);
     }
 
-    /// The image of what is here, once all parts have handed themselves in, and their connections.
+    /// The complete image and the descriptors of its connections, once all tasks have deposited
+    /// theirs.
     pub fn take_snapshot(&mut self) -> (Transaction, PassedDescriptors) {
-        let (mut image, mut passed) = (Transaction::default(), PassedDescriptors::new());
+        let (mut image, mut descriptors) = (Transaction::default(), PassedDescriptors::new());
         let mut instance = self.instance_record(true);
-        let (policy, shares) = self.begin_policy_handover();
-        (instance.policy, instance.quota) = (ByteBuf::from(policy), ByteBuf::from(shares));
+        let (policy, quota) = self.begin_policy_handover();
+        (instance.policy, instance.quota) = (ByteBuf::from(policy), ByteBuf::from(quota));
         image.put(Key::Instance, &instance);
-        for number in self.invocations.all() {
-            if let Some((key, record)) = self.invocation_record(number) {
+        for index in self.invocations.all() {
+            if let Some((key, record)) = self.invocation_record(index) {
                 image.put(key, &record);
             }
         }
         for (stream, connection) in self.queues_with_answers() {
             image.put(Key::ResponseQueue(stream), &connection);
         }
-        for deposit in std::mem::take(&mut self.stopped_parts) {
-            match deposit {
-                StoppedPart::Client(stream, edge, socket) => {
-                    image.put(Key::ClientConnection(stream), &edge);
-                    passed.insert(Role::ClientConnection(stream), socket.into());
+        for part in std::mem::take(&mut self.stopped_parts) {
+            match part {
+                StoppedPart::Client(stream, record, socket) => {
+                    image.put(Key::ClientConnection(stream), &record);
+                    descriptors.insert(Role::ClientConnection(stream), socket.into());
                 }
-                StoppedPart::Downstream(stream, line, socket) => {
-                    image.put(Key::DownstreamConnection(stream), &line);
-                    passed.insert(Role::DownstreamConnection(stream), socket.into());
+                StoppedPart::Downstream(stream, record, socket) => {
+                    image.put(Key::DownstreamConnection(stream), &record);
+                    descriptors.insert(Role::DownstreamConnection(stream), socket.into());
                 }
-                StoppedPart::Engine(link, socket) => {
-                    image.put(Key::EngineConnection, &link);
-                    if let (Some(stream), Some(socket)) = (link.stream, socket) {
-                        passed.insert(Role::EngineConnection(stream), socket.into());
+                StoppedPart::Engine(record, socket) => {
+                    image.put(Key::EngineConnection, &record);
+                    if let (Some(stream), Some(socket)) = (record.stream, socket) {
+                        descriptors.insert(Role::EngineConnection(stream), socket.into());
                     }
                 }
             }
         }
-        (image, passed)
+        (image, descriptors)
     }
 
-    pub(super) fn instance_record(&self, whole: bool) -> records::Instance {
+    /// The record of the instance; learned state and gossip observations only if `is_complete`.
+    pub(super) fn instance_record(&self, is_complete: bool) -> records::Instance {
         let learned = self
             .controller
             .as_ref()
-            .filter(|_| whole)
+            .filter(|_| is_complete)
             .map(AdmissionController::learned_state);
         let fresh_start = self.settings.get("FamilyInfo.FreshStart").cloned();
         records::Instance {
@@ -133,7 +136,7 @@
             repeats_calls: self.makes_several_calls.clone(),
             counters: self.counters.by_name(),
             learned,
-            gossip: ByteBuf::from(if whole {
+            gossip: ByteBuf::from(if is_complete {
                 self.gossip_state.clone()
             } else {
                 Vec::new()
@@ -165,9 +168,9 @@
         Some((stream, records::ResponseQueueRecord { answers }))
     }
 
-    pub(super) fn invocation_record(&self, number: usize) -> Option<(Key, records::Invocation)> {
-        let invocation = self.invocations.get(number)?;
-        let index = self.controller.as_ref()?.invocation(number)?.clone();
+    pub(super) fn invocation_record(&self, index: usize) -> Option<(Key, records::Invocation)> {
+        let invocation = self.invocations.get(index)?;
+        let state = self.controller.as_ref()?.invocation(index)?.clone();
         let bytes = |bytes: &[u8]| ByteBuf::from(bytes);
         let reply = invocation
             .reply
@@ -180,7 +183,7 @@
             };
             (command, *sent)
         });
-        let until = |at: Duration| {
+        let monotonic_time = |at: Duration| {
             monotonic_seconds() + at.as_secs_f64() - self.origin.elapsed().as_secs_f64()
         };
         let record = records::Invocation {
@@ -202,12 +205,12 @@
             call_deadline_at: invocation
                 .call_timeout_at
                 .filter(|_| invocation.is_calling)
-                .map(until),
+                .map(monotonic_time),
             has_started: invocation.has_started,
             notification_count: invocation.notifications,
             command,
             arrival_order: invocation.arrival_order,
-            state: index,
+            state,
         };
         let mut id = [0; 16];
         id.copy_from_slice(invocation.id.as_bytes());
@@ -215,20 +218,23 @@
     }
 }
 
-/// Passes a new connection to the predecessor, before anything goes over it. Without one it costs
-/// nothing.
+/// Sends a copy of a new connection to the predecessor and waits for the acknowledgement, before
+/// any byte passes on the connection. Does nothing unless a predecessor observes this process.
+///
+/// # Errors
+/// The descriptor can't be duplicated.
 pub async fn pass_to_predecessor(
     exchange: &Shared,
     role: Role,
     socket: &impl AsFd,
 ) -> std::io::Result<()> {
-    let passing = exchange.borrow().opened_connections.clone();
-    let Some(passing) = passing else {
+    let opened_connections = exchange.borrow().opened_connections.clone();
+    let Some(opened_connections) = opened_connections else {
         return Ok(());
     };
     let (acknowledged, acknowledgement) = oneshot::channel();
     let descriptor = socket.as_fd().try_clone_to_owned()?;
-    if passing
+    if opened_connections
         .send(OpenedConnection {
             role,
             descriptor,
@@ -236,7 +242,8 @@
         })
         .is_ok()
     {
-        let _ = acknowledgement.await; // an error: nobody watches any more
+        // An error means that no predecessor observes this process any more.
+        let _ = acknowledgement.await;
     }
     Ok(())
 }
