--- a/crates/merlinshelf-backend/src/client/catalogue/attempt.rs
+++ b/crates/merlinshelf-backend/src/client/catalogue/attempt.rs
@@ -9,7 +9,7 @@
 use tokio::select;
 
 use super::connection::DownstreamConnection;
-use crate::exchange::{CallNumber, CallOutcome, Shared, StoppedPart};
+use crate::exchange::{CallNumber, CallOutcome, FrozenConnection, Shared};
 use crate::routing::{RoutedCall, SharedRouting};
 
 /// Number of the only attempt of a call that the router does not make; the router's begin at 1.
@@ -191,7 +191,7 @@
     match connection.into_socket() {
         Ok(socket) => exchange
             .borrow_mut()
-            .add_stopped_part(StoppedPart::Downstream(stream, record, socket)),
+            .add_frozen_connection(FrozenConnection::Downstream(stream, record, socket)),
         Err(error) => warn!("a line to the catalogue can't be handed in: {error}"),
     }
 }
--- a/crates/merlinshelf-backend/src/client/engine.rs
+++ b/crates/merlinshelf-backend/src/client/engine.rs
@@ -20,7 +20,7 @@
 use tokio::time::{Instant, sleep, sleep_until};
 
 use super::{Watched, connect, unreadable};
-use crate::exchange::{Command, Shared, StoppedPart, monotonic_seconds, pass_to_predecessor};
+use crate::exchange::{Command, FrozenConnection, Shared, monotonic_seconds, pass_to_predecessor};
 use crate::fault;
 use crate::ring::{IoProgress, Ring};
 
@@ -283,7 +283,7 @@
         let socket = link.and_then(|link| link.socket.into_std().ok());
         self.exchange
             .borrow_mut()
-            .add_stopped_part(StoppedPart::Engine(record, socket));
+            .add_frozen_connection(FrozenConnection::Engine(record, socket));
     }
 
     /// A link that is served no longer is closed also where a predecessor has a copy.
--- a/crates/merlinshelf-backend/src/exchange/arrivals.rs
+++ b/crates/merlinshelf-backend/src/exchange/arrivals.rs
@@ -93,7 +93,7 @@
     pub(super) fn close_connection(&mut self, number: usize) {
         if self.is_frozen() {
             // Another process continues the connection, and the image still names it.
-            self.stopped_connections += 1;
+            self.closed_after_freeze += 1;
             return;
         }
         for index in self.invocations.answered_on(number) {
@@ -111,7 +111,7 @@
     }
 
     pub fn open_connections(&self) -> usize {
-        self.connections.len() - self.stopped_connections
+        self.connections.len() - self.closed_after_freeze
     }
 
     pub fn operation(&self, name: &[u8]) -> Option<usize> {
--- a/crates/merlinshelf-backend/src/exchange/mod.rs
+++ b/crates/merlinshelf-backend/src/exchange/mod.rs
@@ -46,7 +46,7 @@
 pub use runs::Command;
 use send_queue::SendQueue;
 pub use snapshot::{
-    OpenedConnection, PassedDescriptors, StoppedPart, monotonic_seconds, pass_to_predecessor,
+    FrozenConnection, OpenedConnection, PassedDescriptors, monotonic_seconds, pass_to_predecessor,
 };
 use timers::{Timer, TimerQueue};
 
@@ -98,10 +98,10 @@
     next_stream: u64,
     /// Becomes true once all tasks are to stop, so that a successor can continue their work.
     freeze: watch::Sender<bool>,
-    /// State and connections that frozen tasks have deposited.
-    stopped_parts: Vec<StoppedPart>,
+    /// Connections that frozen tasks have deposited, with their records.
+    frozen_connections: Vec<FrozenConnection>,
     /// Number of client connections that were closed here after the freeze.
-    stopped_connections: usize,
+    closed_after_freeze: usize,
     /// Records each change before its effect is visible, while the predecessor observes this
     /// process.
     journal: Option<Journal>,
@@ -207,8 +207,8 @@
             max_in_flight: (memory_mb as usize * 1024 / LIMIT_KILOBYTES_PER_INVOCATION).max(1),
             next_stream: 1,
             freeze: watch::Sender::new(false),
-            stopped_parts: Vec::new(),
-            stopped_connections: 0,
+            frozen_connections: Vec::new(),
+            closed_after_freeze: 0,
             journal: None,
             opened_connections: None,
             inherited_commands: Vec::new(),
--- a/crates/merlinshelf-backend/src/exchange/snapshot.rs
+++ b/crates/merlinshelf-backend/src/exchange/snapshot.rs
@@ -1,7 +1,7 @@
 //! Snapshots: how the exchange is frozen and written into a handover image.
 //!
 //! [`Exchange::freeze`] notifies all tasks to stop at their next turn. Each deposits the records of
-//! its connections, with their sockets, as [`StoppedPart`]s; once all have done so,
+//! its connections, with their sockets, as [`FrozenConnection`]; once all have done so,
 //! [`Exchange::take_snapshot`] writes the image.
 
 use std::collections::BTreeMap;
@@ -22,7 +22,7 @@
 /// What a task deposits when it is frozen: the record of a connection, and its socket if it is
 /// established.
 #[derive(Debug)]
-pub enum StoppedPart {
+pub enum FrozenConnection {
     Client(u64, records::ClientConnectionRecord, TcpStream),
     Downstream(u64, records::DownstreamConnectionRecord, TcpStream),
     Engine(records::EngineConnectionRecord, Option<TcpStream>),
@@ -67,8 +67,8 @@
     }
 
     /// Deposits a connection of a frozen task.
-    pub fn add_stopped_part(&mut self, part: StoppedPart) {
-        self.stopped_parts.push(part);
+    pub fn add_frozen_connection(&mut self, connection: FrozenConnection) {
+        self.frozen_connections.push(connection);
     }
 
     /// The complete image and the descriptors of its connections, once all tasks have deposited
@@ -87,17 +87,17 @@
         for (stream, connection) in self.queues_with_answers() {
             image.put(Key::ResponseQueue(stream), &connection);
         }
-        for part in std::mem::take(&mut self.stopped_parts) {
-            match part {
-                StoppedPart::Client(stream, record, socket) => {
+        for connection in std::mem::take(&mut self.frozen_connections) {
+            match connection {
+                FrozenConnection::Client(stream, record, socket) => {
                     image.put(Key::ClientConnection(stream), &record);
                     descriptors.insert(Role::ClientConnection(stream), socket.into());
                 }
-                StoppedPart::Downstream(stream, record, socket) => {
+                FrozenConnection::Downstream(stream, record, socket) => {
                     image.put(Key::DownstreamConnection(stream), &record);
                     descriptors.insert(Role::DownstreamConnection(stream), socket.into());
                 }
-                StoppedPart::Engine(record, socket) => {
+                FrozenConnection::Engine(record, socket) => {
                     image.put(Key::EngineConnection, &record);
                     if let (Some(stream), Some(socket)) = (record.stream, socket) {
                         descriptors.insert(Role::EngineConnection(stream), socket.into());
--- a/crates/merlinshelf-backend/src/server/connection.rs
+++ b/crates/merlinshelf-backend/src/server/connection.rs
@@ -25,7 +25,7 @@
 use super::fields::{Asked, Fields};
 use super::table::{Said, Seat};
 use crate::exchange::{
-    Answer, ConnectionHandle, ReadReservation, ReplyAddress, Shared, StoppedPart,
+    Answer, ConnectionHandle, FrozenConnection, ReadReservation, ReplyAddress, Shared,
     pass_to_predecessor,
 };
 use crate::fault;
@@ -209,8 +209,8 @@
             let record = self.record();
             match self.socket.into_std() {
                 Ok(socket) => {
-                    let deposit = StoppedPart::Client(self.door.stream(), record, socket);
-                    self.exchange.borrow_mut().add_stopped_part(deposit);
+                    let deposit = FrozenConnection::Client(self.door.stream(), record, socket);
+                    self.exchange.borrow_mut().add_frozen_connection(deposit);
                 }
                 Err(error) => warn!("a connection can't be handed in: {error}"),
             }
