--- a/crates/merlinshelf-backend/src/exchange/tests.rs
+++ b/crates/merlinshelf-backend/src/exchange/tests.rs
@@ -1,4 +1,4 @@
-//! The exchange between two sides played by hand, on a clock that only the tests move.
+//! Tests of the exchange without its server and client sides, on a clock that the tests advance.
 
 use std::fmt::Write as _;
 
@@ -13,8 +13,8 @@
 
 const EXAMPLE: &str = include_str!("../../../../examples/config.json");
 
-/// The exchange with one door, and a trace of all that it gives out.
-struct Play {
+/// An exchange with one client connection, and a trace of its answers and commands.
+struct Harness {
     shared: Shared,
     connection: ConnectionHandle,
     trace: String,
@@ -30,7 +30,8 @@
         operation,
         body: Rc::from(*b"body"),
         caller: 4,
-        received_at_ms: unix_ms() + 1000.0, // so that no real time that passes in a test makes it older
+        // Ahead of the wall clock, so that the real time that passes in a test does not age it.
+        received_at_ms: unix_ms() + 1000.0,
         timeout_ms: Some(2000.0),
         is_retry: false,
         held_kilobytes: 20.0,
@@ -39,26 +40,25 @@
     }
 }
 
-impl Play {
-    fn start() -> Play {
-        let config = Config::parse(EXAMPLE).expect("the example can be read");
-        let exchange =
-            Exchange::new(config.settings, config.seed, 192).expect("settings that are read");
+impl Harness {
+    fn start() -> Harness {
+        let config = Config::parse(EXAMPLE).expect("the example is valid");
+        let exchange = Exchange::new(config.settings, config.seed, 192).expect("valid settings");
         let shared = Rc::new(RefCell::new(exchange));
         let connection = ConnectionHandle::open(&shared);
-        let mut play = Play {
+        let mut harness = Harness {
             shared,
             connection,
             trace: String::new(),
         };
-        play.tell("HELLO", |exchange| exchange.engine_up(true, 0.0, false));
-        play
+        harness.step("HELLO", |exchange| exchange.engine_up(true, 0.0, false));
+        harness
     }
 
-    /// Tells the exchange something and notes what comes of it.
-    fn tell(&mut self, what: &str, tell: impl FnOnce(&mut Exchange)) {
-        tell(&mut self.shared.borrow_mut());
-        let _ = writeln!(self.trace, "{what}");
+    /// Passes an event to the exchange and records the resulting answers and commands.
+    fn step(&mut self, label: &str, event: impl FnOnce(&mut Exchange)) {
+        event(&mut self.shared.borrow_mut());
+        let _ = writeln!(self.trace, "{label}");
         while let Some((tag, answer)) = self.connection.next_answer() {
             let _ = match answer {
                 Answer::Succeeded(result) => {
@@ -72,13 +72,13 @@
                     )
                 }
                 Answer::Rejected {
-                    retry_after_seconds: away,
-                    no_failover: last,
+                    retry_after_seconds,
+                    no_failover,
                 } => {
                     writeln!(
                         self.trace,
-                        "    {tag} <- throttled, away {:.3}, last {last}",
-                        away.abs()
+                        "    {tag} <- throttled, away {:.3}, last {no_failover}",
+                        retry_after_seconds.abs()
                     )
                 }
                 Answer::Failed => writeln!(self.trace, "    {tag} <- errored"),
@@ -105,18 +105,18 @@
                 Command::Skip { id, need } => writeln!(self.trace, "    skip {id} {need}"),
             };
         }
-        while let Some(order) = exchange.next_call_command() {
-            let _ = match order {
+        while let Some(command) = exchange.next_call_command() {
+            let _ = match command {
                 CallCommand::Invoke {
                     id,
                     number,
-                    timeout_seconds: wait,
+                    timeout_seconds,
                     body,
                     ..
                 } => {
                     writeln!(
                         self.trace,
-                        "    call {id}:{number} {wait:.2} s {}",
+                        "    call {id}:{number} {timeout_seconds:.2} s {}",
                         body.escape_ascii()
                     )
                 }
@@ -132,7 +132,7 @@
             connection: self.connection.number(),
             tag: number,
         };
-        self.tell(&format!("arrives {number}"), |exchange| {
+        self.step(&format!("arrives {number}"), |exchange| {
             assert!(exchange.invocation_read(reply, arrival(number, operation)));
         });
     }
@@ -142,210 +142,209 @@
             advance(Duration::from_millis(10)).await;
             self.shared.borrow_mut().fire_timers();
         }
-        self.tell(&format!("{millis} ms pass"), |_| {});
+        self.step(&format!("{millis} ms pass"), |_| {});
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_invocation_goes_through_with_its_call() {
-    let mut play = Play::start();
-    play.arrives(1, 0);
-    play.tell("NEED 1", |exchange| {
+async fn an_invocation_with_a_call_is_run_and_answered() {
+    let mut harness = Harness::start();
+    harness.arrives(1, 0);
+    harness.step("NEED 1", |exchange| {
         exchange.call_requested(id(1), 1, None, b"call")
     });
-    play.tell("ok", |exchange| {
+    harness.step("ok", |exchange| {
         exchange.call_ended(id(1), 1, CallOutcome::Succeeded(Rc::from(*b"reply")))
     });
-    play.tell("DONE OK", |exchange| {
+    harness.step("DONE OK", |exchange| {
         exchange.run_ended(id(1), End::Succeeded, 0.1, b"\0result")
     });
-    play.tell("DONE again", |exchange| {
+    harness.step("DONE again", |exchange| {
         exchange.run_ended(id(1), End::Succeeded, 0.1, b"other")
     });
-    play.arrives(2, 1);
-    play.tell("DONE ERROR", |exchange| {
+    harness.arrives(2, 1);
+    harness.step("DONE ERROR", |exchange| {
         exchange.run_ended(id(2), End::Errored, 0.1, b"")
     });
-    play.arrives(3, 1);
-    play.tell("NO RUN", |exchange| exchange.command_refused(b"RUN", id(3)));
-    assert_eq!(play.shared.borrow().in_flight(), 0);
-    assert_snapshot!(play.trace);
+    harness.arrives(3, 1);
+    harness.step("NO RUN", |exchange| exchange.command_refused(b"RUN", id(3)));
+    assert_eq!(harness.shared.borrow().in_flight(), 0);
+    assert_snapshot!(harness.trace);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_call_that_timed_out_is_given_up_and_its_late_reply_dropped() {
-    let mut play = Play::start();
-    play.arrives(1, 2);
-    play.tell("NEED 1", |exchange| {
+async fn a_timed_out_call_is_abandoned_and_its_late_reply_is_dropped() {
+    let mut harness = Harness::start();
+    harness.arrives(1, 2);
+    harness.step("NEED 1", |exchange| {
         exchange.call_requested(id(1), 1, None, b"call")
     });
-    play.wait(800).await;
+    harness.wait(800).await;
     let late = CallOutcome::Succeeded(Rc::from(*b"late"));
-    play.tell("late reply", |exchange| exchange.call_ended(id(1), 1, late));
-    play.tell("NEED 2", |exchange| {
+    harness.step("late reply", |exchange| exchange.call_ended(id(1), 1, late));
+    harness.step("NEED 2", |exchange| {
         exchange.call_requested(id(1), 2, None, b"next call")
     });
     let late = CallOutcome::Succeeded(Rc::from(*b"late"));
-    play.tell("late reply", |exchange| exchange.call_ended(id(1), 1, late));
-    assert_eq!(play.shared.borrow().counters.late_replies, 2);
-    assert_snapshot!(play.trace);
+    harness.step("late reply", |exchange| exchange.call_ended(id(1), 1, late));
+    assert_eq!(harness.shared.borrow().counters.late_replies, 2);
+    assert_snapshot!(harness.trace);
 }
 
 #[tokio::test(start_paused = true)]
-async fn lost_commands_are_given_again_only_where_that_is_safe() {
-    let mut play = Play::start();
-    play.arrives(1, 1);
+async fn lost_commands_are_repeated_only_where_that_is_safe() {
+    let mut harness = Harness::start();
+    harness.arrives(1, 1);
     let run = Command::Run {
         id: id(1),
         operation: "transcript-search".into(),
         body: Rc::from(*b"body"),
     };
-    play.tell("RUN lost", |exchange| exchange.command_lost(run.clone(), 0));
-    play.tell("NEED 1", |exchange| {
+    harness.step("RUN lost", |exchange| exchange.command_lost(run.clone(), 0));
+    harness.step("NEED 1", |exchange| {
         exchange.call_requested(id(1), 1, None, b"call")
     });
-    play.tell("RUN lost before", |exchange| exchange.command_lost(run, 0));
-    play.tell("ok", |exchange| {
+    harness.step("RUN lost before", |exchange| exchange.command_lost(run, 0));
+    harness.step("ok", |exchange| {
         exchange.call_ended(id(1), 1, CallOutcome::Succeeded(Rc::from(*b"reply")))
     });
     let feed = Command::Feed {
         id: id(1),
         reply: Rc::from(*b"reply"),
     };
-    play.tell("FEED lost", |exchange| {
+    harness.step("FEED lost", |exchange| {
         exchange.command_lost(feed.clone(), 1)
     });
-    // A run that makes a second call could take a second reply for its own: from then on it is
-    // asked for anew.
-    play.tell("NEED 2", |exchange| {
+    // A run that makes a second call could take a repeated reply for that of its second call: from
+    // here on the admission controller decides about a lost reply again.
+    harness.step("NEED 2", |exchange| {
         exchange.call_requested(id(1), 2, None, b"next call")
     });
-    play.tell("FEED lost before", |exchange| {
+    harness.step("FEED lost before", |exchange| {
         exchange.command_lost(feed.clone(), 1)
     });
-    play.tell("ok", |exchange| {
+    harness.step("ok", |exchange| {
         exchange.call_ended(id(1), 2, CallOutcome::Succeeded(Rc::from(*b"reply")))
     });
-    play.tell("FEED lost", |exchange| exchange.command_lost(feed, 2));
+    harness.step("FEED lost", |exchange| exchange.command_lost(feed, 2));
     let skip = Command::Skip { id: id(1), need: 2 };
-    play.tell("SKIP lost", |exchange| {
+    harness.step("SKIP lost", |exchange| {
         exchange.command_lost(skip.clone(), 2)
     });
-    play.tell("DONE OK", |exchange| {
+    harness.step("DONE OK", |exchange| {
         exchange.run_ended(id(1), End::Succeeded, 0.1, b"result")
     });
-    play.tell("SKIP lost after the end", |exchange| {
+    harness.step("SKIP lost after the end", |exchange| {
         exchange.command_lost(skip, 2)
     });
-    assert_snapshot!(play.trace);
+    assert_snapshot!(harness.trace);
 }
 
 #[tokio::test(start_paused = true)]
-async fn another_engine_leaves_nothing_unanswered() {
-    let mut play = Play::start();
-    (1..=6).for_each(|number| play.arrives(number, 1));
-    play.tell("another HELLO", |exchange| {
+async fn a_restarted_engine_leaves_no_invocation_unanswered() {
+    let mut harness = Harness::start();
+    (1..=6).for_each(|number| harness.arrives(number, 1));
+    harness.step("another HELLO", |exchange| {
         exchange.engine_up(false, 0.1, true)
     });
-    assert_eq!(play.shared.borrow().in_flight(), 0);
-    play.arrives(7, 1);
-    assert_snapshot!(play.trace);
+    assert_eq!(harness.shared.borrow().in_flight(), 0);
+    harness.arrives(7, 1);
+    assert_snapshot!(harness.trace);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_panic_of_the_module_leaves_nothing_unanswered() {
-    let mut play = Play::start();
-    play.arrives(1, 1);
-    play.tell("panic", |exchange| {
-        exchange.decide(|_, _| panic!("a fault of the module"))
+async fn a_panic_of_the_admission_controller_leaves_no_invocation_unanswered() {
+    let mut harness = Harness::start();
+    harness.arrives(1, 1);
+    harness.step("panic", |exchange| {
+        exchange.decide(|_, _| panic!("a fault of the admission controller"))
     });
-    play.arrives(2, 1);
-    play.tell("DONE OK", |exchange| {
+    harness.arrives(2, 1);
+    harness.step("DONE OK", |exchange| {
         exchange.run_ended(id(2), End::Succeeded, 0.1, b"result")
     });
-    assert_snapshot!(play.trace);
+    assert_snapshot!(harness.trace);
 }
 
 #[tokio::test(start_paused = true)]
-async fn all_is_answered_by_its_due_time_without_the_engine() {
-    let mut play = Play::start();
-    (1..=6).for_each(|number| play.arrives(number, 1));
-    play.wait(2000).await;
-    let exchange = play.shared.borrow();
+async fn invocations_are_answered_by_their_timeouts_if_the_engine_is_silent() {
+    let mut harness = Harness::start();
+    (1..=6).for_each(|number| harness.arrives(number, 1));
+    harness.wait(2000).await;
+    let exchange = harness.shared.borrow();
     let counters = &exchange.counters;
     assert_eq!(
         counters.succeeded + counters.throttled + counters.errored,
         6
     );
     drop(exchange);
-    // The engine says so later; nothing is answered twice.
-    play.tell("DONE OK", |exchange| {
+    // The engine reports the end later: nothing is answered twice.
+    harness.step("DONE OK", |exchange| {
         exchange.run_ended(id(1), End::Succeeded, 3.0, b"result")
     });
-    assert_snapshot!(play.trace);
+    assert_snapshot!(harness.trace);
 }
 
 #[tokio::test(start_paused = true)]
-async fn who_leaves_answers_all_and_runs_nothing_from_after_the_grace() {
-    let mut play = Play::start();
-    play.arrives(1, 1);
+async fn shutdown_answers_all_invocations_and_starts_no_run_after_the_grace() {
+    let mut harness = Harness::start();
+    harness.arrives(1, 1);
     let stop = Instant::now() + Duration::from_millis(3000);
-    play.tell("notice", |exchange| {
+    harness.step("notice", |exchange| {
         exchange.begin_shutdown(stop, Duration::ZERO)
     });
-    play.wait(1900).await;
-    play.arrives(2, 1);
-    play.wait(200).await;
-    play.arrives(3, 1);
-    play.wait(900).await;
-    assert!(!play.shared.borrow().is_healthy());
-    assert_snapshot!(play.trace);
+    harness.wait(1900).await;
+    harness.arrives(2, 1);
+    harness.wait(200).await;
+    harness.arrives(3, 1);
+    harness.wait(900).await;
+    assert!(!harness.shared.borrow().is_healthy());
+    assert_snapshot!(harness.trace);
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_comes_before_the_engine_or_too_late_is_throttled_at_once() {
-    let config = Config::parse(EXAMPLE).expect("the example can be read");
-    let exchange =
-        Exchange::new(config.settings, config.seed, 192).expect("settings that are read");
+async fn invocations_before_the_engine_is_up_or_past_their_timeout_are_throttled_at_once() {
+    let config = Config::parse(EXAMPLE).expect("the example is valid");
+    let exchange = Exchange::new(config.settings, config.seed, 192).expect("valid settings");
     let shared = Rc::new(RefCell::new(exchange));
-    let mut play = Play {
+    let mut harness = Harness {
         connection: ConnectionHandle::open(&shared),
         shared,
         trace: String::new(),
     };
-    play.arrives(1, 0);
-    play.tell("HELLO", |exchange| exchange.engine_up(false, 0.0, false));
+    harness.arrives(1, 0);
+    harness.step("HELLO", |exchange| exchange.engine_up(false, 0.0, false));
     let reply = ReplyAddress {
-        connection: play.connection.number(),
+        connection: harness.connection.number(),
         tag: 2,
     };
     let late = Arrival {
         received_at_ms: unix_ms() - 2000.0,
         ..arrival(2, 0)
     };
-    play.tell("arrives too late", |exchange| {
+    harness.step("arrives too late", |exchange| {
         assert!(exchange.invocation_read(reply, late))
     });
-    play.arrives(3, 0);
-    let again = ReplyAddress {
-        connection: play.connection.number(),
+    harness.arrives(3, 0);
+    let second_reply = ReplyAddress {
+        connection: harness.connection.number(),
         tag: 4,
     };
-    play.tell("the same id", |exchange| {
-        assert!(!exchange.invocation_read(again, arrival(3, 0)))
+    harness.step("the same id", |exchange| {
+        assert!(!exchange.invocation_read(second_reply, arrival(3, 0)))
     });
-    assert_snapshot!(play.trace);
+    assert_snapshot!(harness.trace);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_door_that_closes_takes_its_invocations_with_it() {
-    let mut play = Play::start();
-    (1..=6).for_each(|number| play.arrives(number, 1));
-    let held = play.shared.borrow().in_flight();
-    play.connection = ConnectionHandle::open(&play.shared); // the first is dropped
-    let exchange = play.shared.borrow();
-    assert_eq!((held, exchange.counters.unheard), (6, 6));
-    // Those that run stay in hand until they end; nobody is answered any more.
+async fn closing_a_connection_disconnects_the_callers_of_its_invocations() {
+    let mut harness = Harness::start();
+    (1..=6).for_each(|number| harness.arrives(number, 1));
+    let in_flight_before = harness.shared.borrow().in_flight();
+    harness.connection = ConnectionHandle::open(&harness.shared); // the first is dropped
+    let exchange = harness.shared.borrow();
+    assert_eq!((in_flight_before, exchange.counters.unheard), (6, 6));
+    // Invocations that run stay in flight until they end, without an answer.
     assert_eq!(
         (exchange.in_flight(), exchange.open_connections()),
         (exchange.counters.runs as usize, 1)
@@ -353,9 +352,9 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn gauges_bring_the_beat_forward_and_old_ones_do_not() {
-    let play = Play::start();
-    let named = play
+async fn recent_gauges_fire_the_admission_timer_early_and_old_ones_do_not() {
+    let harness = Harness::start();
+    let named = harness
         .shared
         .borrow()
         .named_gauges(&[0.5, f64::NAN, 0.25, 7.0, 1.0]);
@@ -364,57 +363,59 @@
         r#"{"cpu_busy": 0.5, "mem_used": 0.25, "sockets": 7.0}"#
     );
     let gauges = |age: u64| {
-        play.shared
+        harness
+            .shared
             .borrow_mut()
             .gauges_received(&[0.5, 1.0], Duration::from_millis(age))
     };
-    let beat_in = || {
-        let wakes = play.shared.borrow().timers.admission_timers().clone();
-        let now = play.shared.borrow().origin.elapsed();
-        wakes
+    let timers_due_in_ms = || {
+        let timers = harness.shared.borrow().timers.admission_timers().clone();
+        let now = harness.shared.borrow().origin.elapsed();
+        timers
             .values()
             .map(|at| at.saturating_sub(now).as_millis())
             .collect::<Vec<_>>()
     };
-    play.shared.borrow_mut().fire_timers();
+    harness.shared.borrow_mut().fire_timers();
     advance(Duration::from_millis(4)).await;
     gauges(101);
-    assert_eq!(beat_in(), [6], "old gauges pass for new");
+    assert_eq!(timers_due_in_ms(), [6], "old gauges are ignored");
     gauges(1);
-    assert_eq!(beat_in(), [10]);
-    // The beat that was due stays away, and wakes do not grow in number.
+    assert_eq!(timers_due_in_ms(), [10]);
+    // The timer that was due does not fire as well, and timers do not accumulate.
     for _ in 0..100 {
         advance(Duration::from_millis(4)).await;
         gauges(1);
-        play.shared.borrow_mut().fire_timers();
-        assert_eq!(beat_in(), [10]);
+        harness.shared.borrow_mut().fire_timers();
+        assert_eq!(timers_due_in_ms(), [10]);
     }
-    assert!(play.shared.borrow().timers.len() <= 4);
-    // Without gauges the timer brings it.
+    assert!(harness.shared.borrow().timers.len() <= 4);
+    // Without gauges the timer fires when it is due.
     advance(Duration::from_millis(10)).await;
-    play.shared.borrow_mut().fire_timers();
-    assert_eq!(beat_in(), [10]);
+    harness.shared.borrow_mut().fire_timers();
+    assert_eq!(timers_due_in_ms(), [10]);
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_is_read_and_what_is_in_hand_stays_within_the_memory() {
-    let mut play = Play::start();
-    let most = play.shared.borrow().max_in_flight;
-    assert_eq!(most, 192 * 1024 / 80);
-    // Many that are begun and left take bytes, and no place of those that come whole.
-    let mut places: Vec<_> = std::iter::from_fn(|| play.shared.borrow().reserve_read()).collect();
-    assert_eq!(places.len(), 192 * 1024 * 1024 / 16 / 256);
-    assert!(!places[0].grow(1) && !play.shared.borrow().is_full());
-    places.pop();
-    assert!(places[0].grow(256) && !places[0].grow(1));
-    drop(places);
-    play.shared.borrow_mut().max_in_flight = 6;
-    (1..=6).for_each(|number| play.arrives(number, 1));
-    assert!(play.shared.borrow().is_full() && play.shared.borrow().reserve_read().is_none());
+async fn reading_and_in_flight_invocations_stay_within_the_memory_limit() {
+    let mut harness = Harness::start();
+    let max_in_flight = harness.shared.borrow().max_in_flight;
+    assert_eq!(max_in_flight, 192 * 1024 / 80);
+    // Invocations that are begun and abandoned use read memory, but do not count as in flight.
+    let mut reservations: Vec<_> =
+        std::iter::from_fn(|| harness.shared.borrow().reserve_read()).collect();
+    assert_eq!(reservations.len(), 192 * 1024 * 1024 / 16 / 256);
+    assert!(!reservations[0].grow(1) && !harness.shared.borrow().is_full());
+    reservations.pop();
+    assert!(reservations[0].grow(256) && !reservations[0].grow(1));
+    drop(reservations);
+    harness.shared.borrow_mut().max_in_flight = 6;
+    (1..=6).for_each(|number| harness.arrives(number, 1));
+    assert!(harness.shared.borrow().is_full() && harness.shared.borrow().reserve_read().is_none());
 }
 
 #[test]
-fn a_wall_clock_that_is_stepped_makes_no_odd_times() {
+fn a_stepped_wall_clock_yields_no_negative_or_excessive_times() {
     let invocation = Arrival {
         received_at_ms: 1_000_000.0,
         ..arrival(1, 0)
@@ -427,7 +428,7 @@
     assert_eq!(
         at(1_002_000.0),
         (2.0, Some(0.0)),
-        "used up, which is not none"
+        "an expired timeout, which differs from no timeout"
     );
     assert_eq!(at(900_000.0), (0.0, Some(2.0)), "stepped back");
     assert_eq!(at(9_000_000.0), (2.0, Some(0.0)), "stepped forward");
