--- a/crates/merlinshelf-backend/src/client/catalogue/mod.rs
+++ b/crates/merlinshelf-backend/src/client/catalogue/mod.rs
@@ -22,7 +22,7 @@
 
 pub use connection::ResumedConnection;
 
-use super::Watched;
+use super::PeersReceiver;
 use crate::exchange::{CallCommand, CallNumber, CallOutcome, Shared};
 use crate::ring::IoProgress;
 use crate::routing::SharedRouting;
@@ -64,7 +64,7 @@
 
 /// Makes calls until the instance freezes; continues those that a predecessor has begun.
 pub async fn serve(
-    mut peers: Watched,
+    mut peers: PeersReceiver,
     exchange: Shared,
     max_calls: usize,
     resumed: Rc<RefCell<Vec<ResumedConnection>>>,
--- a/crates/merlinshelf-backend/src/client/engine.rs
+++ b/crates/merlinshelf-backend/src/client/engine.rs
@@ -19,7 +19,7 @@
 use tokio::select;
 use tokio::time::{Instant, sleep, sleep_until};
 
-use super::{Watched, connect, unreadable};
+use super::{PeersReceiver, connect, unreadable};
 use crate::exchange::{Command, Shared, StoppedPart, monotonic, pass};
 use crate::fault;
 use crate::ring::{IoProgress, Ring};
@@ -72,11 +72,15 @@
 }
 
 /// A link that another process has held, as it left it; without its connection where that was down.
-pub type Resumed = (records::EngineConnectionRecord, Option<TcpStream>);
+pub type ResumedEngineConnection = (records::EngineConnectionRecord, Option<TcpStream>);
 
 /// Holds the link until everything is to stop where it stands; goes on with one that another
 /// process has held.
-pub async fn hold(mut peers: Watched, exchange: Shared, resumed: Rc<RefCell<Option<Resumed>>>) {
+pub async fn maintain_connection(
+    mut peers: PeersReceiver,
+    exchange: Shared,
+    resumed: Rc<RefCell<Option<ResumedEngineConnection>>>,
+) {
     let mut freezing = exchange.borrow().freeze_notice();
     let offer = exchange.borrow().names_dependencies();
     let mut engine = Engine {
@@ -154,7 +158,7 @@
 }
 
 /// Waits until the engine is at another address, and for a connection to it.
-async fn moved(peers: &mut Watched, from: SocketAddr) -> (TcpStream, SocketAddr) {
+async fn moved(peers: &mut PeersReceiver, from: SocketAddr) -> (TcpStream, SocketAddr) {
     loop {
         let address = peers.borrow_and_update().engine;
         if address == from {
@@ -206,7 +210,7 @@
     }
 
     /// Goes on where another process stood.
-    fn resume(&mut self, (record, socket): Resumed) -> Option<Link> {
+    fn resume(&mut self, (record, socket): ResumedEngineConnection) -> Option<Link> {
         let now = Instant::now();
         (self.last, self.tag) = (record.last_notification, record.last_request_tag);
         let age = |born: f64| Duration::from_secs_f64((monotonic() - born).clamp(0.0, 1e6));
--- a/crates/merlinshelf-backend/src/client/mod.rs
+++ b/crates/merlinshelf-backend/src/client/mod.rs
@@ -18,10 +18,10 @@
 use crate::config::Peers;
 
 /// Where the far ends are, and word of it when that changes.
-pub type Watched = watch::Receiver<Peers>;
+pub type PeersReceiver = watch::Receiver<Peers>;
 
 /// Of all descriptors an eighth may be connections to the catalogue; calls beyond wait for one.
-pub fn calls_most(sockets: usize) -> usize {
+pub fn max_calls(sockets: usize) -> usize {
     (sockets / 8).max(1)
 }
 
--- a/crates/merlinshelf-backend/src/client/registration.rs
+++ b/crates/merlinshelf-backend/src/client/registration.rs
@@ -11,7 +11,7 @@
 use tokio::select;
 use tokio::time::{MissedTickBehavior, interval, timeout};
 
-use super::{Watched, connect, unreadable};
+use super::{PeersReceiver, connect, unreadable};
 use crate::exchange::Shared;
 use crate::ring::{IoProgress, Ring};
 
@@ -20,7 +20,7 @@
 const WAIT_MOST: Duration = Duration::from_millis(600);
 
 /// Reports for as long as the program runs.
-pub async fn report(mut peers: Watched, name: String, exchange: Shared) {
+pub async fn report(mut peers: PeersReceiver, name: String, exchange: Shared) {
     let mut address = peers.borrow_and_update().registration;
     let left = exchange.borrow().shutdown_notice();
     let mut ticks = interval(EVERY);
--- a/crates/merlinshelf-backend/src/instance/mod.rs
+++ b/crates/merlinshelf-backend/src/instance/mod.rs
@@ -18,7 +18,7 @@
 use crate::config::{Config, Peers};
 use crate::exchange::{PassedDescriptors, Shared};
 use crate::routing::SharedRouting;
-use crate::server::Listening;
+use crate::server::Listener;
 use drain::Drain;
 use task::Task;
 
@@ -33,7 +33,7 @@
     pub exchange: Shared,
     peers: watch::Sender<Peers>,
     /// Owned by the task that accepts, until it closes it.
-    listener: Weak<Listening>,
+    listener: Weak<Listener>,
     close_listener: Rc<Notify>,
     accept_task: Task,
     /// Tasks that deposit their connections when they are frozen.
--- a/crates/merlinshelf-backend/src/instance/restored.rs
+++ b/crates/merlinshelf-backend/src/instance/restored.rs
@@ -21,13 +21,13 @@
 use crate::journal::Journal;
 use crate::ring::discard;
 use crate::routing::SharedRouting;
-use crate::server::{self, Listening, Server};
+use crate::server::{self, Listener, Server};
 use crate::upgrade::kernel::{self, OpenedBy};
 
 /// Everything of another process, made live and not running yet.
 pub struct RestoredInstance {
     exchange: Shared,
-    listener: Rc<Listening>,
+    listener: Rc<Listener>,
     client_connections: Vec<ClientConnection>,
     downstream_connections: Vec<DownstreamConnection>,
     engine_connection: Option<EngineConnection>,
@@ -95,7 +95,7 @@
 
 impl RestoredInstance {
     /// A fresh start.
-    pub fn fresh(exchange: Shared, listener: Listening) -> RestoredInstance {
+    pub fn fresh(exchange: Shared, listener: Listener) -> RestoredInstance {
         RestoredInstance {
             exchange,
             listener: Rc::new(listener),
@@ -113,7 +113,7 @@
     /// The image does not fit the exchange.
     pub fn restore(
         exchange: Exchange,
-        listener: Listening,
+        listener: Listener,
         source: RestoreSource,
     ) -> Result<RestoredInstance, IncompatibleImage> {
         exchange
@@ -227,8 +227,8 @@
                 .borrow_mut()
                 .set_dependency_names(dependencies);
         }
-        let max_calls = client::calls_most(options.config.sockets);
-        let max_connections = server::doors_most(options.config.sockets, max_calls);
+        let max_calls = client::max_calls(options.config.sockets);
+        let max_connections = server::max_connections(options.config.sockets, max_calls);
         let server = Server::new(
             self.exchange.clone(),
             max_connections,
@@ -270,7 +270,7 @@
 /// What the tasks of an instance share.
 struct Tasks {
     exchange: Shared,
-    peers: client::Watched,
+    peers: client::PeersReceiver,
 }
 
 impl Tasks {
@@ -279,12 +279,12 @@
         Task::supervise("timers", move || run_timers(exchange.clone()))
     }
 
-    fn engine(&self, connection: Option<client::engine::Resumed>) -> Task {
+    fn engine(&self, connection: Option<client::engine::ResumedEngineConnection>) -> Task {
         let exchange = self.exchange.clone();
         let peers = self.peers.clone();
         let connection = Rc::new(RefCell::new(connection));
         Task::supervise("engine connection", move || {
-            client::engine::hold(peers.clone(), exchange.clone(), connection.clone())
+            client::engine::maintain_connection(peers.clone(), exchange.clone(), connection.clone())
         })
     }
 
@@ -331,7 +331,9 @@
     }
 }
 
-fn resume_engine_connection(connection: EngineConnection) -> client::engine::Resumed {
+fn resume_engine_connection(
+    connection: EngineConnection,
+) -> client::engine::ResumedEngineConnection {
     let socket = connection.live.and_then(|(socket, reconciliation)| {
         match discard(&socket, reconciliation.discard_bytes) {
             Ok(()) => Some(socket),
--- a/crates/merlinshelf-backend/src/process/mod.rs
+++ b/crates/merlinshelf-backend/src/process/mod.rs
@@ -175,7 +175,7 @@
             let path = settings.socket.clone();
             return Err(ServeError::ControlSocketInUse { path });
         }
-        let bound = server::Bound::to(self.config.listen)?;
+        let bound = server::BoundSocket::bind(self.config.listen)?;
         self.enable_policy(&mut exchange)?;
         match &self.operator.policy {
             Some(policy) => {
--- a/crates/merlinshelf-backend/src/process/restoration.rs
+++ b/crates/merlinshelf-backend/src/process/restoration.rs
@@ -115,7 +115,7 @@
             // until its agent grants one.
             ImageOwner::Successor => exchange.stop_waiting_for_policy(),
         }
-        let listener = server::listening(listener)?;
+        let listener = server::register_listener(listener)?;
         Ok(RestoredInstance::restore(exchange, listener, source)?)
     }
 }
--- a/crates/merlinshelf-backend/src/server/mod.rs
+++ b/crates/merlinshelf-backend/src/server/mod.rs
@@ -39,18 +39,18 @@
 const PACE: Duration = Duration::from_millis(10);
 
 /// The listening socket. Whether somebody stands at it is asked of the kernel, not of remembered readiness.
-pub type Listening = AsyncFd<std::net::TcpListener>;
+pub type Listener = AsyncFd<std::net::TcpListener>;
 
 /// An address that is this process's own, and at which nobody can come in yet.
-pub struct Bound {
+pub struct BoundSocket {
     socket: TcpSocket,
     address: SocketAddr,
 }
 
-impl Bound {
+impl BoundSocket {
     /// # Errors
     /// The address can't be had.
-    pub fn to(address: SocketAddr) -> io::Result<Bound> {
+    pub fn bind(address: SocketAddr) -> io::Result<BoundSocket> {
         let bind = || {
             let socket = if address.is_ipv4() {
                 TcpSocket::new_v4()
@@ -59,16 +59,16 @@
             }?;
             socket.set_reuseaddr(true)?;
             socket.bind(address)?;
-            Ok(Bound { socket, address })
+            Ok(BoundSocket { socket, address })
         };
         bind().map_err(|error| at(address, error))
     }
 
     /// # Errors
     /// Somebody else listens there by now.
-    pub fn listen(self) -> io::Result<Listening> {
-        let Bound { socket, address } = self;
-        let listen = || listening(socket.listen(BACKLOG)?.into_std()?);
+    pub fn listen(self) -> io::Result<Listener> {
+        let BoundSocket { socket, address } = self;
+        let listen = || register_listener(socket.listen(BACKLOG)?.into_std()?);
         listen().map_err(|error| at(address, error))
     }
 }
@@ -78,13 +78,13 @@
 }
 
 /// A listening socket that is there already.
-pub fn listening(listener: std::net::TcpListener) -> io::Result<Listening> {
+pub fn register_listener(listener: std::net::TcpListener) -> io::Result<Listener> {
     // SAFETY: the listener owns its descriptor, and stays inside until the registration ends.
     Ok(unsafe { AsyncFd::register_with_interest(listener, Interest::READABLE) }?)
 }
 
 /// Waits until somebody stands at the door, and takes nobody in.
-async fn newcomer(listener: &Listening) -> io::Result<()> {
+async fn newcomer(listener: &Listener) -> io::Result<()> {
     loop {
         let mut guard = listener.readable().await?;
         let mut look = [PollFd::new(listener.get_ref(), PollFlags::IN)];
@@ -96,14 +96,14 @@
 }
 
 /// Who stands at the door, if anybody does.
-fn take_in(listener: &Listening) -> io::Result<TcpStream> {
+fn take_in(listener: &Listener) -> io::Result<TcpStream> {
     let (socket, _) = listener.get_ref().accept()?;
     socket.set_nonblocking(true)?;
     TcpStream::from_std(socket)
 }
 
 /// Of the descriptors told, those that are left for edge nodes.
-pub fn doors_most(sockets: usize, calls_most: usize) -> usize {
+pub fn max_connections(sockets: usize, calls_most: usize) -> usize {
     sockets
         .saturating_sub(KEPT_BACK + calls_most)
         .max(sockets / 2)
@@ -172,7 +172,7 @@
 /// Takes in connections until it is told to close; those that stand by then are taken in first, since an
 /// edge node may have written to them already. With a full table the one that has been idle for the longest
 /// makes room for a newcomer, once there is one; only while all have something in hand do newcomers wait.
-pub async fn accept(listener: Rc<Listening>, server: Server, close: Rc<Notify>) {
+pub async fn accept(listener: Rc<Listener>, server: Server, close: Rc<Notify>) {
     let Server {
         exchange,
         table,
--- a/crates/merlinshelf-backend/src/startup_wait.rs
+++ b/crates/merlinshelf-backend/src/startup_wait.rs
@@ -11,20 +11,20 @@
 
 use crate::exchange::{Exchange, Shared};
 use crate::instance::RestoredInstance;
-use crate::server::Bound;
+use crate::server::BoundSocket;
 
 /// An instance that does not listen yet.
 pub struct StartupWait {
     /// The exchange, to which the agent grants the lease.
     pub exchange: Shared,
-    bound: Bound,
+    bound: BoundSocket,
     /// When the wait ends without a lease.
     pub deadline: Instant,
 }
 
 impl StartupWait {
     /// Waits until the exchange has a policy, at the latest until the deadline.
-    pub fn new(exchange: Exchange, bound: Bound, deadline: Instant) -> StartupWait {
+    pub fn new(exchange: Exchange, bound: BoundSocket, deadline: Instant) -> StartupWait {
         StartupWait {
             exchange: Rc::new(RefCell::new(exchange)),
             bound,
