--- a/crates/merlinshelf-backend/src/client/catalogue/attempt.rs
+++ b/crates/merlinshelf-backend/src/client/catalogue/attempt.rs
@@ -77,7 +77,7 @@
 pub(super) enum AttemptResult {
     /// With an outcome, and with the connection where that can carry another call.
     Ended(CallOutcome, Option<Box<DownstreamConnection>>),
-    /// With an outcome that the exchange knows already.
+    /// With an outcome that was already reported.
     Reported,
     /// The instance froze: the connection was handed over, or the call is made by the successor.
     Frozen,
@@ -93,10 +93,10 @@
 ) -> AttemptResult {
     let mut freeze_notice = exchange.borrow().freeze_notice();
     let description = cached.as_ref().map_or_else(
-        || "a new line".to_owned(),
+        || "a new connection".to_owned(),
         |connection| {
             let idle_ms = connection.idle_since.elapsed().as_millis();
-            format!("a line kept for {idle_ms} ms")
+            format!("a connection cached for {idle_ms} ms")
         },
     );
     let mut connection = match cached {
@@ -112,7 +112,7 @@
                 Ok(connection) => connection,
                 Err(error) => {
                     // A call whose connection was never established has not run.
-                    warn!("the catalogue can't be reached: {error}");
+                    warn!("downstream connection not established: {error}");
                     return AttemptResult::Ended(CallOutcome::NeverRan, None);
                 }
             }
@@ -155,8 +155,8 @@
     };
     let result = connection.exchange_messages(key, exchange).await;
     if let Err(error) = &result {
-        // The connection is lost. That proves nothing of what was sent on it.
-        warn!("{description} to the catalogue broke under a call: {error}");
+        // The connection is lost; whether the call ran is unknown.
+        warn!("{description} failed during a downstream call: {error}");
     }
     let is_intact = result.is_ok();
     let outcome = match result {
@@ -170,8 +170,8 @@
         Err(_) => CallOutcome::Failed,
     };
     if exchange.borrow().is_journaling() {
-        // The reply's changes and the end of the connection are journaled together. None is cached
-        // meanwhile: the predecessor would have to follow it.
+        // The reply's changes and the end of the connection are journaled together. No connection is
+        // cached while journaling: the predecessor would have to track it.
         report_outcome(exchange, routing, key, outcome);
         return AttemptResult::Reported;
     }
@@ -192,7 +192,7 @@
         Ok(socket) => exchange
             .borrow_mut()
             .add_stopped_part(StoppedPart::Downstream(stream, record, socket)),
-        Err(error) => warn!("a line to the catalogue can't be handed in: {error}"),
+        Err(error) => warn!("a downstream connection was not handed over: {error}"),
     }
 }
 
--- a/crates/merlinshelf-backend/src/client/catalogue/connection.rs
+++ b/crates/merlinshelf-backend/src/client/catalogue/connection.rs
@@ -14,16 +14,16 @@
 use tokio::time::Instant;
 
 use super::attempt::AttemptKey;
-use crate::client::{connect, unreadable};
+use crate::client::{connect, invalid_message};
 use crate::exchange::{CallOutcome, Shared, pass};
 use crate::fault;
 use crate::ring::{IoProgress, Ring};
 
-/// Calls on one connection, all of different invocations: a duplicate of a reply that arrives late
-/// names only its invocation, and must not pass for the reply to that one's next call.
+/// The maximum number of calls on one connection, all of different invocations: a duplicate reply that
+/// arrives late names only its invocation, and must not be taken for the reply to its next call.
 const MAX_CALLS: usize = 16;
 
-/// A connection that a predecessor has opened, with its call.
+/// A connection that a predecessor opened, with its call.
 pub struct ResumedConnection {
     /// Its socket.
     pub socket: TcpStream,
@@ -34,7 +34,7 @@
 }
 
 impl ResumedConnection {
-    /// The connection and its call; `None` where the record can't be read.
+    /// The connection and its call; `None` if the record is invalid.
     pub(super) fn restore(self) -> Option<(DownstreamConnection, AttemptKey)> {
         let record = self.record;
         let id = CallId::parse(&record.invocation_id)?;
@@ -57,7 +57,7 @@
     }
 }
 
-/// A connection, with the invocations whose calls it has carried.
+/// A connection, and the invocations whose calls it has carried.
 pub(super) struct DownstreamConnection {
     socket: TcpStream,
     /// Its number among all connections, also of earlier processes.
@@ -102,7 +102,7 @@
         self.idle_since = Instant::now();
     }
 
-    /// Reads from an idle connection; one that is still usable has nothing to read.
+    /// Reads from an idle connection. If it is still usable, there is nothing to read.
     pub(super) fn check_idle(&mut self) -> io::Result<IoProgress> {
         self.read_buffer.fill(&self.socket)
     }
@@ -157,7 +157,7 @@
         }
     }
 
-    /// Sends the request and receives the reply; `None`: the instance froze before.
+    /// Sends the request and receives the reply; returns `None` if the instance froze first.
     pub(super) async fn exchange_messages(
         &mut self,
         key: AttemptKey,
@@ -201,8 +201,8 @@
         }
     }
 
-    /// The outcome by the reply to this invocation's call, if it has arrived; other replies are
-    /// duplicates, or late.
+    /// The outcome of this invocation's call, if its reply has arrived; other replies are duplicates or
+    /// late.
     fn parse_reply(
         &mut self,
         expected: CallId,
@@ -221,7 +221,7 @@
                     }
                     Ok(count)
                 }
-                Err(fault) => Err(unreadable(fault, bytes)),
+                Err(fault) => Err(invalid_message(fault, bytes)),
             })?;
         Ok(outcome)
     }
--- a/crates/merlinshelf-backend/src/client/catalogue/mod.rs
+++ b/crates/merlinshelf-backend/src/client/catalogue/mod.rs
@@ -1,7 +1,7 @@
 //! Downstream calls to the catalogue and to dependencies.
 //!
-//! Each call has a connection to itself while it is in flight, so that a broken connection costs no
-//! other call; connections are cached for the next call for a while.
+//! Each call has its own connection while it is in flight, so that a broken connection fails no
+//! other call. Idle connections are cached for later calls for a short time.
 
 mod attempt;
 mod connection;
@@ -29,11 +29,11 @@
 use attempt::{AttemptKey, AttemptResult, Call, make_attempt, report_outcome, run_attempt};
 use connection::DownstreamConnection;
 
-/// How long a connection is cached idle. The server closes or forgets idle ones, and the failure of
-/// a call that meets this proves nothing; a new connection costs a fraction of a millisecond.
+/// How long an idle connection is cached. Servers close or drop idle connections, and when that makes a
+/// call fail, it is unknown whether the call ran; a new connection costs a fraction of a millisecond.
 const MAX_IDLE: Duration = Duration::from_secs(1);
-/// A call that waits for a connection which may not be opened yet retries after so long: a quota
-/// window holds a hundred of these.
+/// How often a call retries that waits for a connection which may not be opened yet: a hundred times in
+/// a quota window.
 const OPEN_RETRY_DELAY: Duration = Duration::from_millis(10);
 
 /// An attempt at a dependency that waits for a connection which may not be opened yet.
@@ -62,7 +62,7 @@
     max_calls: usize,
 }
 
-/// Makes calls until the instance freezes; continues those that a predecessor has begun.
+/// Makes calls until the instance freezes; continues those that a predecessor started.
 pub async fn serve(
     mut peers: PeersReceiver,
     exchange: Shared,
@@ -328,8 +328,8 @@
         report_outcome(&self.exchange, self.routing.as_ref(), key, outcome);
     }
 
-    /// Continues a call that a predecessor has begun. Whichever server it goes to, its outcome is
-    /// the call's.
+    /// Continues a call that a predecessor started. Its outcome is the call's, whichever server it was
+    /// sent to.
     fn resume(&mut self, resumed: ResumedConnection) {
         let Some((connection, key)) = resumed.restore() else {
             return;
@@ -341,7 +341,7 @@
                 key,
                 &exchange,
                 None,
-                "a line of the predecessor",
+                "a connection of the predecessor",
             )
             .await;
             (key, result)
@@ -349,19 +349,19 @@
         self.in_flight.insert(key, self.tasks.spawn_local(task));
     }
 
-    /// The connection that was used last, of those to that address that never carried a call of
-    /// this invocation.
+    /// Takes the most recently used idle connection to that address that never carried a call of this
+    /// invocation.
     fn take_idle(&mut self, id: CallId, address: SocketAddr) -> Option<DownstreamConnection> {
         let is_usable = |connection: &DownstreamConnection| {
             connection.address == address && !connection.has_carried(id)
         };
         while let Some(index) = self.idle.iter().rposition(is_usable) {
             let mut connection = self.idle.remove(index)?;
-            // What has arrived on it since belongs to no call, or the server has closed it.
+            // Bytes received while it was idle belong to no call; otherwise the server has closed it.
             match connection.check_idle() {
                 Ok(IoProgress::Blocked) => return Some(connection),
                 _ => debug!(
-                    "an idle line is gone after {} ms",
+                    "an idle downstream connection became unusable after {} ms",
                     connection.idle_since.elapsed().as_millis()
                 ),
             }
@@ -389,7 +389,7 @@
         }
     }
 
-    /// An attempt whose task panicked may have taken effect.
+    /// Reports an attempt whose task panicked as failed, since it may have taken effect.
     fn handle_panic(&mut self, error: &JoinError) {
         let panicked = self
             .in_flight
--- a/crates/merlinshelf-backend/src/client/engine.rs
+++ b/crates/merlinshelf-backend/src/client/engine.rs
@@ -1,5 +1,5 @@
-//! The engine's link: held open, taken up again where it breaks, with the last notice that was
-//! read.
+//! The connection to the engine. It is kept open; after a failure a new one continues from the last
+//! notification that was read.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -19,146 +19,155 @@
 use tokio::select;
 use tokio::time::{Instant, sleep, sleep_until};
 
-use super::{PeersReceiver, connect, unreadable};
+use super::{PeersReceiver, connect, invalid_message};
 use crate::exchange::{Command, Shared, StoppedPart, monotonic, pass};
 use crate::fault;
 use crate::ring::{IoProgress, Ring};
 
-/// From one attempt at a link to the next: one that stood for longer is replaced at once, since the
-/// cores run dry meanwhile.
-const PAUSE: Duration = Duration::from_millis(50);
-/// Between two questions for the gauges: a little less than the module's beat of 10 ms, so that
-/// mostly the answer brings the beat and the timer need not.
-const ASK_EVERY: Duration = Duration::from_millis(8);
-/// A link on which a question or a later ATTACH stays unanswered for so long is dead and is
-/// replaced.
-const SILENT_MOST: Duration = Duration::from_secs(3);
-/// Two words on when the engine was started that lie no further apart mean the same start.
-const SAME_START: Duration = Duration::from_secs(1);
+/// The least time between two attempts to connect. A connection that lasted longer is replaced at once,
+/// since the engine's cores idle meanwhile.
+const RECONNECT_INTERVAL: Duration = Duration::from_millis(50);
+/// The interval of requests for the gauges: a little less than the controller's interval of 10 ms, so
+/// that mostly the response triggers it rather than the timer.
+const POLL_INTERVAL: Duration = Duration::from_millis(8);
+/// A connection on which a request, or an ATTACH after the first HELLO, stays unanswered for this long is
+/// dead and is replaced.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
+/// Start times of the engine that differ by no more than this mean the same start.
+const START_TOLERANCE: Duration = Duration::from_secs(1);
 /// With more than this unsent, commands wait in the exchange.
-const UNSENT_MOST: usize = 256 * 1024;
+const MAX_UNSENT_BYTES: usize = 256 * 1024;
 
-/// What outlives a link.
-struct Engine {
+/// State that outlives a connection.
+struct Client {
     exchange: Shared,
-    /// The number of the last notice that was read.
-    last: u64,
-    /// Sent and not known to have been read: with each, how much had been heard of its invocation,
-    /// and the tag of the next question, whose answer proves that it was read.
-    unsure: VecDeque<(u64, Command, u64)>,
-    tag: u64,
-    /// Whether the next link offers that calls may name their dependency: an engine that does not
-    /// know of it closes such a link.
-    offer: bool,
-    /// When the engine was started, as it said.
-    born: Option<Instant>,
+    /// The number of the last notification that was read.
+    last_notification: u64,
+    /// Commands sent and not known to have been read: the tag of the next request, whose response proves
+    /// that the command was read; the command; and how many notifications of its invocation had been
+    /// received.
+    unacknowledged: VecDeque<(u64, Command, u64)>,
+    last_request_tag: u64,
+    /// Whether the next connection offers that calls name their dependency. An engine that does not know
+    /// the extension closes such a connection.
+    offers_names: bool,
+    /// When the engine was started, as it reported.
+    started_at: Option<Instant>,
 }
 
-/// One link.
-struct Link {
+/// One connection.
+struct Connection {
     socket: TcpStream,
-    /// Its number among all connections, also of processes before this one.
+    /// Its number among all connections, also of earlier processes.
     stream: u64,
     address: SocketAddr,
-    coming: Ring,
-    going: Ring,
-    hello: bool,
-    /// All notices that the last link missed have been read.
-    caught_up: bool,
+    read_buffer: Ring,
+    write_buffer: Ring,
+    /// The engine has sent its HELLO.
+    is_greeted: bool,
+    /// All notifications that the previous connection missed have been read.
+    is_caught_up: bool,
     /// Calls may name their dependency.
-    names: bool,
-    asked: Option<Instant>,
-    ask_at: Instant,
+    names_dependencies: bool,
+    /// When the pending request was sent.
+    requested_at: Option<Instant>,
+    poll_at: Instant,
 }
 
-/// A link that another process has held, as it left it; without its connection where that was down.
+/// The state of the connection of another process, and its socket unless it was down.
 pub type ResumedEngineConnection = (records::EngineConnectionRecord, Option<TcpStream>);
 
-/// Holds the link until everything is to stop where it stands; goes on with one that another
-/// process has held.
+/// Keeps the connection open until the instance freezes; continues that of another process.
 pub async fn maintain_connection(
     mut peers: PeersReceiver,
     exchange: Shared,
     resumed: Rc<RefCell<Option<ResumedEngineConnection>>>,
 ) {
-    let mut freezing = exchange.borrow().freeze_notice();
-    let offer = exchange.borrow().names_dependencies();
-    let mut engine = Engine {
+    let mut freeze_notice = exchange.borrow().freeze_notice();
+    let offers_names = exchange.borrow().names_dependencies();
+    let mut client = Client {
         exchange,
-        last: 0,
-        unsure: VecDeque::new(),
-        tag: 0,
-        offer,
-        born: None,
+        last_notification: 0,
+        unacknowledged: VecDeque::new(),
+        last_request_tag: 0,
+        offers_names,
+        started_at: None,
     };
-    let mut link = resumed.take().and_then(|resumed| engine.resume(resumed));
-    let mut next = None;
+    let mut connection = resumed.take().and_then(|resumed| client.resume(resumed));
+    let mut next_socket = None;
     loop {
-        let began = Instant::now();
+        let tried_at = Instant::now();
         let address = peers.borrow_and_update().engine;
-        let connected = match (link.take(), next.take()) {
-            (Some(link), _) => Ok(link),
-            (None, Some((socket, address))) => engine.attach(socket, address).await,
+        let connected = match (connection.take(), next_socket.take()) {
+            (Some(connection), _) => Ok(connection),
+            (None, Some((socket, address))) => client.attach(socket, address).await,
             (None, None) => select! {
                 socket = connect(address) => match socket {
-                    Ok(socket) => engine.attach(socket, address).await,
+                    Ok(socket) => client.attach(socket, address).await,
                     Err(error) => Err(error),
                 },
-                Ok(_) = freezing.wait_for(|frozen| *frozen) => return engine.deposit(None),
+                Ok(_) = freeze_notice.wait_for(|is_frozen| *is_frozen) => return client.hand_over(None),
             },
         };
         match connected {
-            Ok(mut link) => {
-                // The old link serves on until the new one stands, which takes its place.
-                let address = link.address;
+            Ok(mut connection) => {
+                // After a change of address the old connection serves until the new one is established.
+                let address = connection.address;
                 let ended = {
-                    let (run, moved) = (
-                        pin!(engine.run(&mut link)),
-                        pin!(moved(&mut peers, address)),
-                    );
+                    let run = pin!(client.run(&mut connection));
+                    let address_change = pin!(connect_to_new_address(&mut peers, address));
                     select! {
                         biased;
-                        Ok(_) = freezing.wait_for(|frozen| *frozen) => End::FrozenInstance,
-                        reason = run => End::Broken(reason.err().unwrap_or(io::ErrorKind::UnexpectedEof.into())),
-                        link = moved => { next = Some(link); End::IoProgress }
+                        Ok(_) = freeze_notice.wait_for(|is_frozen| *is_frozen) => ConnectionEnd::Frozen,
+                        reason = run => ConnectionEnd::Failed(reason.err().unwrap_or(io::ErrorKind::UnexpectedEof.into())),
+                        socket = address_change => { next_socket = Some(socket); ConnectionEnd::Moved }
                     }
                 };
                 match ended {
-                    End::FrozenInstance => return engine.deposit(Some(link)),
-                    End::Broken(reason) => {
+                    ConnectionEnd::Frozen => return client.hand_over(Some(connection)),
+                    ConnectionEnd::Failed(reason) => {
                         warn!(
-                            "the engine's link broke after notice {}: {reason}",
-                            engine.last
+                            "the connection to the engine failed after notification {}: {reason}",
+                            client.last_notification
                         );
-                        engine.offer = engine.exchange.borrow().names_dependencies()
-                            && (link.hello || !engine.offer);
+                        client.offers_names = client.exchange.borrow().names_dependencies()
+                            && (connection.is_greeted || !client.offers_names);
                     }
-                    End::IoProgress => {
-                        info!("the engine's link moves after notice {}", engine.last)
+                    ConnectionEnd::Moved => {
+                        info!(
+                            "the connection to the engine moves to another address after notification {}",
+                            client.last_notification
+                        )
                     }
                 }
-                engine.close(&link);
+                client.close(&connection);
             }
-            Err(error) => debug!("no link to the engine: {error}"),
+            Err(error) => debug!("the engine can't be reached: {error}"),
         }
-        if next.is_none() {
+        if next_socket.is_none() {
             select! {
-                () = sleep_until(began + PAUSE) => {}
-                Ok(_) = freezing.wait_for(|frozen| *frozen) => return engine.deposit(None),
+                () = sleep_until(tried_at + RECONNECT_INTERVAL) => {}
+                Ok(_) = freeze_notice.wait_for(|is_frozen| *is_frozen) => return client.hand_over(None),
             }
         }
     }
 }
 
-/// Why a link is served no longer.
-enum End {
-    FrozenInstance,
-    Broken(io::Error),
-    IoProgress,
+/// Why a connection is no longer used.
+enum ConnectionEnd {
+    /// The instance froze.
+    Frozen,
+    /// It failed, or the engine closed it.
+    Failed(io::Error),
+    /// The engine has another address.
+    Moved,
 }
 
-/// Waits until the engine is at another address, and for a connection to it.
-async fn moved(peers: &mut PeersReceiver, from: SocketAddr) -> (TcpStream, SocketAddr) {
+/// Waits until the engine has another address, and connects to it.
+async fn connect_to_new_address(
+    peers: &mut PeersReceiver,
+    from: SocketAddr,
+) -> (TcpStream, SocketAddr) {
     loop {
         let address = peers.borrow_and_update().engine;
         if address == from {
@@ -169,16 +178,15 @@
         }
         match connect(address).await {
             Ok(socket) => return (socket, address),
-            Err(error) => debug!("no link to the engine's new address yet: {error}"),
+            Err(error) => debug!("the engine's new address can't be reached yet: {error}"),
         }
-        sleep(PAUSE).await;
+        sleep(RECONNECT_INTERVAL).await;
     }
 }
 
-impl Engine {
-    /// A new link on a connection, known to a predecessor that watches before anything goes over
-    /// it.
-    async fn attach(&mut self, socket: TcpStream, address: SocketAddr) -> io::Result<Link> {
+impl Client {
+    /// Attaches on a new socket, which a watching predecessor knows before anything is sent on it.
+    async fn attach(&mut self, socket: TcpStream, address: SocketAddr) -> io::Result<Connection> {
         let stream = {
             let mut exchange = self.exchange.borrow_mut();
             exchange.counters.engine_links += 1;
@@ -186,175 +194,197 @@
         };
         pass(&self.exchange, Role::EngineConnection(stream), &socket).await?;
         let now = Instant::now();
-        let (coming, going) = (Ring::default(), Ring::default());
-        // The first HELLO waits for the engine to be up; any later one is a question's answer like
-        // another.
-        let asked = self.born.map(|_| now);
-        let (hello, caught_up, ask_at) = (false, false, now);
-        let names = false;
-        let mut link = Link {
+        let (read_buffer, write_buffer) = (Ring::default(), Ring::default());
+        // The first HELLO may wait until the engine is up; later ones are subject to the timeout.
+        let requested_at = self.started_at.map(|_| now);
+        let (is_greeted, is_caught_up, poll_at) = (false, false, now);
+        let names_dependencies = false;
+        let mut connection = Connection {
             socket,
             stream,
             address,
-            coming,
-            going,
-            hello,
-            caught_up,
-            names,
-            asked,
-            ask_at,
+            read_buffer,
+            write_buffer,
+            is_greeted,
+            is_caught_up,
+            names_dependencies,
+            requested_at,
+            poll_at,
         };
-        let offered = self.offer.then_some(engine::NAMES_EXTENSION);
-        engine::write_attach(&mut link.going, self.last, offered);
-        Ok(link)
+        let extension = self.offers_names.then_some(engine::NAMES_EXTENSION);
+        engine::write_attach(
+            &mut connection.write_buffer,
+            self.last_notification,
+            extension,
+        );
+        Ok(connection)
     }
 
-    /// Goes on where another process stood.
-    fn resume(&mut self, (record, socket): ResumedEngineConnection) -> Option<Link> {
+    /// Continues the connection of another process.
+    fn resume(&mut self, (record, socket): ResumedEngineConnection) -> Option<Connection> {
         let now = Instant::now();
-        (self.last, self.tag) = (record.last_notification, record.last_request_tag);
-        let age = |born: f64| Duration::from_secs_f64((monotonic() - born).clamp(0.0, 1e6));
-        self.born = record
+        (self.last_notification, self.last_request_tag) =
+            (record.last_notification, record.last_request_tag);
+        let age =
+            |started_at: f64| Duration::from_secs_f64((monotonic() - started_at).clamp(0.0, 1e6));
+        self.started_at = record
             .engine_started_at
-            .and_then(|born| now.checked_sub(age(born)));
-        // The next question's answer proves that they were read, if the link holds; else its break
-        // says what to do.
-        let proof = self.tag + 1;
+            .and_then(|started_at| now.checked_sub(age(started_at)));
+        // The next response proves that they were read; if the connection fails before, they are
+        // treated as lost.
+        let proof = self.last_request_tag + 1;
         let inherited = self.exchange.borrow_mut().take_inherited_commands();
-        self.unsure = inherited
+        self.unacknowledged = inherited
             .into_iter()
-            .map(|(command, heard)| (proof, command, heard))
+            .map(|(command, received_notifications)| (proof, command, received_notifications))
             .collect();
         let (socket, stream, address) = (socket?, record.stream?, record.address.parse().ok()?);
         let Flow {
-            read_bytes: taken,
-            written_bytes: given,
-            read_buffer: coming,
-            write_buffer: going,
+            read_bytes,
+            written_bytes,
+            read_buffer,
+            write_buffer,
         } = record.flow;
-        Some(Link {
+        Some(Connection {
             socket,
             stream,
             address,
-            coming: Ring::restore(coming, taken),
-            going: Ring::restore(going, given),
-            hello: record.is_greeted,
-            caught_up: record.is_caught_up,
-            names: record.names_dependencies,
-            asked: record.is_request_pending.then_some(now),
-            ask_at: now,
+            read_buffer: Ring::restore(read_buffer, read_bytes),
+            write_buffer: Ring::restore(write_buffer, written_bytes),
+            is_greeted: record.is_greeted,
+            is_caught_up: record.is_caught_up,
+            names_dependencies: record.names_dependencies,
+            requested_at: record.is_request_pending.then_some(now),
+            poll_at: now,
         })
     }
 
-    fn record(&self, link: Option<&Link>) -> records::EngineConnectionRecord {
+    /// The state, for a process that continues the connection.
+    fn record(&self, connection: Option<&Connection>) -> records::EngineConnectionRecord {
         let now = Instant::now();
-        let flow = |link: &Link| Flow {
-            read_bytes: link.coming.transferred_bytes(),
-            written_bytes: link.going.transferred_bytes(),
-            read_buffer: link.coming.to_vec(),
-            write_buffer: link.going.to_vec(),
+        let flow = |connection: &Connection| Flow {
+            read_bytes: connection.read_buffer.transferred_bytes(),
+            written_bytes: connection.write_buffer.transferred_bytes(),
+            read_buffer: connection.read_buffer.to_vec(),
+            write_buffer: connection.write_buffer.to_vec(),
         };
         records::EngineConnectionRecord {
-            stream: link.map(|link| link.stream),
-            address: link
-                .map(|link| link.address.to_string())
+            stream: connection.map(|connection| connection.stream),
+            address: connection
+                .map(|connection| connection.address.to_string())
                 .unwrap_or_default(),
-            last_notification: self.last,
-            last_request_tag: self.tag,
-            is_request_pending: link.is_some_and(|link| link.asked.is_some()),
-            is_greeted: link.is_some_and(|link| link.hello),
-            is_caught_up: link.is_some_and(|link| link.caught_up),
-            names_dependencies: link.is_some_and(|link| link.names),
-            engine_started_at: self
-                .born
-                .map(|born| monotonic() - now.saturating_duration_since(born).as_secs_f64()),
-            flow: link.map(flow).unwrap_or_default(),
+            last_notification: self.last_notification,
+            last_request_tag: self.last_request_tag,
+            is_request_pending: connection
+                .is_some_and(|connection| connection.requested_at.is_some()),
+            is_greeted: connection.is_some_and(|connection| connection.is_greeted),
+            is_caught_up: connection.is_some_and(|connection| connection.is_caught_up),
+            names_dependencies: connection.is_some_and(|connection| connection.names_dependencies),
+            engine_started_at: self.started_at.map(|started_at| {
+                monotonic() - now.saturating_duration_since(started_at).as_secs_f64()
+            }),
+            flow: connection.map(flow).unwrap_or_default(),
         }
     }
 
-    /// Notes how it stands, where a predecessor watches: before anything of it shows.
-    fn secure(&self, link: Option<&Link>) {
+    /// Journals the state for a watching predecessor, before anything of it takes effect.
+    fn journal_state(&self, connection: Option<&Connection>) {
         let mut exchange = self.exchange.borrow_mut();
         if exchange.is_journaling() {
-            exchange.journal_record(Key::EngineConnection, &self.record(link));
+            exchange.journal_record(Key::EngineConnection, &self.record(connection));
             exchange.write_journal();
         }
     }
 
-    /// Hands the link in, to be carried on elsewhere.
-    fn deposit(&self, link: Option<Link>) {
-        let record = self.record(link.as_ref());
-        let socket = link.and_then(|link| link.socket.into_std().ok());
+    /// Hands the connection over to the successor.
+    fn hand_over(&self, connection: Option<Connection>) {
+        let record = self.record(connection.as_ref());
+        let socket = connection.and_then(|connection| connection.socket.into_std().ok());
         self.exchange
             .borrow_mut()
             .add_stopped_part(StoppedPart::Engine(record, socket));
     }
 
-    /// A link that is served no longer is closed also where a predecessor has a copy.
-    fn close(&self, link: &Link) {
-        self.secure(None);
+    /// Closes a connection also where a predecessor has a copy of the socket that would leave it open.
+    fn close(&self, connection: &Connection) {
+        self.journal_state(None);
         if self.exchange.borrow().is_journaling() {
-            let _ = shutdown(&link.socket, Shutdown::Both);
+            let _ = shutdown(&connection.socket, Shutdown::Both);
         }
     }
 
-    async fn run(&mut self, link: &mut Link) -> io::Result<()> {
-        let wake = self.exchange.borrow().commands_waker();
+    /// Sends commands and handles notifications until the connection ends.
+    async fn run(&mut self, connection: &mut Connection) -> io::Result<()> {
+        let waker = self.exchange.borrow().commands_waker();
         loop {
-            self.send_commands(link);
-            if !link.going.is_empty() {
-                self.secure(Some(link));
+            self.send_commands(connection);
+            if !connection.write_buffer.is_empty() {
+                self.journal_state(Some(connection));
             }
-            let blocked = link.going.drain(&link.socket)? == IoProgress::Blocked;
+            let is_blocked =
+                connection.write_buffer.drain(&connection.socket)? == IoProgress::Blocked;
             fault::injection_point("link.written");
-            let interest = if blocked {
+            let interest = if is_blocked {
                 Interest::READABLE | Interest::WRITABLE
             } else {
                 Interest::READABLE
             };
-            let next = link.asked.map_or(link.ask_at, |asked| asked + SILENT_MOST);
+            let deadline = connection
+                .requested_at
+                .map_or(connection.poll_at, |requested_at| {
+                    requested_at + RESPONSE_TIMEOUT
+                });
             select! {
                 biased;
-                ready = link.socket.ready(interest) => { ready?; }
-                () = wake.notified() => {}
-                () = sleep_until(next), if link.hello || link.asked.is_some() => {}
+                ready = connection.socket.ready(interest) => { ready?; }
+                () = waker.notified() => {}
+                () = sleep_until(deadline), if connection.is_greeted || connection.requested_at.is_some() => {}
             }
-            let noted = self.exchange.borrow().is_journaling();
-            let fill = if noted { Ring::peek } else { Ring::fill };
-            let came = fill(&mut link.coming, &link.socket)?;
-            if came == IoProgress::Closed {
+            let is_journaling = self.exchange.borrow().is_journaling();
+            let fill = if is_journaling {
+                Ring::peek
+            } else {
+                Ring::fill
+            };
+            let progress = fill(&mut connection.read_buffer, &connection.socket)?;
+            if progress == IoProgress::Closed {
                 return Ok(());
             }
-            self.take_in(link)?;
-            if noted && came == IoProgress::Advanced {
-                self.secure(Some(link));
+            self.parse(connection)?;
+            if is_journaling && progress == IoProgress::Advanced {
+                self.journal_state(Some(connection));
                 fault::injection_point("link.noted");
-                link.coming.discard_peeked(&link.socket)?;
+                connection.read_buffer.discard_peeked(&connection.socket)?;
             }
-            self.ask(link)?;
+            self.poll_gauges(connection)?;
         }
     }
 
-    /// Asks for the gauges, steadily, one question at a time.
-    fn ask(&mut self, link: &mut Link) -> io::Result<()> {
+    /// Requests the gauges periodically, one request at a time.
+    fn poll_gauges(&mut self, connection: &mut Connection) -> io::Result<()> {
         let now = Instant::now();
-        match link.asked {
-            Some(asked) if now >= asked + SILENT_MOST => {
-                return Err(io::Error::new(io::ErrorKind::TimedOut, "it is silent"));
+        match connection.requested_at {
+            Some(requested_at) if now >= requested_at + RESPONSE_TIMEOUT => {
+                return Err(io::Error::new(
+                    io::ErrorKind::TimedOut,
+                    "no response in time",
+                ));
             }
-            None if link.hello && now >= link.ask_at => {
-                self.tag += 1;
-                engine::write_stat(&mut link.going, self.tag);
-                (link.asked, link.ask_at) = (Some(now), now + ASK_EVERY);
+            None if connection.is_greeted && now >= connection.poll_at => {
+                self.last_request_tag += 1;
+                engine::write_stat(&mut connection.write_buffer, self.last_request_tag);
+                (connection.requested_at, connection.poll_at) = (Some(now), now + POLL_INTERVAL);
             }
             _ => {}
         }
         Ok(())
     }
 
-    fn send_commands(&mut self, link: &mut Link) {
-        while link.caught_up && link.going.len() <= UNSENT_MOST {
-            let Some((command, heard)) = self.exchange.borrow_mut().next_command() else {
+    /// Encodes the exchange's commands, as far as the write buffer takes them.
+    fn send_commands(&mut self, connection: &mut Connection) {
+        while connection.is_caught_up && connection.write_buffer.len() <= MAX_UNSENT_BYTES {
+            let Some((command, received_notifications)) = self.exchange.borrow_mut().next_command()
+            else {
                 break;
             };
             match &command {
@@ -362,64 +392,82 @@
                     id,
                     operation,
                     body,
-                } => engine::write_run(&mut link.going, *id, operation, body),
-                Command::Feed { id, reply } => engine::write_feed(&mut link.going, *id, reply),
-                Command::Skip { id, need } => engine::write_skip(&mut link.going, *id, *need),
+                } => engine::write_run(&mut connection.write_buffer, *id, operation, body),
+                Command::Feed { id, reply } => {
+                    engine::write_feed(&mut connection.write_buffer, *id, reply)
+                }
+                Command::Skip { id, need } => {
+                    engine::write_skip(&mut connection.write_buffer, *id, *need)
+                }
             }
-            self.unsure.push_back((self.tag + 1, command, heard));
+            self.unacknowledged.push_back((
+                self.last_request_tag + 1,
+                command,
+                received_notifications,
+            ));
         }
     }
 
-    fn take_in(&mut self, link: &mut Link) -> io::Result<()> {
-        let mut coming = std::mem::take(&mut link.coming);
-        let result = coming.read(|bytes| match engine::read_notification(bytes) {
+    /// Decodes and handles the notifications that were read.
+    fn parse(&mut self, connection: &mut Connection) -> io::Result<()> {
+        let mut read_buffer = std::mem::take(&mut connection.read_buffer);
+        let result = read_buffer.read(|bytes| match engine::read_notification(bytes) {
             Ok(None) => Ok(0),
-            // What was not agreed is not read as something else.
-            Ok(Some((EngineNotification::Need { named: Some(_), .. }, _))) if !link.names => {
-                Err(unreadable(Fault("a name that was not agreed"), bytes))
+            // A name that was not negotiated must not be taken for something else.
+            Ok(Some((EngineNotification::Need { named: Some(_), .. }, _)))
+                if !connection.names_dependencies =>
+            {
+                Err(invalid_message(
+                    Fault("a dependency name that was not negotiated"),
+                    bytes,
+                ))
             }
-            Ok(Some((notice, count))) => {
-                self.notice(link, &notice);
+            Ok(Some((notification, count))) => {
+                self.handle_notification(connection, &notification);
                 Ok(count)
             }
-            Err(fault) => Err(unreadable(fault, bytes)),
+            Err(fault) => Err(invalid_message(fault, bytes)),
         });
-        link.coming = coming;
+        connection.read_buffer = read_buffer;
         result
     }
 
-    fn notice(&mut self, link: &mut Link, notice: &EngineNotification) {
-        // A remark's number is nobody's business: were it ahead of the next notice's, that one
-        // would be lost.
-        if let Some(number) = notice.number() {
-            if number <= self.last {
+    fn handle_notification(
+        &mut self,
+        connection: &mut Connection,
+        notification: &EngineNotification,
+    ) {
+        // Numbers of notes are ignored: one ahead of the next notification's would make that one count
+        // as repeated.
+        if let Some(number) = notification.number() {
+            if number <= self.last_notification {
                 self.exchange.borrow_mut().counters.repeated += 1;
                 return;
             }
-            self.last = number;
+            self.last_notification = number;
         }
         let mut exchange = self.exchange.borrow_mut();
-        match *notice {
+        match *notification {
             EngineNotification::Hello { warm, up_ms, names } => {
-                link.names = names && self.offer;
+                connection.names_dependencies = names && self.offers_names;
                 info!(
                     "the engine is up, {} for {up_ms} ms",
                     if warm { "warm" } else { "cold" }
                 );
-                (link.hello, link.asked) = (true, None);
-                let up = Duration::from_secs_f64((up_ms / 1e3).clamp(0.0, 1e6));
-                let born = Instant::now().checked_sub(up);
-                let anew = match (self.born, born) {
-                    (Some(before), Some(now)) => now > before + SAME_START,
+                (connection.is_greeted, connection.requested_at) = (true, None);
+                let uptime = Duration::from_secs_f64((up_ms / 1e3).clamp(0.0, 1e6));
+                let started_at = Instant::now().checked_sub(uptime);
+                let is_restarted = match (self.started_at, started_at) {
+                    (Some(before), Some(now)) => now > before + START_TOLERANCE,
                     _ => false,
                 };
-                if anew {
-                    warn!("this is another engine than before; what ran there is gone");
-                    (self.last, self.born) = (0, born);
-                    self.unsure.clear();
+                if is_restarted {
+                    warn!("the engine was restarted; its runs are lost");
+                    (self.last_notification, self.started_at) = (0, started_at);
+                    self.unacknowledged.clear();
                 }
-                self.born = self.born.or(born);
-                exchange.engine_up(warm, up.as_secs_f64(), anew);
+                self.started_at = self.started_at.or(started_at);
+                exchange.engine_up(warm, uptime.as_secs_f64(), is_restarted);
             }
             EngineNotification::Done {
                 id,
@@ -445,34 +493,41 @@
                 info!("the engine notes: {}", text.escape_ascii())
             }
             EngineNotification::Stats { tag, ref gauges } => {
-                let age = link
-                    .asked
+                let age = connection
+                    .requested_at
                     .take()
-                    .map_or(Duration::MAX, |asked| asked.elapsed());
+                    .map_or(Duration::MAX, |requested_at| requested_at.elapsed());
                 exchange.gauges_received(gauges, age);
                 drop(exchange);
-                self.answered(link, tag);
+                self.gauges_answered(connection, tag);
             }
         }
     }
 
-    /// The question of that tag was answered: all that was sent before it has been read. The first
-    /// answer on a link also ends the replay; what was sent on the last one and is still unsure may
-    /// have been lost.
-    fn answered(&mut self, link: &mut Link, tag: u64) {
-        if link.caught_up {
-            while self.unsure.front().is_some_and(|(proof, ..)| *proof <= tag) {
-                if let Some((_, command, heard)) = self.unsure.pop_front() {
+    /// The request with this tag was answered: everything sent before it has been read. The first
+    /// response on a connection also ends the replay: commands sent on the previous connection that are
+    /// still unacknowledged may be lost.
+    fn gauges_answered(&mut self, connection: &mut Connection, tag: u64) {
+        if connection.is_caught_up {
+            while self
+                .unacknowledged
+                .front()
+                .is_some_and(|(proof, ..)| *proof <= tag)
+            {
+                if let Some((_, command, received_notifications)) = self.unacknowledged.pop_front()
+                {
                     self.exchange
                         .borrow_mut()
-                        .command_acknowledged(&command, heard);
+                        .command_acknowledged(&command, received_notifications);
                 }
             }
             return;
         }
-        link.caught_up = true;
-        for (_, command, heard) in std::mem::take(&mut self.unsure) {
-            self.exchange.borrow_mut().command_lost(command, heard);
+        connection.is_caught_up = true;
+        for (_, command, received_notifications) in std::mem::take(&mut self.unacknowledged) {
+            self.exchange
+                .borrow_mut()
+                .command_lost(command, received_notifications);
         }
     }
 }
--- a/crates/merlinshelf-backend/src/client/mod.rs
+++ b/crates/merlinshelf-backend/src/client/mod.rs
@@ -1,5 +1,5 @@
-//! The side of what a backend itself talks to: its engine, the catalogue below, the membership
-//! service.
+//! Outgoing connections of a backend: to its engine, to the catalogue and other downstream
+//! dependencies, and to the registration service.
 
 pub mod catalogue;
 pub mod engine;
@@ -17,25 +17,26 @@
 
 use crate::config::Peers;
 
-/// Where the far ends are, and word of it when that changes.
+/// The addresses of these servers, and notifications of their changes.
 pub type PeersReceiver = watch::Receiver<Peers>;
 
-/// Of all descriptors an eighth may be connections to the catalogue; calls beyond wait for one.
+/// The maximum number of downstream calls in flight: an eighth of all descriptors. Further calls wait.
 pub fn max_calls(sockets: usize) -> usize {
     (sockets / 8).max(1)
 }
 
-/// On one machine or network a connection stands at once or hardly at all.
-const CONNECT_MOST: Duration = Duration::from_secs(1);
+/// Within one machine or network a connection is established at once or hardly ever.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 async fn connect(address: SocketAddr) -> io::Result<TcpStream> {
-    let socket = timeout(CONNECT_MOST, TcpStream::connect(address)).await??;
+    let socket = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await??;
     socket.set_nodelay(true)?;
     Ok(socket)
 }
 
-/// What a far end wrote is no message: the log says how it began, and the connection ends.
-fn unreadable(fault: Fault, bytes: &[u8]) -> io::Error {
+/// Logs the start of a message that a peer sent and that can't be parsed. The error closes the
+/// connection.
+fn invalid_message(fault: Fault, bytes: &[u8]) -> io::Error {
     warn!("{fault}: {}", bytes[..bytes.len().min(100)].escape_ascii());
     io::Error::new(io::ErrorKind::InvalidData, fault.0)
 }
--- a/crates/merlinshelf-backend/src/client/registration.rs
+++ b/crates/merlinshelf-backend/src/client/registration.rs
@@ -1,5 +1,5 @@
-//! Reports to the membership service that keep this backend listed. Whatever becomes of them harms
-//! nothing.
+//! Periodic reports to the registration service, which keep this backend listed. Their failures do not
+//! affect service.
 
 use std::io;
 use std::net::SocketAddr;
@@ -11,32 +11,33 @@
 use tokio::select;
 use tokio::time::{MissedTickBehavior, interval, timeout};
 
-use super::{PeersReceiver, connect, unreadable};
+use super::{PeersReceiver, connect, invalid_message};
 use crate::exchange::Shared;
 use crate::ring::{IoProgress, Ring};
 
-/// The service drops a name after 3 s without a report: three may be late or lost.
-const EVERY: Duration = Duration::from_millis(700);
-const WAIT_MOST: Duration = Duration::from_millis(600);
+/// The service removes a name after 3 s without a report, so three may be delayed or lost.
+const REPORT_INTERVAL: Duration = Duration::from_millis(700);
+/// How long one report may take, so that the next one is sent on time.
+const REPORT_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Reports for as long as the program runs.
+/// Sends reports until the process ends, and one at once when the shutdown begins.
 pub async fn report(mut peers: PeersReceiver, name: String, exchange: Shared) {
     let mut address = peers.borrow_and_update().registration;
-    let left = exchange.borrow().shutdown_notice();
-    let mut ticks = interval(EVERY);
+    let shutdown_notice = exchange.borrow().shutdown_notice();
+    let mut ticks = interval(REPORT_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let mut kept: Option<TcpStream> = None;
-    let mut failing = false;
+    let mut cached: Option<TcpStream> = None;
+    let mut has_failed = false;
     loop {
         select! {
             _ = ticks.tick() => {}
-            () = left.notified() => {}
+            () = shutdown_notice.notified() => {}
             Ok(()) = peers.changed() => {
-                let now = peers.borrow_and_update().registration;
-                if now == address {
+                let new_address = peers.borrow_and_update().registration;
+                if new_address == address {
                     continue;
                 }
-                (address, kept) = (now, None);
+                (address, cached) = (new_address, None);
             }
         }
         let phase = if exchange.borrow().is_shutting_down() {
@@ -44,68 +45,73 @@
         } else {
             registration::Phase::Up
         };
-        let mut going = Ring::default();
-        registration::write_report(&mut going, &address.to_string(), &name, phase);
-        let outcome = match timeout(WAIT_MOST, once(address, kept.take(), going)).await {
+        let mut write_buffer = Ring::default();
+        registration::write_report(&mut write_buffer, &address.to_string(), &name, phase);
+        let outcome = match timeout(
+            REPORT_TIMEOUT,
+            send_report(address, cached.take(), write_buffer),
+        )
+        .await
+        {
             Ok(outcome) => outcome,
-            Err(late) => Err(late.into()),
+            Err(elapsed) => Err(elapsed.into()),
         };
         let counters = &mut exchange.borrow_mut().counters;
         match outcome {
             Ok(socket) => {
                 counters.reports += 1;
-                failing = false;
-                kept = socket;
+                has_failed = false;
+                cached = socket;
             }
             Err(error) => {
                 counters.failed_reports += 1;
-                if failing {
-                    debug!("the membership service: {error}");
+                if has_failed {
+                    debug!("registration report failed: {error}");
                 } else {
-                    warn!("the membership service can't be told: {error}");
+                    warn!("registration report failed: {error}");
                 }
-                failing = true;
+                has_failed = true;
             }
         }
     }
 }
 
-/// One report; the connection comes back where it may carry the next.
-async fn once(
+/// Sends one report. Returns the connection if it can carry the next one.
+async fn send_report(
     address: SocketAddr,
-    kept: Option<TcpStream>,
-    mut going: Ring,
+    cached: Option<TcpStream>,
+    mut write_buffer: Ring,
 ) -> io::Result<Option<TcpStream>> {
-    let mut coming = Ring::default();
-    // One that the far end has closed since is seen here and replaced.
-    let alive = kept.filter(|socket| matches!(coming.fill(socket), Ok(IoProgress::Blocked)));
-    let socket = match alive {
+    let mut read_buffer = Ring::default();
+    // A connection that the service has closed meanwhile is replaced.
+    let open = cached.filter(|socket| matches!(read_buffer.fill(socket), Ok(IoProgress::Blocked)));
+    let socket = match open {
         Some(socket) => socket,
         None => connect(address).await?,
     };
-    while going.drain(&socket)? == IoProgress::Blocked {
+    while write_buffer.drain(&socket)? == IoProgress::Blocked {
         socket.writable().await?;
     }
     loop {
         socket.readable().await?;
-        if coming.fill(&socket)? == IoProgress::Closed {
+        if read_buffer.fill(&socket)? == IoProgress::Closed {
             return Err(io::ErrorKind::UnexpectedEof.into());
         }
-        let mut answer = None;
-        coming.read(|bytes| match registration::read_response(bytes) {
+        let mut response = None;
+        read_buffer.read(|bytes| match registration::read_response(bytes) {
             Ok(None) => Ok(0),
-            Ok(Some((one, count))) => {
-                answer = Some(one);
+            Ok(Some((parsed, count))) => {
+                response = Some(parsed);
                 Ok(count)
             }
-            Err(fault) => Err(unreadable(fault, bytes)),
+            Err(fault) => Err(invalid_message(fault, bytes)),
         })?;
-        match answer {
+        match response {
             None => {}
-            Some(answer) if answer.status == 204 => {
-                return Ok(answer.is_reusable.then_some(socket));
+            Some(response) if response.status == 204 => {
+                return Ok(response.is_reusable.then_some(socket));
             }
-            Some(answer) => return Err(io::Error::other(format!("status {}", answer.status))),
+            Some(response) => return Err(io::Error::other(format!("status {}", response.status))),
         }
     }
 }
