--- a/crates/merlinshelf-backend/src/counters.rs
+++ b/crates/merlinshelf-backend/src/counters.rs
@@ -1,10 +1,10 @@
-//! The counters of the process since its start, and what it uses of the machine.
+//! Counters of events in the process, and its resource usage.
 
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Defines a struct with one counter a field, which are printed and stored by name. Names are part
-/// of the status report and of the image that passes between versions, and stay.
+/// Defines a struct of counters that are printed and stored under the names of their fields. These are
+/// part of the status report and of the handover image, so they must not change.
 macro_rules! counters {
     ($($(#[$comment:meta])* $name:ident),* $(,)?) => {
         /// How often each event has happened since the process, or its first predecessor, was
@@ -33,7 +33,7 @@
     };
 }
 
-/// What the process uses now.
+/// The resources that the process uses.
 #[derive(Clone, Copy, Debug)]
 pub struct ResourceUsage {
     /// Resident memory, in KB; 0 where the system does not report it.
@@ -43,9 +43,9 @@
 }
 
 impl ResourceUsage {
-    /// Asks the system.
+    /// The current usage, from `/proc`.
     pub fn now() -> ResourceUsage {
-        // The directory that is being read is open itself.
+        // Reading the directory opens one descriptor more.
         let descriptors = std::fs::read_dir("/proc/self/fd")
             .map_or(0, |entries| entries.count().saturating_sub(1));
         ResourceUsage {
@@ -55,14 +55,14 @@
     }
 }
 
-/// The highest memory so far and the open descriptors, for the log.
+/// The peak of memory and the number of open descriptors, for the log.
 pub fn usage_text() -> String {
     let peak = memory_kb("VmHWM:").map_or("?".to_owned(), |kb| format!("{kb}kB"));
     let descriptors = ResourceUsage::now().descriptors;
     format!("memory_peak={peak} descriptors={descriptors}")
 }
 
-/// A line of `/proc/self/status`, in KB.
+/// The value of a line of `/proc/self/status`, in KB.
 fn memory_kb(name: &str) -> Option<u64> {
     let status = std::fs::read_to_string("/proc/self/status").ok()?;
     let line = status.lines().find_map(|line| line.strip_prefix(name))?;
@@ -78,7 +78,7 @@
     invocations,
     /// Health checks answered.
     checks,
-    /// Requests rejected as malformed, unknown or incomplete, and connections closed for it.
+    /// Requests rejected as malformed, unknown or incomplete, and connections closed for that reason.
     bad,
     /// Invocations aborted by their client.
     aborted,
@@ -88,7 +88,7 @@
     succeeded,
     /// Final responses with parts missing.
     partial,
-    /// Final responses under load shedding.
+    /// Final responses of throttled invocations.
     throttled,
     /// Final responses of failed invocations.
     errored,
@@ -118,7 +118,7 @@
     calls_succeeded,
     /// Downstream calls replaced by a fallback or answered with a degraded result.
     calls_lesser,
-    /// Downstream calls that had no effect for certain.
+    /// Downstream calls that certainly had no effect.
     calls_never_ran,
     /// Downstream calls that failed.
     calls_failed,
@@ -126,7 +126,7 @@
     calls_timed_out,
     /// Downstream calls cancelled.
     cancels,
-    /// Responses of calls that nothing waited for any more.
+    /// Responses to calls that had already ended.
     late_replies,
     /// Recoveries from a failed successor.
     taken_back,
@@ -140,8 +140,8 @@
     reports,
     /// Reports that failed.
     failed_reports,
-    /// The most invocations in flight at one time.
+    /// The maximum number of invocations in flight at the same time.
     most_in_hand,
-    /// The most client connections at one time.
+    /// The maximum number of client connections at the same time.
     most_doors,
 }
--- a/crates/merlinshelf-backend/src/fault.rs
+++ b/crates/merlinshelf-backend/src/fault.rs
@@ -1,8 +1,8 @@
-//! Injected faults, in debug builds alone: tests let a process die, exit or hang at a named point.
+//! Fault injection, in debug builds only: tests make a process abort, exit or hang at a named point.
 
-/// Fails here if `MERLINSHELF_FAULT` is `POINT:PASS:FAULT` and this is that pass of that point. The
-/// fault is `abort`, `exit`, `hang`, or `pause` for half a second. In successors alone: the
-/// variable is inherited from their predecessor.
+/// Injects a fault if `MERLINSHELF_FAULT` is `POINT:PASS:FAULT` and this is that pass of that point. The
+/// fault is `abort`, `exit`, `hang`, or `pause` for half a second. Only successors are affected: they
+/// inherit the variable from their predecessor, which must keep running.
 #[cfg(debug_assertions)]
 pub(crate) fn injection_point(name: &str) {
     use std::sync::OnceLock;
@@ -15,7 +15,7 @@
     }
 }
 
-/// The same in any process.
+/// Does the same in any process.
 #[cfg(debug_assertions)]
 pub fn injection_point_in_any_process(name: &str) {
     use std::sync::OnceLock;
@@ -31,11 +31,11 @@
     }
 }
 
-/// Nothing in a release build.
+/// Does nothing in a release build.
 #[cfg(not(debug_assertions))]
 pub(crate) fn injection_point(_: &str) {}
 
-/// Nothing in a release build.
+/// Does nothing in a release build.
 #[cfg(not(debug_assertions))]
 pub fn injection_point_in_any_process(_: &str) {}
 
@@ -63,7 +63,7 @@
         use std::thread::sleep;
         use std::time::Duration;
 
-        eprintln!("fault {}", self.point); // what a test waits for
+        eprintln!("fault {}", self.point); // tests wait for this line
         match self.fault.as_str() {
             "abort" => std::process::abort(),
             "exit" => std::process::exit(3),
--- a/crates/merlinshelf-backend/src/ring.rs
+++ b/crates/merlinshelf-backend/src/ring.rs
@@ -11,15 +11,15 @@
 
 /// The capacity of an empty ring; most messages are shorter.
 const MIN_CAPACITY_BYTES: usize = 1024;
-/// Read at one time: several messages, without delaying other connections.
+/// The maximum size of one read: several messages, without delaying other connections.
 const READ_CHUNK_BYTES: usize = 16 * 1024;
 
-/// The bytes of one direction that were read and not processed, or that are not written yet.
+/// The bytes of one direction that were read and not processed yet, or that are still to be written.
 #[derive(Debug, Default)]
 pub struct Ring {
     bytes: VecDeque<u8>,
     transferred_bytes: u64,
-    /// Bytes that were peeked at and still lie in the kernel.
+    /// Bytes that were peeked at and are still in the kernel's buffer.
     peeked_bytes: usize,
 }
 
@@ -28,7 +28,7 @@
 pub enum IoProgress {
     /// Bytes were transferred.
     Advanced,
-    /// The socket has nothing to read, or takes nothing, just now.
+    /// The socket has nothing to read, or accepts no bytes, at this moment.
     Blocked,
     /// The peer has closed its direction.
     Closed,
@@ -45,12 +45,12 @@
         }
     }
 
-    /// The bytes in it.
+    /// The number of bytes.
     pub fn len(&self) -> usize {
         self.bytes.len()
     }
 
-    /// Whether there are none.
+    /// Whether it contains no bytes.
     pub fn is_empty(&self) -> bool {
         self.bytes.is_empty()
     }
@@ -60,16 +60,16 @@
         self.transferred_bytes
     }
 
-    /// A copy of its contents.
+    /// A copy of the contents.
     pub fn to_vec(&self) -> Vec<u8> {
         self.bytes.iter().copied().collect()
     }
 
-    /// Passes its contents to `parse`, from the front on, until that consumes nothing more. `parse`
-    /// returns how many bytes it has consumed.
+    /// Passes the contents to `parse` repeatedly, until it consumes nothing more. `parse` returns how many
+    /// bytes it has consumed.
     ///
     /// # Errors
-    /// That of `parse`; what it consumed before is gone.
+    /// The error of `parse`. Bytes that it consumed before are removed.
     pub fn read<E>(&mut self, mut parse: impl FnMut(&[u8]) -> Result<usize, E>) -> Result<(), E> {
         let bytes = self.bytes.make_contiguous();
         let mut consumed = 0;
@@ -84,7 +84,7 @@
         result
     }
 
-    /// Removes so many bytes from the front.
+    /// Removes `count` bytes from the front.
     pub fn consume(&mut self, count: usize) {
         self.bytes.drain(..count.min(self.bytes.len()));
         if self.bytes.is_empty() && self.bytes.capacity() > MIN_CAPACITY_BYTES {
@@ -97,9 +97,9 @@
         self.consume(usize::MAX);
     }
 
-    /// Copies what the socket has, up to one chunk, as far as the runtime knows it to be readable,
-    /// and leaves it in the kernel until `discard_peeked`: a process that recovers this connection
-    /// after a crash finds it there.
+    /// Copies up to one chunk, if the runtime knows the socket to be readable, and leaves the bytes in the
+    /// kernel until `discard_peeked`, so that a process that recovers this connection after a crash finds
+    /// them there.
     ///
     /// # Errors
     /// The connection is broken.
@@ -107,8 +107,7 @@
         self.peek_with(|chunk| socket.try_io(Interest::READABLE, || peek_chunk(socket, chunk)))
     }
 
-    /// As `peek`, of what the kernel has at this moment: the runtime may not know of the last bytes
-    /// yet.
+    /// As `peek`, but asks the kernel, since the runtime may not know of the last bytes yet.
     ///
     /// # Errors
     /// The connection is broken.
@@ -126,7 +125,7 @@
         Ok(progress)
     }
 
-    /// Removes from the kernel what was peeked at.
+    /// Removes the bytes that were peeked at from the kernel's buffer.
     ///
     /// # Errors
     /// The connection is broken.
@@ -134,7 +133,7 @@
         discard(socket, std::mem::take(&mut self.peeked_bytes))
     }
 
-    /// Reads what the socket has, up to one chunk, as far as the runtime knows it to be readable.
+    /// Reads up to one chunk, if the runtime knows the socket to be readable.
     ///
     /// # Errors
     /// The connection is broken.
@@ -142,8 +141,7 @@
         self.fill_with(|chunk| socket.try_read(chunk))
     }
 
-    /// Reads what the kernel has at this moment, up to one chunk: the runtime may not know of the
-    /// last bytes yet.
+    /// As `fill`, but asks the kernel, since the runtime may not know of the last bytes yet.
     ///
     /// # Errors
     /// The connection is broken.
@@ -172,7 +170,7 @@
         }
     }
 
-    /// Writes as much as the socket takes, as far as the runtime knows it to be writable.
+    /// Writes as much as the socket accepts, if the runtime knows it to be writable.
     ///
     /// # Errors
     /// The connection is broken.
@@ -180,7 +178,7 @@
         self.drain_with(|bytes| socket.try_write(bytes))
     }
 
-    /// Writes as much as the kernel takes at this moment.
+    /// As `drain`, but asks the kernel.
     ///
     /// # Errors
     /// The connection is broken.
@@ -215,10 +213,10 @@
     Ok(recv(socket, chunk, RecvFlags::DONTWAIT | RecvFlags::PEEK)?.0)
 }
 
-/// Removes so many bytes from the kernel that are known already.
+/// Removes `count` bytes, which were read before, from the kernel's buffer.
 ///
 /// # Errors
-/// The connection has fewer, or is broken.
+/// The kernel has fewer bytes, or the connection is broken.
 pub fn discard(socket: &impl AsFd, mut count: usize) -> io::Result<()> {
     let mut chunk = [0; READ_CHUNK_BYTES];
     while count > 0 {
--- a/crates/merlinshelf-backend/src/routing.rs
+++ b/crates/merlinshelf-backend/src/routing.rs
@@ -1,6 +1,6 @@
-//! The host of the router of `merlinshelf-dependencies`: its clock, its randomness, and which call
-//! has which number there. It outlives the task that makes the calls, so that what is known of
-//! servers does.
+//! Runs the router of `merlinshelf-dependencies`: provides its clock and its randomness, and maps its
+//! call numbers to calls. It outlives the task that makes the calls, so that what the router has learned
+//! about servers is kept.
 
 use std::cell::RefCell;
 use std::collections::{HashMap, VecDeque};
@@ -20,7 +20,7 @@
 
 use crate::exchange::{self, CallContext, CallDemand, CallNumber, CallOutcome};
 
-/// One call: its invocation, and its number among that one's calls.
+/// A call: its invocation, and its number among the invocation's calls.
 pub type CallKey = (CallId, CallNumber);
 
 /// A call that the router makes.
@@ -37,10 +37,10 @@
     router: Router,
     started_at: Instant,
     random: Pcg64Mcg,
-    /// By the router's number.
+    /// Calls in progress by the router's number.
     calls: HashMap<u64, RoutedCall>,
     call_ids: HashMap<CallKey, u64>,
-    /// Attempts to be made and cancelled.
+    /// Attempts that are to be made or cancelled.
     actions: VecDeque<Action>,
     waker: Rc<Notify>,
 }
@@ -50,7 +50,7 @@
 
 /// The operators' dependencies, which the policy in force overlays.
 pub struct DependencyOverlay {
-    /// As the operators' file has them.
+    /// The dependencies of the operators' file.
     pub configured: Rc<RefCell<Option<Dependencies>>>,
     /// Where calls are routed.
     pub routing: Option<SharedRouting>,
@@ -73,7 +73,7 @@
 }
 
 impl Routing {
-    /// Routing by these settings for the instance of this name.
+    /// Routing with these settings, for the instance of this name.
     pub fn new(dependencies: Dependencies, instance: &str, seed: u64) -> Routing {
         Routing {
             router: Router::new(0.0, dependencies, instance),
@@ -91,12 +91,12 @@
         self.started_at.elapsed().as_secs_f64()
     }
 
-    /// Applies other settings from here on.
+    /// Applies new settings.
     pub fn update_config(&mut self, dependencies: Dependencies) {
         self.router.update_config(self.now(), dependencies);
     }
 
-    /// The dependencies of an operation's calls, by index: callers are notified of missing ones.
+    /// The dependencies of an operation's calls, by index. Clients are notified of missing ones.
     pub fn dependencies_of_operation(&self, operation: &str) -> Vec<Rc<str>> {
         self.router
             .dependencies_of_operation(operation)
@@ -118,7 +118,8 @@
     /// When [`handle_timeout`](Routing::handle_timeout) must be called.
     pub fn next_timeout(&self) -> Option<Instant> {
         let timeout = Duration::from_secs_f64(self.router.next_timeout()?.max(0.0));
-        // Late rather than early: an early call would find nothing due and sleep for no time.
+        // Rounded up: if called too early, the router would find nothing due, and the task would not
+        // sleep.
         Some(self.started_at + timeout + Duration::from_micros(1))
     }
 
@@ -127,7 +128,7 @@
         self.actions.pop_front()
     }
 
-    /// Puts back an attempt that there was no capacity for; it is the next action.
+    /// Puts back an attempt that there was no capacity for, as the next action.
     pub fn requeue_action(&mut self, action: Action) {
         self.actions.push_front(action);
     }
@@ -141,7 +142,7 @@
         )
     }
 
-    /// Starts a call that takes `max_wait_seconds` at the most.
+    /// Starts a call that may take at most `max_wait_seconds`.
     pub fn start_call(
         &mut self,
         exchange: &exchange::Shared,
@@ -196,7 +197,7 @@
         self.process_actions(exchange, None);
     }
 
-    /// First calls to a dependency that fails are probes.
+    /// The kind of a first call: to a failing dependency it is a probe.
     fn first_call_kind(&mut self, dependency: &str) -> CallKind {
         let usage = self.router.update_quota(dependency, Remaining::ALL);
         let is_failing = usage.is_some_and(|usage| {
@@ -210,7 +211,7 @@
         }
     }
 
-    /// An attempt ended.
+    /// Reports the end of an attempt to the router.
     pub fn attempt_ended(
         &mut self,
         exchange: &exchange::Shared,
@@ -245,7 +246,7 @@
         self.process_actions(exchange, Some(result));
     }
 
-    /// Cancels a call that nobody waits for any more, if the router makes it.
+    /// Cancels a call whose outcome is no longer needed, if the router makes it.
     pub fn cancel_call(&mut self, exchange: &exchange::Shared, key: CallKey) {
         let Some(cancelled) = self.call_ids.remove(&key) else {
             return;
@@ -256,7 +257,7 @@
         let random = &mut self.random;
         self.router
             .cancel_call(now, cancelled, &mut || random.random());
-        // Attempts of it that have not been made yet need not be.
+        // Its attempts that have not been made yet are dropped.
         self.actions.retain(|action| match action {
             Action::Attempt { call_id, .. } => *call_id != cancelled,
             Action::Cancel { .. } | Action::Complete { .. } => true,
@@ -264,7 +265,7 @@
         self.process_actions(exchange, None);
     }
 
-    /// The time of [`next_timeout`](Routing::next_timeout) has come.
+    /// Advances the router; must be called at [`next_timeout`](Routing::next_timeout).
     pub fn handle_timeout(&mut self, exchange: &exchange::Shared) {
         self.renew_quotas(exchange, None, CallDemand::default());
         let now = self.now();
@@ -273,7 +274,7 @@
         self.process_actions(exchange, None);
     }
 
-    /// Drops all calls: a successor carries them on.
+    /// Drops all calls, since a successor continues them.
     pub fn discard_calls(&mut self) {
         self.router.discard_calls();
         self.calls.clear();
@@ -295,7 +296,7 @@
         self.calls.get(&call_id).cloned()
     }
 
-    /// Sets what the fleet's budgets leave, in the router; one dependency may have a demand now.
+    /// Updates the router's quotas to what the fleet's budgets leave. `demand` is that of `dependency`.
     fn renew_quotas(
         &mut self,
         exchange: &exchange::Shared,
@@ -319,8 +320,8 @@
         }
     }
 
-    /// Reports calls that ended, and queues attempts. Ends are reported at once, so that what a
-    /// reply changes and the end of its connection can be journaled together.
+    /// Reports calls that ended, and queues attempts. Ends are reported at once, so that the changes of a
+    /// reply and the end of its connection can be journaled together.
     fn process_actions(&mut self, exchange: &exchange::Shared, result: Option<&CallOutcome>) {
         while let Some(action) = self.router.poll_action() {
             let Action::Complete { call_id, end } = action else {
@@ -339,7 +340,7 @@
     }
 }
 
-/// The outcome of a call by its end, and by the result of the attempt that ended it.
+/// The outcome of a call, from its end and the result of the attempt that ended it.
 fn call_outcome(end: CallEnd, result: Option<&CallOutcome>) -> CallOutcome {
     match (end, result) {
         (CallEnd::Reply { missing: None }, Some(result)) => result.clone(),
--- a/crates/merlinshelf-backend/src/startup_wait.rs
+++ b/crates/merlinshelf-backend/src/startup_wait.rs
@@ -1,6 +1,6 @@
-//! A fresh start that waits for a policy lease. Its address is bound meanwhile, and nobody can
-//! connect: a client's connection would wait in the kernel, unread and longer than a client waits,
-//! while one that is refused goes to another instance at once.
+//! An instance that waits for a policy lease before it serves. Its address is bound meanwhile, but does
+//! not accept connections: they would wait in the kernel, unread, for longer than clients wait, whereas
+//! a client that is refused tries another instance at once.
 
 use std::cell::RefCell;
 use std::io;
@@ -17,17 +17,17 @@
 pub struct StartupWait {
     /// The exchange, to which the agent grants the lease.
     pub exchange: Shared,
-    bound: BoundSocket,
+    bound_socket: BoundSocket,
     /// When the wait ends without a lease.
     pub deadline: Instant,
 }
 
 impl StartupWait {
-    /// Waits until the exchange has a policy, at the latest until the deadline.
-    pub fn new(exchange: Exchange, bound: BoundSocket, deadline: Instant) -> StartupWait {
+    /// A wait until the exchange has a policy, at the latest until the deadline.
+    pub fn new(exchange: Exchange, bound_socket: BoundSocket, deadline: Instant) -> StartupWait {
         StartupWait {
             exchange: Rc::new(RefCell::new(exchange)),
-            bound,
+            bound_socket,
             deadline,
         }
     }
@@ -37,15 +37,18 @@
         Instant::now() >= self.deadline || self.exchange.borrow().is_policy_ready()
     }
 
-    /// Listens for clients; without a lease by the base policy.
+    /// Starts to listen for clients. Without a lease, the base policy applies.
     ///
     /// # Errors
-    /// The address was taken meanwhile.
+    /// Another process listens at the address by now.
     pub fn listen(self, name: &str) -> io::Result<RestoredInstance> {
         if !self.exchange.borrow().is_policy_ready() {
             warn!("no policy lease granted in time: {name} serves the base policy");
             self.exchange.borrow_mut().stop_waiting_for_policy();
         }
-        Ok(RestoredInstance::fresh(self.exchange, self.bound.listen()?))
+        Ok(RestoredInstance::fresh(
+            self.exchange,
+            self.bound_socket.listen()?,
+        ))
     }
 }
