--- a/crates/merlinshelf-backend/src/control/connection.rs
+++ b/crates/merlinshelf-backend/src/control/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of a client: one request and its responses.
+//! A client's connection: one request and its responses.
 
 use std::io;
 use std::time::Duration;
@@ -20,13 +20,13 @@
 const UPGRADE_TIMEOUT: Duration = Duration::from_secs(2 * 3600);
 /// The longest request is a heartbeat with a policy.
 const MAX_REQUEST_BYTES: usize = 48 * 1024;
-/// Read at one time.
+/// The maximum size of one read.
 const READ_CHUNK_BYTES: usize = 1024;
 
 const POLICY_OFF: &str = "policies are off: the operators' file has no `policy`";
 const GOSSIP_OFF: &str = "learning is off: the operators' file has no `learning`";
 
-/// The connection.
+/// The connection of one client.
 pub(super) struct Connection {
     stream: UnixStream,
     requests: UnboundedSender<PendingRequest>,
@@ -47,7 +47,7 @@
     /// Answers one request.
     ///
     /// # Errors
-    /// The client is gone or hangs, or the process ends.
+    /// The client has disconnected or hangs, or the process ends.
     pub(super) async fn serve(&self) -> io::Result<()> {
         let request = match timeout(MESSAGE_TIMEOUT, self.read_request()).await? {
             Ok(request) => request,
@@ -67,7 +67,7 @@
             ControlRequest::Knowledge => self.knowledge().await,
             ControlRequest::Fleet => self.fleet(&request.body).await,
             ControlRequest::Policy => self.policy(&request.body).await,
-            // Messages between agents, on their own listener alone.
+            // Agents exchange these messages on their own listener only.
             ControlRequest::Consensus => self.refuse("no agent listens here").await,
             ControlRequest::Forget => self.forget(&request.body).await,
             ControlRequest::Upgrade => self.upgrade().await,
@@ -114,7 +114,7 @@
         timeout(UPGRADE_TIMEOUT, self.forward(responses)).await?
     }
 
-    /// Sends all responses of an agent up to the last.
+    /// Forwards all responses of an agent up to the last one.
     async fn forward(
         &self,
         mut responses: UnboundedReceiver<(ControlMessage, Value)>,
@@ -229,8 +229,8 @@
     }
 }
 
-/// The kind of message of a progress report and the name of its stage, which tools read and which
-/// stays.
+/// The kind of message of a progress report, and the name of its stage. Tools read these names, so they
+/// must not change.
 fn encode_progress(progress: &Progress) -> (ControlMessage, &'static str) {
     match progress {
         Progress::Starting => (ControlMessage::More, "starting"),
@@ -243,8 +243,8 @@
     }
 }
 
-/// The body of a request as JSON, `null` where there is none. A body that can't be decoded counts
-/// as none, as it has in all versions of the protocol.
+/// The body of a request as JSON, `null` if it is empty. A body that can't be decoded counts as empty,
+/// as in all versions of the protocol.
 fn decode_body(body: &[u8]) -> Value {
     if body.is_empty() {
         return Value::Null;
--- a/crates/merlinshelf-backend/src/control/mod.rs
+++ b/crates/merlinshelf-backend/src/control/mod.rs
@@ -1,5 +1,5 @@
-//! The control socket: a Unix socket for operators' tools on this machine. A client that hangs,
-//! sends without end or belongs to another user costs one of a few places, for a moment.
+//! The control socket: a Unix socket for operators' tools on this machine. A client that hangs or sends
+//! without end occupies one of a few slots for a short time; clients of other users are rejected.
 
 mod connection;
 mod request;
@@ -22,14 +22,14 @@
 use connection::Connection;
 pub use request::PendingRequest;
 
-/// Clients that may be connected at one time; one more is rejected at once.
+/// The maximum number of connected clients; further ones are rejected at once.
 const MAX_CLIENTS: usize = 8;
-/// After an accept that failed, mostly for lack of descriptors.
+/// The pause after a failed accept, mostly for lack of descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// Of the socket: for its owner alone.
+/// The mode of the socket: only its owner may use it.
 const SOCKET_MODE: u32 = 0o600;
 
-/// The open socket. Dropping it closes it; requests that were received are still answered.
+/// The open socket. Dropping this closes it; requests that were received are still answered.
 pub struct Control {
     accept_task: JoinHandle<()>,
 }
@@ -40,7 +40,7 @@
     }
 }
 
-/// Opens the socket in place of one that nobody listens on, or of this process's predecessor's.
+/// Opens the socket, replacing a stale one or that of this process's predecessor.
 ///
 /// # Errors
 /// The socket can't be created there; the text names its path.
@@ -60,18 +60,18 @@
     BlockingStream::connect(path).is_ok()
 }
 
-/// Replaces the old socket atomically by a new one, which has its mode from the start.
+/// Replaces an old socket atomically by a new one, which has its mode from the start.
 fn bind(path: &Path) -> io::Result<UnixListener> {
     let mut temporary = path.as_os_str().to_owned();
     temporary.push(format!(".{}", std::process::id()));
     let temporary = PathBuf::from(temporary);
-    // Mostly there is none; one that can't be removed fails the bind below.
+    // Usually there is none. If one can't be removed, the bind below fails.
     let _ = std::fs::remove_file(&temporary);
     let listener = UnixListener::bind(&temporary)?;
     let renamed = std::fs::set_permissions(&temporary, Permissions::from_mode(SOCKET_MODE))
         .and_then(|()| std::fs::rename(&temporary, path));
     if let Err(error) = renamed {
-        // The first error is the one that matters.
+        // Only the first error is of interest.
         let _ = std::fs::remove_file(&temporary);
         return Err(error);
     }
@@ -107,7 +107,7 @@
     }
 }
 
-/// Clients of the user of this process, and of root.
+/// Whether the client belongs to this process's user or to root.
 fn is_permitted(stream: &UnixStream) -> bool {
     let own_user = rustix::process::geteuid().as_raw();
     stream
@@ -115,11 +115,11 @@
         .is_ok_and(|peer| peer.uid() == own_user || peer.uid() == 0)
 }
 
-/// The place of one client; dropping it is the only way in which it is released.
+/// The slot of one client, which only dropping it releases.
 struct ClientSlot(Rc<Cell<usize>>);
 
 impl ClientSlot {
-    /// A place, if one is free.
+    /// Takes a slot, if one is free.
     fn take(clients: &Rc<Cell<usize>>) -> Option<ClientSlot> {
         if clients.get() >= MAX_CLIENTS {
             return None;
--- a/crates/merlinshelf-backend/src/gossip/answering.rs
+++ b/crates/merlinshelf-backend/src/gossip/answering.rs
@@ -1,4 +1,4 @@
-//! Answers to the polls of peers: a connection each, with a time in which all of it must be done.
+//! Answers polls of peers: each has a connection, which must be finished within a timeout.
 
 use std::cell::Cell;
 use std::io;
@@ -19,14 +19,14 @@
 use super::transport::{Plain, Transport};
 use crate::exchange::monotonic;
 
-/// Peers that poll at one time; the connection of one more is closed at once.
+/// The maximum number of peers that poll at the same time; further connections are closed at once.
 const MAX_CONNECTIONS: usize = 16;
-/// Within this time a poll must have come and its answer be read.
+/// Within this time a poll must be received and its answer be read.
 const CONNECTION_TIMEOUT: Duration = Duration::from_millis(500);
-/// After a failed listen or accept.
+/// The pause after a failed listen or accept.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
-/// Answers whoever polls, until it is aborted.
+/// Answers polls until the task is aborted.
 pub(super) async fn run(address: String, state: Shared) {
     let listener = open_listener(&address).await;
     info!("gossip listening at {address}");
@@ -56,7 +56,7 @@
     }
 }
 
-/// Tries until it listens; the first failure is logged.
+/// Opens the listener, retrying until it succeeds; only the first failure is logged.
 async fn open_listener(address: &str) -> TcpListener {
     let mut is_logged = false;
     loop {
@@ -73,7 +73,7 @@
     }
 }
 
-/// An address that a predecessor has only just released can be listened at.
+/// Listens at an address, also if a predecessor has only just released it.
 fn listen(address: &str) -> io::Result<TcpListener> {
     let address: SocketAddr = address.parse().map_err(io::Error::other)?;
     let socket = if address.is_ipv6() {
@@ -99,7 +99,7 @@
     stream.shutdown().await
 }
 
-/// None before the node has started, and where answering has taken its CPU time.
+/// `None` before the node has started, and if the CPU time allowed for answers is used up.
 fn encode_answer(poll: &Message, state: &Shared) -> Option<Vec<u8>> {
     let started_at = Instant::now();
     let mut state = state.borrow_mut();
@@ -111,7 +111,7 @@
     Some(bytes)
 }
 
-/// One of the connections at one time; dropping it is the one way in which it is given back.
+/// A permit for one of the concurrent connections, which only dropping it releases.
 struct ConnectionPermit(Rc<Cell<usize>>);
 
 impl ConnectionPermit {
--- a/crates/merlinshelf-backend/src/gossip/disk.rs
+++ b/crates/merlinshelf-backend/src/gossip/disk.rs
@@ -1,4 +1,4 @@
-//! The real files of a folder.
+//! The gossip store's files in a folder on disk.
 
 use std::fs::{File, OpenOptions};
 use std::io::{self, Read, Write};
@@ -10,17 +10,17 @@
 
 const LOCK_FILE: &str = "lock";
 
-/// The files of a folder, for who holds its lock.
+/// The files of a folder whose lock this process holds.
 pub struct Disk {
     folder: PathBuf,
     _lock: File,
 }
 
 impl Disk {
-    /// Locks the folder, and makes it where there is none.
+    /// Locks the folder, which is created if it does not exist.
     ///
     /// # Errors
-    /// Another process holds it, or the file system's.
+    /// Another process holds the lock, or the file system fails.
     pub fn lock(folder: &Path) -> io::Result<Disk> {
         std::fs::create_dir_all(folder)?;
         let lock = OpenOptions::new()
@@ -73,7 +73,7 @@
 /// Reads the gossip store of a folder, without its lock and without changing anything.
 ///
 /// # Errors
-/// The file system's.
+/// The file system fails.
 pub fn read_store(folder: &Path) -> io::Result<Found> {
     let (_, found) = Store::open(&mut ReadOnlyFolder(folder))?;
     Ok(found)
@@ -114,7 +114,7 @@
         Err(error) => return Err(error),
     };
     let mut bytes = Vec::new();
-    // One byte more than a store may have shows that there is more.
+    // Reads one byte more than a store may have, which shows that the file is too large.
     file.take(MAX_STORE_BYTES as u64 + 1)
         .read_to_end(&mut bytes)?;
     Ok(Some(bytes))
--- a/crates/merlinshelf-backend/src/gossip/messages.rs
+++ b/crates/merlinshelf-backend/src/gossip/messages.rs
@@ -1,4 +1,4 @@
-//! Reading one gossip message from a connection.
+//! Reads one gossip message from a connection.
 
 use std::io;
 
@@ -8,16 +8,16 @@
 
 const READ_BYTES: usize = 4096;
 
-/// What a peer sent wrongly.
+/// Why a peer's message can't be used.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum MessageError {
     #[error("{0}")]
     Malformed(&'static str),
-    #[error("it does not end")]
+    #[error("the message is too long")]
     TooLong,
-    #[error("it asks instead of answering")]
+    #[error("a poll was received instead of an answer")]
     PollInsteadOfAnswer,
-    #[error("it answers without being asked")]
+    #[error("an answer was received instead of a poll")]
     AnswerInsteadOfPoll,
 }
 
@@ -27,10 +27,10 @@
     }
 }
 
-/// Reads one message. The time that it may take is its caller's.
+/// Reads one message, without a timeout of its own.
 ///
 /// # Errors
-/// The connection's, or what is wrong with the message.
+/// The connection fails, or the message is invalid.
 pub(super) async fn read_message(
     stream: &mut (impl AsyncRead + Unpin),
 ) -> io::Result<(MessageKind, Message)> {
--- a/crates/merlinshelf-backend/src/gossip/mod.rs
+++ b/crates/merlinshelf-backend/src/gossip/mod.rs
@@ -1,6 +1,6 @@
-//! Gossip with other instances and with earlier incarnations of this one: the sockets, the folder
-//! and the clock around what `merlinshelf-gossip` decides. Service neither waits for any of it nor
-//! ends by it.
+//! Gossip with other instances and with earlier incarnations of this one. This module provides the
+//! sockets, the folder and the clock for the decisions of `merlinshelf-gossip`. Service neither waits for
+//! any of it nor ends if it fails.
 
 mod answering;
 pub mod disk;
@@ -28,8 +28,7 @@
 use store_thread::StoreThread;
 use task::GossipTask;
 
-/// Microseconds in a second.
-const MICROSECONDS: u64 = 1_000_000;
+const MICROSECONDS_PER_SECOND: u64 = 1_000_000;
 
 /// How the latest save ended.
 struct SaveOutcome {
@@ -38,10 +37,10 @@
     error: Option<String>,
 }
 
-/// What the tasks of one process share.
+/// The state shared by the tasks of one process.
 #[derive(Default)]
 struct State {
-    /// The node, once its incarnation has a number.
+    /// The node, once the number of its incarnation is known.
     node: Option<GossipNode>,
     save_outcome: Option<SaveOutcome>,
     /// Observations were removed: the file must be rewritten.
@@ -51,14 +50,14 @@
 
 type Shared = Rc<RefCell<State>>;
 
-/// Gossip as an operators' file switches it on, from its start to the process's end.
+/// Gossip with the settings of an operators' file, from its start to the end of the process.
 pub struct Gossip {
     name: String,
     operations: Vec<String>,
     keep_alive_seconds: Option<u64>,
     settings: operator::Learning,
     state: Shared,
-    /// Notified when priors must be updated, or the file written, at once.
+    /// Notified when priors must be updated, or the file be written, at once.
     changed: Rc<Notify>,
     tasks: Vec<AbortOnDrop>,
 }
@@ -89,7 +88,7 @@
         }
     }
 
-    /// Starts, or continues with another exchange. `inherited` is what a predecessor exported.
+    /// Starts, or continues with another exchange. `inherited` is a predecessor's export.
     pub fn start(&mut self, exchange: &Exchange, inherited: Vec<u8>) {
         let task = GossipTask::new(
             exchange.clone(),
@@ -127,7 +126,7 @@
             });
             match store_format::record(&record) {
                 Ok(record) => bytes.extend(record),
-                // The successor starts without it, as without one that has aged out.
+                // The successor starts without it, as without an observation that has aged out.
                 Err(error) => warn!("observation not handed over: {error}"),
             }
         }
@@ -141,7 +140,7 @@
         }
     }
 
-    /// The instance leaves, and announces it to its peers.
+    /// Announces to the peers that the instance is leaving.
     pub fn leave(&mut self) {
         let mut state = self.state.borrow_mut();
         state.is_leaving = true;
@@ -150,17 +149,17 @@
         }
     }
 
-    /// For the report of the instance's status.
+    /// The part of the instance's status report.
     pub fn status(&self) -> Value {
         report::status(&self.state.borrow())
     }
 
-    /// All observations, in pages that fit an answer of the control socket each.
+    /// All observations, in pages that each fit one message of the control socket.
     pub fn observation_pages(&self) -> Vec<Value> {
         report::observation_pages(&self.state.borrow())
     }
 
-    /// Removes the observations of this source, or of all others. Returns how many these were.
+    /// Removes the observations of this source, or of all other instances. Returns how many these were.
     pub fn remove_observations(&mut self, source: Option<&str>) -> usize {
         let mut state = self.state.borrow_mut();
         let Some(node) = &mut state.node else {
@@ -182,13 +181,13 @@
         let peers = self.settings.peers.clone();
         let (address, seeds) =
             peers.map_or_else(Default::default, |peers| (peers.listen, peers.seeds));
-        let own_kind = format!("of {}", self.name);
+        let own_engine = format!("of {}", self.name);
         Settings {
             name: self.name.clone(),
             address,
             seeds,
             scope: Scope {
-                engine: self.settings.engine.clone().unwrap_or(own_kind),
+                engine: self.settings.engine.clone().unwrap_or(own_engine),
                 dependency: self.settings.dependency.clone(),
                 operations: self.operations.clone(),
                 keep_alive_seconds: self.keep_alive_seconds,
@@ -202,15 +201,15 @@
 fn operation_names(settings: &merlinshelf_admission::Settings) -> Vec<String> {
     let count = settings.get("Classes.count");
     let count = count.and_then(|count| count.parse().ok()).unwrap_or(0);
-    let name = |place: usize| settings.get(&format!("Classes.{place}.Name")).cloned();
+    let name = |index: usize| settings.get(&format!("Classes.{index}.Name")).cloned();
     (0..count)
-        .map(|place| name(place).unwrap_or_default())
+        .map(|index| name(index).unwrap_or_default())
         .collect()
 }
 
 fn keep_alive_seconds(settings: &merlinshelf_admission::Settings) -> Option<u64> {
     let microseconds: f64 = settings.get("FamilyInfo.CallerIdleUs")?.parse().ok()?;
-    let seconds = microseconds as u64 / MICROSECONDS;
+    let seconds = microseconds as u64 / MICROSECONDS_PER_SECOND;
     (seconds > 0).then_some(seconds)
 }
 
--- a/crates/merlinshelf-backend/src/gossip/polling.rs
+++ b/crates/merlinshelf-backend/src/gossip/polling.rs
@@ -1,4 +1,4 @@
-//! Polls of peers: a connection each, with a time in which the answer must have come.
+//! Polls peers: each poll has a connection, on which the answer must be received within a timeout.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -18,7 +18,7 @@
 use super::transport::{Plain, Transport};
 use crate::exchange::monotonic;
 
-/// Polls a peer, and hands the node what is answered in time.
+/// Polls a peer, and passes its answer to the node if it arrives in time.
 pub(super) async fn poll_peer(
     address: String,
     poll: Message,
--- a/crates/merlinshelf-backend/src/gossip/report.rs
+++ b/crates/merlinshelf-backend/src/gossip/report.rs
@@ -7,10 +7,10 @@
 use super::{SaveOutcome, State};
 use crate::exchange::monotonic;
 
-/// Observations in one answer of the control socket.
+/// The number of observations in one message of the control socket.
 const PAGE_LENGTH: usize = 100;
 
-/// For the report of the instance's status.
+/// The part of the instance's status report.
 pub(super) fn status(state: &State) -> Value {
     let now = monotonic();
     let Some(node) = &state.node else {
@@ -78,7 +78,7 @@
     })
 }
 
-/// All observations, in pages that fit an answer of the control socket each.
+/// All observations, in pages that each fit one message of the control socket.
 pub(super) fn observation_pages(state: &State) -> Vec<Value> {
     let now = monotonic();
     let Some(node) = &state.node else {
--- a/crates/merlinshelf-backend/src/gossip/store_thread.rs
+++ b/crates/merlinshelf-backend/src/gossip/store_thread.rs
@@ -1,6 +1,5 @@
-//! The thread that works on the folder in which observations outlive the process, so that a disk
-//! that is slow, full or stuck costs the saving and nothing else. Who holds the folder's lock
-//! writes, nobody beside it.
+//! The thread that saves observations in a folder, so that they outlive the process. A disk that is slow,
+//! full or stuck delays only saving. Only the process that holds the folder's lock writes to it.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -16,10 +15,10 @@
 /// Why the store failed.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum StoreError {
-    /// The file is there and can't be read.
+    /// The file exists and can't be read.
     #[error("what was kept can't be read: {0}")]
     Read(io::Error),
-    /// The folder can't be locked or the file not written.
+    /// The folder can't be locked, or the file can't be written.
     #[error("{0}")]
     Write(io::Error),
 }
@@ -30,7 +29,7 @@
     /// The folder was locked and read.
     Opened {
         found: Found,
-        /// Number of the incarnation that begins.
+        /// The number of the incarnation that begins.
         incarnation: u64,
     },
     Saved,
@@ -43,7 +42,7 @@
     Rewrite(Vec<GossipedObservation>),
 }
 
-/// The thread's other end; dropping it ends the thread after the job at hand.
+/// The handle of the thread. Dropping it ends the thread after its current job.
 pub(super) struct StoreThread {
     jobs: SyncSender<Job>,
     events: UnboundedReceiver<StoreEvent>,
@@ -68,17 +67,17 @@
         Ok(StoreThread { jobs, events })
     }
 
-    /// The next event; none once the thread has ended.
+    /// The next event; `None` once the thread has ended.
     pub(super) async fn next_event(&mut self) -> Option<StoreEvent> {
         self.events.recv().await
     }
 
-    /// Saves these observations, unless an earlier job is still under way.
+    /// Saves these observations, unless an earlier job is still running.
     pub(super) fn save(&self, observations: Vec<GossipedObservation>) {
         self.submit(Job::Save(observations));
     }
 
-    /// Rewrites the file with these observations. False where an earlier job is still under way.
+    /// Rewrites the file with these observations. Returns false if an earlier job is still running.
     pub(super) fn rewrite(&self, observations: Vec<GossipedObservation>) -> bool {
         self.submit(Job::Rewrite(observations))
     }
@@ -96,7 +95,7 @@
 struct Worker {
     folder: PathBuf,
     events: UnboundedSender<StoreEvent>,
-    /// None while the folder can't be locked, which each job tries again.
+    /// `None` while the folder can't be locked, which each job retries.
     open_store: Option<OpenStore>,
 }
 
@@ -128,7 +127,7 @@
 fn open(folder: &Path, events: &UnboundedSender<StoreEvent>) -> io::Result<OpenStore> {
     let mut disk = Disk::lock(folder)?;
     let (mut store, found) = Store::open(&mut disk).unwrap_or_else(|error| {
-        // Nothing is known of the past; saving is tried all the same.
+        // The instance starts without observations, and saving is still tried.
         report(events, StoreEvent::Failed(StoreError::Read(error)));
         (Store::default(), Found::default())
     });
@@ -150,6 +149,6 @@
 }
 
 fn report(events: &UnboundedSender<StoreEvent>, event: StoreEvent) {
-    // Nobody listens any more where the process ends.
+    // The receiver is dropped when the process ends.
     let _ = events.send(event);
 }
--- a/crates/merlinshelf-backend/src/gossip/task.rs
+++ b/crates/merlinshelf-backend/src/gossip/task.rs
@@ -20,16 +20,16 @@
 use super::{SaveOutcome, Shared, polling};
 use crate::exchange::{Shared as Exchange, monotonic, unix_ms};
 
-/// Between two recordings of own samples.
+/// The interval at which own samples are recorded.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(500);
-/// How long the start waits for the store. Observations age meanwhile, and the first seconds of a
-/// start use each at once.
+/// How long the start waits for the store. Observations age meanwhile, and in the first seconds after a
+/// start each one is used as soon as it is known.
 const STORE_TIMEOUT: Duration = Duration::from_millis(300);
-/// Bounds of one sleep until the node's next timeout, seconds.
+/// The bounds of one sleep until the node's next timeout, in seconds.
 const MIN_SLEEP_SECONDS: f64 = 0.002;
 const MAX_SLEEP_SECONDS: f64 = 60.0;
 
-/// The task, with what it needs.
+/// The task that drives the gossip node.
 pub(super) struct GossipTask {
     exchange: Exchange,
     state: Shared,
@@ -37,7 +37,7 @@
     settings: Settings,
     save_interval: Duration,
     store: Option<StoreThread>,
-    /// The store has not reported yet what it found.
+    /// The store has not reported its contents yet.
     awaits_found: bool,
     save_at: Instant,
     sampled_at: Instant,
@@ -87,20 +87,20 @@
         }
     }
 
-    /// Gives the incarnation its number, for which the store is awaited for a moment. Service does
-    /// not wait for this.
+    /// Starts the node with the number of its incarnation, for which the store is awaited for a short
+    /// time. Service does not wait for this.
     async fn start_node(&mut self) {
         if self.state.borrow().node.is_some() {
-            return; // it continues after a failed successor
+            return; // the node continues after a failed successor
         }
         let mut incarnation = unix_ms() as u64;
         let mut observations = Vec::new();
         if self.store.is_some() {
             select! {
                 event = next_event(&mut self.store) => match event {
-                    Some(StoreEvent::Opened { found, incarnation: begun }) => {
+                    Some(StoreEvent::Opened { found, incarnation: new_incarnation }) => {
                         self.awaits_found = false;
-                        incarnation = incarnation.max(begun);
+                        incarnation = incarnation.max(new_incarnation);
                         observations = observations_in(found);
                     }
                     other => self.store_reported(other),
@@ -121,7 +121,7 @@
         self.state.borrow_mut().node = Some(node);
     }
 
-    /// What a predecessor exported. A record that can't be read ends it, as the end would.
+    /// The observations that a predecessor exported, up to the first record that can't be read.
     fn take_inherited(&mut self) -> impl Iterator<Item = GossipedObservation> {
         let recovered = recover(&std::mem::take(&mut self.inherited));
         let records = recovered.records.into_iter();
@@ -148,7 +148,7 @@
         }
     }
 
-    /// Of equal failures in a row the first one is logged.
+    /// Records how a save ended. Of consecutive equal failures, only the first is logged.
     fn save_ended(&mut self, error: Option<String>) {
         let outcome = SaveOutcome {
             ended_at: monotonic(),
@@ -211,7 +211,7 @@
         if state.needs_rewrite {
             state.needs_rewrite = !store.rewrite(observations);
         } else {
-            // Where an earlier save is still under way, the next one makes up for this.
+            // If an earlier save is still running, the next one includes these observations.
             store.save(observations);
         }
         self.save_at = Instant::now() + self.save_interval;
--- a/crates/merlinshelf-backend/src/gossip/transport.rs
+++ b/crates/merlinshelf-backend/src/gossip/transport.rs
@@ -1,19 +1,19 @@
-//! What a connection between instances is wrapped in. Nothing as yet, which is why only loopback
-//! addresses are allowed; an encrypted transport is another implementor.
+//! The transport of connections between instances. It is not encrypted yet, which is why only loopback
+//! addresses are allowed; an encrypted transport would be another implementation.
 
 use std::io;
 
 use tokio::io::{AsyncRead, AsyncWrite};
 use tokio::net::TcpStream;
 
-/// A way to secure connections, for both of their ends.
+/// Secures connections, at both of their ends.
 pub trait Transport {
     /// The secured connection.
     type Stream: AsyncRead + AsyncWrite + Unpin;
 
-    /// The end that is polled.
+    /// Secures a connection at the end that is polled.
     fn accept(&self, stream: TcpStream) -> impl Future<Output = io::Result<Self::Stream>>;
-    /// The end that polls, at this address.
+    /// Secures a connection at the end that polls this address.
     fn connect(
         &self,
         stream: TcpStream,
@@ -21,7 +21,7 @@
     ) -> impl Future<Output = io::Result<Self::Stream>>;
 }
 
-/// The connection as it is.
+/// Uses the connection without encryption.
 pub struct Plain;
 
 impl Transport for Plain {
