--- a/crates/merlinshelf-backend/src/config/error.rs
+++ b/crates/merlinshelf-backend/src/config/error.rs
@@ -13,7 +13,7 @@
     Unreadable {
         /// The file.
         path: PathBuf,
-        /// What the system says.
+        /// The error of the system.
         source: io::Error,
     },
     /// Its contents can't be used.
@@ -21,71 +21,71 @@
     Invalid {
         /// The file.
         path: PathBuf,
-        /// Which part of it.
+        /// What is wrong in it.
         source: ConfigError,
     },
 }
 
-/// The text of a configuration that can't be used. `field` is the name of the field concerned.
+/// Why the text of a configuration can't be used. `field` is the name of the field concerned.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    /// The text is no JSON.
+    /// The text is not JSON.
     #[error("no JSON: {0}")]
     Syntax(#[from] serde_json::Error),
-    /// The text is JSON of another kind than an object.
-    #[error("the configuration is no object")]
+    /// The text is JSON, but not an object.
+    #[error("the configuration is not an object")]
     NotAnObject,
     /// A required field is missing.
     #[error("{field}: missing")]
     MissingField {
-        /// Which one.
+        /// The field.
         field: &'static str,
     },
     /// A field is not an object.
-    #[error("{field}: no object")]
+    #[error("{field}: not an object")]
     ObjectExpected {
-        /// Which one.
+        /// The field.
         field: &'static str,
     },
     /// A field is not a string.
-    #[error("{field}: no text")]
+    #[error("{field}: not a string")]
     StringExpected {
-        /// Which one.
+        /// The field.
         field: &'static str,
     },
-    /// A field has no contents.
+    /// A field is empty.
     #[error("{field}: empty")]
     EmptyField {
-        /// Which one.
+        /// The field.
         field: &'static str,
     },
-    /// The name of the backend is used in paths and contains another character than letters,
-    /// digits, `-`, `_`, `.`.
-    #[error("name: {name:?} can't stand in a path")]
+    /// The name of the backend, which is used in paths, contains other characters than letters, digits,
+    /// `-`, `_` and `.`.
+    #[error("name: {name:?} can't be used in a path")]
     InvalidName {
         /// The name.
         name: String,
     },
-    /// The seed is no hexadecimal number of 64 bits.
+    /// The seed is not a hexadecimal number of 64 bits.
     #[error("seed: {seed:?} is not hexadecimal")]
     InvalidSeed {
         /// The seed.
         seed: String,
     },
-    /// A field is no address with a port.
+    /// A field is not an address with a port.
     #[error("{field}: {address:?} is no address with a port")]
     InvalidAddress {
-        /// Which one.
+        /// The field.
         field: &'static str,
-        /// What it contains.
+        /// Its value.
         address: String,
     },
-    /// A field is no number above 0.
+    /// A field is not a number above 0.
     #[error("{field}: {value} is no number above 0")]
     NotPositive {
-        /// Which one.
+        /// The field.
         field: &'static str,
-        /// What it contains, as JSON.
+        /// Its value as JSON.
         value: String,
     },
 }
--- a/crates/merlinshelf-backend/src/config/mod.rs
+++ b/crates/merlinshelf-backend/src/config/mod.rs
@@ -15,9 +15,9 @@
 
 pub use error::{ConfigError, ConfigFileError};
 
-/// The file has a few KB; a far larger one is something else and is not read to its end.
+/// The maximum size that is read. The file has a few KB; a far larger one is not a configuration.
 const MAX_FILE_BYTES: u64 = 1024 * 1024;
-/// Longer times are cut to this, which fits into a `Duration`.
+/// Longer times are limited to this, which fits into a `Duration`.
 const MAX_MILLISECONDS: f64 = 1e9;
 
 /// The addresses of the servers that this process connects to. They may change while it runs.
@@ -40,11 +40,11 @@
     pub listen: SocketAddr,
     /// The servers that this process connects to.
     pub peers: Peers,
-    /// Seeds all random decisions.
+    /// The seed of all random decisions.
     pub seed: u64,
-    /// From the signal to shut down until the process is killed.
+    /// The time from the shutdown signal until the process is killed.
     pub drain_timeout: Duration,
-    /// The limit of memory, in MB.
+    /// The memory limit, in MB.
     pub memory_mb: u64,
     /// The limit of open sockets.
     pub sockets: usize,
@@ -68,7 +68,7 @@
         })
     }
 
-    /// The fields in which `reloaded` differs though they can't change while the process runs.
+    /// The fields that differ in `reloaded` although they can't change while the process runs.
     pub fn changed_fixed_fields(&self, reloaded: &Config) -> Vec<&'static str> {
         let has_same_limits =
             self.memory_mb == reloaded.memory_mb && self.sockets == reloaded.sockets;
@@ -89,7 +89,7 @@
     /// Parses the text of the file.
     ///
     /// # Errors
-    /// What is missing or can't be used.
+    /// A field is missing or can't be used.
     pub fn parse(text: &str) -> Result<Config, ConfigError> {
         let document: Value = serde_json::from_str(text)?;
         let root = document.as_object().ok_or(ConfigError::NotAnObject)?;
@@ -198,8 +198,8 @@
         })
 }
 
-/// Flattens a value to dotted names and plain texts, as in the first message of the platform's
-/// benchmark, so that the admission controller reads the same settings from both.
+/// Flattens a value to dotted names and plain texts, as in the first message of the platform's benchmark,
+/// so that the admission controller can read its settings from either.
 fn flatten(path: &str, value: &Value, settings: &mut Settings) {
     match value {
         Value::Object(map) => {
--- a/crates/merlinshelf-backend/src/config/tests.rs
+++ b/crates/merlinshelf-backend/src/config/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the parser of the platform's configuration.
+//! Tests of parsing the platform's configuration.
 
 use super::*;
 
--- a/crates/merlinshelf-backend/src/journal/mod.rs
+++ b/crates/merlinshelf-backend/src/journal/mod.rs
@@ -1,5 +1,5 @@
-//! The file in memory into which a successor records every change before its effect shows, and from
-//! which its predecessor recovers everything if the successor dies.
+//! The journal of a successor: a file in memory to which it writes every change before the change takes
+//! effect, and from which its predecessor recovers everything if the successor dies.
 
 #[cfg(test)]
 mod tests;
@@ -13,29 +13,29 @@
 use rustix::fs::{FallocateFlags, MemfdFlags, fallocate, memfd_create};
 use serde::Serialize;
 
-/// The unit in which the system reports the size of a file.
+/// The unit in which the system reports the allocated size of a file.
 const BLOCK_BYTES: u64 = 512;
-/// The unit in which memory of the file is released.
+/// The unit in which the file's memory is released.
 const PAGE_BYTES: u64 = 4096;
-/// Read at one time.
+/// The maximum size of one read.
 const READ_CHUNK_BYTES: usize = 64 * 1024;
 
-/// Creates a file that exists in memory alone.
+/// Creates a file that exists only in memory.
 ///
 /// # Errors
-/// No descriptor or memory can be had.
+/// No descriptor or memory is available.
 pub fn memory_file(name: &str) -> io::Result<OwnedFd> {
     Ok(memfd_create(name, MemfdFlags::CLOEXEC)?)
 }
 
-/// The writing end. What is staged is recorded once it is written, all of it or nothing.
+/// The writing end. Staged records are written together as one transaction.
 pub struct Journal {
     file: File,
     staged: Transaction,
 }
 
 impl Journal {
-    /// A journal in this file.
+    /// A journal that is written to this file.
     pub fn new(file: OwnedFd) -> Journal {
         Journal {
             file: file.into(),
@@ -43,9 +43,9 @@
         }
     }
 
-    /// Memory that is taken by records which nobody has read yet.
+    /// The memory used by records that have not been read yet.
     pub fn unread_bytes(&self) -> u64 {
-        // A file in memory always has metadata; without them nothing is known to be unread.
+        // The metadata of a file in memory can always be read; if not, no record counts as unread.
         self.file
             .metadata()
             .map_or(0, |metadata| metadata.blocks() * BLOCK_BYTES)
@@ -61,8 +61,8 @@
         self.staged.remove(key);
     }
 
-    /// Writes what is staged. An effect that can't be recorded must not show: without memory for
-    /// the record this process aborts, and its predecessor recovers from the last one.
+    /// Writes the staged records. A change that can't be journaled must not take effect: without memory
+    /// for the records this process aborts, and its predecessor recovers from the last transaction.
     pub fn write(&mut self) {
         if self.staged.is_empty() {
             return;
@@ -77,15 +77,15 @@
 /// The reading end.
 pub struct JournalReader {
     file: File,
-    /// Up to where complete transactions were read.
+    /// The end of the last complete transaction that was read.
     offset: u64,
     chunk: Vec<u8>,
-    /// Read and not applied yet.
+    /// Bytes read and not applied yet.
     buffer: Vec<u8>,
 }
 
 impl JournalReader {
-    /// A reader of this file from its start.
+    /// A reader that starts at the beginning of this file.
     pub fn new(file: OwnedFd) -> JournalReader {
         JournalReader {
             file: file.into(),
@@ -95,10 +95,10 @@
         }
     }
 
-    /// Applies everything that was recorded since the last time, and releases its memory.
+    /// Applies everything that was written since the last call, and releases its memory.
     ///
     /// # Errors
-    /// The file can't be read, or contains what is no transaction.
+    /// The file can't be read, or contains an invalid transaction.
     pub fn read(&mut self, image: &mut Image) -> io::Result<()> {
         let start = self.offset;
         let mut end = self.offset;
@@ -113,7 +113,7 @@
             self.buffer.drain(..applied);
             self.offset += applied as u64;
         }
-        // An incomplete transaction is read again once it is complete.
+        // An incomplete transaction is read again when it is complete.
         self.buffer.clear();
         self.release_memory(start);
         Ok(())
@@ -124,7 +124,7 @@
         let first = start / PAGE_BYTES * PAGE_BYTES;
         let last = self.offset / PAGE_BYTES * PAGE_BYTES;
         if last > first {
-            // A kernel that can't do this costs memory, no more.
+            // If the kernel does not support this, only memory is wasted.
             let _ = fallocate(
                 self.file.as_fd(),
                 FallocateFlags::PUNCH_HOLE | FallocateFlags::KEEP_SIZE,
--- a/crates/merlinshelf-backend/src/journal/tests.rs
+++ b/crates/merlinshelf-backend/src/journal/tests.rs
@@ -1,10 +1,10 @@
-//! Tests of the journal in a real file in memory.
+//! Tests of the journal with a real file in memory.
 
 use merlinshelf_handover::records::{Answer, ResponseQueueRecord};
 
 use super::*;
 
-/// 16 blocks are two pages: the last one, and one that is being written.
+/// 16 blocks of 512 bytes are two pages: the last one read, and the one being written.
 const MAX_BLOCKS: i64 = 16;
 
 #[test]
--- a/crates/merlinshelf-backend/src/logger/line.rs
+++ b/crates/merlinshelf-backend/src/logger/line.rs
@@ -1,4 +1,4 @@
-//! The lines of the log as text and as JSON.
+//! Formats the lines of the log as text or as JSON.
 
 use std::time::Duration;
 
@@ -12,21 +12,21 @@
 pub(super) struct Line<'a> {
     pub record: &'a Record<'a>,
     pub part: &'a str,
-    /// Since 1970.
+    /// The time since 1970.
     pub time: Duration,
-    /// Lines that were dropped before this one.
+    /// The number of lines that were dropped before this one.
     pub missing_lines: u64,
 }
 
-/// The part of the program that a module belongs to: its own name, or the program's for modules
-/// around all others.
+/// The part of the program that a module belongs to, as shown in the log: the module's name, or the
+/// program's for modules that manage the whole process.
 pub(super) fn part(target: &str) -> &str {
     let mut modules = target.split("::").skip(1);
     match modules.next() {
         Some("process" | "instance" | "upgrade" | "startup_wait" | "control") => {
             return "merlinshelf";
         }
-        // Its name in the operators' file.
+        // The name of this feature in the operators' file.
         Some("gossip") => return "learning",
         _ => {}
     }
@@ -38,7 +38,7 @@
 }
 
 impl Line<'_> {
-    /// The line in this format, with its end.
+    /// Formats the line, with its line end.
     pub(super) fn format(&self, format: Format) -> String {
         match format {
             Format::Text => self.as_text(),
@@ -46,12 +46,12 @@
         }
     }
 
-    /// Seconds with three digits behind the point.
+    /// Seconds since 1970 with three decimals.
     fn timestamp(&self) -> String {
         format!("{}.{:03}", self.time.as_secs(), self.time.subsec_millis())
     }
 
-    /// Time, level, part, text, and how many lines are missing before this one.
+    /// Time, level, part, text, and the number of lines missing before this one.
     pub(super) fn as_text(&self) -> String {
         let missing = if self.missing_lines > 0 {
             format!(" ({} lines lost before this)", self.missing_lines)
@@ -67,8 +67,8 @@
         )
     }
 
-    /// One object: time in Unix seconds, level, part, text, how many lines are missing before this
-    /// one, and the fields.
+    /// One object: time in Unix seconds, level, part, text, the number of lines missing before this one,
+    /// and the fields.
     pub(super) fn as_json(&self) -> String {
         let mut fields = Fields(Map::new());
         // The visitor below never fails.
@@ -103,7 +103,7 @@
     }
 }
 
-/// Numbers and truth values as they are, all others as text.
+/// Numbers and booleans as such, everything else as text.
 fn to_json(value: &Value) -> serde_json::Value {
     if let Some(number) = value.to_u64() {
         return json!(number);
--- a/crates/merlinshelf-backend/src/logger/mod.rs
+++ b/crates/merlinshelf-backend/src/logger/mod.rs
@@ -1,5 +1,5 @@
-//! The program's own logger: lines to standard error, written by a thread of its own, so that a
-//! reader that stands still costs lines and never time.
+//! The program's logger. A separate thread writes the lines to standard error, so that a reader that is
+//! blocked loses lines but never delays the program.
 
 mod line;
 mod rate_limit;
@@ -19,11 +19,12 @@
 use line::Line;
 use rate_limit::RateLimit;
 
-/// Lines that wait for the reader; at a few hundred bytes each, well under a megabyte.
+/// The maximum number of lines that wait to be written: a few hundred bytes each, well under a megabyte
+/// together.
 const MAX_QUEUED_LINES: usize = 1000;
-/// How long the program waits at its end for the last lines to be written.
+/// How long the program waits before it exits for the last lines to be written.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(20);
-/// Between two looks at whether they are written.
+/// How often it checks whether they are written.
 const FLUSH_POLL_INTERVAL: Duration = Duration::from_millis(1);
 
 static QUEUED_LINES: AtomicU64 = AtomicU64::new(0);
@@ -32,12 +33,12 @@
 struct Logger {
     lines: SyncSender<String>,
     format: Format,
-    /// Lines that found the queue full since the last one that was queued.
+    /// Lines dropped because the queue was full, since the last one that was queued.
     lost_lines: AtomicU64,
     rate_limit: Mutex<RateLimit>,
 }
 
-/// Starts the logger at the level that the environment names, else at this one, else at `info`.
+/// Starts the logger at the level set in the environment, else at `level`, else at `info`.
 pub fn start(level: Option<LevelFilter>, format: Format) {
     let configured = std::env::var("MERLINSHELF_LOG")
         .ok()
@@ -53,7 +54,7 @@
     }
 }
 
-/// Waits a moment until the last lines are written.
+/// Waits a short time until the last lines are written.
 pub fn finish() {
     let deadline = Instant::now() + FLUSH_TIMEOUT;
     let is_written =
@@ -65,7 +66,7 @@
 
 fn write_lines(queue: &Receiver<String>) {
     for line in queue {
-        // Without standard error there is nowhere to report that.
+        // If standard error fails, the failure can't be reported anywhere.
         let _ = std::io::stderr().write_all(line.as_bytes());
         WRITTEN_LINES.fetch_add(1, Ordering::AcqRel);
     }
@@ -81,11 +82,10 @@
         }
     }
 
-    /// Whether a part may write one more line in this second: the number of its lines that were
-    /// dropped before it.
+    /// The number of this part's lines dropped before this one if it may write one more line in this
+    /// second, else `None`.
     fn admit(&self, part: &str, second: u64) -> Option<u64> {
-        // The lock is poisoned only by a panic in the limit itself; without a limit nothing is
-        // written.
+        // Only a panic within the rate limit poisons the lock; without the limit nothing is written.
         self.rate_limit.lock().ok()?.admit(part, second)
     }
 }
@@ -101,7 +101,7 @@
         }
         let time = SystemTime::now()
             .duration_since(UNIX_EPOCH)
-            .unwrap_or_default(); // a clock before 1970 shows as 0
+            .unwrap_or_default(); // a clock set before 1970 is shown as 0
         let part = line::part(record.target());
         let dropped = if record.level() >= Level::Debug {
             0
--- a/crates/merlinshelf-backend/src/logger/rate_limit.rs
+++ b/crates/merlinshelf-backend/src/logger/rate_limit.rs
@@ -1,12 +1,12 @@
-//! The limit of lines a second, by part of the program.
+//! The limit of log lines per second and part of the program.
 
 use std::collections::BTreeMap;
 
-/// Lines that one part may write in a second. Those beyond are dropped and counted, so that a flood
-/// of malformed input costs neither the log nor the CPU to write it.
+/// The maximum number of lines that one part may write in a second. Further ones are dropped and counted,
+/// so that a flood of malformed input neither fills the log nor uses the CPU to write it.
 pub(super) const MAX_LINES_PER_SECOND: u32 = 20;
 
-/// The lines of each part. There are as many parts as the program has modules.
+/// The counts of each part. The number of parts is limited by the number of modules.
 #[derive(Default)]
 pub(super) struct RateLimit {
     parts: BTreeMap<String, PartLines>,
@@ -14,19 +14,19 @@
 
 #[derive(Default)]
 struct PartLines {
-    /// The second, since 1970.
+    /// The current second since 1970.
     second: u64,
-    /// Lines in that second so far.
+    /// The number of lines in that second so far.
     lines: u32,
-    /// Lines dropped since the last one that was written.
+    /// The number of lines dropped since the last one that was written.
     dropped: u64,
 }
 
 impl RateLimit {
-    /// Whether a part may write one more line in this second: the number of its lines that were
-    /// dropped before it.
+    /// The number of this part's lines dropped before this one if it may write one more line in this
+    /// second, else `None`.
     pub(super) fn admit(&mut self, part: &str, second: u64) -> Option<u64> {
-        // The name is copied for the first line of a part alone.
+        // The name is copied only for the first line of a part.
         if !self.parts.contains_key(part) {
             self.parts.insert(part.to_owned(), PartLines::default());
         }
--- a/crates/merlinshelf-backend/src/logger/tests.rs
+++ b/crates/merlinshelf-backend/src/logger/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the lines and of their limit.
+//! Tests of the format of lines and of the rate limit.
 
 use log::kv::Value;
 
@@ -6,7 +6,7 @@
 use super::*;
 
 #[test]
-fn a_flood_of_lines_is_limited_and_counted_by_part() {
+fn excess_lines_are_dropped_and_counted_by_part() {
     let logger = Logger::new(sync_channel(1).0, Format::Text);
     let admitted = (0..100)
         .filter(|_| logger.admit("connection", 7).is_some())
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_line_of_json_has_all_that_the_text_has_and_the_fields() {
+fn a_json_line_has_the_contents_of_a_text_line_and_the_fields() {
     let values = [
         ("connections", Value::from(3u64)),
         ("of", Value::from("n0")),
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn modules_around_all_others_are_part_of_the_program() {
+fn modules_that_manage_the_process_are_logged_as_the_program() {
     let parts = [
         "merlinshelf_backend::process::signals",
         "merlinshelf_backend::process",
--- a/crates/merlinshelf-backend/src/operator/error.rs
+++ b/crates/merlinshelf-backend/src/operator/error.rs
@@ -7,7 +7,7 @@
 
 use super::Json5Error;
 
-/// An operators' file that can't be used. The text names the file.
+/// An operators' file can't be used. The text names the file.
 #[derive(Debug, Error)]
 pub enum OperatorFileError {
     /// The file can't be read.
@@ -15,7 +15,7 @@
     Unreadable {
         /// The file.
         path: PathBuf,
-        /// What the system says.
+        /// The error of the system.
         source: io::Error,
     },
     /// Its contents can't be used.
@@ -23,7 +23,7 @@
     Invalid {
         /// The file.
         path: PathBuf,
-        /// Which line and field.
+        /// The line, the field and the reason.
         source: Json5Error,
     },
 }
--- a/crates/merlinshelf-backend/src/operator/json5.rs
+++ b/crates/merlinshelf-backend/src/operator/json5.rs
@@ -9,20 +9,20 @@
 /// Why the text of a file can't be used. Lines and columns are counted from 1.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum Json5Error {
-    /// The text is no JSON5, or has a field that does not exist or is of another type.
+    /// The text is not JSON5, or has an unknown field or one of the wrong type.
     #[error("{position}:{} {reason}", field_prefix(field))]
     Syntax {
-        /// Where.
+        /// The position of the error.
         position: Position,
-        /// The path of the field; empty at the top.
+        /// The path of the field; empty for the document itself.
         field: String,
-        /// What the parser says.
+        /// The parser's message.
         reason: String,
     },
-    /// Text follows behind the document.
+    /// More text follows after the document.
     #[error("1: {reason}")]
     TrailingText {
-        /// What the parser says.
+        /// The parser's message.
         reason: String,
     },
     /// Fields have values that can't be used.
@@ -30,7 +30,7 @@
     InvalidFields(Vec<InvalidField>),
 }
 
-/// Where in a text an error is.
+/// The position of an error in a text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Position {
     /// A line and a column.
@@ -40,7 +40,7 @@
         /// The column.
         column: usize,
     },
-    /// The parser does not say where; shown as line 1.
+    /// The parser does not report it; shown as line 1.
     Unknown,
 }
 
@@ -57,11 +57,11 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{line}: {field}: {reason}")]
 pub struct InvalidField {
-    /// The line in which the field stands.
+    /// The line of the field.
     pub line: usize,
     /// The path of the field.
     pub field: String,
-    /// What would be right.
+    /// What is wrong, or what is expected.
     pub reason: String,
 }
 
@@ -81,8 +81,8 @@
 /// Parses and validates the text of an operators' file.
 ///
 /// # Errors
-/// `LINE:COLUMN: FIELD: REASON` for what is no JSON5 or no such field, `LINE: FIELD: REASON` for a
-/// value that is out of range.
+/// The text is `LINE:COLUMN: FIELD: REASON` for invalid JSON5 or an unknown field, and
+/// `LINE: FIELD: REASON` for an invalid value.
 pub fn parse_json5<T>(text: &str) -> Result<T, Json5Error>
 where
     T: DeserializeOwned + Validate,
@@ -90,7 +90,7 @@
 {
     let mut deserializer = json5::Deserializer::from_str(text);
     let document: T = serde_path_to_error::deserialize(&mut deserializer).map_err(syntax_error)?;
-    // The deserializer above stops behind the first value; this one reads the text to its end.
+    // The deserializer above stops after the first value; this one reads the text to its end.
     json5::from_str::<IgnoredAny>(text).map_err(|error| Json5Error::TrailingText {
         reason: error.to_string(),
     })?;
@@ -104,7 +104,7 @@
     let path = error.path().to_string();
     let error = error.into_inner();
     let text = error.to_string();
-    // The parser's text ends with the position, which is shown in front.
+    // The parser's message ends with the position, which is shown first.
     let reason = text
         .rsplit_once(" at ")
         .map_or(text.as_str(), |(reason, _)| reason);
@@ -132,7 +132,7 @@
     Json5Error::InvalidFields(fields.collect())
 }
 
-/// The line in which the last name of a dotted path stands behind the others.
+/// The line of a field: that of the last name of its dotted path, searched for after the other names.
 fn line_of_field(text: &str, path: &str) -> usize {
     let mut offset = 0;
     for name in path.split('.') {
--- a/crates/merlinshelf-backend/src/operator/mod.rs
+++ b/crates/merlinshelf-backend/src/operator/mod.rs
@@ -1,8 +1,9 @@
-//! The operators' own file: what is switched on beside the platform's configuration. Without it all
-//! of this is off.
+//! The operators' file: optional features in addition to the platform's configuration. Without the file
+//! all of them are off.
 //!
-//! Names of fields are keys of the file and appear in errors; they stay. `#[schemars(rename =
-//! "...")]` keeps the names of definitions in the published schema.
+//! The names of fields are keys of the file and appear in errors, so they must not change, and doc
+//! comments of its types are part of the published schema. `#[schemars(rename = "...")]` keeps the names
+//! of definitions in the schema.
 
 mod error;
 mod json5;
@@ -27,7 +28,7 @@
 pub use json5::{InvalidField, Json5Error, Position, parse_json5};
 use validation::{validate_dependencies, validate_loopback, validate_socket_path};
 
-/// The file has a page; a far larger one is something else and is not read to its end.
+/// The maximum size that is read. The file has about a page; a far larger one is not an operators' file.
 const MAX_FILE_BYTES: u64 = 1024 * 1024;
 
 /// The complete file, in JSON5.
@@ -283,18 +284,17 @@
 }
 
 impl Learning {
-    /// Between two writes of the store.
+    /// The interval at which the store is written.
     pub fn save_every(&self) -> Duration {
         Duration::from_millis(self.save_ms)
     }
 }
 
 impl Operator {
-    /// Reads the file; without one everything is off.
+    /// Reads the file. Without a path everything is off.
     ///
     /// # Errors
-    /// The file can't be read or used; the text names the file, the line, the field and what would
-    /// be right.
+    /// The file can't be read or used; the text names the file, the line, the field and the reason.
     pub fn load(path: Option<&Path>) -> Result<Operator, OperatorFileError> {
         let Some(path) = path else {
             return Ok(Operator::default());
@@ -320,7 +320,7 @@
     /// The JSON schema of the file.
     pub fn schema() -> String {
         let schema = schemars::schema_for!(Operator);
-        // Only maps with other keys than strings can't be encoded, and a schema has none.
+        // Encoding fails only for maps whose keys are not strings, and a schema has none.
         serde_json::to_string_pretty(&schema).unwrap_or_default() + "\n"
     }
 }
--- a/crates/merlinshelf-backend/src/operator/tests.rs
+++ b/crates/merlinshelf-backend/src/operator/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the operators' file: its example, its schema and its errors.
+//! Tests of the operators' file: the example, the schema and the errors.
 
 use super::*;
 
@@ -6,13 +6,13 @@
 
 #[test]
 fn the_example_is_parsed_and_the_published_schema_is_current() {
-    let operator = Operator::parse(EXAMPLE).expect("the example can be read");
-    let upgrade = operator.upgrade.expect("it switches upgrades on");
+    let operator = Operator::parse(EXAMPLE).expect("the example is valid");
+    let upgrade = operator.upgrade.expect("upgrades are configured");
     assert_eq!((upgrade.watched_ms, upgrade.silent_ms), (2_000, 1_000));
-    let learning = operator.learning.expect("it switches learning on");
+    let learning = operator.learning.expect("learning is configured");
     assert_eq!(learning.peers.expect("peers").seeds.len(), 2);
     assert_eq!(Operator::parse("{}"), Ok(Operator::default()));
-    // `merlinshelf check --schema > deploy/operator.schema.json` regenerates it.
+    // To regenerate it, run `merlinshelf check --schema > deploy/operator.schema.json`.
     assert_eq!(
         Operator::schema(),
         include_str!("../../../../deploy/operator.schema.json")
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn errors_name_line_and_field_and_what_would_be_right() {
+fn errors_name_line_field_and_reason() {
     let long = format!("{{control: {{socket: '/{}'}}}}", "x".repeat(100));
     let texts = [
         "{",
--- a/crates/merlinshelf-backend/src/operator/validation.rs
+++ b/crates/merlinshelf-backend/src/operator/validation.rs
@@ -1,15 +1,15 @@
-//! Validation of single fields. The texts say what would be right.
+//! Validation of single fields. Errors say what is expected.
 
 use std::net::SocketAddr;
 use std::path::Path;
 
 use merlinshelf_dependencies::Dependencies;
 
-/// The longest path of a Unix socket: the system's limit of 108 less the suffix under which it is
-/// created.
+/// The maximum length of a socket's path: the system's limit of 108 less the suffix of the temporary name
+/// under which it is created.
 const MAX_SOCKET_PATH_BYTES: usize = 100;
 
-/// The dependencies, their servers and operations refer to each other consistently.
+/// Checks that dependencies, servers and operations refer to each other consistently.
 pub(super) fn validate_dependencies(dependencies: &Dependencies, (): &()) -> garde::Result {
     dependencies.check().map_err(|errors| {
         let messages: Vec<String> = errors.iter().map(ToString::to_string).collect();
@@ -17,7 +17,7 @@
     })
 }
 
-/// The address is on the loopback interface and names a port.
+/// Checks that the address is on the loopback interface and has a port.
 pub(super) fn validate_loopback(text: &str, (): &()) -> garde::Result {
     match text.parse::<SocketAddr>() {
         Ok(address) if address.ip().is_loopback() && address.port() > 0 => Ok(()),
@@ -25,8 +25,8 @@
             Err(garde::Error::new(format!("{text:?} names no port")))
         }
         Ok(_) => Err(garde::Error::new(format!(
-            "{text:?} is no loopback address; what instances tell each other \
-             is not encrypted yet, and only these are allowed"
+            "{text:?} is not a loopback address; gossip between instances \
+             is not encrypted yet, so only these are allowed"
         ))),
         Err(_) => Err(garde::Error::new(format!(
             "{text:?} is no address with a port, like 127.0.0.1:7400"
@@ -34,7 +34,7 @@
     }
 }
 
-/// The path can be one of a Unix socket.
+/// Checks that the path can be that of a Unix socket.
 pub(super) fn validate_socket_path(path: &Path, (): &()) -> garde::Result {
     let length = path.as_os_str().len();
     if length == 0 {
@@ -42,7 +42,7 @@
     }
     if length > MAX_SOCKET_PATH_BYTES {
         return Err(garde::Error::new(format!(
-            "has {length} bytes; a socket's path has {MAX_SOCKET_PATH_BYTES} at most"
+            "has {length} bytes; a socket's path may have {MAX_SOCKET_PATH_BYTES} at most"
         )));
     }
     Ok(())
