--- a/crates/merlinshelf-agent/src/policy/heartbeats.rs
+++ b/crates/merlinshelf-agent/src/policy/heartbeats.rs
@@ -70,7 +70,7 @@
                         .allocator
                         .handle_request(now, &instance, requests)
                 {
-                    self.lease_manager.request_soon();
+                    self.lease_manager.expedite_request();
                 }
                 self.lease_manager.instance_responded(&instance, status);
             }
--- a/crates/merlinshelf-agent/src/policy/mod.rs
+++ b/crates/merlinshelf-agent/src/policy/mod.rs
@@ -256,8 +256,8 @@
         let is_due = now >= self.unhealthy_request_at + UNHEALTHY_REQUEST_INTERVAL_SECONDS;
         if is_due && self.quota.allocator.has_unhealthy_dependency(now) {
             self.unhealthy_request_at = now;
-            self.lease_manager.request_soon();
-            self.lease_manager.heartbeat_soon();
+            self.lease_manager.expedite_request();
+            self.lease_manager.expedite_heartbeats();
         }
     }
 
@@ -296,7 +296,7 @@
         if let Some(grants) = &response.quota_grants
             && self.quota.allocator.handle_grants(now, grants)
         {
-            self.lease_manager.heartbeat_soon();
+            self.lease_manager.expedite_heartbeats();
         }
     }
 
--- a/crates/merlinshelf-backend/src/exchange/policy.rs
+++ b/crates/merlinshelf-backend/src/exchange/policy.rs
@@ -109,7 +109,7 @@
     /// Nobody is waited for any more.
     pub fn stop_waiting_for_policy(&mut self) {
         if let Some(policed) = &mut self.policy {
-            policed.holder.stop_waiting();
+            policed.holder.stop_waiting_for_lease();
         }
     }
 
--- a/crates/merlinshelf-backend/src/exchange/quota.rs
+++ b/crates/merlinshelf-backend/src/exchange/quota.rs
@@ -122,7 +122,7 @@
         let before = self.told.get(name).map(|(left, _)| *left);
         if !self.spender.has_budget(name) {
             // It is bounded no more: told once.
-            return self.told.remove(name).map(|_| Remaining::ALL);
+            return self.told.remove(name).map(|_| Remaining::UNLIMITED);
         }
         if let Some(before) = before {
             for (kind, told, over) in [
@@ -303,11 +303,11 @@
             first_calls: usage.unused.first_calls,
             retries: usage.unused.retries,
             probes: usage.unused.probes,
-            ..Remaining::ALL
+            ..Remaining::UNLIMITED
         };
         let left = spending
             .renew(CATALOGUE, over, usage.is_failing, wanting)
-            .unwrap_or(Remaining::ALL);
+            .unwrap_or(Remaining::UNLIMITED);
         controller.set_downstream_quota(DownstreamQuota {
             first_calls: left.first_calls,
             retries: left.retries,
--- a/crates/merlinshelf-backend/src/routing.rs
+++ b/crates/merlinshelf-backend/src/routing.rs
@@ -198,7 +198,7 @@
 
     /// First calls to a dependency that fails are probes.
     fn first_call_kind(&mut self, dependency: &str) -> CallKind {
-        let usage = self.router.update_quota(dependency, Remaining::ALL);
+        let usage = self.router.update_quota(dependency, Remaining::UNLIMITED);
         let is_failing = usage.is_some_and(|usage| {
             self.router.update_quota(dependency, usage.unused);
             usage.is_failing || usage.unused.probes_only
@@ -304,7 +304,7 @@
     ) {
         let mut exchange = exchange.borrow_mut();
         for name in exchange.limited_dependencies() {
-            let Some(usage) = self.router.update_quota(&name, Remaining::ALL) else {
+            let Some(usage) = self.router.update_quota(&name, Remaining::UNLIMITED) else {
                 continue;
             };
             let demand = if dependency == Some(name.as_str()) {
@@ -314,7 +314,7 @@
             };
             let quota = exchange
                 .renew_quota(&name, usage.unused, usage.is_failing, demand)
-                .unwrap_or(Remaining::ALL);
+                .unwrap_or(Remaining::UNLIMITED);
             self.router.update_quota(&name, quota);
         }
     }
--- a/crates/merlinshelf-dependencies/src/router/dependency_state.rs
+++ b/crates/merlinshelf-dependencies/src/router/dependency_state.rs
@@ -86,7 +86,7 @@
             durations_seconds: VecDeque::new(),
             lowest_seconds: 0.0,
             counters: Counters::default(),
-            quota: Remaining::ALL,
+            quota: Remaining::UNLIMITED,
         }
     }
 
--- a/crates/merlinshelf-dependencies/tests/router/quota.rs
+++ b/crates/merlinshelf-dependencies/tests/router/quota.rs
@@ -17,7 +17,7 @@
         first_calls: 3,
         retries: 1,
         probes: 0,
-        ..Remaining::ALL
+        ..Remaining::UNLIMITED
     };
     simulation.router.update_quota("a", three_first_calls);
     // Three first calls are made, one of them is retried, and then nothing more.
@@ -31,7 +31,7 @@
         first_calls: 9,
         retries: 9,
         probes: 2,
-        ..Remaining::ALL
+        ..Remaining::UNLIMITED
     };
     let usage = simulation
         .router
@@ -41,7 +41,7 @@
         first_calls: 0,
         retries: 0,
         probes: 0,
-        ..Remaining::ALL
+        ..Remaining::UNLIMITED
     };
     assert_eq!(usage.unused, used_up);
     assert!(!usage.is_failing);
@@ -55,7 +55,7 @@
     simulation.behaviour = succeeds;
     let reopened = Remaining {
         reopened: true,
-        ..Remaining::ALL
+        ..Remaining::UNLIMITED
     };
     let usage = simulation
         .router
--- a/crates/merlinshelf-policy/src/host_lease_manager.rs
+++ b/crates/merlinshelf-policy/src/host_lease_manager.rs
@@ -124,7 +124,7 @@
         let documents_changed = self.update_documents(state);
         let preparation_changed = self.update_preparation(now, state);
         if fence_changed || documents_changed || preparation_changed {
-            self.heartbeat_soon();
+            self.expedite_heartbeats();
         }
     }
 
@@ -238,12 +238,12 @@
     }
 
     /// There is something that the leading agent should learn now.
-    pub fn request_soon(&mut self) {
+    pub fn expedite_request(&mut self) {
         self.requested_at = f64::NEG_INFINITY;
     }
 
     /// There is something that all instances should learn now.
-    pub fn heartbeat_soon(&mut self) {
+    pub fn expedite_heartbeats(&mut self) {
         for instance in self.instances.values_mut() {
             instance.set_urgent();
         }
@@ -354,7 +354,7 @@
             .valid_lease(now)
             .is_some_and(|current| current.version == lease.version);
         if !is_renewal {
-            self.heartbeat_soon();
+            self.expedite_heartbeats();
         }
         self.lease = Some(lease);
     }
--- a/crates/merlinshelf-policy/src/lease_holder.rs
+++ b/crates/merlinshelf-policy/src/lease_holder.rs
@@ -145,7 +145,7 @@
     }
 
     /// It waits for a lease no longer.
-    pub fn stop_waiting(&mut self) {
+    pub fn stop_waiting_for_lease(&mut self) {
         self.is_ready = true;
     }
 
--- a/crates/merlinshelf-quota/src/quota_client.rs
+++ b/crates/merlinshelf-quota/src/quota_client.rs
@@ -30,7 +30,7 @@
 
 impl Remaining {
     /// Nothing is limited.
-    pub const ALL: Remaining = Remaining {
+    pub const UNLIMITED: Remaining = Remaining {
         probes_only: false,
         reopened: false,
         retries: u32::MAX,
@@ -110,7 +110,7 @@
     pub fn remaining(&mut self, now: f64, dependency: &str) -> Remaining {
         self.dependencies
             .get_mut(dependency)
-            .map_or(Remaining::ALL, |dependency| dependency.remaining(now))
+            .map_or(Remaining::UNLIMITED, |dependency| dependency.remaining(now))
     }
 
     /// How many connections may be opened now; `u32::MAX` where they are not limited.
