--- a/crates/merlinshelf-quota/src/allocation.rs
+++ b/crates/merlinshelf-quota/src/allocation.rs
@@ -1,13 +1,13 @@
-//! Divides a budget among claims: an even part first, then by weight (weighted max-min fairness).
+//! Divides a budget among claims: first evenly, then by weight (weighted max-min fairness).
 
-/// What a holder claims of a budget, and what it is allocated.
+/// A holder's claim on a budget and its allocation.
 #[derive(Clone, Copy, Debug)]
 pub struct Claim {
     /// Calls per second.
     pub calls_needed: u32,
-    /// How much the claim counts against others beyond an even part; above 0.
+    /// The weight of the claim in the division of what remains after the even part; above 0.
     pub weight: f64,
-    /// Calls per second; not more than are needed.
+    /// Calls per second; at most `calls_needed`.
     pub allocated: u32,
 }
 
@@ -16,7 +16,7 @@
         self.allocated >= self.calls_needed
     }
 
-    /// Allocates as many calls as are needed of these; the result is what was allocated.
+    /// Allocates up to `calls` calls, as many as are still needed; returns how many.
     fn allocate(&mut self, calls: u32) -> u32 {
         let calls = calls.min(self.calls_needed - self.allocated);
         self.allocated += calls;
@@ -24,8 +24,7 @@
     }
 }
 
-/// Allocates a budget to claims of which none is allocated anything yet; the result is what nobody
-/// needs.
+/// Allocates a budget to claims that have no allocation yet; returns the part that no claim needs.
 pub fn allocate(budget: u32, claims: &mut [Claim]) -> u32 {
     let even_calls = budget / (claims.len() as u32).max(1);
     let mut remaining = budget;
@@ -38,8 +37,8 @@
         if remaining < before {
             continue;
         }
-        // The rest is smaller than what divides by weight: it is allocated call by call.
-        let Some(claim) = most_deserving(claims) else {
+        // The remainder is too small to divide by weight: allocate it call by call.
+        let Some(claim) = highest_weight_per_call(claims) else {
             break;
         };
         remaining -= claim.allocate(1);
@@ -47,8 +46,7 @@
     remaining
 }
 
-/// Allocates calls in proportion to the weights of the claims that are not satisfied; the result is
-/// what remains.
+/// Allocates calls in proportion to the weights of the unsatisfied claims; returns what remains.
 fn allocate_by_weight(calls: u32, claims: &mut [Claim]) -> u32 {
     let weight_sum: f64 = claims
         .iter()
@@ -63,11 +61,11 @@
     remaining
 }
 
-/// The claim that is not satisfied and has the highest weight for each call that it would have.
-fn most_deserving(claims: &mut [Claim]) -> Option<&mut Claim> {
-    let merit = |claim: &Claim| claim.weight / f64::from(claim.allocated + 1);
+/// The unsatisfied claim with the highest weight per allocated call, counting one more call.
+fn highest_weight_per_call(claims: &mut [Claim]) -> Option<&mut Claim> {
+    let weight_per_call = |claim: &Claim| claim.weight / f64::from(claim.allocated + 1);
     claims
         .iter_mut()
         .filter(|claim| !claim.is_satisfied())
-        .max_by(|left, right| merit(left).total_cmp(&merit(right)))
+        .max_by(|left, right| weight_per_call(left).total_cmp(&weight_per_call(right)))
 }
--- a/crates/merlinshelf-quota/src/allocator.rs
+++ b/crates/merlinshelf-quota/src/allocator.rs
@@ -1,5 +1,5 @@
-//! The allocator of one budget: it never grants more than the budget, counted over all grants that
-//! may still have an effect.
+//! The allocator of one budget: the sum of all grants that may still have an effect never exceeds
+//! the budget.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +10,7 @@
 /// The weight of a claim that rejected no calls.
 const MIN_WEIGHT: f64 = 1e-9;
 
-/// A grant, and until when it may have an effect on the rate of arrivals. Times are seconds of the
+/// A grant with the time at which it stops affecting the rate of arrivals. Times are seconds of the
 /// allocator's clock.
 #[derive(Clone, Copy, Debug)]
 struct IssuedGrant {
@@ -19,25 +19,25 @@
     effect_ends_at: f64,
 }
 
-/// Identifies a process of a holder: it and its successor may both be spending for a while.
+/// Identifies a process of a holder: for some time it and its successor may both be spending.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct HolderId {
     name: String,
     incarnation: u64,
 }
 
-/// What the allocator knows of a holder.
+/// The allocator's state for one holder.
 #[derive(Clone, Debug, Default)]
 struct HolderState {
     grants: Vec<IssuedGrant>,
     demand: Demand,
     requested_at: f64,
-    /// When its last turn began, where there are more holders than calls.
+    /// When its last turn began; used if more holders need calls than the budget has.
     turn_started_at: Option<f64>,
 }
 
 impl HolderState {
-    /// The most that it may be spending, in calls per second.
+    /// The maximum that it may be spending, in calls per second.
     fn outstanding(&self, now: f64) -> u32 {
         self.grants
             .iter()
@@ -51,8 +51,8 @@
         self.demand.calls_needed > 0
     }
 
-    /// It acts on this grant: what earlier ones allowed beyond it is spent no more, and has no
-    /// effect after this time.
+    /// Records that the holder complies with this grant: the quota of earlier grants is no longer
+    /// spent, and has no effect after `arrivals_end_at`.
     fn acknowledge(&mut self, now: f64, grant_number: u64, arrivals_end_at: f64) {
         for grant in &mut self.grants {
             if grant.grant_number < grant_number {
@@ -71,30 +71,31 @@
     }
 }
 
-/// What is granted of one budget at a moment, for reports.
+/// The grants out of one budget at one time, for reports.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GrantReport {
-    /// What can be granted, in calls per second.
+    /// The amount that can be granted, in calls per second.
     pub available: u32,
-    /// By holder: the most that it may be spending, in calls per second.
+    /// The maximum that each holder may be spending, in calls per second.
     pub outstanding: BTreeMap<String, u32>,
 }
 
-/// What becomes of the part of a budget that nobody needs.
+/// How the part of a budget that no holder needs is distributed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum SparePolicy {
-    /// It is spread over all holders.
+    /// All of it is spread over all holders.
     SpreadAll,
-    /// Half of it is spread, the rest is available at once for who needs it next.
+    /// Half of it is spread over all holders; the rest stays available for the next demand.
     SpreadHalf,
 }
 
-/// The state machine. `now` is the allocator's own monotonic clock in seconds.
+/// The state machine. `now` is in seconds of the allocator's own monotonic clock.
 #[derive(Clone, Debug)]
 pub struct Allocator {
     terms: LeaseTerms,
     budget: u32,
-    /// Nothing is granted before: until then grants of an earlier allocator may have an effect.
+    /// Nothing is granted before this time, since grants of an earlier allocator may still have an
+    /// effect.
     grants_from: f64,
     id: u64,
     spare_policy: SparePolicy,
@@ -103,8 +104,8 @@
 }
 
 impl Allocator {
-    /// Takes over at `now` from another allocator that may have granted until then. `id` identifies
-    /// it among all allocators of the budget.
+    /// Creates an allocator that takes over at `now` from another one, which may have issued grants
+    /// until then. `id` identifies the new one among all allocators of the budget.
     pub fn take_over(now: f64, terms: LeaseTerms, budget: u32, id: u64) -> Allocator {
         Allocator {
             terms,
@@ -117,7 +118,8 @@
         }
     }
 
-    /// The first allocator of a budget, or one whose predecessor granted out of another budget.
+    /// Creates the first allocator of a budget, or one whose predecessor granted out of a different
+    /// budget.
     pub fn new(now: f64, terms: LeaseTerms, budget: u32, id: u64) -> Allocator {
         Allocator {
             grants_from: now,
@@ -126,12 +128,12 @@
         }
     }
 
-    /// Sets the budget in calls per second. A smaller one takes effect as leases expire.
+    /// Sets the budget in calls per second. A reduction takes effect as leases expire.
     pub fn set_budget(&mut self, budget: u32) {
         self.budget = budget;
     }
 
-    /// Identifies it among all allocators of the budget.
+    /// The id of this allocator among all allocators of the budget.
     pub fn id(&self) -> u64 {
         self.id
     }
@@ -141,7 +143,7 @@
         self.budget
     }
 
-    /// The most that all holders together may be spending, in calls per second.
+    /// The maximum that all holders together may be spending, in calls per second.
     pub fn outstanding(&self, now: f64) -> u32 {
         self.holders
             .values()
@@ -149,8 +151,8 @@
             .sum()
     }
 
-    /// The most that each holder may be spending, in calls per second; all its incarnations
-    /// together.
+    /// The maximum that each holder may be spending, in calls per second, summed over its
+    /// incarnations.
     pub fn outstanding_by_holder(&self, now: f64) -> BTreeMap<String, u32> {
         let mut outstanding = BTreeMap::new();
         for (id, holder) in &self.holders {
@@ -159,7 +161,7 @@
         outstanding
     }
 
-    /// The demand of all holders together: what a host requests for its instances.
+    /// The demand of all holders together, which a host requests for its instances.
     pub fn total_demand(&self) -> Demand {
         let demands = self.holders.values().map(|holder| holder.demand);
         let calls_needed = demands
@@ -175,8 +177,8 @@
         }
     }
 
-    /// A holder requests its quota; the result is what it may spend. `budget_expires_at`: when the
-    /// budget itself expires, where it is a lease.
+    /// Handles a holder's request; returns its grant. `budget_expires_at` is when the budget itself
+    /// expires, if it is leased.
     pub fn handle_request(
         &mut self,
         now: f64,
@@ -215,7 +217,7 @@
     }
 
     fn record_request(&mut self, now: f64, id: &HolderId, request: &QuotaRequest) {
-        // An incarnation that another one has replaced needs nothing more.
+        // An incarnation that was replaced by another one has no more demand.
         for (other, holder) in &mut self.holders {
             if other.name == id.name {
                 holder.demand.calls_needed = 0;
@@ -236,7 +238,7 @@
         holder.acknowledge(now, grant_number, self.terms.arrivals_end_at(now));
     }
 
-    /// What others leave of the budget.
+    /// The part of the budget that is not outstanding to other holders.
     fn available_to(&self, now: f64, id: &HolderId) -> u32 {
         if now < self.grants_from {
             return 0;
@@ -271,9 +273,9 @@
         holder.grants.push(grant);
     }
 
-    /// What a holder is to have of the whole budget, by all demands that are known. The part that
-    /// nobody needs is spread over all holders, so that a sudden demand finds quota: otherwise its
-    /// first second found none.
+    /// A holder's part of the whole budget, by the known demands of all holders. The part that no
+    /// holder needs is spread over all of them, so that a sudden demand finds quota; otherwise
+    /// there was none in its first second.
     fn target(&self, now: f64, id: &HolderId) -> u32 {
         let needing: Vec<(&HolderId, &HolderState)> = self
             .holders
@@ -297,8 +299,8 @@
         spare / (self.holders.len() as u32).max(1) + allocated
     }
 
-    /// Whether a holder has its turn, where more holders need calls than there are: those within a
-    /// turn of one lease come first, then those that have waited longest.
+    /// Whether it is a holder's turn, if more holders need calls than the budget has. Holders that
+    /// are within a turn, which lasts one lease, come first, then those that have waited longest.
     fn has_turn(
         &self,
         now: f64,
--- a/crates/merlinshelf-quota/src/budget.rs
+++ b/crates/merlinshelf-quota/src/budget.rs
@@ -1,4 +1,4 @@
-//! Budgets: calls of a kind to a dependency, in calls per second of the whole fleet.
+//! Budgets: limits on each kind of calls to a dependency, in calls per second of the whole fleet.
 
 use std::collections::BTreeMap;
 
@@ -46,30 +46,30 @@
     }
 }
 
-/// Budgets in calls per second, by the dependency's name and the kind of calls. What has no budget
-/// is not limited.
+/// Budgets in calls per second, by dependency name and kind of calls. Calls without a budget are
+/// not limited.
 pub type Budgets = BTreeMap<String, BTreeMap<CallKind, u32>>;
 
-/// The budget of a kind of calls in calls per second; `None` where it is not limited.
+/// The budget of a kind of calls in calls per second; `None` if it is not limited.
 pub fn find_budget(budgets: &Budgets, dependency: &str, kind: CallKind) -> Option<u32> {
     budgets.get(dependency)?.get(&kind).copied()
 }
 
-/// The dependency of all calls that the operators' file assigns to no other.
+/// The dependency of all calls that the operators' file does not assign to another one.
 pub const CATALOGUE: &str = "catalogue";
 
-/// Not a dependency but the callers: their new connections are accepted within a budget of
-/// [`CallKind::NewConnection`].
+/// The budget name of the callers, which are not a dependency: a budget of
+/// [`CallKind::NewConnection`] under this name limits the connections that are accepted from them.
 pub const CALLERS: &str = "callers";
 
 /// The highest budget, in calls per second.
 pub const MAX_CALLS_PER_SECOND: u32 = 1_000_000;
 
-/// A budget that cannot be.
+/// An invalid budget.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum BudgetError {
-    /// [`CALLERS`] has a budget for something else than connections.
-    #[error("{CALLERS}.{}: of callers only what is opened has a budget", kind.name())]
+    /// [`CALLERS`] has a budget for a kind other than connections.
+    #[error("{CALLERS}.{}: callers can have a budget only for `opened`", kind.name())]
     NotForCallers {
         /// The kind that has a budget.
         kind: CallKind,
@@ -90,10 +90,10 @@
     },
 }
 
-/// Validates each budget by itself.
+/// Validates each budget on its own.
 ///
 /// # Errors
-/// The first budget that cannot be.
+/// The first invalid budget.
 pub fn validate(budgets: &Budgets) -> Result<(), BudgetError> {
     for (dependency, kinds) in budgets {
         for (kind, calls_per_second) in kinds {
@@ -117,8 +117,8 @@
 pub enum UncoveredReserve {
     /// The base policy reserves nothing of this kind.
     #[error(
-        "budgets.{dependency}.{}: the base policy has none, so that whoever is cut off \
-         would spend without bound",
+        "budgets.{dependency}.{}: the base policy has none, so an instance that falls back \
+         to it would have no limit",
         kind.name()
     )]
     NoReserve {
@@ -130,7 +130,7 @@
     /// The reserves of all hosts together exceed the budget.
     #[error(
         "budgets.{dependency}.{}: {calls_per_second} a second are fewer than the \
-         {reserve_per_host} that the base policy sets aside for each of {hosts} hosts",
+         {reserve_per_host} that the base policy reserves for each of {hosts} hosts",
         kind.name()
     )]
     ExceedsBudget {
@@ -140,7 +140,7 @@
         kind: CallKind,
         /// The budget.
         calls_per_second: u32,
-        /// What the base policy reserves for each host, calls per second.
+        /// The reserve of each host in the base policy, calls per second.
         reserve_per_host: u32,
         /// The number of hosts.
         hosts: u32,
@@ -160,11 +160,11 @@
     lines.join("; ")
 }
 
-/// Validates that budgets cover what each host reserves by the base policy. `hosts` is their
-/// number, where it is known.
+/// Validates that budgets cover the reserves of all hosts, as set by the base policy. `hosts` is
+/// the number of hosts, if known.
 ///
 /// # Errors
-/// Each budget that does not.
+/// All budgets that do not.
 pub fn validate_against_reserve(
     budgets: &Budgets,
     base: &Budgets,
--- a/crates/merlinshelf-quota/src/dependency_quota.rs
+++ b/crates/merlinshelf-quota/src/dependency_quota.rs
@@ -1,5 +1,5 @@
-//! An instance's quota for one dependency: what may be spent on it, by its phase and the grants of
-//! the host.
+//! An instance's quota for one dependency: which calls may be made, depending on its phase and the
+//! grants of the host.
 
 use std::collections::BTreeMap;
 
@@ -12,29 +12,30 @@
 use crate::phase::{DependencyHealth, Phase, PhaseLease};
 use crate::quota_client::{CallOutcome, Remaining};
 
-/// First calls stay limited for this long after the dependency came back, where its phase is not
+/// How long first calls stay limited after the dependency stopped failing while its phase is not
 /// known, seconds.
 const UNKNOWN_PHASE_LIMIT_SECONDS: f64 = 5.0;
-/// A call that was drawn from the host's reserve must be made within this, seconds: it counts from
-/// when it was drawn, and the time that calls take to arrive may vary by more.
+/// How long a call that was drawn from the host's reserve may be made, seconds. The reserve counts
+/// it from when it was drawn, so this must stay below the variation of the transit time of calls.
 const DRAWN_CALL_SECONDS: f64 = 0.02;
 
-/// Times are seconds of the instance's clock. It is part of what is handed over in an upgrade, so
-/// the names that older versions use are preserved by `#[serde(rename)]`.
+/// The state for one dependency. Times are seconds of the instance's clock. It is handed over in an
+/// upgrade, so the names that older versions use are preserved by `#[serde(rename)]`.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub(crate) struct DependencyQuota {
     holders: BTreeMap<CallKind, QuotaLeaseHolder>,
     phase: Option<PhaseLease>,
-    /// It has stopped failing for all, which was not reported yet.
+    /// The dependency has stopped failing for all instances, which was not reported to the caller
+    /// yet.
     #[serde(rename = "opens")]
     has_reopened: bool,
-    /// Whether it fails for this instance.
+    /// Whether the dependency fails for this instance.
     #[serde(rename = "fails")]
     is_failing: bool,
-    /// First calls are limited until then though the phase is not known.
+    /// First calls are limited until this time even if the phase is not known.
     #[serde(rename = "alone_until")]
     limited_until: f64,
-    /// No caller has asked for its remaining calls yet.
+    /// Whether the remaining calls were never queried.
     #[serde(rename = "new")]
     is_new: bool,
     #[serde(rename = "good")]
@@ -43,16 +44,16 @@
     failed_calls: u32,
     #[serde(rename = "ended_at")]
     last_call_ended_at: Option<f64>,
-    /// The first probe of a new quota is sent no sooner.
+    /// No probe is sent before this time.
     probes_from: f64,
-    /// When calls that were drawn from the host's reserve expire.
+    /// The expiry of a call drawn from the host's reserve, by kind.
     #[serde(rename = "drawn")]
     drawn_calls: BTreeMap<CallKind, f64>,
 }
 
 impl DependencyQuota {
-    /// The quota of a dependency that was not limited before: nothing is known of it, so it counts
-    /// as one that recovers.
+    /// Creates the quota of a dependency that was not limited before. Its state is unknown, so it
+    /// is treated as recovering.
     pub fn newly_limited() -> DependencyQuota {
         DependencyQuota {
             is_new: true,
@@ -75,7 +76,7 @@
         }
     }
 
-    /// The same without any grant or drawn call, for a process that has handed over.
+    /// A copy without grants or drawn calls, for a process that has handed over its quotas.
     pub fn without_grants(&self, incarnation: u64, terms: LeaseTerms) -> DependencyQuota {
         DependencyQuota {
             holders: self
@@ -93,25 +94,25 @@
         self.holders.keys().copied()
     }
 
-    /// The phase, as far as it is known now.
+    /// The phase; `None` if it is not known at `now`.
     pub fn phase_at(&self, now: f64) -> Option<Phase> {
         self.phase.and_then(|phase| phase.phase_at(now))
     }
 
-    /// What may be spent now.
+    /// The calls that may be made now.
     pub fn remaining(&mut self, now: f64) -> Remaining {
         if std::mem::take(&mut self.is_new) {
             self.limited_until = now + UNKNOWN_PHASE_LIMIT_SECONDS;
         }
         let phase = self.phase_at(now);
-        let retries = self.remaining_of(now, CallKind::Retry);
+        let retries = self.remaining_calls(now, CallKind::Retry);
         let probes = match phase {
             Some(Phase::Healthy) => u32::MAX,
             _ if now < self.probes_from => 0,
-            _ => self.remaining_of(now, CallKind::Probe),
+            _ => self.remaining_calls(now, CallKind::Probe),
         };
         let first_calls = if self.limits_first_calls(now) {
-            self.remaining_of(now, CallKind::FirstCall)
+            self.remaining_calls(now, CallKind::FirstCall)
         } else {
             u32::MAX
         };
@@ -125,7 +126,7 @@
     }
 
     /// Calls of a kind that may be made now; `u32::MAX` where they have no budget.
-    pub fn remaining_of(&mut self, now: f64, kind: CallKind) -> u32 {
+    pub fn remaining_calls(&mut self, now: f64, kind: CallKind) -> u32 {
         let Some(holder) = self.holders.get_mut(&kind) else {
             return u32::MAX;
         };
@@ -139,8 +140,8 @@
         holder.remaining(now) + u32::from(has_drawn_call)
     }
 
-    /// First calls are limited while the dependency recovers, and for a while where its phase is
-    /// not known any more.
+    /// Whether first calls are limited: while the dependency recovers, and for some time after its
+    /// phase became unknown.
     fn limits_first_calls(&self, now: f64) -> bool {
         if let Some(phase) = self.phase_at(now) {
             return phase == Phase::Recovering;
@@ -155,15 +156,15 @@
     pub fn is_limited(&self, now: f64, kind: CallKind) -> bool {
         let is_limited_now = match kind {
             CallKind::FirstCall => self.limits_first_calls(now),
-            // Where it is healthy for all, the probes of one instance for which it fails are fewer
-            // than its calls were.
+            // If the dependency is healthy for the others, an instance for which it fails sends
+            // fewer probes than it would send calls.
             CallKind::Probe => self.phase_at(now) != Some(Phase::Healthy),
             CallKind::Retry | CallKind::NewConnection => true,
         };
         is_limited_now && self.holders.contains_key(&kind)
     }
 
-    /// A call is needed, whether it can be made or not.
+    /// Records that a call is needed, whether or not it can be made.
     pub fn record_demand(&mut self, now: f64, kind: CallKind, priority_weight: f64) {
         if !self.is_limited(now, kind) {
             return;
@@ -173,7 +174,7 @@
         }
     }
 
-    /// So many of the remaining calls were made.
+    /// Records that `calls` of the remaining calls were made.
     pub fn record_spent(&mut self, now: f64, kind: CallKind, calls: u32) {
         let has_drawn_call = calls > 0 && self.drawn_calls.remove(&kind).is_some();
         if let Some(holder) = self.holders.get_mut(&kind) {
@@ -181,7 +182,7 @@
         }
     }
 
-    /// A call was drawn from the host's reserve.
+    /// Records that a call was drawn from the host's reserve.
     pub fn record_reserve_draw(&mut self, now: f64, kind: CallKind) {
         self.drawn_calls.insert(kind, now + DRAWN_CALL_SECONDS);
         if kind == CallKind::Probe {
@@ -189,7 +190,7 @@
         }
     }
 
-    /// A call has ended.
+    /// Records that a call has ended.
     pub fn record_call_end(&mut self, now: f64, outcome: CallOutcome) {
         match outcome {
             CallOutcome::Succeeded => self.succeeded_calls += 1,
@@ -212,7 +213,8 @@
         Some(holder.usable(now).calls_per_second)
     }
 
-    /// The request of a round. A dependency counts as called for this long after a call has ended.
+    /// The request of a round. A dependency counts as called until `call_lifetime_seconds` after
+    /// the end of its last call.
     pub fn request(&mut self, now: f64, call_lifetime_seconds: f64) -> DependencyRequest {
         let was_called = self
             .last_call_ended_at
@@ -233,8 +235,8 @@
         }
     }
 
-    /// Handles a response of the host. `phase_expires_at` is until when its phase is valid;
-    /// `probe_delay` draws the delay of the first probe of a new quota.
+    /// Handles a response of the host. `phase_expires_at` is when the phase in it expires;
+    /// `probe_delay` draws the delay before the first probe under a new quota.
     pub fn handle_grant(
         &mut self,
         now: f64,
@@ -276,8 +278,8 @@
         holder.handle_grant(grant);
         let has_quota = holder.usable(now).calls_per_second > 0;
         if kind == CallKind::Probe && !had_quota && has_quota {
-            // Instances that get their quota at the same moment do not all send their probe at the
-            // same moment.
+            // Instances that receive their quotas at the same time must not all send their first
+            // probe at the same time.
             self.probes_from = now + probe_delay();
         }
     }
--- a/crates/merlinshelf-quota/src/fleet_allocator.rs
+++ b/crates/merlinshelf-quota/src/fleet_allocator.rs
@@ -1,5 +1,5 @@
-//! The leading agent's part for all budgets together: it allocates them among the hosts, and
-//! decides the phase of each dependency.
+//! The leading agent's role for all budgets: allocates them among the hosts and decides the phase
+//! of each dependency.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -13,7 +13,7 @@
 use crate::phase::Phase;
 use crate::recovery::Recovery;
 
-/// The time over which the rate of spent calls is reported, seconds.
+/// The window over which the reported rate of spent calls is averaged, seconds.
 const SPENDING_WINDOW_SECONDS: f64 = 5.0;
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -37,14 +37,14 @@
     zone: String,
 }
 
-/// Calls that a host reported as spent.
+/// A host's report of spent calls.
 #[derive(Clone, Copy, Debug)]
 struct SpentCalls {
     reported_at: f64,
     calls: u32,
 }
 
-/// A budget with the part that each host has reserved, for reports.
+/// A budget with the reserve of each host, for reports.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BudgetReport<'a> {
     /// The dependency's name.
@@ -57,13 +57,13 @@
     pub reserve_per_host: u32,
 }
 
-/// The state machine. `now` is the agent's own monotonic clock in seconds.
+/// The state machine. `now` is in seconds of the agent's own monotonic clock.
 #[derive(Clone, Debug)]
 pub struct FleetAllocator {
     terms: LeaseTerms,
     id: u64,
     budgets: Budgets,
-    /// What each host has reserved.
+    /// The reserve of each host.
     reserve: Budgets,
     host_count: u32,
     allocators: BTreeMap<BudgetKey, Allocator>,
@@ -72,8 +72,8 @@
 }
 
 impl FleetAllocator {
-    /// The allocator of an agent that was just elected. `id` identifies it among all elected
-    /// agents, as a term does.
+    /// Creates the allocator of a newly elected agent. `id` identifies it among all elected agents,
+    /// as a term does.
     pub fn elected(terms: LeaseTerms, id: u64) -> FleetAllocator {
         FleetAllocator {
             terms,
@@ -87,8 +87,8 @@
         }
     }
 
-    /// Sets the budgets of the fleet, of which each of so many hosts has this reserve. Smaller ones
-    /// take effect as leases expire.
+    /// Sets the budgets of the fleet, the reserve that each host has out of them, and the number of
+    /// hosts. Reductions take effect as leases expire.
     pub fn set_budgets(&mut self, budgets: &Budgets, reserve: &Budgets, host_count: u32) {
         if self.budgets == *budgets && self.reserve == *reserve && self.host_count == host_count {
             return;
@@ -96,16 +96,16 @@
         self.budgets = budgets.clone();
         self.reserve = reserve.clone();
         self.host_count = host_count;
-        // Where a budget is removed and later restored, calls may be made without limit in between:
-        // its allocator then takes over from that as from an earlier allocator.
+        // Calls to a dependency whose budget was removed are not limited. If the budget is restored
+        // later, its new allocator therefore takes over as from an earlier allocator.
         self.allocators
             .retain(|key, _| find_budget(budgets, &key.dependency, key.kind).is_some());
         self.recoveries
             .retain(|key, _| budgets.contains_key(&key.dependency));
     }
 
-    /// A host requests its quotas. The response may be sent only when it is confirmed that this
-    /// agent still leads.
+    /// Handles a host's request for quotas. The response may be sent only after it is confirmed
+    /// that this agent still leads.
     pub fn handle_request(
         &mut self,
         now: f64,
@@ -201,8 +201,8 @@
         let key = BudgetKey::new(dependency, kind);
         self.record_spent(now, &key, request.calls_spent);
         let available = self.available(dependency, kind);
-        // A kind that is new here may have been allocated before: by an earlier leader, or under an
-        // earlier policy.
+        // An earlier leader, or this one under an earlier policy, may have issued grants for a kind
+        // that has no allocator yet.
         let allocator = self
             .allocators
             .entry(key)
@@ -225,8 +225,9 @@
         }
     }
 
-    /// What can be granted of a budget now, in calls per second: what is not reserved, and of first
-    /// calls no more than the zones in which the dependency recovers let through.
+    /// The part of a budget that can be granted now, in calls per second: the part that is not
+    /// reserved, and for first calls at most the sum of the limits of the zones in which the
+    /// dependency recovers.
     fn available(&self, dependency: &str, kind: CallKind) -> u32 {
         let budget = find_budget(&self.budgets, dependency, kind).unwrap_or(0);
         let reserve_per_host = find_budget(&self.reserve, dependency, kind).unwrap_or(0);
@@ -252,7 +253,7 @@
             .collect()
     }
 
-    /// Calls per second of a kind that were lately made by quota, without the reserves, for
+    /// The recent rate of calls of a kind made under quotas, without those drawn from reserves, for
     /// reports.
     pub fn spent_per_second(&self, now: f64, dependency: &str, kind: CallKind) -> f64 {
         let calls: u32 = self
@@ -278,7 +279,7 @@
         })
     }
 
-    /// What is granted to hosts, for reports.
+    /// The grants to hosts, for reports.
     pub fn granted(&self, now: f64, dependency: &str, kind: CallKind) -> GrantReport {
         let allocator = self.allocators.get(&BudgetKey::new(dependency, kind));
         GrantReport {
--- a/crates/merlinshelf-quota/src/host_allocator.rs
+++ b/crates/merlinshelf-quota/src/host_allocator.rs
@@ -1,5 +1,5 @@
-//! A host's part for all budgets together: it has quotas of the leading agent, and allocates them
-//! among its instances.
+//! A host's role for all budgets: holds quotas granted by the leading agent and allocates them
+//! among the host's instances.
 
 use std::collections::BTreeMap;
 
@@ -14,7 +14,7 @@
 use crate::pending_requests::RoundTracker;
 use crate::phase::{DependencyHealth, HealthReports, Phase, PhaseLease};
 
-/// The host's quota of one budget, and its allocation among the instances.
+/// The host's quota of one budget, with its allocator for the instances.
 #[derive(Clone, Debug)]
 struct HostQuota {
     holder: QuotaLeaseHolder,
@@ -55,7 +55,7 @@
     /// Calls that have ended since the last request.
     succeeded_calls: u32,
     failed_calls: u32,
-    /// Calls that instances reported as spent since the last request.
+    /// Spent calls that instances reported since the last request.
     spent_calls: BTreeMap<CallKind, u32>,
 }
 
@@ -64,12 +64,12 @@
         self.phase.and_then(|phase| phase.phase_at(now))
     }
 
-    /// Records an instance's request; whether a call has succeeded though the dependency is known
-    /// to fail.
+    /// Records an instance's request; returns whether a call succeeded although the dependency is
+    /// known to fail.
     fn record_request(&mut self, now: f64, instance: &str, request: &DependencyRequest) -> bool {
         if let (None, Some(phase)) = (self.phase, request.phase) {
-            // An earlier agent had received it: it is passed on to the leader, and has no effect
-            // here.
+            // The phase was received by an earlier process of this agent. It is passed on to the
+            // leader and counts as expired here.
             self.phase = Some(PhaseLease {
                 phase,
                 expires_at: f64::NEG_INFINITY,
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Handles the leading agent's grant; whether the phase has changed.
+    /// Handles the leading agent's grant; returns whether the phase has changed.
     fn handle_grant(&mut self, now: f64, phase_expires_at: f64, grant: &DependencyGrant) -> bool {
         for (kind, grant) in &grant.grants {
             if let Some(quota) = self.quotas.get_mut(kind) {
@@ -136,7 +136,7 @@
     }
 }
 
-/// The state machine of one agent. `now` is its own monotonic clock in seconds.
+/// The state machine of one agent. `now` is in seconds of its own monotonic clock.
 #[derive(Clone, Debug)]
 pub struct HostAllocator {
     incarnation: u64,
@@ -144,13 +144,13 @@
     zone: String,
     rounds: RoundTracker,
     dependencies: BTreeMap<String, DependencyState>,
-    /// The last request of each instance that is not answered yet.
+    /// The last unanswered request of each instance.
     unanswered_requests: BTreeMap<String, QuotaRequestBatch>,
 }
 
 impl HostAllocator {
-    /// An allocator without quotas. `incarnation` identifies this agent among all processes of the
-    /// host's agent.
+    /// Creates an allocator without quotas. `incarnation` identifies this process among all
+    /// processes of the host's agent.
     pub fn new(incarnation: u64, terms: LeaseTerms, zone: &str) -> HostAllocator {
         HostAllocator {
             incarnation,
@@ -162,7 +162,7 @@
         }
     }
 
-    /// Sets which calls are limited. Quotas of those that remain limited stay valid.
+    /// Sets which calls are limited. Quotas for calls that were limited before stay valid.
     pub fn set_budgets(&mut self, now: f64, budgets: &Budgets) {
         self.dependencies
             .retain(|name, _| budgets.contains_key(name));
@@ -178,8 +178,8 @@
         }
     }
 
-    /// An instance requests its quotas. Whether the leading agent should learn of it at once: a
-    /// call has succeeded though the dependency is known to fail.
+    /// Handles an instance's request for quotas. Returns whether the leading agent should be
+    /// notified at once, because a call succeeded although the dependency is known to fail.
     pub fn handle_request(&mut self, now: f64, instance: &str, batch: QuotaRequestBatch) -> bool {
         let mut is_urgent = false;
         for (name, request) in &batch.dependencies {
@@ -191,8 +191,8 @@
         is_urgent
     }
 
-    /// The response to an instance's last request, for the next heartbeat to it; `None` where it is
-    /// answered.
+    /// The response to an instance's last request, for the next heartbeat to it; `None` if there is
+    /// no unanswered request.
     pub fn take_grants(&mut self, now: f64, instance: &str) -> Option<QuotaGrantBatch> {
         let batch = self.unanswered_requests.remove(instance)?;
         let mut grants = BTreeMap::new();
@@ -208,7 +208,7 @@
         })
     }
 
-    /// The request of a round to the leading agent.
+    /// Begins a round; returns its request to the leading agent.
     pub fn request(&mut self, now: f64) -> QuotaRequestBatch {
         let report_lifetime_seconds = self.terms.lease_seconds;
         let requests = self
@@ -227,8 +227,8 @@
         }
     }
 
-    /// The leading agent's response, however late. Whether instances should learn of it at once: a
-    /// phase has changed.
+    /// Handles the leading agent's response, which may be arbitrarily late. Returns whether
+    /// instances should be notified at once, because a phase has changed.
     pub fn handle_grants(&mut self, now: f64, batch: &QuotaGrantBatch) -> bool {
         if batch.incarnation != self.incarnation {
             return false;
@@ -248,12 +248,12 @@
         has_changed
     }
 
-    /// The phase of a dependency, as far as it is known here.
+    /// The phase of a dependency; `None` if it is not known here.
     pub fn phase(&self, now: f64, dependency: &str) -> Option<Phase> {
         self.dependencies.get(dependency)?.phase_at(now)
     }
 
-    /// Whether a dependency is known to be unhealthy: messages about it are urgent.
+    /// Whether any dependency is known to be unhealthy, which makes messages urgent.
     pub fn has_unhealthy_dependency(&self, now: f64) -> bool {
         self.dependencies.values().any(|dependency| {
             dependency
@@ -262,7 +262,7 @@
         })
     }
 
-    /// What the host has of a budget and what of it is granted to instances, for reports.
+    /// The host's quota of a budget and the grants to its instances, for reports.
     pub fn granted(&self, now: f64, dependency: &str, kind: CallKind) -> Option<GrantReport> {
         let quota = self.dependencies.get(dependency)?.quotas.get(&kind)?;
         Some(GrantReport {
--- a/crates/merlinshelf-quota/src/lease_holder.rs
+++ b/crates/merlinshelf-quota/src/lease_holder.rs
@@ -1,4 +1,4 @@
-//! A holder of quota for one budget: decides at once whether a call may be made.
+//! A holder of quota for one budget: decides locally whether a call may be made.
 
 use std::collections::VecDeque;
 
@@ -8,13 +8,13 @@
 use crate::messages::{Demand, GrantId, QuotaGrant, QuotaRequest};
 use crate::pending_requests::PendingRequests;
 
-/// A need below this rounds to none.
+/// A need below this counts as none, calls per second.
 const NEGLIGIBLE_NEED: f64 = 0.05;
-/// By how many standard deviations of its Poisson-distributed calls a holder requests more than
-/// their mean: with the mean alone a third of the calls found no quota.
+/// The margin that a holder requests on top of the mean of its calls, in standard deviations of a
+/// Poisson distribution. Without a margin a third of the calls found no quota.
 const NEED_DEVIATIONS: f64 = 2.0;
 
-/// The grant that a holder acts on. Encoded as an array of three.
+/// The grant in effect. Encoded as an array of three.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 #[serde(from = "((u64, u64), u32, f64)", into = "((u64, u64), u32, f64)")]
 struct CurrentGrant {
@@ -60,17 +60,17 @@
     }
 }
 
-/// The quota that may be spent at a moment.
+/// The quota that may be spent at a given time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct UsableQuota {
-    /// Calls per second; 0 where there is none.
+    /// Calls per second; 0 if there is no quota.
     pub calls_per_second: u32,
-    /// When it expires, by the holder's clock in seconds; `None` where there is none.
+    /// When the quota expires, by the holder's clock in seconds; `None` if there is no quota.
     pub expires_at: Option<f64>,
 }
 
-/// The state machine of one holder. `now` is its own monotonic clock in seconds. It is part of what
-/// is handed over in an upgrade, so the names that older versions use are preserved by
+/// The state machine of one holder. `now` is in seconds of its own monotonic clock. The state is
+/// handed over in an upgrade, so the names that older versions use are preserved by
 /// `#[serde(rename)]`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct QuotaLeaseHolder {
@@ -80,17 +80,18 @@
     terms: LeaseTerms,
     #[serde(rename = "share")]
     grant: CurrentGrant,
-    /// The last grant that is acknowledged: nobody spends more here, nor where it was granted on.
+    /// The last acknowledged grant: neither this holder nor those it granted parts of it to spend
+    /// more than it allows.
     #[serde(rename = "settled")]
     acknowledged_grant: GrantId,
     #[serde(rename = "token")]
     last_request_id: u64,
     #[serde(rename = "asks")]
     pending_requests: PendingRequests,
-    /// When calls were made, within the last window.
+    /// The times of the calls made within the last window.
     #[serde(rename = "made")]
     recent_calls: VecDeque<f64>,
-    /// Calls that were needed since the last request, whether they were made or not.
+    /// Calls that were needed since the last request, whether or not they were made.
     #[serde(rename = "wanted")]
     demanded_calls: u32,
     /// Calls that were made since the last request.
@@ -99,7 +100,7 @@
     /// The sum of the priority weights of the calls that were needed.
     #[serde(rename = "worth")]
     demanded_weight: f64,
-    /// The demand of the rounds within the last window.
+    /// The demand of each round within the last window.
     #[serde(rename = "lately")]
     recent_demand: VecDeque<RoundDemand>,
     #[serde(rename = "need")]
@@ -107,8 +108,8 @@
 }
 
 impl QuotaLeaseHolder {
-    /// A holder without a grant. `incarnation` identifies this process among all processes of the
-    /// holder.
+    /// Creates a holder without a grant. `incarnation` identifies this process among all processes
+    /// of the holder.
     pub fn new(incarnation: u64, terms: LeaseTerms) -> QuotaLeaseHolder {
         QuotaLeaseHolder {
             incarnation,
@@ -146,7 +147,7 @@
         }
     }
 
-    /// How many calls may be made at this very moment.
+    /// The number of calls that may be made at `now`.
     pub fn remaining(&mut self, now: f64) -> u32 {
         let window_starts_at = now - self.terms.window_seconds();
         while self
@@ -161,20 +162,21 @@
             .saturating_sub(self.recent_calls.len() as u32)
     }
 
-    /// So many of the remaining calls were made.
+    /// Records that `calls` of the remaining calls were made.
     pub fn record_spent(&mut self, now: f64, calls: u32) {
         self.recent_calls.extend((0..calls).map(|_| now));
         self.spent_calls += calls;
     }
 
-    /// A call is needed, whether it can be made or not. `priority_weight` is what is lost where it
-    /// cannot.
+    /// Records that a call is needed, whether or not it can be made. `priority_weight` is the value
+    /// that is lost if it cannot.
     pub fn record_demand(&mut self, priority_weight: f64) {
         self.demanded_calls += 1;
         self.demanded_weight += priority_weight;
     }
 
-    /// Whether a call that is needed may be made now; it counts as made where it may.
+    /// Records that a call is needed; returns whether it may be made now, and if so counts it as
+    /// made.
     pub fn try_spend(&mut self, now: f64, priority_weight: f64) -> bool {
         self.record_demand(priority_weight);
         let may_spend = self.remaining(now) > 0;
@@ -184,7 +186,7 @@
         may_spend
     }
 
-    /// The request of a round, by the demand since the last one.
+    /// The request of a round, based on the demand since the last one.
     pub fn request(&mut self, now: f64) -> QuotaRequest {
         let demand = self.take_demand(now);
         let spent_calls = std::mem::take(&mut self.spent_calls);
@@ -199,11 +201,11 @@
         let demanded_weight = std::mem::take(&mut self.demanded_weight);
         let has_rejected = demanded_calls > self.spent_calls;
         let calls_per_window = self.record_round(now, demanded_calls.max(self.spent_calls));
-        // A need that is gone fades by half each round.
-        let lowest_need = if has_rejected { 1.0 } else { 0.0 };
+        // The need decays by at most half per round.
+        let min_need = if has_rejected { 1.0 } else { 0.0 };
         self.smoothed_need = (calls_per_window + NEED_DEVIATIONS * calls_per_window.sqrt())
             .max(self.smoothed_need / 2.0)
-            .max(lowest_need);
+            .max(min_need);
         let calls_needed = if self.smoothed_need < NEGLIGIBLE_NEED {
             0
         } else {
@@ -220,7 +222,7 @@
         }
     }
 
-    /// Records the demand of the round that ends now; the result is that of all rounds within the
+    /// Records the demand of the round that ends now; returns the demand of all rounds within the
     /// window.
     fn record_round(&mut self, now: f64, calls: u32) -> f64 {
         self.recent_demand.push_back(RoundDemand {
@@ -239,8 +241,8 @@
         f64::from(calls)
     }
 
-    /// A request by the demand of others, as a host sends it for its instances. `outstanding` is
-    /// the most that they may be spending, in calls per second.
+    /// A request based on the demand of others, as a host sends it for its instances. `outstanding`
+    /// is the maximum that they may be spending, in calls per second.
     pub fn request_for(&mut self, now: f64, demand: Demand, outstanding: u32) -> QuotaRequest {
         if outstanding <= self.usable(now).calls_per_second {
             self.acknowledged_grant = self.grant.id;
@@ -257,7 +259,8 @@
         }
     }
 
-    /// A grant has come, however late. One that another grant has overtaken has no effect.
+    /// Handles a grant, which may be arbitrarily late. It has no effect if the grant for a later
+    /// request was already handled.
     pub fn handle_grant(&mut self, grant: &QuotaGrant) {
         if grant.incarnation != self.incarnation {
             return;
--- a/crates/merlinshelf-quota/src/lib.rs
+++ b/crates/merlinshelf-quota/src/lib.rs
@@ -1,11 +1,11 @@
-//! Budgets of a fleet, in calls per second, allocated among the instances that may spend them by
-//! leased quotas.
+//! Divides the call budgets of a fleet, in calls per second, among its instances by leased quotas.
 //!
-//! All state machines here are sans-I/O: they are fed messages and the time, and polled for what is
-//! to be sent. For one budget an [`Allocator`] grants quotas to [`QuotaLeaseHolder`]s; a host is a
-//! holder towards the leading agent and an allocator towards its instances. For all dependencies
-//! and kinds of calls together these are the [`FleetAllocator`] of the leading agent, the
-//! [`HostAllocator`] of a host's agent and the [`QuotaClient`] of an instance (docs/shares.md).
+//! All state machines here are sans-I/O: the caller passes in messages and the time, and polls for
+//! the messages to send. For one budget an [`Allocator`] grants quotas to [`QuotaLeaseHolder`]s; a
+//! host is a holder towards the leading agent and an allocator towards its instances. For all
+//! dependencies and kinds of calls together these roles are the [`FleetAllocator`] of the leading
+//! agent, the [`HostAllocator`] of a host's agent and the [`QuotaClient`] of an instance
+//! (docs/shares.md).
 
 mod allocation;
 pub mod allocator;
--- a/crates/merlinshelf-quota/src/messages.rs
+++ b/crates/merlinshelf-quota/src/messages.rs
@@ -1,4 +1,4 @@
-//! The messages between quota holders and their allocator, once a round.
+//! The messages that quota holders and their allocator exchange once per round.
 //!
 //! Fields are encoded by name; the names that older versions use are preserved by
 //! `#[serde(rename)]`, pairs are arrays of two, and a missing field of a batch is its default.
@@ -14,9 +14,10 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u64, u64)", into = "(u64, u64)")]
 pub struct GrantId {
-    /// The allocator that granted; 0 where nothing was granted.
+    /// The allocator that issued the grant; 0 if there is no grant.
     pub allocator_id: u64,
-    /// Numbers the grants of this allocator; those of different allocators are not comparable.
+    /// The number of the grant within this allocator; numbers of different allocators are not
+    /// comparable.
     pub grant_number: u64,
 }
 
@@ -35,35 +36,36 @@
     }
 }
 
-/// What a holder needs, or all holders of a host together.
+/// The demand of a holder, or of all holders of a host together.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Demand {
     /// Calls per second.
     pub calls_needed: u32,
-    /// The mean priority weight of the calls that it had to reject; 0 where it rejected none.
+    /// The mean priority weight of the calls that were rejected; 0 if none were.
     pub priority_weight: f64,
 }
 
-/// A holder requests its quota.
+/// A holder's request for quota.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct QuotaRequest {
     /// Identifies this process among all processes of the holder.
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// Identifies the request within the incarnation; the grant has it as well.
+    /// Identifies the request within the incarnation; the grant repeats it.
     #[serde(rename = "token")]
     pub request_id: u64,
-    /// Calls per second that it has lately made or rejected.
+    /// Calls per second that it has recently made or rejected, with a margin.
     #[serde(rename = "need")]
     pub calls_needed: u32,
-    /// The mean priority weight of a call that it had to reject; 0 where it rejected none.
+    /// The mean priority weight of the calls that it rejected; 0 if none were.
     #[serde(rename = "worth")]
     pub priority_weight: f64,
-    /// The last grant that it acts on. A grant that is smaller than the one before is acknowledged
-    /// only when the holder, and those to whom it granted of it, spend no more than it allows.
+    /// The last grant that it complies with. A grant that is smaller than the previous one is
+    /// acknowledged only once the holder, and the holders it granted parts of it to, spend no more
+    /// than it allows.
     #[serde(rename = "heard")]
     pub acknowledged_grant: GrantId,
-    /// Calls that were made by quota since the last request, for reports.
+    /// Calls made under the quota since the last request, for reports.
     #[serde(default)]
     #[serde(rename = "spent")]
     pub calls_spent: u32,
@@ -75,19 +77,19 @@
     /// The incarnation of the request.
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// The request that is answered.
+    /// The request that this grant answers.
     #[serde(rename = "token")]
     pub request_id: u64,
-    /// Identifies the allocator among all of this budget, also earlier ones.
+    /// Identifies the allocator among all allocators of this budget, including earlier ones.
     #[serde(rename = "keeper")]
     pub allocator_id: u64,
     /// Later grants of the allocator have higher numbers.
     #[serde(rename = "number")]
     pub grant_number: u64,
-    /// The quota.
+    /// The quota, in calls per second.
     #[serde(rename = "calls")]
     pub calls_per_second: u32,
-    /// The duration of the lease from when it was requested, in seconds.
+    /// The duration of the lease in seconds, counted from when it was requested.
     #[serde(rename = "for_s")]
     pub duration_seconds: f64,
 }
@@ -102,7 +104,7 @@
     /// Identifies the round within the incarnation.
     #[serde(rename = "token")]
     pub request_id: u64,
-    /// The host's zone; empty from an instance.
+    /// The host's zone; empty in an instance's batch.
     pub zone: String,
     /// By the dependency's name.
     #[serde(rename = "places")]
@@ -113,12 +115,12 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct DependencyRequest {
-    /// What is observed of it.
+    /// Observations of the dependency.
     #[serde(rename = "sight")]
     pub health: DependencyHealth,
-    /// The phase that was last received, however old: a new leader continues from it.
+    /// The last received phase, even if it has expired: a new leader resumes from it.
     pub phase: Option<Phase>,
-    /// By the kind of calls.
+    /// By kind of calls.
     #[serde(rename = "claims")]
     pub requests: BTreeMap<CallKind, QuotaRequest>,
 }
@@ -130,7 +132,7 @@
     /// The incarnation of the batch of requests.
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// The round that is answered.
+    /// The round that this batch answers.
     #[serde(rename = "token")]
     pub request_id: u64,
     /// By the dependency's name.
@@ -142,9 +144,9 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct DependencyGrant {
-    /// The dependency's phase, where it is known.
+    /// The dependency's phase, if known.
     pub phase: Option<Phase>,
-    /// By the kind of calls.
+    /// By kind of calls.
     #[serde(rename = "shares")]
     pub grants: BTreeMap<CallKind, QuotaGrant>,
 }
--- a/crates/merlinshelf-quota/src/pending_requests.rs
+++ b/crates/merlinshelf-quota/src/pending_requests.rs
@@ -1,14 +1,14 @@
-//! The requests whose responses have not come.
+//! The requests that have not been answered yet.
 
 use std::collections::VecDeque;
 
 use serde::{Deserialize, Serialize};
 
-/// How many requests are remembered; the response to an older one comes too late to matter.
+/// The maximum number of tracked requests; a response to an older one arrives too late to matter.
 const MAX_PENDING: usize = 16;
 
-/// When requests were sent, by their ids. It is part of what is handed over in an upgrade: encoded
-/// as a list of pairs.
+/// The send times of requests by request id. It is handed over in an upgrade, encoded as a list of
+/// pairs.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct PendingRequests {
@@ -38,7 +38,7 @@
 }
 
 impl PendingRequests {
-    /// A request was sent. `sent_at` is the sender's own clock in seconds.
+    /// Records that a request was sent. `sent_at` is in seconds of the sender's clock.
     pub fn record(&mut self, request_id: u64, sent_at: f64) {
         if self.requests.len() == MAX_PENDING {
             self.requests.pop_front();
@@ -49,7 +49,7 @@
         });
     }
 
-    /// When a request was sent, as far as it is remembered.
+    /// When a request was sent; `None` if it is not tracked.
     pub fn sent_at(&self, request_id: u64) -> Option<f64> {
         self.requests
             .iter()
@@ -57,16 +57,16 @@
             .map(|request| request.sent_at)
     }
 
-    /// The response to a request has come: forgets it and all before it, so that a response that
-    /// was overtaken has no effect.
+    /// Records the response to a request. Forgets this request and all earlier ones, so that
+    /// responses arriving out of order have no effect.
     pub(crate) fn complete(&mut self, request_id: u64) {
         self.requests
             .retain(|request| request.request_id > request_id);
     }
 }
 
-/// The rounds of a process that requests once a round: a response counts from when its round began.
-/// It is part of what is handed over in an upgrade.
+/// The rounds of a process that sends one request per round. The validity of a response is counted
+/// from the start of its round. It is handed over in an upgrade.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub(crate) struct RoundTracker {
     #[serde(rename = "token")]
@@ -76,14 +76,15 @@
 }
 
 impl RoundTracker {
-    /// Begins a round; the result is the id of its request.
+    /// Begins a round; returns the id of its request.
     pub fn begin(&mut self, now: f64) -> u64 {
         self.last_request_id += 1;
         self.pending.record(self.last_request_id, now);
         self.last_request_id
     }
 
-    /// When the round of a request began. Each round is completed once, and all before it with it.
+    /// Completes a round and all earlier ones; returns when it began, or `None` if it was already
+    /// completed or is unknown.
     pub fn complete(&mut self, request_id: u64) -> Option<f64> {
         let began_at = self.pending.sent_at(request_id)?;
         self.pending.complete(request_id);
--- a/crates/merlinshelf-quota/src/phase.rs
+++ b/crates/merlinshelf-quota/src/phase.rs
@@ -1,18 +1,19 @@
-//! The health of a dependency: what instances observe, and the phase that the fleet agrees on.
+//! The health of a dependency: the observations of instances, and the phase that the leading agent
+//! derives from them.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// The phase of a dependency for all instances of a zone.
+/// The phase of a dependency, which applies to all instances of a zone.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Phase {
-    /// Instances call it without a limit on first calls.
+    /// First calls are not limited.
     #[default]
     #[serde(rename = "well")]
     Healthy,
-    /// It responds again, and first calls are limited.
+    /// The dependency responds again; first calls are limited.
     #[serde(rename = "returns")]
     Recovering,
     /// Only probes are sent.
@@ -20,7 +21,7 @@
     Failing,
 }
 
-/// A phase that was received, and until when it is valid. Encoded as an array of two.
+/// A received phase with its expiry. Encoded as an array of two.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 #[serde(from = "(Phase, f64)", into = "(Phase, f64)")]
 pub(crate) struct PhaseLease {
@@ -30,7 +31,7 @@
 }
 
 impl PhaseLease {
-    /// The phase while it is valid.
+    /// The phase, or `None` once it has expired.
     pub fn phase_at(&self, now: f64) -> Option<Phase> {
         (now < self.expires_at).then_some(self.phase)
     }
@@ -48,14 +49,14 @@
     }
 }
 
-/// What is observed of a dependency, by one instance or added up for several.
+/// Observations of a dependency, by one instance or summed over several.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct DependencyHealth {
-    /// Instances that have called it lately.
+    /// Instances that have called it recently.
     #[serde(rename = "instances")]
     pub calling_instances: u32,
-    /// Those of them for which it fails.
+    /// The calling instances for which it fails.
     #[serde(rename = "failing")]
     pub failing_instances: u32,
     /// Calls that have succeeded since the last report.
@@ -67,7 +68,7 @@
 }
 
 impl DependencyHealth {
-    /// Adds what another one observes.
+    /// Adds the observations of another instance or host.
     pub fn add(&mut self, other: &DependencyHealth) {
         self.calling_instances += other.calling_instances;
         self.failing_instances += other.failing_instances;
@@ -82,7 +83,7 @@
     health: DependencyHealth,
 }
 
-/// The last report of each reporter, for as long as it counts. Times are seconds of the receiver's
+/// The last report of each reporter that has not expired. Times are seconds of the receiver's
 /// clock.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct HealthReports {
@@ -90,7 +91,7 @@
 }
 
 impl HealthReports {
-    /// A reporter has reported.
+    /// Stores a reporter's report, replacing its previous one.
     pub fn record(&mut self, now: f64, reporter: &str, health: DependencyHealth) {
         let report = HealthReport {
             reported_at: now,
@@ -99,20 +100,20 @@
         self.reports.insert(reporter.to_owned(), report);
     }
 
-    /// Discards reports that are older than this.
+    /// Discards reports older than `lifetime_seconds`.
     pub fn discard_older(&mut self, now: f64, lifetime_seconds: f64) {
         self.reports
             .retain(|_, report| now <= report.reported_at + lifetime_seconds);
     }
 
-    /// Until a reporter reports anew, the dependency does not fail for it.
+    /// Treats the dependency as not failing for any reporter until its next report.
     pub fn clear_failing(&mut self) {
         for report in self.reports.values_mut() {
             report.health.failing_instances = 0;
         }
     }
 
-    /// All reports added up.
+    /// The sum of all reports.
     pub fn sum(&self) -> DependencyHealth {
         let mut sum = DependencyHealth::default();
         for report in self.reports.values() {
--- a/crates/merlinshelf-quota/src/quota_client.rs
+++ b/crates/merlinshelf-quota/src/quota_client.rs
@@ -1,5 +1,5 @@
-//! An instance's part for all budgets together: what may be spent on each dependency now, and its
-//! request to the host once a round.
+//! An instance's role for all budgets: tracks which calls may be made to each dependency, and sends
+//! one request per round to the host.
 
 use std::collections::BTreeMap;
 
@@ -12,13 +12,14 @@
 use crate::pending_requests::RoundTracker;
 use crate::phase::Phase;
 
-/// What may be spent on a dependency at a moment, in calls; `u32::MAX` where they are not limited.
+/// The calls that may be made to a dependency at a given time; `u32::MAX` for calls that are not
+/// limited.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Remaining {
-    /// The dependency fails for all: only probes may be sent.
+    /// The dependency fails for all instances: only probes may be sent.
     pub probes_only: bool,
-    /// The dependency has stopped failing for all: its failures here count no more. It is reported
-    /// once.
+    /// The dependency has stopped failing for all instances, so earlier failures on this one no
+    /// longer count. Reported once.
     pub reopened: bool,
     /// Retries and hedged requests.
     pub retries: u32,
@@ -42,14 +43,14 @@
 /// The outcome of a call to a dependency.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// The dependency has served it.
+    /// The dependency served the call.
     Succeeded,
-    /// The dependency has not served it.
+    /// The dependency did not serve the call.
     Failed,
 }
 
-/// The state machine. `now` is the instance's own monotonic clock in seconds. It is handed over in
-/// an upgrade, so the names that older versions use are preserved by `#[serde(rename)]`.
+/// The state machine. `now` is in seconds of the instance's own monotonic clock. It is handed over
+/// in an upgrade, so the names that older versions use are preserved by `#[serde(rename)]`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct QuotaClient {
     #[serde(rename = "life")]
@@ -62,8 +63,8 @@
 }
 
 impl QuotaClient {
-    /// A client without quotas. `incarnation` identifies this process among all processes of the
-    /// instance.
+    /// Creates a client without quotas. `incarnation` identifies this process among all processes
+    /// of the instance.
     pub fn new(incarnation: u64, terms: LeaseTerms) -> QuotaClient {
         QuotaClient {
             incarnation,
@@ -73,8 +74,8 @@
         }
     }
 
-    /// Sets which calls are limited, by the policy that the instance acts on. Quotas of those that
-    /// remain limited stay valid.
+    /// Sets which calls are limited by the instance's effective policy. Quotas for calls that were
+    /// limited before stay valid.
     pub fn set_budgets(&mut self, budgets: &Budgets) {
         self.dependencies
             .retain(|name, _| budgets.contains_key(name));
@@ -86,8 +87,8 @@
         }
     }
 
-    /// Gives all quotas to a successor, and continues without any as another incarnation, also if
-    /// the handover is aborted.
+    /// Hands over all quotas to a successor. This client continues without quotas as another
+    /// incarnation, even if the handover is aborted.
     pub fn begin_handover(&mut self, next_incarnation: u64) -> QuotaClient {
         let handed_over = std::mem::replace(self, QuotaClient::new(next_incarnation, self.terms));
         self.dependencies = handed_over
@@ -106,19 +107,19 @@
         self.dependencies.contains_key(dependency)
     }
 
-    /// What may be spent now.
+    /// The calls that may be made now.
     pub fn remaining(&mut self, now: f64, dependency: &str) -> Remaining {
         self.dependencies
             .get_mut(dependency)
             .map_or(Remaining::UNLIMITED, |dependency| dependency.remaining(now))
     }
 
-    /// How many connections may be opened now; `u32::MAX` where they are not limited.
+    /// The number of connections that may be opened now; `u32::MAX` if they are not limited.
     pub fn remaining_connections(&mut self, now: f64, dependency: &str) -> u32 {
         self.dependencies
             .get_mut(dependency)
             .map_or(u32::MAX, |dependency| {
-                dependency.remaining_of(now, CallKind::NewConnection)
+                dependency.remaining_calls(now, CallKind::NewConnection)
             })
     }
 
@@ -129,8 +130,8 @@
             .is_some_and(|dependency| dependency.is_limited(now, kind))
     }
 
-    /// A call is needed, whether it can be made or not; `priority_weight` is what is lost where it
-    /// cannot. Calls that are not limited do not count.
+    /// Records that a call is needed, whether or not it can be made; `priority_weight` is the value
+    /// that is lost if it cannot. Has no effect for calls that are not limited.
     pub fn record_demand(
         &mut self,
         now: f64,
@@ -143,31 +144,32 @@
         }
     }
 
-    /// So many of the remaining calls were made. Calls that have no budget do not count.
+    /// Records that `calls` of the remaining calls were made. Has no effect for calls without a
+    /// budget.
     pub fn record_spent(&mut self, now: f64, dependency: &str, kind: CallKind, calls: u32) {
         if let Some(dependency) = self.dependencies.get_mut(dependency) {
             dependency.record_spent(now, kind, calls);
         }
     }
 
-    /// Whether a call that is needed now requires one to be drawn from the host's reserve (see
+    /// Whether a call can be made now only by drawing it from the host's reserve (see
     /// [`reserve`](crate::reserve)).
     pub fn needs_reserve(&mut self, now: f64, dependency: &str, kind: CallKind) -> bool {
         self.dependencies
             .get_mut(dependency)
             .is_some_and(|dependency| {
-                dependency.is_limited(now, kind) && dependency.remaining_of(now, kind) == 0
+                dependency.is_limited(now, kind) && dependency.remaining_calls(now, kind) == 0
             })
     }
 
-    /// A call was drawn from the host's reserve. It must be made at once.
+    /// Records that a call was drawn from the host's reserve. The caller must make it at once.
     pub fn record_reserve_draw(&mut self, now: f64, dependency: &str, kind: CallKind) {
         if let Some(dependency) = self.dependencies.get_mut(dependency) {
             dependency.record_reserve_draw(now, kind);
         }
     }
 
-    /// A call has ended.
+    /// Records that a call has ended.
     pub fn record_call_end(&mut self, now: f64, dependency: &str, outcome: CallOutcome) {
         if let Some(dependency) = self.dependencies.get_mut(dependency) {
             dependency.record_call_end(now, outcome);
@@ -181,7 +183,7 @@
         }
     }
 
-    /// The phase of a dependency, as far as it is known now.
+    /// The phase of a dependency; `None` if it is not known at `now`.
     pub fn phase(&self, now: f64, dependency: &str) -> Option<Phase> {
         self.dependencies.get(dependency)?.phase_at(now)
     }
@@ -198,7 +200,7 @@
             .flat_map(|(name, dependency)| dependency.kinds().map(move |kind| (name, kind)))
     }
 
-    /// The request of a round to the host.
+    /// Begins a round; returns its request to the host.
     pub fn request(&mut self, now: f64) -> QuotaRequestBatch {
         let call_lifetime_seconds = self.terms.lease_seconds;
         let requests = self
@@ -217,7 +219,8 @@
         }
     }
 
-    /// The host's response, however late. `random` draws from 0 to 1.
+    /// Handles the host's response, which may be arbitrarily late. `random` draws a number from 0
+    /// to 1.
     pub fn handle_grants(
         &mut self,
         now: f64,
--- a/crates/merlinshelf-quota/src/recovery.rs
+++ b/crates/merlinshelf-quota/src/recovery.rs
@@ -1,26 +1,26 @@
-//! The phase of a dependency for all instances of one zone: when it fails for most of them only
-//! probes are sent, and when it responds again, first calls are let through in steps.
+//! The phase of a dependency for all instances of one zone: while it fails for most of them, only
+//! probes are sent; once it responds again, first calls are allowed in increasing steps.
 
 use crate::phase::{DependencyHealth, HealthReports, Phase};
 
-/// The time between two steps of a recovery, seconds: two rounds of messages while something is
-/// unhealthy. The effect of a step is known at the next one; at most twice as many calls are let
-/// through by then. With half a second the fleet took a second longer to recover.
+/// The time between two steps of a recovery, seconds. It equals two rounds of messages while a
+/// dependency is unhealthy, so the effect of a step is known at the next one; until then the limit
+/// at most doubles. With 0.5 s the fleet took one second longer to recover.
 const STEP_SECONDS: f64 = 0.2;
-/// The first step is the budget of first calls, which is what the dependency can serve just after
-/// it comes back, divided by this: two doublings reach it. With an eighth 3% of the billed value of
-/// an outage of 8 s was lost, most of it after its end.
+/// The limit of the first step is the budget of first calls divided by this, so that two doublings
+/// reach the budget, which is the load that the dependency can serve just after it comes back. With
+/// a divisor of 8, an outage of 8 s lost 3% of the billed value, most of it after the outage.
 const FIRST_STEP_DIVISOR: u32 = 4;
-/// The ratio of succeeded calls from which on a step is doubled.
+/// The minimum ratio of succeeded calls for doubling the limit.
 const GOOD_RATIO: f64 = 0.9;
-/// The ratio of succeeded calls under which the dependency is failing. While more than one in five
-/// succeeds, a limit costs more than it saves.
+/// The ratio of succeeded calls below which the dependency counts as failing. While more than one
+/// in five succeeds, a limit costs more than it saves.
 const FAILING_RATIO: f64 = 0.2;
-/// Half as many calls should raise the ratio by more than this; otherwise failures are not caused
-/// by load, and there is no use in a limit.
+/// Halving the limit should raise the ratio by more than this; otherwise the failures are not
+/// caused by load, and a limit does not help.
 const EXPECTED_IMPROVEMENT: f64 = 0.1;
-/// After this many steps without any call the limit is doubled all the same: nobody calls, so
-/// nothing can be observed.
+/// After this many steps without any call the limit is doubled anyway: without calls there is
+/// nothing to observe.
 const MAX_IDLE_STEPS: u32 = 4;
 
 /// Calls that have ended since the last step.
@@ -40,34 +40,34 @@
         self.succeeded + self.failed
     }
 
-    /// The ratio of succeeded calls; 0 where there are none.
+    /// The ratio of succeeded calls; 0 if there were no calls.
     fn success_ratio(self) -> f64 {
         f64::from(self.succeeded) / f64::from(self.total().max(1))
     }
 }
 
 /// The state machine of one dependency in one zone. `now` is the leading agent's clock in seconds;
-/// `first_call_budget` is the budget of first calls per second, `None` where they have none.
+/// `first_call_budget` is the budget of first calls per second, `None` if they are not limited.
 #[derive(Clone, Debug)]
 pub struct Recovery {
-    /// For how long a host's report counts, in seconds.
+    /// How long a host's report remains valid, in seconds.
     report_lifetime_seconds: f64,
     reports: HealthReports,
     phase: Phase,
-    /// Whether the phase was observed, or an earlier leader announced it.
+    /// Whether the phase was observed or taken over from an earlier leader, rather than assumed.
     is_known: bool,
-    /// First calls per second that are let through while the dependency recovers.
+    /// The current limit on first calls per second while the dependency recovers.
     step: u32,
     stepped_at: f64,
     ended_calls: EndedCalls,
     idle_steps: u32,
-    /// The ratio of succeeded calls for which the step was last halved.
+    /// The ratio of succeeded calls that caused the last halving of the step.
     ratio_before_halving: Option<f64>,
 }
 
 impl Recovery {
-    /// A dependency of which nothing is known: first calls are let through in steps, as if it had
-    /// failed.
+    /// Starts with an unknown dependency: if first calls have a budget, they are allowed in steps,
+    /// as after a failure.
     pub fn new(now: f64, report_lifetime_seconds: f64, first_call_budget: Option<u32>) -> Recovery {
         Recovery {
             report_lifetime_seconds,
@@ -86,7 +86,7 @@
         }
     }
 
-    /// The phase.
+    /// The current phase.
     pub fn phase(&self) -> Phase {
         self.phase
     }
@@ -101,15 +101,15 @@
         }
     }
 
-    /// A host reports the phase that an earlier leader announced: it is continued from as long as
-    /// nothing else is known.
+    /// Resumes from the phase that an earlier leader announced, as reported by a host, unless the
+    /// phase is already known.
     pub fn resume_from(&mut self, now: f64, phase: Phase, first_call_budget: Option<u32>) {
         if !self.is_known {
             self.enter(now, phase, first_step(first_call_budget));
         }
     }
 
-    /// A host reports what its instances observe.
+    /// Records the observations that a host reports for its instances.
     pub fn record_health(&mut self, now: f64, host: &str, health: DependencyHealth) {
         self.ended_calls.add(&health);
         self.reports.record(now, host, health);
@@ -117,7 +117,7 @@
             .discard_older(now, self.report_lifetime_seconds);
     }
 
-    /// Continues with what is known by now.
+    /// Updates the phase from the reports received so far.
     pub fn advance(&mut self, now: f64, first_call_budget: Option<u32>) {
         match self.phase {
             Phase::Healthy => self.advance_healthy(now),
@@ -131,8 +131,8 @@
     }
 
     fn advance_healthy(&mut self, now: f64) {
-        // It must fail for most of those who call it: one that reports so alone affects nobody
-        // else.
+        // The dependency must fail for most of its callers: a report by a single instance does not
+        // affect the others.
         let health = self.reports.sum();
         let fails_for_most = 2 * health.failing_instances > health.calling_instances;
         if fails_for_most && self.ended_calls.success_ratio() < FAILING_RATIO {
@@ -163,10 +163,10 @@
             return;
         }
         let ratio = self.ended_calls.success_ratio();
-        let halving_was_useless = self
+        let halving_did_not_help = self
             .ratio_before_halving
             .is_some_and(|before| ratio <= before + EXPECTED_IMPROVEMENT);
-        if ratio >= GOOD_RATIO || halving_was_useless && ratio >= FAILING_RATIO {
+        if ratio >= GOOD_RATIO || halving_did_not_help && ratio >= FAILING_RATIO {
             self.double_step(now, first_call_budget);
         } else if ratio < FAILING_RATIO {
             self.enter(now, Phase::Failing, 1);
@@ -203,8 +203,8 @@
         self.ended_calls = EndedCalls::default();
         self.idle_steps = 0;
         if phase == Phase::Recovering {
-            // An instance that has not called it since it failed reports that it fails until it
-            // does.
+            // An instance that has not called the dependency since the failure keeps reporting it
+            // as failing until its next call.
             self.reports.clear_failing();
         } else {
             self.ratio_before_halving = None;
--- a/crates/merlinshelf-quota/src/reserve.rs
+++ b/crates/merlinshelf-quota/src/reserve.rs
@@ -1,36 +1,36 @@
-//! The reserve of a host: calls per second that all its instances together may make without any
-//! agent.
+//! The reserve of a host: calls per second that its instances together may make without
+//! contacting an agent.
 //!
-//! It is one small file, which a process locks while it draws from it: the times of the last calls
-//! by the host's monotonic clock, eight bytes each in little-endian order. A process that dies
-//! while it draws leaves the file valid or longer.
+//! It is stored in one small file, which a process locks while it draws a call. The file contains
+//! the times of the recent calls by the host's monotonic clock, as eight little-endian bytes each.
+//! A process that dies while drawing leaves the file valid or too long.
 
 use thiserror::Error;
 
 use crate::lease::{Drift, rate_window_seconds};
 
-/// The length of one time in the file.
+/// The encoded length of one time.
 const TIME_BYTES: usize = 8;
 
-/// Why a call cannot be drawn.
+/// The reason why a call cannot be drawn.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum DrawError {
-    /// As many calls as are reserved were made within the window.
+    /// The reserved number of calls was already made within the window.
     #[error("the reserve is exhausted")]
     Exhausted,
-    /// The file is not a list of times. All calls count as made just now.
-    #[error("the file of the reserve is corrupt")]
+    /// The file is not a list of times. The whole reserve counts as spent at this moment.
+    #[error("the reserve file is corrupt")]
     Corrupt {
         /// The new contents of the file.
         replacement: Vec<u8>,
     },
 }
 
-/// Draws one call at `now`, by the clock that all processes of the host have in common, in seconds;
-/// the result is the new contents of the file. `calls_per_second` is the reserve.
+/// Draws one call and returns the new contents of the file. `now` is the time in seconds by the
+/// clock that all processes of the host share; `calls_per_second` is the reserve.
 ///
 /// # Errors
-/// [`DrawError`], where the call must not be made.
+/// [`DrawError`] if the call must not be made.
 pub fn draw(
     bytes: &[u8],
     now: f64,
@@ -44,7 +44,7 @@
         });
     };
     let window_seconds = rate_window_seconds(drift);
-    // A time later than now is from before the machine's last start.
+    // A time later than now was written before the last reboot of the machine.
     let mut recent: Vec<f64> = times
         .into_iter()
         .filter(|time| *time <= now && *time > now - window_seconds)
