--- a/crates/merlinshelf-quota/tests/golden.rs
+++ b/crates/merlinshelf-quota/tests/golden.rs
@@ -1,14 +1,13 @@
-//! Golden files of every format of this package that outlives a process or passes between two:
+//! Golden files of all formats of this package that are stored or exchanged between processes:
 //! quota requests and grants (JSON between an instance and its agent, MessagePack with field names
-//! between agents), the names of kinds and phases, what is handed over in an upgrade (MessagePack
-//! with field names), and the file of a host's reserve.
+//! between agents), the names of kinds and phases, the state that is handed over in an upgrade
+//! (MessagePack with field names), and a host's reserve file.
 //!
-//! Each sample is encoded as the program encodes it and must give the bytes of its file under
-//! `tests/golden/`; those bytes are decoded as the program decodes them and must give the sample.
-//! Every field of a sample has a value of its own that is not the default, so that a field that is
-//! lost by a renaming shows. The files are the format of versions that are in service: a test that
-//! fails here means that two versions would misunderstand each other. `GOLDEN_WRITE=1` writes the
-//! files anew; without it a missing file is a failure.
+//! Each sample must encode to the bytes of its file under `tests/golden/`, and these bytes must
+//! decode to the sample. Every field of a sample has a distinct value that is not the default, so
+//! that a field lost by a renaming is detected. The files are the format of deployed versions: a
+//! failure means that two versions would misinterpret each other's data. `GOLDEN_WRITE=1` rewrites
+//! the files; without it a missing file is a failure.
 
 use std::collections::BTreeMap;
 use std::fmt::Debug;
@@ -23,7 +22,7 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// Larger than a 64-bit float can represent exactly: such numbers must be decoded without loss.
+/// Cannot be represented exactly as a 64-bit float: such numbers must be decoded without loss.
 const INSTANCE_INCARNATION: u64 = 7_201_234_567_890_123_457;
 
 // Reading, comparing and writing golden files.
@@ -39,22 +38,22 @@
     std::fs::read(&path).unwrap_or_else(|error| panic!("golden file {}: {error}", path.display()))
 }
 
-/// The bytes of a golden file, which must be those that were encoded now.
+/// Asserts that `encoded` matches a golden file; returns the bytes of the file.
 fn assert_golden(name: &str, encoded: &[u8]) -> Vec<u8> {
     if std::env::var("GOLDEN_WRITE").as_deref() == Ok("1") {
-        std::fs::write(golden_path(name), encoded).expect("a golden file is written");
+        std::fs::write(golden_path(name), encoded).expect("the golden file can be written");
     }
     let golden = read_golden(name);
     assert_eq!(
         encoded.escape_ascii().to_string(),
         golden.escape_ascii().to_string(),
-        "{name}: the encoded form (left) is another than that of the golden file (right)"
+        "{name}: the encoded form (left) differs from the golden file (right)"
     );
     golden
 }
 
-/// JSON as it passes over the control socket: encoded by way of a `Value`, decoded directly by an
-/// instance and by way of a `Value` by an agent.
+/// JSON as on the control socket: encoded through a `Value`, decoded directly by an instance and
+/// through a `Value` by an agent.
 fn assert_json<T>(name: &str, sample: &T)
 where
     T: Serialize + DeserializeOwned + PartialEq + Debug,
@@ -65,7 +64,7 @@
     assert_eq!(decoded, *sample, "{name}");
     let value: serde_json::Value = serde_json::from_slice(&golden).expect("JSON");
     let decoded: T = serde_json::from_value(value).expect("the golden file is decoded");
-    assert_eq!(decoded, *sample, "{name}, by way of a value");
+    assert_eq!(decoded, *sample, "{name}, through a value");
 }
 
 /// MessagePack with field names, as between agents.
@@ -81,7 +80,7 @@
 
 // Samples.
 
-/// Quota requests with all kinds of calls, all phases and none.
+/// Quota requests with all kinds of calls, with each phase and without a phase.
 fn filled_request() -> QuotaRequestBatch {
     let request = |request_id: u64| QuotaRequest {
         incarnation: INSTANCE_INCARNATION + request_id,
@@ -126,7 +125,7 @@
     }
 }
 
-/// Quota grants with all kinds of calls, all phases and none.
+/// Quota grants with all kinds of calls, with each phase and without a phase.
 fn filled_response() -> QuotaGrantBatch {
     let grant = |calls: u32| QuotaGrant {
         incarnation: INSTANCE_INCARNATION,
@@ -161,10 +160,10 @@
     }
 }
 
-// Between instances, agents and the leader.
+// Messages between instances, agents and the leader.
 
 #[test]
-fn request_for_quota() {
+fn quota_requests_match_golden_files() {
     assert_json("asked.json", &filled_request());
     assert_message_pack("asked.bin", &filled_request());
     assert_json("asked_empty.json", &QuotaRequestBatch::default());
@@ -172,15 +171,15 @@
 }
 
 #[test]
-fn grant_of_quota() {
+fn quota_grants_match_golden_files() {
     assert_json("given.json", &filled_response());
     assert_message_pack("given.bin", &filled_response());
     assert_json("given_empty.json", &QuotaGrantBatch::default());
     assert_message_pack("given_empty.bin", &QuotaGrantBatch::default());
 }
 
-/// A field that an older version does not send is its default, and an unknown field of a later one
-/// is skipped.
+/// A field that an older version does not send is decoded as its default, and an unknown field of a
+/// newer version is ignored.
 #[test]
 fn messages_tolerate_missing_and_unknown_fields() {
     fn assert_tolerant<T>(name: &str)
@@ -203,9 +202,9 @@
     assert_tolerant::<DependencyHealth>("DependencyHealth");
 }
 
-/// Agents of versions before `calls_spent` do not send it.
+/// Agents of versions before the introduction of `calls_spent` do not send it.
 #[test]
-fn request_without_calls_spent() {
+fn a_request_without_calls_spent_is_decoded_with_zero() {
     let request = QuotaRequest {
         incarnation: 11,
         request_id: 12,
@@ -223,9 +222,9 @@
     assert_eq!(decoded, request);
 }
 
-/// As in messages, policies, reports and names of files.
+/// The names are used in messages, policies, reports and file names.
 #[test]
-fn names_of_kinds_and_phases() {
+fn kind_and_phase_names_match_golden_files() {
     assert_json("kinds.json", &CallKind::ALL.to_vec());
     assert_json(
         "phases.json",
@@ -236,9 +235,9 @@
     assert_eq!(names, golden);
 }
 
-// Handed over in an upgrade.
+// State that is handed over in an upgrade.
 
-/// A response of the host to this round, with a grant of so many calls of each kind.
+/// A response of the host to a round, with a grant for each kind in `calls_per_second`.
 fn sample_grants(
     request_id: u64,
     phase: Phase,
@@ -266,7 +265,7 @@
     }
 }
 
-/// The dependency fails for all, and there is a grant of each kind.
+/// A round after which the dependency fails for all instances and there is a grant of each kind.
 fn run_failing_round(client: &mut QuotaClient) {
     assert_eq!(client.request(10.0).request_id, 1);
     let calls_per_second = [
@@ -287,8 +286,8 @@
     }
 }
 
-/// The dependency recovers, which was not reported yet, and there is another request that is not
-/// answered.
+/// A round after which the dependency recovers, which was not reported yet; a further request is
+/// unanswered.
 fn run_recovering_round(client: &mut QuotaClient) {
     assert_eq!(client.request(10.75).request_id, 2);
     let grants = sample_grants(2, Phase::Recovering, &[]);
@@ -309,7 +308,7 @@
     client.record_reserve_draw(11.25, "catalogue", CallKind::FirstCall);
 }
 
-/// A client with something to hand over in each of its fields.
+/// A client with state to hand over in each of its fields.
 fn filled_client() -> QuotaClient {
     let terms = LeaseTerms {
         lease_seconds: 2.0,
@@ -323,16 +322,16 @@
         ("thumbs".into(), BTreeMap::from([(CallKind::FirstCall, 5)])),
     ]);
     let mut client = QuotaClient::new(INSTANCE_INCARNATION, terms);
-    client.set_budgets(&budgets); // nobody asks what remains of `thumbs`: it stays new
+    client.set_budgets(&budgets); // the remaining calls of `thumbs` are never queried, so it stays new
     run_failing_round(&mut client);
     run_recovering_round(&mut client);
     client
 }
 
-/// A client cannot be compared: its `Debug` output shows every field, and encoded anew it gives the
-/// same bytes.
+/// The type has no `PartialEq`: the test compares the `Debug` output, which shows every field, and
+/// the bytes of the decoded client when it is encoded again.
 #[test]
-fn quota_that_is_handed_over() {
+fn handed_over_quotas_match_golden_file() {
     let mut predecessor = filled_client();
     let mut handed_over = predecessor.begin_handover(INSTANCE_INCARNATION + 1);
     let encoded = rmp_serde::to_vec_named(&handed_over).expect("it is encoded");
@@ -343,8 +342,8 @@
     let reencoded = rmp_serde::to_vec_named(&decoded).expect("it is encoded");
     assert_eq!(reencoded, golden);
 
-    // What it may still spend: of each quota less what was spent within the window, and the one
-    // call that was drawn.
+    // The remaining calls: each quota minus the calls spent within the window, plus the call that
+    // was drawn.
     let expected = Remaining {
         probes_only: false,
         reopened: true,
@@ -363,9 +362,8 @@
     assert_eq!(request, expected);
 }
 
-/// Of a client without quotas.
 #[test]
-fn quota_of_a_new_instance() {
+fn a_client_without_quotas_matches_golden_file() {
     let terms = LeaseTerms {
         lease_seconds: 3.0,
         drift: 0.125,
@@ -377,21 +375,21 @@
     assert_eq!(format!("{decoded:#?}"), format!("{client:#?}"));
 }
 
-// Stored by a host.
+// Files stored on a host.
 
-/// Instances of two versions draw from the same file: moments of the host's clock, eight bytes
-/// each.
+/// Instances of two versions may draw from the same file, a list of times of the host's clock of
+/// eight bytes each.
 #[test]
-fn file_of_a_reserve() {
+fn reserve_file_matches_golden_file() {
     let (calls, drift) = (3, 0.0625);
     let first = reserve::draw(&[], 1012.5, calls, drift).expect("one may be made");
     let second = reserve::draw(&first, 1012.75, calls, drift).expect("another one may be made");
     let golden = assert_golden("purse.bin", &second);
-    let moments: Vec<u8> = [1012.5_f64, 1012.75]
+    let times: Vec<u8> = [1012.5_f64, 1012.75]
         .into_iter()
         .flat_map(f64::to_le_bytes)
         .collect();
-    assert_eq!(golden, moments);
+    assert_eq!(golden, times);
     let third = reserve::draw(&golden, 1013.0, calls, drift).expect("the last one may be made");
     assert_eq!(third, [&golden[..], &1013.0_f64.to_le_bytes()].concat());
     assert_eq!(
--- a/crates/merlinshelf-quota/tests/model/main.rs
+++ b/crates/merlinshelf-quota/tests/model/main.rs
@@ -1,6 +1,6 @@
-//! Hosts and instances with clocks that drift apart, messages that come late or never, allocators
-//! that are replaced, processes that are stopped: in no second of true time do more calls arrive
-//! than the budget allows, and what is needed is granted.
+//! Simulation of an allocator, hosts and instances with drifting clocks, delayed and lost messages,
+//! replaced allocators and stopped processes. Within any second of true time no more calls may
+//! arrive than the budget allows, and holders that need quota must be granted it.
 
 mod scenario;
 mod world;
@@ -17,12 +17,12 @@
             let outcome = simulate(seed, SeededBug::None, budget);
             assert!(
                 outcome.worst_second <= budget as usize,
-                "seed {seed}: {} in a second, of {budget}",
+                "seed {seed}: {} calls in one second exceed the budget of {budget}",
                 outcome.worst_second
             );
             assert!(
                 outcome.calls > 0,
-                "seed {seed}: nothing is spent of {budget}"
+                "seed {seed}: no calls are made with a budget of {budget}"
             );
             steps += outcome.steps;
         }
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn an_allocator_that_grants_at_once_is_found() {
+fn the_simulation_detects_an_allocator_that_ignores_earlier_grants() {
     let exceeds_budget = |seed| simulate(seed, SeededBug::GrantsAtOnce, 40).worst_second > 40;
     assert!((0..60).any(exceeds_budget));
 }
@@ -42,7 +42,8 @@
         let mut worst = 0;
         for seed in 0..10 {
             let mut world = World::new(seed, seeded_bug, 40);
-            // One host spends all and gets no more grants; then another one needs as much.
+            // One host spends the whole budget and is cut off from grants; then another host needs
+            // as much.
             let first = InstanceId { host: 0, slot: 0 };
             let second = InstanceId { host: 1, slot: 0 };
             world.schedule_calls(0.0, 14.0, 200.0, &[first]);
@@ -81,7 +82,7 @@
 }
 
 #[test]
-fn more_holders_than_calls_take_turns() {
+fn holders_take_turns_if_they_outnumber_the_calls() {
     let mut world = World::new(9, SeededBug::None, 2);
     let instances = InstanceId::all();
     world.schedule_calls(0.0, 60.0, 5.0, &instances);
@@ -101,7 +102,7 @@
     priority_weight: 1.0,
 };
 
-/// Requests for the second holder until it is granted the whole budget; the result is when.
+/// Sends requests of the second holder until it is granted the whole budget; returns the time.
 fn await_whole_budget(allocator: &mut Allocator, holder: &mut QuotaLeaseHolder) -> f64 {
     for round in 1..40 {
         let now = f64::from(round) * ROUND_SECONDS;
@@ -115,8 +116,8 @@
     panic!("the second holder is never granted the whole budget");
 }
 
-/// How many calls both holders can make at one time, when a delayed grant of the first one arrives
-/// after the second one was granted the whole budget.
+/// The number of calls that both holders together can make at one time, if a delayed grant reaches
+/// the first one after the second one was granted the whole budget.
 fn calls_after_delayed_grant(delay: impl Fn(QuotaGrant, f64) -> QuotaGrant) -> usize {
     let mut allocator = Allocator::new(0.0, TERMS, 10, 1);
     let mut first = QuotaLeaseHolder::new(1, TERMS);
@@ -125,7 +126,10 @@
     let delayed = allocator.handle_request(0.01, "first", &request, None);
     assert_eq!(delayed.calls_per_second, 10);
     let now = await_whole_budget(&mut allocator, &mut second);
-    assert!(now > 3.0, "the first one's grant counts until then: {now}");
+    assert!(
+        now > 3.0,
+        "the first holder's grant must count until it has expired: {now}"
+    );
     first.handle_grant(&delay(delayed, now));
     let calls =
         |holder: &mut QuotaLeaseHolder| (0..20).filter(|_| holder.try_spend(now, 1.0)).count();
@@ -138,7 +142,7 @@
 }
 
 #[test]
-fn a_grant_that_counts_from_its_arrival_is_found() {
+fn a_lease_counted_from_its_arrival_exceeds_the_budget() {
     let calls = calls_after_delayed_grant(|grant, arrived_at| QuotaGrant {
         duration_seconds: grant.duration_seconds + arrived_at,
         ..grant
--- a/crates/merlinshelf-quota/tests/model/scenario.rs
+++ b/crates/merlinshelf-quota/tests/model/scenario.rs
@@ -1,4 +1,4 @@
-//! A minute with every kind of fault.
+//! A scenario of one minute with changing demand and every kind of fault.
 
 use rand::RngExt;
 
@@ -7,9 +7,9 @@
 const DURATION_SECONDS: f64 = 60.0;
 const FAULTS: usize = 120;
 
-/// What a simulation resulted in.
+/// The result of a simulation.
 pub struct Outcome {
-    /// The most calls that arrived in any second.
+    /// The maximum number of calls that arrived within one second.
     pub worst_second: usize,
     pub calls: usize,
     pub steps: u64,
@@ -29,7 +29,7 @@
     }
 }
 
-/// Some instances always need the whole budget, the others little, and it changes.
+/// In each period of 10 s some random instances need more than the budget, and the others little.
 fn schedule_changing_demand(world: &mut World) {
     for period in 0..6 {
         let from = f64::from(period) * 10.0;
@@ -69,7 +69,7 @@
     let until = due_at + world.rng.random_range(0.3..6.0);
     let is_both_ways = world.rng.random_bool(0.6);
     if is_both_ways {
-        // Grants to requests that were sent before are delayed, and arrive.
+        // Grants for requests that were sent before the partition are delayed but still arrive.
         world.schedule(
             due_at + 0.25,
             Event::Partition {
--- a/crates/merlinshelf-quota/tests/model/world.rs
+++ b/crates/merlinshelf-quota/tests/model/world.rs
@@ -1,4 +1,4 @@
-//! The simulated fleet: one budget, its allocator, hosts with instances, and messages on their way.
+//! The simulated fleet: one budget, its allocator, hosts with instances, and messages in flight.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -17,10 +17,10 @@
 };
 pub const ROUND_SECONDS: f64 = 0.125;
 const NANOSECONDS_PER_SECOND: f64 = 1e9;
-/// Times this close are the same: it absorbs rounding.
+/// Times closer than this count as equal, to absorb rounding.
 const ROUNDING_SECONDS: f64 = 1e-6;
 
-/// A bug that is seeded to show that the checks find it.
+/// A deliberately seeded bug, to show that the checks detect it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SeededBug {
     None,
@@ -48,7 +48,7 @@
     }
 }
 
-/// The messages of a host that a partition stops.
+/// The direction in which a partition blocks a host's messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Direction {
     /// Grants are delayed until the partition ends.
@@ -79,11 +79,11 @@
         instance: InstanceId,
         grant: QuotaGrant,
     },
-    /// An instance wants to make a call.
+    /// An instance attempts a call.
     Call(InstanceId),
-    /// Another agent leads, with a new allocator.
+    /// Another agent becomes leader, with a new allocator.
     Election,
-    /// An agent starts anew: another holder towards the leader, another allocator towards its
+    /// An agent restarts, with a new holder towards the leader and a new allocator towards its
     /// instances.
     AgentRestart {
         host: usize,
@@ -112,13 +112,14 @@
     holder: QuotaLeaseHolder,
     allocator: Allocator,
     instances: Vec<Instance>,
-    /// Until when grants to it are delayed.
+    /// Grants to it are delayed until this time.
     no_grants_until: f64,
-    /// Until when its requests are lost.
+    /// Its requests are lost until this time.
     no_requests_until: f64,
 }
 
-/// The earliest event comes first; of two at the same time the one that was scheduled last.
+/// Ordered for a max-heap: the earliest event comes first, and of two at the same time the one that
+/// was scheduled last.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct ScheduledEvent {
     due_at_nanoseconds: Reverse<u64>,
@@ -136,7 +137,7 @@
     allocator: Allocator,
     allocator_clock_rate: f64,
     hosts: Vec<Host>,
-    /// When calls arrived, by true time.
+    /// The arrival times of calls, in true time.
     pub arrivals: Vec<f64>,
     pub steps: u64,
     last_incarnation: u64,
@@ -179,7 +180,7 @@
         self.events.insert(self.last_event_id, event);
     }
 
-    /// Sends a message: mostly it arrives soon, now and then late or never.
+    /// Sends a message, which arrives soon in most cases, and late or never in some.
     fn send(&mut self, event: Event) {
         let delay_seconds = match self.rng.random_range(0..20) {
             0 => return,
@@ -288,7 +289,7 @@
     fn handle_host_grant(&mut self, host: usize, grant: QuotaGrant) {
         let no_grants_until = self.hosts[host].no_grants_until;
         if self.now + ROUNDING_SECONDS < no_grants_until {
-            // It is delayed, and arrives.
+            // The grant is delayed until the partition ends.
             self.schedule(no_grants_until - self.now, Event::HostGrant { host, grant });
         } else {
             self.hosts[host].holder.handle_grant(&grant);
@@ -312,7 +313,7 @@
         let instance = self.instance_mut(id);
         let pause_seconds = instance.stopped_until - true_now;
         if pause_seconds > ROUNDING_SECONDS {
-            // It stays in the socket until the instance continues.
+            // The grant stays in the socket until the instance resumes.
             let event = Event::InstanceGrant {
                 instance: id,
                 grant,
@@ -339,7 +340,7 @@
     }
 
     fn elect(&mut self) {
-        // The id of the event as a term in front of the number.
+        // The event id, in the high bits, takes the place of a term.
         let id = self.last_event_id << 20;
         let budget = self.allocator.budget();
         self.allocator_clock_rate = 1.0 + self.rng.random_range(-0.01..0.01);
@@ -357,12 +358,12 @@
         let host = &mut self.hosts[host];
         let now = host.clock_rate * self.now;
         host.holder = QuotaLeaseHolder::new(self.last_incarnation, TERMS);
-        // The leader counts what the former incarnation granted, as that incarnation's: this one
-        // need not wait.
+        // The leader still counts the grants of the previous incarnation separately, so the new
+        // allocator need not wait for them.
         host.allocator = Allocator::new(now, TERMS, 0, self.last_incarnation);
     }
 
-    /// Schedules calls of these instances at random times, so many per second of each.
+    /// Schedules calls of these instances at random times, `calls_per_second` on average for each.
     pub fn schedule_calls(
         &mut self,
         from: f64,
@@ -389,7 +390,7 @@
         usable.calls_per_second > 0
     }
 
-    /// The most calls that arrived in any second.
+    /// The maximum number of calls that arrived within one second.
     pub fn worst_second(&mut self) -> usize {
         self.arrivals.sort_by(f64::total_cmp);
         let arrivals = &self.arrivals;
--- a/crates/merlinshelf-quota/tests/quota_client.rs
+++ b/crates/merlinshelf-quota/tests/quota_client.rs
@@ -1,4 +1,4 @@
-//! What an instance may spend, with one leading agent, one host and one instance.
+//! The calls that an instance may make, with one leading agent, one host and one instance.
 
 use std::collections::BTreeMap;
 
@@ -17,7 +17,7 @@
     BTreeMap::from([(CATALOGUE.to_owned(), kinds.iter().copied().collect())])
 }
 
-/// One leading agent, one host, one instance, a round at a time.
+/// One leading agent, one host and one instance, driven round by round.
 struct Fleet {
     fleet_allocator: FleetAllocator,
     host_allocator: HostAllocator,
@@ -75,7 +75,7 @@
         self.client.record_call_end(self.now, CATALOGUE, outcome);
     }
 
-    /// The dependency fails for this instance, and so for most of those that call it.
+    /// Makes the dependency fail for this instance, which is the only one that calls it.
     fn fail(&mut self) {
         self.record_call_end(CallOutcome::Failed);
         self.client.set_failing(self.now, CATALOGUE, true);
@@ -105,13 +105,13 @@
 fn fleet_with_healthy_dependency() -> Fleet {
     let mut fleet = fleet_with_all_limits();
     assert_eq!(fleet.remaining().first_calls, 0);
-    // Nobody else calls it: it recovers in steps.
+    // Without calls to observe, the dependency recovers in steps.
     fleet.run_rounds(40);
     fleet
 }
 
 #[test]
-fn without_a_grant_only_the_reserve_can_be_spent_and_only_at_once() {
+fn without_a_grant_a_call_drawn_from_the_reserve_must_be_made_immediately() {
     let mut fleet = fleet_with_all_limits();
     let expected = Remaining {
         probes_only: false,
@@ -128,7 +128,7 @@
     assert_eq!(
         client.remaining(0.03, CATALOGUE).first_calls,
         0,
-        "a call that was drawn is made at once or not at all"
+        "a drawn call must be made immediately or not at all"
     );
 }
 
@@ -152,17 +152,17 @@
     fleet.record_spent(CallKind::Probe, 1);
     fleet.record_call_end(CallOutcome::Succeeded);
     assert_eq!(fleet.remaining().probes + 1, remaining.probes);
-    // The probe succeeded: it is reported once that earlier failures count no more.
+    // After the probe succeeded, it is reported once that earlier failures no longer count.
     fleet.run_rounds(2);
     assert!(fleet.remaining().reopened);
     assert!(!fleet.remaining().reopened);
-    // No more responses come: a quota expires with its lease.
+    // Without further responses the quota expires with its lease.
     fleet.now += 2.1;
     assert_eq!(fleet.remaining().probes, 0);
 }
 
 #[test]
-fn a_successor_has_the_quotas_and_its_predecessor_none() {
+fn a_handover_moves_the_quotas_to_the_successor() {
     let mut fleet = Fleet::new(
         &budgets(&[(CallKind::Retry, 10)]),
         &budgets(&[(CallKind::Retry, 1)]),
@@ -181,6 +181,6 @@
     assert_eq!(
         successor.remaining(fleet.now, CATALOGUE).retries,
         before - 4,
-        "what was spent still counts"
+        "spent calls still count"
     );
 }
--- a/crates/merlinshelf-quota/tests/recovery.rs
+++ b/crates/merlinshelf-quota/tests/recovery.rs
@@ -1,17 +1,17 @@
-//! The phases of a dependency.
+//! Transitions between the phases of a dependency.
 
 use merlinshelf_quota::{DependencyHealth, Phase, Recovery};
 
 const REPORT_LIFETIME_SECONDS: f64 = 2.0;
 
-/// A report of one host at a time, in seconds.
+/// A health report of one host; `now` is in seconds.
 struct Step {
     label: &'static str,
     now: f64,
     health: DependencyHealth,
 }
 
-/// A report of four instances, for so many of which the dependency fails.
+/// A report for four instances; the dependency fails for `failing` of them.
 fn step(label: &'static str, now: f64, failing: u32, succeeded: u32, failed: u32) -> Step {
     Step {
         label,
@@ -25,35 +25,35 @@
     }
 }
 
-const ANNOUNCED: &str = "announced as healthy before";
+const ANNOUNCED: &str = "announced as healthy by an earlier leader";
 
 fn script() -> Vec<Step> {
     vec![
         step(ANNOUNCED, 0.1, 0, 9, 0),
-        step("one reports that it fails", 1.0, 1, 9, 3),
-        step("half", 1.3, 2, 5, 5),
-        step("most, while half goes well", 1.55, 3, 5, 5),
-        step("most", 1.8, 3, 1, 9),
-        step("a probe that fails", 2.0, 4, 0, 1),
-        step("a probe that goes well", 2.3, 3, 1, 0),
-        step("before a step is over", 2.4, 2, 4, 0),
-        step("all good", 2.6, 1, 4, 0),
-        step("all good", 2.9, 0, 9, 1),
-        step("a third is not", 3.2, 0, 6, 3),
-        step("all good", 3.5, 0, 9, 0),
-        step("nearly all are not", 3.8, 0, 1, 9),
-        step("a probe that goes well", 4.1, 3, 1, 0),
-        step("all good", 4.4, 0, 8, 0),
-        step("all good", 4.7, 0, 16, 0),
-        step("all good", 5.0, 0, 32, 0),
-        step("all good", 5.3, 0, 64, 0),
-        step("most", 6.0, 4, 0, 9),
-        step("half goes well", 6.3, 3, 1, 1),
-        step("half", 6.6, 2, 9, 8),
-        step("half as many, and no better", 6.9, 2, 5, 4),
-        step("half", 7.2, 2, 9, 9),
-        step("half", 7.5, 2, 9, 9),
-        step("half", 7.8, 2, 9, 9),
+        step("fails for one", 1.0, 1, 9, 3),
+        step("fails for half", 1.3, 2, 5, 5),
+        step("fails for most, half of the calls succeed", 1.55, 3, 5, 5),
+        step("fails for most", 1.8, 3, 1, 9),
+        step("probe fails", 2.0, 4, 0, 1),
+        step("probe succeeds", 2.3, 3, 1, 0),
+        step("before the end of the step", 2.4, 2, 4, 0),
+        step("calls succeed", 2.6, 1, 4, 0),
+        step("calls succeed", 2.9, 0, 9, 1),
+        step("a third of the calls fail", 3.2, 0, 6, 3),
+        step("calls succeed", 3.5, 0, 9, 0),
+        step("nearly all calls fail", 3.8, 0, 1, 9),
+        step("probe succeeds", 4.1, 3, 1, 0),
+        step("calls succeed", 4.4, 0, 8, 0),
+        step("calls succeed", 4.7, 0, 16, 0),
+        step("calls succeed", 5.0, 0, 32, 0),
+        step("calls succeed", 5.3, 0, 64, 0),
+        step("fails for most", 6.0, 4, 0, 9),
+        step("half of the calls succeed", 6.3, 3, 1, 1),
+        step("half of the calls succeed", 6.6, 2, 9, 8),
+        step("half as many calls, no better ratio", 6.9, 2, 5, 4),
+        step("half of the calls succeed", 7.2, 2, 9, 9),
+        step("half of the calls succeed", 7.5, 2, 9, 9),
+        step("half of the calls succeed", 7.8, 2, 9, 9),
     ]
 }
 
@@ -62,7 +62,7 @@
     let first_call_budget = Some(64);
     let mut recovery = Recovery::new(0.0, REPORT_LIFETIME_SECONDS, first_call_budget);
     let mut steps = vec![Step {
-        label: "nothing is known",
+        label: "state unknown",
         now: 0.0,
         health: DependencyHealth::default(),
     }];
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn a_dependency_that_nobody_calls_recovers_all_the_same() {
+fn a_dependency_without_calls_still_recovers() {
     let first_call_budget = Some(16);
     let mut recovery = Recovery::new(0.0, REPORT_LIFETIME_SECONDS, first_call_budget);
     let healthy_at = (1..200).find(|tick| {
--- a/crates/merlinshelf-quota/tests/reserve.rs
+++ b/crates/merlinshelf-quota/tests/reserve.rs
@@ -1,11 +1,11 @@
-//! The file of a host's reserve.
+//! Drawing calls from a host's reserve file.
 
 use merlinshelf_quota::reserve::{DrawError, draw};
 
 const DRIFT: f64 = 0.02;
 const RESERVE: u32 = 3;
 
-/// Draws as often as possible for five seconds; the result is the file and when calls were drawn.
+/// Draws as often as possible for five seconds; returns the file and the times of the drawn calls.
 fn draw_for_five_seconds() -> (Vec<u8>, Vec<f64>) {
     let mut bytes = Vec::new();
     let mut drawn_at = Vec::new();
@@ -46,6 +46,6 @@
 }
 
 #[test]
-fn times_from_before_the_last_start_of_the_machine_do_not_count() {
+fn times_from_before_the_last_reboot_do_not_count() {
     assert!(draw(&1e9_f64.to_le_bytes(), 5.0, 1, DRIFT).is_ok());
 }
