--- a/crates/merlinshelf-policy/src/document.rs
+++ b/crates/merlinshelf-policy/src/document.rs
@@ -1,7 +1,7 @@
 //! The policy document: operators write it in JSON5, and it is validated against a schema.
 //!
-//! The names of the fields are the operators' keys. They stay as they are, also where the field's
-//! term is another one: they are in stored documents, and error messages print them. The comments
+//! The field names are the keys that operators write. They must not change, even where the code
+//! uses another term: they occur in stored documents, and error messages print them. The comments
 //! on the fields are the descriptions in `deploy/policy.schema.json`.
 
 use std::collections::BTreeMap;
@@ -16,11 +16,11 @@
     validate_tenant_fractions, validate_time_fractions,
 };
 
-/// The longest document, in bytes of its text.
+/// The maximum length of a document, in bytes of its text.
 pub const MAX_DOCUMENT_BYTES: usize = 16 * 1024;
-/// The longest note, in bytes.
+/// The maximum length of a note, in bytes.
 const MAX_NOTE_BYTES: usize = 200;
-/// The most operations, dependencies or budgeted dependencies that a policy can name.
+/// The maximum number of operations, of dependencies and of budgeted dependencies in a policy.
 const MAX_NAMES: usize = 64;
 
 /// What a service may change without a restart. Whatever is not named stays as each instance's
@@ -54,7 +54,8 @@
     /// of any other.
     #[garde(custom(validate_budgets), length(max = MAX_NAMES))]
     #[schemars(schema_with = "budgets_schema")]
-    // Versions without budgets can still read policies that have none.
+    // Program versions before budgets reject unknown fields, and can still read a policy without
+    // any.
     #[serde(skip_serializing_if = "BTreeMap::is_empty")]
     pub budgets: Budgets,
 }
--- a/crates/merlinshelf-policy/src/error.rs
+++ b/crates/merlinshelf-policy/src/error.rs
@@ -1,9 +1,9 @@
-//! Why a policy cannot be used.
+//! The reasons why a policy cannot be used.
 
 use merlinshelf_quota::budget::{BudgetError, ReserveError};
 use thiserror::Error;
 
-/// Something in a policy that the settings or the operators' file of an instance do not have.
+/// An entry of a policy that does not match an instance's settings or operators' file.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum Mismatch {
     /// No operation has this name.
@@ -24,14 +24,14 @@
         /// The name in the policy.
         dependency: String,
     },
-    /// The operators' file has no such dependency, which has a budget.
+    /// The policy has a budget for a dependency that the operators' file does not have.
     #[error("budgets.{dependency}: there is no such dependency")]
     UnknownBudgetDependency {
         /// The name in the policy.
         dependency: String,
     },
     /// An operation does not call this dependency.
-    #[error("operations.{operation}.calls.{dependency}: it makes no such call")]
+    #[error("operations.{operation}.calls.{dependency}: the operation makes no such call")]
     UnknownCall {
         /// The calling operation.
         operation: String,
@@ -41,12 +41,12 @@
     /// The operators' dependencies are not consistent under the policy.
     #[error("{finding}")]
     InvalidDependencies {
-        /// What the check of the dependencies found.
+        /// The finding of the dependency check.
         finding: String,
     },
 }
 
-/// Everything in a policy that does not match an instance; there is at least one.
+/// All mismatches between a policy and an instance; there is at least one.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{}", join(mismatches))]
 pub struct PolicyMismatch {
@@ -55,7 +55,7 @@
 }
 
 impl PolicyMismatch {
-    /// An error where there are mismatches.
+    /// Returns an error if there are mismatches.
     pub(crate) fn check(mismatches: Vec<Mismatch>) -> Result<(), PolicyMismatch> {
         if mismatches.is_empty() {
             Ok(())
@@ -70,19 +70,20 @@
     lines.join("; ")
 }
 
-/// Why an instance cannot use a document. It is reported to the agents and to operators as text.
+/// The reason why an instance cannot use a document. It is reported to the agents and to operators
+/// as text.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum PolicyRejection {
-    /// It does not match the instance's configuration.
+    /// The document does not match the instance's configuration.
     #[error(transparent)]
     Mismatch(#[from] PolicyMismatch),
     /// A budget is out of range.
     #[error(transparent)]
     Budget(#[from] BudgetError),
-    /// Its budgets do not cover what the base policy reserves.
+    /// The budgets do not cover the reserves of the base policy.
     #[error(transparent)]
     Reserve(#[from] ReserveError),
-    /// The instance itself refused it.
+    /// The instance rejected the document for a reason of its own.
     #[error("{reason}")]
     Instance {
         /// The instance's reason.
--- a/crates/merlinshelf-policy/src/fingerprint.rs
+++ b/crates/merlinshelf-policy/src/fingerprint.rs
@@ -1,9 +1,9 @@
 //! The fingerprint that distinguishes policy documents.
 //!
-//! It is stored in the agents' replicated log and compared between versions of the program, so the
-//! text that it is computed over is a stored format. The first version took that text from its
-//! `Debug` output; the type and variant names of that version are therefore written here by hand,
-//! and must not follow a renaming.
+//! It is stored in the agents' replicated log and compared between program versions, so the text
+//! that it is computed over is a stored format. The first version used its `Debug` output as that
+//! text; the type and variant names of that version are therefore spelled out here and must not
+//! follow a renaming.
 
 use std::collections::BTreeMap;
 use std::fmt::{self, Debug, Formatter};
@@ -13,7 +13,7 @@
 use crate::document::{DependencyPolicy, OperationPolicy, Policy};
 
 impl Policy {
-    /// A hash of everything but the note.
+    /// A hash of all fields except the note.
     pub fn fingerprint(&self) -> u64 {
         let Policy {
             note: _,
@@ -27,7 +27,7 @@
         let dependencies = map_values(dependencies, DependencyText);
         let mut text = format!("{operations:?}{tenants:?}{call_share:?}{dependencies:?}");
         if !budgets.is_empty() {
-            // A document without budgets has the fingerprint that versions without budgets compute.
+            // Without budgets the fingerprint must equal that of program versions before budgets.
             text += &format!("{:?}", budgets_text(budgets));
         }
         let reversed: Vec<u8> = text.bytes().rev().collect();
--- a/crates/merlinshelf-policy/src/host_lease_manager.rs
+++ b/crates/merlinshelf-policy/src/host_lease_manager.rs
@@ -1,5 +1,5 @@
-//! A host's part: one lease from the leading agent, out of which the host's instances get theirs,
-//! none of which ends later; and which of them may still act on which version.
+//! A host's role: holds one lease from the leading agent and grants its instances leases that end
+//! no later, and tracks which versions the instances may still act on.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,12 +14,12 @@
 };
 use crate::replicated_state::ReplicatedState;
 
-/// Instances that have not responded to a document by then are not waited for, seconds.
+/// How long a host waits for its instances to respond to a document, seconds.
 const PREPARE_TIMEOUT_SECONDS: f64 = 0.5;
-/// How often a lease is renewed, and an instance gets a heartbeat, in the duration of a lease.
+/// The number of lease renewals, and of heartbeats to each instance, per lease duration.
 const RENEWALS_PER_LEASE: f64 = 8.0;
 
-/// A host's lease: every instance's lease on this version expires no later.
+/// A host's lease. The instances' leases on this version expire no later.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct HostLease {
     version: u64,
@@ -33,12 +33,12 @@
     }
 }
 
-/// A host's lease at a moment, for reports.
+/// A host's lease at a given time, for reports.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct HostLeaseReport {
-    /// The version that it is on; 0 is the base policy.
+    /// The version of the lease; 0 is the base policy.
     pub version: u64,
-    /// How long it still lasts, in seconds.
+    /// The remaining duration, in seconds.
     pub remaining_seconds: f64,
 }
 
@@ -46,27 +46,29 @@
 #[derive(Clone, Copy, Debug)]
 struct Preparation {
     version: u64,
-    /// Since when this host has known it.
+    /// When this host learned of the document.
     started_at: f64,
 }
 
-/// What a host reports to the leading agent; where it changes, the next request is sent at once.
+/// The progress that a host reports to the leading agent. If it changes, the next request is sent
+/// at once.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct Progress {
     fenced_version: u64,
     prepare_result: Option<PrepareResult>,
 }
 
-/// The state machine of one agent towards its instances. `now` is the agent's own monotonic clock
-/// in seconds.
+/// The state machine of one agent for its instances. `now` is in seconds of the agent's own
+/// monotonic clock.
 #[derive(Clone, Debug)]
 pub struct HostLeaseManager {
     host: String,
     incarnation: u64,
     drift: Drift,
-    /// That of the agent's file until the installation is bootstrapped, then the agreed one.
+    /// The fingerprint of the base policy: that of the agent's file until the installation is
+    /// bootstrapped, then the replicated one.
     base_fingerprint: u64,
-    /// When this agent was first driven.
+    /// When this agent handled its first event.
     started_at: Option<f64>,
     /// `None` until the installation is bootstrapped.
     lease_seconds: Option<f64>,
@@ -79,13 +81,13 @@
     requested_at: f64,
     reported: Progress,
     instances: BTreeMap<String, InstanceRecord>,
-    /// The service of all instances, which is reported with each request.
+    /// The served invocations of all instances, reported with each request.
     service_counts: ServiceCounts,
 }
 
 impl HostLeaseManager {
-    /// An agent that starts. `incarnation` identifies the process among all of the agent's,
-    /// `base_fingerprint` is that of the base policy in its file.
+    /// Creates the state of a new agent process. `incarnation` identifies it among all processes of
+    /// the agent; `base_fingerprint` is that of the base policy in the agent's file.
     pub fn new(
         host: &str,
         incarnation: u64,
@@ -112,11 +114,11 @@
         }
     }
 
-    /// The replicated state has changed, as far as this host's log has it.
+    /// Handles a change of the replicated state, up to the last entry that this host has applied.
     pub fn state_changed(&mut self, now: f64, state: &ReplicatedState) {
         self.started_at.get_or_insert(now);
         if let Some(bootstrap) = &state.bootstrap {
-            // What was agreed counts, whatever this agent's file contains by now.
+            // The replicated values take precedence over those in this agent's file.
             self.lease_seconds = Some(bootstrap.lease_seconds());
             self.base_fingerprint = bootstrap.base_fingerprint;
         }
@@ -164,14 +166,14 @@
         true
     }
 
-    /// The instances that have a process now. Nothing is known of a process that is new here: an
-    /// earlier agent may have granted it a lease.
+    /// Sets the instances that have a process now. An instance that is new here may have a lease
+    /// that a previous process of the agent granted.
     pub fn set_instances<'a>(&mut self, now: f64, names: impl Iterator<Item = &'a String>) {
         let names: BTreeSet<&String> = names.collect();
         self.started_at.get_or_insert(now);
         let lease_seconds = self.lease_seconds.unwrap_or(0.0);
-        // One whose process has ended acts on nothing. One that is merely unreachable is still
-        // named.
+        // An instance whose process has ended does not act on any version. One that is merely
+        // unreachable is still in `names`.
         self.instances.retain(|name, _| names.contains(name));
         for name in names {
             self.instances
@@ -180,8 +182,8 @@
         }
     }
 
-    /// The next heartbeat that is due, with the instance that it goes to. The caller reports the
-    /// result of each by [`instance_responded`](Self::instance_responded) or
+    /// The next heartbeat that is due, with the name of its instance. The caller reports the result
+    /// of each by [`instance_responded`](Self::instance_responded) or
     /// [`instance_unreachable`](Self::instance_unreachable).
     pub fn poll_heartbeat(&mut self, now: f64) -> Option<(String, Heartbeat)> {
         let interval_seconds = self.lease_seconds? / RENEWALS_PER_LEASE;
@@ -195,7 +197,7 @@
             fence_version: self.fence_version,
             ..Heartbeat::default()
         };
-        let Some(status) = instance.status_on_base(self.base_fingerprint) else {
+        let Some(status) = instance.status_with_base(self.base_fingerprint) else {
             return Some((name.clone(), heartbeat));
         };
         heartbeat.incarnation = status.incarnation;
@@ -216,7 +218,7 @@
         self.lease.filter(|lease| lease.is_valid(now))
     }
 
-    /// An instance responded to a heartbeat.
+    /// Handles an instance's response to a heartbeat.
     pub fn instance_responded(&mut self, name: &str, status: InstanceStatus) {
         let leased_version = self.lease.map(|lease| lease.version);
         if let Some(instance) = self.instances.get_mut(name) {
@@ -224,32 +226,33 @@
         }
     }
 
-    /// An instance did not respond to a heartbeat; with a reason where it reported that it cannot.
+    /// Records that an instance did not respond to a heartbeat. `refusal` is its reason, if it
+    /// reported one.
     pub fn instance_unreachable(&mut self, name: &str, refusal: Option<String>) {
         if let Some(instance) = self.instances.get_mut(name) {
             instance.unreachable(refusal);
         }
     }
 
-    /// An instance has served invocations, so many of them since they were last counted.
+    /// Adds the invocations that an instance has served since they were last counted.
     pub fn add_service_counts(&mut self, counts: ServiceCounts) {
         self.service_counts.invocations += counts.invocations;
         self.service_counts.succeeded += counts.succeeded;
     }
 
-    /// There is something that the leading agent should learn now.
+    /// Makes the next request to the leading agent due at once.
     pub fn expedite_request(&mut self) {
         self.requested_at = f64::NEG_INFINITY;
     }
 
-    /// There is something that all instances should learn now.
+    /// Makes the next heartbeat to each instance due at once.
     pub fn expedite_heartbeats(&mut self) {
         for instance in self.instances.values_mut() {
             instance.set_urgent();
         }
     }
 
-    /// No instance of this host acts on a version up to this one any more.
+    /// The highest version such that no instance of this host acts on it or a lower one any more.
     fn fenced_version(&self, now: f64) -> u64 {
         let may_act = self
             .instances
@@ -262,8 +265,8 @@
         }
     }
 
-    /// Whether an instance that this agent has not found may still have a lease that an earlier
-    /// agent granted.
+    /// Whether an instance that this agent does not know may still have a lease that a previous
+    /// process of the agent granted.
     fn may_have_unknown_leases(&self, now: f64) -> bool {
         let lease_seconds = self.lease_seconds.unwrap_or(0.0);
         self.started_at.is_none_or(|started_at| {
@@ -271,8 +274,8 @@
         })
     }
 
-    /// The instances' verdict on the document that is being prepared: once all have responded or
-    /// are late, or one rejects it.
+    /// The result of the instances for the document that is being prepared; available once all have
+    /// responded, the timeout has passed, or one has rejected it.
     pub fn prepare_result(&self, now: f64) -> Option<PrepareResult> {
         let preparation = self.preparation?;
         let mut result = PrepareResult {
@@ -292,13 +295,13 @@
         }
         let is_complete = result.silent_instances == 0 || has_timed_out;
         if !has_timed_out {
-            // While there is time nobody counts as silent.
+            // Before the timeout no instance counts as silent.
             result.silent_instances = 0;
         }
         (is_complete || !result.rejections.is_empty()).then_some(result)
     }
 
-    /// The request to the leading agent, where it is due or there is progress to report.
+    /// The request to the leading agent, if one is due or there is progress to report.
     pub fn poll_lease_request(&mut self, now: f64) -> Option<HostLeaseRequest> {
         let renewal_seconds = self.lease_seconds? / RENEWALS_PER_LEASE;
         let progress = Progress {
@@ -334,7 +337,7 @@
             .is_none_or(|lease| self.fence_version > 0 && lease.version <= self.fence_version)
     }
 
-    /// The leading agent's response; the lease counts from when it was requested.
+    /// Handles the leading agent's response; the lease starts when it was requested.
     pub fn handle_lease_response(&mut self, now: f64, response: &HostLeaseResponse) {
         if response.incarnation != self.incarnation {
             return;
@@ -359,8 +362,8 @@
         self.lease = Some(lease);
     }
 
-    /// Whether a lease on this version may be accepted: its document is known here, and it is not
-    /// fenced.
+    /// Whether a lease on this version may be accepted: the document is known here and the version
+    /// is not fenced.
     fn may_accept(&self, version: u64) -> bool {
         if version == 0 {
             return self.fence_version == 0;
--- a/crates/merlinshelf-policy/src/instance_record.rs
+++ b/crates/merlinshelf-policy/src/instance_record.rs
@@ -1,46 +1,46 @@
-//! What an agent knows of one of its instances.
+//! An agent's record of one of its instances.
 
 use merlinshelf_quota::lease::{self, Drift};
 
 use crate::messages::{InstanceStatus, LeaseGrant, VersionedPolicy};
 
-/// The lease that an instance may have without having reported otherwise, as the agent has to
-/// assume it.
+/// The lease that the agent must assume an instance to have, unless the instance reported
+/// otherwise.
 #[derive(Clone, Copy, Debug)]
 struct PossibleLease {
-    /// The lowest version that it may be on.
+    /// The lowest version that the lease may be on.
     lowest_version: u64,
     /// By the agent's clock, in seconds.
     expires_at: f64,
 }
 
-/// How an instance responds to a document that is to be validated.
+/// An instance's response to a document that it is to validate.
 #[derive(Clone, Debug)]
 pub enum PrepareResponse {
-    /// It has stored the document.
+    /// The instance has validated and stored the document.
     Ready,
-    /// It cannot use the document, for this reason.
+    /// The instance cannot use the document, for this reason.
     Rejected(String),
-    /// It has not responded.
+    /// The instance has not responded.
     Pending,
 }
 
-/// One instance of the host. `now` is the agent's own clock in seconds.
+/// One instance of the host. `now` is in seconds of the agent's own clock.
 #[derive(Clone, Debug)]
 pub struct InstanceRecord {
     status: Option<InstanceStatus>,
-    /// Why the instance cannot respond to any heartbeat.
+    /// The reason why the instance cannot respond to heartbeats.
     refusal: Option<String>,
     heartbeat_sent_at: f64,
     awaits_response: bool,
-    /// There is something that it should learn before its next regular heartbeat.
+    /// Whether a heartbeat is to be sent before the next regular one is due.
     is_urgent: bool,
     possible_lease: Option<PossibleLease>,
 }
 
 impl InstanceRecord {
-    /// An instance that this agent has not seen. An earlier agent may have granted it a lease,
-    /// which has expired after this duration.
+    /// Creates the record of an instance that this agent has not seen before. A previous process of
+    /// the agent may have granted it a lease, which lasts at most `lease_seconds` from now.
     pub fn new(now: f64, lease_seconds: f64, drift: Drift) -> InstanceRecord {
         InstanceRecord {
             status: None,
@@ -55,18 +55,18 @@
         }
     }
 
-    /// Its last status.
+    /// The instance's last status.
     pub fn status(&self) -> Option<&InstanceStatus> {
         self.status.as_ref()
     }
 
-    /// Its last status, where it was started with this base policy.
-    pub fn status_on_base(&self, base_fingerprint: u64) -> Option<&InstanceStatus> {
+    /// The instance's last status, if it was started with this base policy.
+    pub fn status_with_base(&self, base_fingerprint: u64) -> Option<&InstanceStatus> {
         self.status()
             .filter(|status| status.base_fingerprint == base_fingerprint)
     }
 
-    /// Its next heartbeat is not to wait for the regular time.
+    /// Makes the next heartbeat due at once.
     pub fn set_urgent(&mut self) {
         self.is_urgent = true;
     }
@@ -77,15 +77,15 @@
         is_due && !self.awaits_response
     }
 
-    /// A heartbeat is sent now.
+    /// Records that a heartbeat is sent now.
     pub fn heartbeat_sent(&mut self, now: f64) {
         self.heartbeat_sent_at = now;
         self.awaits_response = true;
         self.is_urgent = false;
     }
 
-    /// A lease is granted now. An instance that is granted this version has no lease on a lower
-    /// one: those had been fenced on all hosts before.
+    /// Records that a lease is granted now. The instance has no lease on a lower version any more:
+    /// all lower versions were fenced on all hosts before this one was granted.
     pub fn lease_granted(&mut self, now: f64, grant: &LeaseGrant, drift: Drift) {
         if grant.version == 0 {
             return;
@@ -100,8 +100,8 @@
         });
     }
 
-    /// It responded to a heartbeat. `leased_version` is the version of the host's lease, where it
-    /// has one.
+    /// Records the response to a heartbeat. `leased_version` is the version of the host's lease, if
+    /// it has one.
     pub fn responded(&mut self, status: InstanceStatus, leased_version: Option<u64>) {
         let previous = self.status.as_ref();
         let is_new_process =
@@ -110,15 +110,15 @@
             leased_version.is_some_and(|version| status.effective_version != Some(version));
         let has_progressed =
             previous.is_none_or(|previous| previous.known_versions != status.known_versions);
-        // A new process, or one that lacks what is in force, is served at once; without progress it
-        // waits for its turn.
+        // A new process, or one that does not act on the leased version yet, gets the next
+        // heartbeat at once; without progress it waits for the regular one.
         self.is_urgent |= is_new_process || is_behind && has_progressed;
         self.awaits_response = false;
         self.refusal = None;
         self.status = Some(status);
     }
 
-    /// It did not respond; with a reason where it reported that it cannot.
+    /// Records that the instance did not respond. `refusal` is its reason, if it reported one.
     pub fn unreachable(&mut self, refusal: Option<String>) {
         self.awaits_response = false;
         if refusal.is_some() {
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Whether it may still act on a version up to the fence.
+    /// Whether the instance may still act on a version up to the fence.
     pub fn may_act_below(&self, now: f64, fence_version: u64) -> bool {
         let has_fenced = self
             .status()
@@ -137,7 +137,7 @@
         !has_fenced && may_have_lease
     }
 
-    /// How it responds to a document.
+    /// The instance's response to a document.
     pub fn prepare_response(&self, version: u64, base_fingerprint: u64) -> PrepareResponse {
         if let Some(reason) = self.rejection_reason(version, base_fingerprint) {
             return PrepareResponse::Rejected(reason);
@@ -156,15 +156,15 @@
                 return Some(rejected.reason.clone());
             }
             if status.base_fingerprint != base_fingerprint {
-                return Some("its base policy is another".to_owned());
+                return Some("its base policy differs from the installation's".to_owned());
             }
         }
         self.refusal.clone()
     }
 }
 
-/// The document that an instance with this status should be offered next: that of the host's lease
-/// first, then the newest one that it lacks and has not rejected.
+/// The document to offer to an instance with this status next: first that of the host's lease, then
+/// the newest one that the instance lacks and has not rejected.
 pub fn select_offer<'a>(
     documents: &'a [VersionedPolicy],
     status: &InstanceStatus,
--- a/crates/merlinshelf-policy/src/lease_holder.rs
+++ b/crates/merlinshelf-policy/src/lease_holder.rs
@@ -1,5 +1,5 @@
-//! An instance's part: the documents that it has stored, its lease, and which policy it acts on at
-//! a given time.
+//! An instance's role: stores policy documents and its lease, and determines the policy that the
+//! instance acts on at a given time.
 
 use std::collections::BTreeMap;
 
@@ -13,7 +13,7 @@
 use crate::error::{PolicyMismatch, PolicyRejection};
 use crate::messages::{Heartbeat, InstanceStatus, LeaseGrant, RejectedVersion, VersionedPolicy};
 
-/// How many documents are stored: the one that is acted on, the next one, and one to spare.
+/// The maximum number of stored documents: the one in effect, the next one, and a spare.
 const MAX_KNOWN_POLICIES: usize = 3;
 
 // The encoded names are those of the operators' file, and the comments are the descriptions in its
@@ -36,9 +36,9 @@
 pub enum EffectivePolicy {
     /// The base policy.
     Base,
-    /// The document of this version, by a lease.
+    /// The document of this version, under a lease.
     Leased(u64),
-    /// None: all invocations are rejected.
+    /// No policy: all invocations are rejected.
     RejectAll,
 }
 
@@ -57,7 +57,7 @@
     }
 }
 
-/// What a successor process continues with; it runs on the same monotonic clock. It is encoded in
+/// The state that a successor process resumes from; it shares the monotonic clock. It is encoded in
 /// the handover image, so the names that older versions use are preserved by `#[serde(rename)]`.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
@@ -69,7 +69,7 @@
     known_policies: BTreeMap<u64, Policy>,
 }
 
-/// The state machine of an instance. `now` is its own monotonic clock in seconds.
+/// The state machine of an instance. `now` is in seconds of its own monotonic clock.
 #[derive(Clone, Debug)]
 pub struct LeaseHolder {
     incarnation: u64,
@@ -80,13 +80,13 @@
     rejected_version: Option<RejectedVersion>,
     fenced_version: u64,
     lease: Option<Lease>,
-    /// Whether it ever had a lease, or no longer waits for one.
+    /// Whether the instance has had a lease, or no longer waits for one.
     is_ready: bool,
 }
 
 impl LeaseHolder {
-    /// A process that starts, without a lease. `incarnation` identifies it among all processes of
-    /// the instance and is not 0.
+    /// Creates the lease holder of a new process, without a lease. `incarnation` identifies the
+    /// process among all processes of the instance and is not 0.
     pub fn new(
         incarnation: u64,
         base_policy: Policy,
@@ -106,9 +106,9 @@
         }
     }
 
-    /// Gives the lease to a successor, and continues as a new incarnation. It has no lease from
-    /// here on: if the handover is aborted, the successor may long have fenced what this one would
-    /// act on.
+    /// Hands over the lease to a successor. This process continues as a new incarnation without a
+    /// lease, even if the handover is aborted: by then the successor may have fenced the version of
+    /// the lease.
     pub fn begin_handover(&mut self, next_incarnation: u64) -> HandoverState {
         self.incarnation = next_incarnation;
         HandoverState {
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Continues with a predecessor's state.
+    /// Resumes from a predecessor's state.
     pub fn resume(&mut self, state: HandoverState) {
         self.lease = state.lease;
         self.fenced_version = state.fenced_version;
@@ -126,8 +126,8 @@
         self.is_ready = true;
     }
 
-    /// The policy that it acts on. To be called before each decision, after the input of the
-    /// decision was read: a process that was stopped in between finds its lease expired.
+    /// The policy to act on at `now`. Must be called for each decision, after its input was read, so
+    /// that a process that was paused in between detects that its lease has expired.
     pub fn effective_policy(&self, now: f64) -> EffectivePolicy {
         match self.lease {
             Some(lease) if lease.is_valid(now) => EffectivePolicy::Leased(lease.version),
@@ -138,18 +138,18 @@
         }
     }
 
-    /// Whether it may admit its first invocation: it has learned which policy is in force, or waits
-    /// no longer.
+    /// Whether the instance may admit its first invocation: it knows which policy is in force, or
+    /// no longer waits for a lease.
     pub fn is_ready(&self) -> bool {
         self.is_ready
     }
 
-    /// It waits for a lease no longer.
+    /// Makes the instance ready even without a lease.
     pub fn stop_waiting_for_lease(&mut self) {
         self.is_ready = true;
     }
 
-    /// The document of an effective policy; the base policy where there is none.
+    /// The document of an effective policy; the base policy if it has none.
     pub fn policy(&self, effective: EffectivePolicy) -> &Policy {
         match effective {
             EffectivePolicy::Leased(version) => self
@@ -160,7 +160,7 @@
         }
     }
 
-    /// The base policy, whose budgets are what each host has reserved.
+    /// The base policy, whose budgets are the reserves of each host.
     pub fn base_policy(&self) -> &Policy {
         &self.base_policy
     }
@@ -177,7 +177,7 @@
         self.policy(effective).settings(base)
     }
 
-    /// Handles a heartbeat of its agent; the result is the response. `validate` checks whether the
+    /// Handles a heartbeat of the agent; returns the response. `validate` checks whether the
     /// instance can use a document.
     pub fn handle_heartbeat(
         &mut self,
@@ -219,7 +219,7 @@
         self.discard_oldest_policies();
     }
 
-    /// Discards the oldest documents beyond those that are stored, but never that of the lease.
+    /// Discards the oldest documents in excess of the maximum, but never that of the lease.
     fn discard_oldest_policies(&mut self) {
         let leased_version = self.lease.map(|lease| lease.version);
         while self.known_policies.len() > MAX_KNOWN_POLICIES {
@@ -237,7 +237,7 @@
 
     fn handle_grant(&mut self, now: f64, grant: &LeaseGrant) {
         if grant.version == 0 {
-            // The base policy is in force: there is no lease to wait for.
+            // The base policy is in force and needs no lease.
             self.is_ready = true;
             return;
         }
@@ -248,8 +248,7 @@
             return;
         }
         self.fence(grant.version - 1);
-        // It counts from when it was requested: a grant that was delayed on its way may have
-        // expired already.
+        // The lease starts when it was requested: a delayed grant may have expired already.
         let lease = Lease {
             version: grant.version,
             expires_at: lease::holder_expiry(
@@ -274,7 +273,7 @@
             .filter(|lease| lease.version > self.fenced_version);
     }
 
-    /// What it reports to its agent.
+    /// The status that the instance reports to its agent.
     pub fn status(&self, now: f64) -> InstanceStatus {
         InstanceStatus {
             incarnation: self.incarnation,
--- a/crates/merlinshelf-policy/src/lib.rs
+++ b/crates/merlinshelf-policy/src/lib.rs
@@ -1,10 +1,10 @@
-//! One policy for all instances of an installation: its document, and which instance may act on
-//! which version when.
+//! One policy for all instances of an installation: the policy document, and the leases by which
+//! instances may act on a version of it.
 //!
-//! All state machines here are sans-I/O: they are fed events and the time, and polled for what is
-//! to be done. An instance is a [`LeaseHolder`], an agent is the [`HostLeaseManager`] of its host's
-//! instances, and the leading agent is a [`RolloutLeader`] as well. What the agents have agreed is
-//! the [`ReplicatedState`], the same on all of them (docs/policy.md).
+//! All state machines here are sans-I/O: the caller passes in events and the time, and polls for
+//! the actions to carry out. An instance has a [`LeaseHolder`], an agent has a [`HostLeaseManager`]
+//! for its host's instances, and the leading agent also has a [`RolloutLeader`]. The agents agree
+//! on the [`ReplicatedState`], which is the same on all of them (docs/policy.md).
 
 pub mod document;
 pub mod error;
--- a/crates/merlinshelf-policy/src/messages.rs
+++ b/crates/merlinshelf-policy/src/messages.rs
@@ -1,9 +1,9 @@
 //! The messages between instances, agents and the leading agent.
 //!
-//! Every time is in seconds of the sender's own monotonic clock and is never compared with another
-//! clock: a receiver only sends it back. Fields are encoded by name; the names that older versions
-//! use are preserved by `#[serde(rename)]`, pairs are arrays of two, and a missing field is its
-//! default.
+//! All times are in seconds of the sender's own monotonic clock and are never compared with another
+//! clock: a receiver only sends them back. Fields are encoded by name; the names that older
+//! versions use are preserved by `#[serde(rename)]`, pairs are arrays of two, and a missing field
+//! has its default value.
 
 use serde::{Deserialize, Serialize, Serializer};
 
@@ -15,14 +15,14 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Heartbeat {
-    /// The incarnation that it is meant for, as that process last reported it; 0 while none is
-    /// known. A process of another incarnation ignores the contents.
+    /// The incarnation of the receiving process, as last reported by the instance; 0 while it is
+    /// unknown. A process of another incarnation ignores the contents.
     #[serde(rename = "life")]
     pub incarnation: u64,
     /// A document to validate and store.
     #[serde(rename = "offer")]
     pub offered_policy: Option<VersionedPolicy>,
-    /// No version up to this one may be acted on any more.
+    /// The instance must no longer act on versions up to this one.
     #[serde(rename = "fence")]
     pub fence_version: u64,
     /// A new or renewed lease.
@@ -33,7 +33,7 @@
     pub quota_grants: Option<QuotaGrantBatch>,
 }
 
-/// A document with its version. Encoded as an array of two.
+/// A policy document with its version. Encoded as an array of two.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(from = "(u64, Policy)")]
 pub struct VersionedPolicy {
@@ -62,7 +62,7 @@
     /// The policy version that the instance may act on; 0 is the base policy.
     #[serde(rename = "number")]
     pub version: u64,
-    /// The instance's clock in its last status, in seconds; the lease counts from there.
+    /// The instance's clock in its last status, in seconds; the lease starts there.
     #[serde(rename = "asked")]
     pub requested_at: f64,
     /// How long the lease lasts from `requested_at`, in seconds.
@@ -80,26 +80,26 @@
     /// The instance's clock when it reported, in seconds.
     #[serde(rename = "asked")]
     pub reported_at: f64,
-    /// The instance acts on no version up to this one, and never will.
+    /// The instance does not act on versions up to this one, and never will again.
     #[serde(rename = "fenced")]
     pub fenced_version: u64,
-    /// Versions whose documents it has validated and stored.
+    /// The versions whose documents the instance has validated and stored.
     #[serde(rename = "knows")]
     pub known_versions: Vec<u64>,
-    /// The last version that it could not use.
+    /// The last version that the instance rejected.
     #[serde(rename = "unfit")]
     pub rejected_version: Option<RejectedVersion>,
-    /// The version that it acts on: 0 is the base policy, `None` means that it rejects all
-    /// invocations.
+    /// The version that the instance acts on: 0 is the base policy, `None` means that it rejects
+    /// all invocations.
     #[serde(rename = "acts")]
     pub effective_version: Option<u64>,
-    /// How long its lease still lasts, in seconds; 0 without a lease.
+    /// The remaining duration of its lease, in seconds; 0 without a lease.
     #[serde(rename = "left_s")]
     pub lease_remaining_seconds: f64,
     /// The fingerprint of its base policy.
     #[serde(rename = "base")]
     pub base_fingerprint: u64,
-    /// Its quota requests; `None` where it has no budgets.
+    /// Its quota requests; `None` if there are no budgets.
     #[serde(skip_serializing_if = "Option::is_none")]
     #[serde(rename = "wishes")]
     pub quota_requests: Option<QuotaRequestBatch>,
@@ -136,16 +136,16 @@
     /// Identifies this process among all processes of the agent.
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// Identifies this request within the incarnation; the lease counts from when it was sent.
+    /// Identifies this request within the incarnation; the lease starts when it was sent.
     #[serde(rename = "token")]
     pub request_id: u64,
-    /// Nothing on this host acts on a version up to this one.
+    /// No instance of this host acts on versions up to this one.
     #[serde(rename = "fenced")]
     pub fenced_version: u64,
-    /// The verdict of the host's instances on the pending document, once it is complete.
+    /// The result of the host's instances for the pending document, once it is complete.
     #[serde(rename = "prepared")]
     pub prepare_result: Option<PrepareResult>,
-    /// The service of all instances of the host.
+    /// The invocations served by all instances of the host.
     #[serde(rename = "service")]
     pub service_counts: ServiceCounts,
     /// The host's quota requests.
@@ -153,14 +153,14 @@
     pub quota_requests: Option<QuotaRequestBatch>,
 }
 
-/// Invocations that were served, counted since the agent first saw each instance. Encoded as an
-/// array of two.
+/// Counts of served invocations, since the agent first saw each instance. Encoded as an array of
+/// two.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u64, u64)", into = "(u64, u64)")]
 pub struct ServiceCounts {
     /// All invocations.
     pub invocations: u64,
-    /// Those of them that succeeded.
+    /// The invocations that succeeded.
     pub succeeded: u64,
 }
 
@@ -179,17 +179,17 @@
     }
 }
 
-/// The verdict of a host's instances on a document.
+/// The result of validating a document on a host's instances.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct PrepareResult {
     /// The version of the document.
     #[serde(rename = "number")]
     pub version: u64,
-    /// How many instances have validated and stored it.
+    /// The number of instances that have validated and stored it.
     #[serde(rename = "ready")]
     pub ready_instances: u32,
-    /// How many instances did not respond in time.
+    /// The number of instances that did not respond in time.
     #[serde(rename = "silent")]
     pub silent_instances: u32,
     /// The instances that cannot use it.
@@ -197,12 +197,12 @@
     pub rejections: Vec<Rejection>,
 }
 
-/// Why a document was rejected. Encoded as an array of two.
+/// The rejection of a document. Encoded as an array of two.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(String, String)", into = "(String, String)")]
 pub struct Rejection {
-    /// The instance that cannot use the document, or the proposer of a change that came while
-    /// another was pending.
+    /// The instance that cannot use the document, or the proposer of a change that was proposed
+    /// while another one was pending.
     pub rejected_by: String,
     /// The reason, for operators.
     pub reason: String,
@@ -230,11 +230,11 @@
     /// The incarnation of the request.
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// The request that is answered.
+    /// The request that this response answers.
     #[serde(rename = "token")]
     pub request_id: u64,
-    /// The version that the host's lease is on. Its duration is the installation's, see
-    /// [`Bootstrap`](crate::Bootstrap).
+    /// The version that the host's lease is on. The duration of the lease is set for the
+    /// installation, see [`Bootstrap`](crate::Bootstrap).
     #[serde(rename = "granted")]
     pub granted_version: u64,
     /// The response to the request's quota requests.
--- a/crates/merlinshelf-policy/src/overlay.rs
+++ b/crates/merlinshelf-policy/src/overlay.rs
@@ -1,5 +1,4 @@
-//! The settings and the dependencies of an instance under a policy: its own configuration with the
-//! policy laid over it.
+//! Overlays a policy on an instance's own configuration: its settings and its dependencies.
 
 use merlinshelf_admission::Settings;
 use merlinshelf_dependencies::Dependencies;
@@ -12,7 +11,7 @@
 const OPERATIONS: &str = "Classes";
 /// The platform's list of tenants.
 const TENANTS: &str = "Tenants";
-/// The settings have objectives in microseconds, a policy has them in milliseconds.
+/// Objectives are in microseconds in the settings, and in milliseconds in a policy.
 const MICROSECONDS_PER_MILLISECOND: f64 = 1e3;
 
 impl Policy {
@@ -20,7 +19,7 @@
     /// them.
     ///
     /// # Errors
-    /// Every operation and tenant that the settings do not have.
+    /// All operations and tenants that the settings do not have.
     pub fn settings(&self, base: &Settings) -> Result<Settings, PolicyMismatch> {
         let mut settings = base.clone();
         let mut mismatches = self.overlay_operations(base, &mut settings);
@@ -63,11 +62,11 @@
         mismatches
     }
 
-    /// The operators' dependencies under the policy; `None` where the operators have none.
+    /// The dependencies of the operators' file under the policy; `None` if the file has none.
     ///
     /// # Errors
-    /// Every dependency and call that the operators' file does not have; where there are none,
-    /// whatever is not consistent then.
+    /// All dependencies and calls that the operators' file does not have; if there are none, all
+    /// findings of the consistency check of the result.
     pub fn dependencies(
         &self,
         base: Option<&Dependencies>,
@@ -147,12 +146,13 @@
     set("AimUs", objective_us);
     set("Worth", operation.worth);
     set("LateWorth", operation.late);
-    // Nothing meets an objective of 0: the admission controller rejects all invocations that have
-    // it (docs/design.md).
+    // An objective of 0 can never be met: the admission controller rejects all such invocations
+    // (docs/design.md).
     set("AimUs", (operation.admit == Some(false)).then_some(0.0));
 }
 
-/// Sets the fraction of time of all calls of an operation to a dependency; whether there are any.
+/// Sets the time fraction of all calls of an operation to a dependency; returns whether there are
+/// any such calls.
 fn overlay_call(
     dependencies: &mut Dependencies,
     operation: &str,
@@ -176,7 +176,7 @@
     format!("{TENANTS}.{position}.QuotaPerS")
 }
 
-/// A tenant's quota in invocations per second; 0 where the settings have none that can be read.
+/// A tenant's quota in invocations per second; 0 if it is missing or invalid in the settings.
 fn tenant_quota(settings: &Settings, position: usize) -> f64 {
     settings
         .get(&quota_key(position))
@@ -191,7 +191,7 @@
         .unwrap_or(0)
 }
 
-/// The position of the entry of a list whose `Name` this is. A number is never taken for a name.
+/// The position of the list entry with this `Name`. A number never counts as a name.
 fn position_by_name(settings: &Settings, list: &str, name: &str) -> Option<usize> {
     if name.parse::<usize>().is_ok() {
         return None;
@@ -199,8 +199,8 @@
     position_by_name_or_number(settings, list, name)
 }
 
-/// The position of the entry of a list whose `Name` this is, or the number itself where no entry
-/// has that name.
+/// The position of the list entry with this `Name`, or else the position that `name` gives as a
+/// number.
 fn position_by_name_or_number(settings: &Settings, list: &str, name: &str) -> Option<usize> {
     let length = list_length(settings, list);
     let has_name = |position: &usize| {
--- a/crates/merlinshelf-policy/src/replicated_state.rs
+++ b/crates/merlinshelf-policy/src/replicated_state.rs
@@ -1,6 +1,6 @@
-//! The state that the agents replicate: the entries of their log, and what applying them in order
-//! results in. It is the same on every agent (a replicated state machine, as in Ongaro's Raft
-//! thesis).
+//! The state that the agents replicate: the entries of their log, and the state machine that
+//! applies them in order. The state is the same on every agent (a replicated state machine, as in
+//! Ongaro's Raft thesis).
 //!
 //! Entries and snapshots are stored; the names that older versions use are preserved by
 //! `#[serde(rename)]`.
@@ -12,10 +12,10 @@
 use crate::document::Policy;
 use crate::messages::{Rejection, VersionedPolicy};
 
-/// How many completed changes are remembered and can be looked up by their id.
+/// The maximum number of completed changes that are kept and can be looked up by their id.
 const MAX_COMPLETED_CHANGES: usize = 200;
 
-/// What is agreed for the installation once, by its first entry.
+/// The parameters that the first log entry fixes for the installation.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Bootstrap {
     /// The duration of a lease, in milliseconds.
@@ -40,19 +40,20 @@
     Bootstrap(Bootstrap),
     /// Proposes a change of the policy.
     Propose {
-        /// Chosen by the proposer; a change whose id is known already is the same change.
+        /// Set by the proposer; a proposal whose id is already known is a duplicate and has no
+        /// effect.
         #[serde(rename = "id")]
         change_id: String,
         /// The new document.
         policy: Box<Policy>,
-        /// Who proposed it, for reports.
+        /// The proposer, for reports.
         #[serde(rename = "by")]
         proposed_by: String,
         /// Unix time in seconds, for reports.
         #[serde(rename = "at")]
         proposed_at: f64,
     },
-    /// Accepts or rejects the pending change. Only the first one of a change takes effect.
+    /// Accepts or rejects the pending change. Only the first decision on a change takes effect.
     Decide {
         /// The version of the change.
         #[serde(rename = "number")]
@@ -60,11 +61,11 @@
         /// Whether it will come into force.
         #[serde(rename = "hold")]
         accepted: bool,
-        /// Why it was rejected.
+        /// The reasons for a rejection.
         #[serde(rename = "why")]
         rejections: Vec<Rejection>,
     },
-    /// Brings an accepted change into force: from here on leases on it may be granted.
+    /// Brings an accepted change into force: from this entry on, leases on it may be granted.
     #[serde(rename = "Open")]
     Activate {
         /// The version of the change.
@@ -78,14 +79,14 @@
 pub enum Stage {
     /// Instances validate and store the document.
     Preparing,
-    /// It is accepted; older versions are being fenced, and nothing acts on it yet.
+    /// The change is accepted; older versions are being fenced, and no instance acts on it yet.
     Fencing,
 }
 
 /// The pending change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Change {
-    /// The version that the document has or will have.
+    /// The version of the document.
     #[serde(rename = "number")]
     pub version: u64,
     /// The proposer's id of the change.
@@ -93,13 +94,13 @@
     pub change_id: String,
     /// The new document.
     pub policy: Policy,
-    /// Who proposed it.
+    /// The proposer.
     #[serde(rename = "by")]
     pub proposed_by: String,
     /// Unix time in seconds.
     #[serde(rename = "at")]
     pub proposed_at: f64,
-    /// Its stage.
+    /// The stage of the change.
     pub stage: Stage,
 }
 
@@ -119,18 +120,18 @@
 /// The outcome of a change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ChangeOutcome {
-    /// It came into force.
+    /// The change came into force.
     #[serde(rename = "Held")]
     Committed,
-    /// It was rejected, for these reasons.
+    /// The change was rejected, for these reasons.
     #[serde(rename = "Refused")]
     Rejected(Vec<Rejection>),
 }
 
-/// A change that is complete.
+/// A completed change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CompletedChange {
-    /// The version that the document got.
+    /// The version of the document.
     #[serde(rename = "number")]
     pub version: u64,
     /// The proposer's id of the change.
@@ -138,13 +139,13 @@
     pub change_id: String,
     /// The note of the document.
     pub note: String,
-    /// Who proposed it.
+    /// The proposer.
     #[serde(rename = "by")]
     pub proposed_by: String,
     /// Unix time in seconds.
     #[serde(rename = "at")]
     pub proposed_at: f64,
-    /// Its outcome.
+    /// The outcome of the change.
     #[serde(rename = "verdict")]
     pub outcome: ChangeOutcome,
 }
@@ -156,7 +157,7 @@
     Bootstrapped(Bootstrap),
     /// A change is pending.
     Proposed {
-        /// The version that it got.
+        /// The version of the change.
         version: u64,
     },
     /// The pending change was accepted or rejected.
@@ -173,14 +174,14 @@
     },
 }
 
-/// The state that all agents have in common.
+/// The state that all agents share.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ReplicatedState {
-    /// What was agreed for the installation; `None` before its first entry.
+    /// The parameters of the installation; `None` before the first log entry.
     #[serde(rename = "founding")]
     pub bootstrap: Option<Bootstrap>,
-    /// The highest version that any change got.
+    /// The highest version assigned to a change.
     #[serde(rename = "last")]
     pub last_version: u64,
     /// The version in force; 0 is the base policy.
@@ -188,10 +189,10 @@
     pub current_version: u64,
     /// The document in force.
     pub policy: Policy,
-    /// What was in force before it.
+    /// The version that was in force before.
     #[serde(rename = "former")]
     pub previous: Option<VersionedPolicy>,
-    /// The pending change; there is one at most.
+    /// The pending change; there is at most one.
     #[serde(rename = "change")]
     pub pending_change: Option<Change>,
     /// The last completed changes, oldest first.
@@ -200,7 +201,7 @@
 }
 
 impl ReplicatedState {
-    /// Applies an entry; `None` where it has no effect.
+    /// Applies an entry; returns `None` if it has no effect.
     pub fn apply(&mut self, entry: Entry) -> Option<ReplicatedEvent> {
         match entry {
             Entry::Bootstrap(bootstrap) => self.apply_bootstrap(bootstrap),
@@ -315,17 +316,17 @@
             .filter(|change| change.stage == stage)
     }
 
-    /// The pending change where instances are still to validate it.
+    /// The pending change, if instances are still validating it.
     pub(crate) fn preparing_change(&self) -> Option<&Change> {
         self.pending_in(Stage::Preparing)
     }
 
-    /// The pending change where it is accepted and older versions are being fenced.
+    /// The pending change, if it is accepted and older versions are being fenced.
     pub(crate) fn fencing_change(&self) -> Option<&Change> {
         self.pending_in(Stage::Fencing)
     }
 
-    /// Whether a change with this id was ever proposed, as far as is remembered.
+    /// Whether a change with this id is pending or among the kept completed changes.
     pub fn knows_change(&self, change_id: &str) -> bool {
         self.pending_change
             .as_ref()
@@ -341,15 +342,15 @@
             .find(|completed| completed.change_id == change_id)
     }
 
-    /// No version up to this one may be acted on any more.
+    /// The highest version that must no longer be acted on, like all lower ones; 0 if there is none.
     pub fn fence_version(&self) -> u64 {
         self.fencing_change()
             .map_or(self.current_version, |change| change.version)
             .saturating_sub(1)
     }
 
-    /// The document of a version that leases are or may soon be granted on; `None` for other
-    /// versions and for 0.
+    /// The document of the current or the pending version, on which leases are or may soon be
+    /// granted; `None` for other versions and for 0.
     pub(crate) fn policy_for_version(&self, version: u64) -> Option<&Policy> {
         let pending = self
             .pending_change
--- a/crates/merlinshelf-policy/src/rollout_leader.rs
+++ b/crates/merlinshelf-policy/src/rollout_leader.rs
@@ -1,8 +1,8 @@
-//! The leading agent's part: grants leases to hosts and takes a change from its proposal to its
-//! end.
+//! The leading agent's role: grants leases to hosts and drives each policy change from its proposal
+//! to its outcome.
 //!
-//! Whatever must outlive this agent is in the [`ReplicatedState`]; the next leader continues from
-//! there. A lease is granted only after a majority confirmed the leadership since the lease was
+//! All state that must outlive this agent is in the [`ReplicatedState`], from which the next leader
+//! continues. A lease is granted only after a majority confirmed the leadership since the lease was
 //! requested (the read-index rule of the Raft thesis, section 6.4), and a change is activated only
 //! when every host has fenced the older versions or its lease has expired (Gray & Cheriton,
 //! "Leases", 1989).
@@ -16,22 +16,23 @@
 use crate::replicated_state::{Bootstrap, ChangeOutcome, Entry, ReplicatedEvent, ReplicatedState};
 use crate::service_history::{ServiceHistory, ServiceRatio};
 
-/// Hosts that have not reported on a document by then are not waited for, seconds.
+/// How long the leader waits for hosts to report on a document, seconds.
 const PREPARE_TIMEOUT_SECONDS: f64 = 0.9;
-/// A proposal that has not come back as an entry, and a confirmation that has not come back, is
-/// retried after this, seconds.
+/// The time after which a proposal that was not applied as an entry, or a leadership confirmation
+/// that was not received, is retried, seconds.
 const RETRY_AFTER_SECONDS: f64 = 0.4;
 
-/// Who proposes a change that rolls back to the previous policy. It is stored with the change.
+/// The proposer of an automatic rollback to the previous policy. The text is stored with the change
+/// and must not change.
 pub const ROLLBACK_PROPOSER: &str = "the watch after a change";
 
-/// What the caller of the state machine is to do, in this order.
+/// An action that the caller is to carry out; actions must be carried out in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Have a majority confirm that this agent still leads; reported by
+    /// Have a majority confirm that this agent still leads, and report it by
     /// [`RolloutLeader::leadership_confirmed`].
     ConfirmLeadership {
-        /// Identifies the confirmation; they are numbered in order.
+        /// The sequence number of the confirmation.
         confirmation_id: u64,
     },
     /// Append an entry to the log.
@@ -45,26 +46,26 @@
     },
 }
 
-/// How the service is compared before and after a change.
+/// The parameters of the comparison of the service before and after a change.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServiceWatch {
-    /// The time that is looked at before and after the change, in seconds; 0 switches the
-    /// comparison off.
+    /// The length of the compared windows before and after the change, in seconds; 0 disables the
+    /// comparison.
     pub window_seconds: f64,
-    /// By how much the ratio of succeeded invocations may fall before the change is rolled back, 0
+    /// The maximum decrease of the ratio of succeeded invocations that does not cause a rollback, 0
     /// to 1.
     pub tolerated_loss: f64,
 }
 
-/// What is known of a host since this agent was elected.
+/// The state of a host, as known since this agent was elected.
 #[derive(Clone, Debug, Default)]
 struct Host {
     fenced_version: u64,
     prepare_result: Option<PrepareResult>,
-    /// When the last lease that was granted here has expired for sure.
+    /// When the last lease that this agent granted has certainly expired.
     lease_expires_at: f64,
     unconfirmed_request: Option<UnconfirmedRequest>,
-    /// The response to a request that a majority has confirmed the leadership for.
+    /// The response to a request for which a majority has confirmed the leadership.
     confirmed_response: Option<HostLeaseResponse>,
 }
 
@@ -79,7 +80,7 @@
 #[derive(Clone, Debug)]
 struct UnconfirmedRequest {
     response: HostLeaseResponse,
-    /// The first confirmation that was requested after this request came.
+    /// The first confirmation that was requested after this request arrived.
     confirmation_id: u64,
 }
 
@@ -109,18 +110,18 @@
     ratio_before: ServiceRatio,
 }
 
-/// The state machine. `now` is the agent's own monotonic clock in seconds.
+/// The state machine. `now` is in seconds of the agent's own monotonic clock.
 #[derive(Clone, Debug)]
 pub struct RolloutLeader {
     bootstrap: Bootstrap,
     drift: Drift,
     watch: ServiceWatch,
-    /// When every lease that an earlier leader granted has expired.
+    /// When all leases that earlier leaders granted have certainly expired.
     earlier_leases_expire_at: f64,
     hosts: BTreeMap<String, Host>,
     next_confirmation_id: u64,
     pending_confirmation: Option<PendingConfirmation>,
-    /// The version that this agent proposed to activate; 0 for none.
+    /// The version whose activation this agent has proposed; 0 for none.
     activated_version: u64,
     preparation: Option<Preparation>,
     last_proposal: Option<Proposal>,
@@ -130,7 +131,7 @@
 }
 
 impl RolloutLeader {
-    /// Starts at the election, at `now`, with the hosts that may have leases.
+    /// Creates the leader at its election. `hosts` are the hosts that may have leases.
     pub fn elected(
         now: f64,
         bootstrap: Bootstrap,
@@ -160,7 +161,7 @@
         self.actions.pop_front()
     }
 
-    /// A host requests its lease and reports its progress.
+    /// Handles a host's request for a lease, which also reports its progress.
     pub fn handle_lease_request(
         &mut self,
         now: f64,
@@ -183,7 +184,8 @@
         self.advance(now, state);
     }
 
-    /// A majority has confirmed that this agent leads, after this confirmation was requested.
+    /// Records that a majority has confirmed, after this confirmation was requested, that this
+    /// agent leads.
     pub fn leadership_confirmed(
         &mut self,
         now: f64,
@@ -203,7 +205,7 @@
         self.advance(now, state);
     }
 
-    /// An entry was applied.
+    /// Handles the event of an entry that was applied.
     pub fn state_changed(&mut self, now: f64, event: &ReplicatedEvent, state: &ReplicatedState) {
         if let ReplicatedEvent::Committed { version } = event {
             let ratio_before = self
@@ -218,7 +220,7 @@
         self.advance(now, state);
     }
 
-    /// Time has passed.
+    /// Carries out everything that is due at `now`.
     pub fn advance(&mut self, now: f64, state: &ReplicatedState) {
         self.request_confirmation(now);
         if state.bootstrap.is_none() {
@@ -257,12 +259,13 @@
         });
     }
 
-    /// Proposes an entry, and retries where it was lost on its way into the log.
+    /// Proposes an entry, unless the same entry was proposed recently. Callers repeat the call, so
+    /// that a lost proposal is retried.
     fn propose(&mut self, now: f64, entry: Entry) {
-        let is_under_way = self.last_proposal.as_ref().is_some_and(|proposal| {
+        let is_in_progress = self.last_proposal.as_ref().is_some_and(|proposal| {
             proposal.entry == entry && now < proposal.proposed_at + RETRY_AFTER_SECONDS
         });
-        if is_under_way {
+        if is_in_progress {
             return;
         }
         self.last_proposal = Some(Proposal {
@@ -322,7 +325,7 @@
         }
     }
 
-    /// Grants leases for all requests that the leadership was confirmed for. No lease is granted
+    /// Grants leases for all requests for which the leadership was confirmed. No lease is granted
     /// while hosts are being fenced.
     fn grant_leases(&mut self, now: f64, state: &ReplicatedState) {
         let granted_version = match state.fencing_change() {
@@ -346,7 +349,7 @@
         }
     }
 
-    /// Samples the service, and rolls the last change back where it made the service worse.
+    /// Samples the service, and proposes to roll back the last change if the service got worse.
     fn compare_service(&mut self, now: f64, state: &ReplicatedState) {
         if !self.service_history.sample(now) || self.watch.window_seconds <= 0.0 {
             return;
@@ -385,7 +388,7 @@
             ratio_before,
             ..
         } = watched;
-        // The note and the id are stored and shown to operators: their text stays as it is.
+        // The note and the id are stored and shown to operators: their format must not change.
         let mut policy = previous.policy.clone();
         policy.note =
             format!("back from {version}: served {ratio_after:.3}, before it {ratio_before:.3}");
@@ -401,7 +404,8 @@
     }
 }
 
-/// Whether a change was itself a rollback, or is remembered no more: neither is rolled back.
+/// Whether a change is itself a rollback, or is no longer kept and so might be one: neither is
+/// rolled back.
 fn is_rollback(watched: WatchedChange, state: &ReplicatedState) -> bool {
     state
         .completed_changes
--- a/crates/merlinshelf-policy/src/service_history.rs
+++ b/crates/merlinshelf-policy/src/service_history.rs
@@ -1,4 +1,5 @@
-//! The history of the service of all hosts, sampled at intervals, from which a change is judged.
+//! The history of served invocations on all hosts, sampled at intervals, to compare the service
+//! before and after a change.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -6,14 +7,14 @@
 
 /// The time between two samples, seconds.
 const SAMPLE_INTERVAL_SECONDS: f64 = 0.25;
-/// How many samples are stored: two minutes of them.
+/// The maximum number of stored samples, which cover two minutes.
 const MAX_SAMPLES: usize = 480;
-/// Fewer invocations than these give no ratio.
+/// The minimum number of invocations for a meaningful ratio.
 const MIN_INVOCATIONS: u64 = 50;
-/// Samples this close to the ends of a time range belong to it, seconds: it absorbs rounding.
+/// Tolerance for rounding at the ends of a time range, seconds.
 const ROUNDING_SECONDS: f64 = 1e-9;
 
-/// The ratio of succeeded invocations to all, 0 to 1.
+/// The ratio of succeeded invocations to all invocations, 0 to 1.
 pub type ServiceRatio = f64;
 
 #[derive(Clone, Copy, Debug)]
@@ -22,7 +23,8 @@
     total: ServiceCounts,
 }
 
-/// Samples of the sum over all hosts. `now` is the agent's own monotonic clock in seconds.
+/// Samples of the counts summed over all hosts. `now` is in seconds of the agent's own monotonic
+/// clock.
 #[derive(Clone, Debug, Default)]
 pub struct ServiceHistory {
     hosts: BTreeMap<String, ServiceCounts>,
@@ -30,12 +32,12 @@
 }
 
 impl ServiceHistory {
-    /// A host has reported its counts.
+    /// Stores the counts that a host reported.
     pub fn update_host(&mut self, host: &str, counts: ServiceCounts) {
         self.hosts.insert(host.to_owned(), counts);
     }
 
-    /// Takes a sample where one is due; whether it was.
+    /// Takes a sample if one is due; returns whether it was.
     pub fn sample(&mut self, now: f64) -> bool {
         let is_due = self
             .samples
@@ -61,8 +63,8 @@
         }
     }
 
-    /// The ratio of succeeded invocations between two times; `None` where there were too few, or
-    /// where counts fell because an agent was started anew.
+    /// The ratio of succeeded invocations between two times; `None` if there were too few
+    /// invocations, or if the counts decreased because an agent restarted.
     pub fn success_ratio(&self, from: f64, until: f64) -> Option<ServiceRatio> {
         let range = from - ROUNDING_SECONDS..=until + ROUNDING_SECONDS;
         let mut within = self
--- a/crates/merlinshelf-policy/src/validation.rs
+++ b/crates/merlinshelf-policy/src/validation.rs
@@ -1,14 +1,14 @@
-//! The rules for the figures of a policy document, as `garde` calls them. It adds the path of the
-//! field to each message.
+//! Validation rules for the values of a policy document, called by `garde`, which prefixes each
+//! message with the path of the field.
 
 use std::collections::BTreeMap;
 
 use merlinshelf_quota::{Budgets, budget};
 
-/// Rounding that the sum of the tenants' fractions may add.
+/// Tolerance for rounding in the sum of the tenants' fractions.
 const SUM_ROUNDING: f64 = 1e-9;
 
-/// 0 to 1.
+/// Requires a value from 0 to 1.
 pub fn validate_ratio(value: &f64, (): &()) -> garde::Result {
     if (0.0..=1.0).contains(value) {
         Ok(())
@@ -17,7 +17,7 @@
     }
 }
 
-/// Above 0.
+/// Requires a finite value above 0.
 pub fn validate_positive(value: &f64, (): &()) -> garde::Result {
     if value.is_finite() && *value > 0.0 {
         Ok(())
@@ -26,21 +26,23 @@
     }
 }
 
-/// 0 or more.
+/// Requires a finite value of at least 0.
 pub fn validate_non_negative(value: &f64, (): &()) -> garde::Result {
     if value.is_finite() && *value >= 0.0 {
         Ok(())
     } else {
-        Err(invalid(format_args!("{value} is no number from 0 on")))
+        Err(invalid(format_args!(
+            "{value} is not a number of 0 or more"
+        )))
     }
 }
 
-/// Calls per second within their range, for kinds of calls that the dependency has.
+/// Requires valid budgets (see [`budget::validate`]).
 pub fn validate_budgets(budgets: &Budgets, (): &()) -> garde::Result {
     budget::validate(budgets).map_err(invalid)
 }
 
-/// Each from 0 to 1, and together at most 1.
+/// Requires fractions from 0 to 1 whose sum is at most 1.
 pub fn validate_tenant_fractions(fractions: &BTreeMap<String, f64>, (): &()) -> garde::Result {
     for (tenant, fraction) in fractions {
         if !(0.0..=1.0).contains(fraction) {
@@ -58,12 +60,12 @@
     Ok(())
 }
 
-/// Each above 0 and up to 1.
+/// Requires fractions above 0 and at most 1.
 pub fn validate_time_fractions(fractions: &BTreeMap<String, f64>, (): &()) -> garde::Result {
     for (dependency, fraction) in fractions {
         if !(*fraction > 0.0 && *fraction <= 1.0) {
             return Err(invalid(format_args!(
-                "{dependency}: {fraction} is not above 0 and up to 1"
+                "{dependency}: {fraction} is not above 0 and at most 1"
             )));
         }
     }
--- a/crates/merlinshelf-policy/tests/host_lease_manager.rs
+++ b/crates/merlinshelf-policy/tests/host_lease_manager.rs
@@ -69,7 +69,7 @@
         result.rejections,
         [Rejection {
             rejected_by: "web.1".to_owned(),
-            reason: "its base policy is another".to_owned()
+            reason: "its base policy differs from the installation's".to_owned()
         }]
     );
 }
