--- a/crates/merlinshelf-policy/tests/document.rs
+++ b/crates/merlinshelf-policy/tests/document.rs
@@ -1,11 +1,11 @@
-//! The policy document: what is valid, and an instance's configuration under it.
+//! The policy document: validation, and the overlay on an instance's configuration.
 
 use garde::Validate;
 use merlinshelf_admission::Settings;
 use merlinshelf_dependencies::Dependencies;
 use merlinshelf_policy::Policy;
 
-/// The document of a text, or the message that operators get.
+/// Parses and validates a document; the error is the message that operators get.
 fn parse(text: &str) -> Result<Policy, String> {
     let policy: Policy = json5::from_str(text).map_err(|error| error.to_string())?;
     policy
--- a/crates/merlinshelf-policy/tests/golden.rs
+++ b/crates/merlinshelf-policy/tests/golden.rs
@@ -1,14 +1,13 @@
-//! Golden files of every format of this package that outlives a process or passes between two: the
+//! Golden files of all formats of this package that are stored or exchanged between processes: the
 //! replicated state and the log entries (MessagePack with field names), the messages between an
 //! instance and its agent (JSON over the control socket) and between agents (MessagePack with field
 //! names), the policy document, and the handover state of an instance.
 //!
-//! Each sample is encoded as the program encodes it and must give the bytes of its file under
-//! `tests/golden/`; those bytes are decoded as the program decodes them and must give the sample.
-//! Every field of a sample has a value of its own that is not the default, so that a field that is
-//! lost by a renaming shows. The files are the format of versions that are in service: a test that
-//! fails here means that two versions would misunderstand each other. `GOLDEN_WRITE=1` writes the
-//! files anew; without it a missing file is a failure.
+//! Each sample must encode to the bytes of its file under `tests/golden/`, and these bytes must
+//! decode to the sample. Every field of a sample has a distinct value that is not the default, so
+//! that a field lost by a renaming is detected. The files are the format of deployed versions: a
+//! failure means that two versions would misinterpret each other's data. `GOLDEN_WRITE=1` rewrites
+//! the files; without it a missing file is a failure.
 
 mod golden_samples;
 
@@ -44,22 +43,22 @@
     std::fs::read(&path).unwrap_or_else(|error| panic!("golden file {}: {error}", path.display()))
 }
 
-/// The bytes of a golden file, which must be those that were encoded now.
+/// Asserts that `encoded` matches a golden file; returns the bytes of the file.
 fn assert_golden(name: &str, encoded: &[u8]) -> Vec<u8> {
     if std::env::var("GOLDEN_WRITE").as_deref() == Ok("1") {
-        std::fs::write(golden_path(name), encoded).expect("a golden file is written");
+        std::fs::write(golden_path(name), encoded).expect("the golden file can be written");
     }
     let golden = read_golden(name);
     assert_eq!(
         encoded.escape_ascii().to_string(),
         golden.escape_ascii().to_string(),
-        "{name}: the encoded form (left) is another than that of the golden file (right)"
+        "{name}: the encoded form (left) differs from the golden file (right)"
     );
     golden
 }
 
-/// JSON as it passes over the control socket: encoded by way of a `Value`, decoded directly by an
-/// instance and by way of a `Value` by an agent.
+/// JSON as on the control socket: encoded through a `Value`, decoded directly by an instance and
+/// through a `Value` by an agent.
 fn assert_json<T>(name: &str, sample: &T)
 where
     T: Serialize + DeserializeOwned + PartialEq + Debug,
@@ -70,7 +69,7 @@
     assert_eq!(decoded, *sample, "{name}");
     let value: serde_json::Value = serde_json::from_slice(&golden).expect("JSON");
     let decoded: T = serde_json::from_value(value).expect("the golden file is decoded");
-    assert_eq!(decoded, *sample, "{name}, by way of a value");
+    assert_eq!(decoded, *sample, "{name}, through a value");
 }
 
 /// MessagePack with field names, as in the agents' log and between agents.
@@ -87,22 +86,22 @@
 // The agents' log.
 
 #[test]
-fn replicated_state_with_a_change_in_preparation() {
+fn state_with_a_change_in_preparation_matches_golden_file() {
     assert_message_pack("ledger_preparing.bin", &filled_state(Stage::Preparing));
 }
 
 #[test]
-fn replicated_state_with_a_change_in_fencing() {
+fn state_with_a_change_in_fencing_matches_golden_file() {
     assert_message_pack("ledger_fencing.bin", &filled_state(Stage::Fencing));
 }
 
 #[test]
-fn replicated_state_of_a_new_installation() {
+fn state_of_a_new_installation_matches_golden_file() {
     assert_message_pack("ledger_new.bin", &ReplicatedState::default());
 }
 
 #[test]
-fn log_entries() {
+fn log_entries_match_golden_files() {
     assert_message_pack(
         "entry_found.bin",
         &Entry::Bootstrap(Bootstrap {
@@ -130,10 +129,10 @@
     assert_message_pack("entry_open.bin", &Entry::Activate { version: 13 });
 }
 
-// Between an instance and its agent.
+// Messages between an instance and its agent.
 
 #[test]
-fn heartbeat_from_an_agent_to_an_instance() {
+fn heartbeats_match_golden_files() {
     let grant = LeaseGrant {
         version: 22,
         requested_at: 1021.5,
@@ -153,7 +152,7 @@
 }
 
 #[test]
-fn status_from_an_instance_to_its_agent() {
+fn instance_statuses_match_golden_files() {
     assert_json(
         "said.json",
         &InstanceStatus {
@@ -171,10 +170,10 @@
     assert_json("said_empty.json", &InstanceStatus::default());
 }
 
-// Between agents.
+// Messages between agents.
 
 #[test]
-fn lease_request_of_a_host() {
+fn host_lease_requests_match_golden_files() {
     assert_message_pack(
         "host_ask.bin",
         &HostLeaseRequest {
@@ -194,7 +193,7 @@
 }
 
 #[test]
-fn lease_response_of_the_leader() {
+fn host_lease_responses_match_golden_files() {
     assert_message_pack(
         "host_word.bin",
         &HostLeaseResponse {
@@ -207,8 +206,8 @@
     assert_message_pack("host_word_empty.bin", &HostLeaseResponse::default());
 }
 
-/// A field that an older version does not send is its default, and an unknown field of a later one
-/// is skipped.
+/// A field that an older version does not send is decoded as its default, and an unknown field of a
+/// newer version is ignored.
 #[test]
 fn messages_tolerate_missing_and_unknown_fields() {
     fn assert_tolerant<T>(name: &str)
@@ -238,22 +237,22 @@
 // The policy document.
 
 #[test]
-fn policy_document_with_every_field() {
+fn policy_with_all_fields_matches_golden_file() {
     assert_json("policy_filled.json", &filled_policy());
     let text = String::from_utf8(read_golden("policy_filled.json")).expect("text");
-    let decoded: Policy = json5::from_str(&text).expect("operators' form");
+    let decoded: Policy = json5::from_str(&text).expect("it is valid JSON5");
     assert_eq!(decoded, filled_policy());
 }
 
 #[test]
-fn policy_document_without_budgets() {
+fn policy_without_budgets_matches_golden_file() {
     assert_json("policy_short.json", &short_policy("short", 6.5));
 }
 
-/// The example that earlier versions shipped, and the one of this version: documents written after
-/// either must be read.
+/// The example policy of earlier versions and that of this one must both be readable, since
+/// operators base their documents on them.
 #[test]
-fn policy_document_of_the_example() {
+fn example_policies_of_all_versions_can_be_read() {
     let earlier = String::from_utf8(read_golden("policy_example.json5")).expect("text");
     let decoded: Policy = json5::from_str(&earlier).expect("the earlier example is read");
     assert_eq!(decoded, example_policy());
@@ -262,10 +261,10 @@
     assert_eq!(decoded, example_policy());
 }
 
-/// Agents of two versions compare the fingerprints of their base policies, and the log has that of
-/// the installation.
+/// Agents of different versions compare the fingerprints of their base policies, and the
+/// fingerprint of the installation is stored in the log.
 #[test]
-fn fingerprint_of_a_policy() {
+fn policy_fingerprints_match_golden_file() {
     let without_budgets = Policy {
         budgets: BTreeMap::new(),
         ..filled_policy()
@@ -281,19 +280,19 @@
     assert_golden("policy_fingerprints.json", encoded.as_bytes());
 }
 
-/// As in the operators' file of an instance (`policy.without`).
+/// The modes are used in the operators' file of an instance (`policy.without`).
 #[test]
-fn lease_expiry_modes() {
+fn lease_expiry_modes_match_golden_file() {
     assert_json(
         "without.json",
         &vec![LeaseExpiryMode::BasePolicy, LeaseExpiryMode::RejectAll],
     );
 }
 
-// Handed over in an upgrade.
+// State that is handed over in an upgrade.
 
 #[test]
-fn handover_state_of_an_instance() {
+fn handover_state_matches_golden_file() {
     let base = short_policy("base", 8.5);
     let other = short_policy("the next one", 9.5);
     let drift = 0.125;
@@ -337,7 +336,7 @@
         known_versions: vec![7, 9],
         rejected_version: None,
         effective_version: Some(7),
-        lease_remaining_seconds: 5.0, // until 9.0: an eighth of eight seconds is taken off for drift
+        lease_remaining_seconds: 5.0, // until 9.0: an eighth of the 8 s is subtracted for drift
         base_fingerprint: base.fingerprint(),
         quota_requests: None,
     };
--- a/crates/merlinshelf-policy/tests/golden_samples/mod.rs
+++ b/crates/merlinshelf-policy/tests/golden_samples/mod.rs
@@ -1,4 +1,4 @@
-//! The samples of the golden files.
+//! The samples that are compared with the golden files.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -12,7 +12,7 @@
     QuotaGrantBatch, QuotaRequest, QuotaRequestBatch,
 };
 
-/// Larger than a 64-bit float can represent exactly: such numbers must be decoded without loss.
+/// Cannot be represented exactly as a 64-bit float: such numbers must be decoded without loss.
 pub const INSTANCE_INCARNATION: u64 = 7_201_234_567_890_123_457;
 pub const AGENT_INCARNATION: u64 = 7_301_234_567_890_123_459;
 pub const BASE_FINGERPRINT: u64 = 0xFEDC_BA98_7654_3211;
@@ -24,7 +24,7 @@
     }
 }
 
-/// A document with every field.
+/// A document with all fields set.
 pub fn filled_policy() -> Policy {
     Policy {
         note: "exam evenings".into(),
@@ -59,7 +59,7 @@
     }
 }
 
-/// A document with a note and one figure; it has no budgets, so their key is absent.
+/// A document with a note and one value. Without budgets their key is absent when encoded.
 pub fn short_policy(note: &str, call_share: f64) -> Policy {
     Policy {
         note: note.into(),
@@ -165,7 +165,7 @@
     }
 }
 
-/// Replicated state with every field filled, and a change at this stage.
+/// Replicated state with all fields set, and a pending change in this stage.
 pub fn filled_state(stage: Stage) -> ReplicatedState {
     ReplicatedState {
         bootstrap: Some(Bootstrap {
--- a/crates/merlinshelf-policy/tests/host_lease_manager.rs
+++ b/crates/merlinshelf-policy/tests/host_lease_manager.rs
@@ -1,4 +1,4 @@
-//! An agent and its instances.
+//! Leases of an agent's instances.
 
 use std::collections::BTreeSet;
 
@@ -8,8 +8,8 @@
 const INCARNATION: u64 = 1;
 const OTHER_BASE_FINGERPRINT: u64 = 7;
 
-/// A manager with a lease on the base policy at 0.1 s, whose file has another base policy than was
-/// agreed.
+/// A manager with a lease on the base policy at 0.1 s. The base policy in its file differs from the
+/// one in the replicated state.
 fn manager_with_lease(state: &ReplicatedState, instances: &[String]) -> HostLeaseManager {
     let mut manager = HostLeaseManager::new("h", INCARNATION, OTHER_BASE_FINGERPRINT, 0.01);
     manager.state_changed(0.0, state);
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn an_instance_with_another_base_policy_gets_no_lease_and_rejects_by_name() {
+fn an_instance_with_a_different_base_policy_gets_no_lease_and_rejects_changes() {
     let agreed_fingerprint = Policy::default().fingerprint();
     let mut state = ReplicatedState::default();
     state.apply(Entry::Bootstrap(Bootstrap {
--- a/crates/merlinshelf-policy/tests/lease_holder.rs
+++ b/crates/merlinshelf-policy/tests/lease_holder.rs
@@ -1,4 +1,4 @@
-//! An instance's lease, heartbeat by heartbeat.
+//! An instance's lease under a script of heartbeats.
 
 use merlinshelf_policy::messages::{Heartbeat, LeaseGrant};
 use merlinshelf_policy::{EffectivePolicy, LeaseExpiryMode, LeaseHolder, Policy, PolicyRejection};
@@ -6,7 +6,7 @@
 const INCARNATION: u64 = 7;
 const OTHER_INCARNATION: u64 = 8;
 
-/// A heartbeat of the script: by default it has neither offer, fence nor grant.
+/// A heartbeat of the script; by default without an offer, a fence or a grant.
 #[derive(Default)]
 struct Input {
     incarnation: u64,
@@ -16,7 +16,7 @@
 }
 
 impl Input {
-    fn to(incarnation: u64) -> Input {
+    fn for_incarnation(incarnation: u64) -> Input {
         Input {
             incarnation,
             ..Input::default()
@@ -77,34 +77,34 @@
 }
 
 fn to_instance() -> Input {
-    Input::to(INCARNATION)
+    Input::for_incarnation(INCARNATION)
 }
 
 fn script() -> Vec<Step> {
     vec![
-        step("of nobody", 0.0, Input::to(0).offer(1).grant(1, 0.0)),
         step(
-            "a grant without its document",
+            "for an unknown incarnation",
+            0.0,
+            Input::for_incarnation(0).offer(1).grant(1, 0.0),
+        ),
+        step(
+            "grant without its document",
             0.1,
             to_instance().grant(1, 0.0),
         ),
         step(
-            "with its document",
+            "grant with its document",
             0.2,
             to_instance().offer(1).grant(1, 0.1),
         ),
         step("renewed", 1.0, to_instance().grant(1, 0.9)),
-        step(
-            "an older grant that comes late",
-            1.1,
-            to_instance().grant(1, 0.2),
-        ),
+        step("delayed older grant", 1.1, to_instance().grant(1, 0.2)),
         step(
             "for another incarnation",
             1.2,
-            Input::to(OTHER_INCARNATION).fence(1),
+            Input::for_incarnation(OTHER_INCARNATION).fence(1),
         ),
-        step("expired", 2.9, Input::to(0)),
+        step("expired", 2.9, Input::for_incarnation(0)),
         step(
             "renewed after a pause",
             3.0,
@@ -112,27 +112,39 @@
         ),
         step("fenced", 3.1, to_instance().fence(1)),
         step(
-            "an old grant after the fence",
+            "grant of a fenced version",
             3.2,
             to_instance().grant(1, 3.1),
         ),
-        step("the next one", 3.3, to_instance().grant(2, 3.2)),
-        step("one that does not fit", 3.4, to_instance().offer(3)),
         step(
-            "a grant of what does not fit",
+            "grant of the next version",
+            3.3,
+            to_instance().grant(2, 3.2),
+        ),
+        step(
+            "offer of a document that is rejected",
+            3.4,
+            to_instance().offer(3),
+        ),
+        step(
+            "grant of a rejected version",
             3.5,
             to_instance().grant(3, 3.4),
         ),
-        step("read minutes later", 300.0, to_instance().grant(2, 3.5)),
         step(
-            "requested in the future",
+            "grant read minutes later",
+            300.0,
+            to_instance().grant(2, 3.5),
+        ),
+        step(
+            "grant requested in the future",
             300.1,
             to_instance().grant(2, 400.0),
         ),
     ]
 }
 
-/// Heartbeats in order, with the policy that the instance acts on after each.
+/// Runs the script and records the effective policy and the status after each heartbeat.
 #[test]
 fn an_instance_acts_on_its_lease_and_never_on_a_delayed_grant() {
     let mut holder = LeaseHolder::new(
@@ -165,7 +177,7 @@
 }
 
 #[test]
-fn a_successor_has_the_lease_and_an_aborted_handover_leaves_none() {
+fn a_handover_moves_the_lease_to_the_successor_even_if_it_is_aborted() {
     let new_holder = |incarnation| {
         LeaseHolder::new(
             incarnation,
@@ -180,7 +192,10 @@
         EffectivePolicy::RejectAll
     );
     assert!(!predecessor.is_ready());
-    let heartbeat = Input::to(INCARNATION).offer(1).grant(1, 0.0).heartbeat();
+    let heartbeat = Input::for_incarnation(INCARNATION)
+        .offer(1)
+        .grant(1, 0.0)
+        .heartbeat();
     predecessor.handle_heartbeat(0.1, heartbeat, |_| Ok(()));
     assert_eq!(
         predecessor.effective_policy(0.2),
@@ -199,8 +214,12 @@
     assert_eq!(successor.effective_policy(0.3), EffectivePolicy::Leased(1));
     assert_eq!(successor.effective_policy(2.0), EffectivePolicy::RejectAll);
 
-    // What was on its way to the predecessor has no effect on either.
-    let late = || Input::to(INCARNATION).grant(1, 1.0).heartbeat();
+    // A heartbeat that was in flight to the predecessor has no effect on either process.
+    let late = || {
+        Input::for_incarnation(INCARNATION)
+            .grant(1, 1.0)
+            .heartbeat()
+    };
     let status = successor.handle_heartbeat(1.9, late(), |_| Ok(()));
     assert_eq!(
         status.lease_remaining_seconds,
--- a/crates/merlinshelf-policy/tests/model/faults.rs
+++ b/crates/merlinshelf-policy/tests/model/faults.rs
@@ -1,4 +1,4 @@
-//! Faults by seed, and the end of them.
+//! Injects random faults, and checks that the system recovers from them.
 
 use rand::RngExt;
 
@@ -6,7 +6,7 @@
 use merlinshelf_policy::EffectivePolicy;
 use merlinshelf_policy::replicated_state::ReplicatedState;
 
-/// A change must end this long after the longest that leases can last, seconds.
+/// The time that a change may take in addition to the longest possible lease, seconds.
 const CHANGE_SLACK_SECONDS: f64 = 2.0;
 
 impl World {
@@ -32,7 +32,7 @@
     fn inject_agent_fault(&mut self) {
         let agent = self.rng.random_range(0..self.agents.len());
         let is_up = self.agents[agent].is_up;
-        // One that died is mostly back before its instances' leases expire.
+        // A stopped agent usually restarts before the leases of its instances expire.
         let probability = if is_up { 0.004 } else { 0.06 };
         if !self.rng.random_bool(probability) {
             return;
@@ -57,8 +57,8 @@
         }
     }
 
-    /// Ends all faults: the pending change must end in time, then one more change, and all
-    /// instances act on it.
+    /// Ends all faults. The pending change and one further change must complete in time, and all
+    /// instances must then act on the new version.
     pub fn recover(&mut self) {
         self.end_faults();
         self.elect(0);
@@ -76,7 +76,7 @@
         };
         if version == 0 || !self.instances.values().all(is_current) {
             self.violations
-                .push(format!("not all act on {version} in the end"));
+                .push(format!("not all instances act on {version} after recovery"));
         }
     }
 
@@ -101,7 +101,7 @@
         }
         if self.has_pending_change() {
             self.violations.push(format!(
-                "a change does not end: {:?}",
+                "a change does not complete: {:?}",
                 self.agents[0].state.pending_change
             ));
         }
@@ -109,7 +109,7 @@
         self.longest_change_seconds = self.longest_change_seconds.max(duration_seconds);
         if duration_seconds > LEASE_SECONDS * (1.0 + DRIFT) + CHANGE_SLACK_SECONDS {
             self.violations
-                .push(format!("a change ended after {duration_seconds:.2} s"));
+                .push(format!("a change took {duration_seconds:.2} s to complete"));
         }
     }
 
@@ -118,7 +118,7 @@
         state.bootstrap.is_none() || state.pending_change.is_some()
     }
 
-    /// The state that results from the whole log.
+    /// The state after applying the whole log.
     pub fn true_state(&self) -> ReplicatedState {
         let mut state = ReplicatedState::default();
         for entry in &self.log {
--- a/crates/merlinshelf-policy/tests/model/invariants.rs
+++ b/crates/merlinshelf-policy/tests/model/invariants.rs
@@ -1,15 +1,15 @@
-//! The invariants, checked at every step from what each instance acts on.
+//! The invariants, checked at every step against the version that each instance acts on.
 
 use merlinshelf_policy::EffectivePolicy;
 use merlinshelf_policy::replicated_state::{ChangeOutcome, ReplicatedState};
 
 use crate::world::World;
 
-/// A version is acted on after a higher one: it begins every violation of the order.
+/// The prefix of violations in which a version is acted on after a higher one.
 pub const ORDER_VIOLATION: &str = "order";
 
 impl World {
-    /// Every instance that runs makes a decision at this very moment.
+    /// Checks the policy that each running instance would act on now.
     pub fn check_instances(&mut self) {
         let state = self.true_state();
         let highest_before = self.highest_effective_version;
--- a/crates/merlinshelf-policy/tests/model/main.rs
+++ b/crates/merlinshelf-policy/tests/model/main.rs
@@ -1,7 +1,7 @@
-//! All state machines together in virtual time, with faults by seed: instances that are stopped,
-//! agents that die, messages that are lost or late, leaders that are replaced without learning of
-//! it, clocks that drift apart. The guarantees are checked from what each instance acts on, at
-//! every step, never from what a process reports.
+//! Simulation of all state machines together in virtual time, with seeded random faults: stopped
+//! instances, crashed agents, lost and delayed messages, leaders that are replaced without
+//! noticing, and drifting clocks. The invariants are checked at every step against the version that
+//! each instance acts on, never against what a process reports.
 
 mod faults;
 mod invariants;
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn versions_are_ordered_changes_are_atomic_and_every_change_ends() {
+fn no_older_or_rejected_version_is_acted_on_and_every_change_completes() {
     let mut changes = 0;
     let mut effective_versions = 0;
     let mut visited_states = BTreeSet::new();
@@ -48,7 +48,7 @@
         visited_states.extend(world.visited_states);
     }
     println!(
-        "{changes} changes, {} states, longest end {longest_change_seconds:.2} s",
+        "{changes} changes, {} states, longest change {longest_change_seconds:.2} s",
         visited_states.len()
     );
     assert!(changes > 500, "{changes}");
@@ -56,7 +56,7 @@
     assert!(visited_states.len() > 5_000, "{}", visited_states.len());
 }
 
-/// Whether a seeded bug makes some seed violate the order of versions.
+/// Whether the order of versions is violated with a seeded bug, for some random seed.
 fn finds_order_violation(seeded_bug: SeededBug) -> bool {
     (0..200).any(|seed| {
         simulate(seed, seeded_bug)
@@ -67,16 +67,16 @@
 }
 
 #[test]
-fn a_lease_that_counts_from_its_arrival_is_found() {
+fn the_checks_detect_a_lease_counted_from_its_arrival() {
     assert!(finds_order_violation(SeededBug::LeaseFromArrival));
 }
 
 #[test]
-fn a_lease_of_a_replaced_leader_is_found() {
+fn the_checks_detect_a_lease_granted_by_a_replaced_leader() {
     assert!(finds_order_violation(SeededBug::UnconfirmedLeader));
 }
 
 #[test]
-fn an_agent_that_forgets_its_instances_leases_is_found() {
+fn the_checks_detect_a_restarted_agent_that_ignores_earlier_leases() {
     assert!(finds_order_violation(SeededBug::ForgottenLeases));
 }
--- a/crates/merlinshelf-policy/tests/model/processes.rs
+++ b/crates/merlinshelf-policy/tests/model/processes.rs
@@ -43,7 +43,7 @@
             return;
         };
         if instance.is_stopped {
-            // It stays in the socket until the instance continues.
+            // The heartbeat stays in the socket until the instance resumes.
             self.in_flight.push(MessageInFlight {
                 arrives_at: self.time + TICK_SECONDS,
                 message: Message::Heartbeat {
@@ -101,7 +101,7 @@
             self.send(message, faults);
         }
         self.step_down_when_outdated(agent);
-        // Now and then an agent gives up waiting for the responses to its heartbeats.
+        // An agent's heartbeats time out occasionally.
         if self.rng.random_bool(0.02) {
             for name in self.instance_names(agent) {
                 self.agents[agent]
@@ -134,8 +134,8 @@
             .collect()
     }
 
-    /// The agent's request, to the one that it believes to lead: now and then that is a former
-    /// leader.
+    /// The agent's request, sent to the agent that it believes to lead, which is occasionally a
+    /// former leader.
     fn poll_request(&mut self, agent: usize) -> Option<Message> {
         let leader = self.leader;
         let polled = &mut self.agents[agent];
@@ -158,8 +158,7 @@
         Some(Message::LeaseRequest { to, request })
     }
 
-    /// Carries out the actions of an agent that believes that it leads; the result is its
-    /// responses.
+    /// Carries out the actions of an agent that believes that it leads; returns its responses.
     fn drive_leader(&mut self, agent: usize) -> Vec<Message> {
         let truly_leads = self.truly_leads(agent);
         let driven = &mut self.agents[agent];
@@ -169,8 +168,8 @@
         };
         let leader = &mut leadership.leader;
         leader.advance(now, &driven.state);
-        // Only what is to be done by now: a confirmation adds actions that are carried out in the
-        // next step.
+        // Only the actions that are pending now: those that a confirmation adds are carried out in
+        // the next step.
         let actions: Vec<Action> = std::iter::from_fn(|| leader.poll_action()).collect();
         let is_confirmed = truly_leads || self.seeded_bug == SeededBug::UnconfirmedLeader;
         let mut responses = Vec::new();
@@ -200,7 +199,7 @@
         is_current && !agent.is_partitioned
     }
 
-    /// A former leader that is reachable learns of the later term in time.
+    /// Makes a reachable former leader step down after some time, when it learns of the later term.
     fn step_down_when_outdated(&mut self, agent: usize) {
         let is_outdated = self.agents[agent].leadership.is_some()
             && !self.truly_leads(agent)
--- a/crates/merlinshelf-policy/tests/model/world.rs
+++ b/crates/merlinshelf-policy/tests/model/world.rs
@@ -1,4 +1,4 @@
-//! The simulated installation: agents, instances, their clocks, a log, and messages on their way.
+//! The simulated installation: agents, instances, their clocks, a log, and messages in flight.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -19,7 +19,7 @@
     tolerated_loss: 1.0,
 };
 
-/// A bug that is seeded to show that the checks find it.
+/// A deliberately seeded bug, to show that the checks detect it.
 #[derive(Clone, Copy, PartialEq)]
 pub enum SeededBug {
     None,
@@ -87,7 +87,7 @@
 pub struct Agent {
     pub clock: Clock,
     pub is_up: bool,
-    /// How many entries of the log it has applied.
+    /// The number of log entries that it has applied.
     applied_entries: usize,
     pub state: ReplicatedState,
     pub lease_manager: HostLeaseManager,
@@ -99,7 +99,7 @@
     pub clock: Clock,
     pub lease_holder: LeaseHolder,
     pub is_stopped: bool,
-    /// All versions that it acted on.
+    /// All versions that the instance acted on.
     pub effective_versions: BTreeSet<u64>,
 }
 
@@ -217,7 +217,7 @@
         world
     }
 
-    /// Elects a leader. The former one still believes that it leads.
+    /// Elects a leader. The former leader still believes that it leads.
     pub fn elect(&mut self, agent: usize) {
         self.term += 1;
         self.leader = agent;
@@ -254,8 +254,8 @@
             return;
         }
         let is_late = has_faults && self.rng.random_bool(0.03);
-        let longest_delay_seconds = if is_late { 5.0 } else { 0.03 };
-        let delay_seconds = self.rng.random_range(0.0..longest_delay_seconds);
+        let max_delay_seconds = if is_late { 5.0 } else { 0.03 };
+        let delay_seconds = self.rng.random_range(0.0..max_delay_seconds);
         self.in_flight.push(MessageInFlight {
             arrives_at: self.time + delay_seconds,
             message,
@@ -291,7 +291,7 @@
         agent.leadership = None;
     }
 
-    /// Starts an agent anew; with [`SeededBug::ForgottenLeases`] it assumes that no instance has a
+    /// Restarts an agent; with [`SeededBug::ForgottenLeases`] it assumes that no instance has a
     /// lease.
     pub fn start_agent(&mut self, agent: usize, incarnation: u64, seeded_bug: SeededBug) {
         let names = self.instance_names(agent);
--- a/crates/merlinshelf-policy/tests/replicated_state.rs
+++ b/crates/merlinshelf-policy/tests/replicated_state.rs
@@ -1,4 +1,4 @@
-//! The replicated state, entry by entry.
+//! Applying log entries to the replicated state.
 
 use merlinshelf_policy::replicated_state::ReplicatedEvent;
 use merlinshelf_policy::{Bootstrap, Entry, Policy, ReplicatedState};
@@ -39,7 +39,7 @@
     assert_eq!(
         state.apply(propose("early")),
         None,
-        "nothing is proposed before the bootstrap"
+        "a proposal before the bootstrap has no effect"
     );
     let bootstrap = Bootstrap {
         lease_ms: 2000,
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_repeated_proposal_is_one_change_and_the_second_of_two_is_rejected() {
+fn a_repeated_proposal_has_no_effect_and_a_concurrent_one_is_rejected() {
     let mut state = bootstrapped_state();
     assert_eq!(
         state.apply(propose("one")),
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn the_first_decision_counts_and_a_change_comes_into_force_once() {
+fn only_the_first_decision_and_activation_of_a_change_take_effect() {
     let mut state = bootstrapped_state();
     state.apply(propose("one"));
     state.apply(propose("two"));
@@ -86,7 +86,11 @@
             accepted: true
         })
     );
-    assert_eq!(state.apply(decide(1, false)), None, "the first counts");
+    assert_eq!(
+        state.apply(decide(1, false)),
+        None,
+        "only the first decision counts"
+    );
     assert_eq!(
         state.apply(Entry::Activate { version: 1 }),
         Some(ReplicatedEvent::Committed { version: 1 })
