--- a/crates/merlinshelf-backend/src/exchange/quota.rs
+++ b/crates/merlinshelf-backend/src/exchange/quota.rs
@@ -131,7 +131,7 @@
         let reported = self.reported.get(name).map(|(remaining, _)| *remaining);
         if !self.client.has_budget(name) {
             // The budget was removed, which is reported once.
-            return self.reported.remove(name).map(|_| Remaining::ALL);
+            return self.reported.remove(name).map(|_| Remaining::UNLIMITED);
         }
         if let Some(reported) = reported {
             for (kind, reported, unused) in [
@@ -320,11 +320,11 @@
             first_calls: usage.unused.first_calls,
             retries: usage.unused.retries,
             probes: usage.unused.probes,
-            ..Remaining::ALL
+            ..Remaining::UNLIMITED
         };
         let remaining = spending
             .update(CATALOGUE, unused, usage.is_failing, demand)
-            .unwrap_or(Remaining::ALL);
+            .unwrap_or(Remaining::UNLIMITED);
         controller.set_downstream_quota(DownstreamQuota {
             first_calls: remaining.first_calls,
             retries: remaining.retries,
