--- a/crates/merlinshelf-cli/src/budget.rs
+++ b/crates/merlinshelf-cli/src/budget.rs
@@ -1,4 +1,4 @@
-//! `merlinshelf fleet budget`: what all may spend on calls below, and who has how much of it.
+//! `merlinshelf fleet budget`: the fleet's budgets of downstream calls and how they are shared out.
 
 use std::process::ExitCode;
 
@@ -6,14 +6,14 @@
 use serde_json::{Value, json};
 
 use crate::fleet::Agent;
-use crate::policy::said;
-use crate::remote::WITHIN;
+use crate::policy::request_and_print;
+use crate::remote::REPLY_TIMEOUT;
 
 #[derive(Subcommand)]
 pub enum Budget {
-    /// Say what is budgeted, granted, spent and set aside, and to whom
+    /// Show what is budgeted, reserved, granted and spent, and by which hosts and instances
     #[command(
-        after_help = "Any agent may be asked; what others hold is as old as it says.\n\n\
+        after_help = "Any agent can answer; its figures for other hosts may be out of date.\n\n\
                       Example:\n  merlinshelf fleet budget show --json"
     )]
     Show,
@@ -21,76 +21,77 @@
 
 pub fn run(agent: &Agent, what: &Budget) -> ExitCode {
     match what {
-        Budget::Show => said(
+        Budget::Show => request_and_print(
             agent,
             &json!({ "op": "policy", "what": "budgets" }),
-            WITHIN,
-            page,
+            REPLY_TIMEOUT,
+            budgets_text,
         ),
     }
 }
 
-fn page(of: &Value) -> String {
-    let word = |value: &Value| value.as_str().unwrap_or("-").to_owned();
-    let mut page = format!(
-        "policy {}, {} hosts, {} shares out",
-        of["policy"],
-        of["hosts"],
-        word(&of["leader"])
+fn budgets_text(report: &Value) -> String {
+    let string = |value: &Value| value.as_str().unwrap_or("-").to_owned();
+    let mut text = format!(
+        "policy {}, {} hosts, allocator {}",
+        report["policy"],
+        report["hosts"],
+        string(&report["leader"])
     );
-    let all = of["budgets"].as_array();
-    if all.is_none_or(Vec::is_empty) {
-        page += "\nnothing is bounded, or whoever leads has not said";
+    let budgets = report["budgets"].as_array();
+    if budgets.is_none_or(Vec::is_empty) {
+        text += "\nno budgets are set, or the leader has not reported them";
     }
-    for one in all.into_iter().flatten() {
-        let fares = one["fares"]
+    for budget in budgets.into_iter().flatten() {
+        let phases = budget["fares"]
             .as_object()
             .into_iter()
             .flatten()
             .map(|(zone, phase)| {
                 if zone.is_empty() {
-                    word(phase)
+                    string(phase)
                 } else {
-                    format!("{zone}: {}", word(phase))
+                    format!("{zone}: {}", string(phase))
                 }
             });
-        page += &format!(
-            "\n{} {}: {} a second; {} set aside for each host, {} shared out now, {} granted, {:.1} of it spent a second ({})",
-            word(&one["dependency"]),
-            word(&one["kind"]),
-            one["budget"],
-            one["aside_each"],
-            one["shared"],
-            one["granted"],
-            one["spent_s"].as_f64().unwrap_or(0.0),
-            fares.collect::<Vec<_>>().join(", "),
+        text += &format!(
+            "\n{} {}: {} per second; {} reserved per host, {} shared, {} granted, {:.1} spent per second ({})",
+            string(&budget["dependency"]),
+            string(&budget["kind"]),
+            budget["budget"],
+            budget["aside_each"],
+            budget["shared"],
+            budget["granted"],
+            budget["spent_s"].as_f64().unwrap_or(0.0),
+            phases.collect::<Vec<_>>().join(", "),
         );
-        page += &holders(&one["to"]);
+        text += &recipients_text(&budget["to"]);
     }
-    for one in of["here"]
+    for grant in report["here"]
         .as_array()
         .into_iter()
         .flatten()
-        .filter(|one| one["held"].as_u64() > Some(0))
+        .filter(|grant| grant["held"].as_u64() > Some(0))
     {
-        page += &format!(
-            "\n{} holds {} of {} {}",
-            word(&of["agent"]),
-            one["held"],
-            word(&one["dependency"]),
-            word(&one["kind"])
+        text += &format!(
+            "\n{} holds {} per second of {} {}",
+            string(&report["agent"]),
+            grant["held"],
+            string(&grant["dependency"]),
+            string(&grant["kind"])
         );
-        page += &holders(&one["to"]);
+        text += &recipients_text(&grant["to"]);
     }
-    page
+    text
 }
 
-fn holders(to: &Value) -> String {
-    let some = to
+fn recipients_text(to: &Value) -> String {
+    let nonzero = to
         .as_object()
         .into_iter()
         .flatten()
         .filter(|(_, calls)| calls.as_u64() > Some(0));
-    some.map(|(name, calls)| format!("\n  {name:<16} {calls}"))
+    nonzero
+        .map(|(name, calls)| format!("\n  {name:<16} {calls}"))
         .collect()
 }
--- a/crates/merlinshelf-cli/src/check.rs
+++ b/crates/merlinshelf-cli/src/check.rs
@@ -1,4 +1,4 @@
-//! `merlinshelf check`: whether the files can be used.
+//! `merlinshelf check`: validates the files without starting anything.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -11,7 +11,7 @@
 
 pub fn check(config: Option<PathBuf>, operator: Option<PathBuf>, as_json: bool) -> ExitCode {
     if config.is_none() && operator.is_none() {
-        eprintln!("merlinshelf: name a file: --config, --operator, or PROXY_CONFIG");
+        eprintln!("merlinshelf: no file given: use --config, --operator or PROXY_CONFIG");
         return ExitCode::from(WRONG_USAGE);
     }
     let config = config.map(|path| {
@@ -22,35 +22,35 @@
         let result = Operator::load(Some(&path)).map_err(|error| error.to_string());
         (path, result)
     });
-    let speaks = match &operator {
-        Some((_, Ok(of))) if of.uwsgi => "FastCGI and uwsgi",
+    let protocols = match &operator {
+        Some((_, Ok(operator))) if operator.uwsgi => "FastCGI and uwsgi",
         _ => "FastCGI",
     };
-    let operator = operator.map(|(path, of)| (path, of.map(|_| ())));
+    let operator = operator.map(|(path, result)| (path, result.map(|_| ())));
     let files = [("config", config), ("operator", operator)];
     let mut failed = false;
     for (what, path, result) in files
         .into_iter()
-        .filter_map(|(what, file)| file.map(|(path, of)| (what, path, of)))
+        .filter_map(|(what, file)| file.map(|(path, result)| (what, path, result)))
     {
         failed |= result.is_err();
         if as_json {
-            tell!(
+            print_line!(
                 "{}",
                 json!({
-                    "file": path, "what": what, "usable": result.is_ok(), "why": result.err(), "listener": speaks,
+                    "file": path, "what": what, "usable": result.is_ok(), "why": result.err(), "listener": protocols,
                 })
             );
         } else {
             match result {
                 Ok(()) if what == "operator" => {
-                    tell!(
-                        "{}: can be used; the listener speaks {speaks}",
+                    print_line!(
+                        "{}: valid; the listener accepts {protocols}",
                         path.display()
                     );
                 }
-                Ok(()) => tell!("{}: can be used", path.display()),
-                Err(why) => tell!("{why}"),
+                Ok(()) => print_line!("{}: valid", path.display()),
+                Err(error) => print_line!("{error}"),
             }
         }
     }
--- a/crates/merlinshelf-cli/src/fleet.rs
+++ b/crates/merlinshelf-cli/src/fleet.rs
@@ -1,4 +1,4 @@
-//! `merlinshelf fleet`: what is asked of the agent of a fleet over its socket.
+//! `merlinshelf fleet`: commands that send a request to the agent of a fleet over its socket.
 
 use std::io::{self, IsTerminal, Write};
 use std::path::{Path, PathBuf};
@@ -11,211 +11,223 @@
 use serde_json::{Value, json};
 
 use crate::FAILED;
-use crate::remote::{WITHIN, failed, text};
+use crate::remote::{REPLY_TIMEOUT, failed, text};
 
-/// A plan is followed for a day at the longest.
-const FOLLOWED: Duration = Duration::from_secs(24 * 3600);
-const LOOK_EVERY: Duration = Duration::from_secs(1);
-/// Some of a plan's targets are as they should be, others not.
-const PARTLY: u8 = 3;
+/// Longest time between two progress reports of a plan.
+const PLAN_REPLY_TIMEOUT: Duration = Duration::from_secs(24 * 3600);
+/// Time between two updates of `watch`.
+const WATCH_INTERVAL: Duration = Duration::from_secs(1);
+/// Exit code of a plan that was carried out for some of its targets only.
+const PARTIAL_SUCCESS: u8 = 3;
 
 #[derive(Args)]
 pub struct Agent {
-    /// The agent's socket: `agent` in the folder that the fleet's file names
+    /// The agent's socket: the file `agent` in the folder that the fleet file names
     #[arg(long, value_name = "SOCKET", env = "MERLINSHELF_AGENT", value_hint = ValueHint::FilePath, global = true, default_value = "/var/lib/merlinshelf/fleet/agent")]
     pub agent: PathBuf,
-    /// Print JSON, one object a line
+    /// Print JSON, one object per line
     #[arg(long, global = true)]
     pub json: bool,
 }
 
-/// Whom it means; all where nothing is named.
+/// The instances that a command applies to. Queries apply to all instances if none are selected.
 #[derive(Args)]
-pub struct Whom {
-    /// Instances by name, like web.3
+pub struct Targets {
+    /// Names of instances, such as web.3
     names: Vec<String>,
-    /// All of a group
+    /// All instances of this group
     #[arg(long, value_name = "GROUP")]
     group: Vec<String>,
-    /// All with a label
+    /// All instances with this label
     #[arg(long, value_name = "KEY=VALUE")]
     label: Vec<String>,
-    /// All there are
+    /// All instances
     #[arg(long)]
     all: bool,
 }
 
 #[derive(Args)]
-pub struct How {
-    /// Show the plan and begin nothing
+pub struct PlanOptions {
+    /// Show the plan without carrying it out
     #[arg(long)]
     dry_run: bool,
-    /// Wait until the plan is over
+    /// Wait until the plan has ended
     #[arg(long)]
     wait: bool,
 }
 
 #[derive(Subcommand)]
 pub enum Fleet {
-    /// Say how the instances stand
+    /// Show the status of the instances
     Status {
         #[command(flatten)]
-        whom: Whom,
+        targets: Targets,
     },
-    /// Bring up what is down
+    /// Start the instances that are stopped
     Start {
         #[command(flatten)]
-        whom: Whom,
+        targets: Targets,
         #[command(flatten)]
-        how: How,
+        options: PlanOptions,
     },
-    /// Tell instances to leave, each once, and keep them down
+    /// Shut down instances gracefully and keep them stopped
     #[command(
         after_help = "Example:\n  merlinshelf fleet drain --group web --slowest-first --at-once 2 --wait"
     )]
     Drain {
         #[command(flatten)]
-        whom: Whom,
+        targets: Targets,
         #[command(flatten)]
-        how: How,
-        /// By their own figures
+        options: PlanOptions,
+        /// Slowest instances first, by the run times that they report
         #[arg(long)]
         slowest_first: bool,
-        /// So many at one time; else all
+        /// Maximum number of instances to drain at once [default: all]
         #[arg(long, value_name = "COUNT")]
         at_once: Option<u32>,
     },
-    /// The same, and kill what is left after a time
+    /// Shut down instances like drain, and kill those still running after a timeout
     Stop {
         #[command(flatten)]
-        whom: Whom,
+        targets: Targets,
         #[command(flatten)]
-        how: How,
-        /// Seconds from the notice until what is left is killed
+        options: PlanOptions,
+        /// Seconds from the start of the shutdown until an instance is killed
         #[arg(long, value_name = "SECONDS", default_value_t = 30.0)]
         within: f64,
     },
-    /// Drain and start, some at a time, never under the floor
+    /// Drain and start instances in batches, never going below the configured floor
     Restart {
         #[command(flatten)]
-        whom: Whom,
+        targets: Targets,
         #[command(flatten)]
-        how: How,
+        options: PlanOptions,
     },
-    /// Replace the program under load, some at a time; what makes service worse is put back
+    /// Replace the program of serving instances in batches; roll back if service gets worse
     #[command(
         after_help = "Example:\n  merlinshelf fleet upgrade --group web --program /opt/merlinshelf-2/merlinshelf --wait"
     )]
     Upgrade {
         #[command(flatten)]
-        whom: Whom,
+        targets: Targets,
         #[command(flatten)]
-        how: How,
+        options: PlanOptions,
+        /// The new program
         #[arg(long, value_name = "FILE", value_hint = ValueHint::FilePath)]
         program: PathBuf,
     },
-    /// Have so many of a group
+    /// Set the number of instances of a group
     Scale { group: String, count: u32 },
-    /// Show the instances until interrupted
+    /// Show the status of the instances, updated every second until interrupted
     Watch,
-    /// Print the last lines of their logs
+    /// Print the last lines of the instances' logs
     Logs {
         #[command(flatten)]
-        whom: Whom,
+        targets: Targets,
         #[arg(long, default_value_t = 20)]
         lines: u32,
     },
-    /// Say how the last plan stands
+    /// Show the progress of the last plan
     Plan,
-    /// Begin nothing further of the plan, for now
+    /// Pause the plan: begin no further steps until it is resumed
     Pause,
-    /// Go on with the plan
+    /// Resume a paused plan
     Resume,
-    /// End the plan where it stands
+    /// Abandon the plan, leaving the instances as they are
     Abandon,
-    /// Read the fleet's file anew
+    /// Reload the fleet file
     Apply,
-    /// What the whole fleet may spend on calls below, and who has how much of it
+    /// Show the fleet's budgets of downstream calls and how they are shared out
     Budget {
         #[command(subcommand)]
         what: crate::budget::Budget,
     },
-    /// The policy that holds for all instances of all agents
+    /// Show or change the policy of all instances of all agents
     Policy {
         #[command(subcommand)]
         what: crate::policy::Policy,
     },
-    /// Print what happened
+    /// Print the last events
     History {
         #[arg(long, default_value_t = 50)]
         lines: u32,
     },
 }
 
-fn body(op: &str, whom: &Whom) -> Result<Value, &'static str> {
-    let named = !whom.names.is_empty() || !whom.group.is_empty() || !whom.label.is_empty();
-    if !named && !whom.all && !matches!(op, "status" | "logs") {
-        return Err("name instances, --group, --label or --all");
+fn request_body(op: &str, targets: &Targets) -> Result<Value, &'static str> {
+    let is_selective =
+        !targets.names.is_empty() || !targets.group.is_empty() || !targets.label.is_empty();
+    if !is_selective && !targets.all && !matches!(op, "status" | "logs") {
+        return Err("no instances selected: name instances, or use --group, --label or --all");
     }
-    if whom.label.iter().any(|label| !label.contains('=')) {
-        return Err("a label is KEY=VALUE");
+    if targets.label.iter().any(|label| !label.contains('=')) {
+        return Err("a label must have the form KEY=VALUE");
     }
-    Ok(json!({ "op": op, "names": whom.names, "groups": whom.group, "labels": whom.label }))
+    Ok(
+        json!({ "op": op, "names": targets.names, "groups": targets.group, "labels": targets.label }),
+    )
 }
 
 pub fn run(agent: &Agent, command: &Fleet) -> ExitCode {
-    let plain = |op: &str| json!({ "op": op });
-    let changed = |op: &str, whom: &Whom, how: &How, more: Value| match body(op, whom) {
-        Ok(mut body) => {
-            (body["dry_run"], body["wait"]) = (json!(how.dry_run), json!(how.wait));
-            for (name, value) in more.as_object().into_iter().flatten() {
-                body[name] = value.clone();
-            }
-            change(agent, &body, how.wait && !how.dry_run)
+    let request = |op: &str| json!({ "op": op });
+    let run_plan = |op: &str, targets: &Targets, options: &PlanOptions, parameters: Value| {
+        let mut body = match request_body(op, targets) {
+            Ok(body) => body,
+            Err(error) => return usage_error(error),
+        };
+        (body["dry_run"], body["wait"]) = (json!(options.dry_run), json!(options.wait));
+        for (name, value) in parameters.as_object().into_iter().flatten() {
+            body[name] = value.clone();
         }
-        Err(why) => wrong(why),
+        send_plan_request(agent, &body, options.wait && !options.dry_run)
     };
     match command {
-        Fleet::Status { whom } => match body("status", whom) {
+        Fleet::Status { targets } => match request_body("status", targets) {
             Ok(body) => status(agent, &body),
-            Err(why) => wrong(why),
+            Err(error) => usage_error(error),
         },
-        Fleet::Logs { whom, lines } => match body("logs", whom) {
+        Fleet::Logs { targets, lines } => match request_body("logs", targets) {
             Ok(mut body) => {
                 body["lines"] = json!(lines);
                 logs(agent, &body)
             }
-            Err(why) => wrong(why),
+            Err(error) => usage_error(error),
         },
-        Fleet::Start { whom, how } => changed("start", whom, how, json!({})),
+        Fleet::Start { targets, options } => run_plan("start", targets, options, json!({})),
         Fleet::Drain {
-            whom,
-            how,
+            targets,
+            options,
             slowest_first,
             at_once,
-        } => changed(
+        } => run_plan(
             "drain",
-            whom,
-            how,
+            targets,
+            options,
             json!({ "slowest_first": slowest_first, "at_once": at_once }),
         ),
-        Fleet::Stop { whom, how, within } => {
-            changed("stop", whom, how, json!({ "within_s": within }))
-        }
-        Fleet::Restart { whom, how } => changed("restart", whom, how, json!({})),
-        Fleet::Upgrade { whom, how, program } => match std::path::absolute(program) {
-            Ok(program) => changed("upgrade", whom, how, json!({ "program": program })),
-            Err(error) => wrong(&error.to_string()),
+        Fleet::Stop {
+            targets,
+            options,
+            within,
+        } => run_plan("stop", targets, options, json!({ "within_s": within })),
+        Fleet::Restart { targets, options } => run_plan("restart", targets, options, json!({})),
+        Fleet::Upgrade {
+            targets,
+            options,
+            program,
+        } => match std::path::absolute(program) {
+            Ok(program) => run_plan("upgrade", targets, options, json!({ "program": program })),
+            Err(error) => usage_error(&error.to_string()),
         },
-        Fleet::Scale { group, count } => simple(
+        Fleet::Scale { group, count } => send_simple_request(
             agent,
             &json!({ "op": "scale", "group": group, "count": count }),
         ),
-        Fleet::Pause => simple(agent, &plain("pause")),
-        Fleet::Resume => simple(agent, &plain("resume")),
-        Fleet::Abandon => simple(agent, &plain("abandon")),
-        Fleet::Apply => simple(agent, &plain("apply")),
-        Fleet::Plan => change(agent, &plain("plan"), false),
+        Fleet::Pause => send_simple_request(agent, &request("pause")),
+        Fleet::Resume => send_simple_request(agent, &request("resume")),
+        Fleet::Abandon => send_simple_request(agent, &request("abandon")),
+        Fleet::Apply => send_simple_request(agent, &request("apply")),
+        Fleet::Plan => send_plan_request(agent, &request("plan"), false),
         Fleet::Budget { what } => crate::budget::run(agent, what),
         Fleet::Policy { what } => crate::policy::run(agent, what),
         Fleet::History { lines } => history(agent, *lines),
@@ -223,62 +235,64 @@
     }
 }
 
-fn wrong(why: &str) -> ExitCode {
-    eprintln!("merlinshelf: {why}");
+fn usage_error(error: &str) -> ExitCode {
+    eprintln!("merlinshelf: {error}");
     ExitCode::from(crate::WRONG_USAGE)
 }
 
-/// All that is said until the last word.
-pub fn ask(
+/// Sends a request and passes each reply to `on_progress` up to the last one, which is returned.
+pub fn request(
     agent: &Path,
     body: &Value,
-    within: Duration,
-    mut each: impl FnMut(&Value),
+    reply_timeout: Duration,
+    mut on_progress: impl FnMut(&Value),
 ) -> io::Result<(ControlMessage, Value)> {
-    let mut client = BlockingControlClient::request(agent, ControlRequest::Fleet, body, within)?;
+    let mut client =
+        BlockingControlClient::request(agent, ControlRequest::Fleet, body, reply_timeout)?;
     loop {
         match client.next_reply()? {
-            (ControlMessage::More, said) => each(&said),
+            (ControlMessage::More, report) => on_progress(&report),
             last => return Ok(last),
         }
     }
 }
 
-fn ended(
+/// Prints the last reply, or the error, and returns the exit code for it.
+fn finish(
     agent: &Agent,
     last: io::Result<(ControlMessage, Value)>,
-    done: impl FnOnce(&Value),
+    print: impl FnOnce(&Value),
 ) -> ExitCode {
     match last {
         Ok((ControlMessage::Done, report)) => {
             if agent.json {
-                tell!("{report}");
+                print_line!("{report}");
             } else {
-                done(&report);
+                print(&report);
             }
             ExitCode::SUCCESS
         }
         Ok((ControlMessage::Failed, report)) if report["plan"].is_u64() => {
             if agent.json {
-                tell!("{report}");
+                print_line!("{report}");
             } else {
-                tell!("{}", plan_line(&report));
-                targets(&report);
+                print_line!("{}", plan_summary(&report));
+                print_targets(&report);
             }
-            let some = report["done"].as_u64() > Some(0);
-            ExitCode::from(if some { PARTLY } else { FAILED })
+            let any_done = report["done"].as_u64() > Some(0);
+            ExitCode::from(if any_done { PARTIAL_SUCCESS } else { FAILED })
         }
         Ok((_, report)) => failed(&agent.agent, &io::Error::other(text(&report)), agent.json),
         Err(error) => failed(&agent.agent, &error, agent.json),
     }
 }
 
-fn simple(agent: &Agent, body: &Value) -> ExitCode {
-    let last = ask(&agent.agent, body, WITHIN, |_| {});
-    ended(agent, last, |report| tell!("{}", text(report)))
+fn send_simple_request(agent: &Agent, body: &Value) -> ExitCode {
+    let last = request(&agent.agent, body, REPLY_TIMEOUT, |_| {});
+    finish(agent, last, |report| print_line!("{}", text(report)))
 }
 
-fn plan_line(plan: &Value) -> String {
+fn plan_summary(plan: &Value) -> String {
     if plan["plan"].is_null() {
         return "no plan".into();
     }
@@ -293,9 +307,9 @@
     )
 }
 
-fn targets(plan: &Value) {
+fn print_targets(plan: &Value) {
     for target in plan["targets"].as_array().into_iter().flatten() {
-        tell!(
+        print_line!(
             "  {:<16} {}",
             target["name"].as_str().unwrap_or(""),
             target["stage"].as_str().unwrap_or("")
@@ -303,18 +317,22 @@
     }
 }
 
-fn change(agent: &Agent, body: &Value, wait: bool) -> ExitCode {
-    let within = if wait { FOLLOWED } else { WITHIN };
-    let last = ask(&agent.agent, body, within, |plan| {
+fn send_plan_request(agent: &Agent, body: &Value, wait: bool) -> ExitCode {
+    let reply_timeout = if wait {
+        PLAN_REPLY_TIMEOUT
+    } else {
+        REPLY_TIMEOUT
+    };
+    let last = request(&agent.agent, body, reply_timeout, |plan| {
         if agent.json {
-            tell!("{plan}");
+            print_line!("{plan}");
         } else {
-            eprintln!("{}", plan_line(plan));
+            eprintln!("{}", plan_summary(plan));
         }
     });
-    ended(agent, last, |plan| {
-        tell!("{}", plan_line(plan));
-        targets(plan);
+    finish(agent, last, |plan| {
+        print_line!("{}", plan_summary(plan));
+        print_targets(plan);
     })
 }
 
@@ -337,17 +355,18 @@
     "program",
 ];
 
-fn table(instances: &[Value], sum: &Value) -> String {
+fn status_table(instances: &[Value], summary: &Value) -> String {
     let mut rows = vec![COLUMNS.map(str::to_owned).to_vec()];
-    rows.extend(
-        instances
+    rows.extend(instances.iter().map(|instance| {
+        COLUMNS
             .iter()
-            .map(|one| COLUMNS.iter().map(|column| cell(&one[*column])).collect()),
-    );
-    let wide: Vec<usize> = (0..COLUMNS.len())
-        .map(|place| {
+            .map(|column| cell(&instance[*column]))
+            .collect()
+    }));
+    let widths: Vec<usize> = (0..COLUMNS.len())
+        .map(|column| {
             rows.iter()
-                .map(|row| row[place].chars().count())
+                .map(|row| row[column].chars().count())
                 .max()
                 .unwrap_or(0)
         })
@@ -356,39 +375,43 @@
     for row in &rows {
         let cells: Vec<String> = row
             .iter()
-            .zip(&wide)
-            .map(|(cell, wide)| format!("{cell:<wide$}"))
+            .zip(&widths)
+            .map(|(cell, width)| format!("{cell:<width$}"))
             .collect();
         text += cells.join("  ").trim_end();
         text.push('\n');
     }
-    let states = sum["states"].as_object().into_iter().flatten();
+    let states = summary["states"].as_object().into_iter().flatten();
     let states: Vec<String> = states
         .map(|(state, count)| format!("{count} {state}"))
         .collect();
     text += &format!(
-        "{}; {}% of the capacity that is wanted serves",
+        "{}; {}% of the desired capacity is serving",
         states.join(", "),
-        cell(&sum["capacity"])
+        cell(&summary["capacity"])
     );
-    if !sum["plan"].is_null() {
-        text += &format!("\n{}", plan_line(&sum["plan"]));
+    if !summary["plan"].is_null() {
+        text += &format!("\n{}", plan_summary(&summary["plan"]));
     }
     text
 }
 
-fn all(agent: &Path, body: &Value) -> io::Result<(Vec<Value>, (ControlMessage, Value))> {
+/// Requests a report of the instances. Returns the instances, of other agents too, and the last reply.
+fn request_instances(
+    agent: &Path,
+    body: &Value,
+) -> io::Result<(Vec<Value>, (ControlMessage, Value))> {
     let mut instances = Vec::new();
-    let last = ask(agent, body, WITHIN, |page| {
-        for one in page["others"].as_array().into_iter().flatten() {
-            let mut one = one.clone();
-            one["agent"] = page["agent"].clone();
-            one["name"] = json!(format!(
+    let last = request(agent, body, REPLY_TIMEOUT, |page| {
+        for instance in page["others"].as_array().into_iter().flatten() {
+            let mut instance = instance.clone();
+            instance["agent"] = page["agent"].clone();
+            instance["name"] = json!(format!(
                 "{}/{}",
                 text_of(&page["agent"]),
-                text_of(&one["name"])
+                text_of(&instance["name"])
             ));
-            instances.push(one);
+            instances.push(instance);
         }
         instances.extend(page["instances"].as_array().into_iter().flatten().cloned());
     })?;
@@ -400,12 +423,16 @@
 }
 
 fn status(agent: &Agent, body: &Value) -> ExitCode {
-    match all(&agent.agent, body) {
+    match request_instances(&agent.agent, body) {
         Ok((instances, last)) => {
             if agent.json {
-                instances.iter().for_each(|one| tell!("{one}"));
+                instances
+                    .iter()
+                    .for_each(|instance| print_line!("{instance}"));
             }
-            ended(agent, Ok(last), |sum| tell!("{}", table(&instances, sum)))
+            finish(agent, Ok(last), |summary| {
+                print_line!("{}", status_table(&instances, summary));
+            })
         }
         Err(error) => failed(&agent.agent, &error, agent.json),
     }
@@ -413,18 +440,20 @@
 
 fn watch(agent: &Agent) -> ExitCode {
     loop {
-        match all(&agent.agent, &json!({ "op": "watch" })) {
-            Ok((instances, (ControlMessage::Done, sum))) => {
+        match request_instances(&agent.agent, &json!({ "op": "watch" })) {
+            Ok((instances, (ControlMessage::Done, summary))) => {
                 if agent.json {
-                    instances.iter().for_each(|one| tell!("{one}"));
+                    instances
+                        .iter()
+                        .for_each(|instance| print_line!("{instance}"));
                 } else {
-                    // The page in place of the one before, where there is a page.
+                    // On a terminal, each update replaces the one before.
                     let clear = if io::stdout().is_terminal() {
                         "\x1b[2J\x1b[H"
                     } else {
                         ""
                     };
-                    tell!("{clear}{}", table(&instances, &sum));
+                    print_line!("{clear}{}", status_table(&instances, &summary));
                 }
             }
             Ok((_, (_, report))) => {
@@ -433,26 +462,26 @@
             Err(error) => return failed(&agent.agent, &error, agent.json),
         }
         if io::stdout().flush().is_err() {
-            return ExitCode::SUCCESS; // nobody watches any more
+            return ExitCode::SUCCESS; // the reader has closed the pipe
         }
-        std::thread::sleep(LOOK_EVERY);
+        std::thread::sleep(WATCH_INTERVAL);
     }
 }
 
 fn logs(agent: &Agent, body: &Value) -> ExitCode {
-    let last = ask(&agent.agent, body, WITHIN, |one| {
+    let last = request(&agent.agent, body, REPLY_TIMEOUT, |log| {
         if agent.json {
-            return tell!("{one}");
+            return print_line!("{log}");
         }
-        for line in one["lines"].as_array().into_iter().flatten() {
-            tell!(
+        for line in log["lines"].as_array().into_iter().flatten() {
+            print_line!(
                 "{:<12} {}",
-                one["name"].as_str().unwrap_or(""),
+                log["name"].as_str().unwrap_or(""),
                 line.as_str().unwrap_or("")
             );
         }
     });
-    ended(agent, last, |_| {})
+    finish(agent, last, |_| {})
 }
 
 fn history(agent: &Agent, lines: u32) -> ExitCode {
@@ -460,24 +489,24 @@
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default()
         .as_secs_f64();
-    let last = ask(
+    let last = request(
         &agent.agent,
         &json!({ "op": "history", "lines": lines }),
-        WITHIN,
+        REPLY_TIMEOUT,
         |page| {
             for event in page["events"].as_array().into_iter().flatten() {
                 if agent.json {
-                    tell!("{event}");
+                    print_line!("{event}");
                 } else {
-                    let ago = now - event["at"].as_f64().unwrap_or(now);
+                    let age_seconds = now - event["at"].as_f64().unwrap_or(now);
                     let (instance, text) = (
                         event["instance"].as_str().unwrap_or("-"),
                         event["text"].as_str().unwrap_or(""),
                     );
-                    tell!("{ago:>8.1} s ago  {instance:<16} {text}");
+                    print_line!("{age_seconds:>8.1} s ago  {instance:<16} {text}");
                 }
             }
         },
     );
-    ended(agent, last, |_| {})
+    finish(agent, last, |_| {})
 }
--- a/crates/merlinshelf-cli/src/knowledge.rs
+++ b/crates/merlinshelf-cli/src/knowledge.rs
@@ -1,4 +1,4 @@
-//! `merlinshelf knowledge`: what an instance knows of the servers behind it, from whom and how old.
+//! `merlinshelf knowledge`: the observations that an instance has of the servers behind it, with origins and ages.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -13,7 +13,7 @@
 use serde_json::{Value, json};
 
 use crate::FAILED;
-use crate::remote::{WITHIN, failed, text};
+use crate::remote::{REPLY_TIMEOUT, failed, text};
 
 const COLUMNS: [&str; 10] = [
     "kind",
@@ -28,10 +28,14 @@
     "weight",
 ];
 
-/// All figures of a running instance.
-fn figures(socket: &Path) -> io::Result<Vec<Value>> {
-    let mut client =
-        BlockingControlClient::request(socket, ControlRequest::Knowledge, &json!({}), WITHIN)?;
+/// Reads all observations of a running instance.
+fn read_from_instance(socket: &Path) -> io::Result<Vec<Value>> {
+    let mut client = BlockingControlClient::request(
+        socket,
+        ControlRequest::Knowledge,
+        &json!({}),
+        REPLY_TIMEOUT,
+    )?;
     let mut all = Vec::new();
     loop {
         match client.next_reply()? {
@@ -46,64 +50,72 @@
     }
 }
 
-/// All figures that a folder keeps, as old as they are by now; what is wrong with the file is said on standard error.
-fn kept(folder: &Path) -> io::Result<Vec<Value>> {
-    let found = read_store(folder)?;
-    if let Some(flaw) = found.error {
-        eprintln!("merlinshelf: {}: not read whole: {flaw}", folder.display());
+/// Reads all observations stored in a folder, aged to now. A damaged store is reported on standard error.
+fn read_from_folder(folder: &Path) -> io::Result<Vec<Value>> {
+    let store = read_store(folder)?;
+    if let Some(error) = store.error {
+        eprintln!(
+            "merlinshelf: {}: not read completely: {error}",
+            folder.display()
+        );
     }
-    let unix = SystemTime::now()
+    let unix_now = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default()
         .as_secs_f64();
-    // Of the same figure the last one counts.
-    let mut last = BTreeMap::new();
-    for kept in found.observations {
-        let told = kept.aged_to(unix);
-        last.insert((told.metric.clone(), told.source.clone()), told);
+    // A later record of the same observation replaces an earlier one.
+    let mut latest = BTreeMap::new();
+    for stored in store.observations {
+        let observation = stored.aged_to(unix_now);
+        latest.insert(
+            (observation.metric.clone(), observation.source.clone()),
+            observation,
+        );
     }
-    let line = |told: &GossipedObservation| {
-        let labels = told.metric.labels();
+    let to_json = |observation: &GossipedObservation| {
+        let labels = observation.metric.labels();
         json!({
-            "kind": told.metric.kind(), "server": labels.server, "operation": labels.operation, "value": told.value,
-            "count": told.sample_count, "age_s": (told.age_seconds * 10.0).round() / 10.0, "origin": told.source.name,
-            "life": told.source.incarnation, "hops": told.hops, "standing": told.status.as_str(),
+            "kind": observation.metric.kind(), "server": labels.server, "operation": labels.operation, "value": observation.value,
+            "count": observation.sample_count, "age_s": (observation.age_seconds * 10.0).round() / 10.0, "origin": observation.source.name,
+            "life": observation.source.incarnation, "hops": observation.hops, "standing": observation.status.as_str(),
         })
     };
-    Ok(last.values().map(line).collect())
+    Ok(latest.values().map(to_json).collect())
 }
 
-/// Of the one that is named.
+/// Reads the observations from the folder or the control socket that is given.
 fn read(control: Option<&Path>, folder: Option<&Path>) -> Result<Vec<Value>, String> {
-    let named = |path: &Path, error: io::Error| format!("{}: {error}", path.display());
+    let with_path = |path: &Path, error: io::Error| format!("{}: {error}", path.display());
     match (control, folder) {
-        (_, Some(folder)) => kept(folder).map_err(|error| named(folder, error)),
-        (Some(socket), None) => figures(socket).map_err(|error| named(socket, error)),
-        (None, None) => Err("name --control or --folder".into()),
+        (_, Some(folder)) => read_from_folder(folder).map_err(|error| with_path(folder, error)),
+        (Some(socket), None) => {
+            read_from_instance(socket).map_err(|error| with_path(socket, error))
+        }
+        (None, None) => Err("either --control or --folder is required".into()),
     }
 }
 
-fn print(all: Result<Vec<Value>, String>, print: impl FnOnce(&[Value])) -> ExitCode {
-    match all {
-        Ok(all) => {
-            print(&all);
+fn print(observations: Result<Vec<Value>, String>, print: impl FnOnce(&[Value])) -> ExitCode {
+    match observations {
+        Ok(observations) => {
+            print(&observations);
             ExitCode::SUCCESS
         }
-        Err(why) => {
-            eprintln!("merlinshelf: {why}");
+        Err(error) => {
+            eprintln!("merlinshelf: {error}");
             ExitCode::from(FAILED)
         }
     }
 }
 
-/// One JSON object a line.
+/// Prints each observation as a JSON object on its own line.
 pub fn export(control: Option<&Path>, folder: Option<&Path>) -> ExitCode {
     print(read(control, folder), |all| {
-        all.iter().for_each(|line| tell!("{line}"))
+        all.iter().for_each(|line| print_line!("{line}"))
     })
 }
 
-/// A line a figure, with age and origin.
+/// Prints a table with one line per observation, with age and origin.
 pub fn show(control: Option<&Path>, folder: Option<&Path>) -> ExitCode {
     print(read(control, folder), |all| {
         let mut rows: Vec<Vec<String>> = vec![COLUMNS.map(str::to_owned).to_vec()];
@@ -111,20 +123,20 @@
             all.iter()
                 .map(|line| COLUMNS.iter().map(|column| cell(line, column)).collect()),
         );
-        let wide = |place: usize| {
+        let width = |column: usize| {
             rows.iter()
-                .map(|row| row[place].chars().count())
+                .map(|row| row[column].chars().count())
                 .max()
                 .unwrap_or(0)
         };
-        let wide: Vec<usize> = (0..COLUMNS.len()).map(wide).collect();
+        let widths: Vec<usize> = (0..COLUMNS.len()).map(width).collect();
         for row in &rows {
             let cells: Vec<String> = row
                 .iter()
-                .zip(&wide)
-                .map(|(cell, wide)| format!("{cell:<wide$}"))
+                .zip(&widths)
+                .map(|(cell, width)| format!("{cell:<width$}"))
                 .collect();
-            tell!("{}", cells.join("  ").trim_end());
+            print_line!("{}", cells.join("  ").trim_end());
         }
     })
 }
@@ -140,7 +152,7 @@
         value => value.to_string(),
     };
     if column == "origin" && line["own"] == true {
-        format!("{text} (seen)")
+        format!("{text} (own)")
     } else {
         text
     }
@@ -148,12 +160,13 @@
 
 pub fn forget(socket: &Path, origin: Option<&str>, as_json: bool) -> ExitCode {
     let body = origin.map_or_else(|| json!({}), |origin| json!({ "origin": origin }));
-    let answer = BlockingControlClient::request(socket, ControlRequest::Forget, &body, WITHIN)
-        .and_then(|mut client| client.next_reply());
+    let answer =
+        BlockingControlClient::request(socket, ControlRequest::Forget, &body, REPLY_TIMEOUT)
+            .and_then(|mut client| client.next_reply());
     match answer {
-        Ok((ControlMessage::Done, report)) if as_json => tell!("{report}"),
+        Ok((ControlMessage::Done, report)) if as_json => print_line!("{report}"),
         Ok((ControlMessage::Done, report)) => {
-            tell!("{} figures are forgotten", report["forgotten"])
+            print_line!("{} observations forgotten", report["forgotten"])
         }
         Ok((_, report)) => return failed(socket, &io::Error::other(text(&report)), as_json),
         Err(error) => return failed(socket, &error, as_json),
--- a/crates/merlinshelf-cli/src/main.rs
+++ b/crates/merlinshelf-cli/src/main.rs
@@ -1,10 +1,11 @@
-//! The program that operators run. Without a command and with `PROXY_CONFIG` it serves, as the platform starts it.
+//! The `merlinshelf` command line. Without a command it serves the configuration that `PROXY_CONFIG` names: this is how
+//! the platform starts it.
 
-/// A line on standard output; a reader that has gone costs the line and nothing else.
-macro_rules! tell {
-    ($($words:tt)*) => {{
+/// Prints a line on standard output. Unlike `println!`, it does not panic when the reader has closed the pipe.
+macro_rules! print_line {
+    ($($arguments:tt)*) => {{
         use std::io::Write as _;
-        let _ = writeln!(std::io::stdout(), $($words)*);
+        let _ = writeln!(std::io::stdout(), $($arguments)*);
     }};
 }
 
@@ -22,17 +23,18 @@
 use clap_complete::Shell;
 use merlinshelf_backend::{Start, serve};
 
-/// Exit codes: done, failed, wrong usage (clap's own), partly done.
+/// Exit code of a command that failed.
 const FAILED: u8 = 1;
+/// Exit code of wrong usage, the same as clap's.
 const WRONG_USAGE: u8 = 2;
 
 #[derive(Parser)]
 #[command(
     name = "merlinshelf",
     version,
-    about = "Admission and scheduling for servers behind balancers nobody can change",
-    after_help = "Without a command it serves what PROXY_CONFIG names.\n\
-                  Exit codes: 0 done, 1 failed, 2 wrong usage, 3 partly done.\n\n\
+    about = "Admission control and scheduling for backends behind load balancers",
+    after_help = "Without a command it serves the configuration that PROXY_CONFIG names.\n\
+                  Exit codes: 0 success, 1 failure, 2 wrong usage, 3 partial success.\n\n\
                   Examples:\n  PROXY_CONFIG=config.json merlinshelf\n  \
                   merlinshelf serve --config config.json --operator operator.json5\n  \
                   merlinshelf upgrade --control /run/merlinshelf/n0.control"
@@ -44,12 +46,12 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Serve until told to leave (SIGTERM), or until a successor has everything
+    /// Serve until SIGTERM, or until a successor has taken over everything
     #[command(
         after_help = "Example:\n  merlinshelf serve --config config.json --operator deploy/operator.json5"
     )]
     Serve(Files),
-    /// Say whether the files can be used, without starting anything
+    /// Validate the files without starting anything
     #[command(
         after_help = "Examples:\n  merlinshelf check --config config.json --operator deploy/operator.json5\n  \
                       merlinshelf check --schema > deploy/operator.schema.json"
@@ -57,14 +59,14 @@
     Check {
         #[command(flatten)]
         files: Files,
-        /// Print the schema of the operators' file instead
+        /// Print the JSON schema of the operator's file instead
         #[arg(long)]
         schema: bool,
         /// Print the report as one JSON object
         #[arg(long)]
         json: bool,
     },
-    /// Say how an instance stands
+    /// Show the status of an instance
     #[command(
         after_help = "Examples:\n  merlinshelf status --control /run/merlinshelf/n0.control --json\n  \
                       merlinshelf status --control /run/merlinshelf/n0.control --dependencies"
@@ -72,48 +74,48 @@
     Status {
         #[command(flatten)]
         remote: Remote,
-        /// Only the dependencies: their servers, why one is out, budgets, second calls
+        /// Show only the dependencies: servers, reasons for ejecting them, budgets, hedged requests
         #[arg(long)]
         dependencies: bool,
     },
-    /// Tell an instance to leave, as SIGTERM does
+    /// Start a graceful shutdown of an instance, as SIGTERM does
     #[command(
         after_help = "Example:\n  merlinshelf drain --control /run/merlinshelf/n0.control --wait"
     )]
     Drain {
         #[command(flatten)]
         remote: Remote,
-        /// Wait until it has left
+        /// Wait until the instance has stopped
         #[arg(long)]
         wait: bool,
     },
-    /// Replace the program of an instance under load, and take it back if the new one fails
+    /// Replace the program of a serving instance, and roll back if the new one fails
     #[command(
-        after_help = "The new program is the file that the instance was started from, as it is now, or the one that its\n\
-                      operators' file names. Exit code 1 says that the old program serves on.\n\n\
+        after_help = "The new program is the current content of the file that the instance was started from, or the file that\n\
+                      its operator's file names. Exit code 1 means that the old program is still serving.\n\n\
                       Example:\n  merlinshelf upgrade --control /run/merlinshelf/n0.control"
     )]
     Upgrade(Remote),
-    /// What an instance knows of the servers behind it, from whom and how old
+    /// Show or forget what an instance has learned about the servers behind it
     Knowledge {
         #[command(subcommand)]
         what: Knowledge,
     },
-    /// Keep the instances of a file as they are wanted, until told to end; they go on without it
+    /// Keep the instances of a fleet file in their desired state; they keep running when the agent ends
     #[command(after_help = "Example:\n  merlinshelf agent deploy/fleet.json5\n\n\
-                      SIGHUP reads the file anew, SIGTERM ends the agent and no instance.")]
+                      SIGHUP reloads the file; SIGTERM ends the agent and leaves the instances running.")]
     Agent {
-        /// The fleet's file, in JSON5
+        /// The fleet file, in JSON5
         #[arg(value_name = "FILE", value_hint = ValueHint::FilePath, required_unless_present = "schema")]
         file: Option<PathBuf>,
-        /// Say whether the file can be used, and start nothing
+        /// Validate the file without starting anything
         #[arg(long)]
         check: bool,
-        /// Print the schema of the file instead
+        /// Print the JSON schema of the fleet file instead
         #[arg(long)]
         schema: bool,
     },
-    /// Ask the agent of a fleet
+    /// Send a request to the agent of a fleet
     #[command(
         after_help = "Examples:\n  merlinshelf fleet status --agent /var/lib/merlinshelf/fleet/agent\n  \
                       merlinshelf fleet upgrade --all --program /opt/new/merlinshelf --wait"
@@ -124,7 +126,7 @@
         #[command(subcommand)]
         what: fleet::Fleet,
     },
-    /// Print completions for a shell
+    /// Print a completion script for a shell
     #[command(
         after_help = "Example:\n  merlinshelf completions bash > /etc/bash_completion.d/merlinshelf"
     )]
@@ -133,25 +135,25 @@
 
 #[derive(Subcommand)]
 enum Knowledge {
-    /// Print a table with ages and origins
+    /// Print the observations as a table, with ages and origins
     #[command(
         after_help = "Examples:\n  merlinshelf knowledge show --control /run/merlinshelf/n0.control\n  \
                       merlinshelf knowledge show --folder /var/lib/merlinshelf/n0"
     )]
-    Show(Known),
-    /// Print one JSON object a line
+    Show(KnowledgeSource),
+    /// Print the observations as JSON, one object per line
     #[command(
         after_help = "Example:\n  merlinshelf knowledge export --control /run/merlinshelf/n0.control > n0.jsonl"
     )]
-    Export(Known),
-    /// Forget what was told, by one origin or by all; what was seen here stays
+    Export(KnowledgeSource),
+    /// Forget the observations received from one origin or from all; the instance's own stay
     #[command(
         after_help = "Example:\n  merlinshelf knowledge forget --control /run/merlinshelf/n0.control --origin n3"
     )]
     Forget {
         #[command(flatten)]
         remote: Remote,
-        /// The name of the instance that has seen it; absent: all others
+        /// Name of the instance that made the observations [default: all other instances]
         #[arg(long)]
         origin: Option<String>,
     },
@@ -159,11 +161,11 @@
 
 #[derive(Args)]
 #[group(required = true, multiple = false)]
-struct Known {
+struct KnowledgeSource {
     /// The instance's control socket
     #[arg(long, value_name = "SOCKET", env = "MERLINSHELF_CONTROL", value_hint = ValueHint::FilePath)]
     control: Option<PathBuf>,
-    /// The folder in which an instance keeps it, also one that does not run
+    /// The folder in which an instance stores its observations; the instance need not be running
     #[arg(long, value_name = "FOLDER", value_hint = ValueHint::DirPath)]
     folder: Option<PathBuf>,
 }
@@ -173,7 +175,7 @@
     /// The platform's configuration, in JSON
     #[arg(long, value_name = "FILE", env = "PROXY_CONFIG", value_hint = ValueHint::FilePath)]
     config: Option<PathBuf>,
-    /// The operators' own file, in JSON5; without it all that it switches on is off
+    /// The operator's file, in JSON5; without it, every feature that it enables is off
     #[arg(long, value_name = "FILE", env = "MERLINSHELF_OPERATOR", value_hint = ValueHint::FilePath)]
     operator: Option<PathBuf>,
 }
@@ -183,17 +185,17 @@
     /// The instance's control socket
     #[arg(long, value_name = "SOCKET", env = "MERLINSHELF_CONTROL", value_hint = ValueHint::FilePath)]
     control: PathBuf,
-    /// Print what it says as JSON, one object a line
+    /// Print the replies as JSON, one object per line
     #[arg(long)]
     json: bool,
 }
 
 fn main() -> ExitCode {
     let command = Cli::parse().command.unwrap_or_else(|| {
-        let named = |name: &str| std::env::var_os(name).map(PathBuf::from);
+        let path_in_env = |name: &str| std::env::var_os(name).map(PathBuf::from);
         Command::Serve(Files {
-            config: named("PROXY_CONFIG"),
-            operator: named("MERLINSHELF_OPERATOR"),
+            config: path_in_env("PROXY_CONFIG"),
+            operator: path_in_env("MERLINSHELF_OPERATOR"),
         })
     });
     match command {
@@ -228,27 +230,27 @@
         }
         Command::Agent { file, check, .. } => {
             let file = file.unwrap_or_default();
-            let done = if check {
+            let result = if check {
                 merlinshelf_agent::load(&file)
-                    .map(|_| tell!("{}: can be used", file.display()))
+                    .map(|_| print_line!("{}: valid", file.display()))
                     .map_err(merlinshelf_agent::AgentError::from)
             } else {
                 merlinshelf_agent::serve(&file)
             };
-            match done {
+            match result {
                 Ok(()) => ExitCode::SUCCESS,
-                Err(why) => {
-                    eprintln!("merlinshelf: {why}");
+                Err(error) => {
+                    eprintln!("merlinshelf: {error}");
                     ExitCode::from(FAILED)
                 }
             }
         }
         Command::Fleet { agent, what } => fleet::run(&agent, &what),
         Command::Knowledge {
-            what: Knowledge::Show(Known { control, folder }),
+            what: Knowledge::Show(KnowledgeSource { control, folder }),
         } => knowledge::show(control.as_deref(), folder.as_deref()),
         Command::Knowledge {
-            what: Knowledge::Export(Known { control, folder }),
+            what: Knowledge::Export(KnowledgeSource { control, folder }),
         } => knowledge::export(control.as_deref(), folder.as_deref()),
         Command::Knowledge {
             what: Knowledge::Forget { remote, origin },
@@ -270,7 +272,7 @@
     use super::*;
 
     #[test]
-    fn the_command_line_fits_together() {
+    fn the_command_line_definition_is_valid() {
         Cli::command().debug_assert();
     }
 }
--- a/crates/merlinshelf-cli/src/policy.rs
+++ b/crates/merlinshelf-cli/src/policy.rs
@@ -1,4 +1,4 @@
-//! `merlinshelf fleet policy`: what holds for all instances of all agents, and changes of it.
+//! `merlinshelf fleet policy`: shows and changes the policy of all instances of all agents.
 
 use std::io::{self, Read};
 use std::path::{Path, PathBuf};
@@ -12,119 +12,124 @@
 use serde_json::{Value, json};
 
 use crate::FAILED;
-use crate::fleet::{Agent, ask};
-use crate::remote::{WITHIN, failed, text};
+use crate::fleet::{Agent, request};
+use crate::remote::{REPLY_TIMEOUT, failed, text};
 
-/// A change ends within a lease and two seconds; the longest lease is ten minutes.
-const CHANGED_WITHIN: Duration = Duration::from_secs(11 * 60);
+/// A change ends within a lease and two seconds, and the longest lease is ten minutes.
+const CHANGE_TIMEOUT: Duration = Duration::from_secs(11 * 60);
 
 #[derive(Args)]
-pub struct How {
-    /// Say what it would be, and change nothing
+pub struct ChangeOptions {
+    /// Show the change without proposing it
     #[arg(long)]
     dry_run: bool,
-    /// Wait until it holds or is refused
+    /// Wait until the change is in force or rejected
     #[arg(long)]
     wait: bool,
-    /// The change's own id: asking again by the same one is the same change
+    /// Id of the change: a repeated request with the same id is not a second change
     #[arg(long, value_name = "ID")]
     id: Option<String>,
 }
 
 #[derive(Subcommand)]
 pub enum Policy {
-    /// Say what holds, what is under way, and who leads
+    /// Show the current policy, a change in progress and the leader
     Show {
-        /// Print the document that holds instead
+        /// Print the document of the current policy instead
         #[arg(long)]
         document: bool,
     },
-    /// Say whether a document is a policy, without asking anybody
+    /// Validate a policy document without contacting an agent
     #[command(
         after_help = "Example:\n  merlinshelf fleet policy check evening.json5\n  \
                       merlinshelf fleet policy check --schema > policy.schema.json"
     )]
     Check {
+        /// The policy document, in JSON5
         #[arg(value_name = "FILE", value_hint = ValueHint::FilePath, required_unless_present = "schema")]
         file: Option<PathBuf>,
-        /// Print the schema of a policy instead
+        /// Print the JSON schema of a policy instead
         #[arg(long)]
         schema: bool,
     },
-    /// Change the policy for all, or for none
+    /// Propose a new policy; it comes into force for all agents or for none
     #[command(
-        after_help = "Exit code 0 says that it holds (with --wait) or is proposed, 1 that it was refused or is not known yet.\n\n\
+        after_help = "Exit code 0 means that the policy is in force (with --wait) or proposed, 1 that it was rejected or that the\n\
+                      outcome is not known yet.\n\n\
                       Example:\n  merlinshelf fleet policy propose evening.json5 --wait"
     )]
     Propose {
+        /// The policy document, in JSON5
         #[arg(value_name = "FILE", value_hint = ValueHint::FilePath)]
         file: PathBuf,
         #[command(flatten)]
-        how: How,
+        options: ChangeOptions,
     },
-    /// Bring the former policy back, by one further change
+    /// Restore the previous policy by a new change
     Undo {
         #[command(flatten)]
-        how: How,
+        options: ChangeOptions,
     },
-    /// Say what became of a change
+    /// Show the outcome of a change
     Outcome {
+        /// Id of the change
         #[arg(value_name = "ID")]
         id: String,
-        /// Wait until it holds or is refused
+        /// Wait until the change is in force or rejected
         #[arg(long)]
         wait: bool,
     },
-    /// Print ended changes
+    /// Print completed changes
     History,
-    /// Take an agent that is gone for good out of those that decide
+    /// Remove an agent that will not return from the consensus group
     #[command(
-        after_help = "First take it out of the file of every other agent, and start those anew, one at a time.\n\n\
+        after_help = "First remove it from the fleet file of every other agent and restart those agents, one at a time.\n\n\
                       Example:\n  merlinshelf fleet policy remove c"
     )]
     Remove {
+        /// Name of the agent
         #[arg(value_name = "AGENT")]
         name: String,
     },
 }
 
-/// Reads a document. What can't be used is named, with its file and line.
-fn read(file: &Path) -> Result<merlinshelf_policy::Policy, String> {
-    let named = |why: String| format!("{}:{why}", file.display());
+/// Reads a policy document. Errors name the file and, where known, the line.
+fn read_policy(file: &Path) -> Result<merlinshelf_policy::Policy, String> {
+    let with_path = |reason: String| format!("{}:{reason}", file.display());
     let mut text = String::new();
-    let opened = std::fs::File::open(file).map_err(|error| named(format!(" {error}")))?;
-    // One byte more than there may be shows that there is more.
+    let opened = std::fs::File::open(file).map_err(|error| with_path(format!(" {error}")))?;
+    // One byte beyond the limit is enough to detect a document that is too long.
     opened
         .take(MAX_DOCUMENT_BYTES as u64 + 1)
         .read_to_string(&mut text)
-        .map_err(|error| named(format!(" {error}")))?;
+        .map_err(|error| with_path(format!(" {error}")))?;
     if text.len() > MAX_DOCUMENT_BYTES {
-        return Err(named(format!(
-            " it is longer than the {MAX_DOCUMENT_BYTES} bytes that a policy may have"
+        return Err(with_path(format!(
+            " the document is longer than the maximum of {MAX_DOCUMENT_BYTES} bytes"
         )));
     }
-    parse_json5(&text).map_err(|error| named(error.to_string()))
+    parse_json5(&text).map_err(|error| with_path(error.to_string()))
 }
 
-fn new_id() -> String {
+fn new_change_id() -> String {
     let now = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default();
     format!("{:x}-{:x}", now.as_micros(), std::process::id())
 }
 
-fn wrong(agent: &Agent, why: &str) -> ExitCode {
+fn print_failure(agent: &Agent, reason: &str) -> ExitCode {
     if agent.json {
-        tell!("{}", json!({ "failed": why }));
+        print_line!("{}", json!({ "failed": reason }));
     }
-    eprintln!("merlinshelf: {why}");
+    eprintln!("merlinshelf: {reason}");
     ExitCode::from(FAILED)
 }
 
 pub fn run(agent: &Agent, what: &Policy) -> ExitCode {
     match what {
         Policy::Check { schema: true, .. } => {
-            tell!(
+            print_line!(
                 "{}",
                 serde_json::to_string_pretty(&merlinshelf_policy::Policy::schema())
                     .unwrap_or_default()
@@ -133,99 +138,102 @@
         }
         Policy::Check { file, .. } => {
             let file = file.clone().unwrap_or_default();
-            match read(&file) {
-                Ok(_) if agent.json => tell!("{}", json!({ "file": file, "usable": true })),
-                Ok(_) => tell!(
-                    "{}: is a policy; whether it fits the instances they say themselves",
+            match read_policy(&file) {
+                Ok(_) if agent.json => print_line!("{}", json!({ "file": file, "usable": true })),
+                Ok(_) => print_line!(
+                    "{}: valid; each instance still checks it against its own configuration",
                     file.display()
                 ),
-                Err(why) => return wrong(agent, &why),
+                Err(error) => return print_failure(agent, &error),
             }
             ExitCode::SUCCESS
         }
-        Policy::Show { document: true } => said(
+        Policy::Show { document: true } => request_and_print(
             agent,
             &json!({ "op": "policy", "what": "document" }),
-            WITHIN,
-            |said| serde_json::to_string_pretty(said).unwrap_or_default(),
+            REPLY_TIMEOUT,
+            |document| serde_json::to_string_pretty(document).unwrap_or_default(),
         ),
-        Policy::Show { .. } => said(
+        Policy::Show { .. } => request_and_print(
             agent,
             &json!({ "op": "policy", "what": "show" }),
-            WITHIN,
-            page,
+            REPLY_TIMEOUT,
+            policy_text,
         ),
-        Policy::History => said(
+        Policy::History => request_and_print(
             agent,
             &json!({ "op": "policy", "what": "history" }),
-            WITHIN,
-            |sum| format!("current {}", sum["current"]),
+            REPLY_TIMEOUT,
+            |summary| format!("current {}", summary["current"]),
         ),
-        Policy::Remove { name } => said(
+        Policy::Remove { name } => request_and_print(
             agent,
             &json!({ "op": "policy", "what": "remove", "name": name }),
-            WITHIN,
-            |said| {
+            REPLY_TIMEOUT,
+            |report| {
                 format!(
-                    "{} is a member no more",
-                    said["removed"].as_str().unwrap_or("it")
+                    "{} is no longer a member",
+                    report["removed"].as_str().unwrap_or("the agent")
                 )
             },
         ),
-        Policy::Outcome { id, wait } => said(
+        Policy::Outcome { id, wait } => request_and_print(
             agent,
             &json!({ "op": "policy", "what": "outcome", "id": id, "wait": wait }),
-            CHANGED_WITHIN,
-            change,
+            CHANGE_TIMEOUT,
+            change_line,
         ),
-        Policy::Propose { file, how } => match read(file) {
+        Policy::Propose { file, options } => match read_policy(file) {
             Ok(policy) => propose(
                 agent,
                 json!({ "op": "policy", "what": "propose", "policy": policy }),
-                how,
+                options,
             ),
-            Err(why) => wrong(agent, &why),
+            Err(error) => print_failure(agent, &error),
         },
-        Policy::Undo { how } => propose(agent, json!({ "op": "policy", "what": "undo" }), how),
+        Policy::Undo { options } => {
+            propose(agent, json!({ "op": "policy", "what": "undo" }), options)
+        }
     }
 }
 
-fn propose(agent: &Agent, mut body: Value, how: &How) -> ExitCode {
-    body["id"] = json!(how.id.clone().unwrap_or_else(new_id));
-    (body["dry_run"], body["wait"]) = (json!(how.dry_run), json!(how.wait));
+fn propose(agent: &Agent, mut body: Value, options: &ChangeOptions) -> ExitCode {
+    body["id"] = json!(options.id.clone().unwrap_or_else(new_change_id));
+    (body["dry_run"], body["wait"]) = (json!(options.dry_run), json!(options.wait));
     if let Ok(user) = std::env::var("USER") {
         body["by"] = json!(user);
     }
-    said(agent, &body, CHANGED_WITHIN, change)
+    request_and_print(agent, &body, CHANGE_TIMEOUT, change_line)
 }
 
-pub fn said(
+/// Sends a request, prints its replies as JSON or as text, and returns the exit code.
+pub fn request_and_print(
     agent: &Agent,
     body: &Value,
-    within: Duration,
-    shown: impl Fn(&Value) -> String,
+    reply_timeout: Duration,
+    to_text: impl Fn(&Value) -> String,
 ) -> ExitCode {
-    let last = ask(&agent.agent, body, within, |more| {
+    let last = request(&agent.agent, body, reply_timeout, |progress| {
         if agent.json {
-            tell!("{more}")
+            print_line!("{progress}")
         } else {
-            tell!("{}", change(more))
+            print_line!("{}", change_line(progress))
         }
     });
     match last {
         Ok((ControlMessage::Done, report)) => {
             if agent.json {
-                tell!("{report}")
+                print_line!("{report}")
             } else {
-                tell!("{}", shown(&report))
+                print_line!("{}", to_text(&report))
             }
             ExitCode::SUCCESS
         }
         Ok((_, report)) if report["number"].is_u64() => {
             if agent.json {
-                tell!("{report}")
+                print_line!("{report}")
             } else {
-                tell!("{}", change(&report))
+                print_line!("{}", change_line(&report))
             }
             ExitCode::from(FAILED)
         }
@@ -234,82 +242,82 @@
     }
 }
 
-/// One change in a line.
-fn change(of: &Value) -> String {
-    let word = |name: &str| of[name].as_str().unwrap_or("").to_owned();
-    if of["would_be"].is_u64() {
-        let same = if of["same"] == true {
-            "; it says the same as what holds"
+/// Formats a change as one line.
+fn change_line(change: &Value) -> String {
+    let field = |name: &str| change[name].as_str().unwrap_or("").to_owned();
+    if change["would_be"].is_u64() {
+        let unchanged = if change["same"] == true {
+            "; it is the same as the current policy"
         } else {
             ""
         };
         return format!(
-            "it would be {} in place of {}{same}",
-            of["would_be"], of["in_place_of"]
+            "it would be policy {} and replace policy {}{unchanged}",
+            change["would_be"], change["in_place_of"]
         );
     }
-    let why = if word("why").is_empty() {
+    let reason = if field("why").is_empty() {
         String::new()
     } else {
-        format!(": {}", word("why"))
+        format!(": {}", field("why"))
     };
-    let note = if word("note").is_empty() {
+    let note = if field("note").is_empty() {
         String::new()
     } else {
-        format!(" ({})", word("note"))
+        format!(" ({})", field("note"))
     };
     format!(
-        "policy {} {}{why}{note}, id {}",
-        of["number"],
-        word("state"),
-        word("id")
+        "policy {} {}{reason}{note}, id {}",
+        change["number"],
+        field("state"),
+        field("id")
     )
 }
 
-fn page(of: &Value) -> String {
-    let word = |value: &Value| value.as_str().unwrap_or("-").to_owned();
-    let mut page = format!(
-        "policy {} holds{}\nagent {} {}, {} leads, members {}\n",
-        of["current"],
-        if of["note"] == "" {
+fn policy_text(report: &Value) -> String {
+    let string = |value: &Value| value.as_str().unwrap_or("-").to_owned();
+    let mut text = format!(
+        "policy {} in force{}\nagent {} ({}), leader {}, members {}\n",
+        report["current"],
+        if report["note"] == "" {
             String::new()
         } else {
-            format!(" ({})", word(&of["note"]))
+            format!(" ({})", string(&report["note"]))
         },
-        word(&of["agent"]),
-        word(&of["council"]),
-        word(&of["leader"]),
-        of["members"]
+        string(&report["agent"]),
+        string(&report["council"]),
+        string(&report["leader"]),
+        report["members"]
             .as_object()
             .map(|all| all.keys().cloned().collect::<Vec<_>>().join(", "))
             .unwrap_or_default(),
     );
-    if let Some(change) = of["under_way"].as_object() {
-        page += &format!(
-            "change {} is {}, by {}\n",
+    if let Some(change) = report["under_way"].as_object() {
+        text += &format!(
+            "change {} is {}, proposed by {}\n",
             change["number"],
-            word(&change["stage"]),
-            word(&change["by"])
+            string(&change["stage"]),
+            string(&change["by"])
         );
     }
-    page += &match of["lease"].as_object() {
+    text += &match report["lease"].as_object() {
         Some(lease) => format!(
-            "this host has a lease on {} for {:.1} s\n",
+            "this host has a lease for policy {} for another {:.1} s\n",
             lease["number"],
             lease["left_s"].as_f64().unwrap_or(0.0)
         ),
         None => "this host has no lease\n".to_owned(),
     };
-    for one in of["instances"].as_array().into_iter().flatten() {
-        let acts = match one["acts"].as_u64() {
-            Some(0) => "acts on the base policy".to_owned(),
+    for instance in report["instances"].as_array().into_iter().flatten() {
+        let status = match instance["acts"].as_u64() {
+            Some(0) => "uses the base policy".to_owned(),
             Some(number) => format!(
-                "acts on {number} for {:.1} s",
-                one["left_s"].as_f64().unwrap_or(0.0)
+                "uses policy {number} for another {:.1} s",
+                instance["left_s"].as_f64().unwrap_or(0.0)
             ),
-            None => "turns away".to_owned(),
+            None => "rejects invocations".to_owned(),
         };
-        page += &format!("  {:<16} {acts}\n", word(&one["name"]));
+        text += &format!("  {:<16} {status}\n", string(&instance["name"]));
     }
-    page.trim_end().to_owned()
+    text.trim_end().to_owned()
 }
--- a/crates/merlinshelf-cli/src/remote.rs
+++ b/crates/merlinshelf-cli/src/remote.rs
@@ -1,4 +1,4 @@
-//! What is asked of an instance over its control socket.
+//! Commands that send a request to an instance over its control socket.
 
 use std::io::{self, IsTerminal};
 use std::os::unix::net::UnixStream;
@@ -12,15 +12,15 @@
 
 use crate::FAILED;
 
-/// An instance answers at once; only an upgrade takes its time between two words.
-pub const WITHIN: Duration = Duration::from_secs(10);
-const UPGRADE_WITHIN: Duration = Duration::from_secs(2 * 3600);
-/// Between two looks at whether an instance has left.
-const LOOK_EVERY: Duration = Duration::from_millis(50);
+/// Time for each reply. Only an upgrade takes longer between two replies.
+pub const REPLY_TIMEOUT: Duration = Duration::from_secs(10);
+const UPGRADE_REPLY_TIMEOUT: Duration = Duration::from_secs(2 * 3600);
+/// Time between two checks of whether an instance has stopped.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 pub fn failed(socket: &Path, error: &io::Error, as_json: bool) -> ExitCode {
     if as_json {
-        tell!(
+        print_line!(
             "{}",
             json!({ "failed": error.to_string(), "control": socket })
         );
@@ -30,27 +30,28 @@
 }
 
 pub fn status(socket: &Path, as_json: bool, dependencies: bool) -> ExitCode {
-    let answer = BlockingControlClient::request(socket, ControlRequest::Status, &json!({}), WITHIN)
-        .and_then(|mut client| client.next_reply());
+    let answer =
+        BlockingControlClient::request(socket, ControlRequest::Status, &json!({}), REPLY_TIMEOUT)
+            .and_then(|mut client| client.next_reply());
     match answer {
         Ok((ControlMessage::Done, report)) if dependencies => {
-            let all = &report["dependencies"];
-            if all.is_null() {
-                let why = "the operators' file of this instance names no dependencies";
-                return failed(socket, &io::Error::other(why), as_json);
+            let dependencies = &report["dependencies"];
+            if dependencies.is_null() {
+                let reason = "the operator's file of this instance configures no dependencies";
+                return failed(socket, &io::Error::other(reason), as_json);
             }
             if as_json {
-                tell!("{all}");
+                print_line!("{dependencies}");
             } else {
-                tell!("{}", table(all).trim_end());
+                print_line!("{}", dependencies_table(dependencies).trim_end());
             }
             ExitCode::SUCCESS
         }
         Ok((ControlMessage::Done, report)) => {
             if as_json {
-                tell!("{report}");
+                print_line!("{report}");
             } else {
-                tell!("{}", page(&report).trim_end());
+                print_line!("{}", status_text(&report).trim_end());
             }
             ExitCode::SUCCESS
         }
@@ -59,75 +60,76 @@
     }
 }
 
-/// Each dependency with its budgets, and a line for each of its servers.
-fn table(all: &Value) -> String {
+/// Formats each dependency with its budgets, and one line per server.
+fn dependencies_table(dependencies: &Value) -> String {
     let mut page = String::new();
-    for of in all.as_array().into_iter().flatten() {
-        let number = |name: &str| of[name].as_f64().unwrap_or(0.0);
-        let word = |value: &Value| value.as_str().unwrap_or("").to_owned();
+    for dependency in dependencies.as_array().into_iter().flatten() {
+        let number = |name: &str| dependency[name].as_f64().unwrap_or(0.0);
+        let string = |value: &Value| value.as_str().unwrap_or("").to_owned();
         page += &format!(
-            "{}{}: {} open of {:.0}, {} wait, {:.1} attempts left\n  calls {}, attempts {}, succeeded {}, again {}, second calls {} (won {}, lost {}), lesser {}, \
-             not made {}, out of time {}\n",
-            word(&of["name"]),
-            if of["fails"] == true {
-                " (fails as a whole)"
+            "{}{}: {} calls open, limit {:.0}, {} waiting, {:.1} attempts left in the budget\n  calls {}, attempts {}, succeeded {}, retries {}, \
+             hedged requests {} (won {}, lost {}), degraded results {}, not made {}, timed out {}\n",
+            string(&dependency["name"]),
+            if dependency["fails"] == true {
+                " (failing)"
             } else {
                 ""
             },
-            of["open"],
+            dependency["open"],
             number("limit"),
-            of["waiting"],
+            dependency["waiting"],
             number("attempts_left"),
-            of["calls"],
-            of["attempts"],
-            of["succeeded"],
-            of["again"],
-            of["hedges"],
-            of["hedges_won"],
-            of["hedges_lost"],
-            of["lesser"],
-            of["not_made"],
-            of["out_of_time"],
+            dependency["calls"],
+            dependency["attempts"],
+            dependency["succeeded"],
+            dependency["again"],
+            dependency["hedges"],
+            dependency["hedges_won"],
+            dependency["hedges_lost"],
+            dependency["lesser"],
+            dependency["not_made"],
+            dependency["out_of_time"],
         );
-        for server in of["servers"].as_array().into_iter().flatten() {
+        for server in dependency["servers"].as_array().into_iter().flatten() {
             let mean = server["mean_ms"]
                 .as_f64()
                 .map_or("-".to_owned(), |ms| format!("{ms:.2} ms"));
             let failures = 100.0 * server["failures"].as_f64().unwrap_or(0.0);
             page += &format!(
-                "  {:<22} {:<8} {:>3} open of {:<5} {mean:>11} {failures:>5.1}% fail  {}\n",
-                word(&server["address"]),
-                word(&server["state"]),
+                "  {:<22} {:<8} {:>3} open, limit {:<5} {mean:>11} {failures:>5.1}% failed  {}\n",
+                string(&server["address"]),
+                string(&server["state"]),
                 server["open"],
                 server["limit"]
                     .as_f64()
                     .map_or("-".to_owned(), |limit| limit.to_string()),
-                word(&server["why"]),
+                string(&server["why"]),
             );
         }
     }
     page
 }
 
-/// A line a figure; counters that stand at nothing are left out.
-fn page(report: &Value) -> String {
-    let mut page = String::new();
+/// Formats a report with one line per value; counters at zero are left out.
+fn status_text(report: &Value) -> String {
+    let mut text = String::new();
     for (name, value) in report.as_object().into_iter().flatten() {
         match value {
             Value::Object(counters) if name == "counters" => {
-                let counted = counters
+                let nonzero = counters
                     .iter()
                     .filter(|(_, count)| count.as_u64() != Some(0));
-                page.extend(counted.map(|(name, count)| format!("  {name}: {count}\n")));
+                text.extend(nonzero.map(|(name, count)| format!("  {name}: {count}\n")));
             }
-            Value::String(text) => page += &format!("{name}: {text}\n"),
-            value if name == "dependencies" => page += &table(value),
-            value => page += &format!("{name}: {value}\n"),
+            Value::String(string) => text += &format!("{name}: {string}\n"),
+            value if name == "dependencies" => text += &dependencies_table(value),
+            value => text += &format!("{name}: {value}\n"),
         }
     }
-    page
+    text
 }
 
+/// The `text` of a report, or the whole report if it has none.
 pub fn text(report: &Value) -> String {
     report["text"]
         .as_str()
@@ -135,57 +137,63 @@
 }
 
 pub fn drain(socket: &Path, as_json: bool, wait: bool) -> ExitCode {
-    let answer = BlockingControlClient::request(socket, ControlRequest::Drain, &json!({}), WITHIN)
-        .and_then(|mut client| client.next_reply());
+    let answer =
+        BlockingControlClient::request(socket, ControlRequest::Drain, &json!({}), REPLY_TIMEOUT)
+            .and_then(|mut client| client.next_reply());
     let report = match answer {
         Ok((ControlMessage::Done, report)) => report,
         Ok((_, report)) => return failed(socket, &io::Error::other(text(&report)), as_json),
         Err(error) => return failed(socket, &error, as_json),
     };
     if as_json {
-        tell!("{report}");
+        print_line!("{report}");
     } else {
-        tell!("{}", text(&report));
+        print_line!("{}", text(&report));
     }
     if wait {
-        let most = Duration::from_millis(report["stop_ms"].as_u64().unwrap_or(60_000)) + WITHIN;
-        let until = Instant::now() + most;
+        let timeout =
+            Duration::from_millis(report["stop_ms"].as_u64().unwrap_or(60_000)) + REPLY_TIMEOUT;
+        let deadline = Instant::now() + timeout;
         while UnixStream::connect(socket).is_ok() {
-            if Instant::now() >= until {
+            if Instant::now() >= deadline {
                 return failed(
                     socket,
-                    &io::Error::other("it has not left in its time"),
+                    &io::Error::other("the instance has not stopped in time"),
                     as_json,
                 );
             }
-            std::thread::sleep(LOOK_EVERY);
+            std::thread::sleep(STOP_POLL_INTERVAL);
         }
         if !as_json {
-            tell!("it has left");
+            print_line!("the instance has stopped");
         }
     }
     ExitCode::SUCCESS
 }
 
 pub fn upgrade(socket: &Path, as_json: bool) -> ExitCode {
-    let began = Instant::now();
-    let client =
-        BlockingControlClient::request(socket, ControlRequest::Upgrade, &json!({}), UPGRADE_WITHIN);
+    let start = Instant::now();
+    let client = BlockingControlClient::request(
+        socket,
+        ControlRequest::Upgrade,
+        &json!({}),
+        UPGRADE_REPLY_TIMEOUT,
+    );
     let mut client = match client {
         Ok(client) => client,
         Err(error) => return failed(socket, &error, as_json),
     };
     loop {
-        let (word, report) = match client.next_reply() {
-            Ok(said) => said,
+        let (kind, report) = match client.next_reply() {
+            Ok(reply) => reply,
             Err(error) => return failed(socket, &error, as_json),
         };
         if as_json {
-            tell!("{report}");
-        } else if word != ControlMessage::More || io::stderr().is_terminal() {
-            eprintln!("{:>6} ms  {}", began.elapsed().as_millis(), text(&report));
+            print_line!("{report}");
+        } else if kind != ControlMessage::More || io::stderr().is_terminal() {
+            eprintln!("{:>6} ms  {}", start.elapsed().as_millis(), text(&report));
         }
-        match word {
+        match kind {
             ControlMessage::More => {}
             ControlMessage::Done => return ExitCode::SUCCESS,
             ControlMessage::Failed | ControlMessage::Refused => return ExitCode::from(FAILED),
--- a/crates/merlinshelf-cli/tests/learning.rs
+++ b/crates/merlinshelf-cli/tests/learning.rs
@@ -138,7 +138,7 @@
             "{shown}"
         );
         assert!(
-            shown.contains("(seen)"),
+            shown.contains("(own)"),
             "its own samples are told apart: {shown}"
         );
         let (code, exported, _) = run(&["knowledge", "export", "--control", &control]);
@@ -161,7 +161,7 @@
             "n10",
         ]);
         assert!(
-            code == 0 && said.contains("figures are forgotten") && !said.starts_with('0'),
+            code == 0 && said.contains("observations forgotten") && !said.starts_with('0'),
             "{said}"
         );
         // The peer tells it again in its time; of the life before nothing else is left.
--- a/crates/merlinshelf-cli/tests/policy.rs
+++ b/crates/merlinshelf-cli/tests/policy.rs
@@ -368,7 +368,8 @@
             String::from_utf8_lossy(&run(&["fleet", "--agent", socket, "policy", "show"]).stdout)
                 .into_owned();
         assert!(
-            shown.contains("members h0, h1, h2") && shown.contains("acts on"),
+            shown.contains("members h0, h1, h2")
+                && (shown.contains("uses policy ") || shown.contains("uses the base policy")),
             "{shown}"
         );
         // Undone: the former one holds again, by a further change.
--- a/crates/merlinshelf-cli/tests/shares.rs
+++ b/crates/merlinshelf-cli/tests/shares.rs
@@ -163,7 +163,7 @@
             .output()?;
         let shown = String::from_utf8_lossy(&shown.stdout).into_owned();
         assert!(
-            shown.contains("catalogue probes: 8 a second; 1 set aside for each host"),
+            shown.contains("catalogue probes: 8 per second; 1 reserved per host"),
             "{shown}"
         );
         let verdict = fleet.end().await;
