--- a/crates/merlinshelf-cli/tests/dependencies.rs
+++ b/crates/merlinshelf-cli/tests/dependencies.rs
@@ -1,5 +1,5 @@
-//! Calls to several dependencies by the real program on loopback: partial answers that are told and counted, lists that change, an
-//! upgrade and a notice to leave with calls open, an engine that does not know of names, and effects that must not happen twice.
+//! Calls of the real program to several dependencies on loopback: partial answers, reloaded server lists, an upgrade and
+//! a drain with calls in flight, an engine that does not support names, and effects that must happen at most once.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -17,9 +17,9 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_merlinshelf");
 
-/// Plays on one thread, within a time.
-fn play<T>(what: impl Future<Output = io::Result<T>>) -> T {
-    play_within(Duration::from_secs(60), what)
+/// Runs a test on one thread, with a timeout.
+fn run_test<T>(test: impl Future<Output = io::Result<T>>) -> T {
+    play_within(Duration::from_secs(60), test)
 }
 
 struct Rig {
@@ -27,7 +27,7 @@
     setup: Setup,
 }
 
-async fn rig() -> io::Result<Rig> {
+async fn start_rig() -> io::Result<Rig> {
     let mut servers: BTreeMap<&'static str, Vec<Rc<Server>>> = BTreeMap::new();
     for name in ["catalogue", "assets"].repeat(3) {
         servers
@@ -43,38 +43,39 @@
 
 fn addresses(
     servers: &BTreeMap<&'static str, Vec<Rc<Server>>>,
-    which: std::ops::Range<usize>,
+    range: std::ops::Range<usize>,
 ) -> BTreeMap<String, Vec<String>> {
-    let of = |all: &[Rc<Server>]| {
-        all[which.clone()]
+    let addresses_of = |servers: &[Rc<Server>]| {
+        servers[range.clone()]
             .iter()
-            .map(|one| one.address.clone())
+            .map(|server| server.address.clone())
             .collect()
     };
     servers
         .iter()
-        .map(|(name, all)| ((*name).to_owned(), of(all)))
+        .map(|(name, servers)| ((*name).to_owned(), addresses_of(servers)))
         .collect()
 }
 
 impl Rig {
-    async fn begin(&self, number: u8) -> io::Result<(Instance, Load, Playing)> {
+    /// Starts an instance under load and waits until it has answered a few invocations.
+    async fn start_with_load(&self, number: u8) -> io::Result<(Instance, Load, Playing)> {
         let instance = Instance::start(&self.setup, number).await?;
         let load = Load::of_all(&instance.address, 8, 150.0, number.into());
         let playing = load.start().await?;
-        more(&playing, 30).await;
+        wait_for_answers(&playing, 30).await;
         Ok((instance, load, playing))
     }
 
-    fn all_do(&self, name: &str, manners: Manners) {
+    fn set_behaviour(&self, name: &str, manners: Manners) {
         self.servers[name]
             .iter()
             .for_each(|server| server.does(manners));
     }
 }
 
-/// Waits until so many more were answered.
-async fn more(playing: &Playing, count: usize) {
+/// Waits until `count` more invocations are answered, or a time has passed.
+async fn wait_for_answers(playing: &Playing, count: usize) {
     let answered = || {
         playing
             .seen
@@ -84,26 +85,27 @@
             .filter(|sent| !sent.answers.is_empty())
             .count()
     };
-    let (until, wanted) = (Instant::now() + Duration::from_secs(15), answered() + count);
-    while answered() < wanted && Instant::now() < until {
+    let (until, target) = (Instant::now() + Duration::from_secs(15), answered() + count);
+    while answered() < target && Instant::now() < until {
         sleep(Duration::from_millis(5)).await;
     }
 }
 
 fn dependency<'a>(report: &'a Value, name: &str) -> &'a Value {
-    let all = report["dependencies"]
+    let dependencies = report["dependencies"]
         .as_array()
         .expect("a report of dependencies");
-    all.iter()
-        .find(|one| one["name"] == name)
+    dependencies
+        .iter()
+        .find(|dependency| dependency["name"] == name)
         .expect("that dependency")
 }
 
 #[test]
-fn what_is_missing_is_told_and_counted_and_both_recover() {
-    play(async {
-        let rig = rig().await?;
-        let (instance, load, playing) = rig.begin(1).await?;
+fn partial_answers_are_marked_and_counted_until_the_dependencies_recover() {
+    run_test(async {
+        let rig = start_rig().await?;
+        let (instance, load, playing) = rig.start_with_load(1).await?;
         assert!(
             playing
                 .seen
@@ -112,30 +114,30 @@
                 .values()
                 .all(|sent| sent.partial.is_none())
         );
-        rig.all_do("catalogue", Manners::Slow(20.0));
-        rig.all_do("assets", Manners::Errors);
-        more(&playing, 150).await;
-        rig.all_do("assets", Manners::Well);
-        more(&playing, 50).await;
-        rig.all_do("catalogue", Manners::Well);
-        // Found again within seconds: whole answers come.
-        let whole = |playing: &Playing| {
+        rig.set_behaviour("catalogue", Manners::Slow(20.0));
+        rig.set_behaviour("assets", Manners::Errors);
+        wait_for_answers(&playing, 150).await;
+        rig.set_behaviour("assets", Manners::Well);
+        wait_for_answers(&playing, 50).await;
+        rig.set_behaviour("catalogue", Manners::Well);
+        // Within seconds, all answers are complete again.
+        let all_complete = |playing: &Playing| {
             let seen = playing.seen.borrow();
-            let late = seen
+            let recent = seen
                 .sent
                 .values()
                 .filter(|sent| sent.at.elapsed() < Duration::from_millis(500));
-            let answered: Vec<bool> = late
+            let complete: Vec<bool> = recent
                 .filter(|sent| !sent.answers.is_empty())
                 .map(|sent| sent.partial.is_none())
                 .collect();
-            answered.len() > 20 && answered.iter().all(|whole| *whole)
+            complete.len() > 20 && complete.iter().all(|complete| *complete)
         };
         let until = Instant::now() + Duration::from_secs(15);
-        while !whole(&playing) {
+        while !all_complete(&playing) {
             assert!(
                 Instant::now() < until,
-                "it is not whole again: {}",
+                "answers are still partial: {}",
                 instance.status().await?
             );
             sleep(Duration::from_millis(50)).await;
@@ -159,16 +161,16 @@
         command
             .args(["status", "--dependencies", "--control"])
             .arg(instance.control());
-        let said = command.output().await?;
-        let said = String::from_utf8_lossy(&said.stdout).into_owned();
+        let output = command.output().await?;
+        let shown = String::from_utf8_lossy(&output.stdout).into_owned();
         assert!(
-            said.contains("catalogue: ") && said.matches("127.0.0.1:").count() == 6,
-            "{said}"
+            shown.contains("catalogue: ") && shown.matches("127.0.0.1:").count() == 6,
+            "{shown}"
         );
-        let lesser = dependency(&report, "assets")["lesser"]
+        let degraded = dependency(&report, "assets")["lesser"]
             .as_u64()
             .unwrap_or(0);
-        assert!(lesser > 0, "{report}");
+        assert!(degraded > 0, "{report}");
         let verdict = seen.check(&instance.records.borrow(), load.patience);
         assert!(verdict.is_clean(), "{verdict:?}");
         Ok(())
@@ -176,18 +178,18 @@
 }
 
 #[test]
-fn lists_change_by_signal_and_an_upgrade_carries_calls_to_many_servers() {
-    play(async {
-        let rig = rig().await?;
-        let (instance, load, playing) = rig.begin(2).await?;
-        // The third of each is new; the first is gone, and gets nothing further.
+fn server_lists_are_reloaded_on_sighup_and_calls_survive_an_upgrade() {
+    run_test(async {
+        let rig = start_rig().await?;
+        let (instance, load, playing) = rig.start_with_load(2).await?;
+        // The third server of each is added; the first is removed and gets no further calls.
         instance.depends_on(&section(&addresses(&rig.servers, 1..3)))?;
         instance.logged("dependencies reloaded: 2", 1).await?;
-        more(&playing, 30).await;
+        wait_for_answers(&playing, 30).await;
         let before = rig.servers["catalogue"][0].calls.get();
-        more(&playing, 60).await;
+        wait_for_answers(&playing, 60).await;
         assert_eq!(rig.servers["catalogue"][0].calls.get(), before);
-        // A file that can't be used changes nothing.
+        // An invalid file changes nothing.
         instance.depends_on(
             &serde_json::json!({ "operations": { "thumbnail": { "calls": [{ "to": "nobody" }] } } }),
         )?;
@@ -196,13 +198,13 @@
             .await?;
         instance.depends_on(&section(&addresses(&rig.servers, 0..3)))?;
         instance.logged("dependencies reloaded: 2", 2).await?;
-        rig.all_do("catalogue", Manners::Slow(10.0));
-        more(&playing, 30).await;
+        rig.set_behaviour("catalogue", Manners::Slow(10.0));
+        wait_for_answers(&playing, 30).await;
         assert_eq!(
             round(&instance, &format!("exec '{PROGRAM}' \"$@\"")).await?,
             "done"
         );
-        more(&playing, 60).await;
+        wait_for_answers(&playing, 60).await;
         let seen = playing.stop().await.take();
         let verdict = seen.check(&instance.records.borrow(), load.patience);
         assert!(
@@ -222,13 +224,13 @@
 }
 
 #[test]
-fn a_notice_to_leave_with_calls_open_loses_nothing() {
-    play(async {
-        let rig = rig().await?;
-        let (instance, load, playing) = rig.begin(3).await?;
+fn a_drain_with_calls_in_flight_loses_no_invocation() {
+    run_test(async {
+        let rig = start_rig().await?;
+        let (instance, load, playing) = rig.start_with_load(3).await?;
         rig.servers["catalogue"][0].does(Manners::Hangs);
         rig.servers["assets"][1].does(Manners::Breaks);
-        more(&playing, 20).await;
+        wait_for_answers(&playing, 20).await;
         instance.leave().await?;
         let seen = playing.stop().await.take();
         let verdict = seen.check(&instance.records.borrow(), load.patience);
@@ -247,13 +249,13 @@
 }
 
 #[test]
-fn an_engine_that_closes_on_names_is_asked_plainly_and_calls_go_by_their_place() {
-    play(async {
-        let mut rig = rig().await?;
-        // It knows of no parts: an extended ATTACH is no command there, and runs call once without naming anybody.
+fn an_engine_without_support_for_names_gets_the_plain_protocol() {
+    run_test(async {
+        let mut rig = start_rig().await?;
+        // This engine knows no extended ATTACH, and its runs make one call each without naming a dependency.
         rig.setup.manner.parts.clear();
-        let (instance, load, playing) = rig.begin(4).await?;
-        more(&playing, 60).await;
+        let (instance, load, playing) = rig.start_with_load(4).await?;
+        wait_for_answers(&playing, 60).await;
         let seen = playing.stop().await.take();
         let verdict = seen.check(&instance.records.borrow(), load.patience);
         assert!(verdict.is_clean() && verdict.served > 50, "{verdict:?}");
@@ -269,14 +271,14 @@
 }
 
 #[test]
-fn what_must_not_happen_twice_is_called_once_whatever_the_servers_do() {
-    play(async {
-        let mut rig = rig().await?;
+fn calls_with_at_most_once_effect_are_never_repeated() {
+    run_test(async {
+        let mut rig = start_rig().await?;
         rig.setup.effect = "at_most_once".into();
-        let (instance, load, playing) = rig.begin(5).await?;
-        rig.all_do("catalogue", Manners::Breaks);
+        let (instance, load, playing) = rig.start_with_load(5).await?;
+        rig.set_behaviour("catalogue", Manners::Breaks);
         rig.servers["assets"][0].does(Manners::Hangs);
-        more(&playing, 150).await;
+        wait_for_answers(&playing, 150).await;
         let seen = playing.stop().await.take();
         let calls: u64 = rig
             .servers
@@ -285,14 +287,14 @@
             .map(|server| server.calls.get())
             .sum();
         let report = instance.status().await?;
-        let made: u64 = ["catalogue", "assets"]
+        let wanted: u64 = ["catalogue", "assets"]
             .iter()
-            .filter_map(|of| dependency(&report, of)["calls"].as_u64())
+            .filter_map(|name| dependency(&report, name)["calls"].as_u64())
             .sum();
-        // Servers never see more calls than runs have wanted.
-        assert!(calls <= made, "{calls} of {made}: {report}");
+        // The servers never receive wait_for_answers calls than the runs have made.
+        assert!(calls <= wanted, "{calls} of {wanted}: {report}");
         assert_eq!(
-            ["again", "hedges"].map(|what| dependency(&report, "catalogue")[what].as_u64()),
+            ["again", "hedges"].map(|counter| dependency(&report, "catalogue")[counter].as_u64()),
             [Some(0); 2]
         );
         let verdict = seen.check(&instance.records.borrow(), load.patience);
--- a/crates/merlinshelf-cli/tests/serving.rs
+++ b/crates/merlinshelf-cli/tests/serving.rs
@@ -1,4 +1,5 @@
-//! The program itself between stand-ins of all that it talks to, on loopback sockets and in real time.
+//! The real program on loopback sockets and in real time, with the test playing the edge nodes, the engine, the
+//! catalogue and the membership service.
 
 use std::fmt::Write as _;
 use std::io::{ErrorKind, Write};
@@ -18,11 +19,11 @@
 const PROGRAM: &str = env!("CARGO_BIN_EXE_merlinshelf");
 
 #[test]
-fn interleaved_invocations_are_answered_in_any_order_and_unchanged() {
+fn interleaved_invocations_are_answered_in_completion_order_with_bodies_unchanged() {
     let rig = Rig::start(PROGRAM, 1024, &[]);
     let (mut engine, mut edge) = (rig.engine(), rig.edge());
     let mut trace = String::new();
-    // The second comes byte by byte, the first is answered after it.
+    // The second request arrives byte by byte and is answered before the first.
     edge.send(ask(1, "transcript-search", b"\0\xff\r\n", &[]));
     let _ = writeln!(trace, "{}", engine.message());
     for byte in ask(
@@ -50,7 +51,7 @@
     );
     edge.send(check);
     let _ = writeln!(trace, "{}", edge.answer());
-    // One whose time is used up is turned away at once and told when to come back.
+    // A request whose deadline has passed is rejected at once, with the time after which to retry.
     let stamp = (unix_ms() - 4001).to_string();
     edge.send(ask(
         4,
@@ -63,7 +64,7 @@
 }
 
 #[test]
-fn what_is_bad_touches_nothing_else() {
+fn malformed_requests_do_not_affect_other_requests() {
     let rig = Rig::start(PROGRAM, 1024, &[]);
     let (mut engine, mut edge) = (rig.engine(), rig.edge());
     let mut trace = String::new();
@@ -112,17 +113,17 @@
         record(9, 0, b"\x0f\0FCGI_MPXS_CONNS\x0d\0FCGI_MAX_REQS", 0),
         [ask(2, "transcript-search", b"", &[]), record(2, 2, b"", 0)].concat(),
     ];
-    // Ten on a connection: with more it ends.
+    // Ten on each connection: a connection is closed after too many faults.
     for cases in cases.chunks(10) {
-        let mut rude = rig.edge();
+        let mut faulty = rig.edge();
         for bytes in cases {
-            rude.send(bytes);
+            faulty.send(bytes);
             if !matches!(bytes[bytes.len() - 8..], [1, 4, ..]) && !bytes.ends_with(b"\x05\x05a") {
-                let _ = writeln!(trace, "{}", rude.answer());
+                let _ = writeln!(trace, "{}", faulty.answer());
             }
         }
     }
-    // No FastCGI ends this connection alone, and only once all that was read on it is answered.
+    // Bytes that are not FastCGI close only this connection, after every request read on it is answered.
     let mut other = rig.edge();
     edge.send("GET / HTTP/1.1\r\n\r\n");
     engine.send(format!("DONE 1 {} OK 12 4\r\nfine\r\n", id(1)));
@@ -135,19 +136,19 @@
 }
 
 #[test]
-fn more_than_32_on_one_connection_are_turned_away() {
+fn a_33rd_open_request_on_a_connection_is_rejected() {
     let rig = Rig::start(PROGRAM, 1024, &[]);
     let (_engine, mut edge) = (rig.engine(), rig.edge());
-    // Begun only, so that nothing of them is decided.
-    let begun: Vec<u8> = (1..=33)
+    // The requests are begun and not completed, so that none is admitted or rejected before the limit is reached.
+    let begin_records: Vec<u8> = (1..=33)
         .flat_map(|tag| record(1, tag, &[0, 1, 1, 0, 0, 0, 0, 0], 0))
         .collect();
-    edge.send(begun);
+    edge.send(begin_records);
     assert_eq!(edge.answer(), "33 ended with status 2");
 }
 
 #[test]
-fn a_broken_engine_link_is_taken_up_again() {
+fn a_broken_engine_link_is_replaced_and_lost_runs_are_sent_again() {
     let rig = Rig::start(PROGRAM, 1024, &[]);
     let (mut engine, mut edge) = (rig.engine(), rig.edge());
     edge.send(ask(1, "transcript-search", b"first", &[]));
@@ -157,19 +158,22 @@
         id(1)
     ));
     let _ = writeln!(trace, "{}", edge.answer());
-    // The link breaks on a line that can't be read; what comes meanwhile waits, a lost run is given again.
-    let mut dry = Duration::ZERO;
+    // An invalid line breaks the link. Requests that arrive meanwhile wait, and a lost run is sent again.
+    let mut time_without_link = Duration::ZERO;
     for _ in 0..8 {
-        engine.idle(millis(60)); // a link that stood for longer than the pause between two is replaced at once
+        engine.idle(millis(60)); // a link that lasted longer than the reconnect delay is replaced at once
         engine.questions(2);
         engine.send("WHAT\r\n");
-        let broke = Instant::now();
+        let broken_at = Instant::now();
         engine = Peer::accept(&rig.engine);
-        dry += broke.elapsed();
+        time_without_link += broken_at.elapsed();
         assert_eq!(engine.message(), "ATTACH 2");
         engine.send("HELLO WARM 6000\r\n");
     }
-    assert!(dry < millis(300), "the cores run dry for {dry:?}");
+    assert!(
+        time_without_link < millis(300),
+        "without a link for {time_without_link:?}"
+    );
     engine.questions(2);
     edge.send(ask(2, "transcript-search", b"second", &[]));
     let _ = writeln!(trace, "{}", engine.message());
@@ -191,49 +195,45 @@
 }
 
 #[test]
-fn a_link_that_falls_silent_is_replaced() {
+fn a_silent_engine_link_is_replaced() {
     let rig = Rig::start(PROGRAM, 1024, &[]);
-    let mut silent = rig.engine();
-    // Questions go unanswered from here on, and so does the next ATTACH.
+    let mut engine = rig.engine();
+    // From here on, neither gauge queries nor the next ATTACH are answered.
     let mut waits = Vec::new();
     for _ in 0..2 {
-        let began = Instant::now();
-        silent = Peer::accept(&rig.engine);
-        assert_eq!(silent.message(), "ATTACH 0");
-        waits.push(began.elapsed().as_secs());
+        let start = Instant::now();
+        engine = Peer::accept(&rig.engine);
+        assert_eq!(engine.message(), "ATTACH 0");
+        waits.push(start.elapsed().as_secs());
     }
     assert!(waits.iter().all(|wait| (2..=4).contains(wait)), "{waits:?}");
-    silent.send("HELLO WARM 12000\r\n");
+    engine.send("HELLO WARM 12000\r\n");
     let mut edge = rig.edge();
     edge.send(ask(1, "transcript-search", b"", &[]));
-    assert!(silent.message().starts_with("RUN"));
+    assert!(engine.message().starts_with("RUN"));
 }
 
 #[test]
-fn calls_below_are_made_and_their_ends_told_apart() {
+fn downstream_calls_are_made_and_their_outcomes_distinguished() {
     let mut rig = Rig::start(PROGRAM, 1024, &[]);
     let (mut engine, mut edge) = (rig.engine(), rig.edge());
     let mut trace = String::new();
     edge.send(ask(1, "thumbnail", b"", &[]));
     let _ = writeln!(trace, "{}", engine.message());
     engine.send(format!("NEED 1 {} 3\r\na\0b\r\n", id(1)));
-    let mut below = Peer::accept(&rig.catalogue);
-    let called = below.message();
-    let _ = writeln!(
-        trace,
-        "{} ... {}",
-        &called[..23],
-        &called[called.len() - 8..]
-    );
-    below.send(format!("{} ok 5\r\n\r\n\0\r\n\r\n", id(1)));
+    let mut first = Peer::accept(&rig.catalogue);
+    let call = first.message();
+    let _ = writeln!(trace, "{} ... {}", &call[..23], &call[call.len() - 8..]);
+    first.send(format!("{} ok 5\r\n\r\n\0\r\n\r\n", id(1)));
     let _ = writeln!(trace, "{}", engine.message());
-    // A connection that breaks under a call proves nothing: the call may be made again, as all are idempotent.
+    // A connection that breaks during a call leaves its outcome unknown. The call may be retried, since all calls are
+    // idempotent.
     engine.send(format!("NEED 2 {} 3\r\ntwo\r\n", id(1)));
     let mut second = Peer::accept(&rig.catalogue);
     let _ = writeln!(trace, "{}", &second.message()[..23]);
     second.send("what is this\r\n");
     let _ = writeln!(trace, "{:?}", second.line());
-    // A refused connection ends the next one at once: left out, or made again and refused again.
+    // With connections refused, the call ends at once: it is skipped, or retried and refused again.
     rig.catalogue = TcpListener::bind("127.0.0.1:0").expect("a port");
     let _ = writeln!(trace, "{}", engine.message());
     engine.send(format!("DONE 3 {} OK 90 2\r\nok\r\n", id(1)));
@@ -242,26 +242,27 @@
 }
 
 #[test]
-fn each_reply_word_is_taken_for_what_it_proves_and_idle_lines_are_retired() {
+fn call_reply_statuses_are_counted_and_idle_catalogue_connections_closed() {
     let mut rig = Rig::start(PROGRAM, 1024, &[("\"stop_ms\": 3200", "\"stop_ms\": 400")]);
     let (mut engine, mut edge) = (rig.engine(), rig.edge());
-    let mut below: Option<Peer> = None;
-    for (number, word) in (1..).zip(["overload", "stale", "internal", "deadline"]) {
+    let mut catalogue: Option<Peer> = None;
+    for (number, status) in (1..).zip(["overload", "stale", "internal", "deadline"]) {
         edge.send(ask(number, "thumbnail", b"", &[]));
         assert!(engine.message().starts_with("RUN"));
         engine.send(format!("NEED {} {} 0\r\n\r\n", 2 * number - 1, id(number)));
-        let lane = below.get_or_insert_with(|| Peer::accept(&rig.catalogue));
+        let connection = catalogue.get_or_insert_with(|| Peer::accept(&rig.catalogue));
         assert!(
-            lane.message()
+            connection
+                .message()
                 .starts_with(&format!("invoke {}", id(number)))
         );
-        lane.send(format!("{} {word}\r\n", id(number)));
-        let ends = ["calls_never_ran", "calls_failed"][usize::from(number > 2)];
+        connection.send(format!("{} {status}\r\n", id(number)));
+        let counter = ["calls_never_ran", "calls_failed"][usize::from(number > 2)];
         rig.counted(
-            ends,
+            counter,
             u64::from(if number > 2 { number - 2 } else { number }),
         );
-        // The run ends by itself, whatever the module does about the call.
+        // The engine ends the run itself, whether or not the call is retried.
         engine.send(format!(
             "DONE {} {} OK 50 0\r\n\r\n",
             2 * number,
@@ -269,15 +270,19 @@
         ));
         assert!(edge.answer().contains("200 OK"));
     }
-    // All went over one line. Its far end may close or forget an idle one: a call that met that proves nothing.
-    let (mut lane, idle) = (below.expect("a lane"), Instant::now());
-    while lane.stream.peek(&mut [0]).is_err() || lane.line().is_some() {
+    // All calls used one connection. It is closed after a while of idleness: a server may drop an idle connection, and
+    // a call sent on it would then have an unknown outcome.
+    let (mut connection, idle_since) = (catalogue.expect("a connection"), Instant::now());
+    while connection.stream.peek(&mut [0]).is_err() || connection.line().is_some() {
         engine.idle(millis(20));
-        assert!(idle.elapsed() < millis(2500), "it stays open");
+        assert!(
+            idle_since.elapsed() < millis(2500),
+            "the idle connection stays open"
+        );
     }
     assert!(
-        idle.elapsed() > millis(500),
-        "it is closed too soon to be of use"
+        idle_since.elapsed() > millis(500),
+        "the connection is closed too early to be reused"
     );
     rig.signal("TERM");
     let (_, log) = rig.end();
@@ -289,31 +294,33 @@
 }
 
 #[test]
-fn a_call_without_a_reply_is_given_up_in_time_with_its_connection() {
+fn a_call_without_a_reply_times_out_and_its_connection_is_closed() {
     let rig = Rig::start(PROGRAM, 1024, &[("1700000", "1200000")]); // a latency objective of 1.2 s
     let (mut engine, mut edge) = (rig.engine(), rig.edge());
     edge.send(ask(1, "thumbnail", b"", &[]));
     let mut trace = engine.message() + "\n";
     engine.send(format!("NEED 1 {} 3\r\none\r\n", id(1)));
-    // Each call goes on a connection of its own, which is closed when the call is given up.
-    let called = Instant::now();
-    let mut lanes: Vec<Peer> = Vec::new();
+    // Each attempt uses its own connection, which is closed when the attempt times out.
+    let start = Instant::now();
+    let mut connections: Vec<Peer> = Vec::new();
     for _ in 0..3 {
-        lanes.push(Peer::accept(&rig.catalogue));
-        let call = lanes.last_mut().expect("a lane").message();
+        connections.push(Peer::accept(&rig.catalogue));
+        let call = connections.last_mut().expect("a connection").message();
         let _ = writeln!(trace, "{} ... {}", &call[..23], &call[call.len() - 5..]);
     }
     let _ = writeln!(trace, "{}", engine.message());
     assert!(
-        lanes.iter_mut().all(|lane| lane.line().is_none()),
+        connections
+            .iter_mut()
+            .all(|connection| connection.line().is_none()),
         "a connection without a reply stays open"
     );
     assert!(
-        called.elapsed() < millis(1600),
-        "given up after {:?}",
-        called.elapsed()
+        start.elapsed() < millis(1600),
+        "timed out after {:?}",
+        start.elapsed()
     );
-    // The run goes on to its next call, which is left out at once after three.
+    // The run continues with its next call, which is skipped at once after three failed attempts.
     engine.send(format!("NEED 2 {} 3\r\ntwo\r\n", id(1)));
     let _ = writeln!(trace, "{}", engine.message());
     engine.send(format!("DONE 3 {} OK 400 4\r\nfine\r\n", id(1)));
@@ -322,52 +329,53 @@
 }
 
 #[test]
-fn a_spoilt_reply_costs_the_call_it_struck_and_no_other() {
+fn a_malformed_reply_fails_only_its_own_call() {
     let rig = Rig::start(PROGRAM, 1024, &[("\"Cores\": 2", "\"Cores\": 12")]);
     let (mut engine, mut edge) = (rig.engine(), rig.edge());
-    let mut calls = |number: u16| {
+    let mut start_call = |number: u16| {
         edge.send(ask(number, "thumbnail", b"", &[]));
         assert!(engine.message().starts_with("RUN"));
         engine.send(format!("NEED {number} {} 0\r\n\r\n", id(number)));
-        let mut line = Peer::accept(&rig.catalogue);
+        let mut connection = Peer::accept(&rig.catalogue);
         assert!(
-            line.message()
+            connection
+                .message()
                 .starts_with(&format!("invoke {}", id(number)))
         );
-        line
+        connection
     };
-    let (mut neighbour, mut line, sent) = (calls(1), calls(2), Instant::now());
-    line.send("noise");
+    let (mut good, mut bad, sent) = (start_call(1), start_call(2), Instant::now());
+    bad.send("noise");
     assert_eq!(
-        line.line(),
+        bad.line(),
         None,
-        "the connection of a spoilt reply stays open"
+        "the connection of a malformed reply stays open"
     );
     assert!(
         sent.elapsed() < millis(500),
-        "ended only after {:?}",
+        "closed after {:?}",
         sent.elapsed()
     );
-    // Its next try has a connection of its own again.
-    let mut again = Peer::accept(&rig.catalogue);
-    assert!(again.message().starts_with(&format!("invoke {}", id(2))));
-    // A reply under another id ahead and a second copy behind do no harm, and the line is not kept.
-    neighbour.send(format!(
+    // The retry uses a new connection.
+    let mut retry = Peer::accept(&rig.catalogue);
+    assert!(retry.message().starts_with(&format!("invoke {}", id(2))));
+    // A reply with another id before the right one and a duplicate after it are ignored, and the connection is not reused.
+    good.send(format!(
         "{} ok 3\r\nbad\r\n{} ok 4\r\ngood\r\n",
         id(77),
         id(1)
     ));
-    neighbour.send(format!("{} ok 4\r\ngood\r\n", id(1)));
+    good.send(format!("{} ok 4\r\ngood\r\n", id(1)));
     assert_eq!(engine.message(), format!("FEED {} 4 good", id(1)));
     assert_eq!(
-        neighbour.line(),
+        good.line(),
         None,
-        "what brought more than its reply is kept"
+        "a connection with more than its reply is reused"
     );
 }
 
 #[test]
-fn a_new_configuration_moves_all_that_is_in_hand() {
+fn a_reloaded_configuration_moves_calls_in_flight_to_the_new_addresses() {
     let mut rig = Rig::start(PROGRAM, 1024, &[]);
     let (mut engine, mut edge) = (rig.engine(), rig.edge());
     let mut members = Peer::accept(&rig.members);
@@ -375,10 +383,10 @@
     edge.send(ask(1, "thumbnail", b"", &[]));
     let mut trace = engine.message() + "\n";
     engine.send(format!("NEED 1 {} 3\r\none\r\n", id(1)));
-    let mut below = Peer::accept(&rig.catalogue);
-    let _ = writeln!(trace, "{}", &below.message()[..23]);
+    let mut catalogue = Peer::accept(&rig.catalogue);
+    let _ = writeln!(trace, "{}", &catalogue.message()[..23]);
     let before = std::fs::read_to_string(&rig.config).expect("a file");
-    // Files that can't be used leave everything as it was.
+    // Invalid files change nothing.
     let unusable = [
         "",
         "{",
@@ -393,14 +401,15 @@
     std::fs::remove_file(&rig.config).expect("a file");
     rig.signal("HUP");
     rig.logged("the old configuration stays in force", unusable.len() + 1);
-    // The new one moves all three at once; its other name is not heeded.
-    let ((new_engine, at_engine), (new_catalogue, at_catalogue), (new_members, at_members)) =
-        (bind(), bind(), bind());
+    // A valid file changes all three addresses at once; its changed name is ignored.
+    let (new_engine, engine_address) = bind();
+    let (new_catalogue, catalogue_address) = bind();
+    let (new_members, members_address) = bind();
     let mut text = before.replace("\"n0\"", "\"n7\"");
     for (old, new) in [
-        (&rig.engine, at_engine),
-        (&rig.catalogue, at_catalogue),
-        (&rig.members, at_members),
+        (&rig.engine, engine_address),
+        (&rig.catalogue, catalogue_address),
+        (&rig.members, members_address),
     ] {
         text = text.replace(&old.local_addr().expect("one").to_string(), &new);
     }
@@ -410,31 +419,31 @@
     let _ = writeln!(trace, "{}", engine.message());
     engine.send("HELLO WARM 7000\r\n");
     let _ = writeln!(trace, "{:?}", Peer::accept(&new_members).line());
-    // The reply that is due on the old connection is used, the next call goes to the new address.
-    below.send(format!("{} ok 3\r\nold\r\n", id(1)));
+    // The pending reply on the old connection is used, and the next call goes to the new address.
+    catalogue.send(format!("{} ok 3\r\nold\r\n", id(1)));
     let _ = writeln!(trace, "{}", engine.message());
     engine.send(format!("NEED 2 {} 3\r\ntwo\r\n", id(1)));
-    let mut below = Peer::accept(&new_catalogue);
-    let _ = writeln!(trace, "{}", &below.message()[..23]);
-    below.send(format!("{} ok 3\r\nnew\r\n", id(1)));
+    let mut catalogue = Peer::accept(&new_catalogue);
+    let _ = writeln!(trace, "{}", &catalogue.message()[..23]);
+    catalogue.send(format!("{} ok 3\r\nnew\r\n", id(1)));
     let _ = writeln!(trace, "{}", engine.message());
     engine.send(format!("DONE 3 {} OK 90 2\r\nok\r\n", id(1)));
     let _ = writeln!(trace, "{}", edge.answer());
     rig.signal("TERM");
     let (status, log) = rig.end();
-    let told = log.lines().filter(|line| line.contains("onfiguration"));
-    let told = told.map(|line| line.split(' ').skip(1).collect::<Vec<_>>().join(" "));
-    let told = told.map(|line| line.replace(&rig.config.display().to_string(), "FILE"));
-    let told = told.map(|line| line.split(": engine").next().unwrap_or("").to_owned() + "\n");
-    let _ = write!(trace, "{status}\n{}", told.collect::<String>());
+    let logged = log.lines().filter(|line| line.contains("onfiguration"));
+    let logged = logged.map(|line| line.split(' ').skip(1).collect::<Vec<_>>().join(" "));
+    let logged = logged.map(|line| line.replace(&rig.config.display().to_string(), "FILE"));
+    let logged = logged.map(|line| line.split(": engine").next().unwrap_or("").to_owned() + "\n");
+    let _ = write!(trace, "{status}\n{}", logged.collect::<String>());
     assert_snapshot!(trace);
 }
 
 #[test]
-fn idle_connections_are_closed_and_no_others() {
-    let rig = Rig::start(PROGRAM, 1024, &[("30000000", "600000")]); // the module trims at a third of that
+fn only_idle_edge_connections_are_closed() {
+    let rig = Rig::start(PROGRAM, 1024, &[("30000000", "600000")]); // connections are closed after a third of that
     let (mut engine, mut idle, mut edge) = (rig.engine(), rig.edge(), rig.edge());
-    let began = Instant::now();
+    let start = Instant::now();
     edge.send(ask(1, "transcript-search", b"", &[]));
     assert!(engine.message().starts_with("RUN"));
     let half = ask(2, "transcript-search", b"", &[]);
@@ -442,9 +451,9 @@
     reading.send(&half[..half.len() / 2]);
     assert_eq!(idle.answer(), "closed");
     assert!(
-        began.elapsed() > millis(150),
+        start.elapsed() > millis(150),
         "closed after {:?}",
-        began.elapsed()
+        start.elapsed()
     );
     engine.idle(millis(500));
     reading.send(&half[half.len() / 2..]);
@@ -457,21 +466,21 @@
 }
 
 #[test]
-fn a_membership_service_that_never_answers_is_asked_again() {
+fn an_unanswered_membership_report_is_sent_again() {
     let rig = Rig::start(PROGRAM, 1024, &[]);
-    let (mut first, began) = (Peer::accept(&rig.members), Instant::now());
+    let (mut first, sent) = (Peer::accept(&rig.members), Instant::now());
     assert_eq!(first.line().as_deref(), Some("PUT /members/n0 HTTP/1.1"));
     let mut second = Peer::accept(&rig.members);
     assert_eq!(second.line().as_deref(), Some("PUT /members/n0 HTTP/1.1"));
     assert!(
-        began.elapsed() < millis(1500),
-        "asked again after {:?}",
-        began.elapsed()
+        sent.elapsed() < millis(1500),
+        "sent again after {:?}",
+        sent.elapsed()
     );
 }
 
 #[test]
-fn a_slow_reader_holds_up_nobody_and_loses_nothing() {
+fn a_slow_reader_does_not_delay_others_and_receives_every_answer() {
     let rig = Rig::start(PROGRAM, 1024, &[("\"Cores\": 2", "\"Cores\": 40")]);
     let (engine, mut slow, mut edge) = (rig.engine(), rig.edge(), rig.edge());
     let result = "r".repeat(4096);
@@ -482,10 +491,10 @@
     assert!(edge.answer().ends_with(&result));
     assert!(
         asked.elapsed() < millis(500),
-        "held up for {:?}",
+        "delayed for {:?}",
         asked.elapsed()
     );
-    // Each has its one answer, whole; a few were over the 32 that may be open.
+    // Each request has exactly one complete answer; a few exceeded the limit of 32 open requests.
     let mut tags: Vec<String> = Vec::new();
     for _ in 0..sent {
         let answer = slow.answer();
@@ -498,12 +507,13 @@
     tags.sort();
     tags.dedup();
     assert_eq!(tags.len(), sent);
-    // One that never reads is closed in the end: what is written to it then comes back as a reset.
-    let mut dead = rig.edge();
-    dead.stream
+    // A connection whose answers are never read is closed eventually: further writes to it fail.
+    let mut stalled = rig.edge();
+    stalled
+        .stream
         .set_write_timeout(Some(millis(100)))
         .expect("a time-out");
-    let stopped = Instant::now();
+    let start = Instant::now();
     for tag in (1..60_000).cycle() {
         let bytes = ask(
             tag,
@@ -511,7 +521,7 @@
             b"",
             &[("HTTP_X_PATIENCE_MS", "60000")],
         );
-        match dead.stream.write_all(&bytes) {
+        match stalled.stream.write_all(&bytes) {
             Err(error)
                 if matches!(
                     error.kind(),
@@ -520,13 +530,16 @@
             {
                 break;
             }
-            _ => assert!(stopped.elapsed() < millis(20_000), "it is kept for good"),
+            _ => assert!(
+                start.elapsed() < millis(20_000),
+                "the stalled connection stays open"
+            ),
         }
     }
 }
 
 #[test]
-fn a_pause_of_the_process_is_survived() {
+fn after_a_pause_of_the_process_only_late_invocations_fail() {
     let rig = Rig::start(PROGRAM, 1024, &[]);
     let (mut engine, mut edge) = (rig.engine(), rig.edge());
     edge.send(ask(
@@ -546,12 +559,12 @@
     sleep(millis(500));
     edge.send(ask(3, "transcript-search", b"", &[]));
     rig.signal("CONT");
-    // Late ones at once, the other as if nothing had been.
-    let mut ends = [edge.answer(), edge.answer()];
-    ends.sort();
+    // The late ones are answered at once, and the third is served as usual.
+    let mut answers = [edge.answer(), edge.answer()];
+    answers.sort();
     assert!(
-        ends[0].starts_with("1 500") && ends[1].starts_with("2 503"),
-        "{ends:?}"
+        answers[0].starts_with("1 500") && answers[1].starts_with("2 503"),
+        "{answers:?}"
     );
     while engine.message() != format!("RUN {} transcript-search 0 ", id(3)) {}
     engine.send(format!(
@@ -563,10 +576,11 @@
 }
 
 #[test]
-fn what_came_while_the_process_stood_still_is_read_before_anybody_is_given_up() {
+fn requests_received_during_a_pause_are_read_before_connections_time_out() {
     let rig = Rig::start(PROGRAM, 1024, &[]);
     serve_all(rig.engine(), "fine");
-    // On the one nothing has come yet, on the other a part; both are whole, with more behind, by the time it goes on.
+    // Before the pause, one connection has sent nothing and the other a partial request. By the end of the pause, both
+    // have sent complete requests.
     let (mut fresh, mut half) = (rig.edge(), rig.edge());
     let first = ask(1, "transcript-search", b"", &[]);
     half.send(&first[..50]);
@@ -579,27 +593,30 @@
     rig.signal("CONT");
     for edge in [&mut fresh, &mut half] {
         let answers: Vec<String> = (0..5).map(|_| edge.answer()).collect();
-        // What the module turns away is answered too; nothing is cut off with its connection.
-        let ended = |answer: &String| answer.ends_with("fine") || answer.contains(" 503");
-        assert!(answers.iter().all(ended), "{answers:?}");
+        // Rejected requests are answered too; no connection is closed with requests on it unanswered.
+        let is_complete = |answer: &String| answer.ends_with("fine") || answer.contains(" 503");
+        assert!(answers.iter().all(is_complete), "{answers:?}");
         edge.send(ask(12, "transcript-search", b"", &[]));
-        assert!(edge.answer().ends_with("fine"), "the connection goes on");
+        assert!(
+            edge.answer().ends_with("fine"),
+            "the next request is not served"
+        );
     }
 }
 
-/// Begins an invocation of the operation without calls, its parameters whole.
-fn begun(tag: u16) -> Vec<u8> {
+/// A request without its body, for the operation without downstream calls: its parameters are complete.
+fn without_body(tag: u16) -> Vec<u8> {
     let mut bytes = ask(tag, "transcript-search", b"", &[]);
     bytes.truncate(bytes.len() - 8);
     bytes
 }
 
 #[test]
-fn what_is_turned_down_half_read_is_answered_at_once() {
+fn a_rejected_request_is_answered_before_it_is_complete() {
     let rig = Rig::start(PROGRAM, 1024, &[]);
     serve_all(rig.engine(), "fine");
     let (mut edge, sent) = (rig.edge(), Instant::now());
-    edge.send([begun(1), record(5, 1, &[b'x'; 3000], 0)].concat());
+    edge.send([without_body(1), record(5, 1, &[b'x'; 3000], 0)].concat());
     assert!(edge.answer().starts_with("1 413"));
     edge.send(
         [
@@ -611,10 +628,10 @@
     assert!(edge.answer().starts_with("2 400"));
     assert!(
         sent.elapsed() < millis(500),
-        "told after {:?}",
+        "answered after {:?}",
         sent.elapsed()
     );
-    // What still comes of it is passed over, and the next one is served.
+    // The rest of a rejected request is discarded, and the next one is served.
     edge.send(
         [
             record(5, 1, &[b'x'; 3000], 0),
@@ -625,69 +642,69 @@
     );
     edge.send(ask(3, "transcript-search", b"", &[]));
     assert!(edge.answer().ends_with("fine"));
-    // Up to a bound, after which it is told so by a close.
+    // The discarding has a limit, at which the connection is closed.
     let until = Instant::now() + PATIENCE;
     while edge
         .stream
         .write_all(&record(5, 1, &[b'x'; 60_000], 0))
         .is_ok()
     {
-        assert!(Instant::now() < until, "60 MB would be read");
+        assert!(Instant::now() < until, "the connection stays open");
     }
 }
 
 #[test]
-fn who_never_comes_to_a_whole_word_is_closed_in_time() {
+fn connections_that_never_complete_a_request_are_closed() {
     let rig = Rig::start(PROGRAM, 1024, &[]);
     let mut engine = rig.engine();
-    let (mut silent, mut half, mut trickle, mut odd) =
+    let (mut silent, mut half, mut trickle, mut unknown) =
         (rig.edge(), rig.edge(), rig.edge(), rig.edge());
-    let (mut known, opened) = (rig.edge(), Instant::now());
-    known.send(ask(9, "transcript-search", b"", &[]));
-    half.send(begun(1));
-    odd.send(record(77, 5, &[0; 100], 0));
-    let word = begun(2);
-    for byte in word.iter().cycle().take(60) {
+    let (mut active, opened) = (rig.edge(), Instant::now());
+    active.send(ask(9, "transcript-search", b"", &[]));
+    half.send(without_body(1));
+    unknown.send(record(77, 5, &[0; 100], 0));
+    let request = without_body(2);
+    for byte in request.iter().cycle().take(60) {
         if trickle.stream.write_all(&[*byte]).is_err() {
             break;
         }
         engine.idle(millis(30));
     }
     assert!(half.answer().starts_with("1 408") && trickle.answer().starts_with("2 408"));
-    for (what, edge) in [
+    for (name, edge) in [
         ("half", &mut half),
         ("silent", &mut silent),
         ("trickle", &mut trickle),
-        ("odd", &mut odd),
+        ("unknown", &mut unknown),
     ] {
-        assert_eq!(edge.answer(), "closed", "{what}");
+        assert_eq!(edge.answer(), "closed", "{name}");
     }
     assert!(
         opened.elapsed() < millis(2600),
         "closed after {:?}",
         opened.elapsed()
     );
-    // Who waits for an answer, or had one, stays.
+    // A connection with a request in flight or answered stays open.
     engine.send(format!("DONE 1 {} OK 12 4\r\nfine\r\n", id(9)));
-    assert!(known.answer().ends_with("fine"));
+    assert!(active.answer().ends_with("fine"));
     engine.idle(millis(1700));
-    known.send(ask(10, "transcript-search", b"", &[]));
+    active.send(ask(10, "transcript-search", b"", &[]));
     assert!(engine.message().starts_with("RUN 000000000000000a"));
 }
 
 #[test]
-fn the_same_fault_again_and_again_takes_nothing_from_others() {
+fn repeated_faults_on_one_connection_do_not_affect_others() {
     let mut rig = Rig::start(PROGRAM, 1024, &[("\"stop_ms\": 3200", "\"stop_ms\": 400")]);
-    let (mut engine, mut rude, mut edge) = (rig.engine(), rig.edge(), rig.edge());
-    // The engine does not know this one: it is told at once, and this counts as a fault too.
-    rude.send(ask(1, "transcript-search", b"", &[]));
+    let (mut engine, mut faulty, mut edge) = (rig.engine(), rig.edge(), rig.edge());
+    // The engine does not know this invocation: the edge node is answered at once, and this counts as a fault too.
+    faulty.send(ask(1, "transcript-search", b"", &[]));
     assert!(engine.message().starts_with("RUN"));
     engine.send(format!("NO RUN {}\r\n", id(1)));
-    let mut answers = vec![rude.answer()];
-    let wrong = ask(1, "no-such", b"", &[]);
-    let began = Instant::now();
-    while answers.len() < 100 && rude.stream.write_all(&wrong).is_ok() {
-        answers.push(rude.answer());
+    let mut answers = vec![faulty.answer()];
+    let invalid = ask(1, "no-such", b"", &[]);
+    let start = Instant::now();
+    while answers.len() < 100 && faulty.stream.write_all(&invalid).is_ok() {
+        answers.push(faulty.answer());
         if answers.last().is_some_and(|answer| answer == "closed") {
             break;
         }
@@ -700,10 +717,13 @@
         16,
         "{answers:?}"
     );
-    assert!(began.elapsed() > millis(300), "it is not slowed down");
+    assert!(
+        start.elapsed() > millis(300),
+        "the faulty connection is not slowed down"
+    );
     for _ in 0..3 {
         let mut flood = rig.edge();
-        let _ = flood.stream.write_all(&wrong.repeat(300));
+        let _ = flood.stream.write_all(&invalid.repeat(300));
     }
     edge.send(ask(2, "transcript-search", b"", &[]));
     assert!(engine.message().starts_with("RUN 0000000000000002"));
@@ -721,23 +741,23 @@
 }
 
 #[test]
-fn a_newcomer_takes_the_seat_of_who_is_idle_for_longest() {
+fn a_new_connection_replaces_the_longest_idle_one_when_all_are_in_use() {
     let rig = Rig::start(PROGRAM, 64, &[("\"sockets\": 1024", "\"sockets\": 64")]);
     serve_all(rig.engine(), "fine");
-    let mut known = rig.edge();
-    known.send(ask(1, "transcript-search", b"", &[]));
-    assert!(known.answer().ends_with("fine"));
+    let mut served = rig.edge();
+    served.send(ask(1, "transcript-search", b"", &[]));
+    assert!(served.answer().ends_with("fine"));
     let mut silent: Vec<Peer> = (0..200).map(|_| rig.edge()).collect();
     let (mut edge, asked) = (rig.edge(), Instant::now());
     edge.send(ask(2, "transcript-search", b"", &[]));
     assert!(edge.answer().ends_with("fine"));
     assert!(
         asked.elapsed() < millis(1000),
-        "it waited {:?}",
+        "waited {:?}",
         asked.elapsed()
     );
     assert_eq!(silent[0].answer(), "closed");
-    // Those that ask for health and stay come and go without holding up each other.
+    // Connections that send a health check and stay open do not delay each other.
     let mut checked = Vec::new();
     for tag in 1..=600 {
         checked.push(rig.edge());
@@ -750,30 +770,30 @@
         "600 checks took {:?}",
         asked.elapsed()
     );
-    known.send(ask(3, "transcript-search", b"", &[]));
+    served.send(ask(3, "transcript-search", b"", &[]));
     assert!(
-        known.answer().ends_with("fine"),
-        "one that had been served was closed before the silent ones"
+        served.answer().ends_with("fine"),
+        "a connection that had been served was closed before the silent ones"
     );
 }
 
 #[test]
-fn garbled_bytes_end_nothing_but_their_own_connection() {
+fn garbled_bytes_affect_only_their_own_connection() {
     let mut rig = Rig::start(PROGRAM, 1024, &[("\"stop_ms\": 3200", "\"stop_ms\": 400")]);
     serve_all(rig.engine(), "fine");
     let mut rng = Pcg32::seed_from_u64(11);
     for tag in 1..=300 {
         let mut bytes = ask(tag, "transcript-search", b"body", &[]);
         for _ in 0..rng.random_range(1..5) {
-            let place = rng.random_range(0..bytes.len());
+            let offset = rng.random_range(0..bytes.len());
             match rng.random_range(0..3) {
-                0 => bytes[place] = rng.random(),
-                1 => drop(bytes.drain(place..)),
-                _ => bytes.insert(place, rng.random()),
+                0 => bytes[offset] = rng.random(),
+                1 => drop(bytes.drain(offset..)),
+                _ => bytes.insert(offset, rng.random()),
             }
             bytes.push(0);
         }
-        // Whatever comes of it, the far end may be gone before all is written.
+        // The server may close the connection before everything is written.
         let _ = rig.edge().stream.write_all(&bytes);
     }
     let mut edge = rig.edge();
@@ -788,10 +808,10 @@
 }
 
 #[test]
-fn a_full_table_of_descriptors_is_survived() {
+fn serving_continues_after_more_connections_than_descriptors() {
     let rig = Rig::start(PROGRAM, 64, &[("\"sockets\": 1024", "\"sockets\": 64")]);
     let mut engine = rig.engine();
-    // More than may be open. Those that say nothing make room for those that wait.
+    // More connections than the limit allows: silent ones are closed in favour of waiting ones.
     let mut edges: Vec<Peer> = (0..80).map(|_| rig.edge()).collect();
     for tag in [79, 40, 60] {
         engine.idle(millis(50));
@@ -814,14 +834,14 @@
 }
 
 #[test]
-fn who_waits_behind_a_full_table_is_answered_before_the_end() {
+fn a_connection_waiting_for_a_free_one_is_answered_during_the_drain() {
     let changes = [
         ("\"sockets\": 1024", "\"sockets\": 64"),
         ("\"stop_ms\": 3200", "\"stop_ms\": 1200"),
     ];
     let mut rig = Rig::start(PROGRAM, 64, &changes);
     let mut engine = rig.engine();
-    // Its gauges stay fresh, so that nothing is cut and all 32 have something in hand.
+    // Gauge queries are answered, so that nothing is rejected and all 32 connections have an invocation in flight.
     std::thread::spawn(move || while !engine.message().is_empty() {});
     let mut busy: Vec<Peer> = (0..32).map(|_| rig.edge()).collect();
     (1..)
@@ -829,7 +849,7 @@
         .for_each(|(tag, edge)| edge.send(ask(tag, "transcript-search", b"", &[])));
     let mut waiting = rig.edge();
     waiting.send(ask(1, "", b"", &[("SCRIPT_NAME", "/status/live")]));
-    // All 32 have been written to by the time the newcomer stands there, so that none may go for it.
+    // All 32 have an invocation in flight by the time the new connection waits, so none can be closed for it.
     rig.logged("all 32 connections are in use", 1);
     rig.signal("TERM");
     assert!(waiting.answer().starts_with("1 503"));
@@ -841,7 +861,7 @@
 }
 
 #[test]
-fn reports_go_out_and_sigterm_ends_it_with_all_answered() {
+fn sigterm_reports_the_out_phase_and_answers_all_requests() {
     let mut rig = Rig::start(
         PROGRAM,
         1024,
@@ -877,7 +897,7 @@
     let _ = writeln!(trace, "{}", &members.text()[members.come.len() - 15..]);
     assert!(
         noticed.elapsed() < millis(300),
-        "told late: {:?}",
+        "reported after {:?}",
         noticed.elapsed()
     );
     edge.send(ask(2, "", b"", &[("SCRIPT_NAME", "/status/live")]));
@@ -911,22 +931,22 @@
 }
 
 #[test]
-fn peers_that_are_away_do_no_harm() {
+fn an_unreachable_engine_or_membership_service_does_not_stop_serving() {
     let mut rig = Rig::start(PROGRAM, 1024, &[]);
-    rig.members = TcpListener::bind("127.0.0.1:0").expect("a port"); // the real one refuses from now on
+    rig.members = TcpListener::bind("127.0.0.1:0").expect("a port"); // the configured address refuses connections from now on
     let mut early = rig.edge();
     early.send(ask(1, "", b"", &[("SCRIPT_NAME", "/status/live")]));
     assert!(early.answer().contains("200 OK"));
     early.send(ask(2, "transcript-search", b"", &[]));
     assert!(
         early.answer().starts_with("2 503"),
-        "nothing runs before the engine is up"
+        "rejected while the engine has not attached"
     );
     let mut engine = rig.engine();
     early.send(ask(3, "transcript-search", b"", &[]));
     assert!(engine.message().starts_with("RUN"));
     drop(engine);
-    rig.engine = TcpListener::bind("127.0.0.1:0").expect("a port"); // and the engine's too
+    rig.engine = TcpListener::bind("127.0.0.1:0").expect("a port"); // and so does the engine's
     early.send(ask(
         4,
         "transcript-search",
@@ -935,12 +955,12 @@
     ));
     assert!(
         early.answer().starts_with("4 5"),
-        "answered by its due time without a link"
+        "answered by the deadline without a link"
     );
 }
 
 #[test]
-fn a_bad_configuration_is_named_and_ends_it() {
+fn an_invalid_configuration_is_reported_and_ends_the_process() {
     let mut trace = String::new();
     let texts: [(&str, &str); 5] = [
         ("\"seed\"", "\"sead\""),
@@ -962,7 +982,7 @@
         let _ = write!(trace, "{} {text}", ended.status);
         std::fs::remove_file(&path).expect("a file");
     }
-    // An address that is taken is named too.
+    // An address that is in use is reported too.
     let (_taken, address) = bind();
     let path = configuration(&[("127.0.0.1:6565", &address)]);
     let ended = program(PROGRAM, &path, 1024, &[])
