--- a/crates/merlinshelf-cli/tests/fleet.rs
+++ b/crates/merlinshelf-cli/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! The real agent with real instances between stand-ins: it starts, upgrades, drains and finds again, through deaths of the
-//! instances and of itself.
+//! The real agent with real instances between fakes: it starts, upgrades, drains and adopts instances while they, or the
+//! agent itself, are killed.
 
 use std::io;
 use std::process::Command;
@@ -15,12 +15,12 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_merlinshelf");
 
-/// Plays on one thread, within a time.
-fn play<T>(what: impl Future<Output = io::Result<T>>) -> T {
-    play_within(Duration::from_secs(100), what)
+/// Runs a test on one thread, with a timeout.
+fn run_test<T>(test: impl Future<Output = io::Result<T>>) -> T {
+    play_within(Duration::from_secs(100), test)
 }
 
-fn change() -> Value {
+fn change_settings() -> Value {
     json!({ "out_at_once": 2, "floor": 0.5, "warm_ms": 200, "looked_ms": 400, "worse": 0.2 })
 }
 
@@ -31,54 +31,55 @@
     Ok(std::fs::canonicalize(copy)?.to_string_lossy().into_owned())
 }
 
-async fn last(rig: &Rig, body: Value) -> io::Result<(ControlMessage, Value)> {
+/// Sends a request and returns the last reply.
+async fn request(rig: &Rig, body: Value) -> io::Result<(ControlMessage, Value)> {
     rig.ask(&body)
         .await?
         .pop()
         .ok_or_else(|| io::ErrorKind::UnexpectedEof.into())
 }
 
-async fn names_where(rig: &Rig, what: impl Fn(&Value) -> bool) -> io::Result<Vec<String>> {
+async fn names_where(rig: &Rig, predicate: impl Fn(&Value) -> bool) -> io::Result<Vec<String>> {
     let (all, _) = rig.status().await?;
     Ok(all
         .iter()
-        .filter(|one| what(one))
-        .map(|one| one["name"].as_str().unwrap_or("").to_owned())
+        .filter(|instance| predicate(instance))
+        .map(|instance| instance["name"].as_str().unwrap_or("").to_owned())
         .collect())
 }
 
 #[test]
-fn a_rolling_upgrade_then_a_drain_of_all_under_load_loses_nothing() {
-    play(async {
-        let rig = Rig::start(PROGRAM.as_ref(), 210, 4, &change()).await?;
+fn a_rolling_upgrade_and_a_drain_under_load_lose_no_invocation() {
+    run_test(async {
+        let rig = Rig::start(PROGRAM.as_ref(), 210, 4, &change_settings()).await?;
         rig.when("serving", 4).await?;
         let playing = rig.load(60.0, 3).await?;
         sleep(Duration::from_millis(500)).await;
         let program = copy_of_program(&rig)?;
-        let (word, plan) = last(
+        let (kind, plan) = request(
             &rig,
             json!({ "op": "upgrade", "program": program, "wait": true }),
         )
         .await?;
         assert_eq!(
-            word,
+            kind,
             ControlMessage::Done,
             "{plan}\n{}",
             rig.history().await?
         );
         assert_eq!(
-            names_where(&rig, |one| one["program"] == program.as_str())
+            names_where(&rig, |instance| instance["program"] == program.as_str())
                 .await?
                 .len(),
             4
         );
-        let (word, plan) = last(
+        let (kind, plan) = request(
             &rig,
             json!({ "op": "drain", "slowest_first": true, "wait": true }),
         )
         .await?;
         assert_eq!(
-            word,
+            kind,
             ControlMessage::Done,
             "{plan}\n{}",
             rig.history().await?
@@ -95,43 +96,44 @@
     });
 }
 
-/// Begins the upgrade of one of two; its old process, and its new one, which is watched by then.
-async fn in_the_midst_of_an_upgrade(number: u8) -> io::Result<(Rig, u32, u32)> {
-    let rig = Rig::start(PROGRAM.as_ref(), number, 2, &change()).await?;
+/// Starts the upgrade of one of two instances and waits for its probation. Returns the process ids of the predecessor
+/// and the successor.
+async fn upgrade_in_probation(number: u8) -> io::Result<(Rig, u32, u32)> {
+    let rig = Rig::start(PROGRAM.as_ref(), number, 2, &change_settings()).await?;
     rig.when("serving", 2).await?;
     let (all, _) = rig.status().await?;
-    let pid = |one: &Value| {
-        one["process"]
+    let pid = |status: &Value| {
+        status["process"]
             .as_u64()
             .and_then(|pid| u32::try_from(pid).ok())
             .expect("a process")
     };
     let old = pid(&all[0]);
     let program = copy_of_program(&rig)?;
-    last(
+    request(
         &rig,
         json!({ "op": "upgrade", "program": program, "names": ["web.0"] }),
     )
     .await?;
-    // The successor says on the socket that it is watched: it serves, and the old process still waits.
+    // In the state `watched` the successor serves, and the predecessor waits to take back.
     let control = rig.folder.join("run").join("web.0").join("control");
     loop {
-        let said = Command::new(PROGRAM)
+        let output = Command::new(PROGRAM)
             .args(["status", "--json", "--control"])
             .arg(&control)
             .output()?;
-        let said: Value = serde_json::from_slice(&said.stdout).unwrap_or_default();
-        if said["state"] == "watched" {
-            return Ok((rig, old, pid(&said)));
+        let status: Value = serde_json::from_slice(&output.stdout).unwrap_or_default();
+        if status["state"] == "watched" {
+            return Ok((rig, old, pid(&status)));
         }
         sleep(Duration::from_millis(10)).await;
     }
 }
 
-/// The end of the plan.
+/// Waits until the plan has ended and returns it.
 async fn plan_over(rig: &Rig) -> io::Result<Value> {
     loop {
-        let (_, plan) = last(rig, json!({ "op": "plan" })).await?;
+        let (_, plan) = request(rig, json!({ "op": "plan" })).await?;
         if plan["over"] == true {
             return Ok(plan);
         }
@@ -140,9 +142,9 @@
 }
 
 #[test]
-fn an_old_process_that_is_killed_after_its_successor_took_over_stops_no_plan() {
-    play(async {
-        let (rig, old, _) = in_the_midst_of_an_upgrade(231).await?;
+fn killing_a_predecessor_after_the_takeover_does_not_stop_the_plan() {
+    run_test(async {
+        let (rig, old, _) = upgrade_in_probation(231).await?;
         signal(old, Signal::KILL);
         let plan = plan_over(&rig).await?;
         assert_eq!(plan["state"], "done", "{plan}\n{}", rig.history().await?);
@@ -157,12 +159,11 @@
 }
 
 #[test]
-fn a_successor_that_is_killed_while_watched_is_taken_back_from_and_the_old_process_is_found_again()
-{
-    play(async {
-        let (rig, old, new) = in_the_midst_of_an_upgrade(232).await?;
-        // The agent knows it by then.
-        while names_where(&rig, |one| one["process"] == new)
+fn killing_a_successor_during_probation_returns_service_to_the_predecessor() {
+    run_test(async {
+        let (rig, old, new) = upgrade_in_probation(232).await?;
+        // Wait until the agent reports the successor's process.
+        while names_where(&rig, |instance| instance["process"] == new)
             .await?
             .is_empty()
         {
@@ -178,7 +179,7 @@
         );
         rig.when("serving", 2).await?;
         assert_eq!(
-            names_where(&rig, |one| one["process"] == old).await?,
+            names_where(&rig, |instance| instance["process"] == old).await?,
             ["web.0"]
         );
         let history = rig.history().await?;
@@ -191,25 +192,28 @@
 }
 
 #[test]
-fn the_agent_is_killed_and_another_one_finds_the_instances_and_goes_on() {
-    play(async {
-        let mut rig = Rig::start(PROGRAM.as_ref(), 211, 4, &change()).await?;
+fn a_restarted_agent_adopts_the_instances_and_continues_the_plan() {
+    run_test(async {
+        let mut rig = Rig::start(PROGRAM.as_ref(), 211, 4, &change_settings()).await?;
         rig.when("serving", 4).await?;
         let playing = rig.load(40.0, 4).await?;
         let program = copy_of_program(&rig)?;
-        last(&rig, json!({ "op": "upgrade", "program": program })).await?;
-        // In the midst of the first ones, and once more later.
+        request(&rig, json!({ "op": "upgrade", "program": program })).await?;
+        // Kill the agent while the first instances are upgraded, and once more later.
         for pause in [300, 900] {
             sleep(Duration::from_millis(pause)).await;
             rig.kill_agent().await;
-            assert!(rig.processes().len() >= 4, "the instances go on");
+            assert!(
+                rig.processes().len() >= 4,
+                "the instances do not outlive the agent"
+            );
             rig.agent()?;
         }
         rig.when("serving", 4).await?;
         let plan = plan_over(&rig).await?;
         assert_eq!(plan["state"], "done", "{plan}\n{}", rig.history().await?);
         assert_eq!(
-            names_where(&rig, |one| one["program"] == program.as_str())
+            names_where(&rig, |instance| instance["program"] == program.as_str())
                 .await?
                 .len(),
             4
@@ -222,15 +226,15 @@
             all.lost + all.doubled + all.run_twice == 0,
             "{all:?}\n{history}"
         );
-        // Told to end it leaves them alone; a second agent beside one that lives is refused.
+        // A second agent beside a running one is rejected. An agent that ends leaves the instances running.
         let second = Command::new(PROGRAM)
             .arg("agent")
             .arg(rig.folder.join("fleet.json5"))
             .output()?;
-        let why = String::from_utf8_lossy(&second.stderr).into_owned();
+        let reason = String::from_utf8_lossy(&second.stderr).into_owned();
         assert!(
-            second.status.code() == Some(1) && why.contains("another process holds the folder"),
-            "{why}"
+            second.status.code() == Some(1) && reason.contains("another process holds the folder"),
+            "{reason}"
         );
         assert_eq!(rig.end_agent().await?, Some(0));
         assert_eq!(rig.processes().len(), 4);
@@ -239,13 +243,13 @@
 }
 
 #[test]
-fn one_killed_one_stopped_and_one_that_left_by_hand_come_back_or_stay_as_they_should() {
-    play(async {
-        let rig = Rig::start(PROGRAM.as_ref(), 212, 4, &change()).await?;
+fn killed_hung_and_manually_drained_instances_are_restarted() {
+    run_test(async {
+        let rig = Rig::start(PROGRAM.as_ref(), 212, 4, &change_settings()).await?;
         rig.when("serving", 4).await?;
         let (all, _) = rig.status().await?;
-        let pid = |place: usize| {
-            all[place]["process"]
+        let pid = |index: usize| {
+            all[index]["process"]
                 .as_u64()
                 .and_then(|pid| u32::try_from(pid).ok())
                 .expect("a process")
@@ -253,41 +257,42 @@
         signal(pid(0), Signal::KILL);
         signal(pid(1), Signal::STOP);
         signal(pid(2), Signal::TERM);
-        // Killed, it is started again; stopped, it is found out, told, and started again; told by hand, too.
-        let text = |history: &str, name: &str, what: &str| {
+        // All three are started again: the killed one, the stopped one once the agent finds that it hangs, and the one
+        // that was drained by hand.
+        let has_event = |history: &str, name: &str, event: &str| {
             history
                 .lines()
-                .any(|line| line.starts_with(name) && line.contains(what))
+                .any(|line| line.starts_with(name) && line.contains(event))
         };
         loop {
             let history = rig.history().await?;
-            let all = text(&history, "web.0", "ended by itself")
-                && text(&history, "web.1", "hangs: no answer")
-                && text(&history, "web.2", "ended with status 0");
-            if all {
+            let all_seen = has_event(&history, "web.0", "ended by itself")
+                && has_event(&history, "web.1", "hangs: no answer")
+                && has_event(&history, "web.2", "ended with status 0");
+            if all_seen {
                 break;
             }
             sleep(Duration::from_millis(50)).await;
         }
         rig.when("serving", 4).await?;
         let (now, _) = rig.status().await?;
-        for place in 0..3 {
-            assert_ne!(now[place]["process"], all[place]["process"]);
+        for index in 0..3 {
+            assert_ne!(now[index]["process"], all[index]["process"]);
         }
         assert_eq!(
             now[3]["process"], all[3]["process"],
-            "who did nothing is not touched"
+            "an instance without a fault was restarted"
         );
         Ok(())
     });
 }
 
 #[test]
-fn a_foreign_process_on_an_instances_socket_is_left_alone_and_told_of() {
-    play(async {
-        let rig = Rig::start(PROGRAM.as_ref(), 215, 2, &change()).await?;
+fn a_foreign_process_on_a_control_socket_is_reported_and_left_alone() {
+    run_test(async {
+        let rig = Rig::start(PROGRAM.as_ref(), 215, 2, &change_settings()).await?;
         rig.when("serving", 2).await?;
-        last(
+        request(
             &rig,
             json!({ "op": "drain", "names": ["web.0"], "wait": true }),
         )
@@ -295,16 +300,16 @@
         let control = rig.folder.join("run").join("web.0").join("control");
         let _ = std::fs::remove_file(&control);
         let foreign = tokio::net::UnixListener::bind(&control)?;
-        last(&rig, json!({ "op": "start", "names": ["web.0"] })).await?;
-        let why = "not started: another process listens on its control socket";
-        while !rig.history().await?.contains(why) {
+        request(&rig, json!({ "op": "start", "names": ["web.0"] })).await?;
+        let reason = "not started: another process listens on its control socket";
+        while !rig.history().await?.contains(reason) {
             sleep(Duration::from_millis(20)).await;
         }
         assert!(
             tokio::net::UnixStream::connect(&control).await.is_ok(),
-            "it listens on"
+            "the foreign process no longer listens"
         );
-        // Once it is gone the instance comes back, after a pause.
+        // Once the foreign process is gone, the instance is started after the restart delay.
         drop(foreign);
         std::fs::remove_file(&control)?;
         rig.when("serving", 2).await
@@ -312,35 +317,35 @@
 }
 
 #[test]
-fn a_file_that_is_spoilt_for_one_group_changes_nothing_and_names_it() {
-    play(async {
-        let rig = Rig::start(PROGRAM.as_ref(), 216, 2, &change()).await?;
+fn a_fleet_file_with_an_invalid_group_is_rejected_as_a_whole() {
+    run_test(async {
+        let rig = Rig::start(PROGRAM.as_ref(), 216, 2, &change_settings()).await?;
         rig.when("serving", 2).await?;
         let (before, _) = rig.status().await?;
         let file = rig.folder.join("fleet.json5");
         let text = std::fs::read_to_string(&file)?;
-        let mut wanted: Value = serde_json::from_str(&text)?;
-        let mut other = wanted["groups"]["web"].clone();
+        let mut file_value: Value = serde_json::from_str(&text)?;
+        let mut other = file_value["groups"]["web"].clone();
         (other["config"], other["listen"]) = (json!("nowhere.json"), json!("127.0.0.1:1"));
-        wanted["groups"]["api"] = other;
-        std::fs::write(&file, wanted.to_string())?;
-        let (word, why) = last(&rig, json!({ "op": "apply" })).await?;
+        file_value["groups"]["api"] = other;
+        std::fs::write(&file, file_value.to_string())?;
+        let (kind, reason) = request(&rig, json!({ "op": "apply" })).await?;
         assert!(
-            word == ControlMessage::Refused
-                && why["text"]
+            kind == ControlMessage::Refused
+                && reason["text"]
                     .as_str()
-                    .is_some_and(|why| why.contains("groups.api.config")),
-            "{why}"
+                    .is_some_and(|reason| reason.contains("groups.api.config")),
+            "{reason}"
         );
-        // And in bytes that are none of a file's.
+        // A file that is not JSON5 is rejected too.
         std::fs::write(&file, "{ folder: ")?;
         assert_eq!(
-            last(&rig, json!({ "op": "apply" })).await?.0,
+            request(&rig, json!({ "op": "apply" })).await?.0,
             ControlMessage::Refused
         );
         std::fs::write(&file, text)?;
         assert_eq!(
-            last(&rig, json!({ "op": "apply" })).await?.0,
+            request(&rig, json!({ "op": "apply" })).await?.0,
             ControlMessage::Done
         );
         let (after, _) = rig.status().await?;
@@ -350,20 +355,20 @@
 }
 
 #[test]
-fn a_program_that_can_not_take_over_ends_the_plan_and_the_old_one_serves_on() {
-    play(async {
-        let rig = Rig::start(PROGRAM.as_ref(), 213, 3, &change()).await?;
+fn a_program_that_does_not_start_ends_the_plan_and_the_old_one_serves_on() {
+    run_test(async {
+        let rig = Rig::start(PROGRAM.as_ref(), 213, 3, &change_settings()).await?;
         rig.when("serving", 3).await?;
         let (before, _) = rig.status().await?;
         let bad = rig.folder.join("bad");
         std::fs::write(&bad, "#!/bin/sh\nexit 9\n")?;
         std::fs::set_permissions(&bad, std::os::unix::fs::PermissionsExt::from_mode(0o755))?;
-        let (word, plan) = last(
+        let (kind, plan) = request(
             &rig,
             json!({ "op": "upgrade", "program": bad, "wait": true }),
         )
         .await?;
-        assert_eq!(word, ControlMessage::Failed, "{plan}");
+        assert_eq!(kind, ControlMessage::Failed, "{plan}");
         let state = plan["state"].as_str().unwrap_or("").to_owned();
         assert!(
             state.contains("was not upgraded") && state.contains("status 9"),
@@ -382,9 +387,9 @@
 }
 
 #[test]
-fn the_command_line_shows_scales_stops_and_says_what_is_wrong() {
-    play(async {
-        let rig = Rig::start(PROGRAM.as_ref(), 214, 3, &change()).await?;
+fn fleet_commands_report_results_and_errors() {
+    run_test(async {
+        let rig = Rig::start(PROGRAM.as_ref(), 214, 3, &change_settings()).await?;
         rig.when("serving", 3).await?;
         let socket = rig.socket().to_string_lossy().into_owned();
         let run = |arguments: &[&str]| {
@@ -395,12 +400,12 @@
                 .arg(&socket)
                 .args(arguments);
             async move {
-                let done = command.output().await.expect("it runs");
+                let output = command.output().await.expect("the output");
                 let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
                 (
-                    done.status.code().unwrap_or(-1),
-                    text(&done.stdout),
-                    text(&done.stderr),
+                    output.status.code().unwrap_or(-1),
+                    text(&output.stdout),
+                    text(&output.stderr),
                 )
             }
         };
@@ -456,49 +461,52 @@
 }
 
 #[test]
-fn the_example_can_be_read_and_its_schema_is_the_one_that_is_kept() {
+fn the_example_fleet_file_is_valid_and_the_stored_schema_current() {
     let schema = Command::new(PROGRAM)
         .args(["agent", "--schema"])
         .output()
-        .expect("it runs");
-    let kept = include_str!("../../../deploy/fleet.schema.json");
-    assert_eq!(String::from_utf8_lossy(&schema.stdout), kept);
+        .expect("the output");
+    let stored = include_str!("../../../deploy/fleet.schema.json");
+    assert_eq!(String::from_utf8_lossy(&schema.stdout), stored);
     let folder =
         std::env::temp_dir().join(format!("merlinshelf-fleet-file-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     let file = folder.join("fleet.json5");
     let example = include_str!("../../../deploy/fleet.json5");
     let config = concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples/config.json");
-    let here = example
+    let adapted = example
         .replace("/opt/merlinshelf/bin/merlinshelf", PROGRAM)
         .replace("/etc/merlinshelf/web.json", config);
     let check = |text: &str| {
         std::fs::write(&file, text).expect("a file");
-        let done = Command::new(PROGRAM)
+        let output = Command::new(PROGRAM)
             .arg("agent")
             .arg(&file)
             .arg("--check")
             .output()
-            .expect("it runs");
+            .expect("the output");
         (
-            done.status.code(),
-            String::from_utf8_lossy(&[done.stdout, done.stderr].concat()).into_owned(),
+            output.status.code(),
+            String::from_utf8_lossy(&[output.stdout, output.stderr].concat()).into_owned(),
         )
     };
-    assert_eq!(check(&here).0, Some(0), "{}", check(&here).1);
-    let (code, why) = check(&here.replace("count: 12", "count: 300"));
+    assert_eq!(check(&adapted).0, Some(0), "{}", check(&adapted).1);
+    let (code, reason) = check(&adapted.replace("count: 12", "count: 300"));
+    assert!(
+        code == Some(1) && reason.contains("memory: 19200 MB and 64 MB for second processes"),
+        "{reason}"
+    );
+    let (code, reason) = check(&adapted.replace("floor: 0.75", "floor: 1.5"));
     assert!(
-        code == Some(1) && why.contains("memory: 19200 MB and 64 MB for second processes"),
-        "{why}"
+        code == Some(1) && reason.contains("change.floor"),
+        "{reason}"
     );
-    let (code, why) = check(&here.replace("floor: 0.75", "floor: 1.5"));
-    assert!(code == Some(1) && why.contains("change.floor"), "{why}");
-    let (code, why) = check(&here.replace("floor: 0.75", "flor: 0.75"));
-    assert!(code == Some(1) && why.contains("flor"), "{why}");
-    let (code, why) = check(example);
+    let (code, reason) = check(&adapted.replace("floor: 0.75", "flor: 0.75"));
+    assert!(code == Some(1) && reason.contains("flor"), "{reason}");
+    let (code, reason) = check(example);
     assert!(
-        code == Some(1) && why.contains("groups.web.program: /opt/merlinshelf/bin/merlinshelf"),
-        "{why}"
+        code == Some(1) && reason.contains("groups.web.program: /opt/merlinshelf/bin/merlinshelf"),
+        "{reason}"
     );
     let _ = std::fs::remove_dir_all(&folder);
 }
--- a/crates/merlinshelf-cli/tests/upgrade.rs
+++ b/crates/merlinshelf-cli/tests/upgrade.rs
@@ -1,5 +1,5 @@
-//! Upgrades of the real program under load between stand-ins: they go well, fail at every point, and meet the notice to
-//! leave. The checker holds what clients sent against what they got and what ran.
+//! Upgrades of the real program under load between fakes: they succeed, fail at every point, and coincide with SIGTERM.
+//! A checker compares the requests that clients sent with the answers they received and the runs of the engine.
 
 use std::io;
 use std::time::Duration;
@@ -15,16 +15,16 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_merlinshelf");
 
-/// Instances that are played at one time by one test.
-const AT_ONCE: usize = 5;
+/// Instances that one test runs at a time.
+const MAX_CONCURRENT_INSTANCES: usize = 5;
 
 const fn ms(count: u64) -> Duration {
     Duration::from_millis(count)
 }
 
-/// Plays on one thread, within a time.
-fn play<T>(what: impl Future<Output = io::Result<T>>) -> T {
-    play_within(Duration::from_secs(60), what)
+/// Runs a test on one thread, with a timeout.
+fn run_test<T>(test: impl Future<Output = io::Result<T>>) -> T {
+    play_within(Duration::from_secs(60), test)
 }
 
 fn setup() -> Setup {
@@ -33,7 +33,8 @@
     setup
 }
 
-fn good() -> String {
+/// A start script of a successor without a fault.
+fn working_program() -> String {
     format!("exec '{PROGRAM}' \"$@\"")
 }
 
@@ -44,11 +45,11 @@
     }
 }
 
-async fn begin(setup: &Setup, number: u8) -> io::Result<(Instance, Load, Playing)> {
-    begin_with(setup, number, 12).await
+async fn start(setup: &Setup, number: u8) -> io::Result<(Instance, Load, Playing)> {
+    start_with(setup, number, 12).await
 }
 
-async fn begin_with(
+async fn start_with(
     setup: &Setup,
     number: u8,
     connections: usize,
@@ -65,7 +66,7 @@
     Ok((instance, load, playing))
 }
 
-/// Lets it go on until so many more were answered, and checks everything.
+/// Waits until 20 more invocations are answered, or a time has passed. Stops the load and checks all answers.
 async fn check(instance: &Instance, load: &Load, playing: Playing) -> Verdict {
     let answered = |playing: &Playing| {
         playing
@@ -76,22 +77,26 @@
             .filter(|sent| !sent.answers.is_empty())
             .count()
     };
-    let (until, wanted) = (
+    let (until, target) = (
         Instant::now() + Duration::from_secs(10),
         answered(&playing) + 20,
     );
-    while answered(&playing) < wanted && Instant::now() < until {
+    while answered(&playing) < target && Instant::now() < until {
         sleep(ms(5)).await;
     }
     let seen = playing.stop().await;
     seen.take().check(&instance.records.borrow(), load.patience)
 }
 
-/// A successor that fails so: how its upgrade ended, and what clients saw.
-fn fails(number: u8, fault: &str) -> JoinHandle<io::Result<(String, Verdict, [u64; 4])>> {
-    let program = format!("export MERLINSHELF_FAULT='{fault}'\n{}", good());
+/// Upgrades to a successor with this fault. Returns the last stage of the upgrade, the verdict on the answers, and the
+/// counters `taken_back`, `bad`, `refused_commands` and `unheard`.
+fn upgrade_with_fault(
+    number: u8,
+    fault: &str,
+) -> JoinHandle<io::Result<(String, Verdict, [u64; 4])>> {
+    let program = format!("export MERLINSHELF_FAULT='{fault}'\n{}", working_program());
     spawn_local(async move {
-        // Every other one with operations that nothing may be done again for.
+        // Every other case has operations that must not be repeated.
         let effect = if number.is_multiple_of(2) {
             "read_like"
         } else {
@@ -104,17 +109,17 @@
         if program.contains(":hang'") {
             setup.silent = ms(600);
         }
-        // And every third with a catalogue that is slow throughout, so that many calls are open.
+        // Every third case has a slow catalogue, so that many calls are in flight.
         if number.is_multiple_of(3) {
             setup.manner.below = ms(120);
         }
-        // More than one batch of descriptors, where the transfer is torn in the middle.
+        // More than one batch of descriptors, so that the fault can interrupt the transfer between two.
         let connections = if program.contains("successor.descriptors") {
             150
         } else {
             12
         };
-        let (instance, load, playing) = begin_with(&setup, number, connections).await?;
+        let (instance, load, playing) = start_with(&setup, number, connections).await?;
         let stage = round(&instance, &program).await?;
         let verdict = check(&instance, &load, playing).await;
         let status = instance.status().await?;
@@ -128,7 +133,7 @@
 }
 
 #[test]
-fn a_successor_that_fails_at_any_point_costs_nobody_an_answer() {
+fn no_answer_is_lost_when_a_successor_fails_at_any_point() {
     let faults = [
         ("successor.start:1:exit", "given_up"),
         ("successor.hello:1:abort", "given_up"),
@@ -141,7 +146,7 @@
         ("successor.heartbeat:1:abort", "taken_back"),
         ("successor.heartbeat:10:exit", "taken_back"),
         ("successor.heartbeat:3:hang", "taken_back"),
-        // Between what was noted and what was then done.
+        // Between the record of an action in the journal and the action itself.
         ("edge.noted:1:abort", "taken_back"),
         ("edge.noted:9:abort", "taken_back"),
         ("edge.written:7:abort", "taken_back"),
@@ -152,43 +157,46 @@
         ("line.written:1:abort", "taken_back"),
         ("line.written:4:abort", "taken_back"),
     ];
-    let ends = play(async {
-        let mut ends = Vec::new();
+    let results = run_test(async {
+        let mut results = Vec::new();
         let numbered: Vec<(u8, &str)> = (10..).zip(faults.map(|(fault, _)| fault)).collect();
-        // A few at a time: each is two processes and their load.
-        for some in numbered.chunks(AT_ONCE) {
-            let plays: Vec<_> = some
+        // A few at a time: each case runs two processes and their load.
+        for batch in numbered.chunks(MAX_CONCURRENT_INSTANCES) {
+            let tasks: Vec<_> = batch
                 .iter()
-                .map(|(number, fault)| fails(*number, fault))
+                .map(|(number, fault)| upgrade_with_fault(*number, fault))
                 .collect();
-            for play in plays {
-                ends.push(play.await.expect("no panic")?);
+            for task in tasks {
+                results.push(task.await.expect("no panic")?);
             }
         }
-        Ok(ends)
+        Ok(results)
     });
-    for (number, ((fault, wanted), (stage, verdict, [taken_back, bad, refused, unheard]))) in
-        (10u8..).zip(faults.into_iter().zip(ends))
+    for (
+        number,
+        ((fault, expected_stage), (stage, verdict, [taken_back, bad, refused, unheard])),
+    ) in (10u8..).zip(faults.into_iter().zip(results))
     {
-        assert_eq!(stage, wanted, "{fault}");
+        assert_eq!(stage, expected_stage, "{fault}");
         assert!(
             verdict.is_clean() && verdict.served > 20,
             "{fault}: {verdict:?}"
         );
-        // Calls are passed on and not repeated; one that times out over a hang may be, where that is allowed.
+        // Calls in flight are handed over, not repeated. Only a call that times out during a hang may be retried, if its
+        // effect allows it.
         let repeatable = number.is_multiple_of(2) && fault.ends_with(":hang");
         assert!(
             verdict.called_twice == 0 || repeatable,
             "{fault}: {verdict:?}"
         );
-        // Nothing was read twice, said twice to the engine, or answered to nobody.
-        // Of many connections some say nothing for 1.5 s on a busy machine, are closed for it and counted as bad.
+        // No request is read twice, no command is sent to the engine twice, and no answer lacks a connection. With many
+        // connections on a busy machine, some send nothing for 1.5 s, are closed for it and counted as bad.
         let silent = fault.starts_with("successor.descriptors");
         assert!(
             (bad == 0 || silent) && refused == 0 && unheard == 0,
             "{fault}: {bad} {refused} {unheard}"
         );
-        // Before it took over all goes on from the freeze, where it came to that.
+        // A failure before the takeover only ends the freeze, if there was one. A later one takes the connections back.
         assert!(
             taken_back <= 1 && (stage == "given_up" || taken_back == 1),
             "{fault}: {taken_back}"
@@ -197,7 +205,7 @@
 }
 
 #[test]
-fn ten_upgrades_in_a_row_leave_everything_as_it_was() {
+fn ten_upgrades_in_a_row_leak_no_descriptors_or_memory() {
     let setup = Setup {
         watched: ms(150),
         ..setup()
@@ -212,33 +220,33 @@
         successor: setup.program.clone(),
         setup,
     };
-    let (line, clean) = play(upgrade::run(&plan));
+    let (line, clean) = run_test(upgrade::run(&plan));
     assert!(clean, "{line}");
-    let of = |name: &str, at: &str| line[name][at].as_u64().expect("a figure");
-    // Lines to the catalogue come and go.
+    let value = |name: &str, time: &str| line[name][time].as_u64().expect("a figure");
+    // The number of connections to the catalogue varies.
     assert!(
-        of("descriptors", "after") <= of("descriptors", "before") + 12,
+        value("descriptors", "after") <= value("descriptors", "before") + 12,
         "{line}"
     );
     assert!(
-        of("memory_kb", "after") <= of("memory_kb", "before") + 4096,
+        value("memory_kb", "after") <= value("memory_kb", "before") + 4096,
         "{line}"
     );
 }
 
 #[test]
-fn what_can_not_be_done_is_refused_before_anything_is_touched() {
-    play(async {
+fn an_upgrade_beyond_the_resource_limits_is_rejected_before_it_starts() {
+    run_test(async {
         let setup = Setup {
             descriptors: 40,
             ..setup()
         };
-        let (instance, load, playing) = begin(&setup, 31).await?;
-        let mut talk = instance.ask(ControlRequest::Upgrade).await?;
-        let (word, report) = talk.next_reply().await?;
+        let (instance, load, playing) = start(&setup, 31).await?;
+        let mut client = instance.ask(ControlRequest::Upgrade).await?;
+        let (kind, report) = client.next_reply().await?;
         let text = report["text"].as_str().unwrap_or("");
         assert!(
-            word == ControlMessage::Refused && text.contains("descriptors, and 40 may be used"),
+            kind == ControlMessage::Refused && text.contains("descriptors, and 40 may be used"),
             "{text}"
         );
         assert!(check(&instance, &load, playing).await.is_clean());
@@ -247,15 +255,15 @@
             both_mb: 16,
             ..self::setup()
         };
-        let (instance, ..) = begin(&setup, 32).await?;
-        let (word, report) = instance
+        let (instance, ..) = start(&setup, 32).await?;
+        let (kind, report) = instance
             .ask(ControlRequest::Upgrade)
             .await?
             .next_reply()
             .await?;
         let text = report["text"].as_str().unwrap_or("");
         assert!(
-            word == ControlMessage::Refused && text.contains("MB, and 16 may be used"),
+            kind == ControlMessage::Refused && text.contains("MB, and 16 may be used"),
             "{text}"
         );
         Ok(())
@@ -263,26 +271,26 @@
 }
 
 #[test]
-fn a_second_upgrade_is_turned_down_and_the_first_goes_on() {
-    play(async {
-        // Watched for long enough to be asked meanwhile, on a busy machine too.
+fn a_second_upgrade_is_rejected_and_the_first_continues() {
+    run_test(async {
+        // Probation is long enough for the second request to arrive during it, even on a busy machine.
         let setup = Setup {
             watched: ms(3000),
             ..self::setup()
         };
-        let (instance, load, playing) = begin(&setup, 33).await?;
-        instance.successor_is(&good())?;
+        let (instance, load, playing) = start(&setup, 33).await?;
+        instance.successor_is(&working_program())?;
         let mut first = instance.ask(ControlRequest::Upgrade).await?;
         while first.next_reply().await?.1["stage"] != "took_over" {}
-        // The control socket is the successor's by now.
+        // The successor has taken over the control socket.
         while instance.status().await?["state"] != "watched" {}
-        let (word, report) = instance
+        let (kind, report) = instance
             .ask(ControlRequest::Upgrade)
             .await?
             .next_reply()
             .await?;
         assert!(
-            word == ControlMessage::Refused
+            kind == ControlMessage::Refused
                 && report["text"]
                     .as_str()
                     .is_some_and(|text| text.contains("watched"))
@@ -290,18 +298,18 @@
         assert_eq!(first.next_reply().await?.0, ControlMessage::Done);
         assert!(check(&instance, &load, playing).await.is_clean());
 
-        // While the successor gets ready, it is the old one that turns it down.
-        let (instance, load, playing) = begin(&self::setup(), 34).await?;
-        instance.successor_is(&format!("sleep 0.4\n{}", good()))?;
+        // While the successor starts, the predecessor rejects the request.
+        let (instance, load, playing) = start(&self::setup(), 34).await?;
+        instance.successor_is(&format!("sleep 0.4\n{}", working_program()))?;
         let mut first = instance.ask(ControlRequest::Upgrade).await?;
         assert_eq!(first.next_reply().await?.1["stage"], "starting");
-        let (word, report) = instance
+        let (kind, report) = instance
             .ask(ControlRequest::Upgrade)
             .await?
             .next_reply()
             .await?;
         assert!(
-            word == ControlMessage::Refused
+            kind == ControlMessage::Refused
                 && report["text"]
                     .as_str()
                     .is_some_and(|text| text.contains("under way"))
@@ -312,31 +320,31 @@
     });
 }
 
-/// The notice to leave at a stage: sending stops with it, everything that was sent is answered, and the first process
-/// ends with status 0 in its time.
-async fn leaves_at(
+/// Sends SIGTERM at a stage of an upgrade, to the predecessor or the successor; in some cases the successor is then
+/// killed. The load stops with the signal, every request is answered, and the first process ends in time with status 0.
+async fn sigterm_at_stage(
     number: u8,
     stage: &str,
     program: &str,
     to_successor: bool,
-    dies: bool,
+    kill_successor: bool,
 ) -> io::Result<()> {
-    let (mut instance, load, playing) = begin(&setup(), number).await?;
+    let (mut instance, load, playing) = start(&setup(), number).await?;
     instance.successor_is(program)?;
-    let mut talk = instance.ask(ControlRequest::Upgrade).await?;
-    while talk.next_reply().await?.1["stage"] != stage {}
+    let mut client = instance.ask(ControlRequest::Upgrade).await?;
+    while client.next_reply().await?.1["stage"] != stage {}
     if stage == "starting" {
         instance.logged("the successor", 1).await?;
     }
     let processes = instance.processes();
-    let told = if to_successor {
+    let receiver = if to_successor {
         processes.last()
     } else {
         processes.first()
     };
-    signal(*told.expect("one"), Signal::TERM);
-    let noticed = Instant::now();
-    if dies {
+    signal(*receiver.expect("one"), Signal::TERM);
+    let signalled = Instant::now();
+    if kill_successor {
         instance.logged("drain started", 1).await?;
         signal(*processes.last().expect("one"), Signal::KILL);
     }
@@ -352,7 +360,7 @@
     let status = match instance.first_ended().await {
         Ok(status) => status,
         Err(error) => panic!(
-            "{number} {stage}: it does not end: {error}\n{}",
+            "{number} {stage}: the first process does not end: {error}\n{}",
             instance.log()
         ),
     };
@@ -363,39 +371,39 @@
         "{number} {stage} {all:?}\n{}",
         instance.log()
     );
-    // On a busy machine it may be seen late.
+    // The bound allows for the end being seen late on a busy machine.
     assert!(
-        noticed.elapsed() < ms(4000),
+        signalled.elapsed() < ms(4000),
         "{stage}: {:?}",
-        noticed.elapsed()
+        signalled.elapsed()
     );
     Ok(())
 }
 
 #[test]
-fn the_notice_to_leave_is_heeded_at_every_stage() {
-    play(async {
-        let slow = format!("sleep 5\n{}", good());
-        let plays = [
+fn sigterm_at_any_stage_of_an_upgrade_drains_the_instance() {
+    run_test(async {
+        let slow = format!("sleep 5\n{}", working_program());
+        let cases = [
             ("starting", slow, false, false),
-            ("ready", good(), false, false),
-            ("took_over", good(), false, false),
-            ("took_over", good(), true, false),
-            ("took_over", good(), false, true),
-            ("took_over", good(), true, true),
+            ("ready", working_program(), false, false),
+            ("took_over", working_program(), false, false),
+            ("took_over", working_program(), true, false),
+            ("took_over", working_program(), false, true),
+            ("took_over", working_program(), true, true),
         ];
-        let numbered: Vec<_> = (40..).zip(plays).collect();
-        for some in numbered.chunks(AT_ONCE) {
-            let plays =
-                some.iter()
-                    .cloned()
-                    .map(|(number, (stage, program, to_successor, dies))| {
-                        spawn_local(async move {
-                            leaves_at(number, stage, &program, to_successor, dies).await
-                        })
-                    });
-            for play in plays.collect::<Vec<_>>() {
-                play.await.expect("no panic")?;
+        let numbered: Vec<_> = (40..).zip(cases).collect();
+        for batch in numbered.chunks(MAX_CONCURRENT_INSTANCES) {
+            let tasks = batch.iter().cloned().map(
+                |(number, (stage, program, to_successor, kill_successor))| {
+                    spawn_local(async move {
+                        sigterm_at_stage(number, stage, &program, to_successor, kill_successor)
+                            .await
+                    })
+                },
+            );
+            for task in tasks.collect::<Vec<_>>() {
+                task.await.expect("no panic")?;
             }
         }
         Ok(())
@@ -403,12 +411,12 @@
 }
 
 #[test]
-fn the_old_processs_death_leaves_the_successor_serving() {
-    play(async {
-        let (instance, load, playing) = begin(&setup(), 50).await?;
-        instance.successor_is(&good())?;
-        let mut talk = instance.ask(ControlRequest::Upgrade).await?;
-        while talk.next_reply().await?.1["stage"] != "took_over" {}
+fn the_successor_serves_on_when_the_predecessor_is_killed_during_probation() {
+    run_test(async {
+        let (instance, load, playing) = start(&setup(), 50).await?;
+        instance.successor_is(&working_program())?;
+        let mut client = instance.ask(ControlRequest::Upgrade).await?;
+        while client.next_reply().await?.1["stage"] != "took_over" {}
         signal(instance.processes()[0], Signal::KILL);
         let verdict = check(&instance, &load, playing).await;
         assert!(
@@ -427,16 +435,16 @@
 }
 
 #[test]
-fn the_old_processs_death_before_the_word_to_go_on_is_survived_with_everything_in_hand_alone() {
-    play(async {
-        // It has been passed everything and is about to say so.
-        let (instance, load, playing) = begin(&setup(), 52).await?;
+fn a_predecessor_killed_before_activation_leaves_a_successor_with_everything_serving() {
+    run_test(async {
+        // The successor has received everything and is about to report it.
+        let (instance, load, playing) = start(&setup(), 52).await?;
         instance.successor_is(&format!(
             "export MERLINSHELF_FAULT=successor.restored:1:pause\n{}",
-            good()
+            working_program()
         ))?;
-        let mut talk = instance.ask(ControlRequest::Upgrade).await?;
-        while talk.next_reply().await?.1["stage"] != "ready" {}
+        let mut client = instance.ask(ControlRequest::Upgrade).await?;
+        while client.next_reply().await?.1["stage"] != "ready" {}
         instance.logged("fault successor.restored", 1).await?;
         signal(instance.processes()[0], Signal::KILL);
         let verdict = check(&instance, &load, playing).await;
@@ -449,14 +457,14 @@
             instance.status().await?["process"].as_u64(),
             instance.values("successor").last().copied()
         );
-        // It has been passed nothing yet: there is nothing to serve, and it ends.
-        let (instance, ..) = begin(&setup(), 53).await?;
+        // A successor that has received nothing has nothing to serve and ends.
+        let (instance, ..) = start(&setup(), 53).await?;
         instance.successor_is(&format!(
             "export MERLINSHELF_FAULT=successor.ready:1:pause\n{}",
-            good()
+            working_program()
         ))?;
-        let mut talk = instance.ask(ControlRequest::Upgrade).await?;
-        assert_eq!(talk.next_reply().await?.1["stage"], "starting");
+        let mut client = instance.ask(ControlRequest::Upgrade).await?;
+        assert_eq!(client.next_reply().await?.1["stage"], "starting");
         instance.logged("fault successor.ready", 1).await?;
         signal(instance.processes()[0], Signal::KILL);
         instance.logged("the old process is gone", 1).await
@@ -464,14 +472,14 @@
 }
 
 #[test]
-fn a_stuck_or_garbled_tool_costs_nothing() {
-    play(async {
-        let (instance, load, playing) = begin(&setup(), 51).await?;
+fn stuck_or_garbled_control_connections_do_not_affect_serving() {
+    run_test(async {
+        let (instance, load, playing) = start(&setup(), 51).await?;
         let control = instance.config().with_file_name("control");
         let mode =
             std::os::unix::fs::PermissionsExt::mode(&std::fs::metadata(&control)?.permissions());
         assert_eq!(mode & 0o777, 0o600);
-        // Seven say nothing, one after the other sends what is no question.
+        // Seven connections send nothing; others send invalid requests, one after the other.
         let mut stuck = Vec::new();
         for _ in 0..7 {
             stuck.push(tokio::net::UnixStream::connect(&control).await?);
@@ -482,18 +490,18 @@
             "ask 1 dance 2\r\n{}\r\n",
             "\0\u{1}",
         ] {
-            let mut rude = tokio::net::UnixStream::connect(&control).await?;
-            tokio::io::AsyncWriteExt::write_all(&mut rude, text.as_bytes()).await?;
-            let mut said = Vec::new();
-            tokio::io::AsyncReadExt::read_to_end(&mut rude, &mut said).await?;
+            let mut invalid = tokio::net::UnixStream::connect(&control).await?;
+            tokio::io::AsyncWriteExt::write_all(&mut invalid, text.as_bytes()).await?;
+            let mut reply = Vec::new();
+            tokio::io::AsyncReadExt::read_to_end(&mut invalid, &mut reply).await?;
             assert!(
-                said.starts_with(b"say 1 failed "),
+                reply.starts_with(b"say 1 failed "),
                 "{text:?}: {}",
-                said.escape_ascii()
+                reply.escape_ascii()
             );
         }
         assert_eq!(instance.status().await?["state"], "serving");
-        // They are closed in time, whatever they wait for.
+        // The silent connections are closed after a timeout.
         for stream in &mut stuck {
             assert_eq!(tokio::io::AsyncReadExt::read(stream, &mut [0; 8]).await?, 0);
         }
