--- a/crates/merlinshelf-cli/tests/dependencies.rs
+++ b/crates/merlinshelf-cli/tests/dependencies.rs
@@ -6,8 +6,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use merlinshelf_testbed::experiments::dependencies::play::{parts, section};
-use merlinshelf_testbed::experiments::upgrade::round;
+use merlinshelf_testbed::experiments::dependencies::scenario::{
+    called_dependencies, dependencies_config,
+};
+use merlinshelf_testbed::experiments::upgrade::request_upgrade;
 use merlinshelf_testbed::fakes::{Manners, Server};
 use merlinshelf_testbed::instance::{Instance, Setup};
 use merlinshelf_testbed::load::{Load, Playing};
@@ -37,7 +39,10 @@
     }
     let mut setup = Setup::small(PROGRAM);
     (setup.watched, setup.silent) = (Duration::from_millis(700), Duration::from_millis(2000));
-    (setup.manner.parts, setup.dependencies) = (parts(), Some(section(&addresses(&servers, 0..3))));
+    (setup.manner.parts, setup.dependencies) = (
+        called_dependencies(),
+        Some(dependencies_config(&addresses(&servers, 0..3))),
+    );
     Ok(Rig { servers, setup })
 }
 
@@ -183,7 +188,7 @@
         let rig = start_rig().await?;
         let (instance, load, playing) = rig.start_with_load(2).await?;
         // The third server of each is added; the first is removed and gets no further calls.
-        instance.depends_on(&section(&addresses(&rig.servers, 1..3)))?;
+        instance.depends_on(&dependencies_config(&addresses(&rig.servers, 1..3)))?;
         instance.logged("dependencies reloaded: 2", 1).await?;
         wait_for_answers(&playing, 30).await;
         let before = rig.servers["catalogue"][0].calls.get();
@@ -196,12 +201,12 @@
         instance
             .logged("the old dependencies stay in force", 1)
             .await?;
-        instance.depends_on(&section(&addresses(&rig.servers, 0..3)))?;
+        instance.depends_on(&dependencies_config(&addresses(&rig.servers, 0..3)))?;
         instance.logged("dependencies reloaded: 2", 2).await?;
         rig.set_behaviour("catalogue", Manners::Slow(10.0));
         wait_for_answers(&playing, 30).await;
         assert_eq!(
-            round(&instance, &format!("exec '{PROGRAM}' \"$@\"")).await?,
+            request_upgrade(&instance, &format!("exec '{PROGRAM}' \"$@\"")).await?,
             "done"
         );
         wait_for_answers(&playing, 60).await;
--- a/crates/merlinshelf-cli/tests/learning.rs
+++ b/crates/merlinshelf-cli/tests/learning.rs
@@ -7,7 +7,7 @@
 
 use merlinshelf_gossip::{GossipedObservation, Metric, Source, SourceStatus};
 use merlinshelf_protocol::control::{ControlMessage, ControlRequest};
-use merlinshelf_testbed::experiments::learning::worth;
+use merlinshelf_testbed::experiments::learning::benefit;
 use merlinshelf_testbed::instance::{Instance, Setup, peer_address, signal};
 use merlinshelf_testbed::load::{Load, Playing, Verdict};
 use merlinshelf_testbed::play::play_within;
@@ -357,7 +357,11 @@
                 1000.0,
             ),
         ];
-        spawn_local(worth::teach(listener, peer_address(41), figures));
+        spawn_local(benefit::serve_observations(
+            listener,
+            peer_address(41),
+            figures,
+        ));
         let instance = Instance::start(&setup(40, &[41]), 40).await?;
         instance
             .says("taught", |status| is_taught_by(status, "bad"))
--- a/crates/merlinshelf-cli/tests/upgrade.rs
+++ b/crates/merlinshelf-cli/tests/upgrade.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use merlinshelf_protocol::control::{ControlMessage, ControlRequest};
-use merlinshelf_testbed::experiments::upgrade::{self, Plan, round};
+use merlinshelf_testbed::experiments::upgrade::{self, Plan, request_upgrade};
 use merlinshelf_testbed::instance::{Instance, Setup, signal};
 use merlinshelf_testbed::load::{Load, Playing, Verdict};
 use merlinshelf_testbed::play::play_within;
@@ -120,7 +120,7 @@
             12
         };
         let (instance, load, playing) = start_with(&setup, number, connections).await?;
-        let stage = round(&instance, &program).await?;
+        let stage = request_upgrade(&instance, &program).await?;
         let verdict = check(&instance, &load, playing).await;
         let status = instance.status().await?;
         let counter = |name: &str| status["counters"][name].as_u64().unwrap_or(99);
--- a/crates/merlinshelf-cli/tests/uwsgi.rs
+++ b/crates/merlinshelf-cli/tests/uwsgi.rs
@@ -4,7 +4,7 @@
 use std::io;
 use std::time::Duration;
 
-use merlinshelf_testbed::experiments::upgrade::round;
+use merlinshelf_testbed::experiments::upgrade::request_upgrade;
 use merlinshelf_testbed::instance::{Instance, Setup};
 use merlinshelf_testbed::load::{Front, Load};
 use merlinshelf_testbed::play::play_within;
@@ -286,7 +286,7 @@
             half.write_all(&whole[..cut]).await?;
             sleep(Duration::from_millis(30)).await;
             let began = Instant::now();
-            let said = round(&instance, program);
+            let said = request_upgrade(&instance, program);
             let rest = the_rest(half, &whole[cut..], 150);
             let (said, answer) = tokio::join!(said, rest);
             let (said, answer) = (said?, answer?);
--- a/crates/merlinshelf-testbed/src/experiments/cost.rs
+++ b/crates/merlinshelf-testbed/src/experiments/cost.rs
@@ -22,7 +22,7 @@
     pub rate: f64,
     pub against: PathBuf,
     /// So long of each play, once it is warm.
-    pub counted: Duration,
+    pub measured_for: Duration,
     pub setup: Setup,
     /// The own program has a policy for all on, with budgets for all kinds of calls.
     pub policy: bool,
@@ -106,7 +106,7 @@
     // Shares begin a lease after whoever leads does.
     sleep(Duration::from_millis(if policy { 5000 } else { 700 })).await;
     let (before, sent) = (instance.cpu()?, playing.seen.borrow().sent.len());
-    sleep(plan.counted).await;
+    sleep(plan.measured_for).await;
     let (after, now) = (instance.cpu()?, playing.seen.borrow().sent.len());
     let memory = instance.memory_most_kb().unwrap_or(0);
     playing.stop().await;
--- a/crates/merlinshelf-testbed/src/experiments/dependencies/mod.rs
+++ b/crates/merlinshelf-testbed/src/experiments/dependencies/mod.rs
@@ -1,8 +1,8 @@
 //! `trial dependencies`: what is served while dependencies fail by script, by the program with its routes, by the version before (one
 //! address each) and by plain round-robin with tries; and many instances in virtual time.
 
-pub mod many;
-pub mod play;
+pub mod scenario;
+pub mod simulation;
 
 use std::collections::BTreeMap;
 use std::io;
@@ -13,7 +13,7 @@
 use tokio::runtime::Builder;
 use tokio::task::LocalSet;
 
-pub use play::{FAULTS, Fault, How, Played};
+pub use scenario::{FAULTS, Fault, Outcome, Routing};
 
 #[derive(Clone, Debug)]
 pub struct Plan {
@@ -26,11 +26,11 @@
     pub program: PathBuf,
 }
 
-type Job = (usize, How);
+type Job = (usize, Routing);
 
-fn plays(plan: &Plan, jobs: Vec<Job>) -> io::Result<BTreeMap<Job, Played>> {
+fn plays(plan: &Plan, jobs: Vec<Job>) -> io::Result<BTreeMap<Job, Outcome>> {
     let jobs = Mutex::new(jobs.into_iter());
-    let found: Mutex<BTreeMap<Job, Played>> = Mutex::default();
+    let found: Mutex<BTreeMap<Job, Outcome>> = Mutex::default();
     let work = |worker: u8| -> io::Result<()> {
         let runtime = Builder::new_current_thread().enable_all().build()?;
         let local = LocalSet::new();
@@ -39,8 +39,10 @@
             let Some((fault, how)) = job else {
                 return Ok(());
             };
-            let played =
-                local.block_on(&runtime, play::play(plan, &FAULTS[fault], how, 60 + worker))?;
+            let played = local.block_on(
+                &runtime,
+                scenario::run(plan, &FAULTS[fault], how, 60 + worker),
+            )?;
             if let Ok(mut found) = found.lock() {
                 found.insert((fault, how), played);
             }
@@ -82,7 +84,7 @@
     };
     let jobs = all
         .iter()
-        .flat_map(|fault| How::ALL.map(|how| (*fault, how)))
+        .flat_map(|fault| Routing::ALL.map(|how| (*fault, how)))
         .collect();
     let found = plays(plan, jobs)?;
     println!(
@@ -97,9 +99,9 @@
     let (mut rows, mut above, mut clean) = (Vec::new(), 0, true);
     let (mut first_case, mut worst_attempts) = (f64::NAN, 0.0_f64);
     for &fault in &all {
-        let of = |how: How| &found[&(fault, how)];
-        let [routed, before, round] = How::ALL.map(|how| of(how).share);
-        let one = of(How::Routed);
+        let of = |how: Routing| &found[&(fault, how)];
+        let [routed, before, round] = Routing::ALL.map(|how| of(how).share);
+        let one = of(Routing::Routed);
         println!(
             "{:<44} {routed:>8.3} {before:>8.3} {round:>8.3} {:>9.3} {:>9}{}",
             FAULTS[fault].name,
@@ -111,7 +113,7 @@
                 " not as clients saw"
             }
         );
-        clean &= How::ALL.iter().all(|how| of(*how).broken_rules == 0)
+        clean &= Routing::ALL.iter().all(|how| of(*how).broken_rules == 0)
             && one.partial_told == one.partial_seen;
         if fault > 0 {
             above += usize::from(routed >= before && routed >= round);
@@ -120,14 +122,14 @@
             }
         }
         if fault == 1 {
-            first_case = routed / found[&(0, How::Routed)].share;
+            first_case = routed / found[&(0, Routing::Routed)].share;
         }
         rows.push(json!({
             "fault": FAULTS[fault].name, "routed": routed, "before": before, "round": round, "attempts": one.attempts,
             "partial": one.partial_told, "partial_seen": one.partial_seen, "load": one.load,
         }));
     }
-    let many = many::play(300, 100, plan.seed);
+    let many = simulation::run(300, 100, plan.seed);
     println!(
         "{} instances, {} servers: largest load over mean {:.3}, {:.1} connections an instance, a slow server gets half its share after {:.2} s, \
          the limit swings by {:.3} of its mean",
--- a/crates/merlinshelf-testbed/src/experiments/dependencies/play.rs
+++ b/crates/merlinshelf-testbed/src/experiments/dependencies/scenario.rs
@@ -89,19 +89,19 @@
 
 /// Who chooses servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum How {
+pub enum Routing {
     Routed,
     /// The version before: one address each.
     Before,
     Round,
 }
 
-impl How {
-    pub const ALL: [How; 3] = [How::Routed, How::Before, How::Round];
+impl Routing {
+    pub const ALL: [Routing; 3] = [Routing::Routed, Routing::Before, Routing::Round];
 }
 
 #[derive(Clone, Debug)]
-pub struct Played {
+pub struct Outcome {
     /// Of the billed value that was asked for under the fault, what was served within its objective.
     pub share: f64,
     /// Calls that reached servers, by call that a run wanted of a dependency that fails.
@@ -131,7 +131,7 @@
 ];
 
 /// What the operators say of the two.
-pub fn section(servers: &BTreeMap<String, Vec<String>>) -> Value {
+pub fn dependencies_config(servers: &BTreeMap<String, Vec<String>>) -> Value {
     let list = |name: &str| -> Vec<Value> {
         servers[name]
             .iter()
@@ -158,7 +158,7 @@
     })
 }
 
-pub fn parts() -> Vec<(String, Vec<String>)> {
+pub fn called_dependencies() -> Vec<(String, Vec<String>)> {
     let both = || vec!["catalogue".to_owned(), "assets".to_owned()];
     vec![
         ("thumbnail".into(), both()),
@@ -201,7 +201,7 @@
 
 /// # Errors
 /// It can't be played.
-pub async fn play(plan: &Plan, fault: &Fault, how: How, number: u8) -> io::Result<Played> {
+pub async fn run(plan: &Plan, fault: &Fault, how: Routing, number: u8) -> io::Result<Outcome> {
     let mut all: BTreeMap<&str, Vec<Rc<Server>>> = BTreeMap::new();
     for name in ["catalogue", "assets"] {
         for _ in 0..5 {
@@ -223,14 +223,14 @@
         })
         .collect();
     let mut setup = Setup::small(&plan.program);
-    setup.manner.parts = parts();
+    setup.manner.parts = called_dependencies();
     match how {
-        How::Routed => setup.dependencies = Some(section(&addresses)),
-        How::Before | How::Round => {
+        Routing::Routed => setup.dependencies = Some(dependencies_config(&addresses)),
+        Routing::Before | Routing::Round => {
             let listener = TcpListener::bind("127.0.0.1:0").await?;
             setup.catalogue = Some(listener.local_addr()?.to_string());
             let way = match how {
-                How::Before => Way::First,
+                Routing::Before => Way::First,
                 _ => Way::Round {
                     each: Duration::from_millis(250),
                     tries: 3,
@@ -280,7 +280,7 @@
         .values()
         .filter(|sent| sent.at >= began && sent.at < until)
     {
-        let (value, whole) = worth(sent, how != How::Routed);
+        let (value, whole) = worth(sent, how != Routing::Routed);
         (got, asked) = (got + value, asked + whole);
         wanted += 2 * u64::from(sent.operation != "transcript-search");
     }
@@ -290,7 +290,7 @@
         .filter(|sent| sent.partial.is_some())
         .count() as u64;
     let per_s = |calls: u64, time: Duration| calls as f64 / time.as_secs_f64();
-    Ok(Played {
+    Ok(Outcome {
         share: got / f64::max(asked, 1e-9),
         attempts: whole_under as f64 / wanted.max(1) as f64,
         partial_told: report["counters"]["partial"].as_u64().unwrap_or(0),
--- a/crates/merlinshelf-testbed/src/experiments/dependencies/many.rs
+++ b/crates/merlinshelf-testbed/src/experiments/dependencies/simulation.rs
@@ -1,4 +1,4 @@
-//! Many instances and servers in virtual time: how even the load is, how many connections an instance needs, how fast a server that
+//! SimulationResult instances and servers in virtual time: how even the load is, how many connections an instance needs, how fast a server that
 //! slows is left, and how much a limit swings under steady load.
 
 use std::cmp::Reverse;
@@ -10,7 +10,7 @@
 use rand_pcg::Pcg64Mcg;
 
 #[derive(Clone, Copy, Debug)]
-pub struct Many {
+pub struct SimulationResult {
     pub instances: usize,
     pub servers: usize,
     /// Largest over mean of what servers get.
@@ -141,7 +141,7 @@
 }
 
 /// Steady load, then one server becomes ten times as slow.
-pub fn play(instances: usize, servers: usize, seed: u64) -> Many {
+pub fn run(instances: usize, servers: usize, seed: u64) -> SimulationResult {
     let address = |place: usize| format!("127.0.{}.{}:5432", place / 250, 1 + place % 250);
     let list = (0..servers).map(|place| ServerConfig {
         address: address(place),
@@ -212,7 +212,7 @@
             break;
         }
     }
-    Many {
+    SimulationResult {
         instances,
         servers,
         evenness,
--- a/crates/merlinshelf-testbed/src/experiments/learning/worth.rs
+++ b/crates/merlinshelf-testbed/src/experiments/learning/benefit.rs
@@ -19,7 +19,7 @@
 
 /// By what a fresh instance is taught.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Teacher {
+pub enum PriorSource {
     Nobody,
     /// One that has served under the same load for a while.
     Steady,
@@ -35,26 +35,26 @@
     Lying,
 }
 
-pub const ALL: [Teacher; 7] = [
-    Teacher::Nobody,
-    Teacher::Steady,
-    Teacher::OwnFile,
-    Teacher::Recovering,
-    Teacher::Stale,
-    Teacher::Wrong,
-    Teacher::Lying,
+pub const ALL: [PriorSource; 7] = [
+    PriorSource::Nobody,
+    PriorSource::Steady,
+    PriorSource::OwnFile,
+    PriorSource::Recovering,
+    PriorSource::Stale,
+    PriorSource::Wrong,
+    PriorSource::Lying,
 ];
 
-impl Teacher {
+impl PriorSource {
     pub fn name(self) -> &'static str {
         match self {
-            Teacher::Nobody => "cold",
-            Teacher::Steady => "steady peer",
-            Teacher::OwnFile => "own file",
-            Teacher::Recovering => "recovering peer",
-            Teacher::Stale => "stale peer",
-            Teacher::Wrong => "wrong peer",
-            Teacher::Lying => "lying peer",
+            PriorSource::Nobody => "cold",
+            PriorSource::Steady => "steady peer",
+            PriorSource::OwnFile => "own file",
+            PriorSource::Recovering => "recovering peer",
+            PriorSource::Stale => "stale peer",
+            PriorSource::Wrong => "wrong peer",
+            PriorSource::Lying => "lying peer",
         }
     }
 
@@ -62,7 +62,7 @@
     pub fn is_bad(self) -> bool {
         matches!(
             self,
-            Teacher::Recovering | Teacher::Stale | Teacher::Wrong | Teacher::Lying
+            PriorSource::Recovering | PriorSource::Stale | PriorSource::Wrong | PriorSource::Lying
         )
     }
 }
@@ -105,16 +105,16 @@
 
 /// What was worth how much, by the step of arrival.
 #[derive(Clone, Debug, Default)]
-pub struct Steps {
+pub struct ValueSeries {
     /// Served in its aim.
     served: Vec<f64>,
     offered: Vec<f64>,
 }
 
-impl Steps {
-    fn of(seen: &Seen, from: Instant) -> Steps {
+impl ValueSeries {
+    fn of(seen: &Seen, from: Instant) -> ValueSeries {
         let count = (LOOKED.as_millis() / STEP.as_millis()) as usize;
-        let mut steps = Steps {
+        let mut steps = ValueSeries {
             served: vec![0.0; count],
             offered: vec![0.0; count],
         };
@@ -193,15 +193,15 @@
 }
 
 /// One play: what was worth how much.
-pub async fn play(
+pub async fn run(
     outage: bool,
     program: &std::path::Path,
     seed: u64,
-    teacher: Teacher,
+    teacher: PriorSource,
     number: u8,
-) -> io::Result<Steps> {
+) -> io::Result<ValueSeries> {
     let (own, other) = (number, number + 1);
-    let folder = teacher == Teacher::OwnFile;
+    let folder = teacher == PriorSource::OwnFile;
     let taught = |seeds: &[String]| Setup {
         name: format!("n{own}"),
         learning: Some(learning(own, seeds, folder)),
@@ -213,15 +213,15 @@
     let mut own_past: Option<Instance> = None;
     let mut liar = None;
     match teacher {
-        Teacher::Nobody => {}
-        Teacher::Steady | Teacher::Recovering => {
+        PriorSource::Nobody => {}
+        PriorSource::Steady | PriorSource::Recovering => {
             let setup = Setup {
                 name: format!("n{other}"),
                 learning: Some(learning(other, &[], false)),
                 ..setup(program, outage)
             };
             let instance = Instance::start(&setup, other).await?;
-            let time = if teacher == Teacher::Steady {
+            let time = if teacher == PriorSource::Steady {
                 3500
             } else {
                 900
@@ -229,15 +229,19 @@
             past(&instance, seed, Duration::from_millis(time)).await?;
             before = Some(instance);
         }
-        Teacher::OwnFile => {
+        PriorSource::OwnFile => {
             let instance = Instance::start(&taught(&[]), own).await?;
             past(&instance, seed, Duration::from_millis(3500)).await?;
             own_past = Some(instance);
         }
-        Teacher::Stale | Teacher::Wrong | Teacher::Lying => {
+        PriorSource::Stale | PriorSource::Wrong | PriorSource::Lying => {
             let listener = TcpListener::bind(&seeds[0]).await?;
             let figures = wrong(teacher, outage, seed);
-            liar = Some(spawn_local(teach(listener, seeds[0].clone(), figures)));
+            liar = Some(spawn_local(serve_observations(
+                listener,
+                seeds[0].clone(),
+                figures,
+            )));
         }
     }
     let mut instance = match own_past {
@@ -249,7 +253,7 @@
         }
         None => {
             Instance::start(
-                &taught(if teacher == Teacher::Nobody {
+                &taught(if teacher == PriorSource::Nobody {
                     &[]
                 } else {
                     &seeds
@@ -259,7 +263,7 @@
             .await?
         }
     };
-    if teacher != Teacher::Nobody {
+    if teacher != PriorSource::Nobody {
         instance
             .says("taught", |status| {
                 status["learning"]["taught_by"] != json!([])
@@ -283,15 +287,15 @@
         liar.abort();
         let _ = liar.await; // its listener is closed with it
     }
-    Ok(Steps::of(&seen, from))
+    Ok(ValueSeries::of(&seen, from))
 }
 
 /// Figures that do not hold.
-fn wrong(teacher: Teacher, outage: bool, seed: u64) -> Vec<GossipedObservation> {
+fn wrong(teacher: PriorSource, outage: bool, seed: u64) -> Vec<GossipedObservation> {
     let factor = |place: u64| match teacher {
-        Teacher::Stale => 0.25,
-        Teacher::Wrong if (place + seed).is_multiple_of(2) => 10.0,
-        Teacher::Wrong => 0.1,
+        PriorSource::Stale => 0.25,
+        PriorSource::Wrong if (place + seed).is_multiple_of(2) => 10.0,
+        PriorSource::Wrong => 0.1,
         _ if place.is_multiple_of(2) => 1e4,
         _ => 1e-4,
     };
@@ -365,7 +369,7 @@
                 incarnation: 1,
             },
             sample_count: 24,
-            age_seconds: if teacher == Teacher::Stale {
+            age_seconds: if teacher == PriorSource::Stale {
                 120.0
             } else {
                 0.0
@@ -379,7 +383,11 @@
 }
 
 /// Teaches whoever asks these figures.
-pub async fn teach(listener: TcpListener, address: String, figures: Vec<GossipedObservation>) {
+pub async fn serve_observations(
+    listener: TcpListener,
+    address: String,
+    figures: Vec<GossipedObservation>,
+) {
     while let Ok((mut stream, _)) = listener.accept().await {
         let from = MembershipUpdate {
             name: "bad".into(),
--- a/crates/merlinshelf-testbed/src/experiments/learning/cost.rs
+++ b/crates/merlinshelf-testbed/src/experiments/learning/cost.rs
@@ -43,7 +43,7 @@
 ///
 /// # Errors
 /// What can't be played.
-pub async fn play(program: &Path, case: Case, seed: u64) -> io::Result<Cost> {
+pub async fn run(program: &Path, case: Case, seed: u64) -> io::Result<Cost> {
     let mut setup = Setup::small(program);
     (setup.cores, setup.manner.cores) = (64, 64.0);
     if case != Case::Off {
--- a/crates/merlinshelf-testbed/src/experiments/learning/crashes.rs
+++ b/crates/merlinshelf-testbed/src/experiments/learning/crashes.rs
@@ -1,4 +1,4 @@
-//! Crashes of the store: at every operation of a life, and again at every operation of the life after, on a folder that
+//! CrashCounts of the store: at every operation of a life, and again at every operation of the life after, on a folder that
 //! loses what was not synced. What is read back is held against what was written.
 
 use std::collections::BTreeMap;
@@ -13,7 +13,7 @@
 
 /// What the crashes came to.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Crashes {
+pub struct CrashCounts {
     pub crashes: u64,
     pub read_back: u64,
     /// Stores that gave back what was never written, or lost what was.
@@ -111,11 +111,11 @@
     })
 }
 
-/// Crashes at each operation of a first life and, after that, of a second one.
-pub fn play(seed: u64, most: u32) -> Crashes {
-    let mut crashes = Crashes::default();
-    for first in 0..most {
-        for second in 0..most {
+/// CrashCounts at each operation of a first life and, after that, of a second one.
+pub fn run(seed: u64, operations: u32) -> CrashCounts {
+    let mut crashes = CrashCounts::default();
+    for first in 0..operations {
+        for second in 0..operations {
             let mut rng =
                 Pcg64Mcg::seed_from_u64(seed ^ u64::from(first) << 32 ^ u64::from(second) << 8);
             let mut disk = Disk::new(Pcg64Mcg::seed_from_u64(rng.random()));
--- a/crates/merlinshelf-testbed/src/experiments/learning/fleet.rs
+++ b/crates/merlinshelf-testbed/src/experiments/learning/fleet.rs
@@ -1,4 +1,4 @@
-//! Many learners in virtual time, with a network between them: what one costs, and how fast all know of a change.
+//! Many nodes in virtual time, with a network between them: what one costs, and how fast all know of a change.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
@@ -12,7 +12,7 @@
 
 /// What a fleet came to.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Fleet {
+pub struct FleetMetrics {
     /// Questions and answers, and their bytes, a peer and second, once all know each other.
     pub messages: f64,
     pub bytes: f64,
@@ -37,13 +37,13 @@
 /// Learners and the network between them; moments in seconds.
 pub struct World {
     pub now: f64,
-    pub learners: Vec<Option<GossipNode>>,
+    pub nodes: Vec<Option<GossipNode>>,
     queue: BinaryHeap<Reverse<(u64, usize)>>,
     what: Vec<Option<What>>,
     free: Vec<usize>,
     rng: Pcg64Mcg,
     /// To which part of a parted network each belongs.
-    pub part: Vec<u8>,
+    pub partition: Vec<u8>,
     pub messages: u64,
     pub bytes: u64,
     /// Every so many messages are measured.
@@ -59,8 +59,8 @@
     }
 }
 
-/// What a module has learnt that has seen so many runs of each operation, at this speed.
-pub fn learnt(runs: usize, clock: f64, speed: f64) -> LearnedState {
+/// What a module has learned_state that has seen so many runs of each operation, at this speed.
+pub fn learned_state(runs: usize, clock: f64, speed: f64) -> LearnedState {
     let samples = |value: f64| -> VecDeque<f64> { (0..runs.min(24)).map(|_| value).collect() };
     let of = |place: usize| LearnedOperation {
         run_durations: samples(0.01 * speed * (place + 1) as f64),
@@ -96,16 +96,16 @@
 
 impl World {
     pub fn new(count: usize, seed: u64) -> World {
-        let learners =
+        let nodes =
             (0..count).map(|number| Some(GossipNode::new(0.0, 1, settings(number, &[0, 1, 2]))));
         let mut world = World {
             now: 0.0,
-            learners: learners.collect(),
+            nodes: nodes.collect(),
             queue: BinaryHeap::new(),
             what: Vec::new(),
             free: Vec::new(),
             rng: Pcg64Mcg::seed_from_u64(seed),
-            part: vec![0; count],
+            partition: vec![0; count],
             messages: 0,
             bytes: 0,
             measured: 1,
@@ -115,8 +115,8 @@
     }
 
     /// Another life begins in this place.
-    pub fn begin(&mut self, number: usize, life: u64) {
-        self.learners[number] = Some(GossipNode::new(
+    pub fn restart_node(&mut self, number: usize, life: u64) {
+        self.nodes[number] = Some(GossipNode::new(
             self.now,
             life,
             settings(number, &[0, 1, 2]),
@@ -140,13 +140,15 @@
             self.bytes += bytes.len() as u64 * self.measured;
         }
         let delay = 0.001 + 0.004 * self.rng.random::<f64>();
-        if self.learners.get(to).is_some_and(Option::is_some) && self.part[from] == self.part[to] {
+        if self.nodes.get(to).is_some_and(Option::is_some)
+            && self.partition[from] == self.partition[to]
+        {
             self.at(self.now + delay, what);
         }
     }
 
     /// Lets everything happen until then.
-    pub fn until(&mut self, end: f64) {
+    pub fn run_until(&mut self, end: f64) {
         while let Some(&Reverse((at, place))) = self.queue.peek() {
             if at as f64 / 1e6 > end {
                 break;
@@ -158,7 +160,7 @@
                 Some(What::Wake(number)) => self.wake(number),
                 Some(What::Question { from, to, message }) => {
                     let now = self.now;
-                    let Some(one) = &mut self.learners[to] else {
+                    let Some(one) = &mut self.nodes[to] else {
                         continue;
                     };
                     let Some(answer) = one.poll_received(now, &message) else {
@@ -173,7 +175,7 @@
                 }
                 Some(What::Answer { to, message }) => {
                     let now = self.now;
-                    if let Some(one) = &mut self.learners[to] {
+                    if let Some(one) = &mut self.nodes[to] {
                         one.answer_received(now, &message);
                     }
                 }
@@ -186,7 +188,7 @@
     fn wake(&mut self, number: usize) {
         let (now, rng) = (self.now, &mut self.rng);
         // One that is gone may come back.
-        let Some(one) = &mut self.learners[number] else {
+        let Some(one) = &mut self.nodes[number] else {
             return self.at(now + 1.0, What::Wake(number));
         };
         let steps = one.timer_expired(now, &mut || rng.random());
@@ -207,22 +209,26 @@
         self.at(wake.max(now + 1e-4), What::Wake(number));
     }
 
-    /// All see what a steady module has learnt.
-    pub fn all_see(&mut self, runs: usize, speed: f64) {
-        let (now, learnt) = (self.now, learnt(runs, self.now, speed));
-        self.learners
+    /// All see what a steady module has learned_state.
+    pub fn record_samples_on_all(&mut self, runs: usize, speed: f64) {
+        let (now, learned_state) = (self.now, learned_state(runs, self.now, speed));
+        self.nodes
             .iter_mut()
             .flatten()
-            .for_each(|one| one.record_own_samples(now, now, &learnt));
+            .for_each(|one| one.record_own_samples(now, now, &learned_state));
     }
 
     /// Goes on until all that live say so, at most so long; when that was.
-    pub fn when(&mut self, most: f64, all: impl Fn(&GossipNode) -> bool) -> Option<f64> {
-        let end = self.now + most;
+    pub fn run_until_all(
+        &mut self,
+        timeout: f64,
+        condition: impl Fn(&GossipNode) -> bool,
+    ) -> Option<f64> {
+        let end = self.now + timeout;
         while self.now < end {
             let next = self.now + 0.5;
-            self.until(next);
-            if self.learners.iter().flatten().all(&all) {
+            self.run_until(next);
+            if self.nodes.iter().flatten().all(&condition) {
                 return Some(self.now);
             }
         }
@@ -244,33 +250,33 @@
 }
 
 /// All start at once, meet, go on for a while, and one dies.
-pub fn play(count: usize, seed: u64) -> Fleet {
+pub fn run(count: usize, seed: u64) -> FleetMetrics {
     let before = memory_kb();
     let mut world = World::new(count, seed);
     world.measured = if count > 1000 { 97 } else { 1 };
-    world.all_see(24, 1.0);
+    world.record_samples_on_all(24, 1.0);
     // Half of all know nearly all: the tables of the largest fleets fill slowly, and no figure waits for that.
     let met = |one: &GossipNode| one.members().count_alive() * 10 >= (count - 1) * 9;
-    let _ = world.when(240.0, met);
-    world.until(world.now + 10.0);
+    let _ = world.run_until_all(240.0, met);
+    world.run_until(world.now + 10.0);
     let (from, messages, bytes) = (world.now, world.messages, world.bytes);
     for _ in 0..10 {
-        world.until(world.now + 1.0);
-        world.all_see(24, 1.0 + world.now / 1e6);
+        world.run_until(world.now + 1.0);
+        world.record_samples_on_all(24, 1.0 + world.now / 1e6);
     }
     let seconds = (world.now - from) * count as f64;
     let (messages, bytes) = (world.messages - messages, world.bytes - bytes);
     let memory = (memory_kb() - before) / count as f64;
     let dead = count / 2;
-    world.learners[dead] = None;
+    world.nodes[dead] = None;
     let (began, name) = (world.now, format!("n{dead}"));
     let knows = |one: &GossipNode| {
         one.members()
             .state_of(&name)
             .is_none_or(|state| state >= State::Left)
     };
-    let known = world.when(300.0, knows).unwrap_or(f64::INFINITY) - began;
-    Fleet {
+    let known = world.run_until_all(300.0, knows).unwrap_or(f64::INFINITY) - began;
+    FleetMetrics {
         messages: messages as f64 / seconds,
         bytes: bytes as f64 / seconds,
         known_s: known,
--- a/crates/merlinshelf-testbed/src/experiments/learning/mod.rs
+++ b/crates/merlinshelf-testbed/src/experiments/learning/mod.rs
@@ -1,9 +1,9 @@
 //! `trial learning`: what being taught is worth, what bad teachers cost, what it costs a fleet, and what crashes leave.
 
+pub mod benefit;
 pub mod cost;
 pub mod crashes;
 pub mod fleet;
-pub mod worth;
 
 use std::collections::BTreeMap;
 use std::io;
@@ -14,7 +14,7 @@
 use tokio::runtime::Builder;
 use tokio::task::LocalSet;
 
-use worth::{STEP, Steps, Teacher};
+use benefit::{PriorSource, STEP, ValueSeries};
 
 #[derive(Clone, Debug)]
 pub struct Plan {
@@ -39,19 +39,20 @@
 }
 
 /// Whether there is an outage, the seed, and the teacher.
-type Job = (bool, u64, Teacher);
+type Job = (bool, u64, PriorSource);
 
 /// All plays of all seeds, some at one time.
-fn plays(plan: &Plan) -> io::Result<BTreeMap<Job, Steps>> {
-    let outage = |seed: u64| worth::ALL.map(|teacher| (true, seed, teacher));
-    let none =
-        |seed: u64| [Teacher::Nobody, Teacher::Wrong, Teacher::Lying].map(|of| (false, seed, of));
+fn plays(plan: &Plan) -> io::Result<BTreeMap<Job, ValueSeries>> {
+    let outage = |seed: u64| benefit::ALL.map(|teacher| (true, seed, teacher));
+    let none = |seed: u64| {
+        [PriorSource::Nobody, PriorSource::Wrong, PriorSource::Lying].map(|of| (false, seed, of))
+    };
     let seeds = plan.seed..plan.seed + plan.seeds;
     let jobs: Vec<Job> = seeds
         .flat_map(|seed| outage(seed).into_iter().chain(none(seed)))
         .collect();
     let jobs = Mutex::new(jobs.into_iter());
-    let found: Mutex<BTreeMap<Job, Steps>> = Mutex::default();
+    let found: Mutex<BTreeMap<Job, ValueSeries>> = Mutex::default();
     let work = |worker: u8| -> io::Result<()> {
         let runtime = Builder::new_current_thread().enable_all().build()?;
         let local = LocalSet::new();
@@ -60,7 +61,7 @@
             let Some((outage, seed, teacher)) = job else {
                 return Ok(());
             };
-            let play = worth::play(outage, &plan.program, seed, teacher, 2 + 2 * worker);
+            let play = benefit::run(outage, &plan.program, seed, teacher, 2 + 2 * worker);
             let steps = local.block_on(&runtime, play)?;
             if let Ok(mut found) = found.lock() {
                 found.insert((outage, seed, teacher), steps);
@@ -91,7 +92,7 @@
     for round in 0..plan.costs {
         for (place, case) in [Case::Off, Case::On, Case::Asked].into_iter().enumerate() {
             let seed = plan.seed + 3 * round + place as u64;
-            let cost = local.block_on(&runtime, cost::play(&plan.program, case, seed))?;
+            let cost = local.block_on(&runtime, cost::run(&plan.program, case, seed))?;
             found[place].0.push(cost.us);
             found[place].1.push(cost.p99_ms);
             found[place].2.push(cost.answered);
@@ -142,18 +143,18 @@
         "{:<16} {:>8} {:>19} {:>13} {:>8}",
         "taught by", "settled", "90% of plays", "against cold", "share"
     );
-    for teacher in worth::ALL {
+    for teacher in benefit::ALL {
         let (mut times, mut shares, mut ratios) = (Vec::new(), Vec::new(), Vec::new());
         for seed in plan.seed..plan.seed + plan.seeds {
             // What a steady one comes to under the same load is what all are held against.
             if let (Some(steady), Some(steps)) = (
-                found.get(&(true, seed, Teacher::Steady)),
+                found.get(&(true, seed, PriorSource::Steady)),
                 found.get(&(true, seed, teacher)),
             ) {
-                let settled = |steps: &Steps| steps.settled(steady.steady()).as_secs_f64();
+                let settled = |steps: &ValueSeries| steps.settled(steady.steady()).as_secs_f64();
                 times.push(settled(steps));
                 // Of the same seed, so that what the load does to all counts for none.
-                if let Some(cold) = found.get(&(true, seed, Teacher::Nobody)) {
+                if let Some(cold) = found.get(&(true, seed, PriorSource::Nobody)) {
                     ratios.push(settled(steps) / settled(cold).max(STEP.as_secs_f64()));
                 }
                 shares.push(steps.steady());
@@ -167,27 +168,27 @@
         );
         settled.insert(teacher, (median, ratio));
     }
-    let of = |teacher: Teacher| {
+    let of = |teacher: PriorSource| {
         settled
             .get(&teacher)
             .map_or(f64::NAN, |(median, _)| *median)
     };
-    let cold = of(Teacher::Nobody);
-    let taught = of(Teacher::Steady).max(of(Teacher::OwnFile));
+    let cold = of(PriorSource::Nobody);
+    let taught = of(PriorSource::Steady).max(of(PriorSource::OwnFile));
     let bad = || settled.iter().filter(|(teacher, _)| teacher.is_bad());
     let worst = bad().map(|(_, (median, _))| *median).fold(0.0, f64::max);
     let worst_ratio = bad().map(|(_, (_, ratio))| *ratio).fold(0.0, f64::max);
     // Told of an outage where there is none: the first second, against a cold one's.
-    let first = |teacher: Teacher| {
+    let first = |teacher: PriorSource| {
         let seeds = plan.seed..plan.seed + plan.seeds;
         let mut shares: Vec<f64> = seeds
-            .filter_map(|seed| found.get(&(false, seed, teacher)).map(Steps::first))
+            .filter_map(|seed| found.get(&(false, seed, teacher)).map(ValueSeries::first))
             .collect();
         spread(&mut shares).0
     };
     let (calm, lied) = (
-        first(Teacher::Nobody),
-        first(Teacher::Lying).min(first(Teacher::Wrong)),
+        first(PriorSource::Nobody),
+        first(PriorSource::Lying).min(first(PriorSource::Wrong)),
     );
     println!(
         "without an outage: first second {calm:.3} cold, {lied:.3} told of one by bad teachers"
@@ -195,7 +196,7 @@
     let costs = costs(plan)?;
     let mut fleets = Vec::new();
     for &count in &plan.fleets {
-        let fleet = fleet::play(count, plan.seed);
+        let fleet = fleet::run(count, plan.seed);
         println!(
             "{count:>5} peers: {:.2} messages and {:.0} bytes a peer and second, a change is known to all within \
              {:.1} s, {:.0} KB a peer",
@@ -206,7 +207,7 @@
             "memory_kb": fleet.memory_kb,
         }));
     }
-    let crashes = crashes::play(plan.seed, plan.crashes);
+    let crashes = crashes::run(plan.seed, plan.crashes);
     println!(
         "{} crashes, {} stores read back, {} wrong",
         crashes.crashes, crashes.read_back, crashes.wrong
--- a/crates/merlinshelf-testbed/src/experiments/policy.rs
+++ b/crates/merlinshelf-testbed/src/experiments/policy.rs
@@ -31,12 +31,12 @@
     pub rate: f64,
     pub program: PathBuf,
     /// Only this fault in every round; none: drawn by seed.
-    pub only: Option<Trouble>,
+    pub only: Option<RoundFault>,
 }
 
 /// What happens in a round.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, clap::ValueEnum)]
-pub enum Trouble {
+pub enum RoundFault {
     Nothing,
     /// An instance stands still before the change and goes on after it.
     StopInstance,
@@ -60,20 +60,20 @@
     TwoAtOnce,
 }
 
-const ALL: [Trouble; 13] = [
-    Trouble::Nothing,
-    Trouble::StopInstance,
-    Trouble::KillInstance,
-    Trouble::KillAgent,
-    Trouble::KillLeader,
-    Trouble::KillAllAgents,
-    Trouble::StopLeader,
-    Trouble::CutHost,
-    Trouble::HoldHost,
-    Trouble::DeafHost,
-    Trouble::LoseDisk,
-    Trouble::BadDocument,
-    Trouble::TwoAtOnce,
+const ALL: [RoundFault; 13] = [
+    RoundFault::Nothing,
+    RoundFault::StopInstance,
+    RoundFault::KillInstance,
+    RoundFault::KillAgent,
+    RoundFault::KillLeader,
+    RoundFault::KillAllAgents,
+    RoundFault::StopLeader,
+    RoundFault::CutHost,
+    RoundFault::HoldHost,
+    RoundFault::DeafHost,
+    RoundFault::LoseDisk,
+    RoundFault::BadDocument,
+    RoundFault::TwoAtOnce,
 ];
 
 /// What came of a seed.
@@ -90,7 +90,7 @@
     doubled: u64,
     evidence: u64,
     /// Seconds from proposing to held, by trouble.
-    took: BTreeMap<Trouble, Vec<f64>>,
+    took: BTreeMap<RoundFault, Vec<f64>>,
 }
 
 /// Asks, at whichever agent answers, until it is known what became of the change.
@@ -115,7 +115,7 @@
 struct Round<'a> {
     all: &'a mut Installation,
     rng: &'a mut Pcg64Mcg,
-    trouble: Trouble,
+    trouble: RoundFault,
     stopped: Vec<u32>,
     agents_down: Vec<usize>,
     lose_disk: bool,
@@ -130,39 +130,39 @@
         let leader = self.all.leader().await.unwrap_or(0);
         let other = (leader + 1 + self.rng.random_range(0..hosts.max(2) - 1)) % hosts;
         match self.trouble {
-            Trouble::StopInstance => {
+            RoundFault::StopInstance => {
                 self.stopped = self.all.hosts[host].processes_of(place);
                 self.stopped
                     .iter()
                     .for_each(|pid| signal(*pid, Signal::STOP));
             }
-            Trouble::KillInstance => {
+            RoundFault::KillInstance => {
                 self.all.hosts[host]
                     .processes_of(place)
                     .iter()
                     .for_each(|pid| signal(*pid, Signal::KILL));
                 return vec![(host, place)];
             }
-            Trouble::KillAgent | Trouble::LoseDisk => {
+            RoundFault::KillAgent | RoundFault::LoseDisk => {
                 self.agents_down = vec![other];
-                self.lose_disk = self.trouble == Trouble::LoseDisk;
+                self.lose_disk = self.trouble == RoundFault::LoseDisk;
             }
-            Trouble::KillLeader => self.agents_down = vec![leader],
-            Trouble::KillAllAgents => self.agents_down = (0..hosts).collect(),
-            Trouble::StopLeader => {
+            RoundFault::KillLeader => self.agents_down = vec![leader],
+            RoundFault::KillAllAgents => self.agents_down = (0..hosts).collect(),
+            RoundFault::StopLeader => {
                 self.stopped = self.all.hosts[leader].agent().into_iter().collect();
             }
-            Trouble::CutHost => self.all.set_links(host, true, true, Fault::Cut),
-            Trouble::HoldHost => self.all.set_links(host, true, true, Fault::Held),
-            Trouble::DeafHost => self.all.set_links(host, true, false, Fault::Held),
-            Trouble::Nothing | Trouble::BadDocument | Trouble::TwoAtOnce => {}
+            RoundFault::CutHost => self.all.set_links(host, true, true, Fault::Cut),
+            RoundFault::HoldHost => self.all.set_links(host, true, true, Fault::Held),
+            RoundFault::DeafHost => self.all.set_links(host, true, false, Fault::Held),
+            RoundFault::Nothing | RoundFault::BadDocument | RoundFault::TwoAtOnce => {}
         }
         Vec::new()
     }
 
     /// A moment after the change was proposed.
     async fn midst(&mut self) {
-        if self.trouble == Trouble::StopLeader {
+        if self.trouble == RoundFault::StopLeader {
             self.stopped
                 .iter()
                 .for_each(|pid| signal(*pid, Signal::STOP));
@@ -193,7 +193,7 @@
 fn tell_wrong(
     all: &Installation,
     playing: &[(usize, u16, Load, Playing)],
-    rounds: &[(Instant, Trouble)],
+    rounds: &[(Instant, RoundFault)],
 ) {
     for (host, place, load, playing) in playing {
         let seen = playing.seen.borrow();
@@ -230,10 +230,10 @@
     let playing = all.load(plan.rate, seed).await?;
     let lease = Duration::from_millis(plan.made.lease_ms);
     let mut changes: Vec<Changed> = Vec::new();
-    let mut troubles: Vec<Trouble> = Vec::new();
+    let mut troubles: Vec<RoundFault> = Vec::new();
     // Each refused or held sign is another one than the last that held and the last that was proposed.
     let (mut held_sign, mut last_sign) = (None, None);
-    let mut rounds: Vec<(Instant, Trouble)> = Vec::new();
+    let mut rounds: Vec<(Instant, RoundFault)> = Vec::new();
     for round in 0..plan.rounds {
         if troubles.is_empty() {
             troubles = ALL.to_vec();
@@ -241,7 +241,7 @@
                 .rev()
                 .for_each(|place| troubles.swap(place, rng.random_range(0..=place)));
         }
-        let trouble = plan.only.or(troubles.pop()).unwrap_or(Trouble::Nothing);
+        let trouble = plan.only.or(troubles.pop()).unwrap_or(RoundFault::Nothing);
         let free = (0..3)
             .find(|sign| Some(*sign) != held_sign && Some(*sign) != last_sign)
             .unwrap_or(0);
@@ -262,7 +262,7 @@
         }
         let id = format!("{seed}-{round}");
         let mut document = policy_of(free);
-        if trouble == Trouble::BadDocument {
+        if trouble == RoundFault::BadDocument {
             document["operations"]["unheard-of"] = json!({ "worth": 1.0 });
         }
         let proposed = Instant::now();
@@ -275,7 +275,7 @@
             // The tool asks on its own; what it is told does not count before it is asked anew.
             let _ = timeout(pause, asked).await;
         }
-        if trouble == Trouble::TwoAtOnce {
+        if trouble == RoundFault::TwoAtOnce {
             let other = (at + 1) % acting.all.hosts.len();
             let body = json!({ "id": format!("{id}-other"), "policy": document, "wait": false });
             let _ = timeout(
@@ -331,7 +331,7 @@
             (known - proposed).as_secs_f64()
         );
         let other = format!("{id}-other");
-        if trouble == Trouble::TwoAtOnce
+        if trouble == RoundFault::TwoAtOnce
             && let Some(said) = outcome(&all, &other, Duration::from_secs(6)).await
             && said["state"] == "held"
         {
--- a/crates/merlinshelf-testbed/src/experiments/restart.rs
+++ b/crates/merlinshelf-testbed/src/experiments/restart.rs
@@ -7,7 +7,7 @@
 use serde_json::{Value, json};
 use tokio::time::{Instant, sleep};
 
-use crate::experiments::upgrade::round;
+use crate::experiments::upgrade::request_upgrade;
 use crate::instance::{Instance, Setup};
 use crate::load::Load;
 
@@ -18,7 +18,7 @@
     /// The program that is drained and started anew.
     pub against: PathBuf,
     /// How long the service is looked at from the change on.
-    pub looked: Duration,
+    pub observed_for: Duration,
     pub setup: Setup,
 }
 
@@ -39,14 +39,15 @@
     sleep(Duration::from_secs(2)).await;
     let from = Instant::now();
     if upgrades {
-        let ended = round(&instance, &format!("exec '{}' \"$@\"", program.display())).await?;
+        let ended =
+            request_upgrade(&instance, &format!("exec '{}' \"$@\"", program.display())).await?;
         if ended != "done" {
             return Err(io::Error::other(format!("the upgrade ended {ended}")));
         }
     } else {
         instance.restart(program).await?;
     }
-    tokio::time::sleep_until(from + plan.looked).await;
+    tokio::time::sleep_until(from + plan.observed_for).await;
     let until = Instant::now();
     let seen = playing.stop().await.take();
     instance.end().await;
@@ -81,7 +82,7 @@
         restarted.0, restarted.1
     );
     let line = json!({
-        "trial": "restart", "seed": plan.seed, "rate": plan.rate, "looked_ms": plan.looked.as_millis() as u64,
+        "trial": "restart", "seed": plan.seed, "rate": plan.rate, "looked_ms": plan.observed_for.as_millis() as u64,
         "served": upgraded.0, "worst_ms": upgraded.1, "served_restart": restarted.0, "worst_ms_restart": restarted.1,
     });
     println!("{line}");
--- a/crates/merlinshelf-testbed/src/experiments/shares.rs
+++ b/crates/merlinshelf-testbed/src/experiments/shares.rs
@@ -32,19 +32,19 @@
     /// The version before; none: this one, with all of it off.
     pub against: Option<PathBuf>,
     /// Only this way.
-    pub only: Option<Way>,
+    pub only: Option<BudgetMode>,
 }
 
 /// How what is spent is bounded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, clap::ValueEnum)]
-pub enum Way {
+pub enum BudgetMode {
     Shares,
     /// Each host has its part of the budget for good. How the catalogue fares is told as with shares.
     Fixed,
     Before,
 }
 
-const WAYS: [Way; 3] = [Way::Shares, Way::Fixed, Way::Before];
+const WAYS: [BudgetMode; 3] = [BudgetMode::Shares, BudgetMode::Fixed, BudgetMode::Before];
 
 /// What becomes of the catalogue.
 const MANNERS: [Manners; 4] = [
@@ -147,7 +147,7 @@
 }
 
 /// `number` is the first of the addresses that it takes, one for each host.
-async fn one(plan: &Plan, way: Way, seed: u64, number: u8) -> io::Result<Played> {
+async fn one(plan: &Plan, way: BudgetMode, seed: u64, number: u8) -> io::Result<Played> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let manners = MANNERS[rng.random_range(0..MANNERS.len())];
     let trouble = TROUBLES[rng.random_range(0..TROUBLES.len())];
@@ -155,11 +155,11 @@
     let hosts = 3;
     let part = |figure: usize| json!((figure / usize::from(hosts)).max(1));
     let budgets = match way {
-        Way::Shares => aside(),
-        Way::Fixed => json!({ "catalogue": {
+        BudgetMode::Shares => aside(),
+        BudgetMode::Fixed => json!({ "catalogue": {
             "again": part(AGAIN), "probes": part(PROBES), "first": part(FIRST), "opened": part(OPENED),
         } }),
-        Way::Before => json!({}),
+        BudgetMode::Before => json!({}),
     };
     let instances = plan.instances / u16::from(hosts);
     let made = Made {
@@ -172,12 +172,12 @@
     let program = plan
         .against
         .as_ref()
-        .filter(|_| way == Way::Before)
+        .filter(|_| way == BudgetMode::Before)
         .unwrap_or(&plan.program);
     let mut all = Installation::start(program, number, &made).await?;
     let door = all.door.clone().ok_or(io::ErrorKind::NotFound)?;
     match way {
-        Way::Shares => {
+        BudgetMode::Shares => {
             _ = hold(
                 &all,
                 &policy(&[("first", FIRST), ("again", AGAIN)]),
@@ -185,7 +185,7 @@
             )
             .await?
         }
-        Way::Fixed | Way::Before => {}
+        BudgetMode::Fixed | BudgetMode::Before => {}
     }
     let playing = all.load(plan.rate, seed).await?;
     pause(4.0).await;
@@ -329,11 +329,11 @@
         plan.seed,
         plan.seed + plan.seeds - 1
     );
-    let ways: Vec<Way> = WAYS
+    let ways: Vec<BudgetMode> = WAYS
         .into_iter()
         .filter(|way| plan.only.is_none_or(|only| only == *way))
         .collect();
-    let mut all: BTreeMap<Way, Vec<Played>> = BTreeMap::new();
+    let mut all: BTreeMap<BudgetMode, Vec<Played>> = BTreeMap::new();
     // What was played before still holds its addresses.
     let mut numbers = (10_u8..240).step_by(3);
     for seed in plan.seed..plan.seed + plan.seeds {
@@ -374,7 +374,7 @@
             .filter(|one| one.worst.contains_key("probes"))
             .map(|one| one.seen_s)
             .collect();
-        let ours = all.get(&Way::Shares);
+        let ours = all.get(&BudgetMode::Shares);
         let ratios: Vec<f64> = ours.map_or(Vec::new(), |ours| {
             ours.iter()
                 .zip(played)
@@ -403,7 +403,7 @@
             sum(|one| one.lost),
             sum(|one| one.doubled),
         );
-        if *way == Way::Shares {
+        if *way == BudgetMode::Shares {
             line["worst_second"] = json!((most * 100.0).round() / 100.0);
             line["probes_s"] = json!((mean(&failing).0 * 10.0).round() / 10.0);
             (line["sent"], line["lost"], line["doubled"]) =
--- a/crates/merlinshelf-testbed/src/experiments/shares_loop.rs
+++ b/crates/merlinshelf-testbed/src/experiments/shares_loop.rs
@@ -7,7 +7,7 @@
 use serde_json::{Value, json};
 use tokio::time::{Instant, sleep};
 
-use super::shares::{Plan, Way};
+use super::shares::{BudgetMode, Plan};
 use crate::budgets::{hold, policy};
 use crate::fakes::Manners;
 use crate::installation::{Installation, Made, check};
@@ -49,14 +49,14 @@
 
 async fn one(
     plan: &Plan,
-    way: Way,
+    way: BudgetMode,
     part: f64,
     tries: u32,
     seed: u64,
     number: u8,
 ) -> io::Result<Played> {
     let set_aside = json!({ "catalogue": { "again": 1, "probes": 1, "first": 4, "opened": 10 } });
-    let budgets = if way == Way::Before {
+    let budgets = if way == BudgetMode::Before {
         json!({})
     } else {
         set_aside
@@ -73,11 +73,11 @@
     let program = plan
         .against
         .as_ref()
-        .filter(|_| way == Way::Before)
+        .filter(|_| way == BudgetMode::Before)
         .unwrap_or(&plan.program);
     let all = Installation::start(program, number, &made).await?;
     let door = all.door.clone().ok_or(io::ErrorKind::NotFound)?;
-    if way != Way::Before {
+    if way != BudgetMode::Before {
         hold(
             &all,
             &policy(&[("first", 300), ("again", 40), ("opened", 400)]),
@@ -149,7 +149,7 @@
     let (mut worst, mut clean, mut rows) = (0.0_f64, true, Vec::new());
     for seed in plan.seed..plan.seed + plan.seeds {
         for (part, tries) in [(0.7, 3), (0.9, 1), (0.9, 3)] {
-            for way in [Way::Before, Way::Shares] {
+            for way in [BudgetMode::Before, BudgetMode::Shares] {
                 if plan.only.is_some_and(|only| only != way)
                     || plan.seeds > 2 && (part, tries) != (0.9, 3)
                 {
@@ -173,7 +173,7 @@
                     played.lost,
                     played.doubled
                 );
-                if way == Way::Shares {
+                if way == BudgetMode::Shares {
                     worst = worst.max(played.back_s.unwrap_or(LOOKED));
                     clean &= played.lost + played.doubled == 0;
                 }
--- a/crates/merlinshelf-testbed/src/experiments/shares_size.rs
+++ b/crates/merlinshelf-testbed/src/experiments/shares_size.rs
@@ -28,41 +28,41 @@
 
 /// A fleet, and what happens to it.
 #[derive(Clone, Debug)]
-pub struct Size {
+pub struct Scenario {
     pub hosts: usize,
     pub instances: usize,
     /// Calls that each instance wants, a second.
     pub rate: f64,
     pub seconds: f64,
     /// The catalogue is gone from and until then.
-    pub gone: (f64, f64),
+    pub outage: (f64, f64),
     /// Changes of who leads, hosts cut off, processes that stand still or die, over all of it.
-    pub troubles: usize,
+    pub faults: usize,
     pub budgets: [(CallKind, u32); 3],
-    pub aside: u32,
+    pub reserved_calls: u32,
     /// What is wrong on purpose: whoever is elected gives at once.
-    pub planted: bool,
+    pub skips_lease_wait: bool,
 }
 
-impl Size {
+impl Scenario {
     /// One with an outage in its midst.
-    pub fn of(hosts: usize, instances: usize, troubles: usize) -> Size {
+    pub fn with_outage(hosts: usize, instances: usize, faults: usize) -> Scenario {
         let budgets = [
             (CallKind::Retry, 24),
             (CallKind::Probe, 8.max(2 * hosts as u32)),
             (CallKind::FirstCall, 20 + instances as u32),
         ];
-        let (seconds, gone, planted) = (22.0, (5.0, 14.0), false);
-        Size {
+        let (seconds, outage, skips_lease_wait) = (22.0, (5.0, 14.0), false);
+        Scenario {
             hosts,
             instances,
             rate: 4.0,
             seconds,
-            gone,
-            troubles,
+            outage,
+            faults,
             budgets,
-            aside: 1,
-            planted,
+            reserved_calls: 1,
+            skips_lease_wait,
         }
     }
 
@@ -74,7 +74,7 @@
         let kinds = self
             .budgets
             .iter()
-            .map(|(kind, _)| (*kind, self.aside))
+            .map(|(kind, _)| (*kind, self.reserved_calls))
             .collect();
         BTreeMap::from([(CATALOGUE.to_owned(), kinds)])
     }
@@ -82,14 +82,14 @@
 
 /// What came of it.
 #[derive(Clone, Debug, Default)]
-pub struct Played {
+pub struct SimulationResult {
     /// The worst second of each kind, wherever it begins.
-    pub worst: BTreeMap<CallKind, usize>,
+    pub worst_second: BTreeMap<CallKind, usize>,
     /// Messages and bytes an instance and second: to and from its agent; and those between agents, a host and second.
     pub messages: (f64, f64),
     pub bytes: (f64, f64),
     /// Seconds from the catalogue's return until first calls are not bounded any more.
-    pub open_after: Option<f64>,
+    pub unbounded_after: Option<f64>,
     /// Time on one core of whoever leads, of a host's agent and of an instance, milliseconds a second.
     pub cost_ms: (f64, f64, f64),
     pub calls: u64,
@@ -129,7 +129,7 @@
 }
 
 struct World {
-    size: Size,
+    size: Scenario,
     rng: Pcg64Mcg,
     now: f64,
     queue: BinaryHeap<(std::cmp::Reverse<u64>, std::cmp::Reverse<u64>)>,
@@ -142,7 +142,7 @@
     hosts: Vec<Host>,
     all: Vec<One>,
     arrived: BTreeMap<CallKind, Vec<f64>>,
-    played: Played,
+    played: SimulationResult,
     sent: (u64, u64, u64, u64),
     spent: (f64, f64, f64),
 }
@@ -152,7 +152,7 @@
 }
 
 impl World {
-    fn new(size: &Size, seed: u64) -> World {
+    fn new(size: &Scenario, seed: u64) -> World {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let budgets = size.bounds();
         let mut rate = || 1.0 + rng.random_range(-0.01..0.01);
@@ -200,7 +200,7 @@
             hosts,
             all,
             arrived: BTreeMap::new(),
-            played: Played::default(),
+            played: SimulationResult::default(),
             sent: (0, 0, 0, 0),
             spent: (0.0, 0.0, 0.0),
         };
@@ -213,7 +213,7 @@
             world.after(at, Event::Beat(place));
             world.wants(place);
         }
-        for _ in 0..size.troubles {
+        for _ in 0..size.faults {
             let at = world.rng.random_range(1.0..size.seconds - 2.0);
             world.after(at, Event::Trouble);
         }
@@ -233,17 +233,17 @@
         self.after(pause, Event::Wants(place));
     }
 
-    /// Mostly soon; where there are troubles now and then late, or never.
+    /// Mostly soon; where there are faults now and then late, or never.
     fn send(&mut self, event: Event) {
         let pause = match self.rng.random_range(0..40) {
-            0 if self.size.troubles > 0 => return,
-            1 if self.size.troubles > 0 => self.rng.random_range(0.0..2.5),
+            0 if self.size.faults > 0 => return,
+            1 if self.size.faults > 0 => self.rng.random_range(0.0..2.5),
             _ => self.rng.random_range(0.0002..0.005),
         };
         self.after(pause, event);
     }
 
-    fn play(mut self) -> Played {
+    fn run(mut self) -> SimulationResult {
         let until = self.size.seconds;
         while let Some((std::cmp::Reverse(at), std::cmp::Reverse(number))) = self.queue.pop() {
             self.now = at as f64 / 1e9;
@@ -278,7 +278,7 @@
                 }
                 most = most.max(last - first + 1);
             }
-            self.played.worst.insert(*kind, most);
+            self.played.worst_second.insert(*kind, most);
         }
         self.played
     }
@@ -298,7 +298,7 @@
             }
             Event::Up(host, asked) => {
                 if !self.waits {
-                    // The planted fault: it takes what an earlier one gave for long over.
+                    // The skips_lease_wait fault: it takes what an earlier one gave for long over.
                     self.bank.handle_request(
                         now * self.bank_rate - 100.0,
                         &format!("h{host}"),
@@ -318,8 +318,8 @@
                     .phases(CATALOGUE)
                     .values()
                     .all(|phase| *phase == Phase::Healthy);
-                if open && now > self.size.gone.1 && self.played.open_after.is_none() {
-                    self.played.open_after = Some(now - self.size.gone.1);
+                if open && now > self.size.outage.1 && self.played.unbounded_after.is_none() {
+                    self.played.unbounded_after = Some(now - self.size.outage.1);
                 }
             }
             Event::Down(host, given) => {
@@ -386,7 +386,7 @@
     }
 
     fn call(&mut self, place: usize) {
-        let (now, aside) = (self.now, self.size.aside);
+        let (now, aside) = (self.now, self.size.reserved_calls);
         let one = &mut self.all[place];
         if now < one.stands_until {
             return;
@@ -431,7 +431,7 @@
         one.probing |= kind == CallKind::Probe;
         let life = one.life;
         let way = self.rng.random_range(0.0..WAY);
-        let (from, until) = self.size.gone;
+        let (from, until) = self.size.outage;
         let well = !(now + way >= from && now + way < until);
         if bounded {
             self.arrived.entry(kind).or_default().push(now + way);
@@ -472,7 +472,7 @@
             0 => {
                 self.bank_rate = 1.0 + self.rng.random_range(-0.01..0.01);
                 self.bank = FleetAllocator::elected(LEASE, self.count);
-                self.waits = !self.size.planted;
+                self.waits = !self.size.skips_lease_wait;
                 self.bank.set_budgets(
                     &self.size.bounds(),
                     &self.size.set_aside(),
@@ -506,8 +506,8 @@
 }
 
 /// One play of a fleet.
-pub fn play(size: &Size, seed: u64) -> Played {
-    World::new(size, seed).play()
+pub fn simulate(size: &Scenario, seed: u64) -> SimulationResult {
+    World::new(size, seed).run()
 }
 
 /// The table by size; whether every budget held.
@@ -527,7 +527,7 @@
         "leader ms"
     );
     let (mut rows, mut clean) = (Vec::new(), true);
-    for (hosts, instances, troubles) in [
+    for (hosts, instances, faults) in [
         (3, 30, 0),
         (3, 300, 0),
         (30, 3000, 0),
@@ -535,32 +535,32 @@
         (3, 300, 60),
         (30, 3000, 60),
     ] {
-        let size = Size::of(hosts, instances, troubles);
-        let played = play(&size, seed);
+        let size = Scenario::with_outage(hosts, instances, faults);
+        let played = simulate(&size, seed);
         let worst = |kind: CallKind| {
             let budget = size
                 .budgets
                 .iter()
                 .find(|(of, _)| *of == kind)
                 .map_or(1, |(_, calls)| *calls);
-            played.worst.get(&kind).copied().unwrap_or(0) as f64 / f64::from(budget)
+            played.worst_second.get(&kind).copied().unwrap_or(0) as f64 / f64::from(budget)
         };
         clean &= worst(CallKind::Probe) <= 1.0 && worst(CallKind::FirstCall) <= 1.0;
         println!(
-            "{hosts:>5} {instances:>9} {troubles:>6} {:>12.2} {:>12.0} {:>12.1} {:>12.0} {:>9.2} {:>9.2} {:>9.1} {:>9.3}",
+            "{hosts:>5} {instances:>9} {faults:>6} {:>12.2} {:>12.0} {:>12.1} {:>12.0} {:>9.2} {:>9.2} {:>9.1} {:>9.3}",
             played.messages.0,
             played.bytes.0,
             played.messages.1,
             played.bytes.1,
             worst(CallKind::Probe),
             worst(CallKind::FirstCall),
-            played.open_after.unwrap_or(f64::NAN),
+            played.unbounded_after.unwrap_or(f64::NAN),
             played.cost_ms.0,
         );
         rows.push(json!({
-            "hosts": hosts, "instances": instances, "faults": troubles, "messages": played.messages.0,
+            "hosts": hosts, "instances": instances, "faults": faults, "messages": played.messages.0,
             "bytes": played.bytes.0, "worst_probes": worst(CallKind::Probe), "worst_first": worst(CallKind::FirstCall),
-            "open_after_s": played.open_after, "leader_ms_s": played.cost_ms.0, "host_ms_s": played.cost_ms.1,
+            "open_after_s": played.unbounded_after, "leader_ms_s": played.cost_ms.0, "host_ms_s": played.cost_ms.1,
         }));
     }
     let line = json!({ "trial": "shares-sizes", "seed": seed, "sizes": rows });
--- a/crates/merlinshelf-testbed/src/experiments/upgrade.rs
+++ b/crates/merlinshelf-testbed/src/experiments/upgrade.rs
@@ -160,7 +160,7 @@
 }
 
 /// Asks for an upgrade to a successor whose program is these lines of a shell, and says how it ended.
-pub async fn round(instance: &Instance, program: &str) -> io::Result<String> {
+pub async fn request_upgrade(instance: &Instance, program: &str) -> io::Result<String> {
     instance.successor_is(program)?;
     let mut talk = instance.ask(ControlRequest::Upgrade).await?;
     loop {
--- a/crates/merlinshelf-testbed/src/main.rs
+++ b/crates/merlinshelf-testbed/src/main.rs
@@ -127,7 +127,7 @@
         rate: f64,
         /// This fault in every round, instead of by seed
         #[arg(long, value_enum)]
-        only: Option<experiments::policy::Trouble>,
+        only: Option<experiments::policy::RoundFault>,
         /// The way before there was a policy for all: a new file and a restart of one after the other, on one host
         #[arg(long)]
         by_restart: bool,
@@ -228,7 +228,7 @@
         against: Option<PathBuf>,
         /// Only this way
         #[arg(long)]
-        only: Option<experiments::shares::Way>,
+        only: Option<experiments::shares::BudgetMode>,
         /// Messages, bytes, time and the worst second by size, in virtual time
         #[arg(long)]
         sizes: bool,
@@ -334,13 +334,13 @@
                 },
         } => {
             let setup = setup(found(program)?, 64, Duration::from_millis(800));
-            let counted = Duration::from_secs(seconds);
+            let measured_for = Duration::from_secs(seconds);
             let plan = experiments::cost::Plan {
                 seed,
                 pairs,
                 rate,
                 against,
-                counted,
+                measured_for,
                 setup,
                 policy,
             };
@@ -537,7 +537,7 @@
                     program,
                 },
         } => {
-            let (setup, looked) = (
+            let (setup, observed_for) = (
                 setup(found(program)?, 64, Duration::from_millis(800)),
                 Duration::from_secs(seconds),
             );
@@ -545,7 +545,7 @@
                 seed,
                 rate,
                 against,
-                looked,
+                observed_for,
                 setup,
             };
             local
--- a/crates/merlinshelf-testbed/tests/fleet.rs
+++ b/crates/merlinshelf-testbed/tests/fleet.rs
@@ -1,16 +1,16 @@
-//! Fleets of learners in virtual time: all cold at once, half that restarts together, a parted network with two histories,
+//! Fleets of nodes in virtual time: all cold at once, half that restarts together, a parted network with two histories,
 //! and one that answers nobody.
 
 use merlinshelf_gossip::{SourceStatus, State};
-use merlinshelf_testbed::experiments::learning::fleet::{World, learnt};
+use merlinshelf_testbed::experiments::learning::fleet::{World, learned_state};
 
 #[test]
 fn all_cold_at_once_teach_each_other_nothing_that_is_believed_much() {
     let mut world = World::new(40, 3);
-    world.until(1.0);
-    world.all_see(2, 1.0);
-    world.until(6.0);
-    for one in world.learners.iter().flatten() {
+    world.run_until(1.0);
+    world.record_samples_on_all(2, 1.0);
+    world.run_until(6.0);
+    for one in world.nodes.iter().flatten() {
         let of = one.prior_estimates(world.now);
         assert!(
             of.run_durations.iter().flatten().all(|of| of.weight < 0.06),
@@ -27,16 +27,16 @@
 fn half_that_restarts_together_is_taught_by_the_other_half_within_a_second() {
     let mut world = World::new(40, 5);
     world
-        .when(60.0, |one| one.members().alive().count() == 39)
+        .run_until_all(60.0, |one| one.members().alive().count() == 39)
         .expect("all meet");
-    world.until(20.0);
-    world.all_see(24, 1.0);
+    world.run_until(20.0);
+    world.record_samples_on_all(24, 1.0);
     for number in 20..40 {
-        world.begin(number, 2);
+        world.restart_node(number, 2);
     }
-    world.until(world.now + 1.0);
+    world.run_until(world.now + 1.0);
     let now = world.now;
-    for one in world.learners[20..].iter().flatten() {
+    for one in world.nodes[20..].iter().flatten() {
         let of = one.prior_estimates(now);
         assert!(
             of.run_durations
@@ -49,7 +49,7 @@
     }
     // Who was there before is known in its new life, and who has not restarted lost nothing.
     world
-        .when(60.0, |one| one.members().alive().count() == 39)
+        .run_until_all(60.0, |one| one.members().alive().count() == 39)
         .expect("all meet again");
 }
 
@@ -57,31 +57,31 @@
 fn a_parted_network_with_two_histories_heals_and_the_fresh_outlives_the_stale() {
     let mut world = World::new(30, 7);
     world
-        .when(60.0, |one| one.members().alive().count() == 29)
+        .run_until_all(60.0, |one| one.members().alive().count() == 29)
         .expect("all meet");
-    world.all_see(24, 1.0);
-    (15..30).for_each(|number| world.part[number] = 1);
-    world.until(world.now + 90.0);
+    world.record_samples_on_all(24, 1.0);
+    (15..30).for_each(|number| world.partition[number] = 1);
+    world.run_until(world.now + 90.0);
     assert!(
-        world.learners[..15]
+        world.nodes[..15]
             .iter()
             .flatten()
             .all(|one| one.members().alive().count() == 14)
     );
     // On one side the servers are twice as slow by now; the other has seen nothing new.
-    let (now, slow) = (world.now, learnt(23, world.now, 2.0));
-    world.learners[..15]
+    let (now, slow) = (world.now, learned_state(23, world.now, 2.0));
+    world.nodes[..15]
         .iter_mut()
         .flatten()
         .for_each(|one| one.record_own_samples(now, now, &slow));
-    world.part.fill(0);
+    world.partition.fill(0);
     world
-        .when(60.0, |one| one.members().alive().count() == 29)
+        .run_until_all(60.0, |one| one.members().alive().count() == 29)
         .expect("all meet again");
-    world.begin(29, 2);
-    world.until(world.now + 3.0);
+    world.restart_node(29, 2);
+    world.run_until(world.now + 3.0);
     let now = world.now;
-    let of = world.learners[29]
+    let of = world.nodes[29]
         .as_ref()
         .expect("it lives")
         .prior_estimates(now)
@@ -94,10 +94,10 @@
 fn of_three_hundred_one_that_answers_nobody_is_gone_for_all_and_costs_nobody_more() {
     let mut world = World::new(300, 11);
     world
-        .when(120.0, |one| one.members().alive().count() == 299)
+        .run_until_all(120.0, |one| one.members().alive().count() == 299)
         .expect("all meet");
     let (from, before) = (world.now, world.messages);
-    world.part[150] = 1;
+    world.partition[150] = 1;
     let gone = |one: &merlinshelf_gossip::GossipNode| {
         one.members().own().name == "n150"
             || one
@@ -105,7 +105,7 @@
                 .state_of("n150")
                 .is_none_or(|state| state >= State::Left)
     };
-    world.when(60.0, gone).expect("all know");
+    world.run_until_all(60.0, gone).expect("all know");
     let each = (world.messages - before) as f64 / (world.now - from) / 300.0;
     assert!(each < 2.3, "{each} messages a peer and second");
 }
--- a/crates/merlinshelf-testbed/tests/shares.rs
+++ b/crates/merlinshelf-testbed/tests/shares.rs
@@ -1,25 +1,25 @@
-//! The fleet's budgets in virtual time, with troubles by seed: in no second more arrives than the budget has, and the check finds a
+//! The fleet's budgets in virtual time, with faults by seed: in no second more arrives than the budget has, and the check finds a
 //! keeper that does not wait.
 
 use merlinshelf_quota::CallKind;
-use merlinshelf_testbed::experiments::shares_size::{Size, play};
+use merlinshelf_testbed::experiments::shares_size::{Scenario, simulate};
 
-fn size(instances: usize, probes: u32, first: u32) -> Size {
+fn size(instances: usize, probes: u32, first: u32) -> Scenario {
     let budgets = [
         (CallKind::Retry, 24),
         (CallKind::Probe, probes),
         (CallKind::FirstCall, first),
     ];
-    Size {
+    Scenario {
         budgets,
-        ..Size::of(3, instances, 60)
+        ..Scenario::with_outage(3, instances, 60)
     }
 }
 
 /// The worst seconds of probes and of first calls.
-fn worst(size: &Size, seed: u64) -> (usize, usize) {
-    let played = play(size, seed);
-    let of = |kind| played.worst.get(&kind).copied().unwrap_or(0);
+fn worst(size: &Scenario, seed: u64) -> (usize, usize) {
+    let played = simulate(size, seed);
+    let of = |kind| played.worst_second.get(&kind).copied().unwrap_or(0);
     (of(CallKind::Probe), of(CallKind::FirstCall))
 }
 
@@ -44,9 +44,9 @@
 #[test]
 fn a_keeper_that_does_not_wait_for_the_leases_of_an_earlier_one_is_found() {
     // Many changes of whoever leads, and wishes for more than there is.
-    let size = Size {
-        planted: true,
-        troubles: 150,
+    let size = Scenario {
+        skips_lease_wait: true,
+        faults: 150,
         rate: 12.0,
         ..size(24, 24, 24)
     };
@@ -58,16 +58,16 @@
 
 #[test]
 fn the_same_seed_is_the_same_play_and_all_is_open_soon_after_its_return() {
-    let size = Size::of(3, 60, 0);
-    let (one, other) = (play(&size, 4), play(&size, 4));
+    let size = Scenario::with_outage(3, 60, 0);
+    let (one, other) = (simulate(&size, 4), simulate(&size, 4));
     assert_eq!(
-        (one.calls, one.probes, &one.worst),
-        (other.calls, other.probes, &other.worst)
+        (one.calls, one.probes, &one.worst_second),
+        (other.calls, other.probes, &other.worst_second)
     );
     assert!(
-        one.open_after.is_some_and(|after| after < 5.0),
+        one.unbounded_after.is_some_and(|after| after < 5.0),
         "{:?}",
-        one.open_after
+        one.unbounded_after
     );
     // Probes a second while it is gone: some, and no more than a few.
     assert!((5..=8 * 9).contains(&one.probes), "{}", one.probes);
--- a/crates/merlinshelf-testbed/tests/store.rs
+++ b/crates/merlinshelf-testbed/tests/store.rs
@@ -43,7 +43,7 @@
 
 #[test]
 fn a_crash_at_every_operation_twice_in_a_row_loses_nothing_that_was_kept() {
-    let came = crashes::play(17, 22);
+    let came = crashes::run(17, 22);
     assert_eq!(came.wrong, 0, "{came:?}");
     assert_eq!(came.crashes, 2 * 22 * 22);
     assert!(came.read_back > came.crashes, "{came:?}");
