--- a/crates/merlinshelf-testbed/src/experiments/compatibility.rs
+++ b/crates/merlinshelf-testbed/src/experiments/compatibility.rs
@@ -1,8 +1,8 @@
-//! `experiment compatibility`: two versions of the program over the same stored data, and beside each other.
+//! `experiment compatibility`: two versions of the program on the same stored data and in one consensus group.
 //!
-//! - Agents of one version write an installation's log and store; agents of the other one open the folders.
+//! - Agents of one version write an installation's log and store; agents of the other one open the same folders.
 //! - Agents of both versions decide on a change together, with either version in the majority.
-//! - An instance of one version writes its gossip store; one of the other version opens the folder.
+//! - An instance of one version writes its gossip store; one of the other version opens the same folder.
 
 use std::collections::BTreeSet;
 use std::io;
@@ -17,30 +17,30 @@
 use crate::instance::{Instance, Setup};
 use crate::load::Load;
 
-/// How long anything that must happen is waited for.
-const PATIENCE: Duration = Duration::from_secs(20);
-/// Load until an instance has something to store, and time for it to be stored.
+/// How long to wait for a condition before the experiment fails.
+const TIMEOUT: Duration = Duration::from_secs(20);
+/// How long load is sent, so that an instance has observations and time to store them.
 const OBSERVED_FOR: Duration = Duration::from_secs(4);
 
-/// What is held against each other.
+/// The two versions that are compared.
 #[derive(Clone, Debug)]
 pub struct Plan {
     /// The version that writes first.
     pub from: PathBuf,
-    /// The version that goes on with it.
+    /// The version that opens the data afterwards.
     pub to: PathBuf,
     /// Seeds the load.
     pub seed: u64,
 }
 
-/// Plays both directions of each part. The last line that is printed is a JSON object; false where something was lost
-/// or the agents did not agree.
+/// Runs both directions of each part and prints a JSON object as its last line. Returns false if stored data was lost or
+/// the agents did not agree.
 ///
 /// # Errors
-/// A process can't be started, or does not answer.
+/// Fails if a process can't be started or does not answer.
 pub async fn run(plan: &Plan) -> io::Result<(Value, bool)> {
-    let agents = agents(plan).await?;
-    let gossip = gossip_store(plan).await?;
+    let agents = run_agents(plan).await?;
+    let gossip = run_gossip_store(plan).await?;
     let is_kept = agents.versions_kept && gossip.lost == 0 && gossip.stored > 0;
     let is_agreed = agents.agreed_versions.len() == 3;
     let line = json!({
@@ -52,102 +52,125 @@
     Ok((line, is_kept && is_agreed))
 }
 
-/// What came of the agents.
+/// The outcome of the part that tests the agents.
 struct AgentsOutcome {
-    /// The versions of the policy that all agents came to, one for each mixture.
+    /// The policy versions that all agents agreed on, one for each mixture of program versions.
     agreed_versions: Vec<u64>,
-    /// The version was the same after all agents were replaced.
+    /// Whether the policy version stayed the same after all agents were replaced.
     versions_kept: bool,
 }
 
-async fn agents(plan: &Plan) -> io::Result<AgentsOutcome> {
+async fn run_agents(plan: &Plan) -> io::Result<AgentsOutcome> {
     let made = Made {
         instances: 1,
         ..Made::default()
     };
-    let mut all = Installation::start(&plan.from, 1, &made).await?;
+    let mut installation = Installation::start(&plan.from, 1, &made).await?;
     let mut agreed_versions = Vec::new();
-    agreed_versions.extend(change(&all, 0, "one version").await?);
+    agreed_versions.extend(propose_policy(&installation, 0, "one version").await?);
     println!("agents of one version agreed on version {agreed_versions:?}");
     for host in 0..3 {
-        restart_agent(&mut all, host, &plan.to).await?;
+        restart_agent(&mut installation, host, &plan.to).await?;
     }
-    let shows = all
-        .when("all agents are back", |shows| shows.iter().all(has_lease))
+    let statuses = installation
+        .when("all agents are back", |statuses| {
+            statuses.iter().all(has_lease)
+        })
         .await?;
-    let after: BTreeSet<Option<u64>> = shows.iter().map(current_version).collect();
+    let after: BTreeSet<Option<u64>> = statuses.iter().map(current_version).collect();
     let versions_kept = after == BTreeSet::from([agreed_versions.last().copied()]);
-    println!("agents of the other version opened the folders: version {after:?}");
-    restart_agent(&mut all, 2, &plan.from).await?;
-    agreed_versions.extend(change(&all, 1, "one agent of the first version").await?);
-    println!("two and one agreed on version {:?}", agreed_versions.last());
-    restart_agent(&mut all, 0, &plan.from).await?;
-    agreed_versions.extend(change(&all, 2, "two agents of the first version").await?);
-    println!("one and two agreed on version {:?}", agreed_versions.last());
+    println!("agents of the other version opened the same folders: version {after:?}");
+    restart_agent(&mut installation, 2, &plan.from).await?;
+    agreed_versions
+        .extend(propose_policy(&installation, 1, "one agent of the first version").await?);
+    println!(
+        "two agents of the second and one of the first version agreed on version {:?}",
+        agreed_versions.last()
+    );
+    restart_agent(&mut installation, 0, &plan.from).await?;
+    agreed_versions
+        .extend(propose_policy(&installation, 2, "two agents of the first version").await?);
+    println!(
+        "one agent of the second and two of the first version agreed on version {:?}",
+        agreed_versions.last()
+    );
     Ok(AgentsOutcome {
         agreed_versions,
         versions_kept,
     })
 }
 
-async fn restart_agent(all: &mut Installation, host: usize, program: &Path) -> io::Result<()> {
-    all.hosts[host].kill_agent().await;
-    all.hosts[host].start_agent(program)
+async fn restart_agent(
+    installation: &mut Installation,
+    host: usize,
+    program: &Path,
+) -> io::Result<()> {
+    installation.hosts[host].kill_agent().await;
+    installation.hosts[host].start_agent(program)
 }
 
-/// Proposes a policy until it is known what became of it; the version at which all agents and hosts then are.
-async fn change(all: &Installation, sign: usize, id: &str) -> io::Result<Option<u64>> {
+/// Repeats a proposal until its outcome is known and all agents and hosts have applied it, and returns their version.
+async fn propose_policy(
+    installation: &Installation,
+    sign: usize,
+    id: &str,
+) -> io::Result<Option<u64>> {
     let body = json!({ "id": id, "policy": policy_of(sign), "wait": true });
-    let until = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + TIMEOUT;
     let version = loop {
-        let answer = all.hosts[sign % 3].policy("propose", body.clone()).await;
+        let answer = installation.hosts[sign % 3]
+            .policy("propose", body.clone())
+            .await;
         if let Ok((ControlMessage::Done, report)) = &answer
             && let Some(version) = report["number"].as_u64()
         {
             break version;
         }
-        if Instant::now() >= until {
-            return Err(io::Error::other(format!("{id}: {answer:?}")));
+        if Instant::now() >= deadline {
+            return Err(io::Error::other(format!(
+                "the policy proposal {id:?} did not succeed within {} s; last answer: {answer:?}",
+                TIMEOUT.as_secs()
+            )));
         }
         sleep(Duration::from_millis(100)).await;
     };
-    let shows = all
-        .when(id, |shows| {
-            shows
+    let statuses = installation
+        .when(id, |statuses| {
+            statuses
                 .iter()
-                .all(|show| has_lease(show) && current_version(show) == Some(version))
+                .all(|status| has_lease(status) && current_version(status) == Some(version))
         })
         .await?;
-    Ok(shows.first().and_then(current_version))
+    Ok(statuses.first().and_then(current_version))
 }
 
-fn has_lease(show: &Value) -> bool {
-    show["leader"].is_string() && show["lease"].is_object()
+fn has_lease(status: &Value) -> bool {
+    status["leader"].is_string() && status["lease"].is_object()
 }
 
-fn current_version(show: &Value) -> Option<u64> {
-    show["lease"]["number"].as_u64()
+fn current_version(status: &Value) -> Option<u64> {
+    status["lease"]["number"].as_u64()
 }
 
-/// What came of the gossip store.
+/// The outcome of the part that tests the gossip store.
 struct GossipOutcome {
     stored: usize,
     lost: usize,
 }
 
-async fn gossip_store(plan: &Plan) -> io::Result<GossipOutcome> {
+async fn run_gossip_store(plan: &Plan) -> io::Result<GossipOutcome> {
     let mut setup = Setup::small(&plan.from);
     setup.learning = Some(json!({ "engine": "compatibility", "folder": true }));
     let mut instance = Instance::start(&setup, 40).await?;
     let load = Load::of_all(&instance.address, 20, 400.0, plan.seed);
-    let playing = load.start().await?;
+    let running_load = load.start().await?;
     sleep(OBSERVED_FOR).await;
-    playing.stop().await;
+    running_load.stop().await;
     let mut outcome = GossipOutcome { stored: 0, lost: 0 };
     for program in [&plan.to, &plan.from] {
-        let before = observed(&instance).await?;
+        let before = observed_metrics(&instance).await?;
         instance.restart(program).await?;
-        let after = observed(&instance).await?;
+        let after = observed_metrics(&instance).await?;
         outcome.stored += before.len();
         outcome.lost += before.difference(&after).count();
         println!(
@@ -160,20 +183,20 @@
     Ok(outcome)
 }
 
-/// What is observed of what, by kind and names.
-async fn observed(instance: &Instance) -> io::Result<BTreeSet<String>> {
-    let until = Instant::now() + PATIENCE;
+/// The metrics that the instance has observations of, by kind and names.
+async fn observed_metrics(instance: &Instance) -> io::Result<BTreeSet<String>> {
+    let deadline = Instant::now() + TIMEOUT;
     loop {
         match instance.figures().await {
-            Ok(figures) => return Ok(figures.iter().map(metric).collect()),
-            Err(error) if Instant::now() >= until => return Err(error),
-            Err(_) => sleep(Duration::from_millis(20)).await, // it is starting
+            Ok(observations) => return Ok(observations.iter().map(metric).collect()),
+            Err(error) if Instant::now() >= deadline => return Err(error),
+            Err(_) => sleep(Duration::from_millis(20)).await, // the instance is still starting
         }
     }
 }
 
-fn metric(figure: &Value) -> String {
+fn metric(observation: &Value) -> String {
     ["kind", "server", "operation"]
-        .map(|key| figure[key].as_str().unwrap_or("").to_owned())
+        .map(|key| observation[key].as_str().unwrap_or("").to_owned())
         .join(" ")
 }
--- a/crates/merlinshelf-testbed/src/experiments/cost.rs
+++ b/crates/merlinshelf-testbed/src/experiments/cost.rs
@@ -1,4 +1,4 @@
-//! `trial cost`: time on the cores an invocation, of one program against another, played in turn.
+//! `experiment cost`: CPU time per invocation of one program compared with another, measured in alternating runs.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -21,40 +21,41 @@
     pub pairs: u32,
     pub rate: f64,
     pub against: PathBuf,
-    /// So long of each play, once it is warm.
+    /// How long each run is measured after it has warmed up.
     pub measured_for: Duration,
     pub setup: Setup,
-    /// The own program has a policy for all on, with budgets for all kinds of calls.
+    /// Whether the program under test runs with a policy that has budgets for all kinds of calls.
     pub policy: bool,
 }
 
-/// Holds the instance's lease on a policy and gives it its shares, as its agent and whoever leads do: four beats a second.
-async fn beat(control: PathBuf) {
-    let (mut life, mut asked) = (0, 0.0);
-    let figures = [
+/// Keeps the instance's policy lease and its quota shares renewed in place of its agent and the leader, with four
+/// heartbeats a second.
+async fn renew_leases(control: PathBuf) {
+    let (mut incarnation, mut requested_at) = (0, 0.0);
+    let calls_per_second = [
         (CallKind::Retry, 1000),
         (CallKind::Probe, 8),
         (CallKind::FirstCall, 4000),
         (CallKind::NewConnection, 4000),
     ];
-    let budgets = Budgets::from([(CATALOGUE.to_owned(), figures.into_iter().collect())]);
+    let budgets = Budgets::from([(CATALOGUE.to_owned(), calls_per_second.into_iter().collect())]);
     let lease = LeaseTerms {
         lease_seconds: 2.0,
         drift: 0.02,
     };
-    let (mut bank, mut house) = (
+    let (mut fleet_allocator, mut host_allocator) = (
         FleetAllocator::elected(lease, 1),
         HostAllocator::new(1, lease, ""),
     );
-    bank.set_budgets(&budgets, &Budgets::new(), 1);
-    house.set_budgets(0.0, &budgets);
-    let began = Instant::now();
+    fleet_allocator.set_budgets(&budgets, &Budgets::new(), 1);
+    host_allocator.set_budgets(0.0, &budgets);
+    let started = Instant::now();
     loop {
-        let now = began.elapsed().as_secs_f64();
-        let given = bank.handle_request(now, "h", &house.request(now));
-        house.handle_grants(now, &given);
-        let beat = Heartbeat {
-            incarnation: life,
+        let now = started.elapsed().as_secs_f64();
+        let grants = fleet_allocator.handle_request(now, "h", &host_allocator.request(now));
+        host_allocator.handle_grants(now, &grants);
+        let heartbeat = Heartbeat {
+            incarnation,
             offered_policy: Some(VersionedPolicy {
                 version: 1,
                 policy: Policy {
@@ -66,33 +67,34 @@
             fence_version: 0,
             grant: Some(LeaseGrant {
                 version: 1,
-                requested_at: asked,
+                requested_at,
                 duration_seconds: 2.0,
             }),
-            quota_grants: house.take_grants(now, "i"),
+            quota_grants: host_allocator.take_grants(now, "i"),
         };
-        let body = serde_json::to_value(&beat).unwrap_or_default();
-        if let Ok(mut talk) = ControlClient::request(
+        let body = serde_json::to_value(&heartbeat).unwrap_or_default();
+        if let Ok(mut client) = ControlClient::request(
             &control,
             ControlRequest::Policy,
             &body,
             Duration::from_secs(1),
         )
         .await
-            && let Ok((_, said)) = talk.next_reply().await
-            && let Ok(said) = serde_json::from_value::<InstanceStatus>(said)
+            && let Ok((_, reply)) = client.next_reply().await
+            && let Ok(status) = serde_json::from_value::<InstanceStatus>(reply)
         {
-            (life, asked) = (said.incarnation, said.reported_at);
-            said.quota_requests
+            (incarnation, requested_at) = (status.incarnation, status.reported_at);
+            status
+                .quota_requests
                 .into_iter()
-                .for_each(|wishes| _ = house.handle_request(now, "i", wishes));
+                .for_each(|request| _ = host_allocator.handle_request(now, "i", request));
         }
         sleep(Duration::from_millis(250)).await;
     }
 }
 
-/// One play: microseconds on the cores an invocation, and the most memory in KB.
-async fn play(plan: &Plan, program: &Path, seed: u64) -> io::Result<(f64, u64)> {
+/// One run: CPU time per invocation in microseconds, and peak memory in KB.
+async fn run_once(plan: &Plan, program: &Path, seed: u64) -> io::Result<(f64, u64)> {
     let policy = plan.policy && program == plan.setup.program;
     let setup = Setup {
         program: program.into(),
@@ -100,49 +102,49 @@
         ..plan.setup.clone()
     };
     let mut instance = Instance::start(&setup, 3).await?;
-    let beating = policy.then(|| spawn_local(beat(instance.control.clone())));
+    let renewing = policy.then(|| spawn_local(renew_leases(instance.control.clone())));
     let load = Load::of_all(&instance.address, 100, plan.rate, seed);
-    let playing = load.start().await?;
-    // Shares begin a lease after whoever leads does.
+    let running_load = load.start().await?;
+    // A new leader grants no shares before one lease has passed.
     sleep(Duration::from_millis(if policy { 5000 } else { 700 })).await;
-    let (before, sent) = (instance.cpu()?, playing.seen.borrow().sent.len());
+    let (cpu_before, sent_before) = (instance.cpu()?, running_load.seen.borrow().sent.len());
     sleep(plan.measured_for).await;
-    let (after, now) = (instance.cpu()?, playing.seen.borrow().sent.len());
+    let (cpu_after, sent_after) = (instance.cpu()?, running_load.seen.borrow().sent.len());
     let memory = instance.memory_most_kb().unwrap_or(0);
-    playing.stop().await;
-    if let Some(beating) = beating {
-        beating.abort();
+    running_load.stop().await;
+    if let Some(renewing) = renewing {
+        renewing.abort();
     }
     instance.end().await;
     Ok((
-        (after - before).as_secs_f64() * 1e6 / (now - sent).max(1) as f64,
+        (cpu_after - cpu_before).as_secs_f64() * 1e6 / (sent_after - sent_before).max(1) as f64,
         memory,
     ))
 }
 
-/// Plays pairs in turn, first one first, then the other first.
+/// Runs the pairs, alternating which of the two programs goes first.
 pub async fn run(plan: &Plan) -> io::Result<(Value, bool)> {
     let (mut ratios, mut costs, mut memory) = (Vec::new(), (Vec::new(), Vec::new()), (0, 0));
     for pair in 0..plan.pairs {
         let seed = plan.seed + u64::from(pair);
-        let (own, other) = if pair % 2 == 0 {
-            let own = play(plan, &plan.setup.program, seed).await?;
-            (own, play(plan, &plan.against, seed).await?)
+        let (own, against) = if pair % 2 == 0 {
+            let own = run_once(plan, &plan.setup.program, seed).await?;
+            (own, run_once(plan, &plan.against, seed).await?)
         } else {
-            let other = play(plan, &plan.against, seed).await?;
-            (play(plan, &plan.setup.program, seed).await?, other)
+            let against = run_once(plan, &plan.against, seed).await?;
+            (run_once(plan, &plan.setup.program, seed).await?, against)
         };
         println!(
-            "pair {:>2}  {:.1} against {:.1} us an invocation, ratio {:.3}",
+            "pair {:>2}  {:.1} against {:.1} us per invocation, ratio {:.3}",
             pair + 1,
             own.0,
-            other.0,
-            own.0 / other.0
+            against.0,
+            own.0 / against.0
         );
-        ratios.push(own.0 / other.0);
+        ratios.push(own.0 / against.0);
         costs.0.push(own.0);
-        costs.1.push(other.0);
-        memory = (memory.0.max(own.1), memory.1.max(other.1));
+        costs.1.push(against.0);
+        memory = (memory.0.max(own.1), memory.1.max(against.1));
     }
     let median = |values: &mut Vec<f64>| {
         values.sort_by(f64::total_cmp);
@@ -152,14 +154,14 @@
             .zip(values.get(high))
             .map_or(f64::NAN, |(low, high)| (low + high) / 2.0)
     };
-    let (least, most) = ratios
+    let (min_ratio, max_ratio) = ratios
         .iter()
-        .fold((f64::MAX, 0.0_f64), |(least, most), &one| {
-            (least.min(one), most.max(one))
+        .fold((f64::MAX, 0.0_f64), |(min, max), &ratio| {
+            (min.min(ratio), max.max(ratio))
         });
     let line = json!({
         "trial": "cost", "seed": plan.seed, "pairs": plan.pairs, "rate": plan.rate,
-        "ratio": median(&mut ratios), "ratio_least": least, "ratio_most": most,
+        "ratio": median(&mut ratios), "ratio_least": min_ratio, "ratio_most": max_ratio,
         "us": median(&mut costs.0), "us_against": median(&mut costs.1),
         "memory_kb": memory.0, "memory_kb_against": memory.1,
     });
--- a/crates/merlinshelf-testbed/src/experiments/mod.rs
+++ b/crates/merlinshelf-testbed/src/experiments/mod.rs
@@ -1,4 +1,5 @@
-//! Experiments: the real program between stand-ins, played by seed, with a table and one JSON object as its last line.
+//! Experiments that run the real program between fakes, reproducible by seed. Each prints a table and, as its last line,
+//! one JSON object.
 
 pub mod compatibility;
 pub mod cost;
@@ -15,7 +16,7 @@
 pub mod upgrade;
 pub mod uwsgi;
 
-/// The middle of these, the upper one of two; none of none.
+/// The median; the upper of the two middle values for an even count, and none for an empty slice.
 fn median(values: &mut [f64]) -> Option<f64> {
     values.sort_by(f64::total_cmp);
     values.get(values.len() / 2).copied()
--- a/crates/merlinshelf-testbed/src/experiments/policy_switch.rs
+++ b/crates/merlinshelf-testbed/src/experiments/policy_switch.rs
@@ -1,5 +1,5 @@
-//! `trial policy --switch`: service around changes without faults, against the minute before, and the longest that an instance
-//! says nothing, asked five hundred times a second by checks on connections of their own.
+//! `experiment policy --switch`: service around policy changes without faults, compared with the minute before them, and
+//! the longest stall of an instance. Stalls are measured by health checks on separate connections, 500 per second and instance.
 
 use std::cell::RefCell;
 use std::io;
@@ -17,17 +17,18 @@
 use crate::load::{Load, Playing};
 use crate::wire::ask;
 
-/// Without changes, so long before the first.
-const BEFORE: Duration = Duration::from_secs(60);
-/// From one change to the next; as much of it as `AROUND` counts as around the change.
-const EACH: Duration = Duration::from_secs(5);
-const AROUND: Duration = Duration::from_secs(1);
+/// How long service is measured before the first change.
+const BASELINE_DURATION: Duration = Duration::from_secs(60);
+/// Time between two changes.
+const CHANGE_INTERVAL: Duration = Duration::from_secs(5);
+/// How long after a proposal service counts as being around the change.
+const CHANGE_WINDOW: Duration = Duration::from_secs(1);
 
-/// When a check was sent, and how long its answer took.
+/// The time at which each health check was sent, and how long its response took.
 type Checks = Rc<RefCell<Vec<(Instant, Duration)>>>;
 
-/// Checks one instance after the other answer, until its connection ends.
-async fn check_on(address: String, checks: Checks) -> io::Result<()> {
+/// Sends health checks to one instance, each after the response to the one before, until the connection ends.
+async fn send_health_checks(address: String, checks: Checks) -> io::Result<()> {
     let mut stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
     let bytes = ask(
@@ -36,10 +37,10 @@
         b"",
         &[("SCRIPT_NAME", "/status/live"), ("REQUEST_METHOD", "GET")],
     );
-    let mut beats = interval(Duration::from_millis(2));
-    beats.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    let mut ticks = interval(Duration::from_millis(2));
+    ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
-        beats.tick().await;
+        ticks.tick().await;
         let sent = Instant::now();
         stream.write_all(&bytes).await?;
         loop {
@@ -48,50 +49,52 @@
             let rest = usize::from(u16::from_be_bytes([head[4], head[5]])) + usize::from(head[6]);
             stream.read_exact(&mut vec![0; rest]).await?;
             if head[1] == 3 {
-                break; // the end of the request
+                break; // FCGI_END_REQUEST
             }
         }
         checks.borrow_mut().push((sent, sent.elapsed()));
     }
 }
 
-/// The longest answer to a check that was sent in one of these times of `AROUND`, each; in milliseconds, sorted.
-fn longest(checks: &[Checks], times: &[Instant]) -> Vec<f64> {
+/// The longest response time to checks sent within `CHANGE_WINDOW` of each of these times, in milliseconds, sorted.
+fn longest_responses(checks: &[Checks], times: &[Instant]) -> Vec<f64> {
     let within = |from: Instant| {
-        let all = checks.iter().map(|of| {
-            let of = of.borrow();
-            let of = of
+        let per_instance = checks.iter().map(|checks| {
+            let checks = checks.borrow();
+            let in_window = checks
                 .iter()
-                .filter(|(sent, _)| *sent >= from && *sent < from + AROUND);
-            // Who was not asked at all says nothing for all of it.
-            of.map(|(_, took)| *took)
+                .filter(|(sent, _)| *sent >= from && *sent < from + CHANGE_WINDOW);
+            // An instance that received no check counts as stalled for the whole window.
+            in_window
+                .map(|(_, took)| *took)
                 .max()
-                .unwrap_or(AROUND)
+                .unwrap_or(CHANGE_WINDOW)
                 .as_secs_f64()
                 * 1e3
         });
-        all.fold(0.0, f64::max)
+        per_instance.fold(0.0, f64::max)
     };
-    let mut all: Vec<f64> = times.iter().map(|from| within(*from)).collect();
-    all.sort_by(f64::total_cmp);
-    all
+    let mut longest: Vec<f64> = times.iter().map(|from| within(*from)).collect();
+    longest.sort_by(f64::total_cmp);
+    longest
 }
 
-/// How much of what was sent in these times was served, of what every policy lets in alike.
-fn served(playing: &[(usize, u16, Load, Playing)], times: &[(Instant, Instant)]) -> (u64, u64) {
+/// Sent and served invocations of these time ranges, only of the operations that every policy treats alike.
+fn served(loads: &[(usize, u16, Load, Playing)], times: &[(Instant, Instant)]) -> (u64, u64) {
     let (mut sent, mut served) = (0, 0);
-    for (.., playing) in playing {
-        let seen = playing.seen.borrow();
-        let counted = seen.sent.values().filter(|one| {
-            !SIGNS.contains(&one.operation.as_str())
+    for (.., running_load) in loads {
+        let seen = running_load.seen.borrow();
+        let counted = seen.sent.values().filter(|invocation| {
+            !SIGNS.contains(&invocation.operation.as_str())
                 && times
                     .iter()
-                    .any(|(from, until)| one.at >= *from && one.at < *until)
+                    .any(|(from, until)| invocation.at >= *from && invocation.at < *until)
         });
-        for one in counted {
+        for invocation in counted {
             sent += 1;
             served += u64::from(
-                one.answers
+                invocation
+                    .answers
                     .first()
                     .is_some_and(|(_, status)| *status == 200),
             );
@@ -100,51 +103,64 @@
     (sent, served)
 }
 
+/// Runs the policy changes and returns the JSON object of the last line and whether service stayed within its bounds.
+///
 /// # Errors
-/// What can't be played.
+/// Fails if the installation can't be started, or an agent does not respond to a proposal.
 pub async fn run(plan: &Plan) -> io::Result<(Value, bool)> {
-    let all = Installation::start(&plan.program, 10, &plan.made).await?;
-    let playing = all.load(plan.rate, plan.seed).await?;
+    let installation = Installation::start(&plan.program, 10, &plan.made).await?;
+    let loads = installation.load(plan.rate, plan.seed).await?;
     let mut checks: Vec<Checks> = Vec::new();
-    for host in 0..all.hosts.len() {
-        for place in 0..plan.made.instances {
+    for host in 0..installation.hosts.len() {
+        for instance in 0..plan.made.instances {
             let own = Checks::default();
-            // One that ends early counts as a stall of every second that it was not asked in.
-            spawn_local(check_on(all.address(host, place), own.clone()));
+            // A connection that ends early counts as a stall in each window without a check.
+            spawn_local(send_health_checks(
+                installation.address(host, instance),
+                own.clone(),
+            ));
             checks.push(own);
         }
     }
-    sleep(Duration::from_secs(5)).await; // warm
-    let began = Instant::now();
-    sleep(BEFORE).await;
+    sleep(Duration::from_secs(5)).await; // warm up
+    let started = Instant::now();
+    sleep(BASELINE_DURATION).await;
     let (mut changes, mut held) = (Vec::new(), 0);
     for round in 0..plan.rounds {
         let proposed = Instant::now();
         let body = json!({ "id": format!("switch-{round}"), "policy": policy_of(round as usize % 3), "wait": true });
-        let (_, said) = all.hosts[round as usize % all.hosts.len()]
+        let (_, reply) = installation.hosts[round as usize % installation.hosts.len()]
             .policy("propose", body)
             .await?;
-        held += u64::from(said["state"] == "held");
+        held += u64::from(reply["state"] == "held");
         changes.push(proposed);
-        sleep(EACH.saturating_sub(proposed.elapsed())).await;
+        sleep(CHANGE_INTERVAL.saturating_sub(proposed.elapsed())).await;
     }
-    sleep(Duration::from_secs(4)).await; // what is open is answered
-    let quiet: Vec<Instant> = (0..plan.rounds).map(|place| began + EACH * place).collect();
-    let (at_change, at_rest) = (longest(&checks, &changes), longest(&checks, &quiet));
-    let (sent, before) = served(&playing, &[(began, began + BEFORE)]);
-    let share_before = before as f64 / sent.max(1) as f64;
-    let around: Vec<_> = changes.iter().map(|at| (*at, *at + AROUND)).collect();
-    let (sent, after) = served(&playing, &around);
-    let share = after as f64 / sent.max(1) as f64;
-    let verdict = check(&all, playing).await;
+    sleep(Duration::from_secs(4)).await; // let open invocations be answered
+    let quiet: Vec<Instant> = (0..plan.rounds)
+        .map(|index| started + CHANGE_INTERVAL * index)
+        .collect();
+    let (at_change, at_rest) = (
+        longest_responses(&checks, &changes),
+        longest_responses(&checks, &quiet),
+    );
+    let (sent, served_before) = served(&loads, &[(started, started + BASELINE_DURATION)]);
+    let share_before = served_before as f64 / sent.max(1) as f64;
+    let around: Vec<_> = changes
+        .iter()
+        .map(|at| (*at, *at + CHANGE_WINDOW))
+        .collect();
+    let (sent, served_around) = served(&loads, &around);
+    let share_around = served_around as f64 / sent.max(1) as f64;
+    let verdict = check(&installation, loads).await;
     let doubled = verdict.doubled + verdict.run_twice + verdict.spoilt;
-    let median = |all: &[f64]| all.get(all.len() / 2).copied().unwrap_or(f64::NAN);
-    let most = |all: &[f64]| all.last().copied().unwrap_or(f64::NAN);
+    let median = |sorted: &[f64]| sorted.get(sorted.len() / 2).copied().unwrap_or(f64::NAN);
+    let max = |sorted: &[f64]| sorted.last().copied().unwrap_or(f64::NAN);
     let line = json!({
         "trial": "policy-switch", "seed": plan.seed, "instances": checks.len(), "changes": changes.len(), "held": held,
-        "served_before": share_before, "served_around": share, "ratio": share / share_before, "counted_around": sent,
-        "stall_ms": median(&at_change), "stall_ms_most": most(&at_change),
-        "stall_ms_at_rest": median(&at_rest), "stall_ms_at_rest_most": most(&at_rest),
+        "served_before": share_before, "served_around": share_around, "ratio": share_around / share_before, "counted_around": sent,
+        "stall_ms": median(&at_change), "stall_ms_most": max(&at_change),
+        "stall_ms_at_rest": median(&at_rest), "stall_ms_at_rest_most": max(&at_rest),
         "lost": verdict.lost, "doubled": doubled,
     });
     println!("{line}");
@@ -152,6 +168,6 @@
         line,
         verdict.lost + doubled == 0
             && held == changes.len() as u64
-            && share >= 0.995 * share_before,
+            && share_around >= 0.995 * share_before,
     ))
 }
--- a/crates/merlinshelf-testbed/src/experiments/restart.rs
+++ b/crates/merlinshelf-testbed/src/experiments/restart.rs
@@ -1,4 +1,4 @@
-//! `trial restart`: service in the seconds after an upgrade under load, against a drain and a cold start.
+//! `experiment restart`: service in the seconds after an upgrade under load, compared with a drain and a cold start.
 
 use std::io;
 use std::path::PathBuf;
@@ -15,15 +15,15 @@
 pub struct Plan {
     pub seed: u64,
     pub rate: f64,
-    /// The program that is drained and started anew.
+    /// The program that is drained and then started cold.
     pub against: PathBuf,
-    /// How long the service is looked at from the change on.
+    /// How long the service is observed after the upgrade or restart begins.
     pub observed_for: Duration,
     pub setup: Setup,
 }
 
-/// The share of what was sent that was served, and the worst served latency in milliseconds.
-async fn play(plan: &Plan, upgrades: bool) -> io::Result<(f64, f64)> {
+/// The share of sent invocations that was served, and the worst latency of the served ones in milliseconds.
+async fn run_once(plan: &Plan, upgrades: bool) -> io::Result<(f64, f64)> {
     let program = if upgrades {
         &plan.setup.program
     } else {
@@ -35,48 +35,51 @@
     };
     let mut instance = Instance::start(&setup, 4).await?;
     let load = Load::of_all(&instance.address, 100, plan.rate, plan.seed);
-    let playing = load.start().await?;
+    let running_load = load.start().await?;
     sleep(Duration::from_secs(2)).await;
     let from = Instant::now();
     if upgrades {
-        let ended =
+        let stage =
             request_upgrade(&instance, &format!("exec '{}' \"$@\"", program.display())).await?;
-        if ended != "done" {
-            return Err(io::Error::other(format!("the upgrade ended {ended}")));
+        if stage != "done" {
+            return Err(io::Error::other(format!(
+                "the upgrade ended in stage {stage:?} instead of \"done\""
+            )));
         }
     } else {
         instance.restart(program).await?;
     }
     tokio::time::sleep_until(from + plan.observed_for).await;
     let until = Instant::now();
-    let seen = playing.stop().await.take();
+    let seen = running_load.stop().await.take();
     instance.end().await;
     let sent = seen
         .sent
         .values()
         .filter(|sent| sent.at >= from && sent.at <= until);
-    let (mut all, mut served) = (0_u64, 0_u64);
-    for one in sent {
-        all += 1;
+    let (mut total, mut served) = (0_u64, 0_u64);
+    for invocation in sent {
+        total += 1;
         served += u64::from(
-            one.answers
+            invocation
+                .answers
                 .first()
                 .is_some_and(|(_, status)| *status == 200),
         );
     }
     Ok((
-        served as f64 / all.max(1) as f64,
+        served as f64 / total.max(1) as f64,
         seen.latencies(from, until).max() as f64 / 1e3,
     ))
 }
 
 pub async fn run(plan: &Plan) -> io::Result<(Value, bool)> {
-    let upgraded = play(plan, true).await?;
+    let upgraded = run_once(plan, true).await?;
     println!(
         "upgrade under load:   {:.4} served, worst {:.1} ms",
         upgraded.0, upgraded.1
     );
-    let restarted = play(plan, false).await?;
+    let restarted = run_once(plan, false).await?;
     println!(
         "drain and cold start: {:.4} served, worst {:.1} ms",
         restarted.0, restarted.1
--- a/crates/merlinshelf-testbed/src/experiments/shares_loop.rs
+++ b/crates/merlinshelf-testbed/src/experiments/shares_loop.rs
@@ -1,5 +1,5 @@
-//! `trial shares --loops`: whether an overload outlives its cause. The catalogue works at a third for ten seconds under a load of so much of
-//! its capacity, no operation can do without its call, and callers send again at once what is not served.
+//! `experiment shares --loops`: whether an overload outlasts its cause. The load is a fixed part of the catalogue's capacity,
+//! which falls to a third for ten seconds. Every call is required, and callers retry at once what is not served.
 
 use std::io;
 use std::time::Duration;
@@ -13,53 +13,56 @@
 use crate::installation::{Installation, Made, check};
 use crate::load::{Load, Playing};
 
-/// The catalogue's: 20 ms a call, 8 at one time, so that it bears 400 a second.
-const BELOW: (Duration, usize) = (Duration::from_millis(20), 8);
-const CAPACITY: f64 = 400.0;
-const CAUSE: f64 = 10.0;
-/// Of what was served before, so much must be served again.
-const AGAIN_FROM: f64 = 0.95;
-const LOOKED: f64 = 20.0;
-/// How long a caller waits, and within which of its first try an invocation counts as served.
-const PATIENCE: f64 = 1.5;
+/// Duration of a catalogue call and the number of concurrent calls, which give a capacity of 400 calls per second.
+const CATALOGUE_CALLS: (Duration, usize) = (Duration::from_millis(20), 8);
+const CATALOGUE_CAPACITY_PER_S: f64 = 400.0;
+const SLOWDOWN_S: f64 = 10.0;
+/// Service counts as recovered from this fraction of the share that was served before the slowdown.
+const RECOVERED_FRACTION: f64 = 0.95;
+const OBSERVED_AFTER_S: f64 = 20.0;
+/// How long a caller waits. An invocation counts as served if it is answered within this time of its first attempt.
+const CALLER_TIMEOUT_S: f64 = 1.5;
 
-struct Played {
+struct Outcome {
     before: f64,
     during: f64,
-    /// Seconds from the cause's end until service is back for two seconds on end; none: not while it was looked at.
-    back_s: Option<f64>,
+    /// Seconds from the end of the slowdown until service has recovered for two consecutive seconds. None if that does not
+    /// happen within the observed time.
+    recovered_after_s: Option<f64>,
     tries: f64,
     lost: u64,
     doubled: u64,
 }
 
-/// The share of what was first sent in this time that was served within a caller's patience, by whichever try.
-fn served(playing: &[(usize, u16, Load, Playing)], from: Instant, until: Instant) -> f64 {
+/// The share of invocations first sent in this time that any attempt got served within the caller's timeout.
+fn served(loads: &[(usize, u16, Load, Playing)], from: Instant, until: Instant) -> f64 {
     let (mut sent, mut served) = (0_u32, 0_u32);
-    for (.., playing) in playing {
-        for (at, got) in playing.seen.borrow().wished.values() {
-            if *at >= from && *at < until {
+    for (.., load) in loads {
+        for (sent_at, served_at) in load.seen.borrow().wished.values() {
+            if *sent_at >= from && *sent_at < until {
                 sent += 1;
-                served += u32::from(got.is_some_and(|got| (got - *at).as_secs_f64() <= PATIENCE));
+                served += u32::from(served_at.is_some_and(|served_at| {
+                    (served_at - *sent_at).as_secs_f64() <= CALLER_TIMEOUT_S
+                }));
             }
         }
     }
     f64::from(served) / f64::from(sent.max(1))
 }
 
-async fn one(
+async fn run_once(
     plan: &Plan,
-    way: BudgetMode,
-    part: f64,
+    mode: BudgetMode,
+    load_fraction: f64,
     tries: u32,
     seed: u64,
-    number: u8,
-) -> io::Result<Played> {
-    let set_aside = json!({ "catalogue": { "again": 1, "probes": 1, "first": 4, "opened": 10 } });
-    let budgets = if way == BudgetMode::Before {
+    address_number: u8,
+) -> io::Result<Outcome> {
+    let reserve = json!({ "catalogue": { "again": 1, "probes": 1, "first": 4, "opened": 10 } });
+    let budgets = if mode == BudgetMode::Before {
         json!({})
     } else {
-        set_aside
+        reserve
     };
     let instances = plan.instances / 3;
     let made = Made {
@@ -67,125 +70,131 @@
         lease_ms: 2000,
         budgets,
         needed: true,
-        below: BELOW,
+        below: CATALOGUE_CALLS,
         ..Made::default()
     };
     let program = plan
         .against
         .as_ref()
-        .filter(|_| way == BudgetMode::Before)
+        .filter(|_| mode == BudgetMode::Before)
         .unwrap_or(&plan.program);
-    let all = Installation::start(program, number, &made).await?;
-    let door = all.door.clone().ok_or(io::ErrorKind::NotFound)?;
-    if way != BudgetMode::Before {
+    let installation = Installation::start(program, address_number, &made).await?;
+    let catalogue = installation.door.clone().ok_or(io::ErrorKind::NotFound)?;
+    if mode != BudgetMode::Before {
         hold(
-            &all,
+            &installation,
             &policy(&[("first", 300), ("again", 40), ("opened", 400)]),
             "budgets",
         )
         .await?;
     }
-    // Two of three operations call below.
-    let rate = part * CAPACITY * 1.5 / f64::from(3 * instances);
-    let mut playing = Vec::new();
+    // Two of the three operations call the catalogue.
+    let rate = load_fraction * CATALOGUE_CAPACITY_PER_S * 1.5 / f64::from(3 * instances);
+    let mut loads = Vec::new();
     for host in 0..3 {
-        for place in 0..instances {
-            let seed = seed * 1000 + host as u64 * 50 + u64::from(place);
-            let mut load = Load::of_all(&all.address(host, place), 4, rate, seed);
-            (load.tries, load.patience) = (tries, Duration::from_secs_f64(PATIENCE));
-            let started = load.start().await?;
-            playing.push((host, place, load, started));
+        for instance in 0..instances {
+            let seed = seed * 1000 + host as u64 * 50 + u64::from(instance);
+            let mut load = Load::of_all(&installation.address(host, instance), 4, rate, seed);
+            (load.tries, load.patience) = (tries, Duration::from_secs_f64(CALLER_TIMEOUT_S));
+            let running_load = load.start().await?;
+            loads.push((host, instance, load, running_load));
         }
     }
     let pause = |seconds: f64| sleep(Duration::from_secs_f64(seconds));
     pause(6.0).await;
-    let calm = Instant::now();
+    let baseline_start = Instant::now();
     pause(4.0).await;
-    let began = Instant::now();
-    door.does(Manners::Slow(3.0));
-    pause(CAUSE).await;
-    let ended = Instant::now();
-    door.does(Manners::Well);
-    pause(LOOKED).await;
-    let before = served(&playing, calm, began - Duration::from_secs_f64(PATIENCE));
-    let during = served(&playing, began, ended);
+    let slowdown_start = Instant::now();
+    catalogue.does(Manners::Slow(3.0));
+    pause(SLOWDOWN_S).await;
+    let slowdown_end = Instant::now();
+    catalogue.does(Manners::Well);
+    pause(OBSERVED_AFTER_S).await;
+    let before = served(
+        &loads,
+        baseline_start,
+        slowdown_start - Duration::from_secs_f64(CALLER_TIMEOUT_S),
+    );
+    let during = served(&loads, slowdown_start, slowdown_end);
     let second = Duration::from_secs(1);
-    let good = |from: Instant| {
-        served(&playing, from, from + second) >= AGAIN_FROM * before
-            && served(&playing, from + second, from + 2 * second) >= AGAIN_FROM * before
+    let is_recovered = |from: Instant| {
+        served(&loads, from, from + second) >= RECOVERED_FRACTION * before
+            && served(&loads, from + second, from + 2 * second) >= RECOVERED_FRACTION * before
     };
-    let back_s = (0..((LOOKED - 2.0 - PATIENCE) * 4.0) as u32)
+    let recovered_after_s = (0..((OBSERVED_AFTER_S - 2.0 - CALLER_TIMEOUT_S) * 4.0) as u32)
         .map(|quarter| f64::from(quarter) / 4.0)
-        .find(|after| good(ended + Duration::from_secs_f64(*after)));
-    let (mut sent, mut wished) = (0, 0);
-    for (.., playing) in &playing {
-        sent += playing.seen.borrow().sent.len();
-        wished += playing.seen.borrow().wished.len();
+        .find(|after| is_recovered(slowdown_end + Duration::from_secs_f64(*after)));
+    let (mut attempts, mut invocations) = (0, 0);
+    for (.., load) in &loads {
+        attempts += load.seen.borrow().sent.len();
+        invocations += load.seen.borrow().wished.len();
     }
-    let verdict = check(&all, playing).await;
+    let verdict = check(&installation, loads).await;
     let (lost, doubled) = (verdict.lost, verdict.doubled + verdict.run_twice);
-    Ok(Played {
+    Ok(Outcome {
         before,
         during,
-        back_s,
-        tries: sent as f64 / wished.max(1) as f64,
+        recovered_after_s,
+        tries: attempts as f64 / invocations.max(1) as f64,
         lost,
         doubled,
     })
 }
 
-/// Plays loads and tries with all of it off, and then on.
+/// Runs each combination of load and retries without and with budgets. Returns the JSON object of the last line and whether
+/// service recovered in time with nothing lost or doubled.
 ///
 /// # Errors
-/// It can't be played.
+/// Fails if an installation or its load can't be started.
 pub async fn run(plan: &Plan) -> io::Result<(Value, bool)> {
     println!(
-        "{} instances, one catalogue of {CAPACITY} calls a second that works at a third for {CAUSE} s; seeds {} to {}\n",
+        "{} instances, one catalogue of {CATALOGUE_CAPACITY_PER_S} calls per second that slows down to a third for {SLOWDOWN_S} s; seeds {} to {}\n",
         plan.instances,
         plan.seed,
         plan.seed + plan.seeds - 1
     );
-    let mut numbers = (10_u8..240).step_by(3);
-    let (mut worst, mut clean, mut rows) = (0.0_f64, true, Vec::new());
+    let mut address_numbers = (10_u8..240).step_by(3);
+    let (mut worst_recovery_s, mut clean, mut rows) = (0.0_f64, true, Vec::new());
     for seed in plan.seed..plan.seed + plan.seeds {
-        for (part, tries) in [(0.7, 3), (0.9, 1), (0.9, 3)] {
-            for way in [BudgetMode::Before, BudgetMode::Shares] {
-                if plan.only.is_some_and(|only| only != way)
-                    || plan.seeds > 2 && (part, tries) != (0.9, 3)
+        for (load_fraction, tries) in [(0.7, 3), (0.9, 1), (0.9, 3)] {
+            for mode in [BudgetMode::Before, BudgetMode::Shares] {
+                if plan.only.is_some_and(|only| only != mode)
+                    || plan.seeds > 2 && (load_fraction, tries) != (0.9, 3)
                 {
                     continue;
                 }
-                let number = numbers
-                    .next()
-                    .ok_or_else(|| io::Error::other("too many seeds in one run"))?;
-                let played = one(plan, way, part, tries, seed, number).await?;
+                let address_number = address_numbers.next().ok_or_else(|| {
+                    io::Error::other("no address is left: run fewer seeds at a time")
+                })?;
+                let outcome =
+                    run_once(plan, mode, load_fraction, tries, seed, address_number).await?;
                 println!(
-                    "seed {seed} load {part} tries {tries} {way:?}: served {:.3} before, {:.3} during; back {} after its end; {:.2} \
-                     tries each; {} lost, {} doubled",
-                    played.before,
-                    played.during,
-                    played
-                        .back_s
-                        .map_or(format!("not within {LOOKED} s"), |back| format!(
-                            "{back:.2} s"
-                        )),
-                    played.tries,
-                    played.lost,
-                    played.doubled
+                    "seed {seed} load {load_fraction} tries {tries} {mode:?}: served {:.3} before, {:.3} during; recovered {} after the slowdown; {:.2} \
+                     tries per invocation; {} lost, {} doubled",
+                    outcome.before,
+                    outcome.during,
+                    outcome.recovered_after_s.map_or(
+                        format!("not within {OBSERVED_AFTER_S} s"),
+                        |seconds| format!("{seconds:.2} s")
+                    ),
+                    outcome.tries,
+                    outcome.lost,
+                    outcome.doubled
                 );
-                if way == BudgetMode::Shares {
-                    worst = worst.max(played.back_s.unwrap_or(LOOKED));
-                    clean &= played.lost + played.doubled == 0;
+                if mode == BudgetMode::Shares {
+                    worst_recovery_s =
+                        worst_recovery_s.max(outcome.recovered_after_s.unwrap_or(OBSERVED_AFTER_S));
+                    clean &= outcome.lost + outcome.doubled == 0;
                 }
                 rows.push(json!({
-                    "seed": seed, "load": part, "tries": tries, "way": format!("{way:?}").to_lowercase(), "before": played.before,
-                    "during": played.during, "back_s": played.back_s,
+                    "seed": seed, "load": load_fraction, "tries": tries, "way": format!("{mode:?}").to_lowercase(), "before": outcome.before,
+                    "during": outcome.during, "back_s": outcome.recovered_after_s,
                 }));
             }
         }
     }
-    clean &= worst <= 5.0;
-    let line = json!({ "trial": "shares-loops", "worst_back_s": worst, "plays": rows });
+    clean &= worst_recovery_s <= 5.0;
+    let line = json!({ "trial": "shares-loops", "worst_back_s": worst_recovery_s, "plays": rows });
     println!("\n{line}");
     Ok((line, clean))
 }
--- a/crates/merlinshelf-testbed/src/experiments/upgrade.rs
+++ b/crates/merlinshelf-testbed/src/experiments/upgrade.rs
@@ -1,4 +1,4 @@
-//! `experiment upgrade`: upgrades one after the other under full load, some of which fail in ways drawn by seed.
+//! `experiment upgrade`: consecutive upgrades under full load, some of which fail in ways drawn by seed.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -21,129 +21,135 @@
     pub rounds: u32,
     /// The share of rounds whose successor fails.
     pub fail: f64,
-    /// Whether some of these hang rather than die: nobody serves until that is found.
+    /// Whether some of these successors hang instead of dying. Nothing is served until a hang is detected.
     pub hangs: bool,
     pub rate: f64,
     pub connections: usize,
-    /// The instance; its program is the one that serves first.
+    /// Configures the instance; its program is the first predecessor.
     pub setup: Setup,
-    /// The program of the first successor. After each upgrade that succeeds the two change places.
+    /// The program of the first successor. The two programs swap roles after each successful upgrade.
     pub successor: PathBuf,
 }
 
-/// How a round's successor fares.
+/// What happens to the successor of a round.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Fate {
+enum SuccessorBehavior {
     Succeeds,
-    CanNotBeExecuted,
-    RefusesItsConfiguration,
-    ExitsAtOnce,
-    HangsAtOnce,
-    /// Killed so long after it was started.
-    KilledEarly(u64),
-    /// Killed so long after it took over.
-    Killed(u64),
-    /// Stopped so long after it took over.
-    Stopped(u64),
+    ExecFails,
+    RejectsConfig,
+    ExitsOnStart,
+    HangsOnStart,
+    /// KilledAfterTakeover this many milliseconds after it was started.
+    KilledAfterStart(u64),
+    /// KilledAfterTakeover this many milliseconds after it took over.
+    KilledAfterTakeover(u64),
+    /// StoppedAfterTakeover by SIGSTOP this many milliseconds after it took over.
+    StoppedAfterTakeover(u64),
 }
 
-impl Fate {
-    fn draw(rng: &mut Pcg64Mcg, fail: f64, hangs: bool, watched_ms: u64) -> Fate {
+impl SuccessorBehavior {
+    fn draw(rng: &mut Pcg64Mcg, fail: f64, hangs: bool, watched_ms: u64) -> SuccessorBehavior {
         if !rng.random_bool(fail) {
-            return Fate::Succeeds;
+            return SuccessorBehavior::Succeeds;
         }
         match rng.random_range(0..12) {
-            0 => Fate::CanNotBeExecuted,
-            1 => Fate::RefusesItsConfiguration,
-            2 => Fate::ExitsAtOnce,
-            3 => Fate::HangsAtOnce,
-            4 | 5 => Fate::KilledEarly(rng.random_range(0..40)),
-            6 | 7 => Fate::Killed(500),
-            8..=10 => Fate::Killed(rng.random_range(0..watched_ms * 9 / 10)),
-            _ if hangs => Fate::Stopped(rng.random_range(0..watched_ms / 2)),
-            _ => Fate::Killed(500),
+            0 => SuccessorBehavior::ExecFails,
+            1 => SuccessorBehavior::RejectsConfig,
+            2 => SuccessorBehavior::ExitsOnStart,
+            3 => SuccessorBehavior::HangsOnStart,
+            4 | 5 => SuccessorBehavior::KilledAfterStart(rng.random_range(0..40)),
+            6 | 7 => SuccessorBehavior::KilledAfterTakeover(500),
+            8..=10 => {
+                SuccessorBehavior::KilledAfterTakeover(rng.random_range(0..watched_ms * 9 / 10))
+            }
+            _ if hangs => {
+                SuccessorBehavior::StoppedAfterTakeover(rng.random_range(0..watched_ms / 2))
+            }
+            _ => SuccessorBehavior::KilledAfterTakeover(500),
         }
     }
 
-    /// The lines of the successor's program.
-    fn program(self, successor: &Path) -> String {
-        let good = format!("exec '{}' \"$@\"", successor.display());
+    /// The shell script that runs as the successor.
+    fn script(self, successor: &Path) -> String {
+        let working = format!("exec '{}' \"$@\"", successor.display());
         match self {
-            Fate::CanNotBeExecuted => "exec /nowhere/merlinshelf \"$@\"".into(),
-            Fate::RefusesItsConfiguration => {
+            SuccessorBehavior::ExecFails => "exec /nowhere/merlinshelf \"$@\"".into(),
+            SuccessorBehavior::RejectsConfig => {
                 format!(
                     "exec '{}' serve --config /nowhere/config.json",
                     successor.display()
                 )
             }
-            Fate::ExitsAtOnce => "exit 3".into(),
-            Fate::HangsAtOnce => "exec sleep 1000".into(),
-            _ => good,
+            SuccessorBehavior::ExitsOnStart => "exit 3".into(),
+            SuccessorBehavior::HangsOnStart => "exec sleep 1000".into(),
+            _ => working,
         }
     }
 }
 
-/// One upgrade, as its clients saw it.
+/// One upgrade, and its effect as its clients measured it.
 struct Round {
-    fate: Fate,
-    ended: String,
-    from: Instant,
-    until: Instant,
+    behavior: SuccessorBehavior,
+    final_stage: String,
+    started: Instant,
+    ended: Instant,
     stall: Duration,
-    /// Memory in KB and descriptors of both processes, at the highest that was seen.
-    together: (u64, u64),
+    /// Peak memory in KB and peak descriptor count of both processes together.
+    peak_usage: (u64, u64),
 }
 
-/// Plays it; the last line that is printed is the JSON object. False where a rule broke.
+/// Runs all rounds and prints the JSON object as the last line. Returns false if an invocation or an upgrade broke a rule.
 pub async fn run(plan: &Plan) -> io::Result<(Value, bool)> {
     let mut rng = Pcg64Mcg::seed_from_u64(plan.seed);
     let mut instance = Instance::start(&plan.setup, 1).await?;
     let load = Load::of_all(&instance.address, plan.connections, plan.rate, plan.seed);
-    let playing = load.start().await?;
+    let running_load = load.start().await?;
     sleep(Duration::from_millis(1500)).await;
-    let before = instance.status().await?;
+    let status_before = instance.status().await?;
     let mut rounds = Vec::new();
     let (mut serving, mut successor) = (&plan.setup.program, &plan.successor);
     let (mut memory, mut descriptors) = (0, 0);
     for number in 0..plan.rounds {
-        let fate = Fate::draw(
+        let behavior = SuccessorBehavior::draw(
             &mut rng,
             plan.fail,
             plan.hangs,
             plan.setup.watched.as_millis() as u64,
         );
-        let round = upgrade(&instance, successor, fate).await?;
-        if round.ended == "done" {
+        let round = run_round(&instance, successor, behavior).await?;
+        if round.final_stage == "done" {
             std::mem::swap(&mut serving, &mut successor);
         }
         println!(
             "round {:>3}  {:<28} {}",
             number + 1,
-            format!("{fate:?}"),
-            round.ended
+            format!("{behavior:?}"),
+            round.final_stage
         );
         rounds.push(round);
-        let (kb, open) = rounds.last().map_or((0, 0), |round: &Round| round.together);
+        let (kb, open) = rounds
+            .last()
+            .map_or((0, 0), |round: &Round| round.peak_usage);
         (memory, descriptors) = (memory.max(kb), descriptors.max(open));
         sleep(Duration::from_millis(150)).await;
     }
     sleep(Duration::from_millis(500)).await;
-    let after = instance.status().await?;
-    let seen = playing.stop().await.take();
+    let status_after = instance.status().await?;
+    let seen = running_load.stop().await.take();
     let verdict = seen.check(&instance.records.borrow(), load.patience);
     let ordinary = {
         let mut all = histogram();
         let mut from =
-            rounds.first().map_or(Instant::now(), |round| round.from) - Duration::from_secs(1);
+            rounds.first().map_or(Instant::now(), |round| round.started) - Duration::from_secs(1);
         for round in &rounds {
-            all += seen.latencies(from, round.from - Duration::from_millis(20));
-            from = round.until + Duration::from_millis(100);
+            all += seen.latencies(from, round.started - Duration::from_millis(20));
+            from = round.ended + Duration::from_millis(100);
         }
         all
     };
     for round in &mut rounds {
         let worst = seen
-            .latencies(round.from, round.until + Duration::from_millis(20))
+            .latencies(round.started, round.ended + Duration::from_millis(20))
             .max();
         round.stall = Duration::from_micros(worst.saturating_sub(ordinary.value_at_quantile(0.5)));
     }
@@ -154,81 +160,87 @@
         &rounds,
         verdict,
         &ordinary,
-        (&before, &after),
+        (&status_before, &status_after),
         (memory, descriptors),
     ))
 }
 
-/// Asks for an upgrade to a successor whose program is these lines of a shell, and says how it ended.
-pub async fn request_upgrade(instance: &Instance, program: &str) -> io::Result<String> {
-    instance.successor_is(program)?;
-    let mut talk = instance.ask(ControlRequest::Upgrade).await?;
+/// Requests an upgrade to a successor that runs this shell script, and returns the final stage of the upgrade.
+pub async fn request_upgrade(instance: &Instance, script: &str) -> io::Result<String> {
+    instance.successor_is(script)?;
+    let mut client = instance.ask(ControlRequest::Upgrade).await?;
     loop {
-        let (word, report) = talk.next_reply().await?;
-        if word != ControlMessage::More {
+        let (message, report) = client.next_reply().await?;
+        if message != ControlMessage::More {
             return Ok(report["stage"].as_str().unwrap_or("").to_owned());
         }
     }
 }
 
-/// Asks for an upgrade and lets the successor fare as drawn.
-async fn upgrade(instance: &Instance, successor: &Path, fate: Fate) -> io::Result<Round> {
-    instance.successor_is(&fate.program(successor))?;
-    let started = instance.values("successor").len();
-    let from = Instant::now();
-    let mut talk = instance.ask(ControlRequest::Upgrade).await?;
-    let mut ended = String::new();
-    let mut together = (0, 0);
+/// Requests an upgrade and injects the drawn failure into its successor.
+async fn run_round(
+    instance: &Instance,
+    successor: &Path,
+    behavior: SuccessorBehavior,
+) -> io::Result<Round> {
+    instance.successor_is(&behavior.script(successor))?;
+    let successors_before = instance.values("successor").len();
+    let started = Instant::now();
+    let mut client = instance.ask(ControlRequest::Upgrade).await?;
+    let mut final_stage = String::new();
+    let mut peak_usage = (0, 0);
     loop {
-        let (word, report) = talk.next_reply().await?;
-        let now = instance.together();
-        together = (now.0.max(together.0), now.1.max(together.1));
-        match (word, report["stage"].as_str().unwrap_or(""), fate) {
-            (ControlMessage::More, "starting", Fate::KilledEarly(after)) => {
+        let (message, report) = client.next_reply().await?;
+        let usage = instance.together();
+        peak_usage = (usage.0.max(peak_usage.0), usage.1.max(peak_usage.1));
+        match (message, report["stage"].as_str().unwrap_or(""), behavior) {
+            (ControlMessage::More, "starting", SuccessorBehavior::KilledAfterStart(after)) => {
                 sleep(Duration::from_millis(after)).await;
-                instance.logged_successor(started).await?;
+                instance.wait_for_successor(successors_before).await?;
                 instance.signal_newest(Signal::KILL);
             }
-            (ControlMessage::More, "took_over", Fate::Killed(after)) => {
+            (ControlMessage::More, "took_over", SuccessorBehavior::KilledAfterTakeover(after)) => {
                 sleep(Duration::from_millis(after)).await;
                 instance.signal_newest(Signal::KILL);
             }
-            (ControlMessage::More, "took_over", Fate::Stopped(after)) => {
+            (ControlMessage::More, "took_over", SuccessorBehavior::StoppedAfterTakeover(after)) => {
                 sleep(Duration::from_millis(after)).await;
                 instance.signal_newest(Signal::STOP);
             }
             (ControlMessage::More, ..) => {}
             (_, stage, _) => {
-                ended += stage;
+                final_stage += stage;
                 break;
             }
         }
     }
     Ok(Round {
-        fate,
-        ended,
-        from,
-        until: Instant::now(),
+        behavior,
+        final_stage,
+        started,
+        ended: Instant::now(),
         stall: Duration::ZERO,
-        together,
+        peak_usage,
     })
 }
 
 impl Instance {
-    async fn logged_successor(&self, before: usize) -> io::Result<()> {
-        let until = Instant::now() + Duration::from_secs(5);
-        while self.values("successor").len() <= before {
-            if Instant::now() >= until {
-                return Err(io::Error::other("no successor was started"));
+    async fn wait_for_successor(&self, successors_before: usize) -> io::Result<()> {
+        let deadline = Instant::now() + Duration::from_secs(5);
+        while self.values("successor").len() <= successors_before {
+            if Instant::now() >= deadline {
+                return Err(io::Error::other(
+                    "no successor was started within 5 s of the upgrade request",
+                ));
             }
             sleep(Duration::from_millis(1)).await;
         }
         Ok(())
     }
 
-    fn signal_newest(&self, what: Signal) {
+    fn signal_newest(&self, sent: Signal) {
         if let Some(newest) = self.processes().last() {
-            signal(*newest, what);
+            signal(*newest, sent);
         }
     }
 }
@@ -245,45 +257,45 @@
     (before, after): (&Value, &Value),
     (memory, descriptors): (u64, u64),
 ) -> (Value, bool) {
-    let stalls = |which: &dyn Fn(&Round) -> bool| {
+    let stalls = |matches: &dyn Fn(&Round) -> bool| {
         let mut all = histogram();
         rounds
             .iter()
-            .filter(|round| which(round))
+            .filter(|round| matches(round))
             .for_each(|round| {
                 all.saturating_record((round.stall.as_micros() as u64).max(1));
             });
         all
     };
     let millis = |micros: u64| (micros as f64 / 100.0).round() / 10.0;
-    let hung = |round: &Round| matches!(round.fate, Fate::Stopped(_));
+    let hung = |round: &Round| matches!(round.behavior, SuccessorBehavior::StoppedAfterTakeover(_));
     let kinds: [(&str, Histogram<u64>); 4] = [
-        ("done", stalls(&|round| round.ended == "done")),
-        ("given_up", stalls(&|round| round.ended == "given_up")),
+        ("done", stalls(&|round| round.final_stage == "done")),
+        ("given_up", stalls(&|round| round.final_stage == "given_up")),
         (
             "taken_back",
-            stalls(&|round| round.ended == "taken_back" && !hung(round)),
+            stalls(&|round| round.final_stage == "taken_back" && !hung(round)),
         ),
-        // Nobody serves from the hang until it is found: that takes `silent_ms`.
+        // Nothing is served from the hang until it is detected, which takes `silent_ms`.
         (
             "after a hang",
-            stalls(&|round| round.ended == "taken_back" && hung(round)),
+            stalls(&|round| round.final_stage == "taken_back" && hung(round)),
         ),
     ];
     println!(
         "\n{:<12} {:>7} {:>12} {:>12} {:>12}",
         "upgrades", "count", "stall p50", "p99", "worst"
     );
-    for (name, of) in &kinds {
+    for (name, stalls) in &kinds {
         let figures = [
-            of.value_at_quantile(0.5),
-            of.value_at_quantile(0.99),
-            of.max(),
+            stalls.value_at_quantile(0.5),
+            stalls.value_at_quantile(0.99),
+            stalls.max(),
         ]
         .map(millis);
         println!(
             "{name:<12} {:>7} {:>9} ms {:>9} ms {:>9} ms",
-            of.len(),
+            stalls.len(),
             figures[0],
             figures[1],
             figures[2]
@@ -294,25 +306,27 @@
         millis(ordinary.value_at_quantile(0.5)),
         millis(ordinary.value_at_quantile(0.99))
     );
-    // A successor that should have lived and did not, or the other way round, is a finding as well. One that is killed
-    // early may have had time to take over.
-    let unexpected = rounds.iter().filter(|round| match round.fate {
-        Fate::Succeeds => round.ended != "done",
-        Fate::KilledEarly(_) => round.ended == "refused",
-        Fate::Killed(_) | Fate::Stopped(_) => round.ended != "taken_back",
-        _ => round.ended != "given_up",
+    // An upgrade that succeeds or fails against expectation counts as a failure of the experiment. A successor that is killed
+    // early may have had time to take over, so several outcomes are accepted for it.
+    let unexpected = rounds.iter().filter(|round| match round.behavior {
+        SuccessorBehavior::Succeeds => round.final_stage != "done",
+        SuccessorBehavior::KilledAfterStart(_) => round.final_stage == "refused",
+        SuccessorBehavior::KilledAfterTakeover(_) | SuccessorBehavior::StoppedAfterTakeover(_) => {
+            round.final_stage != "taken_back"
+        }
+        _ => round.final_stage != "given_up",
     });
     let unexpected = unexpected.count();
     let clean = verdict.is_clean() && unexpected == 0;
-    let stall = |of: &Histogram<u64>| {
+    let stall = |stalls: &Histogram<u64>| {
         json!({
-            "count": of.len(), "p50_ms": millis(of.value_at_quantile(0.5)),
-            "p99_ms": millis(of.value_at_quantile(0.99)), "worst_ms": millis(of.max()),
+            "count": stalls.len(), "p50_ms": millis(stalls.value_at_quantile(0.5)),
+            "p99_ms": millis(stalls.value_at_quantile(0.99)), "worst_ms": millis(stalls.max()),
         })
     };
     let failed = rounds
         .iter()
-        .filter(|round| round.fate != Fate::Succeeds)
+        .filter(|round| round.behavior != SuccessorBehavior::Succeeds)
         .count();
     let line = json!({
         "trial": "upgrade", "seed": plan.seed, "rounds": rounds.len(), "failed": failed, "unexpected": unexpected,
--- a/crates/merlinshelf-testbed/src/experiments/uwsgi.rs
+++ b/crates/merlinshelf-testbed/src/experiments/uwsgi.rs
@@ -1,5 +1,5 @@
-//! `trial uwsgi`: the same mix in overload by FastCGI, by uwsgi and by both, with a notice to leave at its end: whether the same share
-//! of each operation is served, throttled and errored, and what an invocation costs.
+//! `experiment uwsgi`: the same overload through FastCGI, through uwsgi and through both, ended by a graceful shutdown.
+//! Compares the shares of each operation that are served, throttled and errored, and the CPU time per invocation.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -16,7 +16,7 @@
 pub struct Plan {
     pub seed: u64,
     pub seeds: u64,
-    /// Invocations a second; of 300 about half is taken in.
+    /// Invocations per second; at 300 about half of them are admitted.
     pub rate: f64,
     pub program: PathBuf,
 }
@@ -26,70 +26,70 @@
     (Front::Uwsgi, "uwsgi"),
     (Front::Both, "both"),
 ];
-const PLAYS: Duration = Duration::from_secs(5);
-/// A run's time on one of two cores.
-const WORK: Duration = Duration::from_millis(10);
+const LOAD_DURATION: Duration = Duration::from_secs(5);
+/// CPU time of one run; two runs fit on the cores at a time.
+const RUN_DURATION: Duration = Duration::from_millis(10);
 
-/// By operation: sent, served, throttled, errored.
-type Sums = BTreeMap<String, [u64; 4]>;
+/// Counts of sent, served, throttled and errored invocations by operation.
+type OperationCounts = BTreeMap<String, [u64; 4]>;
 
-struct Played {
-    sums: Sums,
+struct Outcome {
+    counts: OperationCounts,
     lost: u64,
     doubled: u64,
-    /// Time on the cores of the program, by invocation, in microseconds.
-    us: f64,
+    /// CPU time of the program per invocation, in microseconds.
+    cpu_us: f64,
 }
 
-async fn play(plan: &Plan, seed: u64, front: Front, number: u8) -> io::Result<Played> {
+async fn run_once(plan: &Plan, seed: u64, front: Front, address_number: u8) -> io::Result<Outcome> {
     let mut setup = Setup::small(&plan.program);
     (
         setup.uwsgi,
         setup.manner.work,
         setup.cores,
         setup.manner.cores,
-    ) = (true, WORK, 2, 2.0);
-    let mut instance = Instance::start(&setup, number).await?;
+    ) = (true, RUN_DURATION, 2, 2.0);
+    let mut instance = Instance::start(&setup, address_number).await?;
     let load = Load {
         front,
         ..Load::of_all(&instance.address, 24, plan.rate, seed)
     };
-    let before = instance.cpu()?;
-    let playing = load.start().await?;
-    sleep(PLAYS).await;
-    let cpu = instance.cpu()? - before;
-    let until = playing.seen.borrow().sent.len();
+    let cpu_before = instance.cpu()?;
+    let running_load = load.start().await?;
+    sleep(LOAD_DURATION).await;
+    let cpu = instance.cpu()? - cpu_before;
+    let sent_count = running_load.seen.borrow().sent.len();
     instance.leave().await?;
-    let seen = playing.stop().await.take();
+    let seen = running_load.stop().await.take();
     let verdict = seen.check(&instance.records.borrow(), load.patience);
     instance.end().await;
-    let mut sums = Sums::new();
+    let mut counts = OperationCounts::new();
     for sent in seen.sent.values() {
-        let sum = sums.entry(sent.operation.clone()).or_default();
-        sum[0] += 1;
+        let count = counts.entry(sent.operation.clone()).or_default();
+        count[0] += 1;
         match sent.answers.first().map(|(_, status)| *status) {
-            Some(200) => sum[1] += 1,
-            Some(429 | 503) => sum[2] += 1,
-            // Found nobody after the listener closed: neither the program's nor anybody's.
-            Some(599) => sum[0] -= 1,
-            _ => sum[3] += 1,
+            Some(200) => count[1] += 1,
+            Some(429 | 503) => count[2] += 1,
+            // Sent after the listener closed, so no process received it: not counted as sent.
+            Some(599) => count[0] -= 1,
+            _ => count[3] += 1,
         }
     }
     let lost = verdict.lost + verdict.run_twice + verdict.spoilt + verdict.wrong_feeds;
-    Ok(Played {
-        sums,
+    Ok(Outcome {
+        counts,
         lost,
         doubled: verdict.doubled,
-        us: cpu.as_secs_f64() * 1e6 / until.max(1) as f64,
+        cpu_us: cpu.as_secs_f64() * 1e6 / sent_count.max(1) as f64,
     })
 }
 
-/// Mean and half of a 95% interval by Student's t, for few plays.
+/// The mean and the half-width of its 95% confidence interval. Uses Student's t, since the samples are few.
 fn mean(values: &[f64]) -> (f64, f64) {
     const T: [f64; 10] = [12.71, 4.30, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26, 2.23];
     let count = values.len() as f64;
     let mean = values.iter().sum::<f64>() / count.max(1.0);
-    let square = values
+    let variance = values
         .iter()
         .map(|value| (value - mean).powi(2))
         .sum::<f64>()
@@ -103,29 +103,32 @@
         if values.len() < 2 {
             f64::NAN
         } else {
-            t * (square / count).sqrt()
+            t * (variance / count).sqrt()
         },
     )
 }
 
-/// Plays all; the last line, and whether nothing was lost or doubled.
+/// Runs all seeds and returns the JSON object of the last line and whether nothing was lost or doubled.
 ///
 /// # Errors
-/// What can't be played.
+/// Fails if an instance or its load can't be started or controlled.
 pub async fn run(plan: &Plan) -> io::Result<(Value, bool)> {
     let mut shares: BTreeMap<(&str, String), [Vec<f64>; 3]> = BTreeMap::new();
     let mut costs: BTreeMap<&str, Vec<f64>> = BTreeMap::new();
     let (mut lost, mut doubled, mut sent) = (0, 0, 0);
     for seed in plan.seed..plan.seed + plan.seeds {
-        for (place, (front, name)) in FRONTS.into_iter().enumerate() {
-            let played = play(plan, seed, front, 80 + place as u8).await?;
-            (lost, doubled) = (lost + played.lost, doubled + played.doubled);
-            costs.entry(name).or_default().push(played.us);
-            for (operation, [all, served, throttled, errored]) in played.sums {
-                sent += all;
-                let of = shares.entry((name, operation)).or_default();
-                for (values, count) in of.iter_mut().zip([served, throttled, errored]) {
-                    values.push(count as f64 / all.max(1) as f64);
+        for (index, (front, name)) in FRONTS.into_iter().enumerate() {
+            let outcome = run_once(plan, seed, front, 80 + index as u8).await?;
+            (lost, doubled) = (lost + outcome.lost, doubled + outcome.doubled);
+            costs.entry(name).or_default().push(outcome.cpu_us);
+            for (operation, [total, served, throttled, errored]) in outcome.counts {
+                sent += total;
+                let values_by_result = shares.entry((name, operation)).or_default();
+                for (values, count) in values_by_result
+                    .iter_mut()
+                    .zip([served, throttled, errored])
+                {
+                    values.push(count as f64 / total.max(1) as f64);
                 }
             }
         }
@@ -136,8 +139,8 @@
     );
     let mut rows = Vec::new();
     for ((front, operation), values) in &shares {
-        let [served, throttled, errored] = [0, 1, 2].map(|which| mean(&values[which]));
-        let text = |(mean, half): (f64, f64)| format!("{mean:.3} +- {half:.3}");
+        let [served, throttled, errored] = [0, 1, 2].map(|result| mean(&values[result]));
+        let text = |(mean, half_width): (f64, f64)| format!("{mean:.3} +- {half_width:.3}");
         println!(
             "{front:<10} {operation:<20} {:>17} {:>17} {:>17}",
             text(served),
@@ -149,31 +152,33 @@
             "errored": errored.0,
         }));
     }
-    // Paired by seed, so that what the load does to all counts for none.
-    let mut apart = Vec::new();
+    // Differences are paired by seed, which cancels the variation of the load between seeds.
+    let mut differences = Vec::new();
     for ((front, operation), values) in shares.iter().filter(|((front, _), _)| *front != "fastcgi")
     {
         let base = &shares[&("fastcgi", operation.clone())];
-        let differences: Vec<f64> = values[0]
+        let paired: Vec<f64> = values[0]
             .iter()
             .zip(&base[0])
             .map(|(one, other)| one - other)
             .collect();
-        let (mean, half) = mean(&differences);
-        println!("{front:<10} {operation:<20} served less fastcgi's: {mean:+.3} +- {half:.3}");
-        apart.push(
-            json!({ "front": front, "operation": operation, "apart": mean, "apart_95": half }),
+        let (mean, half_width) = mean(&paired);
+        println!(
+            "{front:<10} {operation:<20} served, difference to fastcgi: {mean:+.3} +- {half_width:.3}"
+        );
+        differences.push(
+            json!({ "front": front, "operation": operation, "apart": mean, "apart_95": half_width }),
         );
     }
-    let of = |name: &str| mean(&costs[name]).0;
+    let cost = |name: &str| mean(&costs[name]).0;
     println!(
-        "{sent} sent, {lost} lost, {doubled} doubled; time on the cores an invocation: uwsgi {:.3} and both {:.3} of FastCGI's",
-        of("uwsgi") / of("fastcgi"),
-        of("both") / of("fastcgi")
+        "{sent} sent, {lost} lost, {doubled} doubled; CPU time per invocation relative to FastCGI: uwsgi {:.3}, both {:.3}",
+        cost("uwsgi") / cost("fastcgi"),
+        cost("both") / cost("fastcgi")
     );
     let line = json!({
         "trial": "uwsgi", "seed": plan.seed, "seeds": plan.seeds, "sent": sent, "lost": lost, "doubled": doubled, "rows": rows,
-        "apart": apart, "cost_uwsgi": of("uwsgi") / of("fastcgi"), "cost_both": of("both") / of("fastcgi"),
+        "apart": differences, "cost_uwsgi": cost("uwsgi") / cost("fastcgi"), "cost_both": cost("both") / cost("fastcgi"),
     });
     println!("{line}");
     Ok((line, lost + doubled == 0))
