--- a/crates/merlinshelf-testbed/src/experiments/policy.rs
+++ b/crates/merlinshelf-testbed/src/experiments/policy.rs
@@ -1,5 +1,5 @@
-//! `trial policy`: several agents with several instances each, under load, one change of policy a round with a fault drawn by seed;
-//! the promises are read from what clients got alone.
+//! `experiment policy`: several agents with several instances each, under load, with one policy change per round and a fault
+//! drawn by seed. Whether the guarantees hold is decided only from the responses that clients received.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -24,43 +24,43 @@
 pub struct Plan {
     pub seed: u64,
     pub seeds: u64,
-    /// Changes in each seed.
+    /// Policy changes in each seed.
     pub rounds: u32,
     pub made: Made,
-    /// Invocations a second to each instance.
+    /// Invocations per second to each instance.
     pub rate: f64,
     pub program: PathBuf,
-    /// Only this fault in every round; none: drawn by seed.
+    /// The fault of every round. If none, faults are drawn by seed.
     pub only: Option<RoundFault>,
 }
 
-/// What happens in a round.
+/// The fault that is injected in a round.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, clap::ValueEnum)]
 pub enum RoundFault {
     Nothing,
-    /// An instance stands still before the change and goes on after it.
+    /// An instance is stopped by SIGSTOP before the change and continued after it.
     StopInstance,
     KillInstance,
-    /// An agent that does not lead dies, and comes back.
+    /// An agent that is not the leader is killed and started again.
     KillAgent,
     KillLeader,
     KillAllAgents,
-    /// The agent that leads stands still, and goes on as if nothing had been.
+    /// The leader is stopped by SIGSTOP and continued later.
     StopLeader,
-    /// One host is cut off, by links that end or that hold what is sent.
+    /// One host is disconnected: its links are closed, or delay everything that is sent.
     CutHost,
     HoldHost,
-    /// One host is heard and hears nothing.
+    /// One host can send but receives nothing.
     DeafHost,
-    /// An agent dies and comes back without its disk.
+    /// An agent is killed and started again with its stored log deleted.
     LoseDisk,
-    /// A document that no instance can use.
+    /// A policy that every instance must reject.
     BadDocument,
-    /// Two operators at two agents.
+    /// Two operators propose policies at two agents.
     TwoAtOnce,
 }
 
-const ALL: [RoundFault; 13] = [
+const ALL_FAULTS: [RoundFault; 13] = [
     RoundFault::Nothing,
     RoundFault::StopInstance,
     RoundFault::KillInstance,
@@ -76,35 +76,35 @@
     RoundFault::TwoAtOnce,
 ];
 
-/// What came of a seed.
+/// Totals over all seeds.
 #[derive(Default)]
-struct Sums {
+struct Totals {
     rounds: u64,
     held: u64,
     refused: u64,
     unended: u64,
-    order: u64,
+    out_of_order: u64,
     halves: u64,
     sent: u64,
     lost: u64,
     doubled: u64,
     evidence: u64,
-    /// Seconds from proposing to held, by trouble.
-    took: BTreeMap<RoundFault, Vec<f64>>,
+    /// Seconds from the proposal until the policy held, by fault.
+    durations: BTreeMap<RoundFault, Vec<f64>>,
 }
 
-/// Asks, at whichever agent answers, until it is known what became of the change.
-async fn outcome(all: &Installation, id: &str, within: Duration) -> Option<Value> {
-    let until = Instant::now() + within;
-    while Instant::now() < until {
-        for host in &all.hosts {
-            let asked = host.policy("outcome", json!({ "id": id }));
-            if let Ok(Ok((ControlMessage::Done | ControlMessage::Failed, said))) =
-                timeout(Duration::from_millis(400), asked).await
-                && said["number"].is_u64()
-                && said["state"] != "proposed"
+/// Polls all agents until one of them knows the outcome of the change. None if none does within `max_wait`.
+async fn outcome(installation: &Installation, id: &str, max_wait: Duration) -> Option<Value> {
+    let deadline = Instant::now() + max_wait;
+    while Instant::now() < deadline {
+        for host in &installation.hosts {
+            let request = host.policy("outcome", json!({ "id": id }));
+            if let Ok(Ok((ControlMessage::Done | ControlMessage::Failed, reply))) =
+                timeout(Duration::from_millis(400), request).await
+                && reply["number"].is_u64()
+                && reply["state"] != "proposed"
             {
-                return Some(said);
+                return Some(reply);
             }
         }
         sleep(Duration::from_millis(50)).await;
@@ -112,106 +112,109 @@
     None
 }
 
-struct Round<'a> {
-    all: &'a mut Installation,
+struct FaultInjection<'a> {
+    installation: &'a mut Installation,
     rng: &'a mut Pcg64Mcg,
-    trouble: RoundFault,
-    stopped: Vec<u32>,
+    fault: RoundFault,
+    stopped_processes: Vec<u32>,
     agents_down: Vec<usize>,
-    lose_disk: bool,
+    delete_log: bool,
 }
 
-impl Round<'_> {
-    /// Before the change is proposed; the instances that were killed.
-    async fn begin(&mut self) -> Vec<(usize, u16)> {
-        let hosts = self.all.hosts.len();
+impl FaultInjection<'_> {
+    /// Injects the faults that start before the proposal. Returns the instances that were killed.
+    async fn before_proposal(&mut self) -> Vec<(usize, u16)> {
+        let hosts = self.installation.hosts.len();
         let host = self.rng.random_range(0..hosts);
-        let place = self.rng.random_range(0..self.all.made.instances);
-        let leader = self.all.leader().await.unwrap_or(0);
+        let instance = self.rng.random_range(0..self.installation.made.instances);
+        let leader = self.installation.leader().await.unwrap_or(0);
         let other = (leader + 1 + self.rng.random_range(0..hosts.max(2) - 1)) % hosts;
-        match self.trouble {
+        match self.fault {
             RoundFault::StopInstance => {
-                self.stopped = self.all.hosts[host].processes_of(place);
-                self.stopped
+                self.stopped_processes = self.installation.hosts[host].processes_of(instance);
+                self.stopped_processes
                     .iter()
                     .for_each(|pid| signal(*pid, Signal::STOP));
             }
             RoundFault::KillInstance => {
-                self.all.hosts[host]
-                    .processes_of(place)
+                self.installation.hosts[host]
+                    .processes_of(instance)
                     .iter()
                     .for_each(|pid| signal(*pid, Signal::KILL));
-                return vec![(host, place)];
+                return vec![(host, instance)];
             }
             RoundFault::KillAgent | RoundFault::LoseDisk => {
                 self.agents_down = vec![other];
-                self.lose_disk = self.trouble == RoundFault::LoseDisk;
+                self.delete_log = self.fault == RoundFault::LoseDisk;
             }
             RoundFault::KillLeader => self.agents_down = vec![leader],
             RoundFault::KillAllAgents => self.agents_down = (0..hosts).collect(),
             RoundFault::StopLeader => {
-                self.stopped = self.all.hosts[leader].agent().into_iter().collect();
+                self.stopped_processes = self.installation.hosts[leader]
+                    .agent()
+                    .into_iter()
+                    .collect();
             }
-            RoundFault::CutHost => self.all.set_links(host, true, true, Fault::Cut),
-            RoundFault::HoldHost => self.all.set_links(host, true, true, Fault::Held),
-            RoundFault::DeafHost => self.all.set_links(host, true, false, Fault::Held),
+            RoundFault::CutHost => self.installation.set_links(host, true, true, Fault::Cut),
+            RoundFault::HoldHost => self.installation.set_links(host, true, true, Fault::Held),
+            RoundFault::DeafHost => self.installation.set_links(host, true, false, Fault::Held),
             RoundFault::Nothing | RoundFault::BadDocument | RoundFault::TwoAtOnce => {}
         }
         Vec::new()
     }
 
-    /// A moment after the change was proposed.
-    async fn midst(&mut self) {
-        if self.trouble == RoundFault::StopLeader {
-            self.stopped
+    /// Injects the faults that start shortly after the proposal.
+    async fn after_proposal(&mut self) {
+        if self.fault == RoundFault::StopLeader {
+            self.stopped_processes
                 .iter()
                 .for_each(|pid| signal(*pid, Signal::STOP));
         }
         for host in self.agents_down.clone() {
-            self.all.hosts[host].kill_agent().await;
-            if self.lose_disk {
-                let _ = std::fs::remove_file(self.all.hosts[host].council());
+            self.installation.hosts[host].kill_agent().await;
+            if self.delete_log {
+                let _ = std::fs::remove_file(self.installation.hosts[host].council());
             }
         }
     }
 
-    async fn end(&mut self) -> io::Result<()> {
-        self.stopped
+    /// Ends all faults and starts the killed agents again.
+    async fn end_faults(&mut self) -> io::Result<()> {
+        self.stopped_processes
             .drain(..)
             .for_each(|pid| signal(pid, Signal::CONT));
-        self.all.heal();
-        let program = self.all.program.clone();
+        self.installation.heal();
+        let program = self.installation.program.clone();
         for host in std::mem::take(&mut self.agents_down) {
-            self.all.hosts[host].start_agent(&program)?;
+            self.installation.hosts[host].start_agent(&program)?;
         }
         Ok(())
     }
 }
 
-/// Says of each invocation that was not answered in time, or ran twice, where and in which round it was sent, for whoever looks for
-/// the cause.
-fn tell_wrong(
-    all: &Installation,
-    playing: &[(usize, u16, Load, Playing)],
+/// Prints each invocation that was not answered in time or ran twice, with its instance and round, to help find the cause.
+fn print_violations(
+    installation: &Installation,
+    loads: &[(usize, u16, Load, Playing)],
     rounds: &[(Instant, RoundFault)],
 ) {
-    for (host, place, load, playing) in playing {
-        let seen = playing.seen.borrow();
-        let records = all.hosts[*host].records[usize::from(*place)].borrow();
-        let late = seen.sent.iter().filter(|(id, sent)| {
-            let bound = load.patience + Duration::from_millis(50);
+    for (host, instance, load, running_load) in loads {
+        let seen = running_load.seen.borrow();
+        let records = installation.hosts[*host].records[usize::from(*instance)].borrow();
+        let violations = seen.sent.iter().filter(|(id, sent)| {
+            let limit = load.patience + Duration::from_millis(50);
             let answered = sent.answers.first().map(|(at, _)| *at - sent.at);
-            let twice = records.runs.get(*id).is_some_and(|runs| *runs > 1);
-            twice || sent.at.elapsed() > bound && answered.is_none_or(|took| took > bound)
+            let ran_twice = records.runs.get(*id).is_some_and(|runs| *runs > 1);
+            ran_twice || sent.at.elapsed() > limit && answered.is_none_or(|took| took > limit)
         });
-        for (id, sent) in late.take(20) {
-            let round = rounds.iter().rposition(|(at, _)| *at <= sent.at);
-            let since = round.map(|of| (sent.at - rounds[of].0).as_secs_f64());
+        for (id, sent) in violations.take(20) {
+            let round = rounds.iter().rposition(|(started, _)| *started <= sent.at);
+            let since = round.map(|index| (sent.at - rounds[index].0).as_secs_f64());
             println!(
-                "h{host}/web.{place}: {id} {} ran {} times, sent {since:.2?} s into round {round:?} {:?}, answered {:?}, killed {:?}",
+                "h{host}/web.{instance}: {id} {} ran {} times, sent {since:.2?} s into round {round:?} {:?}, answered {:?}, killed {:?}",
                 sent.operation,
                 records.runs.get(id).copied().unwrap_or_default(),
-                round.map(|of| rounds[of].1),
+                round.map(|index| rounds[index].1),
                 sent.answers
                     .first()
                     .map(|(at, status)| (*at - sent.at, *status)),
@@ -224,175 +227,197 @@
     }
 }
 
-async fn play(plan: &Plan, seed: u64, number: u8, sums: &mut Sums) -> io::Result<()> {
+async fn run_seed(
+    plan: &Plan,
+    seed: u64,
+    address_number: u8,
+    totals: &mut Totals,
+) -> io::Result<()> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
-    let mut all = Installation::start(&plan.program, number, &plan.made).await?;
-    let playing = all.load(plan.rate, seed).await?;
+    let mut installation = Installation::start(&plan.program, address_number, &plan.made).await?;
+    let loads = installation.load(plan.rate, seed).await?;
     let lease = Duration::from_millis(plan.made.lease_ms);
     let mut changes: Vec<Changed> = Vec::new();
-    let mut troubles: Vec<RoundFault> = Vec::new();
-    // Each refused or held sign is another one than the last that held and the last that was proposed.
-    let (mut held_sign, mut last_sign) = (None, None);
+    let mut remaining_faults: Vec<RoundFault> = Vec::new();
+    // The sign of each proposal differs from the last one that held and from the last one that was proposed.
+    let (mut held_sign, mut last_proposed_sign) = (None, None);
     let mut rounds: Vec<(Instant, RoundFault)> = Vec::new();
     for round in 0..plan.rounds {
-        if troubles.is_empty() {
-            troubles = ALL.to_vec();
-            (1..troubles.len())
+        if remaining_faults.is_empty() {
+            remaining_faults = ALL_FAULTS.to_vec();
+            (1..remaining_faults.len())
                 .rev()
-                .for_each(|place| troubles.swap(place, rng.random_range(0..=place)));
+                .for_each(|index| remaining_faults.swap(index, rng.random_range(0..=index)));
         }
-        let trouble = plan.only.or(troubles.pop()).unwrap_or(RoundFault::Nothing);
-        let free = (0..3)
-            .find(|sign| Some(*sign) != held_sign && Some(*sign) != last_sign)
+        let fault = plan
+            .only
+            .or(remaining_faults.pop())
+            .unwrap_or(RoundFault::Nothing);
+        let sign = (0..3)
+            .find(|sign| Some(*sign) != held_sign && Some(*sign) != last_proposed_sign)
             .unwrap_or(0);
-        let mut acting = Round {
-            all: &mut all,
+        let mut injection = FaultInjection {
+            installation: &mut installation,
             rng: &mut rng,
-            trouble,
-            stopped: Vec::new(),
+            fault,
+            stopped_processes: Vec::new(),
             agents_down: Vec::new(),
-            lose_disk: false,
+            delete_log: false,
         };
-        for (host, place) in acting.begin().await {
-            let own = playing
+        for (host, instance) in injection.before_proposal().await {
+            let own = loads
                 .iter()
-                .find(|(of, at, ..)| (*of, *at) == (host, place));
-            own.into_iter()
-                .for_each(|(.., playing)| playing.seen.borrow_mut().killed.push(Instant::now()));
+                .find(|(of_host, of_instance, ..)| (*of_host, *of_instance) == (host, instance));
+            own.into_iter().for_each(|(.., running_load)| {
+                running_load.seen.borrow_mut().killed.push(Instant::now())
+            });
         }
         let id = format!("{seed}-{round}");
-        let mut document = policy_of(free);
-        if trouble == RoundFault::BadDocument {
+        let mut document = policy_of(sign);
+        if fault == RoundFault::BadDocument {
             document["operations"]["unheard-of"] = json!({ "worth": 1.0 });
         }
         let proposed = Instant::now();
-        rounds.push((proposed, trouble));
-        let at = acting.rng.random_range(0..acting.all.hosts.len());
+        rounds.push((proposed, fault));
+        let proposer = injection
+            .rng
+            .random_range(0..injection.installation.hosts.len());
         let body = json!({ "id": id, "policy": document, "wait": true });
-        let pause = Duration::from_millis(acting.rng.random_range(0..40));
+        let pause = Duration::from_millis(injection.rng.random_range(0..40));
         {
-            let asked = acting.all.hosts[at].policy("propose", body);
-            // The tool asks on its own; what it is told does not count before it is asked anew.
-            let _ = timeout(pause, asked).await;
+            let request = injection.installation.hosts[proposer].policy("propose", body);
+            // The request is cut off after the pause and its reply ignored. The loop below proposes again.
+            let _ = timeout(pause, request).await;
         }
-        if trouble == RoundFault::TwoAtOnce {
-            let other = (at + 1) % acting.all.hosts.len();
+        if fault == RoundFault::TwoAtOnce {
+            let other = (proposer + 1) % injection.installation.hosts.len();
             let body = json!({ "id": format!("{id}-other"), "policy": document, "wait": false });
             let _ = timeout(
                 Duration::from_millis(300),
-                acting.all.hosts[other].policy("propose", body),
+                injection.installation.hosts[other].policy("propose", body),
             )
             .await;
         }
-        acting.midst().await;
-        // Again and again by the same id, at any agent, as an operator's tool does.
-        let mut said = None;
-        let (began, heals) = (
+        injection.after_proposal().await;
+        // Repeats the proposal under the same id at any agent, as an operator's tool does.
+        let mut result = None;
+        let (retrying_since, heals_after) = (
             Instant::now(),
-            lease + Duration::from_millis(acting.rng.random_range(0..1500)),
+            lease + Duration::from_millis(injection.rng.random_range(0..1500)),
         );
-        let mut ended = false;
-        while said.is_none() && began.elapsed() < heals + lease + Duration::from_secs(14) {
-            if began.elapsed() >= heals && !ended {
-                acting.end().await?;
-                ended = true;
+        let mut faults_ended = false;
+        while result.is_none()
+            && retrying_since.elapsed() < heals_after + lease + Duration::from_secs(14)
+        {
+            if retrying_since.elapsed() >= heals_after && !faults_ended {
+                injection.end_faults().await?;
+                faults_ended = true;
             }
-            let at = acting.rng.random_range(0..acting.all.hosts.len());
+            let agent = injection
+                .rng
+                .random_range(0..injection.installation.hosts.len());
             let body = json!({ "id": id, "policy": document, "wait": false });
-            let asked = acting.all.hosts[at].policy("propose", body);
-            let _ = timeout(Duration::from_millis(300), asked).await;
-            said = outcome(acting.all, &id, Duration::from_millis(300)).await;
+            let request = injection.installation.hosts[agent].policy("propose", body);
+            let _ = timeout(Duration::from_millis(300), request).await;
+            result = outcome(injection.installation, &id, Duration::from_millis(300)).await;
         }
-        let known = Instant::now();
-        if !ended {
-            sleep(heals.saturating_sub(began.elapsed())).await;
-            acting.end().await?;
+        let known_at = Instant::now();
+        if !faults_ended {
+            sleep(heals_after.saturating_sub(retrying_since.elapsed())).await;
+            injection.end_faults().await?;
         }
-        sums.rounds += 1;
-        last_sign = Some(free);
-        let held = said.as_ref().is_some_and(|said| said["state"] == "held");
-        match &said {
-            None => sums.unended += 1,
+        totals.rounds += 1;
+        last_proposed_sign = Some(sign);
+        let held = result
+            .as_ref()
+            .is_some_and(|result| result["state"] == "held");
+        match &result {
+            None => totals.unended += 1,
             Some(_) if held => {
-                sums.held += 1;
-                sums.took
-                    .entry(trouble)
+                totals.held += 1;
+                totals
+                    .durations
+                    .entry(fault)
                     .or_default()
-                    .push((known - proposed).as_secs_f64());
+                    .push((known_at - proposed).as_secs_f64());
             }
-            Some(_) => sums.refused += 1,
+            Some(_) => totals.refused += 1,
         }
         println!(
-            "seed {seed} round {round}: {trouble:?}: {} after {:.2} s",
-            said.as_ref().map_or("not known".into(), |said| format!(
+            "seed {seed} round {round}: {fault:?}: {} after {:.2} s",
+            result.as_ref().map_or("not known".into(), |result| format!(
                 "{} {}",
-                said["number"], said["state"]
+                result["number"], result["state"]
             )),
-            (known - proposed).as_secs_f64()
+            (known_at - proposed).as_secs_f64()
         );
         let other = format!("{id}-other");
-        if trouble == RoundFault::TwoAtOnce
-            && let Some(said) = outcome(&all, &other, Duration::from_secs(6)).await
-            && said["state"] == "held"
+        if fault == RoundFault::TwoAtOnce
+            && let Some(result) = outcome(&installation, &other, Duration::from_secs(6)).await
+            && result["state"] == "held"
         {
             changes.push(Changed {
                 proposed,
-                sign: free,
+                sign,
                 held: true,
             });
         }
         changes.push(Changed {
             proposed,
-            sign: free,
+            sign,
             held,
         });
         if held {
-            held_sign = Some(free);
+            held_sign = Some(sign);
         }
-        all.when("all agents are back and all hosts have a lease", |shows| {
-            shows.iter().all(|show| {
-                show["leader"].is_string()
-                    && show["lease"].is_object()
-                    && show["under_way"].is_null()
-            })
-        })
-        .await?;
+        installation
+            .when(
+                "all agents are back and all hosts have a lease",
+                |statuses| {
+                    statuses.iter().all(|status| {
+                        status["leader"].is_string()
+                            && status["lease"].is_object()
+                            && status["under_way"].is_null()
+                    })
+                },
+            )
+            .await?;
         sleep(Duration::from_millis(300)).await;
     }
-    let shown = evidence(&playing);
-    let (order, halves) = out_of_order(&changes, &shown);
-    tell_wrong(&all, &playing, &rounds);
-    let verdict = check(&all, playing).await;
-    sums.order += order;
-    sums.halves += halves;
-    sums.evidence += shown.len() as u64;
-    sums.sent += verdict.sent;
-    sums.lost += verdict.lost;
-    sums.doubled += verdict.doubled + verdict.run_twice + verdict.spoilt;
+    let shown = evidence(&loads);
+    let (changes_out_of_order, halves) = out_of_order(&changes, &shown);
+    print_violations(&installation, &loads, &rounds);
+    let verdict = check(&installation, loads).await;
+    totals.out_of_order += changes_out_of_order;
+    totals.halves += halves;
+    totals.evidence += shown.len() as u64;
+    totals.sent += verdict.sent;
+    totals.lost += verdict.lost;
+    totals.doubled += verdict.doubled + verdict.run_twice + verdict.spoilt;
     Ok(())
 }
 
-/// The way before there was a policy for all: another file, and all are restarted one after the other. How many were decided
-/// on out of order, and how long the fleet was mixed.
+/// The baseline without a shared policy: the configuration file is changed and all instances are restarted one after the
+/// other. Prints how many decisions were out of order and how long the fleet was mixed.
 ///
 /// # Errors
-/// What can't be played.
+/// Fails if the installation can't be started, its file can't be changed, or a restart fails.
 pub async fn by_restart(plan: &Plan) -> io::Result<Value> {
-    let all = Installation::start(&plan.program, 10, &plan.made).await?;
-    let playing = all.load(plan.rate, plan.seed).await?;
+    let installation = Installation::start(&plan.program, 10, &plan.made).await?;
+    let loads = installation.load(plan.rate, plan.seed).await?;
     let mut changes = vec![Changed {
         proposed: Instant::now(),
         sign: 0,
         held: true,
     }];
     sleep(Duration::from_secs(1)).await;
-    let file = all.hosts[0].folder.join("config.json");
+    let file = installation.hosts[0].folder.join("config.json");
     let mut mixed = Vec::new();
     for round in 1..=plan.rounds {
         let sign = round as usize % 3;
         std::fs::write(&file, with_sign(&std::fs::read_to_string(&file)?, sign)?)?;
         let proposed = Instant::now();
-        all.hosts[0]
+        installation.hosts[0]
             .ask(&json!({ "op": "restart", "wait": true }))
             .await?;
         changes.push(Changed {
@@ -401,65 +426,66 @@
             held: true,
         });
         sleep(Duration::from_millis(500)).await;
-        let shown = evidence(&playing);
+        let shown = evidence(&loads);
         let first = shown
             .iter()
-            .find(|(sent, _, of)| *of == sign && *sent >= proposed)
+            .find(|(sent, _, shown_sign)| *shown_sign == sign && *sent >= proposed)
             .map(|(_, at, _)| *at);
-        let former = (sign + 2) % 3;
+        let previous_sign = (sign + 2) % 3;
         let last = shown
             .iter()
-            .filter(|(_, _, of)| *of == former)
+            .filter(|(_, _, shown_sign)| *shown_sign == previous_sign)
             .map(|(sent, ..)| *sent)
             .max();
         if let (Some(first), Some(last)) = (first, last) {
             mixed.push(last.saturating_duration_since(first).as_secs_f64());
         }
     }
-    let (order, _) = out_of_order(&changes, &evidence(&playing));
-    let verdict = check(&all, playing).await;
+    let (changes_out_of_order, _) = out_of_order(&changes, &evidence(&loads));
+    let verdict = check(&installation, loads).await;
     let line = json!({
-        "trial": "policy", "by": "restart", "instances": plan.made.instances, "rounds": plan.rounds, "out_of_order": order,
+        "trial": "policy", "by": "restart", "instances": plan.made.instances, "rounds": plan.rounds, "out_of_order": changes_out_of_order,
         "mixed_s": mixed, "sent": verdict.sent, "lost": verdict.lost,
     });
     println!("{line}");
     Ok(line)
 }
 
-/// Plays all seeds; the last line, and whether the promises held.
+/// Runs all seeds and returns the JSON object of the last line and whether the guarantees held.
 ///
 /// # Errors
-/// What can't be played.
+/// Fails if an installation can't be started or does not recover from a round.
 pub async fn run(plan: &Plan) -> io::Result<(Value, bool)> {
-    let mut sums = Sums::default();
+    let mut totals = Totals::default();
     let step = usize::from(plan.made.hosts);
-    for (number, seed) in (10_u8..240)
+    for (address_number, seed) in (10_u8..240)
         .step_by(step)
         .cycle()
         .zip(plan.seed..plan.seed + plan.seeds)
     {
-        play(plan, seed, number, &mut sums).await?;
+        run_seed(plan, seed, address_number, &mut totals).await?;
     }
-    let mut took = serde_json::Map::new();
-    for (trouble, times) in &mut sums.took {
+    let mut durations_by_fault = serde_json::Map::new();
+    for (fault, times) in &mut totals.durations {
         times.sort_by(f64::total_cmp);
         let (median, worst) = (times[times.len() / 2], times[times.len() - 1]);
         println!(
-            "{trouble:?}: held after {median:.2} s (median of {}), {worst:.2} s at the worst",
+            "{fault:?}: held after {median:.2} s (median of {}), {worst:.2} s in the worst round",
             times.len()
         );
-        took.insert(
-            format!("{trouble:?}"),
+        durations_by_fault.insert(
+            format!("{fault:?}"),
             json!({ "count": times.len(), "median_s": median, "worst_s": worst }),
         );
     }
     let line = json!({
         "trial": "policy", "seed": plan.seed, "seeds": plan.seeds, "agents": plan.made.hosts,
-        "instances": plan.made.instances, "lease_ms": plan.made.lease_ms, "rounds": sums.rounds, "held": sums.held,
-        "refused": sums.refused, "out_of_order": sums.order, "halves": sums.halves, "unended": sums.unended,
-        "sent": sums.sent, "shown_by": sums.evidence, "lost": sums.lost, "doubled": sums.doubled, "took": took,
+        "instances": plan.made.instances, "lease_ms": plan.made.lease_ms, "rounds": totals.rounds, "held": totals.held,
+        "refused": totals.refused, "out_of_order": totals.out_of_order, "halves": totals.halves, "unended": totals.unended,
+        "sent": totals.sent, "shown_by": totals.evidence, "lost": totals.lost, "doubled": totals.doubled, "took": durations_by_fault,
     });
     println!("{line}");
-    let broken = sums.order + sums.halves + sums.unended + sums.lost + sums.doubled;
-    Ok((line, broken == 0 && sums.evidence > 0))
+    let violations =
+        totals.out_of_order + totals.halves + totals.unended + totals.lost + totals.doubled;
+    Ok((line, violations == 0 && totals.evidence > 0))
 }
--- a/crates/merlinshelf-testbed/src/experiments/shares.rs
+++ b/crates/merlinshelf-testbed/src/experiments/shares.rs
@@ -1,6 +1,6 @@
-//! `trial shares`: many real processes under load on one catalogue that fails and comes back, with faults between them by seed; what is
-//! spent is counted at the catalogue's door, second by second. The same for a fixed part of the budget for each host, and for the
-//! version before.
+//! `experiment shares`: many real processes under load on one catalogue that fails and recovers, with faults between the
+//! processes drawn by seed. Calls and connections are counted where they arrive at the catalogue, second by second. Compares
+//! the fleet's shared budget with a fixed part of it for each host, and with the previous version.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -26,37 +26,39 @@
     pub seed: u64,
     pub seeds: u64,
     pub instances: u16,
-    /// Invocations a second to each instance.
+    /// Invocations per second to each instance.
     pub rate: f64,
     pub program: PathBuf,
-    /// The version before; none: this one, with all of it off.
+    /// The program of the previous version. If none, this version runs without budgets instead.
     pub against: Option<PathBuf>,
-    /// Only this way.
+    /// The only mode to run; all if none.
     pub only: Option<BudgetMode>,
 }
 
-/// How what is spent is bounded.
+/// How the calls to the catalogue are limited.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, clap::ValueEnum)]
 pub enum BudgetMode {
+    /// The fleet shares one budget by lease.
     Shares,
-    /// Each host has its part of the budget for good. How the catalogue fares is told as with shares.
+    /// Each host has a fixed part of the budget. Dependency health is shared between hosts as in `Shares`.
     Fixed,
+    /// The previous version, or this one without budgets.
     Before,
 }
 
-const WAYS: [BudgetMode; 3] = [BudgetMode::Shares, BudgetMode::Fixed, BudgetMode::Before];
+const MODES: [BudgetMode; 3] = [BudgetMode::Shares, BudgetMode::Fixed, BudgetMode::Before];
 
-/// What becomes of the catalogue.
-const MANNERS: [Manners; 4] = [
+/// The ways in which the catalogue fails.
+const CATALOGUE_FAILURES: [Manners; 4] = [
     Manners::Errors,
     Manners::Hangs,
     Manners::HalfErrors,
     Manners::Slow(60.0),
 ];
 
-/// What happens between the processes meanwhile.
+/// The fault that is injected between the processes while the catalogue fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Trouble {
+enum ProcessFault {
     Nothing,
     KillLeader,
     StopLeader,
@@ -67,47 +69,48 @@
     Restarts,
 }
 
-const TROUBLES: [Trouble; 8] = [
-    Trouble::Nothing,
-    Trouble::KillLeader,
-    Trouble::StopLeader,
-    Trouble::CutLeader,
-    Trouble::HoldHost,
-    Trouble::StopInstances,
-    Trouble::KillInstances,
-    Trouble::Restarts,
+const PROCESS_FAULTS: [ProcessFault; 8] = [
+    ProcessFault::Nothing,
+    ProcessFault::KillLeader,
+    ProcessFault::StopLeader,
+    ProcessFault::CutLeader,
+    ProcessFault::HoldHost,
+    ProcessFault::StopInstances,
+    ProcessFault::KillInstances,
+    ProcessFault::Restarts,
 ];
 
-/// First calls a second while it comes back: twice what is called in calm.
-const FIRST: usize = 240;
-/// Further attempts: as many as are called in calm.
-const AGAIN: usize = 120;
-/// All know that it fails by then, seconds.
-const KNOWN: f64 = 3.0;
-const FAILS_FOR: f64 = 8.0;
-const LOOKED_AFTER: f64 = 7.0;
-/// First calls are bounded for so long after its return at the least: three steps.
-const STEPS: f64 = 0.6;
+/// Budget of first calls per second during recovery: twice the rate before the failure.
+const FIRST_CALLS_PER_S: usize = 240;
+/// Budget of retries per second: the rate of all calls before the failure.
+const RETRIES_PER_S: usize = 120;
+/// Time after which every process knows that the catalogue fails.
+const DETECTED_AFTER_S: f64 = 3.0;
+const FAILURE_S: f64 = 8.0;
+const OBSERVED_AFTER_S: f64 = 7.0;
+/// Minimum time for which first calls stay limited after the catalogue recovers: three steps of the recovery.
+const MIN_RECOVERY_S: f64 = 0.6;
 
-/// What came of one play.
+/// The results of one run.
 #[derive(Clone, Debug, Default)]
-struct Played {
-    /// The worst second of each kind against its budget.
-    worst: BTreeMap<&'static str, f64>,
+struct Outcome {
+    /// Calls in the worst second divided by the budget, by kind of call.
+    worst_second: BTreeMap<&'static str, f64>,
     probes_s: f64,
-    /// Seconds from its return to the first call that it answered well, and until calls come as before.
-    seen_s: f64,
-    back_s: Option<f64>,
-    /// Billed value within its objective, by invocation sent.
-    worth: f64,
+    /// Seconds from the recovery of the catalogue until the first call reaches it.
+    first_call_s: f64,
+    /// Seconds from the recovery until calls arrive at 80% of the rate before the failure; none if that was not observed.
+    full_rate_s: Option<f64>,
+    /// Billed value within the latency objective, per invocation sent.
+    value: f64,
     sent: u64,
     lost: u64,
     doubled: u64,
-    attempts: f64,
+    attempts_per_call: f64,
 }
 
-/// Of the example's operations: billed value, objective in seconds, and what of it a result without its call has.
-fn worth_of(operation: &str) -> (f64, f64, f64) {
+/// The billed value of an operation, its latency objective in seconds, and the part of the value that a degraded result has.
+fn value_of(operation: &str) -> (f64, f64, f64) {
     match operation {
         "thumbnail" => (1.0, 1.7, 0.3),
         "transcript-search" => (2.0, 2.3, 1.0),
@@ -116,26 +119,30 @@
     }
 }
 
-/// Billed value within its objective, of what was sent in this time, and of how many.
-fn worth(playing: &[(usize, u16, Load, Playing)], from: Instant, until: Instant) -> (f64, u64) {
+/// The sum of the billed value served within the latency objective, and the number of invocations, of those sent in this time.
+fn served_value(
+    loads: &[(usize, u16, Load, Playing)],
+    from: Instant,
+    until: Instant,
+) -> (f64, u64) {
     let (mut sum, mut count) = (0.0, 0);
-    for (.., playing) in playing {
-        for sent in playing
+    for (.., load) in loads {
+        for sent in load
             .seen
             .borrow()
             .sent
             .values()
             .filter(|sent| sent.at >= from && sent.at < until)
         {
-            let (full, objective, without) = worth_of(&sent.operation);
+            let (full, objective_s, degraded_part) = value_of(&sent.operation);
             if full == 0.0 {
                 continue;
             }
             count += 1;
             if let Some((at, 200)) = sent.answers.first()
-                && (*at - sent.at).as_secs_f64() <= objective
+                && (*at - sent.at).as_secs_f64() <= objective_s
             {
-                sum += full * if sent.poorer { without } else { 1.0 };
+                sum += full * if sent.poorer { degraded_part } else { 1.0 };
             }
         }
     }
@@ -146,18 +153,23 @@
     sleep(Duration::from_secs_f64(seconds)).await;
 }
 
-/// `number` is the first of the addresses that it takes, one for each host.
-async fn one(plan: &Plan, way: BudgetMode, seed: u64, number: u8) -> io::Result<Played> {
+/// Runs one seed in one mode. Each host uses one address, from `first_address` on.
+async fn run_once(
+    plan: &Plan,
+    mode: BudgetMode,
+    seed: u64,
+    first_address: u8,
+) -> io::Result<Outcome> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
-    let manners = MANNERS[rng.random_range(0..MANNERS.len())];
-    let trouble = TROUBLES[rng.random_range(0..TROUBLES.len())];
-    let begins: f64 = rng.random_range(0.0..5.0);
+    let failure = CATALOGUE_FAILURES[rng.random_range(0..CATALOGUE_FAILURES.len())];
+    let fault = PROCESS_FAULTS[rng.random_range(0..PROCESS_FAULTS.len())];
+    let fault_after_s: f64 = rng.random_range(0.0..5.0);
     let hosts = 3;
-    let part = |figure: usize| json!((figure / usize::from(hosts)).max(1));
-    let budgets = match way {
+    let part = |budget: usize| json!((budget / usize::from(hosts)).max(1));
+    let budgets = match mode {
         BudgetMode::Shares => aside(),
         BudgetMode::Fixed => json!({ "catalogue": {
-            "again": part(AGAIN), "probes": part(PROBES), "first": part(FIRST), "opened": part(OPENED),
+            "again": part(RETRIES_PER_S), "probes": part(PROBES), "first": part(FIRST_CALLS_PER_S), "opened": part(OPENED),
         } }),
         BudgetMode::Before => json!({}),
     };
@@ -172,247 +184,275 @@
     let program = plan
         .against
         .as_ref()
-        .filter(|_| way == BudgetMode::Before)
+        .filter(|_| mode == BudgetMode::Before)
         .unwrap_or(&plan.program);
-    let mut all = Installation::start(program, number, &made).await?;
-    let door = all.door.clone().ok_or(io::ErrorKind::NotFound)?;
-    match way {
+    let mut installation = Installation::start(program, first_address, &made).await?;
+    let catalogue = installation.door.clone().ok_or(io::ErrorKind::NotFound)?;
+    match mode {
         BudgetMode::Shares => {
             _ = hold(
-                &all,
-                &policy(&[("first", FIRST), ("again", AGAIN)]),
+                &installation,
+                &policy(&[("first", FIRST_CALLS_PER_S), ("again", RETRIES_PER_S)]),
                 "budgets",
             )
             .await?
         }
         BudgetMode::Fixed | BudgetMode::Before => {}
     }
-    let playing = all.load(plan.rate, seed).await?;
+    let loads = installation.load(plan.rate, seed).await?;
     pause(4.0).await;
-    let calm = Instant::now();
+    let baseline_start = Instant::now();
     pause(2.0).await;
-    let before = Door::of(&door, calm, Instant::now()).calls.len() as f64 / 2.0;
-    let leader = all.leader().await.unwrap_or(0);
-    let died = Instant::now();
-    door.does(manners);
-    pause(begins).await;
-    let stood: Vec<u32> = match trouble {
-        Trouble::StopLeader => all.hosts[leader].agent().into_iter().collect(),
-        Trouble::StopInstances | Trouble::KillInstances => (0..usize::from(hosts))
-            .flat_map(|host| all.hosts[host].processes_of(0))
+    let calls_per_s_before = Door::of(&catalogue, baseline_start, Instant::now())
+        .calls
+        .len() as f64
+        / 2.0;
+    let leader = installation.leader().await.unwrap_or(0);
+    let failed_at = Instant::now();
+    catalogue.does(failure);
+    pause(fault_after_s).await;
+    let target_processes: Vec<u32> = match fault {
+        ProcessFault::StopLeader => installation.hosts[leader].agent().into_iter().collect(),
+        ProcessFault::StopInstances | ProcessFault::KillInstances => (0..usize::from(hosts))
+            .flat_map(|host| installation.hosts[host].processes_of(0))
             .collect(),
         _ => Vec::new(),
     };
-    match trouble {
-        Trouble::Nothing => {}
-        Trouble::KillLeader => all.hosts[leader].kill_agent().await,
-        Trouble::StopLeader | Trouble::StopInstances => {
-            stood.iter().for_each(|pid| signal(*pid, Signal::STOP))
-        }
-        Trouble::CutLeader => all.set_links(leader, true, true, Fault::Cut),
-        Trouble::HoldHost => {
-            all.set_links((leader + 1) % usize::from(hosts), true, true, Fault::Held)
+    match fault {
+        ProcessFault::Nothing => {}
+        ProcessFault::KillLeader => installation.hosts[leader].kill_agent().await,
+        ProcessFault::StopLeader | ProcessFault::StopInstances => target_processes
+            .iter()
+            .for_each(|pid| signal(*pid, Signal::STOP)),
+        ProcessFault::CutLeader => installation.set_links(leader, true, true, Fault::Cut),
+        ProcessFault::HoldHost => {
+            installation.set_links((leader + 1) % usize::from(hosts), true, true, Fault::Held)
         }
-        Trouble::KillInstances => {
+        ProcessFault::KillInstances => {
             let now = Instant::now();
-            stood.iter().for_each(|pid| signal(*pid, Signal::KILL));
-            let killed = playing.iter().filter(|(_, place, ..)| *place == 0);
-            killed.for_each(|(.., playing)| playing.seen.borrow_mut().killed.push(now));
+            target_processes
+                .iter()
+                .for_each(|pid| signal(*pid, Signal::KILL));
+            let killed = loads.iter().filter(|(_, place, ..)| *place == 0);
+            killed.for_each(|(.., running_load)| running_load.seen.borrow_mut().killed.push(now));
         }
-        Trouble::Restarts => {
-            playing
+        ProcessFault::Restarts => {
+            loads
                 .iter()
                 .step_by(4)
-                .for_each(|(.., playing)| playing.seen.borrow_mut().restarts += 1);
+                .for_each(|(.., running_load)| running_load.seen.borrow_mut().restarts += 1);
         }
     }
     pause(2.5).await;
-    match trouble {
-        Trouble::StopLeader | Trouble::StopInstances => {
-            stood.iter().for_each(|pid| signal(*pid, Signal::CONT))
-        }
-        Trouble::KillLeader => all.hosts[leader].start_agent(program)?,
-        _ => all.heal(),
+    match fault {
+        ProcessFault::StopLeader | ProcessFault::StopInstances => target_processes
+            .iter()
+            .for_each(|pid| signal(*pid, Signal::CONT)),
+        ProcessFault::KillLeader => installation.hosts[leader].start_agent(program)?,
+        _ => installation.heal(),
     }
-    pause((FAILS_FOR - 2.5 - begins).max(0.0)).await;
-    let back = Instant::now();
-    door.does(Manners::Well);
-    pause(LOOKED_AFTER).await;
+    pause((FAILURE_S - 2.5 - fault_after_s).max(0.0)).await;
+    let recovered_at = Instant::now();
+    catalogue.does(Manners::Well);
+    pause(OBSERVED_AFTER_S).await;
     let end = Instant::now();
-    let mut played = Played::default();
+    let mut outcome = Outcome::default();
     let seconds = Duration::from_secs_f64;
-    // What fails by half or is slow is called on; where it fails, all that comes is a probe.
-    let fails = matches!(manners, Manners::Errors | Manners::Hangs);
-    let failing = Door::of(&door, died + seconds(KNOWN), back);
-    let returning = Door::of(&door, back, back + seconds(STEPS));
-    let ever = Door::of(&door, calm, end);
-    let mut put = |kind, moments: &[Instant], budget: usize| {
-        played
-            .worst
+    // A catalogue that fails completely receives only probes; one that is slow or fails partly is still called.
+    let fails = matches!(failure, Manners::Errors | Manners::Hangs);
+    let failing = Door::of(
+        &catalogue,
+        failed_at + seconds(DETECTED_AFTER_S),
+        recovered_at,
+    );
+    let recovering = Door::of(
+        &catalogue,
+        recovered_at,
+        recovered_at + seconds(MIN_RECOVERY_S),
+    );
+    let throughout = Door::of(&catalogue, baseline_start, end);
+    let mut record_worst = |kind, moments: &[Instant], budget: usize| {
+        outcome
+            .worst_second
             .insert(kind, worst_second(moments) as f64 / budget as f64);
     };
     if fails {
-        put("probes", &failing.calls, PROBES);
-        put("first", &returning.calls, FIRST);
-        let repeated = Door::of(&door, calm, died);
-        put("again", &repeated.again, AGAIN);
+        record_worst("probes", &failing.calls, PROBES);
+        record_worst("first", &recovering.calls, FIRST_CALLS_PER_S);
+        let before_failure = Door::of(&catalogue, baseline_start, failed_at);
+        record_worst("again", &before_failure.again, RETRIES_PER_S);
     } else {
-        put("again", &ever.again, AGAIN);
+        record_worst("again", &throughout.again, RETRIES_PER_S);
     }
-    put("opened", &ever.opened, OPENED);
-    played.probes_s = failing.calls.len() as f64 / (back - died - seconds(KNOWN)).as_secs_f64();
-    let first = Door::of(&door, back, end).calls;
-    played.seen_s = first
+    record_worst("opened", &throughout.opened, OPENED);
+    outcome.probes_s = failing.calls.len() as f64
+        / (recovered_at - failed_at - seconds(DETECTED_AFTER_S)).as_secs_f64();
+    let after_recovery = Door::of(&catalogue, recovered_at, end).calls;
+    outcome.first_call_s = after_recovery
         .first()
-        .map_or(LOOKED_AFTER, |at| (*at - back).as_secs_f64());
-    played.back_s = (0..((LOOKED_AFTER - 1.0) * 10.0) as u32)
+        .map_or(OBSERVED_AFTER_S, |at| (*at - recovered_at).as_secs_f64());
+    outcome.full_rate_s = (0..((OBSERVED_AFTER_S - 1.0) * 10.0) as u32)
         .map(|tenth| f64::from(tenth) / 10.0)
         .find(|from| {
             let within = |at: &&Instant| {
-                let at = (**at - back).as_secs_f64();
+                let at = (**at - recovered_at).as_secs_f64();
                 at >= *from && at < from + 1.0
             };
-            first.iter().filter(within).count() as f64 >= 0.8 * before
+            after_recovery.iter().filter(within).count() as f64 >= 0.8 * calls_per_s_before
         });
-    played.attempts = ever.calls.len() as f64 / (ever.calls.len() - ever.again.len()).max(1) as f64;
-    let (sum, count) = worth(&playing, died, end);
-    played.worth = sum / count.max(1) as f64;
-    let verdict = check(&all, playing).await;
-    (played.sent, played.lost, played.doubled) = (
+    outcome.attempts_per_call = throughout.calls.len() as f64
+        / (throughout.calls.len() - throughout.again.len()).max(1) as f64;
+    let (sum, count) = served_value(&loads, failed_at, end);
+    outcome.value = sum / count.max(1) as f64;
+    let verdict = check(&installation, loads).await;
+    (outcome.sent, outcome.lost, outcome.doubled) = (
         verdict.sent,
         verdict.lost,
         verdict.doubled + verdict.run_twice,
     );
-    let worst: Vec<String> = played
-        .worst
+    let worst: Vec<String> = outcome
+        .worst_second
         .iter()
-        .map(|(kind, of)| format!("{kind} {of:.2}"))
+        .map(|(kind, ratio)| format!("{kind} {ratio:.2}"))
         .collect();
     println!(
-        "seed {seed} {way:?}: {manners:?}, {trouble:?} after {begins:.1} s: worst second {}; {:.1} calls a second while it failed; \
-         first call {:.2} s after its return, as before {}; worth {:.3}; {} sent, {} lost, {} doubled",
+        "seed {seed} {mode:?}: {failure:?}, {fault:?} after {fault_after_s:.1} s: worst second {}; {:.1} calls per second during the failure; \
+         first call {:.2} s after the recovery, full rate {}; value {:.3}; {} sent, {} lost, {} doubled",
         worst.join(", "),
-        played.probes_s,
-        played.seen_s,
-        played
-            .back_s
-            .map_or("not within 6 s".into(), |back| format!("after {back:.1} s")),
-        played.worth,
-        played.sent,
-        played.lost,
-        played.doubled,
+        outcome.probes_s,
+        outcome.first_call_s,
+        outcome
+            .full_rate_s
+            .map_or("not within 6 s".into(), |seconds| format!(
+                "after {seconds:.1} s"
+            )),
+        outcome.value,
+        outcome.sent,
+        outcome.lost,
+        outcome.doubled,
     );
-    Ok(played)
+    Ok(outcome)
 }
 
-/// The mean with half of its 95% interval.
+/// The mean and the half-width of its 95% confidence interval.
 fn mean(values: &[f64]) -> (f64, f64) {
     let count = values.len().max(1) as f64;
     let mean = values.iter().sum::<f64>() / count;
-    let spread = values
+    let variance = values
         .iter()
         .map(|value| (value - mean).powi(2))
         .sum::<f64>()
         / (count - 1.0).max(1.0);
-    (mean, 1.96 * (spread / count).sqrt())
+    (mean, 1.96 * (variance / count).sqrt())
 }
 
-/// Plays all; whether no rule and no budget was broken.
+/// Runs all seeds and modes. Returns the JSON object of the last line and whether no budget was exceeded and nothing was lost
+/// or doubled.
 ///
 /// # Errors
-/// It can't be played.
+/// Fails if an installation or its load can't be started, or the policy does not take effect.
 pub async fn run(plan: &Plan) -> io::Result<(Value, bool)> {
     println!(
-        "{} instances of three agents, {} invocations a second each, one catalogue; seeds {} to {}\n",
+        "{} instances of three agents, {} invocations per second each, one catalogue; seeds {} to {}\n",
         plan.instances,
         plan.rate,
         plan.seed,
         plan.seed + plan.seeds - 1
     );
-    let ways: Vec<BudgetMode> = WAYS
+    let modes: Vec<BudgetMode> = MODES
         .into_iter()
-        .filter(|way| plan.only.is_none_or(|only| only == *way))
+        .filter(|mode| plan.only.is_none_or(|only| only == *mode))
         .collect();
-    let mut all: BTreeMap<BudgetMode, Vec<Played>> = BTreeMap::new();
-    // What was played before still holds its addresses.
-    let mut numbers = (10_u8..240).step_by(3);
+    let mut outcomes_by_mode: BTreeMap<BudgetMode, Vec<Outcome>> = BTreeMap::new();
+    // The fakes of earlier runs still listen, so each run uses its own addresses.
+    let mut address_numbers = (10_u8..240).step_by(3);
     for seed in plan.seed..plan.seed + plan.seeds {
-        for way in &ways {
-            let number = numbers
-                .next()
-                .ok_or_else(|| io::Error::other("more than 25 seeds in one run"))?;
-            all.entry(*way)
+        for mode in &modes {
+            let address_number = address_numbers.next().ok_or_else(|| {
+                io::Error::other("no address is left: run at most 25 seeds at a time")
+            })?;
+            outcomes_by_mode
+                .entry(*mode)
                 .or_default()
-                .push(one(plan, *way, seed, number).await?);
+                .push(run_once(plan, *mode, seed, address_number).await?);
         }
     }
     println!(
         "\n{:<8} {:>8} {:>8} {:>8} {:>8} {:>10} {:>10} {:>10} {:>16}",
-        "", "probes", "first", "again", "opened", "probes/s", "seen s", "back s", "worth to shares"
+        "",
+        "probes",
+        "first",
+        "again",
+        "opened",
+        "probes/s",
+        "first s",
+        "full s",
+        "value of shares"
     );
     let mut line = json!({ "trial": "shares", "seed": plan.seed, "seeds": plan.seeds, "instances": plan.instances });
     let mut clean = true;
-    for (way, played) in &all {
+    for (mode, outcomes) in &outcomes_by_mode {
         let worst = |kind: &str| {
-            played
+            outcomes
                 .iter()
-                .filter_map(|one| one.worst.get(kind))
+                .filter_map(|outcome| outcome.worst_second.get(kind))
                 .copied()
                 .fold(0.0, f64::max)
         };
-        let failing: Vec<f64> = played
+        let failing: Vec<f64> = outcomes
             .iter()
-            .filter(|one| one.worst.contains_key("probes"))
-            .map(|one| one.probes_s)
+            .filter(|outcome| outcome.worst_second.contains_key("probes"))
+            .map(|outcome| outcome.probes_s)
             .collect();
-        let mut back: Vec<f64> = played
+        let mut full_rate: Vec<f64> = outcomes
             .iter()
-            .map(|one| one.back_s.unwrap_or(LOOKED_AFTER))
+            .map(|outcome| outcome.full_rate_s.unwrap_or(OBSERVED_AFTER_S))
             .collect();
-        let mut seen: Vec<f64> = played
+        let mut first_call: Vec<f64> = outcomes
             .iter()
-            .filter(|one| one.worst.contains_key("probes"))
-            .map(|one| one.seen_s)
+            .filter(|outcome| outcome.worst_second.contains_key("probes"))
+            .map(|outcome| outcome.first_call_s)
             .collect();
-        let ours = all.get(&BudgetMode::Shares);
-        let ratios: Vec<f64> = ours.map_or(Vec::new(), |ours| {
-            ours.iter()
-                .zip(played)
-                .map(|(ours, one)| ours.worth / one.worth.max(1e-9))
+        let shared = outcomes_by_mode.get(&BudgetMode::Shares);
+        let ratios: Vec<f64> = shared.map_or(Vec::new(), |shared| {
+            shared
+                .iter()
+                .zip(outcomes)
+                .map(|(shared, other)| shared.value / other.value.max(1e-9))
                 .collect()
         });
-        let (ratio, half) = mean(&ratios);
+        let (ratio, half_width) = mean(&ratios);
         let kinds = ["probes", "first", "again", "opened"].map(worst);
-        let most = kinds.iter().copied().fold(0.0, f64::max);
+        let worst_ratio = kinds.iter().copied().fold(0.0, f64::max);
         println!(
             "{:<8} {:>8.2} {:>8.2} {:>8.2} {:>8.2} {:>10.1} {:>10.2} {:>10.1} {:>9.3} ± {:.3}",
-            format!("{way:?}").to_lowercase(),
+            format!("{mode:?}").to_lowercase(),
             kinds[0],
             kinds[1],
             kinds[2],
             kinds[3],
             mean(&failing).0,
-            median(&mut seen).unwrap_or(0.0),
-            median(&mut back).unwrap_or(0.0),
+            median(&mut first_call).unwrap_or(0.0),
+            median(&mut full_rate).unwrap_or(0.0),
             ratio,
-            half
+            half_width
         );
-        let sum = |of: fn(&Played) -> u64| played.iter().map(of).sum::<u64>();
+        let sum = |field: fn(&Outcome) -> u64| outcomes.iter().map(field).sum::<u64>();
         let (sent, lost, doubled) = (
-            sum(|one| one.sent),
-            sum(|one| one.lost),
-            sum(|one| one.doubled),
+            sum(|outcome| outcome.sent),
+            sum(|outcome| outcome.lost),
+            sum(|outcome| outcome.doubled),
         );
-        if *way == BudgetMode::Shares {
-            line["worst_second"] = json!((most * 100.0).round() / 100.0);
+        if *mode == BudgetMode::Shares {
+            line["worst_second"] = json!((worst_ratio * 100.0).round() / 100.0);
             line["probes_s"] = json!((mean(&failing).0 * 10.0).round() / 10.0);
             (line["sent"], line["lost"], line["doubled"]) =
                 (json!(sent), json!(lost), json!(doubled));
-            clean = most <= 1.0 && lost == 0 && doubled == 0;
+            clean = worst_ratio <= 1.0 && lost == 0 && doubled == 0;
         } else {
-            let name = format!("{way:?}").to_lowercase();
+            let name = format!("{mode:?}").to_lowercase();
             line[&name] = json!({
-                "worst_second": (most * 100.0).round() / 100.0, "worth_ratio": (ratio * 1000.0).round() / 1000.0,
+                "worst_second": (worst_ratio * 100.0).round() / 100.0, "worth_ratio": (ratio * 1000.0).round() / 1000.0,
                 "lost": lost, "doubled": doubled,
             });
         }
