--- a/crates/merlinshelf-testbed/src/experiments/shares.rs
+++ b/crates/merlinshelf-testbed/src/experiments/shares.rs
@@ -233,7 +233,7 @@
             target_processes
                 .iter()
                 .for_each(|pid| signal(*pid, Signal::KILL));
-            let killed = loads.iter().filter(|(_, place, ..)| *place == 0);
+            let killed = loads.iter().filter(|(_, instance, ..)| *instance == 0);
             killed.for_each(|(.., running_load)| running_load.seen.borrow_mut().killed.push(now));
         }
         ProcessFault::Restarts => {
--- a/crates/merlinshelf-testbed/src/experiments/shares_size.rs
+++ b/crates/merlinshelf-testbed/src/experiments/shares_size.rs
@@ -1,5 +1,6 @@
-//! The fleet's budgets in virtual time: the real state machines of whoever leads, of hosts and of instances, with messages that are late
-//! or lost, clocks that run apart and processes that stand still, by seed. What it costs by size, and the worst second of each kind.
+//! `experiment shares --sizes`: the fleet's budgets in virtual time. Runs the real state machines of the leader, the hosts and
+//! the instances with delayed and lost messages, drifting clocks and paused processes, all drawn by seed. Measures the cost by
+//! fleet size and the event_id of calls in the worst second of each kind.
 
 use std::collections::{BTreeMap, BinaryHeap};
 use std::time::Instant;
@@ -18,34 +19,35 @@
     lease_seconds: 2.0,
     drift: 0.02,
 };
-const ROUND: f64 = LEASE.lease_seconds / 8.0;
-/// What a call takes, and how long it is on its way at the most.
-const TAKES: f64 = 0.008;
-const WAY: f64 = 0.04;
-/// A run's failing calls after which it takes the catalogue to fail, and the pause between its probes, as the module's.
-const FAILURES: u32 = 5;
-const PAUSE: f64 = 0.5;
+/// Time between two requests of a host, and between two heartbeats to an instance.
+const HEARTBEAT_S: f64 = LEASE.lease_seconds / 8.0;
+const CALL_DURATION_S: f64 = 0.008;
+const MAX_CALL_DELAY_S: f64 = 0.04;
+/// Consecutive failures after which an instance considers the catalogue failing, and the pause after a failure before its
+/// next probe. Both are as in the backend.
+const FAILURE_THRESHOLD: u32 = 5;
+const PROBE_PAUSE_S: f64 = 0.5;
 
-/// A fleet, and what happens to it.
+/// A fleet, its budgets, and the faults that are injected.
 #[derive(Clone, Debug)]
 pub struct Scenario {
     pub hosts: usize,
     pub instances: usize,
-    /// Calls that each instance wants, a second.
+    /// Calls per second that each instance wants to make.
     pub rate: f64,
     pub seconds: f64,
-    /// The catalogue is gone from and until then.
+    /// Start and end of the time in which the catalogue is unavailable.
     pub outage: (f64, f64),
-    /// Changes of who leads, hosts cut off, processes that stand still or die, over all of it.
+    /// Number of faults: leader changes, disconnected hosts, and processes that pause or restart.
     pub faults: usize,
     pub budgets: [(CallKind, u32); 3],
     pub reserved_calls: u32,
-    /// What is wrong on purpose: whoever is elected gives at once.
+    /// Plants a fault: a new leader grants shares at once, without waiting for the leases of its predecessor to end.
     pub skips_lease_wait: bool,
 }
 
 impl Scenario {
-    /// One with an outage in its midst.
+    /// A fleet whose catalogue is unavailable from second 5 to 14 of 22.
     pub fn with_outage(hosts: usize, instances: usize, faults: usize) -> Scenario {
         let budgets = [
             (CallKind::Retry, 24),
@@ -66,11 +68,11 @@
         }
     }
 
-    fn bounds(&self) -> Budgets {
+    fn budgets(&self) -> Budgets {
         BTreeMap::from([(CATALOGUE.to_owned(), self.budgets.into_iter().collect())])
     }
 
-    fn set_aside(&self) -> Budgets {
+    fn reserves(&self) -> Budgets {
         let kinds = self
             .budgets
             .iter()
@@ -80,17 +82,17 @@
     }
 }
 
-/// What came of it.
+/// The results of a simulation.
 #[derive(Clone, Debug, Default)]
 pub struct SimulationResult {
-    /// The worst second of each kind, wherever it begins.
+    /// Calls in the worst second of each kind, over all starting points.
     pub worst_second: BTreeMap<CallKind, usize>,
-    /// Messages and bytes an instance and second: to and from its agent; and those between agents, a host and second.
+    /// Messages and bytes per second: between an instance and its agent, per instance; and between agents, per host.
     pub messages: (f64, f64),
     pub bytes: (f64, f64),
-    /// Seconds from the catalogue's return until first calls are not bounded any more.
+    /// Seconds from the end of the outage until first calls are no longer limited.
     pub unbounded_after: Option<f64>,
-    /// Time on one core of whoever leads, of a host's agent and of an instance, milliseconds a second.
+    /// CPU time of the leader, of the agent of a host and of an instance, in milliseconds per second.
     pub cost_ms: (f64, f64, f64),
     pub calls: u64,
     pub probes: u64,
@@ -98,419 +100,475 @@
 
 #[derive(Clone, Debug)]
 enum Event {
-    HostAsks(usize),
-    Up(usize, QuotaRequestBatch),
-    Down(usize, QuotaGrantBatch),
-    Beat(usize),
-    Said(usize, QuotaRequestBatch),
-    Wants(usize),
-    Ended(usize, u64, bool, bool),
-    Trouble,
+    HostRequestDue(usize),
+    HostRequest(usize, QuotaRequestBatch),
+    LeaderGrant(usize, QuotaGrantBatch),
+    HeartbeatDue(usize),
+    InstanceRequest(usize, QuotaRequestBatch),
+    CallDue(usize),
+    CallEnded {
+        instance: usize,
+        incarnation: u64,
+        is_probe: bool,
+        succeeded: bool,
+    },
+    Fault,
 }
 
-struct One {
+struct Instance {
     host: usize,
-    rate: f64,
-    spender: QuotaClient,
-    given: Vec<QuotaGrantBatch>,
-    stands_until: f64,
-    life: u64,
+    clock_rate: f64,
+    quota_client: QuotaClient,
+    undelivered_grants: Vec<QuotaGrantBatch>,
+    paused_until: f64,
+    incarnation: u64,
     failures: u32,
     failed_at: f64,
-    probing: bool,
+    is_probing: bool,
 }
 
 struct Host {
-    rate: f64,
-    house: HostAllocator,
-    purses: BTreeMap<CallKind, Vec<u8>>,
-    deaf_until: f64,
-    mute_until: f64,
+    clock_rate: f64,
+    allocator: HostAllocator,
+    reserves: BTreeMap<CallKind, Vec<u8>>,
+    receives_nothing_until: f64,
+    sends_nothing_until: f64,
 }
 
 struct World {
-    size: Scenario,
+    scenario: Scenario,
     rng: Pcg64Mcg,
     now: f64,
     queue: BinaryHeap<(std::cmp::Reverse<u64>, std::cmp::Reverse<u64>)>,
     events: BTreeMap<u64, Event>,
-    count: u64,
-    bank: FleetAllocator,
-    bank_rate: f64,
-    /// It waits until what an earlier one gave is over.
-    waits: bool,
+    event_count: u64,
+    leader: FleetAllocator,
+    leader_clock_rate: f64,
+    /// Whether the leader waits until the leases that its predecessor granted have ended.
+    leader_waits: bool,
     hosts: Vec<Host>,
-    all: Vec<One>,
+    instances: Vec<Instance>,
     arrived: BTreeMap<CallKind, Vec<f64>>,
-    played: SimulationResult,
-    sent: (u64, u64, u64, u64),
-    spent: (f64, f64, f64),
+    result: SimulationResult,
+    /// Messages and bytes between agents, then messages and bytes between agents and instances.
+    traffic: (u64, u64, u64, u64),
+    /// CPU seconds of the leader, of all hosts and of all instances.
+    cpu_s: (f64, f64, f64),
 }
 
-fn length(value: &impl Serialize) -> u64 {
+fn message_size(value: &impl Serialize) -> u64 {
     serde_json::to_vec(value).map_or(0, |bytes| bytes.len() as u64 + 20)
 }
 
 impl World {
-    fn new(size: &Scenario, seed: u64) -> World {
+    fn new(scenario: &Scenario, seed: u64) -> World {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let budgets = size.bounds();
-        let mut rate = || 1.0 + rng.random_range(-0.01..0.01);
-        let hosts = (0..size.hosts).map(|host| {
-            let mut house = HostAllocator::new(host as u64 + 1, LEASE, "");
-            house.set_budgets(0.0, &budgets);
+        let budgets = scenario.budgets();
+        let mut clock_rate = || 1.0 + rng.random_range(-0.01..0.01);
+        let hosts = (0..scenario.hosts).map(|host| {
+            let mut allocator = HostAllocator::new(host as u64 + 1, LEASE, "");
+            allocator.set_budgets(0.0, &budgets);
             Host {
-                rate: rate(),
-                house,
-                purses: BTreeMap::new(),
-                deaf_until: 0.0,
-                mute_until: 0.0,
+                clock_rate: clock_rate(),
+                allocator,
+                reserves: BTreeMap::new(),
+                receives_nothing_until: 0.0,
+                sends_nothing_until: 0.0,
             }
         });
         let hosts = hosts.collect();
-        let all = (0..size.instances).map(|place| {
-            let life = 1000 + place as u64;
-            let mut spender = QuotaClient::new(life, LEASE);
-            spender.set_budgets(&budgets);
-            One {
-                host: place % size.hosts,
-                rate: rate(),
-                spender,
-                given: Vec::new(),
-                stands_until: 0.0,
-                life,
+        let instances = (0..scenario.instances).map(|index| {
+            let incarnation = 1000 + index as u64;
+            let mut quota_client = QuotaClient::new(incarnation, LEASE);
+            quota_client.set_budgets(&budgets);
+            Instance {
+                host: index % scenario.hosts,
+                clock_rate: clock_rate(),
+                quota_client,
+                undelivered_grants: Vec::new(),
+                paused_until: 0.0,
+                incarnation,
                 failures: 0,
                 failed_at: f64::NEG_INFINITY,
-                probing: false,
+                is_probing: false,
             }
         });
-        let all = all.collect();
-        let mut bank = FleetAllocator::elected(LEASE, 1);
-        bank.set_budgets(&budgets, &size.set_aside(), size.hosts as u32);
+        let instances = instances.collect();
+        let mut leader = FleetAllocator::elected(LEASE, 1);
+        leader.set_budgets(&budgets, &scenario.reserves(), scenario.hosts as u32);
         let mut world = World {
-            size: size.clone(),
+            scenario: scenario.clone(),
             rng,
             now: 0.0,
             queue: BinaryHeap::new(),
             events: BTreeMap::new(),
-            count: 0,
-            bank,
-            bank_rate: 1.0,
-            waits: true,
+            event_count: 0,
+            leader,
+            leader_clock_rate: 1.0,
+            leader_waits: true,
             hosts,
-            all,
+            instances,
             arrived: BTreeMap::new(),
-            played: SimulationResult::default(),
-            sent: (0, 0, 0, 0),
-            spent: (0.0, 0.0, 0.0),
+            result: SimulationResult::default(),
+            traffic: (0, 0, 0, 0),
+            cpu_s: (0.0, 0.0, 0.0),
         };
-        for host in 0..size.hosts {
-            let at = world.rng.random_range(0.0..ROUND);
-            world.after(at, Event::HostAsks(host));
+        for host in 0..scenario.hosts {
+            let at = world.rng.random_range(0.0..HEARTBEAT_S);
+            world.schedule(at, Event::HostRequestDue(host));
         }
-        for place in 0..size.instances {
-            let at = world.rng.random_range(0.0..ROUND);
-            world.after(at, Event::Beat(place));
-            world.wants(place);
+        for index in 0..scenario.instances {
+            let at = world.rng.random_range(0.0..HEARTBEAT_S);
+            world.schedule(at, Event::HeartbeatDue(index));
+            world.schedule_call(index);
         }
-        for _ in 0..size.faults {
-            let at = world.rng.random_range(1.0..size.seconds - 2.0);
-            world.after(at, Event::Trouble);
+        for _ in 0..scenario.faults {
+            let at = world.rng.random_range(1.0..scenario.seconds - 2.0);
+            world.schedule(at, Event::Fault);
         }
         world
     }
 
-    fn after(&mut self, pause: f64, event: Event) {
-        self.count += 1;
-        let at = ((self.now + pause) * 1e9) as u64;
+    fn schedule(&mut self, delay: f64, event: Event) {
+        self.event_count += 1;
+        let at = ((self.now + delay) * 1e9) as u64;
         self.queue
-            .push((std::cmp::Reverse(at), std::cmp::Reverse(self.count)));
-        self.events.insert(self.count, event);
+            .push((std::cmp::Reverse(at), std::cmp::Reverse(self.event_count)));
+        self.events.insert(self.event_count, event);
     }
 
-    fn wants(&mut self, place: usize) {
-        let pause = -self.rng.random::<f64>().max(1e-9).ln() / self.size.rate;
-        self.after(pause, Event::Wants(place));
+    fn schedule_call(&mut self, index: usize) {
+        let delay = -self.rng.random::<f64>().max(1e-9).ln() / self.scenario.rate;
+        self.schedule(delay, Event::CallDue(index));
     }
 
-    /// Mostly soon; where there are faults now and then late, or never.
+    /// Delivers a message after a short delay. With faults, a few messages are delayed by up to 2.5 s or lost.
     fn send(&mut self, event: Event) {
-        let pause = match self.rng.random_range(0..40) {
-            0 if self.size.faults > 0 => return,
-            1 if self.size.faults > 0 => self.rng.random_range(0.0..2.5),
+        let delay = match self.rng.random_range(0..40) {
+            0 if self.scenario.faults > 0 => return,
+            1 if self.scenario.faults > 0 => self.rng.random_range(0.0..2.5),
             _ => self.rng.random_range(0.0002..0.005),
         };
-        self.after(pause, event);
+        self.schedule(delay, event);
     }
 
     fn run(mut self) -> SimulationResult {
-        let until = self.size.seconds;
-        while let Some((std::cmp::Reverse(at), std::cmp::Reverse(number))) = self.queue.pop() {
+        let until = self.scenario.seconds;
+        while let Some((std::cmp::Reverse(at), std::cmp::Reverse(event_id))) = self.queue.pop() {
             self.now = at as f64 / 1e9;
             if self.now > until {
                 break;
             }
-            if let Some(event) = self.events.remove(&number) {
-                self.happens(event);
+            if let Some(event) = self.events.remove(&event_id) {
+                self.handle_event(event);
             }
         }
-        let span = until * self.size.instances as f64;
-        let (up, up_bytes, beats, beat_bytes) = self.sent;
-        self.played.messages = (
-            beats as f64 / span,
-            up as f64 / (until * self.size.hosts as f64),
+        let instance_seconds = until * self.scenario.instances as f64;
+        let (host_messages, host_bytes, instance_messages, instance_bytes) = self.traffic;
+        self.result.messages = (
+            instance_messages as f64 / instance_seconds,
+            host_messages as f64 / (until * self.scenario.hosts as f64),
         );
-        self.played.bytes = (
-            beat_bytes as f64 / span,
-            up_bytes as f64 / (until * self.size.hosts as f64),
+        self.result.bytes = (
+            instance_bytes as f64 / instance_seconds,
+            host_bytes as f64 / (until * self.scenario.hosts as f64),
         );
-        self.played.cost_ms = (
-            self.spent.0 * 1e3 / until,
-            self.spent.1 * 1e3 / (until * self.size.hosts as f64),
-            self.spent.2 * 1e3 / span,
+        self.result.cost_ms = (
+            self.cpu_s.0 * 1e3 / until,
+            self.cpu_s.1 * 1e3 / (until * self.scenario.hosts as f64),
+            self.cpu_s.2 * 1e3 / instance_seconds,
         );
         for (kind, moments) in &mut self.arrived {
             moments.sort_by(f64::total_cmp);
-            let (mut first, mut most) = (0, 0);
+            let (mut first, mut worst) = (0, 0);
             for last in 0..moments.len() {
                 while moments[last] - moments[first] >= 1.0 {
                     first += 1;
                 }
-                most = most.max(last - first + 1);
+                worst = worst.max(last - first + 1);
             }
-            self.played.worst_second.insert(*kind, most);
+            self.result.worst_second.insert(*kind, worst);
         }
-        self.played
+        self.result
     }
 
-    fn happens(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         let now = self.now;
         match event {
-            Event::HostAsks(host) => {
-                let of = &mut self.hosts[host];
-                let began = Instant::now();
-                let asked = of.house.request(now * of.rate);
-                self.spent.1 += began.elapsed().as_secs_f64();
-                if now >= of.mute_until {
-                    self.send(Event::Up(host, asked));
+            Event::HostRequestDue(host) => {
+                let host_state = &mut self.hosts[host];
+                let started = Instant::now();
+                let request = host_state.allocator.request(now * host_state.clock_rate);
+                self.cpu_s.1 += started.elapsed().as_secs_f64();
+                if now >= host_state.sends_nothing_until {
+                    self.send(Event::HostRequest(host, request));
                 }
-                self.after(ROUND, Event::HostAsks(host));
+                self.schedule(HEARTBEAT_S, Event::HostRequestDue(host));
             }
-            Event::Up(host, asked) => {
-                if !self.waits {
-                    // The skips_lease_wait fault: it takes what an earlier one gave for long over.
-                    self.bank.handle_request(
-                        now * self.bank_rate - 100.0,
+            Event::HostRequest(host, request) => {
+                if !self.leader_waits {
+                    // The planted fault: a request dated 100 s earlier makes the leader skip its wait for the leases of its predecessor.
+                    self.leader.handle_request(
+                        now * self.leader_clock_rate - 100.0,
                         &format!("h{host}"),
-                        &asked,
+                        &request,
                     );
                 }
-                let began = Instant::now();
-                let given =
-                    self.bank
-                        .handle_request(now * self.bank_rate, &format!("h{host}"), &asked);
-                self.spent.0 += began.elapsed().as_secs_f64();
-                self.sent.0 += 2;
-                self.sent.1 += length(&asked) + length(&given);
-                self.send(Event::Down(host, given));
-                let open = self
-                    .bank
+                let started = Instant::now();
+                let grants = self.leader.handle_request(
+                    now * self.leader_clock_rate,
+                    &format!("h{host}"),
+                    &request,
+                );
+                self.cpu_s.0 += started.elapsed().as_secs_f64();
+                self.traffic.0 += 2;
+                self.traffic.1 += message_size(&request) + message_size(&grants);
+                self.send(Event::LeaderGrant(host, grants));
+                let is_healthy = self
+                    .leader
                     .phases(CATALOGUE)
                     .values()
                     .all(|phase| *phase == Phase::Healthy);
-                if open && now > self.size.outage.1 && self.played.unbounded_after.is_none() {
-                    self.played.unbounded_after = Some(now - self.size.outage.1);
+                if is_healthy
+                    && now > self.scenario.outage.1
+                    && self.result.unbounded_after.is_none()
+                {
+                    self.result.unbounded_after = Some(now - self.scenario.outage.1);
                 }
             }
-            Event::Down(host, given) => {
-                let of = &mut self.hosts[host];
-                if now < of.deaf_until {
-                    let pause = of.deaf_until - now; // it lies on its way, and comes
-                    return self.after(pause + 1e-6, Event::Down(host, given));
+            Event::LeaderGrant(host, grants) => {
+                let host_state = &mut self.hosts[host];
+                if now < host_state.receives_nothing_until {
+                    let delay = host_state.receives_nothing_until - now; // delivered after the fault
+                    return self.schedule(delay + 1e-6, Event::LeaderGrant(host, grants));
                 }
-                if of.house.handle_grants(now * of.rate, &given) {
-                    // Something fares differently: its instances hear of it at once.
-                    let of_host: Vec<usize> = (0..self.all.len())
-                        .filter(|place| self.all[*place].host == host)
+                if host_state
+                    .allocator
+                    .handle_grants(now * host_state.clock_rate, &grants)
+                {
+                    // The health of a dependency changed: the instances of the host are notified at once.
+                    let own_instances: Vec<usize> = (0..self.instances.len())
+                        .filter(|index| self.instances[*index].host == host)
                         .collect();
-                    of_host.into_iter().for_each(|place| self.beat(place));
+                    own_instances
+                        .into_iter()
+                        .for_each(|index| self.heartbeat(index));
                 }
             }
-            Event::Beat(place) => {
-                self.after(ROUND, Event::Beat(place));
-                self.beat(place);
+            Event::HeartbeatDue(index) => {
+                self.schedule(HEARTBEAT_S, Event::HeartbeatDue(index));
+                self.heartbeat(index);
             }
-            Event::Said(place, asked) => {
-                let host = self.all[place].host;
-                let of = &mut self.hosts[host];
-                let began = Instant::now();
-                of.house
-                    .handle_request(now * of.rate, &format!("i{place}"), asked);
-                self.spent.1 += began.elapsed().as_secs_f64();
+            Event::InstanceRequest(index, request) => {
+                let host = self.instances[index].host;
+                let host_state = &mut self.hosts[host];
+                let started = Instant::now();
+                host_state.allocator.handle_request(
+                    now * host_state.clock_rate,
+                    &format!("i{index}"),
+                    request,
+                );
+                self.cpu_s.1 += started.elapsed().as_secs_f64();
             }
-            Event::Wants(place) => {
-                self.wants(place);
-                self.call(place);
+            Event::CallDue(index) => {
+                self.schedule_call(index);
+                self.call(index);
             }
-            Event::Ended(place, life, probe, well) => self.ended(place, life, probe, well),
-            Event::Trouble => self.trouble(),
+            Event::CallEnded {
+                instance,
+                incarnation,
+                is_probe,
+                succeeded,
+            } => self.call_ended(instance, incarnation, is_probe, succeeded),
+            Event::Fault => self.inject_fault(),
         }
     }
 
-    /// The agent's beat: what was asked before is answered, and asked anew.
-    fn beat(&mut self, place: usize) {
+    /// A heartbeat of the agent, which delivers grants for earlier requests of the instance and collects its next request.
+    fn heartbeat(&mut self, index: usize) {
         let now = self.now;
-        let one = &mut self.all[place];
-        let host = &mut self.hosts[one.host];
-        let began = Instant::now();
-        let given = host
-            .house
-            .take_grants(now * host.rate, &format!("i{place}"));
-        self.spent.1 += began.elapsed().as_secs_f64();
-        self.sent.2 += 2;
-        self.sent.3 += given.as_ref().map_or(0, length);
-        one.given.extend(given);
-        if now < one.stands_until {
-            return; // it lies in its socket
+        let instance = &mut self.instances[index];
+        let host = &mut self.hosts[instance.host];
+        let started = Instant::now();
+        let grants = host
+            .allocator
+            .take_grants(now * host.clock_rate, &format!("i{index}"));
+        self.cpu_s.1 += started.elapsed().as_secs_f64();
+        self.traffic.2 += 2;
+        self.traffic.3 += grants.as_ref().map_or(0, message_size);
+        instance.undelivered_grants.extend(grants);
+        if now < instance.paused_until {
+            return; // the message waits in the socket of the paused process
         }
-        let own = now * one.rate;
-        let began = Instant::now();
-        for given in std::mem::take(&mut one.given) {
-            one.spender
-                .handle_grants(own, &given, &mut || self.rng.random());
+        let own_now = now * instance.clock_rate;
+        let started = Instant::now();
+        for grants in std::mem::take(&mut instance.undelivered_grants) {
+            instance
+                .quota_client
+                .handle_grants(own_now, &grants, &mut || self.rng.random());
         }
-        let asked = one.spender.request(own);
-        self.spent.2 += began.elapsed().as_secs_f64();
-        self.sent.3 += length(&asked);
-        self.send(Event::Said(place, asked));
+        let request = instance.quota_client.request(own_now);
+        self.cpu_s.2 += started.elapsed().as_secs_f64();
+        self.traffic.3 += message_size(&request);
+        self.send(Event::InstanceRequest(index, request));
     }
 
-    fn call(&mut self, place: usize) {
-        let (now, aside) = (self.now, self.size.reserved_calls);
-        let one = &mut self.all[place];
-        if now < one.stands_until {
+    fn call(&mut self, index: usize) {
+        let (now, reserved_calls) = (self.now, self.scenario.reserved_calls);
+        let instance = &mut self.instances[index];
+        if now < instance.paused_until {
             return;
         }
-        let own = now * one.rate;
-        let fails = one.failures >= FAILURES;
-        one.spender.set_failing(own, CATALOGUE, fails);
-        let closed = one.spender.remaining(own, CATALOGUE).probes_only;
-        let kind = if fails || closed {
+        let own_now = now * instance.clock_rate;
+        let is_failing = instance.failures >= FAILURE_THRESHOLD;
+        instance
+            .quota_client
+            .set_failing(own_now, CATALOGUE, is_failing);
+        let probes_only = instance
+            .quota_client
+            .remaining(own_now, CATALOGUE)
+            .probes_only;
+        let kind = if is_failing || probes_only {
             CallKind::Probe
         } else {
             CallKind::FirstCall
         };
-        one.spender.record_demand(own, CATALOGUE, kind, 1.0);
-        if one.spender.needs_reserve(own, CATALOGUE, kind) {
-            let host = &mut self.hosts[one.host];
-            let purse = host.purses.entry(kind).or_default();
-            match reserve::draw(purse, now, aside, LEASE.drift) {
+        instance
+            .quota_client
+            .record_demand(own_now, CATALOGUE, kind, 1.0);
+        if instance
+            .quota_client
+            .needs_reserve(own_now, CATALOGUE, kind)
+        {
+            let host = &mut self.hosts[instance.host];
+            let stored_reserve = host.reserves.entry(kind).or_default();
+            match reserve::draw(stored_reserve, now, reserved_calls, LEASE.drift) {
                 Ok(next) => {
-                    *purse = next;
-                    one.spender.record_reserve_draw(own, CATALOGUE, kind);
+                    *stored_reserve = next;
+                    instance
+                        .quota_client
+                        .record_reserve_draw(own_now, CATALOGUE, kind);
                 }
                 Err(DrawError::Exhausted) => {}
-                Err(DrawError::Corrupt { replacement }) => *purse = replacement,
+                Err(DrawError::Corrupt { replacement }) => *stored_reserve = replacement,
             }
         }
-        let left = one.spender.remaining(own, CATALOGUE);
-        if left.reopened {
-            one.failures = one.failures.min(FAILURES - 1);
+        let remaining = instance.quota_client.remaining(own_now, CATALOGUE);
+        if remaining.reopened {
+            instance.failures = instance.failures.min(FAILURE_THRESHOLD - 1);
         }
-        let bounded = one.spender.is_limited(own, CATALOGUE, kind);
-        let may = match kind {
-            CallKind::Probe => left.probes > 0 && !one.probing && now >= one.failed_at + PAUSE,
-            _ => left.first_calls > 0,
+        let is_limited = instance.quota_client.is_limited(own_now, CATALOGUE, kind);
+        let is_allowed = match kind {
+            CallKind::Probe => {
+                remaining.probes > 0
+                    && !instance.is_probing
+                    && now >= instance.failed_at + PROBE_PAUSE_S
+            }
+            _ => remaining.first_calls > 0,
         };
-        if !may {
+        if !is_allowed {
             return;
         }
-        if bounded {
-            one.spender.record_spent(own, CATALOGUE, kind, 1);
+        if is_limited {
+            instance
+                .quota_client
+                .record_spent(own_now, CATALOGUE, kind, 1);
         }
-        one.probing |= kind == CallKind::Probe;
-        let life = one.life;
-        let way = self.rng.random_range(0.0..WAY);
-        let (from, until) = self.size.outage;
-        let well = !(now + way >= from && now + way < until);
-        if bounded {
-            self.arrived.entry(kind).or_default().push(now + way);
+        instance.is_probing |= kind == CallKind::Probe;
+        let incarnation = instance.incarnation;
+        let delay = self.rng.random_range(0.0..MAX_CALL_DELAY_S);
+        let (from, until) = self.scenario.outage;
+        let succeeded = !(now + delay >= from && now + delay < until);
+        if is_limited {
+            self.arrived.entry(kind).or_default().push(now + delay);
         }
-        self.played.calls += 1;
-        self.played.probes += u64::from(kind == CallKind::Probe && bounded);
-        self.after(
-            way + TAKES,
-            Event::Ended(place, life, kind == CallKind::Probe, well),
+        self.result.calls += 1;
+        self.result.probes += u64::from(kind == CallKind::Probe && is_limited);
+        self.schedule(
+            delay + CALL_DURATION_S,
+            Event::CallEnded {
+                instance: index,
+                incarnation,
+                is_probe: kind == CallKind::Probe,
+                succeeded,
+            },
         );
     }
 
-    fn ended(&mut self, place: usize, life: u64, probe: bool, well: bool) {
+    fn call_ended(&mut self, index: usize, incarnation: u64, is_probe: bool, succeeded: bool) {
         let now = self.now;
-        let one = &mut self.all[place];
-        if one.life != life {
+        let instance = &mut self.instances[index];
+        if instance.incarnation != incarnation {
             return;
         }
-        one.probing &= !probe;
-        let outcome = if well {
+        instance.is_probing &= !is_probe;
+        let outcome = if succeeded {
             CallOutcome::Succeeded
         } else {
             CallOutcome::Failed
         };
-        one.spender
-            .record_call_end(now * one.rate, CATALOGUE, outcome);
-        one.failures = if well { 0 } else { one.failures + 1 };
-        if !well {
-            one.failed_at = now;
+        instance
+            .quota_client
+            .record_call_end(now * instance.clock_rate, CATALOGUE, outcome);
+        instance.failures = if succeeded { 0 } else { instance.failures + 1 };
+        if !succeeded {
+            instance.failed_at = now;
         }
     }
 
-    fn trouble(&mut self) {
+    /// Replaces the leader or a host allocator, pauses or restarts an instance, or disconnects a host.
+    fn inject_fault(&mut self) {
         let now = self.now;
-        let place = self.rng.random_range(0..self.all.len());
+        let index = self.rng.random_range(0..self.instances.len());
         let host = self.rng.random_range(0..self.hosts.len());
         match self.rng.random_range(0..5) {
             0 => {
-                self.bank_rate = 1.0 + self.rng.random_range(-0.01..0.01);
-                self.bank = FleetAllocator::elected(LEASE, self.count);
-                self.waits = !self.size.skips_lease_wait;
-                self.bank.set_budgets(
-                    &self.size.bounds(),
-                    &self.size.set_aside(),
-                    self.size.hosts as u32,
+                self.leader_clock_rate = 1.0 + self.rng.random_range(-0.01..0.01);
+                self.leader = FleetAllocator::elected(LEASE, self.event_count);
+                self.leader_waits = !self.scenario.skips_lease_wait;
+                self.leader.set_budgets(
+                    &self.scenario.budgets(),
+                    &self.scenario.reserves(),
+                    self.scenario.hosts as u32,
                 );
             }
-            1 => self.all[place].stands_until = now + self.rng.random_range(0.2..4.0),
+            1 => self.instances[index].paused_until = now + self.rng.random_range(0.2..4.0),
             2 => {
-                let life = 1_000_000 + self.count;
-                let mut spender = QuotaClient::new(life, LEASE);
-                spender.set_budgets(&self.size.bounds());
-                let one = &mut self.all[place];
-                (one.spender, one.life, one.failures, one.probing) = (spender, life, 0, false);
-                one.given.clear();
+                let incarnation = 1_000_000 + self.event_count;
+                let mut quota_client = QuotaClient::new(incarnation, LEASE);
+                quota_client.set_budgets(&self.scenario.budgets());
+                let instance = &mut self.instances[index];
+                (
+                    instance.quota_client,
+                    instance.incarnation,
+                    instance.failures,
+                    instance.is_probing,
+                ) = (quota_client, incarnation, 0, false);
+                instance.undelivered_grants.clear();
             }
             3 => {
                 let until = now + self.rng.random_range(0.3..6.0);
-                let both = self.rng.random_bool(0.6);
-                self.hosts[host].deaf_until = until;
-                if both {
-                    self.hosts[host].mute_until = until;
+                let is_cut_both_ways = self.rng.random_bool(0.6);
+                self.hosts[host].receives_nothing_until = until;
+                if is_cut_both_ways {
+                    self.hosts[host].sends_nothing_until = until;
                 }
             }
             _ => {
-                let mut house = HostAllocator::new(2_000_000 + self.count, LEASE, "");
-                house.set_budgets(now * self.hosts[host].rate, &self.size.bounds());
-                self.hosts[host].house = house;
+                let mut allocator = HostAllocator::new(2_000_000 + self.event_count, LEASE, "");
+                allocator.set_budgets(now * self.hosts[host].clock_rate, &self.scenario.budgets());
+                self.hosts[host].allocator = allocator;
             }
         }
     }
 }
 
-/// One play of a fleet.
-pub fn simulate(size: &Scenario, seed: u64) -> SimulationResult {
-    World::new(size, seed).run()
+/// Runs instance simulation of a fleet.
+pub fn simulate(scenario: &Scenario, seed: u64) -> SimulationResult {
+    World::new(scenario, seed).run()
 }
 
-/// The table by size; whether every budget held.
+/// Prints the table by fleet size. Returns the JSON object of the last line and whether every budget held.
 pub fn run(seed: u64) -> (Value, bool) {
     println!(
         "{:>5} {:>9} {:>6} {:>12} {:>12} {:>12} {:>12} {:>9} {:>9} {:>9} {:>9}",
@@ -523,7 +581,7 @@
         "B/host/s",
         "probes",
         "first",
-        "open s",
+        "healthy s",
         "leader ms"
     );
     let (mut rows, mut clean) = (Vec::new(), true);
@@ -535,32 +593,32 @@
         (3, 300, 60),
         (30, 3000, 60),
     ] {
-        let size = Scenario::with_outage(hosts, instances, faults);
-        let played = simulate(&size, seed);
+        let scenario = Scenario::with_outage(hosts, instances, faults);
+        let result = simulate(&scenario, seed);
         let worst = |kind: CallKind| {
-            let budget = size
+            let budget = scenario
                 .budgets
                 .iter()
                 .find(|(of, _)| *of == kind)
                 .map_or(1, |(_, calls)| *calls);
-            played.worst_second.get(&kind).copied().unwrap_or(0) as f64 / f64::from(budget)
+            result.worst_second.get(&kind).copied().unwrap_or(0) as f64 / f64::from(budget)
         };
         clean &= worst(CallKind::Probe) <= 1.0 && worst(CallKind::FirstCall) <= 1.0;
         println!(
             "{hosts:>5} {instances:>9} {faults:>6} {:>12.2} {:>12.0} {:>12.1} {:>12.0} {:>9.2} {:>9.2} {:>9.1} {:>9.3}",
-            played.messages.0,
-            played.bytes.0,
-            played.messages.1,
-            played.bytes.1,
+            result.messages.0,
+            result.bytes.0,
+            result.messages.1,
+            result.bytes.1,
             worst(CallKind::Probe),
             worst(CallKind::FirstCall),
-            played.unbounded_after.unwrap_or(f64::NAN),
-            played.cost_ms.0,
+            result.unbounded_after.unwrap_or(f64::NAN),
+            result.cost_ms.0,
         );
         rows.push(json!({
-            "hosts": hosts, "instances": instances, "faults": faults, "messages": played.messages.0,
-            "bytes": played.bytes.0, "worst_probes": worst(CallKind::Probe), "worst_first": worst(CallKind::FirstCall),
-            "open_after_s": played.unbounded_after, "leader_ms_s": played.cost_ms.0, "host_ms_s": played.cost_ms.1,
+            "hosts": hosts, "instances": instances, "faults": faults, "messages": result.messages.0,
+            "bytes": result.bytes.0, "worst_probes": worst(CallKind::Probe), "worst_first": worst(CallKind::FirstCall),
+            "open_after_s": result.unbounded_after, "leader_ms_s": result.cost_ms.0, "host_ms_s": result.cost_ms.1,
         }));
     }
     let line = json!({ "trial": "shares-sizes", "seed": seed, "sizes": rows });
