--- a/crates/merlinshelf-testbed/src/experiments/shares_size.rs
+++ b/crates/merlinshelf-testbed/src/experiments/shares_size.rs
@@ -1,6 +1,6 @@
 //! `experiment shares --sizes`: the fleet's budgets in virtual time. Runs the real state machines of the leader, the hosts and
 //! the instances with delayed and lost messages, drifting clocks and paused processes, all drawn by seed. Measures the cost by
-//! fleet size and the event_id of calls in the worst second of each kind.
+//! fleet size and the number of calls in the worst second of each kind.
 
 use std::collections::{BTreeMap, BinaryHeap};
 use std::time::Instant;
@@ -563,7 +563,7 @@
     }
 }
 
-/// Runs instance simulation of a fleet.
+/// Runs one simulation of a fleet.
 pub fn simulate(scenario: &Scenario, seed: u64) -> SimulationResult {
     World::new(scenario, seed).run()
 }
