--- a/crates/merlinshelf-backend/src/exchange/restoration.rs
+++ b/crates/merlinshelf-backend/src/exchange/restoration.rs
@@ -24,14 +24,14 @@
     pub fn check_image(&self, image: &Image) -> Result<(), String> {
         let instance: records::Instance = image
             .get(Key::Instance)
-            .ok_or("the image has no record of the instance")?;
+            .ok_or("the image holds no instance")?;
         if instance
             .operations
             .iter()
             .map(String::as_str)
             .ne(self.operation_names.iter().map(AsRef::as_ref))
         {
-            return Err("the operations in the settings differ from those in the image".into());
+            return Err("the settings name other operations than the image".into());
         }
         Ok(())
     }
--- a/crates/merlinshelf-backend/src/process/capacity.rs
+++ b/crates/merlinshelf-backend/src/process/capacity.rs
@@ -1,4 +1,4 @@
-//! Whether the machine has capacity for a second process beside this one.
+//! Whether an upgrade can begin: the host must have resources for a second process.
 
 use merlinshelf_handover::Successor;
 use thiserror::Error;
@@ -6,12 +6,12 @@
 use super::Process;
 use crate::counters::ResourceUsage;
 
-/// Descriptors that a successor needs beside copies of this process's.
+/// Descriptors that a successor needs in addition to copies of this process's descriptors.
 const EXTRA_DESCRIPTORS: u64 = 16;
-/// Memory for the image, twice, and for what is recorded between two heartbeats.
+/// Memory for two copies of the image and for the journal records between two heartbeats.
 const EXTRA_MEMORY_KB: u64 = 8 * 1024;
 
-/// Why an upgrade can't begin now.
+/// Why an upgrade can't begin now. The texts are sent on the control socket.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub(super) enum UpgradeUnavailable {
     #[error("it waits to hear which policy holds")]
--- a/crates/merlinshelf-backend/src/process/control_requests.rs
+++ b/crates/merlinshelf-backend/src/process/control_requests.rs
@@ -1,4 +1,4 @@
-//! Requests on the control socket. A client that has gone before its response is no error.
+//! Requests on the control socket. A client that disconnects before its response is not an error.
 
 use merlinshelf_handover::predecessor::{Action, Progress};
 use merlinshelf_policy::{Heartbeat, InstanceStatus};
@@ -13,7 +13,7 @@
 use crate::gossip::Gossip;
 
 impl Process {
-    /// Answers a request, at once or in the course of an upgrade.
+    /// Responds to a request, at once or during an upgrade.
     pub(super) fn handle_control_request(&mut self, request: PendingRequest) {
         match request {
             PendingRequest::Status(response) => {
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Begins the graceful shutdown as SIGTERM does; the response.
+    /// Begins the graceful shutdown as SIGTERM does, and returns the response.
     fn drain_requested(&mut self) -> Value {
         let was_draining = self.drain.is_some();
         let status = match self.request_drain() {
@@ -61,7 +61,7 @@
         })
     }
 
-    /// A heartbeat of the host's agent.
+    /// Handles a heartbeat of the host's agent.
     fn policy_heartbeat(
         &mut self,
         heartbeat: Heartbeat,
@@ -69,8 +69,8 @@
     ) {
         let exchange = self.exchange();
         if exchange.is_none() && self.operator.policy.is_some() {
-            // Frozen for a successor. Without a response the agent retries; a refusal would mean
-            // that policies are off.
+            // The instance is frozen for a successor. Without a response the agent retries; a refusal
+            // would mean that policies are disabled.
             return;
         }
         let status =
@@ -78,7 +78,7 @@
         let _ = response.send(status);
     }
 
-    /// The exchange, also of an instance that does not listen yet.
+    /// The exchange, even if the instance does not listen yet.
     fn exchange(&self) -> Option<Shared> {
         match (&self.instance, &self.startup_wait) {
             (Some(instance), _) => Some(instance.exchange.clone()),
--- a/crates/merlinshelf-backend/src/process/error.rs
+++ b/crates/merlinshelf-backend/src/process/error.rs
@@ -61,7 +61,7 @@
     Io(#[from] io::Error),
 }
 
-/// Why an instance can't be restored from what another process has left.
+/// Why an instance can't be restored from the state of another process.
 #[derive(Debug, Error)]
 pub enum RestoreError {
     /// The predecessor has not sent the file of the image.
@@ -74,7 +74,7 @@
     #[error("no listener came")]
     MissingListener,
     /// There is no successor to recover from.
-    #[error("there is nothing to take back")]
+    #[error("there is no failed successor to recover from")]
     NothingToRecover,
     /// The image can't be decoded.
     #[error(transparent)]
--- a/crates/merlinshelf-backend/src/process/events.rs
+++ b/crates/merlinshelf-backend/src/process/events.rs
@@ -1,4 +1,4 @@
-//! The events of the process, and who handles them.
+//! The events of the process and their handlers.
 
 use std::io;
 
@@ -21,7 +21,7 @@
 }
 
 impl Signals {
-    /// Handles them from here on.
+    /// Replaces the default actions of these signals.
     pub(super) fn register() -> io::Result<Signals> {
         Ok(Signals {
             hangup: signal(SignalKind::hangup())?,
@@ -50,14 +50,13 @@
     FromPredecessor(io::Result<ReceivedMessage>),
     /// The instance has opened a connection.
     ConnectionOpened(OpenedConnection),
-    /// A state machine has to be driven, or the wait at the start is over.
+    /// A timeout of a state machine has expired, or the wait for a policy lease is over.
     TimeoutReached,
 }
 
 impl Process {
-    /// The next event. Events of different kinds that have happened already are handled in the
-    /// order below: the exit of the successor before its messages, since its last messages are read
-    /// with it.
+    /// The next event. Pending events of different kinds are handled in the order below. The exit of
+    /// the successor precedes its messages, since its handler reads the remaining ones.
     pub(super) async fn next_event(&mut self) -> Event {
         let timeout = self.next_timeout();
         let Process {
@@ -102,7 +101,7 @@
         handover.chain(startup_wait).min()
     }
 
-    /// Handles one event; what follows from it is carried out by `carry_out_actions`.
+    /// Handles one event. [`Process::carry_out_actions`] then carries out the resulting actions.
     pub(super) async fn handle_event(&mut self, event: Event) -> Flow {
         match event {
             Event::DrainRequested => return self.request_drain(),
@@ -127,7 +126,7 @@
         self.handle_successor_timeout(now);
     }
 
-    /// Carries out the actions of both state machines, until there are none.
+    /// Carries out the pending actions of both state machines.
     pub(super) async fn carry_out_actions(&mut self) -> Result<Flow, super::ServeError> {
         loop {
             if let Some(action) = self.predecessor.state.poll_action() {
--- a/crates/merlinshelf-backend/src/process/mod.rs
+++ b/crates/merlinshelf-backend/src/process/mod.rs
@@ -1,6 +1,6 @@
-//! The process around an instance: it starts the instance or restores it, handles signals and
-//! control requests, hands over to a successor and observes it, and exits. What happens in an
-//! upgrade is decided by `merlinshelf-handover`; this carries it out.
+//! The process around an instance: it starts or restores the instance, handles signals and control
+//! requests, hands over to a successor and observes it, and exits. The state machines in
+//! `merlinshelf-handover` decide the steps of an upgrade; this module carries them out.
 
 mod capacity;
 mod control_requests;
@@ -43,8 +43,8 @@
 pub use error::{InvalidSettings, LoadError, RestoreError, ServeError};
 pub use start::{Start, VERSION, check_config, serve};
 
-/// A client that requested an upgrade has this long to read its result, when the process exits with
-/// it.
+/// How long the process waits before its exit for the client that requested an upgrade to read the
+/// result.
 const LAST_RESPONSE_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// A graceful shutdown in progress.
@@ -59,31 +59,31 @@
     started_at: Instant,
     /// `None` before the process serves and while it is frozen.
     instance: Option<Instance>,
-    /// `None` where the operators' file does not switch gossip on.
+    /// `None` unless the operators' file enables gossip.
     gossip: Option<Gossip>,
-    /// `None` where the operators name no dependencies.
+    /// `None` unless the operators' file defines dependencies.
     routing: Option<SharedRouting>,
-    /// As the operators' file has them.
+    /// The dependencies in the operators' file, as loaded last.
     dependencies: Rc<RefCell<Option<Dependencies>>>,
     /// A fresh start that waits for a policy lease.
     startup_wait: Option<StartupWait>,
     drain: Option<Drain>,
-    /// Towards a successor.
+    /// State towards a successor.
     predecessor: PredecessorRole,
-    /// Towards the predecessor; `None` in a process that was started fresh.
+    /// State towards the predecessor; `None` in a process that was not started by one.
     successor: Option<SuccessorRole>,
-    /// Connections that the instance has opened and that the predecessor needs a copy of.
+    /// Connections that the instance has opened, and of which the predecessor needs copies.
     opened_connections: Queue<OpenedConnection>,
     control: Option<Control>,
     control_requests: Queue<PendingRequest>,
     signals: Signals,
 }
 
-/// Whether the process goes on.
+/// Whether the process continues or exits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Flow {
     Continue,
-    /// It exits with this status.
+    /// The process exits with this status.
     Exit(i32),
 }
 
@@ -132,7 +132,7 @@
         })
     }
 
-    /// Serves; the exit status.
+    /// Serves until the process is to exit; the exit status.
     async fn run(mut self, exchange: Exchange) -> Result<i32, ServeError> {
         if self.successor.is_none() {
             self.start_fresh(exchange)?;
@@ -140,8 +140,8 @@
         let status = self.run_to_exit().await?;
         self.log_counters("final counters");
         if let Some(client) = &self.predecessor.upgrade_client {
-            // It closes its connection once it has read the result; one that does not is not waited
-            // for.
+            // The client closes its connection once it has read the result. An error means that it
+            // has not done so in time.
             let _ = timeout(LAST_RESPONSE_TIMEOUT, client.closed()).await;
         }
         Ok(status)
@@ -162,7 +162,7 @@
         }
     }
 
-    /// Time since the start, as the state machines count it.
+    /// Time since the start, which is the clock of the state machines.
     fn now(&self) -> Duration {
         self.started_at.elapsed()
     }
@@ -188,8 +188,7 @@
         Ok(())
     }
 
-    /// Applies the installation's policy to the exchange, where the operators' file switches that
-    /// on.
+    /// Enables policies by lease in the exchange, if the operators' file configures them.
     fn enable_policy(&self, exchange: &mut Exchange) -> Result<(), InvalidSettings> {
         let Some(policy) = &self.operator.policy else {
             return Ok(());
@@ -203,7 +202,7 @@
             .map_err(|reason| InvalidSettings { reason })
     }
 
-    /// Accepts the first clients.
+    /// Listens and begins to accept clients.
     fn listen(&mut self, wait: StartupWait) -> io::Result<()> {
         let restored = wait.listen(&self.config.name)?;
         info!(
@@ -224,7 +223,7 @@
         })
     }
 
-    /// Gossips beside the instance, where that is switched on.
+    /// Starts gossip for the instance, if it is enabled.
     fn start_gossip(&mut self) {
         if let (Some(gossip), Some(instance)) = (&mut self.gossip, &self.instance) {
             let store = std::mem::take(&mut instance.exchange.borrow_mut().gossip_state);
@@ -240,7 +239,7 @@
         Ok(())
     }
 
-    /// As `open_control`; the instance serves without a control socket where it can't be opened.
+    /// As `open_control`, but the instance serves without a control socket if opening it fails.
     fn try_open_control(&mut self) {
         if let Err(error) = self.open_control() {
             warn!("control socket not opened: {error}");
--- a/crates/merlinshelf-backend/src/process/predecessor_role.rs
+++ b/crates/merlinshelf-backend/src/process/predecessor_role.rs
@@ -1,5 +1,4 @@
-//! The upgrade as predecessor: what is carried out towards a successor, and what is received from
-//! it.
+//! The upgrade in the role of the predecessor: actions towards a successor, and messages from it.
 
 use std::io;
 use std::path::PathBuf;
@@ -16,16 +15,17 @@
 use crate::upgrade::channel::{Channel, ReceivedMessage};
 use crate::upgrade::successor_guard::SuccessorGuard;
 
-/// The channel of a process that exits ends a moment before the process does.
+/// How long to wait for the exit of a successor whose channel has ended: the kernel closes the
+/// channel shortly before it reports the exit.
 const EXIT_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// What a process keeps towards a successor.
+/// State of a process towards its successor.
 pub(super) struct PredecessorRole {
-    /// Decides what is done.
+    /// The state machine that decides the actions.
     pub state: Predecessor,
     /// The successor, from its start to its end.
     pub guard: Option<SuccessorGuard>,
-    /// The channel to it has ended.
+    /// Whether the channel to the successor has ended.
     is_channel_closed: bool,
     /// The client that requested the upgrade.
     pub upgrade_client: Option<UnboundedSender<Progress>>,
@@ -87,7 +87,8 @@
         let Some(client) = &self.upgrade_client else {
             return;
         };
-        // The process exits with a completed upgrade, and waits until the client has read of it.
+        // After a completed upgrade the process exits, and keeps the sender until then to wait for
+        // the client to read the result.
         let is_finished = progress.is_final() && progress != Progress::Completed;
         let _ = client.send(progress);
         if is_finished {
@@ -135,7 +136,7 @@
         match program.and_then(SuccessorGuard::start) {
             Ok(guard) => {
                 let successor = guard.process_id();
-                info!(successor = successor; "the successor {successor} was started");
+                info!(successor = successor; "successor {successor} started");
                 self.predecessor.guard = Some(guard);
                 self.predecessor.is_channel_closed = false;
             }
@@ -144,7 +145,7 @@
     }
 
     async fn freeze(&mut self) {
-        // The control socket is the successor's from here on.
+        // From here on the successor owns the control socket.
         self.control = None;
         match self.try_freeze().await {
             Ok(()) => {
@@ -168,8 +169,8 @@
         Ok(())
     }
 
-    /// A message of the successor. Its journal is read first: what the message says may depend on
-    /// it.
+    /// Handles a message of the successor. Its journal is read first, since the message may refer to
+    /// records in it.
     pub(super) fn handle_successor_message(&mut self, received: ReceivedMessage) {
         let now = self.now();
         let role = &mut self.predecessor;
@@ -189,8 +190,8 @@
         }
     }
 
-    /// The channel to the successor has ended. Mostly its process exits, which says more: its
-    /// status.
+    /// The channel to the successor has ended. Usually its process exits at the same time; that event
+    /// is awaited for a moment, since it carries the exit status.
     pub(super) async fn successor_channel_ended(&mut self, error: &io::Error) {
         self.predecessor.is_channel_closed = true;
         let has_exited = match &self.predecessor.guard {
@@ -204,7 +205,7 @@
         }
     }
 
-    /// The process of the successor has ended. Messages that it had sent before are handled first.
+    /// The process of the successor has ended. Messages that it sent before are handled first.
     pub(super) fn successor_exited(&mut self) {
         let now = self.now();
         let role = &mut self.predecessor;
@@ -217,15 +218,16 @@
             role.state.successor_exited(status);
         }
         if was_serving {
-            role.guard = None; // nothing was frozen for it
+            // Nothing was frozen for this successor, so there is nothing to recover.
+            role.guard = None;
         }
     }
 }
 
-/// The file that this process was started from, also where another one has replaced it by now.
+/// The path of the program that this process was started from, even if the file was replaced since.
 fn own_program() -> io::Result<PathBuf> {
     let path = std::env::current_exe()?;
-    // What the system appends to the name of a file that was removed or replaced.
+    // The kernel appends this suffix to the path of a file that was removed or replaced.
     let text = path.to_string_lossy();
     Ok(match text.strip_suffix(" (deleted)") {
         Some(replaced) => PathBuf::from(replaced),
--- a/crates/merlinshelf-backend/src/process/queue.rs
+++ b/crates/merlinshelf-backend/src/process/queue.rs
@@ -1,12 +1,13 @@
-//! An unbounded queue inside the process, both ends of which the process keeps.
+//! An unbounded queue of which the process keeps both ends.
 
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 
-/// The queue. The process clones the sender for those that fill it, and receives from it itself.
+/// An unbounded queue. Other tasks add items through clones of the sender; the process receives
+/// them.
 pub(super) struct Queue<T> {
-    /// Where items are put in.
+    /// Adds items.
     pub sender: UnboundedSender<T>,
-    /// Where they are taken out. It never ends, since the sender stays here.
+    /// Receives items. It never ends, since the sender is kept here.
     pub receiver: UnboundedReceiver<T>,
 }
 
--- a/crates/merlinshelf-backend/src/process/restoration.rs
+++ b/crates/merlinshelf-backend/src/process/restoration.rs
@@ -1,5 +1,5 @@
-//! Restoring an instance: from the predecessor as successor, and from a failed successor as
-//! predecessor.
+//! Restores an instance: in a successor from its predecessor, and in a predecessor from a failed
+//! successor.
 
 use std::fs::File;
 use std::io::{Read, Seek};
@@ -18,7 +18,7 @@
 use crate::journal::Journal;
 use crate::server;
 
-/// Which process had the image before.
+/// Which process owned the state of the image before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ImageOwner {
     /// The predecessor, which served until it froze.
@@ -28,7 +28,8 @@
 }
 
 impl Process {
-    /// Serves again from what was frozen and what the failed successor has recorded since.
+    /// Recovers from a failed successor: serves again from the frozen state and the changes that the
+    /// successor has recorded since.
     pub(super) fn recover(&mut self) -> Result<(), RestoreError> {
         let started_at = Instant::now();
         let guard = self.predecessor.guard.take();
@@ -63,7 +64,7 @@
         Ok(())
     }
 
-    /// SIGHUP may have arrived at the successor.
+    /// Loads the addresses of the peers again, since a SIGHUP may have reached only the successor.
     fn update_peers(&mut self) {
         match load_config(&self.start.config) {
             Ok((config, _)) => self.peers = config.peers,
@@ -71,7 +72,7 @@
         }
     }
 
-    /// Restores what the predecessor has transferred; it does not run yet.
+    /// Restores the instance that the predecessor has transferred, without running it yet.
     pub(super) fn restore_received(&mut self) -> Result<RestoredInstance, RestoreError> {
         let mut received = match &mut self.successor {
             Some(role) => std::mem::take(&mut role.received),
@@ -111,8 +112,8 @@
         self.enable_policy(&mut exchange)?;
         match owner {
             ImageOwner::Predecessor => restore_policy(&mut exchange, source.image),
-            // A lease that the failed successor had may be fenced by now: this process has none
-            // until its agent grants one.
+            // The lease of the failed successor may be fenced by now: this process has none until
+            // its agent grants one.
             ImageOwner::Successor => exchange.stop_waiting_for_policy(),
         }
         let listener = server::listening(listener)?;
--- a/crates/merlinshelf-backend/src/process/signals.rs
+++ b/crates/merlinshelf-backend/src/process/signals.rs
@@ -12,11 +12,11 @@
 use crate::exchange::monotonic_seconds;
 use crate::operator::Operator;
 
-/// A deadline that lies further ahead is none; this fits into a `Duration`.
+/// Upper bound of the time until a deadline, which keeps it within the range of `Duration`.
 const MAX_DRAIN_SECONDS: f64 = 1e6;
 
 impl Process {
-    /// The process was notified to shut down.
+    /// SIGTERM, SIGINT or a control request asks for the graceful shutdown.
     pub(super) fn request_drain(&mut self) -> Flow {
         if self.startup_wait.is_some() {
             return Flow::Exit(0); // no client could connect yet
@@ -24,7 +24,7 @@
         let deadline = monotonic_seconds() + self.config.drain_timeout.as_secs_f64();
         match &mut self.successor {
             Some(role) if role.state.is_owner() => role.state.drain(deadline),
-            // The predecessor observes the exit and goes on.
+            // The predecessor observes the exit and continues to serve.
             Some(_) => return Flow::Exit(1),
             None => self.predecessor.state.drain(deadline),
         }
--- a/crates/merlinshelf-backend/src/process/start.rs
+++ b/crates/merlinshelf-backend/src/process/start.rs
@@ -22,18 +22,18 @@
 pub struct Start {
     /// The platform's configuration.
     pub config: PathBuf,
-    /// The operators' own file; without one all that it switches on is off.
+    /// The operators' file; without one, everything that it can enable is disabled.
     pub operator: Option<PathBuf>,
 }
 
 /// The version that a successor and its predecessor advertise to each other.
 pub const VERSION: &str = concat!("merlinshelf ", env!("CARGO_PKG_VERSION"));
 
-/// The files as they were read at the start.
+/// The files as read at the start.
 pub(super) struct LoadedFiles {
     pub config: Config,
     pub operator: Operator,
-    /// Made of the configuration, which shows that its settings can be used.
+    /// Created from the configuration, which validates its settings.
     pub exchange: Exchange,
 }
 
@@ -81,23 +81,22 @@
     })
 }
 
-/// Reads the configuration and makes an exchange of it, which shows that all its settings can be
-/// used.
+/// Reads the configuration and creates an exchange from it, which validates its settings.
 pub(super) fn load_config(path: &Path) -> Result<(Config, Exchange), LoadError> {
     let config = Config::load(path)?;
     let exchange = Exchange::from_config(&config).map_err(|reason| InvalidSettings { reason })?;
     Ok((config, exchange))
 }
 
-/// Whether a configuration can be used.
+/// Checks whether a configuration can be used.
 ///
 /// # Errors
-/// What can't be, with the file and the field.
+/// The first problem, with the file and the field.
 pub fn check_config(path: &Path) -> Result<(), LoadError> {
     load_config(path).map(|_| ())
 }
 
-/// Notifies the predecessor that this process can't take over. Where that fails, the predecessor
+/// Notifies the predecessor that this process can't take over. If that fails, the predecessor
 /// observes the exit of this process instead.
 async fn decline(predecessor: OwnedFd, reason: &str) {
     let Ok(channel) = Channel::new(predecessor) else {
--- a/crates/merlinshelf-backend/src/process/status.rs
+++ b/crates/merlinshelf-backend/src/process/status.rs
@@ -1,4 +1,5 @@
-//! The status report on the control socket. Its names are read by operators' tools and stay.
+//! The status report on the control socket. Operators' tools read its field names, which must not
+//! change.
 
 use serde_json::{Value, json};
 
@@ -8,7 +9,7 @@
 use crate::gossip::Gossip;
 
 impl Process {
-    /// The report of this moment.
+    /// The current report.
     pub(super) fn status(&self) -> Value {
         let usage = ResourceUsage::now();
         let instance = self.instance.as_ref();
--- a/crates/merlinshelf-backend/src/process/successor_role.rs
+++ b/crates/merlinshelf-backend/src/process/successor_role.rs
@@ -1,5 +1,4 @@
-//! The upgrade as successor: what is carried out towards the predecessor, and what is received from
-//! it.
+//! The upgrade in the role of the successor: actions towards the predecessor, and messages from it.
 
 use std::io;
 use std::os::fd::{AsFd, OwnedFd};
@@ -16,25 +15,26 @@
 use crate::instance::RestoredInstance;
 use crate::upgrade::channel::{Channel, ReceivedMessage};
 
-/// A predecessor reads the journal twenty times a second; with so much unread it is asleep.
+/// With more unread journal bytes, the predecessor counts as hung: it reads the journal 20 times per
+/// second otherwise.
 const MAX_UNREAD_JOURNAL_BYTES: u64 = 32 * 1024 * 1024;
 
-/// What a process keeps towards its predecessor.
+/// State of a process towards its predecessor.
 pub(super) struct SuccessorRole {
-    /// Decides what is done.
+    /// The state machine that decides the actions.
     pub state: Successor,
     /// The process id of the predecessor.
     pub predecessor_id: u32,
     /// `None` once the predecessor has exited or has released this process.
     pub channel: Option<Channel>,
-    /// What the predecessor has transferred.
+    /// Descriptors that the predecessor has transferred.
     pub received: PassedDescriptors,
-    /// Restored and not active yet.
+    /// The restored instance until it is activated.
     restored: Option<RestoredInstance>,
 }
 
 impl SuccessorRole {
-    /// A process that was started with this end of a channel.
+    /// The role of a process that was started with this end of a channel.
     pub(super) fn new(channel: OwnedFd, probation: Duration) -> io::Result<SuccessorRole> {
         Ok(SuccessorRole {
             state: Successor::new(probation, VERSION),
@@ -54,7 +54,7 @@
             _ => {}
         }
         if let Some(channel) = &self.channel {
-            // An error is the predecessor's end, which is an event of its own.
+            // An error means that the predecessor has exited, which is a separate event.
             let _ = channel.send(message, &[]).await;
         }
     }
@@ -127,7 +127,7 @@
         }
     }
 
-    /// A message of the predecessor, with the descriptors that it transfers.
+    /// Handles a message of the predecessor, with the descriptors that it transfers.
     pub(super) fn handle_predecessor_message(&mut self, received: ReceivedMessage) {
         let now = self.now();
         let Some(role) = &mut self.successor else {
@@ -150,9 +150,9 @@
         }
     }
 
-    /// Sends a copy of a connection that the instance has opened. The instance waits for that
-    /// before a byte passes on it: else the predecessor could not recover the connection if this
-    /// process died in between.
+    /// Sends a copy of a connection that the instance has opened. The instance waits for this before
+    /// any byte passes on the connection: otherwise the predecessor could not recover the connection
+    /// if this process died in between.
     pub(super) async fn send_opened_connection(&self, opened: OpenedConnection) {
         let channel = self
             .successor
@@ -160,14 +160,14 @@
             .and_then(|role| role.channel.as_ref());
         if let Some(channel) = channel {
             let message = Message::ConnectionOpened { role: opened.role };
-            // An error is the predecessor's end, which is an event of its own.
+            // An error means that the predecessor has exited, which is a separate event.
             let _ = channel.send(&message, &[opened.descriptor.as_fd()]).await;
         }
         // The task that opened it may have ended meanwhile.
         let _ = opened.acknowledged.send(());
     }
 
-    /// Drives the state machine, and records how the instance stands at each of its turns.
+    /// Passes the time to the state machine, and records the instance if a predecessor observes it.
     pub(super) fn handle_successor_timeout(&mut self, now: Duration) {
         let Some(role) = &mut self.successor else {
             return;
