--- a/crates/merlinshelf-backend/src/instance/drain.rs
+++ b/crates/merlinshelf-backend/src/instance/drain.rs
@@ -10,31 +10,30 @@
 
 use crate::exchange::Shared;
 
-/// Before the process must have exited: from here on new connections are refused and idle ones
-/// closed.
+/// Time before the deadline at which the listener and idle connections are closed.
 const CLOSE_BEFORE: Duration = Duration::from_millis(350);
-/// By here the admission controller has responded to everything, which leaves time to write the
-/// responses.
+/// Time before the deadline by which the admission controller has decided every response, which
+/// leaves time to write the responses.
 const RESPOND_BEFORE: Duration = Duration::from_millis(200);
-/// Here the process exits, whatever is left.
+/// Time before the deadline at which the process exits, even if connections are open.
 const EXIT_BEFORE: Duration = Duration::from_millis(60);
-/// Between two looks at what is left.
+/// Interval at which open connections are checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// A shutdown and what it needs.
+/// A graceful shutdown in progress.
 pub(super) struct Drain {
     pub exchange: Shared,
     /// Notified to close the listener.
     pub close_listener: Rc<Notify>,
     pub accept_task: AbortHandle,
-    /// The time that the platform grants for a shutdown in all.
+    /// The total time that the platform allows for a shutdown.
     pub timeout: Duration,
     /// When the process must have exited.
     pub deadline: Instant,
 }
 
 impl Drain {
-    /// Completes once everything is done, or the time is over.
+    /// Completes once all connections are closed, or shortly before the deadline.
     pub(super) async fn run(self) {
         let remaining = self.deadline.saturating_duration_since(Instant::now());
         let elapsed = self.timeout.saturating_sub(remaining);
@@ -58,10 +57,10 @@
         }
     }
 
-    /// So long before the deadline; of a short timeout a quarter at most.
-    fn before_deadline(&self, time: Duration) -> Instant {
+    /// The moment `margin` before the deadline. The margin is at most a quarter of the timeout.
+    fn before_deadline(&self, margin: Duration) -> Instant {
         self.deadline
-            .checked_sub(time.min(self.timeout / 4))
+            .checked_sub(margin.min(self.timeout / 4))
             .unwrap_or(self.deadline)
     }
 
--- a/crates/merlinshelf-backend/src/instance/mod.rs
+++ b/crates/merlinshelf-backend/src/instance/mod.rs
@@ -1,5 +1,5 @@
-//! One instance as it runs: the exchange and the tasks around it, from their start or from where
-//! another process left off, until they end or are frozen to be continued elsewhere.
+//! A running instance: the exchange and its tasks. They start fresh or continue from the image of
+//! another process, and run until they end or are frozen for another process.
 
 mod drain;
 mod restored;
@@ -24,15 +24,15 @@
 
 pub use restored::{IncompatibleImage, RestoreSource, RestoredInstance};
 
-/// Tasks stop at their next turn when they are frozen; one that takes longer hangs.
+/// Frozen tasks stop at their next turn; one that takes longer than this counts as hung.
 const FREEZE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// An instance that serves.
 pub struct Instance {
-    /// What all its tasks share.
+    /// The exchange, which all tasks share.
     pub exchange: Shared,
     peers: watch::Sender<Peers>,
-    /// Owned by the task that accepts, until it closes it.
+    /// Owned by the accepting task until that closes it.
     listener: Weak<Listening>,
     close_listener: Rc<Notify>,
     accept_task: Task,
@@ -54,7 +54,7 @@
     pub accepts_uwsgi: bool,
 }
 
-/// What was frozen: the image, and all descriptors that belong to it.
+/// A frozen instance: the image, and all descriptors that belong to it.
 pub struct FrozenInstance {
     /// The complete image, as one transaction.
     pub image: Transaction,
@@ -67,10 +67,10 @@
 /// Why an instance can't be frozen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum FreezeError {
-    /// It drains and listens no more.
+    /// The instance drains and has closed its listener.
     #[error("the listener is closed")]
     ListenerClosed,
-    /// Something else than the accepting task has the listener.
+    /// Something other than the accepting task holds the listener.
     #[error("the listener is still in use")]
     ListenerInUse,
     /// A task hangs.
@@ -79,14 +79,13 @@
 }
 
 impl Instance {
-    /// Connects to other servers from here on.
+    /// Connects to these servers from now on.
     pub fn set_peers(&self, peers: Peers) {
         self.peers
             .send_if_modified(|current| std::mem::replace(current, peers) != peers);
     }
 
-    /// The graceful shutdown, which completes once everything is done: by the deadline the process
-    /// must have exited.
+    /// The graceful shutdown. It completes in time for the process to exit by the deadline.
     pub fn drain(&self, deadline: Instant) -> impl Future<Output = ()> + use<> {
         Drain {
             exchange: self.exchange.clone(),
@@ -98,14 +97,14 @@
         .run()
     }
 
-    /// Stops everything where it stands.
+    /// Stops all tasks at their next turn, and takes the image and the connections.
     ///
     /// # Errors
-    /// The listener is closed or a task hangs. The instance is gone all the same.
+    /// The listener is closed or in use, or a task hangs. The instance has ended even then.
     pub async fn freeze(mut self) -> Result<FrozenInstance, FreezeError> {
         let listener = self.listener.upgrade().ok_or(FreezeError::ListenerClosed)?;
         self.accept_task.abort();
-        // Its reference to the listener ends with the task.
+        // The task holds a reference to the listener until it has ended.
         self.accept_task.wait().await;
         self.exchange.borrow_mut().freeze();
         let deadline = Instant::now() + FREEZE_TIMEOUT;
@@ -121,7 +120,7 @@
         })
     }
 
-    /// Every task has deposited its connections, and every client connection its own.
+    /// Waits until the tasks and all client connections have deposited their connections.
     async fn all_deposited(&mut self) {
         for task in &mut self.depositing_tasks {
             task.wait().await;
@@ -132,7 +131,7 @@
     }
 }
 
-/// Fires the exchange's timers.
+/// Fires the exchange's timers when they are due.
 async fn run_timers(exchange: Shared) {
     let timer_set = exchange.borrow().timers_changed();
     loop {
--- a/crates/merlinshelf-backend/src/instance/restored.rs
+++ b/crates/merlinshelf-backend/src/instance/restored.rs
@@ -1,4 +1,4 @@
-//! An instance that is made from an image, or fresh, and does not run yet.
+//! An instance that is restored from an image or created fresh, and does not run yet.
 
 use std::cell::RefCell;
 use std::fmt;
@@ -24,7 +24,7 @@
 use crate::server::{self, Listening, Server};
 use crate::upgrade::kernel::{self, OpenedBy};
 
-/// Everything of another process, made live and not running yet.
+/// An instance with its connections, before its tasks run.
 pub struct RestoredInstance {
     exchange: Shared,
     listener: Rc<Listening>,
@@ -51,21 +51,21 @@
 
 struct EngineConnection {
     record: records::EngineConnectionRecord,
-    /// `None` where it was down or can't be continued; it is established anew then.
+    /// `None` if the connection was down or can't be continued; a new one is established then.
     live: Option<(TcpStream, Reconciliation)>,
 }
 
-/// From what an instance is restored.
+/// The state that an instance is restored from.
 pub struct RestoreSource<'a> {
     /// The image.
     pub image: &'a Image,
     /// The connections that belong to it.
     pub connections: PassedDescriptors,
-    /// The estimates of the admission controller, where the image has none.
+    /// The estimates of the admission controller, used if the image has none.
     pub learned: Option<LearnedState>,
 }
 
-/// What a restored instance continues. Displayed as the log has it.
+/// What a restored instance continues. `Display` formats it for the log.
 #[derive(Clone, Copy, Debug)]
 pub struct InstanceTotals {
     /// Connections of clients.
@@ -94,7 +94,7 @@
 }
 
 impl RestoredInstance {
-    /// A fresh start.
+    /// An instance without any connections or invocations.
     pub fn fresh(exchange: Shared, listener: Listening) -> RestoredInstance {
         RestoredInstance {
             exchange,
@@ -106,8 +106,8 @@
         }
     }
 
-    /// Restores an instance. Nothing is read or written by this, and nothing closed but connections
-    /// that can't be continued: until it runs, another process may still continue all the others.
+    /// Restores an instance. This does not read or write any connection, and closes only those that
+    /// can't be continued: until the instance runs, another process may still continue the others.
     ///
     /// # Errors
     /// The image does not fit the exchange.
@@ -167,7 +167,7 @@
         if image.is_removed(key) {
             return;
         }
-        // One without a record was only just accepted.
+        // A connection without a record was accepted just before the freeze or failure.
         let mut record = decode::<records::ClientConnectionRecord>(image, key).unwrap_or_default();
         let reconciliation = reconcile(&socket, &mut record.flow, OpenedBy::Peer);
         let Some((reconciliation, socket)) = reconciliation.zip(into_stream(socket)) else {
@@ -184,7 +184,7 @@
 
     fn restore_downstream_connection(&mut self, image: &Image, stream: u64, socket: OwnedFd) {
         let key = Key::DownstreamConnection(stream);
-        // One without a record carries no call.
+        // A connection without a record carries no call and need not continue.
         let Some(mut record) = decode::<records::DownstreamConnectionRecord>(image, key) else {
             return;
         };
@@ -199,7 +199,7 @@
         }
     }
 
-    /// Records every change before its effect shows, from here on. Connections that are opened go
+    /// From now on, records every change before its effect is visible, and sends opened connections
     /// to `opened`.
     pub fn start_recording(
         &self,
@@ -209,7 +209,7 @@
         self.exchange.borrow_mut().start_journal(journal, opened);
     }
 
-    /// What it continues.
+    /// What the instance continues.
     pub fn totals(&self) -> InstanceTotals {
         InstanceTotals {
             client_connections: self.client_connections.len(),
@@ -218,7 +218,7 @@
         }
     }
 
-    /// Runs it.
+    /// Starts the tasks of the instance.
     pub fn run(self, options: InstanceOptions) -> Instance {
         if let Some(routing) = &options.routing {
             let dependencies =
@@ -267,7 +267,7 @@
     }
 }
 
-/// What the tasks of an instance share.
+/// Starts the tasks of an instance, with what they share.
 struct Tasks {
     exchange: Shared,
     peers: client::Watched,
@@ -359,20 +359,20 @@
     resumed
 }
 
-/// The record under that key. One that can't be decoded counts as missing: its connection is lost,
-/// the others go on.
+/// The record with this key. A record that can't be decoded counts as missing: its connection is lost,
+/// and the others continue.
 fn decode<T: DeserializeOwned>(image: &Image, key: Key) -> Option<T> {
     match image.decode(key) {
         Ok(record) => record,
         Err(error) => {
-            error!("record ignored: {error}");
+            error!("record of the image ignored: {error}");
             None
         }
     }
 }
 
-/// Reconciles what was recorded of a connection with what the kernel counted; `None` where it can't
-/// be continued.
+/// Reconciles the recorded state of a connection with the kernel's byte counts; `None` if the
+/// connection can't be continued.
 fn reconcile(socket: &OwnedFd, flow: &mut Flow, opened_by: OpenedBy) -> Option<Reconciliation> {
     let counts = match kernel::byte_counts(socket, opened_by) {
         Ok(counts) => counts,
--- a/crates/merlinshelf-backend/src/instance/task.rs
+++ b/crates/merlinshelf-backend/src/instance/task.rs
@@ -6,7 +6,8 @@
 use tokio::task::{AbortHandle, JoinHandle, spawn_local};
 use tokio::time::sleep;
 
-/// Before a task that panicked is started again: one that panics at once costs little CPU.
+/// Pause before a task that panicked is restarted. It bounds the CPU use of a task that panics at
+/// every start.
 const RESTART_PAUSE: Duration = Duration::from_millis(10);
 
 /// A task that is aborted when this is dropped.
@@ -18,8 +19,7 @@
         Task(spawn_local(future))
     }
 
-    /// Starts a task that begins anew where it panics: a fault in one part costs that part a
-    /// restart, no more.
+    /// Starts a task that is restarted if it panics, so that other tasks are not affected.
     pub(super) fn supervise<F: Future<Output = ()> + 'static>(
         name: &'static str,
         start: impl Fn() -> F + 'static,
@@ -36,17 +36,17 @@
         })
     }
 
-    /// Waits for its end, also that of an abort. A panic has been logged.
+    /// Waits until the task has ended or was aborted. A panic has been logged before.
     pub(super) async fn wait(&mut self) {
         let _ = (&mut self.0).await;
     }
 
-    /// Aborts it at its next turn.
+    /// Aborts the task at its next turn.
     pub(super) fn abort(&self) {
         self.0.abort();
     }
 
-    /// A handle that shows whether it has ended.
+    /// A handle that shows whether the task has ended.
     pub(super) fn abort_handle(&self) -> AbortHandle {
         self.0.abort_handle()
     }
--- a/crates/merlinshelf-backend/src/upgrade/channel/mod.rs
+++ b/crates/merlinshelf-backend/src/upgrade/channel/mod.rs
@@ -19,15 +19,15 @@
 use tokio::io::unix::AsyncFd;
 use tokio::time::timeout;
 
-/// The most descriptors that one message carries: well under the kernel's limit of 253.
+/// Maximum number of descriptors per message, well below the kernel's limit of 253.
 pub const MAX_DESCRIPTORS_PER_MESSAGE: usize = 64;
-/// A message with all descriptors that it can carry is a fraction of this.
+/// Maximum size of an encoded message. A message that lists the maximum number of descriptors needs
+/// only a fraction of it.
 const MAX_MESSAGE_BYTES: usize = 16 * 1024;
-/// A process that does not read for so long hangs.
+/// A process that does not read for this long counts as hung.
 const SEND_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The environment variable with the number of the descriptor at which a successor finds its end of
-/// the channel.
+/// The environment variable with the descriptor number of a successor's end of the channel.
 pub const HANDOVER_VARIABLE: &str = "MERLINSHELF_HANDOVER";
 
 /// One end of the channel.
@@ -43,7 +43,7 @@
 }
 
 impl Channel {
-    /// Both ends: that of this process, and the one that a child inherits.
+    /// Creates a channel: the end of this process, and the one that a child process inherits.
     ///
     /// # Errors
     /// The socket pair can't be created.
@@ -57,27 +57,27 @@
     /// The end that this process was started with; `None` if it is not a successor.
     ///
     /// # Errors
-    /// The descriptor that the environment names is none.
+    /// The environment names a descriptor that is not open.
     pub fn take_inherited() -> io::Result<Option<OwnedFd>> {
         let number = std::env::var(HANDOVER_VARIABLE).ok();
         let Some(number) = number.and_then(|number| number.parse::<RawFd>().ok()) else {
             return Ok(None);
         };
-        // SAFETY: whoever names the descriptor in this variable has handed it over, and it is taken
-        // once, at the start.
+        // SAFETY: the process that set this variable has handed over the descriptor, and this
+        // function is called once, at the start.
         let end = unsafe { OwnedFd::from_raw_fd(number) };
         fcntl_setfd(&end, FdFlags::CLOEXEC)?;
         Ok(Some(end))
     }
 
-    /// The channel whose end this is.
+    /// The channel of this end.
     ///
     /// # Errors
     /// The descriptor can't be registered with the runtime.
     pub fn new(end: OwnedFd) -> io::Result<Channel> {
         rustix::io::ioctl_fionbio(&end, true)?;
         let interest = Interest::READABLE | Interest::WRITABLE;
-        // SAFETY: the descriptor is owned, and stays inside until the registration ends.
+        // SAFETY: `AsyncFd` owns the descriptor, which stays open until the registration ends.
         let registered = unsafe { AsyncFd::register_with_interest(end, interest) }?;
         Ok(Channel(registered))
     }
@@ -85,7 +85,7 @@
     /// Sends a message with these descriptors attached.
     ///
     /// # Errors
-    /// The other process is gone, or has not read for [`SEND_TIMEOUT`].
+    /// The other process has exited, or has not read for [`SEND_TIMEOUT`].
     pub async fn send(&self, message: &Message, descriptors: &[BorrowedFd<'_>]) -> io::Result<()> {
         let bytes = rmp_serde::to_vec_named(message).map_err(io::Error::other)?;
         let sending = self.0.async_io(Interest::WRITABLE, |end| {
@@ -97,7 +97,7 @@
         }
     }
 
-    /// The next message.
+    /// Waits for the next message.
     ///
     /// # Errors
     /// The channel has ended, or the message can't be decoded.
@@ -107,8 +107,7 @@
             .await
     }
 
-    /// A message that has been received already, if there is one: also from a process that has
-    /// ended since.
+    /// The next message if it has arrived already, even if its sender has ended since.
     pub fn try_receive(&self) -> Option<ReceivedMessage> {
         // An error is the end of the channel, after which there are no more messages.
         receive_datagram(self.0.get_ref().as_fd()).ok()
@@ -142,8 +141,8 @@
         &mut control,
         RecvFlags::CMSG_CLOEXEC,
     )?;
-    // Taken before the message is decoded: descriptors of a message that can't be decoded are
-    // closed.
+    // The descriptors are taken before the message is decoded, so that they are closed if decoding
+    // fails.
     let mut descriptors = Vec::new();
     for ancillary in control.drain() {
         if let RecvAncillaryMessage::ScmRights(rights) = ancillary {
--- a/crates/merlinshelf-backend/src/upgrade/channel/tests.rs
+++ b/crates/merlinshelf-backend/src/upgrade/channel/tests.rs
@@ -8,7 +8,7 @@
 use super::*;
 
 #[tokio::test]
-async fn messages_arrive_complete_with_their_descriptors_also_after_their_sender_is_gone() {
+async fn messages_and_descriptors_arrive_even_after_the_sender_has_closed() {
     let (ours, theirs) = Channel::pair().expect("a pair");
     let theirs = Channel::new(theirs).expect("an end");
     let (mut near, far) = UnixStream::pair().expect("a pair");
--- a/crates/merlinshelf-backend/src/upgrade/kernel/mod.rs
+++ b/crates/merlinshelf-backend/src/upgrade/kernel/mod.rs
@@ -1,4 +1,4 @@
-//! What the kernel counts of a connection.
+//! The kernel's byte counts of a TCP connection.
 
 #[cfg(test)]
 mod tests;
@@ -9,11 +9,12 @@
 
 use merlinshelf_handover::KernelByteCounts;
 
-/// Offsets in the kernel's `tcp_info`, which only ever grows at its end.
+/// Offsets in the kernel's `tcp_info`. They are stable, since the structure only grows at its end.
 const STATE_OFFSET: usize = 0;
 const ACKNOWLEDGED_OFFSET: usize = 120;
 const RECEIVED_OFFSET: usize = 128;
-/// More than any kernel's `tcp_info` has so far; what is behind it is not needed.
+/// Size of the buffer for `tcp_info`, larger than the structure in current kernels. Fields beyond it
+/// are not needed.
 const TCP_INFO_BYTES: usize = 256;
 
 /// The states in which the peer has closed its direction: `TIME_WAIT`, `CLOSE_WAIT`, `LAST_ACK`,
@@ -21,13 +22,13 @@
 const CLOSED_BY_PEER_STATES: [u8; 4] = [6, 8, 9, 11];
 /// `CLOSE`: the state after a reset.
 const RESET_STATE: u8 = 7;
-/// How often the counts are read until nothing moved in between.
+/// Maximum number of attempts to read consistent counts.
 const MAX_ATTEMPTS: usize = 100;
 
 /// Which side has opened a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OpenedBy {
-    /// This process or its predecessors.
+    /// This process or one of its predecessors.
     Us,
     /// The peer.
     Peer,
@@ -40,18 +41,18 @@
     received_bytes: u64,
 }
 
-/// The counts of a connection at one moment.
+/// Consistent counts of a connection.
 ///
 /// # Errors
-/// The connection was reset, its counts never stand still, or the kernel counts no bytes.
+/// The connection was reset, its counts keep changing, or the kernel does not count bytes.
 pub fn byte_counts(socket: &impl AsFd, opened_by: OpenedBy) -> io::Result<KernelByteCounts> {
     let mut before = read_tcp_info(socket)?;
     for _ in 0..MAX_ATTEMPTS {
         let unread_bytes = rustix::io::ioctl_fionread(socket)?;
         let unacknowledged_bytes = read_unacknowledged_bytes(socket)?;
         let after = read_tcp_info(socket)?;
-        // The three system calls describe one moment only if nothing moved between the first and
-        // the last.
+        // The system calls describe the same moment only if no bytes were transferred between the
+        // first and the last of them.
         if before == after {
             if after.state == RESET_STATE {
                 return Err(io::ErrorKind::ConnectionReset.into());
@@ -67,7 +68,7 @@
         }
         before = after;
     }
-    Err(io::Error::other("its counts never stand still"))
+    Err(io::Error::other("its byte counts keep changing"))
 }
 
 fn read_tcp_info(socket: &impl AsFd) -> io::Result<TcpInfo> {
@@ -89,7 +90,7 @@
     }
     if (length as usize) < RECEIVED_OFFSET + size_of::<u64>() {
         return Err(io::Error::other(
-            "this kernel counts no bytes of connections",
+            "the kernel does not report byte counts of connections",
         ));
     }
     let counter = |offset: usize| {
--- a/crates/merlinshelf-backend/src/upgrade/kernel/tests.rs
+++ b/crates/merlinshelf-backend/src/upgrade/kernel/tests.rs
@@ -1,11 +1,11 @@
-//! Tests of the counts over a real connection.
+//! Tests of the byte counts with a real connection.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpListener, TcpStream};
 
 use super::*;
 
-/// Bytes read from and written to the kernel.
+/// Bytes that this side has read from and written to the socket.
 fn read_and_written(socket: &TcpStream, opened_by: OpenedBy) -> (u64, u64) {
     let counts = byte_counts(socket, opened_by).expect("counts");
     let read = counts.received_bytes - counts.unread_bytes - u64::from(counts.is_closed_by_peer);
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn bytes_are_counted_on_both_sides_up_to_the_end() {
+fn bytes_are_counted_on_both_sides_until_the_connection_ends() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
     let mut opened = TcpStream::connect(address).expect("a connection");
--- a/crates/merlinshelf-backend/src/upgrade/mod.rs
+++ b/crates/merlinshelf-backend/src/upgrade/mod.rs
@@ -1,6 +1,6 @@
-//! The upgrade as a process carries it out: the channel to the other process, what the kernel
-//! counts of connections, and the guard of a predecessor over its successor. The decisions are in
-//! `merlinshelf-handover`.
+//! The mechanisms of an upgrade: the channel to the other process, the kernel's byte counts of
+//! connections, and the predecessor's guard over its successor. `merlinshelf-handover` makes the
+//! decisions.
 
 pub mod channel;
 pub mod kernel;
--- a/crates/merlinshelf-backend/src/upgrade/successor_guard.rs
+++ b/crates/merlinshelf-backend/src/upgrade/successor_guard.rs
@@ -1,5 +1,5 @@
-//! What a predecessor keeps of its successor during an upgrade: the process, the channel, copies of
-//! all descriptors, and the image, updated from the successor's journal during its probation.
+//! The predecessor's state about its successor during an upgrade: the process, the channel, copies
+//! of all descriptors, and the image, updated from the successor's journal during its probation.
 
 use std::fs::File;
 use std::io::{self, Write};
@@ -23,33 +23,34 @@
 /// The successor, from its start to its end or release.
 pub struct SuccessorGuard {
     child: Child,
-    /// Readable once the process has ended: never another one that got its process id.
+    /// Process descriptor, readable once the process has ended. Unlike the process id, it never
+    /// refers to another process.
     process: AsyncFd<OwnedFd>,
     /// The channel to it.
     pub channel: Channel,
-    /// The files of the image and of the successor's journal. Created first, so that nothing is
-    /// frozen without them.
+    /// The files of the image and of the successor's journal. They are created before the successor,
+    /// so that nothing is frozen if that fails.
     image_file: OwnedFd,
     journal_file: OwnedFd,
     retained: Option<Retained>,
 }
 
-/// What was frozen, and everything that the successor has opened and recorded since.
+/// The frozen state, and everything that the successor has opened and recorded since.
 struct Retained {
     image: Image,
-    /// Copies of everything that was transferred or opened since.
+    /// Copies of all descriptors that were transferred, or opened since.
     connections: PassedDescriptors,
     learned: Option<LearnedState>,
     journal: JournalReader,
 }
 
-/// Everything as the dead successor left it.
+/// The state in which a failed successor left the instance.
 pub struct RecoveredState {
-    /// The image, with all that the successor recorded.
+    /// The image, with all changes that the successor recorded.
     pub image: Image,
     /// Copies of the listener and of all connections.
     pub connections: PassedDescriptors,
-    /// The estimates of the admission controller at the freeze; a journal has none.
+    /// The estimates of the admission controller at the freeze; journals do not contain them.
     pub learned: Option<LearnedState>,
 }
 
@@ -57,7 +58,7 @@
     /// Starts the program with the arguments of this process.
     ///
     /// # Errors
-    /// The program can't be started, or a descriptor for it can't be had.
+    /// The program can't be started, or no descriptor is available for it.
     pub fn start(program: PathBuf) -> io::Result<SuccessorGuard> {
         let image_file = memory_file("merlinshelf-image")?;
         let journal_file = memory_file("merlinshelf-journal")?;
@@ -73,7 +74,8 @@
                 retained: None,
             }),
             Err(error) => {
-                // Nobody could observe its end. Both calls fail only if it has ended already.
+                // The end of the process could not be observed, so it is killed. Both calls fail
+                // only if it has ended already.
                 let _ = child.kill();
                 let _ = child.wait();
                 Err(error)
@@ -92,7 +94,7 @@
         let _ = self.process.readable().await;
     }
 
-    /// Releases the ended process to the kernel. Its exit status; `None` where a signal ended it.
+    /// Reaps the ended process. Its exit status; `None` if a signal ended it.
     pub fn reap(&mut self) -> Option<i32> {
         match self.child.wait() {
             Ok(status) if status.signal().is_none() => status.code(),
@@ -107,10 +109,10 @@
         }
     }
 
-    /// Retains what was frozen, whatever becomes of the successor, and writes the image for it.
+    /// Retains the frozen state for a recovery, and writes the image for the successor.
     ///
     /// # Errors
-    /// The image can't be decoded or written. What was frozen is retained all the same.
+    /// The image can't be decoded or written. The frozen state is retained even then.
     pub fn retain(&mut self, mut frozen: FrozenInstance) -> io::Result<()> {
         let bytes = frozen.image.take();
         let mut image = Image::default();
@@ -127,10 +129,10 @@
         File::from(self.image_file.try_clone()?).write_all(&bytes)
     }
 
-    /// Sends copies of everything to the successor; how many descriptors these were.
+    /// Sends copies of all descriptors to the successor; their number.
     ///
     /// # Errors
-    /// Nothing was frozen, or the successor is gone or does not read.
+    /// Nothing was frozen, or the successor has exited or does not read.
     pub async fn transfer(&self) -> io::Result<usize> {
         let Some(retained) = &self.retained else {
             return Err(io::Error::other("nothing is frozen"));
@@ -159,7 +161,7 @@
         }
     }
 
-    /// Applies what the successor has recorded since the last time.
+    /// Applies the changes that the successor has recorded since the last call.
     ///
     /// # Errors
     /// The journal can't be read or decoded.
@@ -170,9 +172,8 @@
         }
     }
 
-    /// The last messages of the successor, whose process has ended, as far as they matter after its
-    /// end: that it drains, or that it records nothing any more. Descriptors attached to others are
-    /// retained.
+    /// The remaining messages of a successor whose process has ended, as far as they matter now: that
+    /// it drains, or that it has stopped recording. Descriptors of opened connections are retained.
     pub fn last_messages(&mut self) -> Vec<Message> {
         let mut messages = Vec::new();
         while let Some(received) = self.channel.try_receive() {
@@ -187,8 +188,8 @@
         messages
     }
 
-    /// Everything as the successor left it, whose process has ended and whose last messages were
-    /// handled.
+    /// The state in which the successor left the instance. Its process must have ended, and its last
+    /// messages must have been handled.
     ///
     /// # Errors
     /// Nothing was frozen, or the journal can't be read.
@@ -207,8 +208,8 @@
 
 impl Drop for SuccessorGuard {
     fn drop(&mut self) {
-        // Nobody else releases the process to the kernel; a successor that was released still runs
-        // and is not awaited.
+        // Reaps the process if it has ended. A successor that completed the upgrade still runs and
+        // is not awaited.
         let _ = self.child.try_wait();
     }
 }
@@ -221,7 +222,8 @@
         Ok(())
     }
 
-    /// A copy would keep open what the successor has closed.
+    /// Closes the copies of connections that the successor has closed: a copy would keep the
+    /// connection open.
     fn close_removed_connections(&mut self) {
         for key in self.image.take_removed() {
             match key {
@@ -236,8 +238,8 @@
         }
     }
 
-    /// Of the connections to the engine only the recorded one matters, and the newest: it may not
-    /// be recorded yet.
+    /// Closes all connections to the engine but the recorded one and the newest, which may not be
+    /// recorded yet.
     fn close_replaced_engine_connections(&mut self) {
         let record: Option<records::EngineConnectionRecord> = self.image.get(Key::EngineConnection);
         let recorded = record.and_then(|record| record.stream);
@@ -268,7 +270,7 @@
     let id = i32::try_from(child.id()).ok().and_then(Pid::from_raw);
     let id = id.ok_or_else(|| io::Error::other("it has no process number"))?;
     let process = pidfd_open(id, PidfdFlags::empty())?;
-    // SAFETY: the descriptor is owned, and stays inside until the registration ends.
+    // SAFETY: `AsyncFd` owns the descriptor, which stays open until the registration ends.
     let registered = unsafe { AsyncFd::register_with_interest(process, Interest::READABLE) }?;
     Ok(registered)
 }
@@ -278,7 +280,7 @@
         Ok(instance) => instance.and_then(|instance| instance.learned),
         // Everything but the estimates can still be recovered.
         Err(error) => {
-            warn!("estimates not retained: {error}");
+            warn!("estimates of the admission controller not retained: {error}");
             None
         }
     }
