--- a/crates/merlinshelf-backend/src/exchange/decisions.rs
+++ b/crates/merlinshelf-backend/src/exchange/decisions.rs
@@ -70,7 +70,7 @@
     /// controller.
     pub(super) fn start_over(&mut self, engine_uptime: f64) {
         error!(
-            "admission controller restarted, {} invocations in flight answered",
+            "restarting the admission controller, answering {} invocations in flight",
             self.invocations.len()
         );
         self.controller = None;
@@ -135,9 +135,10 @@
             self.idle_timeout = idle_time(idle);
             self.connections.wake_all();
         }
-        for (after, handle) in decisions.timers {
-            let at = self.origin.elapsed() + Duration::from_secs_f64(after.clamp(0.001, 3600.0));
-            self.set_timer(at, Timer::Admission(handle));
+        for (delay, handle) in decisions.timers {
+            let fires_at =
+                self.origin.elapsed() + Duration::from_secs_f64(delay.clamp(0.001, 3600.0));
+            self.set_timer(fires_at, Timer::Admission(handle));
         }
         for note in decisions.notes {
             info!("admission controller: {note}");
--- a/crates/merlinshelf-backend/src/exchange/mod.rs
+++ b/crates/merlinshelf-backend/src/exchange/mod.rs
@@ -74,6 +74,7 @@
     /// By operation, whether any run has made more than one call so far.
     makes_several_calls: Vec<bool>,
     gauge_names: Vec<String>,
+    /// When the exchange was created, which is the zero of its timers' clock.
     origin: Instant,
     /// The admission controller's clock at the origin: Unix time, so that its hours are hours of
     /// the day.
@@ -142,9 +143,9 @@
             .get("Classes.count")
             .and_then(|count| count.parse().ok())
             .unwrap_or(0);
-        let names = (0..count).map(|place| {
+        let names = (0..count).map(|index| {
             let name: &str = settings
-                .get(&format!("Classes.{place}.Name"))
+                .get(&format!("Classes.{index}.Name"))
                 .map_or("", String::as_str);
             Rc::from(name)
         });
@@ -154,15 +155,15 @@
         }
         // The protocol carries no idempotency key, so a repeated invocation can't be recognised and
         // such an operation might run twice.
-        let has = |place: usize, effect: &str| {
+        let has_effect = |index: usize, effect: &str| {
             settings
-                .get(&format!("Classes.{place}.Effect"))
+                .get(&format!("Classes.{index}.Effect"))
                 .is_some_and(|configured| configured == effect)
         };
-        let needs_key = |place: &usize| has(*place, "idempotency_key");
-        if let Some(place) = (0..count).find(needs_key) {
+        let needs_key = |index: &usize| has_effect(*index, "idempotency_key");
+        if let Some(index) = (0..count).find(needs_key) {
             return Err(format!(
-                "settings: Classes.{place}.Effect: this protocol carries no idempotency key"
+                "settings: Classes.{index}.Effect: this protocol carries no idempotency key"
             ));
         }
         AdmissionController::start(0.0, seed, settings.clone())
@@ -170,7 +171,7 @@
         let operations = names
             .iter()
             .enumerate()
-            .map(|(place, name)| (name.as_bytes().to_vec(), place));
+            .map(|(index, name)| (name.as_bytes().to_vec(), index));
         let meters = settings.get("FamilyInfo.Meters").map_or("", String::as_str);
         let idle = settings
             .get("FamilyInfo.CallerIdleUs")
@@ -178,7 +179,9 @@
             .unwrap_or(0);
         Ok(Exchange {
             operations: operations.collect(),
-            idempotent: (0..count).map(|place| has(place, "read_like")).collect(),
+            idempotent: (0..count)
+                .map(|index| has_effect(index, "read_like"))
+                .collect(),
             makes_several_calls: vec![false; names.len()],
             operation_names: names,
             gauge_names: meters
--- a/crates/merlinshelf-backend/src/process/error.rs
+++ b/crates/merlinshelf-backend/src/process/error.rs
@@ -50,7 +50,7 @@
     /// A successor can't take over.
     #[error("{reason}")]
     Declined {
-        /// Why.
+        /// Why the successor can't take over.
         reason: String,
     },
     /// The state of a failed successor can't be recovered.
@@ -61,7 +61,8 @@
     Io(#[from] io::Error),
 }
 
-/// Why an instance can't be restored from the state of another process.
+/// Why an instance can't be restored from the state of another process. The texts are sent on the
+/// control socket when an upgrade fails.
 #[derive(Debug, Error)]
 pub enum RestoreError {
     /// The predecessor has not sent the file of the image.
@@ -90,7 +91,8 @@
     Io(#[from] io::Error),
 }
 
-/// Why the instance can't be frozen for a successor.
+/// Why the instance can't be frozen for a successor. The texts are sent on the control socket when
+/// an upgrade fails.
 #[derive(Debug, Error)]
 pub(super) enum FreezeFailure {
     #[error("nothing serves here")]
--- a/crates/merlinshelf-backend/src/upgrade/successor_guard.rs
+++ b/crates/merlinshelf-backend/src/upgrade/successor_guard.rs
@@ -196,7 +196,7 @@
     pub fn take_recovered_state(&mut self) -> io::Result<RecoveredState> {
         self.read_journal()?;
         let Some(retained) = self.retained.take() else {
-            return Err(io::Error::other("nothing is held"));
+            return Err(io::Error::other("no frozen state is retained"));
         };
         Ok(RecoveredState {
             image: retained.image,
