--- a/crates/merlinshelf-backend/tests/golden.rs
+++ b/crates/merlinshelf-backend/tests/golden.rs
@@ -1,9 +1,9 @@
-//! What operators' tools and agents read at an instance's control socket, held to golden files: the answers to every
-//! question, and the reports of an instance that serves. The counters in its status are by the names under which a
-//! handover image carries them.
+//! Compares what operators' tools and agents read from an instance's control socket with golden files: the responses to
+//! every request, and the reports of a serving instance. The counters in its status have the names under which a
+//! handover image stores them.
 //!
-//! The files hold what programs in the field answered: where a test fails, the code is to be mended, not the file. The
-//! records that this package writes into an image are held to their bytes in `merlinshelf-handover`.
+//! The files contain the responses of released programs. If a test fails, the code must be corrected, not the file. The
+//! records that this package writes into an image are compared byte by byte in `merlinshelf-handover`.
 
 use std::io::{Read, Write};
 use std::os::unix::net::UnixStream;
@@ -22,9 +22,9 @@
 use tokio::sync::mpsc::{UnboundedReceiver, unbounded_channel};
 use tokio::task::{LocalSet, spawn_blocking};
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A folder of one test's own, gone with it.
+/// A temporary folder of one test, removed when dropped.
 struct TestFolder(PathBuf);
 
 impl TestFolder {
@@ -46,8 +46,8 @@
     }
 }
 
-fn name_of(word: ControlMessage) -> &'static str {
-    match word {
+fn message_name(message: ControlMessage) -> &'static str {
+    match message {
         ControlMessage::More => "more",
         ControlMessage::Done => "done",
         ControlMessage::Failed => "failed",
@@ -55,36 +55,37 @@
     }
 }
 
-/// Sends these bytes to the socket, and returns what it answers before it closes the connection.
-fn exchange(socket: &Path, question: &[u8]) -> std::io::Result<Vec<Value>> {
+/// Sends these bytes to the socket, and returns all responses until it closes the connection.
+fn exchange(socket: &Path, request: &[u8]) -> std::io::Result<Vec<Value>> {
     let mut stream = UnixStream::connect(socket)?;
-    stream.set_read_timeout(Some(PATIENCE))?;
-    stream.write_all(question)?;
+    stream.set_read_timeout(Some(TIMEOUT))?;
+    stream.write_all(request)?;
     let mut bytes = Vec::new();
     stream.read_to_end(&mut bytes)?;
     let (mut rest, mut answers) = (bytes.as_slice(), Vec::new());
     while let Ok(Some((frame, used))) = control::read_message(rest) {
         let body: Value = serde_json::from_slice(frame.body).expect("JSON");
-        answers
-            .push(json!({ "form": frame.version, "word": name_of(frame.message), "body": body }));
+        answers.push(
+            json!({ "form": frame.version, "word": message_name(frame.message), "body": body }),
+        );
         rest = &rest[used..];
     }
     assert!(rest.is_empty(), "{}", rest.escape_ascii());
     Ok(answers)
 }
 
-fn encode(question: ControlRequest, body: &Value) -> Vec<u8> {
+fn encode(request: ControlRequest, body: &Value) -> Vec<u8> {
     let mut bytes: Vec<u8> = Vec::new();
-    control::write_request(&mut bytes, question, body.to_string().as_bytes());
+    control::write_request(&mut bytes, request, body.to_string().as_bytes());
     bytes
 }
 
-/// A heartbeat of an agent as JSON, and what it says.
-fn heartbeat() -> (Value, Heartbeat) {
+/// A heartbeat of an agent, as JSON and as a value.
+fn sample_heartbeat() -> (Value, Heartbeat) {
     let text = json!({
         "life": 11, "offer": null, "fence": 12, "grant": { "number": 13, "asked": 14.5, "for_s": 15.5 },
     });
-    let beat = Heartbeat {
+    let heartbeat = Heartbeat {
         incarnation: 11,
         offered_policy: None,
         fence_version: 12,
@@ -95,10 +96,10 @@
         }),
         quota_grants: None,
     };
-    (text, beat)
+    (text, heartbeat)
 }
 
-fn status_of_policy() -> InstanceStatus {
+fn policy_status() -> InstanceStatus {
     InstanceStatus {
         incarnation: 21,
         reported_at: 22.5,
@@ -112,30 +113,30 @@
     }
 }
 
-/// Every way in which an upgrade may go.
-fn upgrades() -> Vec<Vec<Progress>> {
-    let begun = [Progress::Starting, Progress::Ready, Progress::Activated];
-    let until = |stages: usize, end: Progress| {
-        let begun = begun[..stages].iter().cloned();
-        begun.chain([end]).collect()
+/// The progress reports of upgrades with every possible end.
+fn upgrade_sequences() -> Vec<Vec<Progress>> {
+    let all_stages = [Progress::Starting, Progress::Ready, Progress::Activated];
+    let sequence = |count: usize, end: Progress| {
+        let reached = all_stages[..count].iter().cloned();
+        reached.chain([end]).collect()
     };
     vec![
-        until(3, Progress::Completed),
-        until(0, Progress::Rejected("upgrades are off".into())),
-        until(1, Progress::Aborted("not ready in time".into())),
-        until(3, Progress::Recovered("it died".into())),
+        sequence(3, Progress::Completed),
+        sequence(0, Progress::Rejected("upgrades are off".into())),
+        sequence(1, Progress::Aborted("not ready in time".into())),
+        sequence(3, Progress::Recovered("it died".into())),
     ]
 }
 
-/// Answers in place of an instance, whose learning and policies are on or off.
-async fn answer_all(mut asked: UnboundedReceiver<PendingRequest>, is_on: bool) {
-    let mut upgrades = upgrades().into_iter();
-    while let Some(asked) = asked.recv().await {
-        match asked {
+/// Responds in place of an instance, with gossip and policies on or off.
+async fn answer_all(mut requests: UnboundedReceiver<PendingRequest>, is_on: bool) {
+    let mut upgrades = upgrade_sequences().into_iter();
+    while let Some(request) = requests.recv().await {
+        match request {
             PendingRequest::Status(reply) => _ = reply.send(json!({ "status": 1 })),
             PendingRequest::Drain(reply) => _ = reply.send(json!({ "drain": 2 })),
             PendingRequest::Upgrade(progress) => {
-                for stage in upgrades.next().expect("another upgrade") {
+                for stage in upgrades.next().expect("no more requests than upgrades") {
                     let _ = progress.send(stage);
                 }
             }
@@ -146,14 +147,14 @@
             PendingRequest::Forget(origin, reply) => {
                 let count = match origin.as_deref() {
                     Some("n5") => 5,
-                    Some(other) => panic!("another origin than was named: {other}"),
+                    Some(other) => panic!("unexpected origin: {other}"),
                     None => 6,
                 };
                 let _ = reply.send(is_on.then_some(count));
             }
-            PendingRequest::Policy(beat, reply) => {
-                assert_eq!(*beat, heartbeat().1);
-                let _ = reply.send(is_on.then(status_of_policy));
+            PendingRequest::Policy(heartbeat, reply) => {
+                assert_eq!(*heartbeat, sample_heartbeat().1);
+                let _ = reply.send(is_on.then(policy_status));
             }
             PendingRequest::Fleet(body, replies) => {
                 assert_eq!(body, json!({ "fleet": 7 }));
@@ -164,34 +165,34 @@
     }
 }
 
-/// A question's name in the golden file, and its bytes.
-type Asking = (&'static str, Vec<u8>);
+/// A request's name in the golden file, and its bytes.
+type NamedRequest = (&'static str, Vec<u8>);
 
-/// The answers at a control socket to these questions in turn.
-async fn answers(name: &str, is_on: bool, questions: Vec<Asking>) -> Value {
+/// The responses of a control socket to these requests, sent one after the other.
+async fn answers(name: &str, is_on: bool, requests: Vec<NamedRequest>) -> Value {
     let folder = TestFolder::new(name);
     let socket = folder.path("control");
-    let (sender, asked) = unbounded_channel();
+    let (sender, received) = unbounded_channel();
     let local = LocalSet::new();
-    local.spawn_local(answer_all(asked, is_on));
+    local.spawn_local(answer_all(received, is_on));
     local
         .run_until(async {
             let _control = open(&socket, sender).expect("a socket");
-            let ask_all = move || -> Vec<Value> {
-                let ask = |(name, bytes): &Asking| {
+            let send_all = move || -> Vec<Value> {
+                let send = |(name, bytes): &NamedRequest| {
                     let answers = exchange(&socket, bytes).expect("answers");
                     json!({ "question": name, "answers": answers })
                 };
-                questions.iter().map(ask).collect()
+                requests.iter().map(send).collect()
             };
-            spawn_blocking(ask_all).await.expect("no panic").into()
+            spawn_blocking(send_all).await.expect("no panic").into()
         })
         .await
 }
 
 #[tokio::test]
-async fn answers_at_the_control_socket() {
-    let mut questions = vec![
+async fn control_socket_responses() {
+    let mut requests = vec![
         ("status", encode(ControlRequest::Status, &json!({}))),
         ("drain", encode(ControlRequest::Drain, &json!({}))),
         ("knowledge", encode(ControlRequest::Knowledge, &json!({}))),
@@ -200,7 +201,10 @@
             encode(ControlRequest::Forget, &json!({ "origin": "n5" })),
         ),
         ("forget all", encode(ControlRequest::Forget, &json!({}))),
-        ("policy", encode(ControlRequest::Policy, &heartbeat().0)),
+        (
+            "policy",
+            encode(ControlRequest::Policy, &sample_heartbeat().0),
+        ),
         (
             "fleet",
             encode(ControlRequest::Fleet, &json!({ "fleet": 7 })),
@@ -210,34 +214,37 @@
         ("no question", b"ask 1 dance 0\r\n\r\n".to_vec()),
     ];
     let upgrade = ("upgrade", encode(ControlRequest::Upgrade, &json!({})));
-    questions.extend(std::iter::repeat_n(upgrade, upgrades().len()));
-    golden_file::assert_json("control_answers", &answers("on", true, questions).await);
+    requests.extend(std::iter::repeat_n(upgrade, upgrade_sequences().len()));
+    golden_file::assert_json("control_answers", &answers("on", true, requests).await);
 }
 
 #[tokio::test]
-async fn answers_where_learning_and_policies_are_off() {
-    let questions = vec![
+async fn control_socket_responses_with_gossip_and_policies_off() {
+    let requests = vec![
         ("knowledge", encode(ControlRequest::Knowledge, &json!({}))),
         ("forget", encode(ControlRequest::Forget, &json!({}))),
-        ("policy", encode(ControlRequest::Policy, &heartbeat().0)),
+        (
+            "policy",
+            encode(ControlRequest::Policy, &sample_heartbeat().0),
+        ),
     ];
     golden_file::assert_json(
         "control_answers_off",
-        &answers("off", false, questions).await,
+        &answers("off", false, requests).await,
     );
 }
 
-/// A report with what differs from run to run replaced by the kind of value that it is.
-fn without_figures(value: &Value) -> Value {
+/// A report in which values that differ from run to run are replaced by their types.
+fn without_values(value: &Value) -> Value {
     match value {
         Value::Number(_) => "a number".into(),
         Value::Bool(_) => "true or false".into(),
-        Value::Array(items) => items.iter().map(without_figures).collect(),
+        Value::Array(items) => items.iter().map(without_values).collect(),
         Value::Object(fields) => {
             let field = |(name, value): (&String, &Value)| {
                 let value = match name.as_str() {
                     "version" => "a text".into(),
-                    _ => without_figures(value),
+                    _ => without_values(value),
                 };
                 (name.clone(), value)
             };
@@ -247,19 +254,19 @@
     }
 }
 
-/// Asks until the first answer is as it must be.
-fn ask_until(
+/// Repeats a request until its first response is as expected.
+fn request_until(
     socket: &Path,
-    question: ControlRequest,
-    is_enough: impl Fn(&Value) -> bool,
+    request: ControlRequest,
+    is_expected: impl Fn(&Value) -> bool,
 ) -> Vec<Value> {
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + TIMEOUT;
     loop {
-        let answers = exchange(socket, &encode(question, &json!({})));
+        let answers = exchange(socket, &encode(request, &json!({})));
         if let Ok(answers) = &answers
             && answers
                 .first()
-                .is_some_and(|first| is_enough(&first["body"]))
+                .is_some_and(|first| is_expected(&first["body"]))
         {
             return answers.clone();
         }
@@ -268,13 +275,11 @@
     }
 }
 
-/// The store file of an instance that has heard of another one a moment ago.
+/// The gossip store of an instance that has just received an observation of another one.
 fn store_file() -> Vec<u8> {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
-    let kept = PersistedObservation {
-        saved_at: since_epoch
-            .expect("a clock that is set right")
-            .as_secs_f64(),
+    let stored = PersistedObservation {
+        saved_at: since_epoch.expect("a clock set after 1970").as_secs_f64(),
         observation: GossipedObservation {
             metric: Metric::CallLowest {
                 dependency: "catalogue".into(),
@@ -293,12 +298,12 @@
     };
     [
         store_format::header(),
-        store_format::record(&Record::Observation(kept)).expect("a record that can be encoded"),
+        store_format::record(&Record::Observation(stored)).expect("a record that can be encoded"),
     ]
     .concat()
 }
 
-/// An instance with everything switched on that has a report of its own. Nobody listens where its peers would be.
+/// The reports of an instance with all features that have a report. Its peers are not reachable.
 #[test]
 fn reports_of_an_instance() {
     let folder = TestFolder::new("instance");
@@ -331,17 +336,17 @@
     let instance = std::thread::spawn(move || serve(&start));
 
     let has_saved = |status: &Value| status["learning"]["saved"]["ago_s"].is_number();
-    let status = ask_until(&socket, ControlRequest::Status, has_saved);
-    let knowledge = ask_until(&socket, ControlRequest::Knowledge, |page| {
+    let status = request_until(&socket, ControlRequest::Status, has_saved);
+    let knowledge = request_until(&socket, ControlRequest::Knowledge, |page| {
         page["figures"].is_array()
     });
-    let drain = ask_until(&socket, ControlRequest::Drain, |_| true);
+    let drain = request_until(&socket, ControlRequest::Drain, |_| true);
     let exit = instance.join().expect("no panic");
-    assert_eq!(exit.expect("it serves to its end"), 0);
+    assert_eq!(exit.expect("it serves until the drain ends"), 0);
     let reports = json!({ "status": status, "knowledge": knowledge, "drain": drain });
-    golden_file::assert_json("instance_reports", &without_figures(&reports));
+    golden_file::assert_json("instance_reports", &without_values(&reports));
 
-    // What it has kept, under the names by which a later program looks for it.
+    // What it has stored, under the file names that later programs expect.
     let found = disk::read_store(&store).expect("a folder that can be read");
     assert_eq!((found.observations.len(), found.error), (1, None));
     let entries = std::fs::read_dir(&store).expect("a folder");
@@ -357,8 +362,8 @@
 
     use serde_json::Value;
 
-    /// Asserts that a value is the one of its golden file, which must be there. With `GOLDEN_WRITE=1` in the environment
-    /// a file that is missing is written; one that is there is never changed.
+    /// Asserts that a value equals its golden file, which must exist. With `GOLDEN_WRITE=1` in the environment a missing
+    /// file is written; an existing one is never changed.
     pub fn assert_json(name: &str, value: &Value) {
         let path = Path::new(env!("CARGO_MANIFEST_DIR"))
             .join("tests/golden")
@@ -375,7 +380,7 @@
         let golden: Value = serde_json::from_str(&text).expect("a golden file in JSON");
         assert!(
             *value == golden,
-            "{name}.json says otherwise than the program:\n{}",
+            "{name}.json differs from the program's value:\n{}",
             pretty(value)
         );
     }
--- a/crates/merlinshelf-backend/tests/golden_settings.rs
+++ b/crates/merlinshelf-backend/tests/golden_settings.rs
@@ -1,12 +1,11 @@
-//! Golden files of every form of this package that outlives a process or passes between two, as far as it is public: the
-//! operators' file (JSON5), its schema, and the replies on the control socket (JSON), asked over a real socket.
+//! Golden files of this package's public formats that outlive a process or are exchanged between processes: the operators'
+//! file (JSON5), its schema, and the replies on the control socket (JSON), sent over a real socket.
 //!
-//! What the control socket replies must give the bytes of its file under `tests/golden/`, but for figures that differ from
-//! run to run: these are checked to be numbers and replaced. No program writes the operators' file: kept files must be read
-//! as the expected values, whatever form a later version would write them in. Every field of a sample has a value of its own
-//! that is not the default, so that a field that is lost by another name shows. A test that fails here means that operators'
-//! files, tools or agents of an earlier version are misunderstood. `GOLDEN_WRITE=1` writes the replies anew; without it a
-//! missing file is a failure.
+//! Replies must equal their file under `tests/golden/` byte by byte, except for numbers that differ from run to run, which
+//! are checked to be numbers and replaced. No program writes the operators' file; old files must be parsed to the expected
+//! values, however a later version would encode them. Every field of a sample has a distinct value that is not the default,
+//! so that a field lost by renaming is detected. A failure here means that operators' files, tools or agents of an earlier
+//! version are no longer understood. `GOLDEN_WRITE=1` rewrites the replies; without it a missing file is a failure.
 
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
@@ -36,10 +35,10 @@
 use tokio::sync::mpsc::unbounded_channel;
 use tokio::task::LocalSet;
 
-/// Larger than what a JSON number holds as a 64-bit float: such numbers must come through whole.
+/// Too large for a 64-bit float to represent exactly, as which a JSON number may be read; it must not be rounded.
 const LARGE: u64 = 7_201_234_567_890_123_457;
-/// Replies come at once; a busy machine has this long.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Replies arrive at once; this is the limit on a busy machine.
+const TIMEOUT: Duration = Duration::from_secs(30);
 
 // Reading, comparing and writing golden files.
 
@@ -54,7 +53,7 @@
     std::fs::read(&path).unwrap_or_else(|error| panic!("golden file {}: {error}", path.display()))
 }
 
-/// The bytes of a golden file, which must be those that were encoded now.
+/// The bytes of a golden file, which must equal `encoded`.
 fn assert_golden(name: &str, encoded: &[u8]) -> Vec<u8> {
     if std::env::var("GOLDEN_WRITE").as_deref() == Ok("1") {
         std::fs::write(golden_path(name), encoded).expect("a golden file is written");
@@ -63,7 +62,7 @@
     assert_eq!(
         encoded.escape_ascii().to_string(),
         golden.escape_ascii().to_string(),
-        "{name}: the encoded form (left) is another than that of the golden file (right)"
+        "{name}: the encoded bytes (left) differ from the golden file (right)"
     );
     golden
 }
@@ -72,13 +71,13 @@
     String::from_utf8(read_golden(name)).expect("text")
 }
 
-/// An operators' file, which must be read as `expected`, and still after it was written and read once more.
+/// Asserts that an operators' file is parsed as `expected`, and again after encoding it.
 fn assert_operator_file(name: &str, expected: &Operator) {
-    let decoded = Operator::parse(&read_golden_text(name)).expect("the golden file is read");
+    let decoded = Operator::parse(&read_golden_text(name)).expect("the golden file is parsed");
     assert_eq!(decoded, *expected, "{name}");
     let encoded = serde_json::to_string(expected).expect("it is encoded");
-    let decoded = Operator::parse(&encoded).expect("it is read again");
-    assert_eq!(decoded, *expected, "{name}, written anew");
+    let decoded = Operator::parse(&encoded).expect("it is parsed again");
+    assert_eq!(decoded, *expected, "{name}, encoded again");
 }
 
 // The operators' file.
@@ -164,9 +163,9 @@
     assert_operator_file("operator_filled.json", &filled_operator());
 }
 
-/// Everything that may be left out, with what stands for it.
+/// A file without any optional field, which gets their defaults.
 #[test]
-fn operator_file_with_required_fields_alone() {
+fn operator_file_with_required_fields_only() {
     let expected = Operator {
         control: Some(Control {
             socket: "/run/n7".into(),
@@ -210,7 +209,7 @@
     assert_eq!(Operator::parse("{}"), Ok(Operator::default()));
 }
 
-/// What `deploy/operator.json5` says.
+/// The contents of `deploy/operator.json5`.
 fn example_operator() -> Operator {
     let server = |address: &str, zone: &str| ServerConfig {
         address: address.into(),
@@ -295,15 +294,16 @@
     }
 }
 
-/// The file as it was given to operators up to now: files that they wrote after it must still be read.
+/// Earlier versions of the example file must still be parsed, since operators base their files on it.
 #[test]
 fn operator_file_of_the_example() {
     assert_operator_file("operator_example.json5", &example_operator());
-    let shown = include_str!("../../../deploy/operator.json5");
-    assert_eq!(Operator::parse(shown), Ok(example_operator()));
+    let example = include_str!("../../../deploy/operator.json5");
+    assert_eq!(Operator::parse(example), Ok(example_operator()));
 }
 
-/// Editors hold the file to it; `merlinshelf check --schema > deploy/operator.schema.json` makes it anew.
+/// Editors validate the file by this schema. To regenerate it, run
+/// `merlinshelf check --schema > deploy/operator.schema.json`.
 #[test]
 fn schema_of_the_operator_file() {
     assert_eq!(
@@ -312,9 +312,9 @@
     );
 }
 
-/// All words that a field may have.
+/// All values of enumerated fields.
 #[test]
-fn words_of_the_operator_file() {
+fn values_of_enumerated_fields() {
     let levels = ["error", "warn", "info", "debug"].map(|word| {
         let text = format!("{{log: {{level: '{word}'}}}}");
         Operator::parse(&text).expect(word).log.level
@@ -337,10 +337,10 @@
     );
 }
 
-/// A policy is read from operators' files in the same way as the operators' file itself.
+/// Policy files are parsed in the same way as the operators' file.
 #[test]
-fn policy_file_as_operators_write_it() {
-    let kept: Policy = parse_json5(&read_golden_text("policy_file.json5")).expect("it is read");
+fn policy_file_of_an_operator() {
+    let policy: Policy = parse_json5(&read_golden_text("policy_file.json5")).expect("it is parsed");
     let budgets = BTreeMap::from([(
         "callers".into(),
         BTreeMap::from([(CallKind::NewConnection, 500)]),
@@ -351,12 +351,12 @@
         budgets,
         ..Policy::default()
     };
-    assert_eq!(kept, expected);
+    assert_eq!(policy, expected);
 }
 
 // Replies on the control socket.
 
-/// A folder of one test's own, which is gone with it.
+/// A temporary folder of one test, removed when dropped.
 struct Folder(PathBuf);
 
 impl Folder {
@@ -370,42 +370,45 @@
 
 impl Drop for Folder {
     fn drop(&mut self) {
-        let _ = std::fs::remove_dir_all(&self.0); // a leftover harms nobody
+        let _ = std::fs::remove_dir_all(&self.0); // a leftover does no harm
     }
 }
 
-/// Asks as tools and agents do, and reads all replies up to the end of the connection: the word and the report of each.
-fn ask(socket: &Path, question: &str) -> Vec<Value> {
-    let until = Instant::now() + PATIENCE;
+/// Sends a request as tools and agents do, and reads all replies up to the end of the connection: the kind and the body of
+/// each.
+fn send(socket: &Path, request: &str) -> Vec<Value> {
+    let deadline = Instant::now() + TIMEOUT;
     let mut stream = loop {
         match UnixStream::connect(socket) {
             Ok(stream) => break stream,
-            Err(error) => assert!(Instant::now() < until, "{}: {error}", socket.display()),
+            Err(error) => assert!(Instant::now() < deadline, "{}: {error}", socket.display()),
         }
         sleep(Duration::from_millis(5));
     };
-    stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
-    stream.write_all(question.as_bytes()).expect("it is asked");
+    stream.set_read_timeout(Some(TIMEOUT)).expect("a time-out");
+    stream
+        .write_all(request.as_bytes())
+        .expect("the request is sent");
     let mut replies = String::new();
     stream.read_to_string(&mut replies).expect("replies");
     let (mut rest, mut all) = (replies.as_str(), Vec::new());
     while !rest.is_empty() {
-        let (head, behind) = rest.split_once("\r\n").expect("a line");
+        let (head, tail) = rest.split_once("\r\n").expect("a line");
         let words: Vec<&str> = head.split(' ').collect();
         let ["say", "1", word, length] = words[..] else {
-            panic!("{head:?} is no head of a reply");
+            panic!("{head:?} is not the head of a reply");
         };
         let length: usize = length.parse().expect("a length");
-        let (body, behind) = behind.split_at(length);
+        let (body, tail) = tail.split_at(length);
         let report: Value = serde_json::from_str(body).expect("JSON");
         assert_eq!(report.to_string(), body, "keys in order, without blanks");
         all.push(json!([word, report]));
-        rest = behind.strip_prefix("\r\n").expect("an end");
+        rest = tail.strip_prefix("\r\n").expect("an end");
     }
     all
 }
 
-fn question(word: &str, body: &str) -> String {
+fn request(word: &str, body: &str) -> String {
     format!("ask 1 {word} {}\r\n{body}\r\n", body.len())
 }
 
@@ -416,36 +419,41 @@
     assert_eq!(decoded, replies, "{name}");
 }
 
-/// Opens a control socket whose questions are answered by `answer`, and asks all of these, one connection each.
-fn ask_answerer(
+/// Opens a control socket on which `answer` responds, and sends these requests to it, each on its own connection.
+fn send_to_responder(
     name: &str,
-    questions: &[String],
+    requests: &[String],
     mut answer: impl FnMut(PendingRequest),
 ) -> Vec<Vec<Value>> {
     let folder = Folder::new(name);
     let socket = folder.0.join("control");
     let tools: JoinHandle<Vec<Vec<Value>>> = {
-        let (socket, questions) = (socket.clone(), questions.to_vec());
-        spawn(move || questions.iter().map(|one| ask(&socket, one)).collect())
+        let (socket, requests) = (socket.clone(), requests.to_vec());
+        spawn(move || {
+            requests
+                .iter()
+                .map(|request| send(&socket, request))
+                .collect()
+        })
     };
     let runtime = Builder::new_current_thread().enable_all().build();
     let runtime = runtime.expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
-        let (asked, mut requests) = unbounded_channel();
-        let _control = control::open(&socket, asked).expect("a socket");
+        let (sender, mut received) = unbounded_channel();
+        let _control = control::open(&socket, sender).expect("a socket");
         while !tools.is_finished() {
-            let next = tokio::time::timeout(Duration::from_millis(20), requests.recv());
+            let next = tokio::time::timeout(Duration::from_millis(20), received.recv());
             if let Ok(Some(request)) = next.await {
                 answer(request);
             }
         }
     });
-    tools.join().expect("all were answered")
+    tools.join().expect("all requests are answered")
 }
 
 #[test]
 fn replies_to_an_upgrade() {
-    let ways: [Vec<Progress>; 4] = [
+    let sequences: [Vec<Progress>; 4] = [
         vec![
             Progress::Starting,
             Progress::Ready,
@@ -464,14 +472,14 @@
             Progress::Recovered("it was silent".into()),
         ],
     ];
-    let mut coming = ways.clone().into_iter();
-    let questions = vec![question("upgrade", "{}"); ways.len()];
-    let replies = ask_answerer("upgrade", &questions, |asked| {
-        let PendingRequest::Upgrade(progress) = asked else {
-            panic!("an upgrade was asked for");
+    let mut remaining = sequences.clone().into_iter();
+    let requests = vec![request("upgrade", "{}"); sequences.len()];
+    let replies = send_to_responder("upgrade", &requests, |received| {
+        let PendingRequest::Upgrade(progress) = received else {
+            panic!("not an upgrade request");
         };
-        for one in coming.next().expect("no more questions than ways") {
-            progress.send(one).expect("somebody listens");
+        for stage in remaining.next().expect("no more requests than sequences") {
+            progress.send(stage).expect("the connection waits");
         }
     });
     assert_replies("control_upgrade.json", &replies.concat());
@@ -479,7 +487,7 @@
 
 #[test]
 fn heartbeat_and_its_answer() {
-    let beat = Heartbeat {
+    let expected = Heartbeat {
         incarnation: LARGE,
         offered_policy: Some(VersionedPolicy {
             version: 23,
@@ -500,7 +508,7 @@
             ..QuotaGrantBatch::default()
         }),
     };
-    let said = InstanceStatus {
+    let status = InstanceStatus {
         incarnation: LARGE,
         reported_at: 1022.25,
         fenced_version: 21,
@@ -512,87 +520,91 @@
         quota_requests: None,
     };
     let body = read_golden_text("control_beat.json");
-    let mut answers = [None, Some(said)].into_iter();
-    let questions = vec![question("policy", &body); 2];
-    let replies = ask_answerer("policy", &questions, |asked| {
-        let PendingRequest::Policy(heard, reply) = asked else {
-            panic!("a heartbeat came");
+    let mut answers = [None, Some(status)].into_iter();
+    let requests = vec![request("policy", &body); 2];
+    let replies = send_to_responder("policy", &requests, |received| {
+        let PendingRequest::Policy(heartbeat, reply) = received else {
+            panic!("not a heartbeat");
         };
-        assert_eq!(*heard, beat);
-        let answer = answers.next().expect("no more questions than answers");
-        reply.send(answer).expect("somebody listens");
+        assert_eq!(*heartbeat, expected);
+        let answer = answers.next().expect("no more requests than answers");
+        reply.send(answer).expect("the connection waits");
     });
     assert_replies("control_policy.json", &replies.concat());
 }
 
-/// Agents tell by these replies whether an instance knows what they ask.
+/// From these replies agents learn whether an instance supports a request.
 #[test]
-fn replies_to_what_can_not_be_answered() {
-    let questions = [
-        question("nonsense", "{}"),
+fn replies_to_unsupported_requests() {
+    let requests = [
+        request("nonsense", "{}"),
         "ask 2 status 2\r\n{}\r\n".to_owned(),
-        question("council", "{}"),
+        request("council", "{}"),
     ];
-    let replies = ask_answerer("unreadable", &questions, |_| panic!("nothing was asked"));
+    let replies = send_to_responder("unreadable", &requests, |_| {
+        panic!("no request is passed on")
+    });
     assert_replies("control_unreadable.json", &replies.concat());
 }
 
 #[test]
-fn replies_about_what_is_known_and_to_an_agent() {
-    let questions = [
-        question("knowledge", "{}"),
-        question("knowledge", "{}"),
-        question("forget", r#"{"origin":"n4"}"#),
-        question("forget", "{}"),
-        question("fleet", r#"{"do":"status"}"#),
+fn replies_about_observations_and_to_an_agent() {
+    let requests = [
+        request("knowledge", "{}"),
+        request("knowledge", "{}"),
+        request("forget", r#"{"origin":"n4"}"#),
+        request("forget", "{}"),
+        request("fleet", r#"{"do":"status"}"#),
     ];
     let mut turn = 0;
-    let replies = ask_answerer("knowledge", &questions, |asked| {
+    let replies = send_to_responder("knowledge", &requests, |received| {
         turn += 1;
-        match (turn, asked) {
-            (1, PendingRequest::Knowledge(reply)) => reply.send(None).expect("somebody listens"),
+        match (turn, received) {
+            (1, PendingRequest::Knowledge(reply)) => {
+                reply.send(None).expect("the connection waits")
+            }
             (2, PendingRequest::Knowledge(reply)) => {
                 let pages = vec![json!({ "page": 1 }), json!({ "page": 2 })];
-                reply.send(Some(pages)).expect("somebody listens");
+                reply.send(Some(pages)).expect("the connection waits");
             }
             (3, PendingRequest::Forget(origin, reply)) => {
                 assert_eq!(origin.as_deref(), Some("n4"));
-                reply.send(Some(17)).expect("somebody listens");
+                reply.send(Some(17)).expect("the connection waits");
             }
             (4, PendingRequest::Forget(origin, reply)) => {
                 assert_eq!(origin, None);
-                reply.send(None).expect("somebody listens");
+                reply.send(None).expect("the connection waits");
             }
             (5, PendingRequest::Fleet(body, reply)) => {
                 assert_eq!(body, json!({ "do": "status" }));
                 let more = (ControlMessage::More, json!({ "step": 1 }));
-                reply.send(more).expect("somebody listens");
+                reply.send(more).expect("the connection waits");
                 let last = (ControlMessage::Failed, json!({ "text": "no such group" }));
-                reply.send(last).expect("somebody listens");
+                reply.send(last).expect("the connection waits");
             }
-            (turn, _) => panic!("question {turn} came as another one"),
+            (turn, _) => panic!("request {turn} was received as another kind"),
         }
     });
     assert_replies("control_knowledge.json", &replies.concat());
 }
 
-// Replies of an instance that serves.
+// Replies of a serving instance.
 
-/// Replaces a figure that differs from run to run; it must be a number.
-fn replace_number(value: &mut Value, place: &str) {
-    let figure = value.pointer_mut(place).expect(place);
-    assert!(figure.is_number(), "{place}: {figure}");
-    *figure = json!("a number");
+/// Replaces a value that differs from run to run; it must be a number.
+fn replace_number(report: &mut Value, path: &str) {
+    let value = report.pointer_mut(path).expect(path);
+    assert!(value.is_number(), "{path}: {value}");
+    *value = json!("a number");
 }
 
-/// Replaces all figures that differ from run to run in a status.
-fn replace_figures(status: &mut Value) {
+/// Replaces all values that differ from run to run in a status.
+fn replace_numbers(status: &mut Value) {
     assert_eq!(status["process"], json!(std::process::id()));
     let version = concat!("merlinshelf ", env!("CARGO_PKG_VERSION"));
     assert_eq!(status["version"], json!(version));
     status["version"] = json!("a version");
-    for place in ["/process", "/up_ms", "/memory_kb", "/descriptors"] {
-        replace_number(status, place);
+    for path in ["/process", "/up_ms", "/memory_kb", "/descriptors"] {
+        replace_number(status, path);
     }
     replace_number(status, "/learning/taught_by/0/ago_s");
     replace_number(status, "/policy/left_s");
@@ -603,12 +615,12 @@
     }
 }
 
-/// What an instance has kept of another one, as its file holds it.
-fn kept_observations() -> Vec<u8> {
+/// The gossip store of an instance with observations of another one.
+fn stored_observations() -> Vec<u8> {
     let now = SystemTime::now().duration_since(UNIX_EPOCH);
-    let told =
-        |subject: Metric, value: f64, count: u32, standing: SourceStatus| GossipedObservation {
-            metric: subject,
+    let observation =
+        |metric: Metric, value: f64, count: u32, status: SourceStatus| GossipedObservation {
+            metric,
             source: Source {
                 name: "n4".into(),
                 incarnation: LARGE,
@@ -618,7 +630,7 @@
             age_seconds: 1.5,
             sequence: 42,
             hops: 1,
-            status: standing,
+            status,
         };
     let limit = Metric::CallLimit {
         dependency: "library".into(),
@@ -628,22 +640,22 @@
         operation: "thumbnail".into(),
     };
     let mut bytes = merlinshelf_gossip::store_format::header();
-    for told in [
-        told(limit, 48.5, 96, SourceStatus::RecentlySynced),
-        told(run, 0.25, 64, SourceStatus::Steady),
+    for observation in [
+        observation(limit, 48.5, 96, SourceStatus::RecentlySynced),
+        observation(run, 0.25, 64, SourceStatus::Steady),
     ] {
-        let at = now.clone().expect("a time").as_secs_f64();
-        let kept = Record::Observation(PersistedObservation {
-            saved_at: at,
-            observation: told,
+        let saved_at = now.clone().expect("a time").as_secs_f64();
+        let record = Record::Observation(PersistedObservation {
+            saved_at,
+            observation,
         });
-        let record = merlinshelf_gossip::store_format::record(&kept);
+        let record = merlinshelf_gossip::store_format::record(&record);
         bytes.extend(record.expect("a record that can be encoded"));
     }
     bytes
 }
 
-/// A configuration of the platform for an instance whose engine, catalogue and registry are not there.
+/// A configuration for an instance whose engine, catalogue and registration service are not reachable.
 fn configuration() -> Value {
     let text = include_str!("../../../examples/config.json");
     let mut configuration: Value = serde_json::from_str(text).expect("JSON");
@@ -655,15 +667,15 @@
     configuration
 }
 
-/// Starts an instance in this process that knows observations, a policy, dependencies and budgets, asks for its status and
-/// what it knows, and has it leave.
+/// Starts an instance in this process that has observations, a policy, dependencies and budgets, requests its status and
+/// its observations, and drains it.
 #[test]
-fn replies_of_an_instance_that_serves() {
+fn replies_of_a_serving_instance() {
     let folder = Folder::new("serve");
     let path = |name: &str| folder.0.join(name);
     let (socket, learning) = (path("control"), path("learning"));
     std::fs::create_dir_all(&learning).expect("a folder");
-    std::fs::write(learning.join("knowledge"), kept_observations()).expect("a file");
+    std::fs::write(learning.join("knowledge"), stored_observations()).expect("a file");
     std::fs::write(path("config.json"), configuration().to_string()).expect("a file");
     let operator = json!({
         "control": { "socket": socket },
@@ -686,57 +698,58 @@
         config: path("config.json"),
         operator: Some(path("operator.json5")),
     };
-    let server = spawn(move || serve(&start).inspect_err(|why| eprintln!("{why}")));
-
-    // Its life and its clock are needed to grant it a lease.
-    let beat = question("policy", "{}");
-    let said = ask(&socket, &beat)[0][1].clone();
-    let (life, asked) = (said["life"].clone(), said["asked"].clone());
-    let beat = json!({
-        "life": life,
+    let server = spawn(move || serve(&start).inspect_err(|error| eprintln!("{error}")));
+
+    // Its incarnation and its clock are needed to grant it a lease.
+    let report = send(&socket, &request("policy", "{}"))[0][1].clone();
+    let (incarnation, requested_at) = (report["life"].clone(), report["asked"].clone());
+    let heartbeat = json!({
+        "life": incarnation,
         "offer": [7, { "note": "evening", "budgets": { "catalogue": { "probes": 16 }, "assets": { "first": 18 } } }],
-        "grant": { "number": 7, "asked": asked, "for_s": 600.0 },
+        "grant": { "number": 7, "asked": requested_at, "for_s": 600.0 },
     });
-    let mut said = ask(&socket, &question("policy", &beat.to_string()));
-    for place in ["/life", "/asked", "/left_s"] {
-        replace_number(&mut said[0][1], place);
+    let mut report = send(&socket, &request("policy", &heartbeat.to_string()));
+    for path in ["/life", "/asked", "/left_s"] {
+        replace_number(&mut report[0][1], path);
     }
-    for place in [
+    for path in [
         "/life",
         "/places/assets/claims/first/life",
         "/places/catalogue/claims/probes/life",
     ] {
-        replace_number(&mut said[0][1]["wishes"], place);
+        replace_number(&mut report[0][1]["wishes"], path);
     }
-    assert_replies("serving_policy.json", &said);
+    assert_replies("serving_policy.json", &report);
 
-    // Observations are read beside the service.
-    let until = Instant::now() + PATIENCE;
+    // Observations are loaded while the instance already serves.
+    let deadline = Instant::now() + TIMEOUT;
     let mut status = loop {
-        let status = ask(&socket, &question("status", "{}"));
+        let status = send(&socket, &request("status", "{}"));
         if status[0][1]["learning"]["taught_by"][0].is_object() {
             break status;
         }
-        assert!(Instant::now() < until, "{status:?}");
+        assert!(Instant::now() < deadline, "{status:?}");
         sleep(Duration::from_millis(5));
     };
-    replace_figures(&mut status[0][1]);
+    replace_numbers(&mut status[0][1]);
     assert_replies("serving_status.json", &status);
 
-    let mut known = ask(&socket, &question("knowledge", "{}"));
-    let figures = known[0][1]["figures"].as_array_mut().expect("figures");
-    for figure in figures {
-        replace_number(figure, "/age_s");
-        replace_number(figure, "/weight");
+    let mut observations = send(&socket, &request("knowledge", "{}"));
+    let figures = observations[0][1]["figures"]
+        .as_array_mut()
+        .expect("figures");
+    for observation in figures {
+        replace_number(observation, "/age_s");
+        replace_number(observation, "/weight");
     }
-    assert_replies("serving_knowledge.json", &known);
+    assert_replies("serving_knowledge.json", &observations);
 
-    let refused = ["fleet", "upgrade"].map(|word| ask(&socket, &question(word, "{}")));
+    let refused = ["fleet", "upgrade"].map(|word| send(&socket, &request(word, "{}")));
     assert_replies("serving_refused.json", &refused.concat());
-    let forgotten = ask(&socket, &question("forget", r#"{"origin":"n4"}"#));
+    let forgotten = send(&socket, &request("forget", r#"{"origin":"n4"}"#));
     assert_replies("serving_forget.json", &forgotten);
-    let drained = ask(&socket, &question("drain", "{}"));
+    let drained = send(&socket, &request("drain", "{}"));
     assert_replies("serving_drain.json", &drained);
     let exit = server.join().expect("no panic");
-    assert_eq!(exit.expect("it serves to its end"), 0);
+    assert_eq!(exit.expect("it serves until the drain ends"), 0);
 }
