--- a/crates/merlinshelf-backend/src/client/engine.rs
+++ b/crates/merlinshelf-backend/src/client/engine.rs
@@ -20,7 +20,7 @@
 use tokio::time::{Instant, sleep, sleep_until};
 
 use super::{PeersReceiver, connect, invalid_message};
-use crate::exchange::{Command, Shared, StoppedPart, monotonic, pass};
+use crate::exchange::{Command, FrozenConnection, Shared, monotonic_seconds, pass_to_predecessor};
 use crate::fault;
 use crate::ring::{IoProgress, Ring};
 
@@ -192,7 +192,7 @@
             exchange.counters.engine_links += 1;
             exchange.next_stream()
         };
-        pass(&self.exchange, Role::EngineConnection(stream), &socket).await?;
+        pass_to_predecessor(&self.exchange, Role::EngineConnection(stream), &socket).await?;
         let now = Instant::now();
         let (read_buffer, write_buffer) = (Ring::default(), Ring::default());
         // The first HELLO may wait until the engine is up; later ones are subject to the timeout.
@@ -225,8 +225,9 @@
         let now = Instant::now();
         (self.last_notification, self.last_request_tag) =
             (record.last_notification, record.last_request_tag);
-        let age =
-            |started_at: f64| Duration::from_secs_f64((monotonic() - started_at).clamp(0.0, 1e6));
+        let age = |started_at: f64| {
+            Duration::from_secs_f64((monotonic_seconds() - started_at).clamp(0.0, 1e6))
+        };
         self.started_at = record
             .engine_started_at
             .and_then(|started_at| now.checked_sub(age(started_at)));
@@ -281,7 +282,7 @@
             is_caught_up: connection.is_some_and(|connection| connection.is_caught_up),
             names_dependencies: connection.is_some_and(|connection| connection.names_dependencies),
             engine_started_at: self.started_at.map(|started_at| {
-                monotonic() - now.saturating_duration_since(started_at).as_secs_f64()
+                monotonic_seconds() - now.saturating_duration_since(started_at).as_secs_f64()
             }),
             flow: connection.map(flow).unwrap_or_default(),
         }
@@ -302,7 +303,7 @@
         let socket = connection.and_then(|connection| connection.socket.into_std().ok());
         self.exchange
             .borrow_mut()
-            .add_stopped_part(StoppedPart::Engine(record, socket));
+            .add_frozen_connection(FrozenConnection::Engine(record, socket));
     }
 
     /// Closes a connection also where a predecessor has a copy of the socket that would leave it open.
--- a/crates/merlinshelf-backend/src/server/connection.rs
+++ b/crates/merlinshelf-backend/src/server/connection.rs
@@ -25,7 +25,8 @@
 use super::rejection::Rejection;
 use super::table::{ReceivedKind, Slot};
 use crate::exchange::{
-    Answer, ConnectionHandle, ReadReservation, ReplyAddress, Shared, StoppedPart, pass,
+    Answer, ConnectionHandle, FrozenConnection, ReadReservation, ReplyAddress, Shared,
+    pass_to_predecessor,
 };
 use crate::fault;
 use crate::ring::{IoProgress, Ring};
@@ -147,7 +148,7 @@
         for partial in record.partials {
             let reservation = exchange
                 .borrow()
-                .restore_reading(partial.params.len() + partial.body.len());
+                .restore_read_reservation(partial.params.len() + partial.body.len());
             connection.assembly.resume(partial, reservation);
         }
         connection.unanswered = record.unanswered.into_iter().collect();
@@ -203,7 +204,7 @@
     pub async fn serve(mut self) {
         if !self.is_resumed {
             // A predecessor that watches knows the connections that it opened itself.
-            if let Err(error) = pass(
+            if let Err(error) = pass_to_predecessor(
                 &self.exchange,
                 Role::ClientConnection(self.handle.stream()),
                 &self.socket,
@@ -222,8 +223,8 @@
             let record = self.record();
             match self.socket.into_std() {
                 Ok(socket) => {
-                    let part = StoppedPart::Client(self.handle.stream(), record, socket);
-                    self.exchange.borrow_mut().add_stopped_part(part);
+                    let connection = FrozenConnection::Client(self.handle.stream(), record, socket);
+                    self.exchange.borrow_mut().add_frozen_connection(connection);
                 }
                 Err(error) => warn!("a connection was not handed over: {error}"),
             }
@@ -425,7 +426,7 @@
     fn reserve(&self) -> Option<ReadReservation> {
         let count = self.unanswered.len() + self.assembly.len();
         (count < MAX_INVOCATIONS)
-            .then(|| self.exchange.borrow().reserve_reading())
+            .then(|| self.exchange.borrow().reserve_read())
             .flatten()
     }
 
--- a/crates/merlinshelf-backend/src/server/mod.rs
+++ b/crates/merlinshelf-backend/src/server/mod.rs
@@ -178,9 +178,9 @@
 fn may_accept(exchange: &Shared, is_waiting: &mut bool) -> bool {
     let mut exchange = exchange.borrow_mut();
     if !std::mem::replace(is_waiting, true) {
-        exchange.note_connection_demand(CALLERS);
+        exchange.record_connection_demand(CALLERS);
     }
-    let may_open = exchange.may_open_connection(CALLERS);
+    let may_open = exchange.try_acquire_connection(CALLERS);
     *is_waiting = !may_open;
     may_open
 }
