--- a/crates/merlinshelf-backend/src/client/catalogue/attempt.rs
+++ b/crates/merlinshelf-backend/src/client/catalogue/attempt.rs
@@ -75,7 +75,7 @@
 
 /// How an attempt's task ended.
 pub(super) enum AttemptResult {
-    /// With an outcome, and with the connection where that can carry another call.
+    /// With an outcome, and with the connection if it can carry another call.
     Ended(CallOutcome, Option<Box<DownstreamConnection>>),
     /// With an outcome that was already reported.
     Reported,
@@ -196,7 +196,7 @@
     }
 }
 
-/// Reports the outcome of an attempt to the router where that made it, else to the exchange.
+/// Reports the outcome of an attempt to the router if that made it, else to the exchange.
 pub(super) fn report_outcome(
     exchange: &Shared,
     routing: Option<&SharedRouting>,
--- a/crates/merlinshelf-backend/src/client/catalogue/mod.rs
+++ b/crates/merlinshelf-backend/src/client/catalogue/mod.rs
@@ -43,21 +43,21 @@
     address: SocketAddr,
 }
 
-/// Calls in flight, waiting calls and idle connections. Whatever ends a call, its connection is
-/// returned to `handle_result`, or closed by the end of its task.
+/// Calls in flight, waiting calls and idle connections. However a call ends, its connection is
+/// returned to `handle_result` or closed at the end of its task.
 struct DownstreamClient {
     exchange: Shared,
     /// The catalogue's address.
     address: SocketAddr,
     tasks: JoinSet<(AttemptKey, AttemptResult)>,
     in_flight: BTreeMap<AttemptKey, AbortHandle>,
-    /// The calls that go to dependencies, where the operators configure some.
+    /// The router of calls to dependencies, if the operators configure some.
     routing: Option<SharedRouting>,
     waiting: VecDeque<Call>,
-    /// The first waiting call waits for a connection that may not be opened yet.
+    /// Whether the first waiting call waits for a connection that may not be opened yet.
     is_deferred: bool,
     deferred_attempts: VecDeque<DeferredAttempt>,
-    /// The longest idle first.
+    /// Idle connections, the longest idle first.
     idle: VecDeque<DownstreamConnection>,
     max_calls: usize,
 }
@@ -130,8 +130,7 @@
         self.is_deferred || !self.deferred_attempts.is_empty()
     }
 
-    /// Waits until each task has handed over its connection; calls that are cancelled meanwhile end
-    /// as usual.
+    /// Waits until each task has handed over its connection. Calls cancelled meanwhile end as usual.
     async fn freeze(mut self) {
         self.process_commands();
         while let Some(result) = self.tasks.join_next().await {
--- a/crates/merlinshelf-backend/src/client/engine.rs
+++ b/crates/merlinshelf-backend/src/client/engine.rs
@@ -24,7 +24,7 @@
 use crate::fault;
 use crate::ring::{IoProgress, Ring};
 
-/// The least time between two attempts to connect. A connection that lasted longer is replaced at once,
+/// The minimum time between two attempts to connect. A connection that lasted longer is replaced at once,
 /// since the engine's cores idle meanwhile.
 const RECONNECT_INTERVAL: Duration = Duration::from_millis(50);
 /// The interval of requests for the gauges: a little less than the controller's interval of 10 ms, so
@@ -38,7 +38,7 @@
 /// With more than this unsent, commands wait in the exchange.
 const MAX_UNSENT_BYTES: usize = 256 * 1024;
 
-/// State that outlives a connection.
+/// The client of the engine: the state that outlives a connection.
 struct Client {
     exchange: Shared,
     /// The number of the last notification that was read.
@@ -55,7 +55,7 @@
     started_at: Option<Instant>,
 }
 
-/// One connection.
+/// A connection to the engine.
 struct Connection {
     socket: TcpStream,
     /// Its number among all connections, also of earlier processes.
@@ -77,7 +77,8 @@
 /// The state of the connection of another process, and its socket unless it was down.
 pub type ResumedEngineConnection = (records::EngineConnectionRecord, Option<TcpStream>);
 
-/// Keeps the connection open until the instance freezes; continues that of another process.
+/// Keeps a connection open until the instance freezes, starting with that of another process if there is
+/// one.
 pub async fn maintain_connection(
     mut peers: PeersReceiver,
     exchange: Shared,
--- a/crates/merlinshelf-backend/src/client/registration.rs
+++ b/crates/merlinshelf-backend/src/client/registration.rs
@@ -84,8 +84,9 @@
 ) -> io::Result<Option<TcpStream>> {
     let mut read_buffer = Ring::default();
     // A connection that the service has closed meanwhile is replaced.
-    let open = cached.filter(|socket| matches!(read_buffer.fill(socket), Ok(IoProgress::Blocked)));
-    let socket = match open {
+    let reusable =
+        cached.filter(|socket| matches!(read_buffer.fill(socket), Ok(IoProgress::Blocked)));
+    let socket = match reusable {
         Some(socket) => socket,
         None => connect(address).await?,
     };
--- a/crates/merlinshelf-backend/src/counters.rs
+++ b/crates/merlinshelf-backend/src/counters.rs
@@ -92,7 +92,7 @@
     throttled,
     /// Final responses of failed invocations.
     errored,
-    /// Invocations or responses whose connection was gone.
+    /// Invocations or responses whose connection was already closed.
     unheard,
     /// Connections to the engine.
     engine_links,
--- a/crates/merlinshelf-backend/src/server/connection.rs
+++ b/crates/merlinshelf-backend/src/server/connection.rs
@@ -38,8 +38,8 @@
 const MAX_UNSENT_BYTES: usize = 64 * 1024;
 
 /// The time from the first byte of an invocation, or from the start of a connection, until a message
-/// must be complete. An edge node writes an invocation at once; the protocol gives
-/// others 3 s to receive an answer.
+/// must be complete. An edge node writes an invocation at once; the protocol gives others 3 s to
+/// receive an answer.
 const READ_TIMEOUT: Duration = Duration::from_millis(1500);
 /// A client that reads nothing for this long is considered dead, even if its kernel keeps the connection
 /// open: longer than any pause after which an answer is still useful.
@@ -54,7 +54,7 @@
 const MAX_FAULTS: u32 = 16;
 const FAULT_PAUSE: Duration = Duration::from_millis(10);
 
-/// One connection, with its task's state.
+/// A connection of an edge node, and the state of its task.
 pub struct Connection {
     socket: TcpStream,
     exchange: Shared,
@@ -78,7 +78,7 @@
     read_paused_until: Option<Instant>,
     /// The most important kind of request received completely.
     received: ReceivedKind,
-    /// It ends while the client may still be sending, so it must linger.
+    /// The connection ends while the client may still be sending, so it must linger.
     must_linger: bool,
     /// Nothing more is read; invocations read before are still answered.
     is_read_closed: bool,
@@ -86,7 +86,7 @@
     closes_after_write: bool,
     /// The maximum number of connections, for clients that query it.
     max_connections: usize,
-    /// Another process opened it.
+    /// Whether another process opened the connection.
     is_resumed: bool,
 }
 
@@ -601,7 +601,8 @@
                 .write_overloaded(&mut self.write_buffer, id, &response_head(503, ""));
     }
 
-    /// Handles a fragment of a uwsgi request, where the ends of the parameters and of the body are part of the last fragment.
+    /// Handles a fragment of a uwsgi request. The ends of the parameters and of the body are part of their
+    /// last fragment, not fragments of their own.
     fn handle_uwsgi(&mut self, fragment: uwsgi::Fragment) {
         let (bytes, last) = match fragment {
             uwsgi::Fragment::Begin => return self.begin(UWSGI_REQUEST_ID, false),
