--- a/crates/merlinshelf-backend/src/exchange/policy.rs
+++ b/crates/merlinshelf-backend/src/exchange/policy.rs
@@ -120,7 +120,7 @@
     /// Stops waiting for a policy lease.
     pub fn stop_waiting_for_policy(&mut self) {
         if let Some(active) = &mut self.policy {
-            active.holder.stop_waiting();
+            active.holder.stop_waiting_for_lease();
         }
     }
 
