--- a/crates/merlinshelf-policy/tests/lease_holder.rs
+++ b/crates/merlinshelf-policy/tests/lease_holder.rs
@@ -121,11 +121,7 @@
             3.3,
             to_instance().grant(2, 3.2),
         ),
-        step(
-            "offer of a document that is rejected",
-            3.4,
-            to_instance().offer(3),
-        ),
+        step("offer that is rejected", 3.4, to_instance().offer(3)),
         step(
             "grant of a rejected version",
             3.5,
--- a/crates/merlinshelf-quota/src/allocation.rs
+++ b/crates/merlinshelf-quota/src/allocation.rs
@@ -5,7 +5,8 @@
 pub struct Claim {
     /// Calls per second.
     pub calls_needed: u32,
-    /// The weight of the claim in the division of what remains after the even part; above 0.
+    /// The weight of the claim when the calls that remain after the even division are divided;
+    /// above 0.
     pub weight: f64,
     /// Calls per second; at most `calls_needed`.
     pub allocated: u32,
@@ -46,7 +47,8 @@
     remaining
 }
 
-/// Allocates calls in proportion to the weights of the unsatisfied claims; returns what remains.
+/// Allocates calls in proportion to the weights of the unsatisfied claims; returns the number of
+/// calls that remain.
 fn allocate_by_weight(calls: u32, claims: &mut [Claim]) -> u32 {
     let weight_sum: f64 = claims
         .iter()
--- a/crates/merlinshelf-quota/src/budget.rs
+++ b/crates/merlinshelf-quota/src/budget.rs
@@ -112,7 +112,7 @@
     Ok(())
 }
 
-/// A budget that does not cover what the base policy reserves.
+/// A budget that does not cover the reserves of the base policy.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum UncoveredReserve {
     /// The base policy reserves nothing of this kind.
@@ -147,7 +147,7 @@
     },
 }
 
-/// All budgets that do not cover what the base policy reserves; there is at least one.
+/// All budgets that do not cover the reserves of the base policy; there is at least one.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{}", join(uncovered))]
 pub struct ReserveError {
--- a/crates/merlinshelf-quota/src/dependency_quota.rs
+++ b/crates/merlinshelf-quota/src/dependency_quota.rs
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Calls of a kind that may be made now; `u32::MAX` where they have no budget.
+    /// The calls of a kind that may be made now; `u32::MAX` if they have no budget.
     pub fn remaining_calls(&mut self, now: f64, kind: CallKind) -> u32 {
         let Some(holder) = self.holders.get_mut(&kind) else {
             return u32::MAX;
--- a/crates/merlinshelf-quota/tests/model/main.rs
+++ b/crates/merlinshelf-quota/tests/model/main.rs
@@ -16,9 +16,9 @@
         for seed in 0..20 {
             let outcome = simulate(seed, SeededBug::None, budget);
             assert!(
-                outcome.worst_second <= budget as usize,
+                outcome.max_calls_per_second <= budget as usize,
                 "seed {seed}: {} calls in one second exceed the budget of {budget}",
-                outcome.worst_second
+                outcome.max_calls_per_second
             );
             assert!(
                 outcome.calls > 0,
@@ -32,14 +32,15 @@
 
 #[test]
 fn the_simulation_detects_an_allocator_that_ignores_earlier_grants() {
-    let exceeds_budget = |seed| simulate(seed, SeededBug::GrantsAtOnce, 40).worst_second > 40;
+    let exceeds_budget =
+        |seed| simulate(seed, SeededBug::GrantsAtOnce, 40).max_calls_per_second > 40;
     assert!((0..60).any(exceeds_budget));
 }
 
 #[test]
 fn a_reduced_grant_counts_until_it_is_acknowledged() {
     for seeded_bug in [SeededBug::None, SeededBug::AcknowledgedAtOnce] {
-        let mut worst = 0;
+        let mut max_calls = 0;
         for seed in 0..10 {
             let mut world = World::new(seed, seeded_bug, 40);
             // One host spends the whole budget and is cut off from grants; then another host needs
@@ -55,12 +56,12 @@
             };
             world.schedule(9.95, partition);
             world.run(14.0);
-            worst = worst.max(world.worst_second());
+            max_calls = max_calls.max(world.max_calls_per_second());
         }
         assert_eq!(
-            worst > 40,
+            max_calls > 40,
             seeded_bug == SeededBug::AcknowledgedAtOnce,
-            "{seeded_bug:?}: {worst}"
+            "{seeded_bug:?}: {max_calls}"
         );
     }
 }
@@ -94,7 +95,7 @@
         }
     }
     assert!(had_quota.iter().all(|had| *had), "{had_quota:?}");
-    assert!(world.worst_second() <= 2);
+    assert!(world.max_calls_per_second() <= 2);
 }
 
 const DEMAND: Demand = Demand {
--- a/crates/merlinshelf-quota/tests/model/scenario.rs
+++ b/crates/merlinshelf-quota/tests/model/scenario.rs
@@ -10,7 +10,7 @@
 /// The result of a simulation.
 pub struct Outcome {
     /// The maximum number of calls that arrived within one second.
-    pub worst_second: usize,
+    pub max_calls_per_second: usize,
     pub calls: usize,
     pub steps: u64,
 }
@@ -23,7 +23,7 @@
     }
     world.run(DURATION_SECONDS);
     Outcome {
-        worst_second: world.worst_second(),
+        max_calls_per_second: world.max_calls_per_second(),
         calls: world.arrivals.len(),
         steps: world.steps,
     }
--- a/crates/merlinshelf-quota/tests/model/world.rs
+++ b/crates/merlinshelf-quota/tests/model/world.rs
@@ -391,18 +391,18 @@
     }
 
     /// The maximum number of calls that arrived within one second.
-    pub fn worst_second(&mut self) -> usize {
+    pub fn max_calls_per_second(&mut self) -> usize {
         self.arrivals.sort_by(f64::total_cmp);
         let arrivals = &self.arrivals;
         let mut first = 0;
-        let mut worst = 0;
+        let mut max_calls = 0;
         for last in 0..arrivals.len() {
             while arrivals[last] - arrivals[first] >= 1.0 {
                 first += 1;
             }
-            worst = worst.max(last - first + 1);
+            max_calls = max_calls.max(last - first + 1);
         }
-        worst
+        max_calls
     }
 }
 
