--- a/crates/merlinshelf-cli/src/budget.rs
+++ b/crates/merlinshelf-cli/src/budget.rs
@@ -19,8 +19,8 @@
     Show,
 }
 
-pub fn run(agent: &Agent, what: &Budget) -> ExitCode {
-    match what {
+pub fn run(agent: &Agent, command: &Budget) -> ExitCode {
+    match command {
         Budget::Show => request_and_print(
             agent,
             &json!({ "op": "policy", "what": "budgets" }),
@@ -30,6 +30,7 @@
     }
 }
 
+/// Formats the fleet's budgets and the grants of this host.
 fn budgets_text(report: &Value) -> String {
     let string = |value: &Value| value.as_str().unwrap_or("-").to_owned();
     let mut text = format!(
--- a/crates/merlinshelf-cli/src/check.rs
+++ b/crates/merlinshelf-cli/src/check.rs
@@ -29,21 +29,21 @@
     let operator = operator.map(|(path, result)| (path, result.map(|_| ())));
     let files = [("config", config), ("operator", operator)];
     let mut failed = false;
-    for (what, path, result) in files
+    for (kind, path, result) in files
         .into_iter()
-        .filter_map(|(what, file)| file.map(|(path, result)| (what, path, result)))
+        .filter_map(|(kind, file)| file.map(|(path, result)| (kind, path, result)))
     {
         failed |= result.is_err();
         if as_json {
             print_line!(
                 "{}",
                 json!({
-                    "file": path, "what": what, "usable": result.is_ok(), "why": result.err(), "listener": protocols,
+                    "file": path, "what": kind, "usable": result.is_ok(), "why": result.err(), "listener": protocols,
                 })
             );
         } else {
             match result {
-                Ok(()) if what == "operator" => {
+                Ok(()) if kind == "operator" => {
                     print_line!(
                         "{}: valid; the listener accepts {protocols}",
                         path.display()
--- a/crates/merlinshelf-cli/src/fleet.rs
+++ b/crates/merlinshelf-cli/src/fleet.rs
@@ -117,13 +117,19 @@
         program: PathBuf,
     },
     /// Set the number of instances of a group
-    Scale { group: String, count: u32 },
+    Scale {
+        /// Name of the group
+        group: String,
+        /// Number of instances
+        count: u32,
+    },
     /// Show the status of the instances, updated every second until interrupted
     Watch,
     /// Print the last lines of the instances' logs
     Logs {
         #[command(flatten)]
         targets: Targets,
+        /// Number of lines for each instance
         #[arg(long, default_value_t = 20)]
         lines: u32,
     },
@@ -140,15 +146,16 @@
     /// Show the fleet's budgets of downstream calls and how they are shared out
     Budget {
         #[command(subcommand)]
-        what: crate::budget::Budget,
+        command: crate::budget::Budget,
     },
     /// Show or change the policy of all instances of all agents
     Policy {
         #[command(subcommand)]
-        what: crate::policy::Policy,
+        command: crate::policy::Policy,
     },
     /// Print the last events
     History {
+        /// Number of events
         #[arg(long, default_value_t = 50)]
         lines: u32,
     },
@@ -228,8 +235,8 @@
         Fleet::Abandon => send_simple_request(agent, &request("abandon")),
         Fleet::Apply => send_simple_request(agent, &request("apply")),
         Fleet::Plan => send_plan_request(agent, &request("plan"), false),
-        Fleet::Budget { what } => crate::budget::run(agent, what),
-        Fleet::Policy { what } => crate::policy::run(agent, what),
+        Fleet::Budget { command } => crate::budget::run(agent, command),
+        Fleet::Policy { command } => crate::policy::run(agent, command),
         Fleet::History { lines } => history(agent, *lines),
         Fleet::Watch => watch(agent),
     }
@@ -396,7 +403,8 @@
     text
 }
 
-/// Requests a report of the instances. Returns the instances, of other agents too, and the last reply.
+/// Requests a report of the instances. Returns the instances, of other agents too, and the last
+/// reply.
 fn request_instances(
     agent: &Path,
     body: &Value,
--- a/crates/merlinshelf-cli/src/knowledge.rs
+++ b/crates/merlinshelf-cli/src/knowledge.rs
@@ -1,4 +1,5 @@
-//! `merlinshelf knowledge`: the observations that an instance has of the servers behind it, with origins and ages.
+//! `merlinshelf knowledge`: the observations that an instance has of the servers behind it, with
+//! origins and ages.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -50,7 +51,8 @@
     }
 }
 
-/// Reads all observations stored in a folder, aged to now. A damaged store is reported on standard error.
+/// Reads all observations stored in a folder, aged to now. A damaged store is reported on standard
+/// error.
 fn read_from_folder(folder: &Path) -> io::Result<Vec<Value>> {
     let store = read_store(folder)?;
     if let Some(error) = store.error {
--- a/crates/merlinshelf-cli/src/main.rs
+++ b/crates/merlinshelf-cli/src/main.rs
@@ -1,7 +1,8 @@
-//! The `merlinshelf` command line. Without a command it serves the configuration that `PROXY_CONFIG` names: this is how
-//! the platform starts it.
+//! The `merlinshelf` command line. Without a command it serves the configuration that
+//! `PROXY_CONFIG` names: this is how the platform starts it.
 
-/// Prints a line on standard output. Unlike `println!`, it does not panic when the reader has closed the pipe.
+/// Prints a line on standard output. Unlike `println!`, it does not panic when the reader has
+/// closed the pipe.
 macro_rules! print_line {
     ($($arguments:tt)*) => {{
         use std::io::Write as _;
@@ -99,9 +100,10 @@
     /// Show or forget what an instance has learned about the servers behind it
     Knowledge {
         #[command(subcommand)]
-        what: Knowledge,
+        command: Knowledge,
     },
-    /// Keep the instances of a fleet file in their desired state; they keep running when the agent ends
+    /// Keep the instances of a fleet file in their desired state; they keep running when the agent
+    /// ends
     #[command(after_help = "Example:\n  merlinshelf agent deploy/fleet.json5\n\n\
                       SIGHUP reloads the file; SIGTERM ends the agent and leaves the instances running.")]
     Agent {
@@ -124,7 +126,7 @@
         #[command(flatten)]
         agent: fleet::Agent,
         #[command(subcommand)]
-        what: fleet::Fleet,
+        command: fleet::Fleet,
     },
     /// Print a completion script for a shell
     #[command(
@@ -245,15 +247,15 @@
                 }
             }
         }
-        Command::Fleet { agent, what } => fleet::run(&agent, &what),
+        Command::Fleet { agent, command } => fleet::run(&agent, &command),
         Command::Knowledge {
-            what: Knowledge::Show(KnowledgeSource { control, folder }),
+            command: Knowledge::Show(KnowledgeSource { control, folder }),
         } => knowledge::show(control.as_deref(), folder.as_deref()),
         Command::Knowledge {
-            what: Knowledge::Export(KnowledgeSource { control, folder }),
+            command: Knowledge::Export(KnowledgeSource { control, folder }),
         } => knowledge::export(control.as_deref(), folder.as_deref()),
         Command::Knowledge {
-            what: Knowledge::Forget { remote, origin },
+            command: Knowledge::Forget { remote, origin },
         } => knowledge::forget(&remote.control, origin.as_deref(), remote.json),
         Command::Completions { shell } => {
             clap_complete::generate(
--- a/crates/merlinshelf-cli/src/policy.rs
+++ b/crates/merlinshelf-cli/src/policy.rs
@@ -126,8 +126,8 @@
     ExitCode::from(FAILED)
 }
 
-pub fn run(agent: &Agent, what: &Policy) -> ExitCode {
-    match what {
+pub fn run(agent: &Agent, command: &Policy) -> ExitCode {
+    match command {
         Policy::Check { schema: true, .. } => {
             print_line!(
                 "{}",
@@ -252,7 +252,7 @@
             ""
         };
         return format!(
-            "it would be policy {} and replace policy {}{unchanged}",
+            "the change would become policy {} and replace policy {}{unchanged}",
             change["would_be"], change["in_place_of"]
         );
     }
@@ -274,6 +274,7 @@
     )
 }
 
+/// Formats the status of the policy on this host and its instances.
 fn policy_text(report: &Value) -> String {
     let string = |value: &Value| value.as_str().unwrap_or("-").to_owned();
     let mut text = format!(
--- a/crates/merlinshelf-cli/src/remote.rs
+++ b/crates/merlinshelf-cli/src/remote.rs
@@ -62,11 +62,11 @@
 
 /// Formats each dependency with its budgets, and one line per server.
 fn dependencies_table(dependencies: &Value) -> String {
-    let mut page = String::new();
+    let mut text = String::new();
     for dependency in dependencies.as_array().into_iter().flatten() {
         let number = |name: &str| dependency[name].as_f64().unwrap_or(0.0);
         let string = |value: &Value| value.as_str().unwrap_or("").to_owned();
-        page += &format!(
+        text += &format!(
             "{}{}: {} calls open, limit {:.0}, {} waiting, {:.1} attempts left in the budget\n  calls {}, attempts {}, succeeded {}, retries {}, \
              hedged requests {} (won {}, lost {}), degraded results {}, not made {}, timed out {}\n",
             string(&dependency["name"]),
@@ -95,7 +95,7 @@
                 .as_f64()
                 .map_or("-".to_owned(), |ms| format!("{ms:.2} ms"));
             let failures = 100.0 * server["failures"].as_f64().unwrap_or(0.0);
-            page += &format!(
+            text += &format!(
                 "  {:<22} {:<8} {:>3} open, limit {:<5} {mean:>11} {failures:>5.1}% failed  {}\n",
                 string(&server["address"]),
                 string(&server["state"]),
@@ -107,7 +107,7 @@
             );
         }
     }
-    page
+    text
 }
 
 /// Formats a report with one line per value; counters at zero are left out.
--- a/crates/merlinshelf-cli/tests/learning.rs
+++ b/crates/merlinshelf-cli/tests/learning.rs
@@ -1,5 +1,6 @@
-//! Learning between real programs on loopback: from a peer, from one's own past, from teachers that are slow, endless, silent
-//! or lie, in the midst of an upgrade or a notice to leave; and commands that show and forget.
+//! Gossip between real programs on loopback: learning from a peer, from the own store, and from
+//! peers that are slow, silent or wrong or that never stop sending; an upgrade and a drain during
+//! learning; and the commands that show and forget observations.
 
 use std::io;
 use std::process::Command;
@@ -20,9 +21,9 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_merlinshelf");
 
-/// Plays on one thread, within a time.
-fn play<T>(what: impl Future<Output = io::Result<T>>) -> T {
-    play_within(Duration::from_secs(60), what)
+/// Runs a test on one thread, with a timeout.
+fn run_test<T>(test: impl Future<Output = io::Result<T>>) -> T {
+    play_within(Duration::from_secs(60), test)
 }
 
 fn setup(number: u8, seeds: &[u8]) -> Setup {
@@ -37,14 +38,15 @@
     setup
 }
 
-/// Each with ids of its own.
+/// Starts a load whose invocation ids depend on the seed.
 async fn load(instance: &Instance, seed: u64) -> io::Result<(Load, Playing)> {
     let load = Load::of_all(&instance.address, 8, 120.0, seed);
     let playing = load.start().await?;
     Ok((load, playing))
 }
 
-/// Lets it go on until so many more were answered, and checks everything.
+/// Waits until 30 more invocations are answered, or 10 s have passed. Stops the load and checks all
+/// answers.
 async fn check(instance: &Instance, load: &Load, playing: Playing) -> Verdict {
     let answered = |playing: &Playing| {
         playing
@@ -55,27 +57,30 @@
             .filter(|sent| !sent.answers.is_empty())
             .count()
     };
-    let (until, wanted) = (
+    let (until, target) = (
         Instant::now() + Duration::from_secs(10),
         answered(&playing) + 30,
     );
-    while answered(&playing) < wanted && Instant::now() < until {
+    while answered(&playing) < target && Instant::now() < until {
         sleep(Duration::from_millis(5)).await;
     }
     let seen = playing.stop().await;
     seen.take().check(&instance.records.borrow(), load.patience)
 }
 
-fn is_taught_by(status: &Value, name: &str) -> bool {
-    let all = status["learning"]["taught_by"].as_array();
-    all.is_some_and(|all| {
-        all.iter()
-            .any(|one| one["by"].as_str().is_some_and(|by| by.starts_with(name)))
+/// Whether the instance has received observations from an origin whose name starts like this.
+fn learned_from(status: &Value, name: &str) -> bool {
+    let origins = status["learning"]["taught_by"].as_array();
+    origins.is_some_and(|origins| {
+        origins
+            .iter()
+            .any(|origin| origin["by"].as_str().is_some_and(|by| by.starts_with(name)))
     })
 }
 
-/// One that serves a load and knows its servers by its own samples.
-async fn experienced(number: u8) -> io::Result<(Instance, Load, Playing)> {
+/// Starts an instance under load and waits until it is steady, with observations from its own
+/// samples.
+async fn start_steady(number: u8) -> io::Result<(Instance, Load, Playing)> {
     let instance = Instance::start(&setup(number, &[]), number).await?;
     let (load, playing) = load(&instance, number.into()).await?;
     instance
@@ -87,51 +92,52 @@
 }
 
 fn run(arguments: &[&str]) -> (i32, String, String) {
-    let done = Command::new(PROGRAM)
+    let output = Command::new(PROGRAM)
         .args(arguments)
         .output()
-        .expect("it runs");
+        .expect("the output");
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
     (
-        done.status.code().unwrap_or(-1),
-        text(&done.stdout),
-        text(&done.stderr),
+        output.status.code().unwrap_or(-1),
+        text(&output.stdout),
+        text(&output.stderr),
     )
 }
 
 #[test]
-fn a_new_instance_is_taught_by_a_running_one_and_tells_by_whom() {
-    play(async {
-        let (teacher, teachers_load, teaching) = experienced(10).await?;
-        let pupil = Instance::start(&setup(11, &[10]), 11).await?;
-        pupil
-            .says("taught", |status| is_taught_by(status, "n10"))
+fn a_new_instance_learns_from_a_running_one_and_reports_the_origin() {
+    run_test(async {
+        let (peer, peer_load, peer_playing) = start_steady(10).await?;
+        let learner = Instance::start(&setup(11, &[10]), 11).await?;
+        learner
+            .says("taught", |status| learned_from(status, "n10"))
             .await?;
-        let figures = pupil.figures().await?;
-        let of = |kind: &str| {
-            figures
+        let observations = learner.figures().await?;
+        let count = |kind: &str| {
+            observations
                 .iter()
-                .filter(|one| one["kind"] == kind && one["origin"] == "n10")
+                .filter(|observation| observation["kind"] == kind && observation["origin"] == "n10")
                 .count()
         };
         assert_eq!(
-            (of("run-recent"), of("call-recent"), of("limit")),
+            (count("run-recent"), count("call-recent"), count("limit")),
             (3, 1, 1),
-            "{figures:?}"
+            "{observations:?}"
         );
         assert!(
-            figures
+            observations
                 .iter()
-                .all(|one| one["hops"].as_u64() >= Some(1) && one["own"] == false)
+                .all(|observation| observation["hops"].as_u64() >= Some(1)
+                    && observation["own"] == false)
         );
-        // Both serve on, and the teacher's clients are none the worse.
-        let (load, playing) = load(&pupil, 7).await?;
-        let verdict = check(&pupil, &load, playing).await;
+        // Both keep serving, and the peer's clients are not affected.
+        let (load, playing) = load(&learner, 7).await?;
+        let verdict = check(&learner, &load, playing).await;
         assert!(verdict.is_clean() && verdict.served > 20, "{verdict:?}");
-        let verdict = check(&teacher, &teachers_load, teaching).await;
+        let verdict = check(&peer, &peer_load, peer_playing).await;
         assert!(verdict.is_clean() && verdict.served > 20, "{verdict:?}");
-        // What operators see of it.
-        let control = pupil.control().to_string_lossy().into_owned();
+        // The commands for operators.
+        let control = learner.control().to_string_lossy().into_owned();
         let (code, shown, _) = run(&["knowledge", "show", "--control", &control]);
         assert!(
             code == 0 && shown.starts_with("kind ") && shown.contains("n10"),
@@ -139,7 +145,7 @@
         );
         assert!(
             shown.contains("(own)"),
-            "its own samples are told apart: {shown}"
+            "the instance's own observations are not marked: {shown}"
         );
         let (code, exported, _) = run(&["knowledge", "export", "--control", &control]);
         let lines: Vec<Value> = exported
@@ -152,7 +158,7 @@
                     .iter()
                     .any(|line| line["origin"] == "n10" && line["age_s"].is_number())
         );
-        let (code, said, _) = run(&[
+        let (code, output, _) = run(&[
             "knowledge",
             "forget",
             "--control",
@@ -161,10 +167,10 @@
             "n10",
         ]);
         assert!(
-            code == 0 && said.contains("observations forgotten") && !said.starts_with('0'),
-            "{said}"
+            code == 0 && output.contains("observations forgotten") && !output.starts_with('0'),
+            "{output}"
         );
-        // The peer tells it again in its time; of the life before nothing else is left.
+        // A folder that does not exist is shown as empty.
         let (code, _, error) = run(&["knowledge", "show", "--folder", "/nowhere/at/all"]);
         assert_eq!((code, error.as_str()), (0, ""));
         Ok(())
@@ -172,44 +178,45 @@
 }
 
 #[test]
-fn its_own_past_outlives_a_crash_and_a_file_that_can_not_be_read_costs_nothing_but_the_past() {
-    play(async {
-        let (mut instance, _, playing) = experienced(20).await?;
+fn stored_observations_survive_a_crash_and_an_unreadable_store_is_ignored() {
+    run_test(async {
+        let (mut instance, _, playing) = start_steady(20).await?;
         instance
             .says("saved", |status| {
                 status["learning"]["saved"]["ago_s"].is_number()
             })
             .await?;
-        // A saving from after it was steady.
-        let saved = |status: &Value| {
+        // Wait for a save after the instance became steady.
+        let saved_recently = |status: &Value| {
             status["learning"]["saved"]["ago_s"]
                 .as_f64()
                 .is_some_and(|ago| ago < 0.1)
         };
-        instance.says("saved again", saved).await?;
+        instance.says("saved again", saved_recently).await?;
         playing.leave();
         instance.crash().await?;
         instance.logged("of earlier incarnations", 1).await?;
         instance
             .says("taught by its past", |status| {
-                is_taught_by(status, "n20 (its own past)")
+                learned_from(status, "n20 (its own past)")
             })
             .await?;
-        let figures = instance.figures().await?;
+        let observations = instance.figures().await?;
         assert!(
-            figures
+            observations
                 .iter()
-                .any(|one| one["kind"] == "run-recent" && one["own"] == false),
-            "{figures:?}"
+                .any(|observation| observation["kind"] == "run-recent"
+                    && observation["own"] == false),
+            "{observations:?}"
         );
         let folder = instance.kept();
         let (code, shown, _) = run(&["knowledge", "show", "--folder", &folder.to_string_lossy()]);
         assert!(code == 0 && shown.contains("run-recent"), "{shown}");
-        // Garbled in the middle, of a stranger, and no folder at all.
-        for (times, spoil) in [(1, "garbled"), (2, "foreign"), (3, "no folder")] {
+        // A store with a garbled byte, a file of another format, and a file in place of the folder.
+        for (times, fault) in [(1, "garbled"), (2, "foreign"), (3, "no folder")] {
             instance.end().await;
             let file = folder.join("knowledge");
-            match spoil {
+            match fault {
                 "garbled" => {
                     let mut bytes = std::fs::read(&file)?;
                     let middle = bytes.len() / 2;
@@ -224,7 +231,7 @@
             }
             instance.crash().await?;
             instance.logged("the engine is up", 2 + times).await?;
-            if spoil == "no folder" {
+            if fault == "no folder" {
                 instance.logged("gossip store not written", 1).await?;
             } else {
                 instance
@@ -237,7 +244,7 @@
             let verdict = check(&instance, &load, playing).await;
             assert!(
                 verdict.is_clean() && verdict.served > 20,
-                "{spoil}: {verdict:?}"
+                "{fault}: {verdict:?}"
             );
         }
         let report = instance.status().await?;
@@ -249,18 +256,18 @@
     });
 }
 
-/// A teacher that behaves like this to whoever asks.
-async fn odd_teacher(manner: &'static str, listener: TcpListener) {
+/// A peer that answers every query with this fault.
+async fn faulty_peer(fault: &'static str, listener: TcpListener) {
     while let Ok((mut stream, _)) = listener.accept().await {
         spawn_local(async move {
-            let mut question = [0; 2048];
-            let _ = stream.read(&mut question).await;
+            let mut query = [0; 2048];
+            let _ = stream.read(&mut query).await;
             let head = b"tell 1 odd 1 0 alive 127.0.0.1:1 steady 0 0 60\r\n";
-            let figure = b"figure call-limit catalogue - odd 1 5 24 1 1 1 steady\r\n";
-            match manner {
+            let observation = b"figure call-limit catalogue - odd 1 5 24 1 1 1 steady\r\n";
+            match fault {
                 "silent" => sleep(Duration::from_secs(30)).await,
                 "trickles" => {
-                    for byte in head.iter().chain(figure.iter().cycle().take(4000)) {
+                    for byte in head.iter().chain(observation.iter().cycle().take(4000)) {
                         if stream.write_all(&[*byte]).await.is_err() {
                             return;
                         }
@@ -270,7 +277,7 @@
                 "endless" => while stream.write_all(&[b'x'; 4096]).await.is_ok() {},
                 "closes midway" => {
                     _ = stream
-                        .write_all(&[head.as_slice(), &figure[..20]].concat())
+                        .write_all(&[head.as_slice(), &observation[..20]].concat())
                         .await
                 }
                 _ => _ = stream.write_all(b"HTTP/1.1 400 Bad Request\r\n\r\n").await,
@@ -280,30 +287,30 @@
 }
 
 #[test]
-fn teachers_that_trickle_never_end_close_midway_or_keep_silent_delay_neither_start_nor_service() {
-    play(async {
-        let manners = [
+fn faulty_peers_delay_neither_startup_nor_serving() {
+    run_test(async {
+        let faults = [
             "silent",
             "trickles",
             "endless",
             "closes midway",
-            "speaks something else",
+            "speaks HTTP",
         ];
-        let mut places = Vec::new();
-        for (place, manner) in manners.into_iter().enumerate() {
-            let number = 31 + place as u8;
+        let mut seeds = Vec::new();
+        for (index, fault) in faults.into_iter().enumerate() {
+            let number = 31 + index as u8;
             let listener = TcpListener::bind(peer_address(number)).await?;
-            spawn_local(odd_teacher(manner, listener));
-            places.push(number);
+            spawn_local(faulty_peer(fault, listener));
+            seeds.push(number);
         }
-        let setup = setup(30, &places);
+        let setup = setup(30, &seeds);
         let instance = Instance::start(&setup, 30).await?;
-        let up = instance.status().await?["up_ms"]
+        let up_ms = instance.status().await?["up_ms"]
             .as_u64()
             .unwrap_or(u64::MAX);
-        assert!(up < 5000, "it serves although nobody teaches it: {up} ms"); // busy machines are slow
+        assert!(up_ms < 5000, "serving only after {up_ms} ms"); // the bound allows for a busy machine
         let (load, playing) = load(&instance, 7).await?;
-        // Each was asked, and none keeps a connection for long.
+        // By now each peer has been queried, and no connection to one stays open for long.
         sleep(Duration::from_millis(1500)).await;
         let verdict = check(&instance, &load, playing).await;
         assert!(verdict.is_clean() && verdict.served > 20, "{verdict:?}");
@@ -315,11 +322,11 @@
 }
 
 #[test]
-fn lies_are_named_and_a_wrong_teacher_alone_costs_a_few_samples() {
-    play(async {
+fn impossible_observations_are_logged_and_wrong_ones_soon_corrected_by_own_samples() {
+    run_test(async {
         let listener = TcpListener::bind(peer_address(41)).await?;
-        let told = |subject: Metric, value: f64| GossipedObservation {
-            metric: subject,
+        let observation = |metric: Metric, value: f64| GossipedObservation {
+            metric,
             source: Source {
                 name: "bad".into(),
                 incarnation: 1,
@@ -331,14 +338,15 @@
             hops: 1,
             status: SourceStatus::Steady,
         };
-        let run = |operation: &str| Metric::RunRecent {
+        let run_time = |operation: &str| Metric::RunRecent {
             engine: "lab".into(),
             operation: operation.into(),
         };
-        let figures = vec![
-            // What can't be, and what might be and is not so: runs of minutes, and calls that fail.
-            told(run("thumbnail"), f64::NAN),
-            told(
+        let observations = vec![
+            // Impossible values, then possible but wrong ones: runs that take minutes, and calls
+            // that fail.
+            observation(run_time("thumbnail"), f64::NAN),
+            observation(
                 Metric::Limit {
                     engine: "lab".into(),
                 },
@@ -346,21 +354,21 @@
             ),
             GossipedObservation {
                 age_seconds: -3600.0,
-                ..told(run("thumbnail"), 0.01)
+                ..observation(run_time("thumbnail"), 0.01)
             },
-            told(run("playback-token"), 300.0),
-            told(run("transcript-search"), 500.0),
-            told(
+            observation(run_time("playback-token"), 300.0),
+            observation(run_time("transcript-search"), 500.0),
+            observation(
                 Metric::CallFailures {
                     dependency: "catalogue".into(),
                 },
                 1000.0,
             ),
         ];
-        spawn_local(worth::teach(listener, peer_address(41), figures));
+        spawn_local(worth::teach(listener, peer_address(41), observations));
         let instance = Instance::start(&setup(40, &[41]), 40).await?;
         instance
-            .says("taught", |status| is_taught_by(status, "bad"))
+            .says("taught", |status| learned_from(status, "bad"))
             .await?;
         instance
             .logged("rejected 2 observations of bad: values that can't be", 1)
@@ -373,22 +381,22 @@
         assert!(verdict.is_clean(), "{verdict:?}");
         assert!(
             verdict.served * 10 >= verdict.sent * 8,
-            "most is served all the same: {verdict:?}"
+            "less than 80 % is served: {verdict:?}"
         );
         let report = instance.status().await?;
         assert!(
             report["counters"]["calls_succeeded"].as_u64() > Some(0),
-            "the one trial showed that calls go well"
+            "no call succeeded"
         );
         Ok(())
     });
 }
 
 #[test]
-fn a_flood_of_questions_is_turned_away_and_costs_the_teachers_clients_nothing() {
-    play(async {
-        let (teacher, load, playing) = experienced(50).await?;
-        let question = b"ask 1 flood 1 0 alive 127.0.0.1:1 steady 1 0 0\r\n";
+fn a_flood_of_gossip_queries_is_rejected_and_clients_are_unaffected() {
+    run_test(async {
+        let (peer, load, playing) = start_steady(50).await?;
+        let query = b"ask 1 flood 1 0 alive 127.0.0.1:1 steady 1 0 0\r\n";
         let flood: Vec<_> = (0..24)
             .map(|_| {
                 spawn_local(async move {
@@ -398,7 +406,7 @@
                         let Ok(mut stream) = TcpStream::connect(peer_address(50)).await else {
                             continue;
                         };
-                        let _ = stream.write_all(question).await;
+                        let _ = stream.write_all(query).await;
                         let mut answer = Vec::new();
                         let _ = stream.read_to_end(&mut answer).await;
                         answered += u32::from(answer.starts_with(b"tell 1 n50 "));
@@ -408,81 +416,82 @@
             })
             .collect();
         let mut answered = 0;
-        for one in flood {
-            answered += one.await.expect("no panic");
+        for client in flood {
+            answered += client.await.expect("no panic");
         }
-        let verdict = check(&teacher, &load, playing).await;
+        let verdict = check(&peer, &load, playing).await;
         assert!(verdict.is_clean() && verdict.served > 20, "{verdict:?}");
-        assert!(answered > 0, "somebody is taught");
-        assert!(teacher.status().await?["learning"]["questions_turned_away"].as_u64() > Some(0));
+        assert!(answered > 0, "every query is rejected");
+        assert!(peer.status().await?["learning"]["questions_turned_away"].as_u64() > Some(0));
         Ok(())
     });
 }
 
 #[test]
-fn one_told_to_leave_or_upgraded_in_the_midst_of_being_taught_does_as_told_and_keeps_what_it_knows()
-{
-    play(async {
-        let (teacher, _, teaching) = experienced(60).await?;
-        // Its other teacher keeps silent for good.
+fn an_upgrade_or_drain_during_learning_keeps_the_observations() {
+    run_test(async {
+        let (peer, _, peer_playing) = start_steady(60).await?;
+        // The other seed never answers.
         let listener = TcpListener::bind(peer_address(62)).await?;
-        spawn_local(odd_teacher("silent", listener));
-        let mut pupil = Instance::start(&setup(61, &[60, 62]), 61).await?;
-        pupil
-            .says("taught", |status| is_taught_by(status, "n60"))
+        spawn_local(faulty_peer("silent", listener));
+        let mut learner = Instance::start(&setup(61, &[60, 62]), 61).await?;
+        learner
+            .says("taught", |status| learned_from(status, "n60"))
             .await?;
-        let (load, playing) = load(&pupil, 7).await?;
-        pupil
+        let (load, playing) = load(&learner, 7).await?;
+        learner
             .says("steady", |status| {
                 status["learning"]["standing"] == "steady"
             })
             .await?;
-        let mut talk = pupil.ask(ControlRequest::Upgrade).await?;
+        let mut client = learner.ask(ControlRequest::Upgrade).await?;
         loop {
-            match talk.next_reply().await? {
+            match client.next_reply().await? {
                 (ControlMessage::More, _) => {}
-                (word, report) => {
-                    assert_eq!(word, ControlMessage::Done, "{report}\n{}", pupil.log());
+                (kind, report) => {
+                    assert_eq!(kind, ControlMessage::Done, "{report}\n{}", learner.log());
                     break;
                 }
             }
         }
-        // The successor knows it in the same form, and by whom; and that its predecessor's samples were another life's.
-        let figures = pupil.figures().await?;
+        // The successor has the observations with their origins, and attributes the predecessor's
+        // samples to an earlier incarnation.
+        let observations = learner.figures().await?;
         assert!(
-            figures.iter().any(|one| one["origin"] == "n60"),
-            "{figures:?}"
+            observations
+                .iter()
+                .any(|observation| observation["origin"] == "n60"),
+            "{observations:?}"
         );
         assert!(
-            figures
+            observations
                 .iter()
-                .any(|one| one["origin"] == "n61" && one["own"] == false),
-            "{figures:?}"
+                .any(|observation| observation["origin"] == "n61" && observation["own"] == false),
+            "{observations:?}"
         );
-        pupil.logged("gossip listening at", 2).await?;
-        // The folder is the successor's by now.
-        pupil
+        learner.logged("gossip listening at", 2).await?;
+        // The successor has taken over the folder.
+        learner
             .says("saved", |status| {
                 status["learning"]["saved"]["ago_s"].is_number()
             })
             .await?;
-        let successor = pupil.processes().pop().expect("one");
+        let successor = learner.processes().pop().expect("a process");
         signal(successor, Signal::TERM);
-        pupil.logged("drain started", 1).await?;
-        let verdict = check(&pupil, &load, playing).await;
-        assert!(verdict.is_clean(), "{verdict:?}\n{}", pupil.log());
-        assert_eq!(pupil.first_ended().await?, Some(0));
-        teaching.leave();
-        // Who leaves says so, or is not there any more when it is asked.
-        teacher
-            .says("alone", |status| status["learning"]["peers"] == 0)
+        learner.logged("drain started", 1).await?;
+        let verdict = check(&learner, &load, playing).await;
+        assert!(verdict.is_clean(), "{verdict:?}\n{}", learner.log());
+        assert_eq!(learner.first_ended().await?, Some(0));
+        peer_playing.leave();
+        // An instance that stops says so to its peers, or no longer answers their queries.
+        peer.says("alone", |status| status["learning"]["peers"] == 0)
             .await?;
         Ok(())
     });
 }
 
 #[test]
-fn an_address_that_is_no_loopback_one_is_refused_at_the_start_with_the_reason() {
+fn a_gossip_address_off_loopback_is_rejected_at_startup() {
     let folder = std::env::temp_dir().join(format!("merlinshelf-learning-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     let operator = folder.join("operator.json5");
--- a/crates/merlinshelf-cli/tests/policy.rs
+++ b/crates/merlinshelf-cli/tests/policy.rs
@@ -1,5 +1,7 @@
-//! Several real agents with real instances between stand-ins, one policy for all of them, and faults between the processes. What
-//! holds is read from what clients got: each policy lets in one of three signs (`merlinshelf_testbed::installation`).
+//! Several real agents with real instances between fakes, one policy for all of them, and faults
+//! between the processes. The policy in force is inferred from the answers that clients receive:
+//! each policy admits one of three marker operations, the signs
+//! (`merlinshelf_testbed::installation`).
 
 use std::io;
 use std::process::{Command, Output};
@@ -18,7 +20,7 @@
 use tokio::time::{Instant, sleep, timeout};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_merlinshelf");
-const MADE: Made = Made {
+const THREE_HOSTS: Made = Made {
     hosts: 3,
     instances: 2,
     lease_ms: 1000,
@@ -29,15 +31,15 @@
     needed: false,
     below: (Duration::from_millis(8), 16),
 };
-/// A lease and 2 s, and what a busy machine adds: an election that must be held again, a disk that stalls.
-const ENDS_WITHIN: Duration = Duration::from_secs(10);
+/// A lease and 2 s, and an allowance for a busy machine: a repeated election, a stalled disk.
+const MAX_CHANGE_TIME: Duration = Duration::from_secs(10);
 
-/// Plays on one thread, within a time.
-fn play<T>(what: impl Future<Output = io::Result<T>>) -> T {
-    play_in_a_lane(Duration::from_secs(100), what)
+/// Runs a test on one thread, with a timeout.
+fn run_test<T>(test: impl Future<Output = io::Result<T>>) -> T {
+    play_in_a_lane(Duration::from_secs(100), test)
 }
 
-/// Proposes a policy by its sign, and waits for its end.
+/// Proposes the policy that admits this sign, and waits for the outcome.
 async fn propose(
     all: &Installation,
     host: usize,
@@ -52,27 +54,35 @@
         .await
 }
 
-/// The same, by the same id, until it is known what became of it; the change as the checker wants it.
-async fn change(all: &Installation, host: usize, sign: usize, id: &str) -> io::Result<Changed> {
+/// Proposes the policy with the same id until its outcome is known. Returns the change for the
+/// checker.
+async fn complete_change(
+    all: &Installation,
+    host: usize,
+    sign: usize,
+    id: &str,
+) -> io::Result<Changed> {
     let proposed = Instant::now();
     loop {
-        // An agent that has only just been started does not listen yet.
-        let asked = propose(all, host, sign, id).await;
-        if let Ok((word, said)) = &asked
-            && said["number"].is_u64()
+        // An agent that has just been started may not listen yet.
+        let reply = propose(all, host, sign, id).await;
+        if let Ok((kind, report)) = &reply
+            && report["number"].is_u64()
         {
             return Ok(Changed {
                 proposed,
                 sign,
-                held: *word == ControlMessage::Done,
+                held: *kind == ControlMessage::Done,
             });
         }
-        assert!(proposed.elapsed() < Duration::from_secs(20), "{asked:?}");
+        assert!(proposed.elapsed() < Duration::from_secs(20), "{reply:?}");
         sleep(Duration::from_millis(20)).await;
     }
 }
 
-async fn ends_clean(
+/// Stops the load and checks that policies were used in order and no invocation was lost or run
+/// twice.
+async fn stop_and_check(
     all: &Installation,
     playing: Vec<(
         usize,
@@ -83,16 +93,16 @@
     changes: &[Changed],
 ) {
     sleep(Duration::from_millis(500)).await;
-    let shown = evidence(&playing);
-    assert_eq!(out_of_order(changes, &shown), (0, 0), "{changes:?}");
+    let evidence = evidence(&playing);
+    assert_eq!(out_of_order(changes, &evidence), (0, 0), "{changes:?}");
     let last = changes
         .iter()
         .rev()
         .find(|change| change.held)
-        .expect("one is held");
+        .expect("a committed change");
     assert!(
-        shown.iter().any(|(_, _, sign)| *sign == last.sign),
-        "it shows itself"
+        evidence.iter().any(|(_, _, sign)| *sign == last.sign),
+        "no answer shows the last policy"
     );
     let verdict = check(all, playing).await;
     assert_eq!(
@@ -102,40 +112,46 @@
     );
 }
 
-fn acts(show: &Value) -> Vec<Option<u64>> {
+/// The policy version that each instance of a host uses.
+fn versions_in_use(show: &Value) -> Vec<Option<u64>> {
     show["instances"]
         .as_array()
         .into_iter()
         .flatten()
-        .map(|one| one["acts"].as_u64())
+        .map(|instance| instance["acts"].as_u64())
         .collect()
 }
 
-/// Until every instance of every host acts on this policy.
-async fn all_act(all: &Installation, number: u64) -> io::Result<()> {
-    let wanted = vec![Some(number); all.made.instances.into()];
-    let what = format!("all act on {number}");
-    all.when(&what, |shows| shows.iter().all(|show| acts(show) == wanted))
-        .await
-        .map(|_| ())
+/// Waits until every instance of every host uses this policy.
+async fn wait_until_all_use(all: &Installation, number: u64) -> io::Result<()> {
+    let expected = vec![Some(number); all.made.instances.into()];
+    let what = format!("all use policy {number}");
+    all.when(&what, |shows| {
+        shows.iter().all(|show| versions_in_use(show) == expected)
+    })
+    .await
+    .map(|_| ())
 }
 
-/// Starts all agents anew with a fault in them, which the next start is without; until they sit and serve.
-async fn with_fault(all: &mut Installation, fault: &str) -> io::Result<()> {
+/// Restarts all agents with a fault that applies to this start only, and waits until all have a
+/// leader and a lease.
+async fn restart_agents_with_fault(all: &mut Installation, fault: &str) -> io::Result<()> {
     for host in &mut all.hosts {
         host.kill_agent().await;
         host.fault = Some(fault.to_owned());
         host.start_agent(PROGRAM.as_ref())?;
         host.fault = None;
     }
-    let sits = |show: &Value| show["leader"].is_string() && show["lease"].is_object();
-    all.when("all sit and serve", |shows| shows.iter().all(sits))
-        .await
-        .map(|_| ())
+    let has_lease = |show: &Value| show["leader"].is_string() && show["lease"].is_object();
+    all.when("all agents have a leader and a lease", |shows| {
+        shows.iter().all(has_lease)
+    })
+    .await
+    .map(|_| ())
 }
 
-/// Starts the agents anew that have died; how many.
-fn revive(all: &mut Installation) -> io::Result<u32> {
+/// Restarts the agents that have died, and returns how many there were.
+fn restart_dead_agents(all: &mut Installation) -> io::Result<u32> {
     let mut died = 0;
     for host in all
         .hosts
@@ -149,42 +165,42 @@
 }
 
 #[test]
-fn an_instance_that_stood_still_through_a_change_acts_on_the_new_policy_or_the_base() {
-    play(async {
-        let all = Installation::start(PROGRAM.as_ref(), 10, &MADE).await?;
+fn an_instance_paused_during_a_change_resumes_with_the_new_or_the_base_policy() {
+    run_test(async {
+        let all = Installation::start(PROGRAM.as_ref(), 10, &THREE_HOSTS).await?;
         let playing = all.load(60.0, 1).await?;
-        let mut changes = vec![change(&all, 0, 0, "one").await?];
+        let mut changes = vec![complete_change(&all, 0, 0, "one").await?];
         sleep(Duration::from_millis(500)).await;
-        let still = all.hosts[1].processes_of(0);
-        assert_eq!(still.len(), 1);
-        still.iter().for_each(|pid| signal(*pid, Signal::STOP));
-        // What is sent meanwhile lies unread in its sockets.
+        let paused = all.hosts[1].processes_of(0);
+        assert_eq!(paused.len(), 1);
+        paused.iter().for_each(|pid| signal(*pid, Signal::STOP));
+        // What is sent to the instance during the pause stays unread in its sockets.
         sleep(Duration::from_millis(300)).await;
-        let began = Instant::now();
-        changes.push(change(&all, 2, 1, "two").await?);
+        let start = Instant::now();
+        changes.push(complete_change(&all, 2, 1, "two").await?);
         assert!(
-            changes[1].held && began.elapsed() < ENDS_WITHIN,
+            changes[1].held && start.elapsed() < MAX_CHANGE_TIME,
             "{:?}",
-            began.elapsed()
+            start.elapsed()
         );
         assert!(
-            began.elapsed() > Duration::from_millis(400),
-            "its lease is waited for: {:?}",
-            began.elapsed()
+            start.elapsed() > Duration::from_millis(400),
+            "the change does not wait for the lease of the paused instance: {:?}",
+            start.elapsed()
         );
         sleep(Duration::from_millis(500)).await;
-        still.iter().for_each(|pid| signal(*pid, Signal::CONT));
-        all_act(&all, 2).await?;
-        ends_clean(&all, playing, &changes).await;
+        paused.iter().for_each(|pid| signal(*pid, Signal::CONT));
+        wait_until_all_use(&all, 2).await?;
+        stop_and_check(&all, playing, &changes).await;
         Ok(())
     });
 }
 
 #[test]
-fn who_is_killed_before_the_change_and_who_is_down_throughout_begin_with_the_new_policy() {
-    play(async {
-        let all = Installation::start(PROGRAM.as_ref(), 13, &MADE).await?;
-        let mut changes = vec![change(&all, 0, 0, "one").await?];
+fn instances_killed_before_or_stopped_during_a_change_start_with_the_new_policy() {
+    run_test(async {
+        let all = Installation::start(PROGRAM.as_ref(), 13, &THREE_HOSTS).await?;
+        let mut changes = vec![complete_change(&all, 0, 0, "one").await?];
         all.hosts[0]
             .ask(&json!({ "op": "stop", "names": ["web.1"], "within_s": 2, "wait": true }))
             .await?;
@@ -192,54 +208,56 @@
             .processes_of(0)
             .iter()
             .for_each(|pid| signal(*pid, Signal::KILL));
-        changes.push(change(&all, 1, 1, "two").await?);
+        changes.push(complete_change(&all, 1, 1, "two").await?);
         all.hosts[0]
             .ask(&json!({ "op": "start", "names": ["web.1"] }))
             .await?;
-        // Callers stand at its door from the start: the first that it takes is decided on under the new one.
+        // Callers connect before the instances listen again: even their first invocations are
+        // decided by the new policy.
         let playing = all.load(40.0, 2).await?;
-        all_act(&all, 2).await?;
-        ends_clean(&all, playing, &changes).await;
+        wait_until_all_use(&all, 2).await?;
+        stop_and_check(&all, playing, &changes).await;
         Ok(())
     });
 }
 
 #[test]
-fn the_leader_and_then_all_agents_die_and_one_comes_back_without_its_disk_or_with_an_older_one() {
-    play(async {
-        let mut all = Installation::start(PROGRAM.as_ref(), 16, &MADE).await?;
+fn changes_succeed_after_agents_are_killed_and_lose_or_roll_back_their_logs() {
+    run_test(async {
+        let mut all = Installation::start(PROGRAM.as_ref(), 16, &THREE_HOSTS).await?;
         let playing = all.load(40.0, 3).await?;
-        let mut changes = vec![change(&all, 0, 0, "one").await?];
-        let older = std::fs::read(all.hosts[2].council())?;
-        let leader = all.leader().await.expect("one leads");
+        let mut changes = vec![complete_change(&all, 0, 0, "one").await?];
+        let old_log = std::fs::read(all.hosts[2].council())?;
+        let leader = all.leader().await.expect("a leader");
         all.hosts[leader].kill_agent().await;
-        let began = Instant::now();
-        changes.push(change(&all, (leader + 1) % 3, 1, "two").await?);
+        let start = Instant::now();
+        changes.push(complete_change(&all, (leader + 1) % 3, 1, "two").await?);
         assert!(
-            changes[1].held && began.elapsed() < ENDS_WITHIN,
+            changes[1].held && start.elapsed() < MAX_CHANGE_TIME,
             "{:?}",
-            began.elapsed()
+            start.elapsed()
         );
         all.hosts[leader].start_agent(PROGRAM.as_ref())?;
-        all.when("it is back", |shows| {
+        all.when("the restarted agent has the change and a lease", |shows| {
             shows
                 .iter()
                 .all(|show| show["current"] == 2 && show["lease"].is_object())
         })
         .await?;
-        // One without its disk, one with what it had two changes ago: each takes a new seat.
-        for (host, sign, disk) in [(1, 2, None), (2, 0, Some(older))] {
+        // One agent loses its log, another gets an old copy of it: each rejoins in a new voter
+        // slot.
+        for (host, sign, log) in [(1, 2, None), (2, 0, Some(old_log))] {
             all.hosts[host].kill_agent().await;
-            match disk {
+            match log {
                 None => std::fs::remove_file(all.hosts[host].council())?,
                 Some(bytes) => std::fs::write(all.hosts[host].council(), bytes)?,
             }
             all.hosts[host].start_agent(PROGRAM.as_ref())?;
-            changes.push(change(&all, 0, sign, &format!("after {host}")).await?);
+            changes.push(complete_change(&all, 0, sign, &format!("after {host}")).await?);
             let name = all.hosts[host].name.clone();
-            all.when("it has a new seat", |shows| {
-                let seat = shows[0]["members"][&name].as_u64();
-                seat.is_some_and(|seat| seat > 3)
+            all.when("the agent has a new voter slot", |shows| {
+                let slot = shows[0]["members"][&name].as_u64();
+                slot.is_some_and(|slot| slot > 3)
                     && shows[host]["council"] == "sits"
                     && shows[host]["lease"].is_object()
             })
@@ -248,113 +266,116 @@
         for host in &mut all.hosts {
             host.kill_agent().await;
         }
-        // Nobody decides anything; all serve on, by the base policy once their leases are over.
+        // Without agents nothing is decided; the instances keep serving, by the base policy once
+        // their leases have ended.
         sleep(Duration::from_millis(1500)).await;
         for host in &mut all.hosts {
             host.start_agent(PROGRAM.as_ref())?;
         }
-        changes.push(change(&all, 1, 1, "after all").await?);
+        changes.push(complete_change(&all, 1, 1, "after all").await?);
         assert!(changes.iter().all(|change| change.held), "{changes:?}");
-        ends_clean(&all, playing, &changes).await;
+        stop_and_check(&all, playing, &changes).await;
         Ok(())
     });
 }
 
 #[test]
-fn without_a_majority_nothing_changes_and_whoever_asked_learns_later_what_became_of_it() {
-    play(async {
-        let all = Installation::start(PROGRAM.as_ref(), 19, &MADE).await?;
+fn without_a_majority_no_change_commits_and_its_outcome_is_known_later() {
+    run_test(async {
+        let all = Installation::start(PROGRAM.as_ref(), 19, &THREE_HOSTS).await?;
         let playing = all.load(40.0, 4).await?;
-        let mut changes = vec![change(&all, 0, 0, "one").await?];
-        // The leader alone in the minority: it is asked, and the others are.
-        let leader = all.leader().await.expect("one leads");
+        let mut changes = vec![complete_change(&all, 0, 0, "one").await?];
+        // The leader is isolated in the minority. Both it and the majority receive a proposal.
+        let leader = all.leader().await.expect("a leader");
         let other = (leader + 1) % 3;
         all.set_links(leader, true, true, Fault::Held);
-        let asked_alone = propose(&all, leader, 1, "alone").await?;
-        assert_eq!(asked_alone.0, ControlMessage::Failed);
+        let reply = propose(&all, leader, 1, "alone").await?;
+        assert_eq!(reply.0, ControlMessage::Failed);
         assert!(
-            asked_alone.1["text"]
+            reply.1["text"]
                 .as_str()
                 .is_some_and(|text| text.contains("--id alone")),
-            "{asked_alone:?}"
+            "{reply:?}"
         );
-        changes.push(change(&all, other, 1, "by two").await?);
-        // Each reaches one other only, then nobody reaches anybody.
+        changes.push(complete_change(&all, other, 1, "by two").await?);
+        // Then all links are cut.
         all.heal();
-        all.when("they agree again", |shows| {
+        all.when("all agents have the change", |shows| {
             shows.iter().all(|show| show["current"] == 2)
         })
         .await?;
         (0..3).for_each(|host| all.set_links(host, true, true, Fault::Cut));
-        let nobody = propose(&all, 0, 2, "nobody").await?;
+        let reply = propose(&all, 0, 2, "nobody").await?;
         assert_eq!(
-            (nobody.0, &nobody.1["state"]),
+            (reply.0, &reply.1["state"]),
             (ControlMessage::Failed, &json!("unknown")),
-            "{nobody:?}"
+            "{reply:?}"
         );
         all.heal();
-        // Asked again by the same id it is one change, whoever is asked.
-        changes.push(change(&all, 1, 2, "nobody").await?);
+        // Proposed again with the same id it is the same change, whichever agent receives it.
+        changes.push(complete_change(&all, 1, 2, "nobody").await?);
         assert!(!propose(&all, 2, 2, "nobody").await?.1["number"].is_null());
-        let (_, known) = all.hosts[0]
+        let (_, outcome) = all.hosts[0]
             .policy("outcome", json!({ "id": "nobody", "wait": true }))
             .await?;
-        assert_eq!(known["state"], "held", "{known}");
+        assert_eq!(outcome["state"], "held", "{outcome}");
         let history = all.hosts[2]
             .ask(&json!({ "op": "policy", "what": "history" }))
             .await?;
         let ids: Vec<&str> = history
             .iter()
-            .filter_map(|(_, one)| one["id"].as_str())
+            .filter_map(|(_, change)| change["id"].as_str())
             .collect();
         assert_eq!(
             ids.iter().filter(|id| **id == "nobody").count(),
             1,
             "{ids:?}"
         );
-        ends_clean(&all, playing, &changes).await;
+        stop_and_check(&all, playing, &changes).await;
         Ok(())
     });
 }
 
 #[test]
-fn what_one_instance_can_not_use_is_refused_everywhere_and_two_at_once_are_one_after_the_other() {
-    play(async {
-        let all = Installation::start(PROGRAM.as_ref(), 22, &MADE).await?;
+fn a_change_that_one_instance_rejects_fails_everywhere_and_concurrent_changes_are_serialized() {
+    run_test(async {
+        let all = Installation::start(PROGRAM.as_ref(), 22, &THREE_HOSTS).await?;
         let playing = all.load(40.0, 5).await?;
-        let mut changes = vec![change(&all, 0, 0, "one").await?];
+        let mut changes = vec![complete_change(&all, 0, 0, "one").await?];
         let mut document = policy_of(1);
         document["operations"]["unheard-of"] = json!({ "worth": 2.0 });
-        let asked = all.hosts[1]
+        let reply = all.hosts[1]
             .policy(
                 "propose",
                 json!({ "id": "bad", "policy": document, "wait": true }),
             )
             .await?;
-        let why = asked.1["why"].as_str().unwrap_or_default();
+        let reason = reply.1["why"].as_str().unwrap_or_default();
         assert_eq!(
-            (asked.0, &asked.1["state"]),
+            (reply.0, &reply.1["state"]),
             (ControlMessage::Failed, &json!("refused"))
         );
         assert!(
-            why.contains("web.") && why.contains("unheard-of: there is no such operation"),
-            "{why}"
+            reason.contains("web.") && reason.contains("unheard-of: there is no such operation"),
+            "{reason}"
         );
-        // Two operators at two agents in the same moment: one is first, and the other is told so or comes after it.
-        let at = Instant::now();
-        let (one, two) = tokio::join!(propose(&all, 0, 2, "first"), propose(&all, 2, 2, "second"));
-        for said in [one?, two?] {
-            let held = said.0 == ControlMessage::Done;
-            let why = said.1["why"].as_str().unwrap_or_default();
-            assert!(held || why.contains("is under way"), "{said:?}");
+        // Two concurrent proposals at two agents: one is first, and the other is rejected because
+        // of it or follows it.
+        let proposed = Instant::now();
+        let (first, second) =
+            tokio::join!(propose(&all, 0, 2, "first"), propose(&all, 2, 2, "second"));
+        for reply in [first?, second?] {
+            let held = reply.0 == ControlMessage::Done;
+            let reason = reply.1["why"].as_str().unwrap_or_default();
+            assert!(held || reason.contains("is under way"), "{reply:?}");
             changes.push(Changed {
-                proposed: at,
+                proposed,
                 sign: 2,
                 held,
             });
         }
         assert!(changes.iter().skip(1).any(|change| change.held));
-        // One agent shows the instances of all.
+        // Each agent reports the instances of all.
         let socket = all.hosts[0].socket();
         let socket = socket.to_str().unwrap_or_default();
         sleep(Duration::from_millis(1200)).await;
@@ -372,72 +393,72 @@
                 && (shown.contains("uses policy ") || shown.contains("uses the base policy")),
             "{shown}"
         );
-        // Undone: the former one holds again, by a further change.
-        let undone = Instant::now();
-        let (word, said) = all.hosts[1]
+        // Undo restores the previous policy by a further change.
+        let undone_at = Instant::now();
+        let (kind, report) = all.hosts[1]
             .policy("undo", json!({ "id": "back", "wait": true }))
             .await?;
         assert_eq!(
-            (word, &said["state"]),
+            (kind, &report["state"]),
             (ControlMessage::Done, &json!("held")),
-            "{said}"
+            "{report}"
         );
-        let both = changes
+        let both_committed = changes
             .iter()
             .filter(|change| change.held && change.sign == 2)
             .count()
             == 2;
         changes.push(Changed {
-            proposed: undone,
-            sign: if both { 2 } else { 0 },
+            proposed: undone_at,
+            sign: if both_committed { 2 } else { 0 },
             held: true,
         });
-        ends_clean(&all, playing, &changes).await;
+        stop_and_check(&all, playing, &changes).await;
         Ok(())
     });
 }
 
 #[test]
-fn a_change_in_the_midst_of_an_upgrade_of_all_holds_and_loses_nothing() {
-    play(async {
-        let all = Installation::start(PROGRAM.as_ref(), 25, &MADE).await?;
+fn changes_during_a_fleet_upgrade_commit_and_lose_no_invocation() {
+    run_test(async {
+        let all = Installation::start(PROGRAM.as_ref(), 25, &THREE_HOSTS).await?;
         let playing = all.load(40.0, 6).await?;
-        let mut changes = vec![change(&all, 0, 0, "one").await?];
+        let mut changes = vec![complete_change(&all, 0, 0, "one").await?];
         let program = all.hosts[0].folder.join("merlinshelf-2");
         std::fs::copy(PROGRAM, &program)?;
         for host in &all.hosts {
             host.ask(&json!({ "op": "upgrade", "program": program }))
                 .await?;
         }
-        for (place, sign) in [1, 2, 0, 1, 2].into_iter().enumerate() {
+        for (index, sign) in [1, 2, 0, 1, 2].into_iter().enumerate() {
             sleep(Duration::from_millis(350)).await;
-            changes.push(change(&all, place % 3, sign, &format!("in {place}")).await?);
+            changes.push(complete_change(&all, index % 3, sign, &format!("in {index}")).await?);
         }
         assert!(changes.iter().all(|change| change.held), "{changes:?}");
         for host in &all.hosts {
             let plan = host.plan_over().await?;
             assert_eq!(plan["state"], "done", "{plan}");
         }
-        ends_clean(&all, playing, &changes).await;
+        stop_and_check(&all, playing, &changes).await;
         Ok(())
     });
 }
 
 #[test]
-fn who_begins_while_nobody_can_say_what_holds_lets_nobody_stand_at_its_door() {
-    play(async {
+fn an_instance_starting_without_a_majority_rejects_at_once_until_it_uses_the_base_policy() {
+    run_test(async {
         let made = Made {
             lease_ms: 1500,
-            ..MADE
+            ..THREE_HOSTS
         };
         let mut all = Installation::start(PROGRAM.as_ref(), 34, &made).await?;
         let playing = all.load(40.0, 9).await?;
-        let changes = vec![change(&all, 0, 0, "one").await?];
+        let changes = vec![complete_change(&all, 0, 0, "one").await?];
         sleep(Duration::from_millis(500)).await;
         for host in [1, 2] {
             all.hosts[host].kill_agent().await;
         }
-        all.when("it has no lease", |shows| {
+        all.when("host 0 has no lease", |shows| {
             shows[0]["leader"].is_null() && shows[0]["lease"].is_null()
         })
         .await?;
@@ -447,48 +468,61 @@
             .iter()
             .for_each(|pid| signal(*pid, Signal::KILL));
         playing[0].3.seen.borrow_mut().killed.push(killed);
-        sleep(Duration::from_millis(4500)).await; // it waits for two leases, then serves by the base policy
+        sleep(Duration::from_millis(4500)).await; // the instance waits for two leases, then serves by the base policy
         for host in [1, 2] {
             all.hosts[host].start_agent(PROGRAM.as_ref())?;
         }
-        all_act(&all, 1).await?;
+        wait_until_all_use(&all, 1).await?;
         let seen = playing[0].3.seen.clone();
-        ends_clean(&all, playing, &changes).await;
+        stop_and_check(&all, playing, &changes).await;
         let seen = seen.borrow();
-        let since = seen
+        let sent_after_kill = seen
             .sent
             .values()
             .filter(|sent| sent.at > killed + Duration::from_millis(50));
-        let (at, answers): (Vec<Instant>, Vec<_>) = since
+        let (sent_at, answers): (Vec<Instant>, Vec<_>) = sent_after_kill
             .filter_map(|sent| Some((sent.at, sent.answers.first().copied()?)))
             .unzip();
-        let took = at
+        let longest = sent_at
             .iter()
             .zip(&answers)
-            .map(|(at, (answered, _))| *answered - *at)
+            .map(|(sent, (answered, _))| *answered - *sent)
             .max();
-        // Whoever came while it waited was turned away at once, and went elsewhere.
+        // Invocations that arrived while the instance waited were rejected at once, so that edge
+        // nodes could go elsewhere.
         assert!(
-            took.is_some_and(|took| took < Duration::from_secs(1)),
-            "{took:?}"
+            longest.is_some_and(|longest| longest < Duration::from_secs(1)),
+            "{longest:?}"
         );
-        let nobody = |(at, (_, status)): &(&Instant, &(Instant, u16))| {
-            **at > killed + Duration::from_secs(1)
-                && **at < killed + Duration::from_millis(2500)
+        let rejected_while_waiting = |(sent, (_, status)): &(&Instant, &(Instant, u16))| {
+            **sent > killed + Duration::from_secs(1)
+                && **sent < killed + Duration::from_millis(2500)
                 && *status == 599
         };
-        assert!(at.iter().zip(&answers).filter(nobody).count() > 10);
+        assert!(
+            sent_at
+                .iter()
+                .zip(&answers)
+                .filter(rejected_while_waiting)
+                .count()
+                > 10
+        );
         Ok(())
     });
 }
 
-/// One change with a fault in agents; whoever dies of it is started anew without it. The change, and how many died.
-async fn through(all: &mut Installation, sign: usize, fault: &str) -> io::Result<(Changed, u32)> {
-    with_fault(all, &format!("{fault}:1:abort")).await?;
+/// Makes a change with a fault in the agents and restarts those that die of it, without the fault.
+/// Returns the change and the number of agents that died.
+async fn change_with_fault(
+    all: &mut Installation,
+    sign: usize,
+    fault: &str,
+) -> io::Result<(Changed, u32)> {
+    restart_agents_with_fault(all, &format!("{fault}:1:abort")).await?;
     let (proposed, id) = (Instant::now(), fault.to_owned());
     let mut died = 0;
     loop {
-        died += revive(all)?;
+        died += restart_dead_agents(all)?;
         for host in 0..all.hosts.len() {
             let body = json!({ "id": id, "policy": policy_of(sign), "wait": false });
             let _ = timeout(
@@ -496,15 +530,15 @@
                 all.hosts[host].policy("propose", body),
             )
             .await;
-            let asked = all.hosts[host].policy("outcome", json!({ "id": id }));
-            if let Ok(Ok((word, said))) = timeout(Duration::from_millis(100), asked).await
-                && matches!(said["state"].as_str(), Some("held" | "refused"))
+            let outcome = all.hosts[host].policy("outcome", json!({ "id": id }));
+            if let Ok(Ok((kind, report))) = timeout(Duration::from_millis(100), outcome).await
+                && matches!(report["state"].as_str(), Some("held" | "refused"))
             {
                 return Ok((
                     Changed {
                         proposed,
                         sign,
-                        held: word == ControlMessage::Done,
+                        held: kind == ControlMessage::Done,
                     },
                     died,
                 ));
@@ -512,101 +546,103 @@
         }
         assert!(
             proposed.elapsed() < Duration::from_secs(20),
-            "{fault}: it does not end"
+            "{fault}: the change does not end"
         );
         sleep(Duration::from_millis(20)).await;
     }
 }
 
 #[test]
-fn agents_that_die_in_each_state_of_a_change_leave_it_to_the_next_and_all_learn_its_end() {
-    play(async {
-        let mut all = Installation::start(PROGRAM.as_ref(), 37, &MADE).await?;
+fn a_change_completes_when_agents_die_in_any_of_its_states() {
+    run_test(async {
+        let mut all = Installation::start(PROGRAM.as_ref(), 37, &THREE_HOSTS).await?;
         let playing = all.load(30.0, 10).await?;
-        let mut changes = vec![change(&all, 0, 0, "one").await?];
-        // Whoever leads, before it does this; and all of them, when they hear of it.
-        let leads = [("decides", 1..=3), ("opens", 1..=3), ("grants", 1..=3)];
-        let hear = [("proposed", 3..=3), ("decided", 3..=3), ("held", 3..=3)];
-        for (place, (state, deaths)) in leads.into_iter().chain(hear).enumerate() {
-            let fault = format!("agent.{state}.{}", place + 2);
-            let (change, died) = through(&mut all, (place + 1) % 3, &fault).await?;
+        let mut changes = vec![complete_change(&all, 0, 0, "one").await?];
+        // Faults in the leader before it takes a step, and in every agent when it learns of a step.
+        let leader_faults = [("decides", 1..=3), ("opens", 1..=3), ("grants", 1..=3)];
+        let replica_faults = [("proposed", 3..=3), ("decided", 3..=3), ("held", 3..=3)];
+        for (index, (state, deaths)) in leader_faults.into_iter().chain(replica_faults).enumerate()
+        {
+            let fault = format!("agent.{state}.{}", index + 2);
+            let (change, died) = change_with_fault(&mut all, (index + 1) % 3, &fault).await?;
             println!(
-                "{fault}: held {} after {:.2?}, {died} died",
+                "{fault}: committed {} after {:.2?}, {died} died",
                 change.held,
                 change.proposed.elapsed()
             );
             changes.push(change);
-            // One that hears of it late dies late.
+            // An agent that learns of the step late dies late.
             let until = Instant::now() + Duration::from_secs(5);
             let mut died = died;
             while !deaths.contains(&died) && Instant::now() < until {
-                died += revive(&mut all)?;
+                died += restart_dead_agents(&mut all)?;
                 sleep(Duration::from_millis(20)).await;
             }
             assert!(deaths.contains(&died), "{fault}: {died} died");
         }
         assert!(changes.iter().all(|change| change.held), "{changes:?}");
-        all_act(&all, 7).await?;
-        ends_clean(&all, playing, &changes).await;
+        wait_until_all_use(&all, 7).await?;
+        stop_and_check(&all, playing, &changes).await;
         Ok(())
     });
 }
 
 #[test]
-fn an_older_program_that_knows_no_policies_refuses_for_all_and_is_named() {
-    play(async {
-        let all = Installation::start(PROGRAM.as_ref(), 40, &MADE).await?;
+fn an_instance_without_support_for_policies_causes_rejection_and_is_named() {
+    run_test(async {
+        let all = Installation::start(PROGRAM.as_ref(), 40, &THREE_HOSTS).await?;
         let playing = all.load(40.0, 11).await?;
-        let mut changes = vec![change(&all, 0, 0, "one").await?];
+        let mut changes = vec![complete_change(&all, 0, 0, "one").await?];
         let link = ControlLink::take(&all.hosts[2].control(1))?;
         link.set(Manner::Older);
-        let (proposed, asked) = (Instant::now(), propose(&all, 1, 1, "too new").await?);
+        let (proposed, reply) = (Instant::now(), propose(&all, 1, 1, "too new").await?);
         assert_eq!(
-            (asked.0, &asked.1["state"]),
+            (reply.0, &reply.1["state"]),
             (ControlMessage::Failed, &json!("refused")),
-            "{asked:?}"
+            "{reply:?}"
         );
-        let why = asked.1["why"].as_str().unwrap_or_default();
+        let reason = reply.1["why"].as_str().unwrap_or_default();
         assert!(
-            why.contains("web.1") && why.contains("knows no policies"),
-            "{why}"
+            reason.contains("web.1") && reason.contains("knows no policies"),
+            "{reason}"
         );
         changes.push(Changed {
             proposed,
             sign: 1,
             held: false,
         });
-        sleep(Duration::from_millis(1500)).await; // longer than a lease: it serves by the base, all others by the one before
+        sleep(Duration::from_millis(1500)).await; // longer than a lease: this instance now uses the base policy, and all others the previous one
         link.set(Manner::Plain);
-        sleep(Duration::from_millis(300)).await; // a beat
-        changes.push(change(&all, 1, 2, "now").await?);
+        sleep(Duration::from_millis(300)).await; // time for a heartbeat
+        changes.push(complete_change(&all, 1, 2, "now").await?);
         assert!(changes[2].held);
         drop(link);
-        all_act(&all, 3).await?;
-        ends_clean(&all, playing, &changes).await;
+        wait_until_all_use(&all, 3).await?;
+        stop_and_check(&all, playing, &changes).await;
         Ok(())
     });
 }
 
-/// One counter of an instance.
-async fn counter(all: &Installation, host: usize, place: u16, name: &str) -> io::Result<u64> {
-    let asked = ControlClient::request_once(
-        &all.hosts[host].control(place),
+/// A counter of an instance.
+async fn counter(all: &Installation, host: usize, instance: u16, name: &str) -> io::Result<u64> {
+    let reply = ControlClient::request_once(
+        &all.hosts[host].control(instance),
         ControlRequest::Status,
         Duration::from_secs(2),
     )
     .await?;
-    Ok(asked.1["counters"][name].as_u64().unwrap_or_default())
+    Ok(reply.1["counters"][name].as_u64().unwrap_or_default())
 }
 
 #[test]
-fn a_change_while_successors_fail_and_predecessors_take_back_breaks_no_order() {
-    play(async {
-        let all = Installation::start(PROGRAM.as_ref(), 43, &MADE).await?;
+fn changes_during_rolled_back_upgrades_keep_the_order_of_policies() {
+    run_test(async {
+        let all = Installation::start(PROGRAM.as_ref(), 43, &THREE_HOSTS).await?;
         let playing = all.load(40.0, 12).await?;
-        let mut changes = vec![change(&all, 0, 0, "one").await?];
+        let mut changes = vec![complete_change(&all, 0, 0, "one").await?];
         let program = all.hosts[0].folder.join("fails");
-        // It owns everything, and dies watched: who takes back may have held a policy of changes ago.
+        // The successor takes over and dies during probation: the predecessor that takes back may
+        // still have a policy from several changes ago.
         std::fs::write(
             &program,
             format!(
@@ -621,41 +657,44 @@
             host.ask(&json!({ "op": "upgrade", "program": program }))
                 .await?;
         }
-        for (place, sign) in [1, 2, 0, 1, 2, 0, 1].into_iter().enumerate() {
+        for (index, sign) in [1, 2, 0, 1, 2, 0, 1].into_iter().enumerate() {
             sleep(Duration::from_millis(250)).await;
-            changes.push(change(&all, place % 3, sign, &format!("in {place}")).await?);
+            changes.push(complete_change(&all, index % 3, sign, &format!("in {index}")).await?);
         }
         assert!(changes.iter().all(|change| change.held), "{changes:?}");
-        let mut back = 0;
+        let mut taken_back = 0;
         for host in 0..3 {
-            for place in 0..2 {
-                back += counter(&all, host, place, "taken_back").await?;
+            for instance in 0..2 {
+                taken_back += counter(&all, host, instance, "taken_back").await?;
             }
         }
-        assert!(back > 0, "nothing was taken back");
-        all_act(&all, 8).await?;
-        ends_clean(&all, playing, &changes).await;
+        assert!(taken_back > 0, "nothing was taken back");
+        wait_until_all_use(&all, 8).await?;
+        stop_and_check(&all, playing, &changes).await;
         Ok(())
     });
 }
 
 #[test]
-fn a_change_in_each_state_of_a_drain_and_beside_a_full_disk_of_an_instance_loses_nothing() {
-    play(async {
-        let all = Installation::start(PROGRAM.as_ref(), 46, &MADE).await?;
+fn changes_during_a_drain_and_with_an_unwritable_log_lose_no_invocation() {
+    run_test(async {
+        let all = Installation::start(PROGRAM.as_ref(), 46, &THREE_HOSTS).await?;
         let playing = all.load(40.0, 13).await?;
-        let mut changes = vec![change(&all, 0, 0, "one").await?];
-        // Nothing that this instance logs can be written from its next start on.
+        let mut changes = vec![complete_change(&all, 0, 0, "one").await?];
+        // From its next start on, this instance cannot write its log.
         let log = all.hosts[1].control(0).with_file_name("log");
         std::fs::remove_file(&log)?;
         std::os::unix::fs::symlink("/dev/full", &log)?;
-        // Told to leave as the change is proposed, with work in hand, shortly before its end, and after it.
-        for (place, pause) in [0, 5, 60, 250, 900].into_iter().enumerate() {
+        // The drain starts as the change is proposed, with invocations in flight, shortly before
+        // its end, and after it.
+        for (index, pause) in [0, 5, 60, 250, 900].into_iter().enumerate() {
             all.hosts[1]
                 .ask(&json!({ "op": "stop", "names": ["web.0"], "within_s": 10 }))
                 .await?;
             sleep(Duration::from_millis(pause)).await;
-            changes.push(change(&all, place % 3, (place + 1) % 3, &format!("at {pause}")).await?);
+            changes.push(
+                complete_change(&all, index % 3, (index + 1) % 3, &format!("at {pause}")).await?,
+            );
             while all.hosts[1]
                 .ask(&json!({ "op": "plan" }))
                 .await?
@@ -667,253 +706,259 @@
             all.hosts[1]
                 .ask(&json!({ "op": "start", "names": ["web.0"] }))
                 .await?;
-            let held = Some(place as u64 + 2);
-            all.when("it is back", |shows| acts(&shows[1]) == [held, held])
-                .await?;
+            let version = Some(index as u64 + 2);
+            all.when("the instance uses the new policy", |shows| {
+                versions_in_use(&shows[1]) == [version, version]
+            })
+            .await?;
         }
         assert!(changes.iter().all(|change| change.held), "{changes:?}");
         assert!(
             std::fs::symlink_metadata(&log)?.is_symlink(),
-            "its log is still the full disk"
+            "the log is no longer the full device"
         );
-        ends_clean(&all, playing, &changes).await;
+        stop_and_check(&all, playing, &changes).await;
         Ok(())
     });
 }
 
 #[test]
-fn a_change_that_makes_service_worse_under_load_is_taken_back_everywhere() {
-    play(async {
+fn a_change_that_makes_service_worse_is_rolled_back_everywhere() {
+    run_test(async {
         let made = Made {
             watch_ms: 2000,
-            ..MADE
+            ..THREE_HOSTS
         };
         let all = Installation::start(PROGRAM.as_ref(), 49, &made).await?;
         let playing = all.load(60.0, 14).await?;
-        let mut changes = vec![change(&all, 0, 0, "good").await?];
+        let mut changes = vec![complete_change(&all, 0, 0, "good").await?];
         sleep(Duration::from_secs(4)).await;
         let mut document = policy_of(1);
-        for closed in ["thumbnail", "transcript-search"] {
-            document["operations"][closed] = json!({ "admit": false });
+        for operation in ["thumbnail", "transcript-search"] {
+            document["operations"][operation] = json!({ "admit": false });
         }
         let proposed = Instant::now();
-        let asked = all.hosts[1]
+        let reply = all.hosts[1]
             .policy(
                 "propose",
                 json!({ "id": "worse", "policy": document, "wait": true }),
             )
             .await?;
         assert_eq!(
-            (asked.0, &asked.1["state"]),
+            (reply.0, &reply.1["state"]),
             (ControlMessage::Done, &json!("held")),
-            "{asked:?}"
+            "{reply:?}"
         );
         changes.push(Changed {
             proposed,
             sign: 1,
             held: true,
         });
-        let back = Instant::now();
-        all_act(&all, 3).await?;
+        let committed = Instant::now();
+        wait_until_all_use(&all, 3).await?;
         assert!(
-            back.elapsed() < Duration::from_millis(2000) + ENDS_WITHIN,
+            committed.elapsed() < Duration::from_millis(2000) + MAX_CHANGE_TIME,
             "{:?}",
-            back.elapsed()
+            committed.elapsed()
         );
-        let (_, known) = all.hosts[2]
+        let (_, outcome) = all.hosts[2]
             .policy("outcome", json!({ "id": "back-from-2" }))
             .await?;
         assert_eq!(
-            (&known["state"], &known["by"]),
+            (&outcome["state"], &outcome["by"]),
             (&json!("held"), &json!("the watch after a change"))
         );
-        let note = known["note"].as_str().unwrap_or_default();
+        let note = outcome["note"].as_str().unwrap_or_default();
         assert!(
             note.starts_with("back from 2: served 0.") && note.contains(", before it 0."),
             "{note}"
         );
         changes.push(Changed {
-            proposed: back,
+            proposed: committed,
             sign: 0,
             held: true,
         });
-        ends_clean(&all, playing, &changes).await;
+        stop_and_check(&all, playing, &changes).await;
         Ok(())
     });
 }
 
-/// Has this host's agent know these agents, from its next start on.
-fn knows(all: &Installation, host: usize, agents: &[usize]) -> io::Result<()> {
+/// Configures these agents in the file of this host's agent, which reads it at its next start.
+fn configure_agents(all: &Installation, host: usize, agents: &[usize]) -> io::Result<()> {
     let path = all.hosts[host].folder.join("fleet.json5");
     let mut file: Value = serde_json::from_str(&std::fs::read_to_string(&path)?)?;
-    let kept = path.with_extension("whole");
-    if !kept.exists() {
-        std::fs::copy(&path, &kept)?;
+    let original_path = path.with_extension("whole");
+    if !original_path.exists() {
+        std::fs::copy(&path, &original_path)?;
     }
-    let whole: Value = serde_json::from_str(&std::fs::read_to_string(&kept)?)?;
-    let names = agents.iter().map(|of| &all.hosts[*of].name);
-    let known = names.map(|name| (name.clone(), whole["council"]["agents"][name].clone()));
-    file["council"]["agents"] = known.collect::<serde_json::Map<_, _>>().into();
+    let original: Value = serde_json::from_str(&std::fs::read_to_string(&original_path)?)?;
+    let names = agents.iter().map(|agent| &all.hosts[*agent].name);
+    let configured = names.map(|name| (name.clone(), original["council"]["agents"][name].clone()));
+    file["council"]["agents"] = configured.collect::<serde_json::Map<_, _>>().into();
     std::fs::write(path, file.to_string())
 }
 
 #[test]
-fn an_agent_that_is_gone_for_good_is_taken_out_and_a_new_one_taken_in_under_load() {
-    play(async {
+fn a_lost_agent_is_removed_and_a_new_one_added_under_load() {
+    run_test(async {
         let made = Made {
             hosts: 4,
             instances: 1,
-            ..MADE
+            ..THREE_HOSTS
         };
         let mut all = Installation::start(PROGRAM.as_ref(), 52, &made).await?;
         let playing = all.load(40.0, 15).await?;
-        let mut changes = vec![change(&all, 0, 0, "four").await?];
+        let mut changes = vec![complete_change(&all, 0, 0, "four").await?];
         let socket = all.hosts[1].socket().to_string_lossy().into_owned();
         let remove = || run(&["fleet", "--agent", &socket, "policy", "remove", "h3"]);
-        let refused = remove();
-        let why = String::from_utf8_lossy(&refused.stderr).into_owned();
+        let rejected = remove();
+        let reason = String::from_utf8_lossy(&rejected.stderr).into_owned();
         assert!(
-            refused.status.code() == Some(1) && why.contains("stands in this agent's file"),
-            "{why}"
+            rejected.status.code() == Some(1) && reason.contains("stands in this agent's file"),
+            "{reason}"
         );
         all.hosts[3].kill_agent().await;
         for host in 0..3 {
-            knows(&all, host, &[0, 1, 2])?;
+            configure_agents(&all, host, &[0, 1, 2])?;
             all.hosts[host].kill_agent().await;
             all.hosts[host].start_agent(PROGRAM.as_ref())?;
-            all.when("it is back", |shows| {
+            all.when("the agents have a lease", |shows| {
                 shows[..3].iter().all(|show| show["lease"].is_object())
             })
             .await?;
         }
-        // Not by the tool: the links between the agents are carried by the thread that would wait for it.
-        let (word, removed) = all.hosts[1]
+        // Not through the command line: this thread forwards the links between the agents and must
+        // not wait for a process.
+        let (kind, removed) = all.hosts[1]
             .policy("remove", json!({ "name": "h3" }))
             .await?;
         assert_eq!(
-            (word, &removed["removed"]),
+            (kind, &removed["removed"]),
             (ControlMessage::Done, &json!("h3")),
             "{removed}"
         );
         let members = |show: &Value| show["members"].as_object().map_or(0, serde_json::Map::len);
-        all.when("three sit", |shows| {
+        all.when("there are three members", |shows| {
             shows[..3].iter().all(|show| members(show) == 3)
         })
         .await?;
         assert!(String::from_utf8_lossy(&remove().stderr).contains("h3 is no member"));
-        // Two of three go on; they were no majority of four.
+        // Two of three agents are a majority; of four they were not.
         all.hosts[2].kill_agent().await;
-        changes.push(change(&all, 0, 1, "two of three").await?);
+        changes.push(complete_change(&all, 0, 1, "two of three").await?);
         all.hosts[2].start_agent(PROGRAM.as_ref())?;
-        // Taken in again: by the files, and a seat from the log.
+        // The agent is added again: through the fleet files, and with a voter slot from the log.
         for host in 0..3 {
-            knows(&all, host, &[0, 1, 2, 3])?;
+            configure_agents(&all, host, &[0, 1, 2, 3])?;
             all.hosts[host].kill_agent().await;
             all.hosts[host].start_agent(PROGRAM.as_ref())?;
-            all.when("it is back", |shows| {
+            all.when("the agents have a lease", |shows| {
                 shows[..3].iter().all(|show| show["lease"].is_object())
             })
             .await?;
         }
         all.hosts[3].start_agent(PROGRAM.as_ref())?;
-        all.when("four sit", |shows| {
+        all.when("there are four members", |shows| {
             shows
                 .iter()
                 .all(|show| members(show) == 4 && show["lease"].is_object())
                 && shows[0]["members"]["h3"].as_u64() > Some(4)
         })
         .await?;
-        changes.push(change(&all, 3, 2, "four again").await?);
+        changes.push(complete_change(&all, 3, 2, "four again").await?);
         assert!(changes.iter().all(|change| change.held), "{changes:?}");
-        all_act(&all, 3).await?;
-        ends_clean(&all, playing, &changes).await;
+        wait_until_all_use(&all, 3).await?;
+        stop_and_check(&all, playing, &changes).await;
         Ok(())
     });
 }
 
 #[test]
-fn an_instance_that_starts_in_each_state_of_a_change_begins_by_the_new_policy_or_the_base() {
-    play(async {
-        let mut all = Installation::start(PROGRAM.as_ref(), 56, &MADE).await?;
+fn an_instance_starting_in_any_state_of_a_change_uses_the_new_or_the_base_policy() {
+    run_test(async {
+        let mut all = Installation::start(PROGRAM.as_ref(), 56, &THREE_HOSTS).await?;
         let playing = all.load(40.0, 16).await?;
-        let mut changes = vec![change(&all, 0, 0, "one").await?];
-        for (place, state) in ["proposed", "decides", "opens", "grants", "held"]
+        let mut changes = vec![complete_change(&all, 0, 0, "one").await?];
+        for (index, state) in ["proposed", "decides", "opens", "grants", "held"]
             .into_iter()
             .enumerate()
         {
-            let number = place as u64 + 2;
-            // Half a second in this state, while the instance comes up.
-            with_fault(&mut all, &format!("agent.{state}.{number}:1:pause")).await?;
-            let host = (all.leader().await.expect("one leads") + 1) % 3;
+            let version = index as u64 + 2;
+            // The agent pauses for half a second in this state, while the instance starts.
+            restart_agents_with_fault(&mut all, &format!("agent.{state}.{version}:1:pause"))
+                .await?;
+            let host = (all.leader().await.expect("a leader") + 1) % 3;
             all.hosts[host]
                 .processes_of(1)
                 .iter()
                 .for_each(|pid| signal(*pid, Signal::KILL));
-            let own = playing
+            let load = playing
                 .iter()
-                .find(|(of, at, ..)| (*of, *at) == (host, 1))
-                .expect("it is played");
-            own.3.seen.borrow_mut().killed.push(Instant::now());
-            sleep(Duration::from_millis(120)).await; // it is started 0.2 s after its death
-            changes.push(change(&all, place % 3, (place + 1) % 3, state).await?);
-            all_act(&all, number).await?;
+                .find(|(load_host, instance, ..)| (*load_host, *instance) == (host, 1))
+                .expect("the load of the instance");
+            load.3.seen.borrow_mut().killed.push(Instant::now());
+            sleep(Duration::from_millis(120)).await; // it is restarted 0.2 s after its death
+            changes.push(complete_change(&all, index % 3, (index + 1) % 3, state).await?);
+            wait_until_all_use(&all, version).await?;
         }
         assert!(changes.iter().all(|change| change.held), "{changes:?}");
-        ends_clean(&all, playing, &changes).await;
+        stop_and_check(&all, playing, &changes).await;
         Ok(())
     });
 }
 
 #[test]
-fn agents_in_a_chain_go_on_and_so_they_do_where_links_part_and_heal_in_the_midst() {
-    play(async {
-        let all = Installation::start(PROGRAM.as_ref(), 59, &MADE).await?;
+fn changes_commit_with_agents_in_a_chain_and_with_flapping_links() {
+    run_test(async {
+        let all = Installation::start(PROGRAM.as_ref(), 59, &THREE_HOSTS).await?;
         let playing = all.load(40.0, 17).await?;
-        let mut changes = vec![change(&all, 0, 0, "one").await?];
-        let part = |one: usize, other: usize, fault: Fault| {
-            for ways in [(one, other), (other, one)] {
-                all.links[&ways].set(fault);
+        let mut changes = vec![complete_change(&all, 0, 0, "one").await?];
+        let set_fault = |one: usize, other: usize, fault: Fault| {
+            for direction in [(one, other), (other, one)] {
+                all.links[&direction].set(fault);
             }
         };
-        // Who stands at an end of the chain reaches one other only, also where it is the one that leads: the other end is then cut
-        // off from it, and whoever asks there is told so.
-        for (place, middle) in [0, 1, 2].into_iter().enumerate() {
+        // An agent at an end of the chain reaches only the middle one. If it leads, the other end
+        // is cut off from the leader and reports that to clients.
+        for (index, middle) in [0, 1, 2].into_iter().enumerate() {
             let (one, other) = ((middle + 1) % 3, (middle + 2) % 3);
-            part(
+            set_fault(
                 one,
                 other,
-                if place == 1 { Fault::Held } else { Fault::Cut },
+                if index == 1 { Fault::Held } else { Fault::Cut },
             );
-            changes.push(change(&all, middle, (place + 1) % 3, &format!("chain {middle}")).await?);
-            part(one, other, Fault::None);
+            changes.push(
+                complete_change(&all, middle, (index + 1) % 3, &format!("chain {middle}")).await?,
+            );
+            set_fault(one, other, Fault::None);
         }
-        // Parted and healed again every 0.3 s, another pair each time, while changes are under way.
-        let ends = Instant::now() + Duration::from_secs(4);
-        let restless = async {
-            let mut turn = 0;
-            while Instant::now() < ends {
-                let (one, other) = (turn % 3, (turn + 1) % 3);
-                part(
+        // While changes are made, a different link is cut and restored every 0.3 s.
+        let end = Instant::now() + Duration::from_secs(4);
+        let flapping = async {
+            let mut round = 0;
+            while Instant::now() < end {
+                let (one, other) = (round % 3, (round + 1) % 3);
+                set_fault(
                     one,
                     other,
-                    if turn % 2 == 0 {
+                    if round % 2 == 0 {
                         Fault::Cut
                     } else {
                         Fault::Held
                     },
                 );
                 sleep(Duration::from_millis(300)).await;
-                part(one, other, Fault::None);
-                turn += 1;
+                set_fault(one, other, Fault::None);
+                round += 1;
             }
             Ok::<_, io::Error>(())
         };
         let changing = async {
-            let mut all_held = Vec::new();
-            while Instant::now() < ends {
-                let number = all_held.len();
-                all_held.push(
-                    change(
+            let mut changes = Vec::new();
+            while Instant::now() < end {
+                let number = changes.len();
+                changes.push(
+                    complete_change(
                         &all,
                         number % 3,
                         (number + 1) % 3,
@@ -921,97 +966,98 @@
                     )
                     .await?,
                 );
-                sleep(Duration::from_millis(250)).await; // it shows itself
+                sleep(Duration::from_millis(250)).await; // time for answers that show the policy
             }
-            Ok::<_, io::Error>(all_held)
+            Ok::<_, io::Error>(changes)
         };
-        let ((), more) = tokio::try_join!(restless, changing)?;
+        let ((), more) = tokio::try_join!(flapping, changing)?;
         changes.extend(more);
         all.heal();
         assert!(
             changes.len() > 5 && changes.iter().all(|change| change.held),
             "{changes:?}"
         );
-        all_act(&all, changes.len() as u64).await?;
-        ends_clean(&all, playing, &changes).await;
+        wait_until_all_use(&all, changes.len() as u64).await?;
+        stop_and_check(&all, playing, &changes).await;
         Ok(())
     });
 }
 
 #[test]
-fn a_link_to_an_instance_that_hangs_half_open_ends_its_lease_on_both_sides_in_order() {
-    play(async {
-        let all = Installation::start(PROGRAM.as_ref(), 31, &MADE).await?;
+fn a_half_open_control_link_ends_the_lease_on_both_sides_in_order() {
+    run_test(async {
+        let all = Installation::start(PROGRAM.as_ref(), 31, &THREE_HOSTS).await?;
         let playing = all.load(60.0, 8).await?;
-        let mut changes = vec![change(&all, 0, 0, "one").await?];
+        let mut changes = vec![complete_change(&all, 0, 0, "one").await?];
         let link = ControlLink::take(&all.hosts[1].control(0))?;
-        sleep(Duration::from_millis(400)).await; // beats go through it
+        sleep(Duration::from_millis(400)).await; // heartbeats pass through the link
         link.set(Manner::Held);
-        let began = Instant::now();
-        changes.push(change(&all, 0, 1, "two").await?);
+        let start = Instant::now();
+        changes.push(complete_change(&all, 0, 1, "two").await?);
         assert!(
-            changes[1].held && began.elapsed() < ENDS_WITHIN,
+            changes[1].held && start.elapsed() < MAX_CHANGE_TIME,
             "{:?}",
-            began.elapsed()
+            start.elapsed()
         );
-        // What lay there comes all at once, grants of the former policy among it.
+        // Held data now arrives all at once, including grants of the previous policy.
         link.set(Manner::Plain);
-        changes.push(change(&all, 2, 2, "three").await?);
+        changes.push(complete_change(&all, 2, 2, "three").await?);
         drop(link);
-        all_act(&all, 3).await?;
-        ends_clean(&all, playing, &changes).await;
+        wait_until_all_use(&all, 3).await?;
+        stop_and_check(&all, playing, &changes).await;
         Ok(())
     });
 }
 
 #[test]
-fn clocks_that_run_apart_and_a_full_disk_break_no_order() {
-    play(async {
-        let mut all = Installation::start(PROGRAM.as_ref(), 28, &MADE).await?;
+fn clock_drift_and_an_unwritable_disk_keep_the_order_of_policies() {
+    run_test(async {
+        let mut all = Installation::start(PROGRAM.as_ref(), 28, &THREE_HOSTS).await?;
         let playing = all.load(40.0, 7).await?;
-        let mut changes = vec![change(&all, 0, 0, "one").await?];
+        let mut changes = vec![complete_change(&all, 0, 0, "one").await?];
         for (host, rate) in [(0, 1.01), (1, 0.99)] {
             all.hosts[host].kill_agent().await;
             all.hosts[host].clock_rate = Some(rate);
             all.hosts[host].start_agent(PROGRAM.as_ref())?;
-            all.when("it is back", |shows| {
+            all.when("the agents have a lease", |shows| {
                 shows.iter().all(|show| show["lease"].is_object())
             })
             .await?;
         }
-        // A host that is cut off at the moment of the change: its lease ends on both sides in the right order.
+        // A host is cut off as the change is made: its lease ends on both sides in the right order.
         all.set_links(0, true, true, Fault::Held);
-        changes.push(change(&all, 1, 1, "apart").await?);
+        changes.push(complete_change(&all, 1, 1, "apart").await?);
         all.heal();
-        all_act(&all, 2).await?;
-        // The disk of one agent takes nothing more: it is out of the council, and the others decide.
+        wait_until_all_use(&all, 2).await?;
+        // One agent can no longer write its log: it leaves the consensus group, and the others
+        // decide.
         let file = all.hosts[2].council();
-        let kept = file.with_extension("kept");
-        std::fs::rename(&file, &kept)?;
-        std::fs::create_dir(&file)?; // which takes nothing, and can't be read
-        changes.push(change(&all, 1, 2, "full").await?);
-        all.when("it says so", |shows| {
+        let moved = file.with_extension("kept");
+        std::fs::rename(&file, &moved)?;
+        std::fs::create_dir(&file)?; // a folder in place of the file cannot be written or read
+        changes.push(complete_change(&all, 1, 2, "full").await?);
+        all.when("the agent reports its disk", |shows| {
             shows[2]["council"] == "without its disk"
         })
         .await?;
         std::fs::remove_dir(&file)?;
-        std::fs::rename(&kept, &file)?;
-        all_act(&all, 3).await?;
+        std::fs::rename(&moved, &file)?;
+        wait_until_all_use(&all, 3).await?;
         assert!(changes.iter().all(|change| change.held), "{changes:?}");
-        ends_clean(&all, playing, &changes).await;
+        stop_and_check(&all, playing, &changes).await;
         Ok(())
     });
 }
 
-fn run(words: &[&str]) -> Output {
+fn run(arguments: &[&str]) -> Output {
     Command::new(PROGRAM)
-        .args(words)
+        .args(arguments)
         .output()
-        .expect("the program can be run")
+        .expect("the output")
 }
 
 #[test]
-fn what_is_no_policy_is_told_with_its_line_before_anybody_is_asked() {
+fn an_invalid_policy_file_is_reported_with_its_line_without_contacting_an_agent() {
     let folder = std::env::temp_dir().join(format!("merlinshelf-policies-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     let large = format!("{{note: '{}'}}", "x".repeat(10 * 1024 * 1024));
@@ -1026,49 +1072,52 @@
         ),
         ("{\n  operatoins: {}}", ":2:"),
         ("not a policy", "1:"),
-        (large.as_str(), "it is longer than the 16384 bytes"),
+        (
+            large.as_str(),
+            "the document is longer than the maximum of 16384 bytes",
+        ),
     ];
-    for (text, why) in texts {
+    for (text, reason) in texts {
         let file = folder.join("policy.json5");
-        std::fs::write(&file, text).expect("it can be written");
-        for what in ["check", "propose"] {
-            let said = run(&[
+        std::fs::write(&file, text).expect("a file");
+        for command in ["check", "propose"] {
+            let output = run(&[
                 "fleet",
                 "--agent",
                 "/nowhere",
                 "policy",
-                what,
+                command,
                 file.to_str().unwrap_or_default(),
             ]);
-            let told = String::from_utf8_lossy(&said.stderr).into_owned();
-            assert_eq!(said.status.code(), Some(1), "{told}");
+            let error = String::from_utf8_lossy(&output.stderr).into_owned();
+            assert_eq!(output.status.code(), Some(1), "{error}");
             assert!(
-                told.contains(why) && told.contains("policy.json5:"),
-                "{told}"
+                error.contains(reason) && error.contains("policy.json5:"),
+                "{error}"
             );
         }
     }
     let _ = std::fs::remove_dir_all(&folder);
-    let said = run(&[
+    let output = run(&[
         "fleet",
         "policy",
         "check",
         concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/policy.json5"),
     ]);
-    assert!(said.status.success());
+    assert!(output.status.success());
     let schema = run(&["fleet", "policy", "check", "--schema"]);
-    let kept = include_str!("../../../deploy/policy.schema.json");
+    let stored = include_str!("../../../deploy/policy.schema.json");
     assert_eq!(
         String::from_utf8_lossy(&schema.stdout),
-        kept,
-        "`fleet policy check --schema` makes it anew"
+        stored,
+        "`fleet policy check --schema` prints the current schema"
     );
 }
 
 #[test]
-fn the_checker_finds_what_comes_late_and_what_never_held() {
-    let began = Instant::now();
-    let at = |ms: u64| began + Duration::from_millis(ms);
+fn the_checker_detects_stale_and_rejected_policies() {
+    let start = Instant::now();
+    let at = |ms: u64| start + Duration::from_millis(ms);
     let changed = |ms, sign, held| Changed {
         proposed: at(ms),
         sign,
@@ -1080,21 +1129,27 @@
         changed(200, 2, false),
         changed(300, 0, true),
     ];
-    let fine = [
+    let in_order = [
         (at(10), at(20), 0),
         (at(110), at(150), 0),
         (at(120), at(140), 1),
         (at(310), at(320), 0),
     ];
-    assert_eq!(out_of_order(&changes, &fine), (0, 0));
-    // Sent after the next policy had shown itself at 140 ms.
+    assert_eq!(out_of_order(&changes, &in_order), (0, 0));
+    // Sent after an answer at 140 ms had shown the next policy.
     assert_eq!(
-        out_of_order(&changes, &[&fine[..], &[(at(141), at(160), 0)]].concat()),
+        out_of_order(
+            &changes,
+            &[&in_order[..], &[(at(141), at(160), 0)]].concat()
+        ),
         (1, 0)
     );
-    // Let in by what was refused.
+    // Admitted by a policy that was rejected.
     assert_eq!(
-        out_of_order(&changes, &[&fine[..], &[(at(210), at(220), 2)]].concat()),
+        out_of_order(
+            &changes,
+            &[&in_order[..], &[(at(210), at(220), 2)]].concat()
+        ),
         (0, 1)
     );
 }
--- a/crates/merlinshelf-cli/tests/shares.rs
+++ b/crates/merlinshelf-cli/tests/shares.rs
@@ -1,4 +1,5 @@
-//! One budget for the fleet, between real processes with faults between them: what is spent is counted at the door of the catalogue.
+//! One call budget for the fleet, with real processes and faults between them. The calls made are
+//! counted at the catalogue.
 
 use std::io;
 use std::process::Command;
@@ -20,88 +21,94 @@
 use tokio::time::{Instant, sleep};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_merlinshelf");
-/// Once all are told that it fails, whoever had first calls left has made them by then, seconds: a lease, and a busy machine.
-const TOLD: f64 = 1.5;
+/// Time after all agents know that the catalogue fails until remaining first calls are made: a
+/// lease, and an allowance for a busy machine.
+const REMAINING_CALLS_SECONDS: f64 = 1.5;
 
-fn play<T>(what: impl Future<Output = io::Result<T>>) -> T {
-    play_in_a_lane(Duration::from_secs(120), what)
+fn run_test<T>(test: impl Future<Output = io::Result<T>>) -> T {
+    play_in_a_lane(Duration::from_secs(120), test)
 }
 
-fn seconds(of: f64) -> Duration {
-    Duration::from_secs_f64(of)
+fn seconds(count: f64) -> Duration {
+    Duration::from_secs_f64(count)
 }
 
-async fn pause(of: f64) {
-    sleep(seconds(of)).await;
+async fn pause(count: f64) {
+    sleep(seconds(count)).await;
 }
 
-/// An installation with budgets that hold, under load.
+/// An installation under load whose policy with budgets is in force.
 struct Fleet {
     all: Installation,
-    door: Rc<Server>,
+    catalogue: Rc<Server>,
     playing: Vec<(usize, u16, Load, Playing)>,
 }
 
 impl Fleet {
     async fn start(number: u8, made: &Made, rate: f64, policy: &Value) -> io::Result<Fleet> {
         let all = Installation::start(PROGRAM.as_ref(), number, made).await?;
-        let door = all.door.clone().expect("a door");
+        let catalogue = all.door.clone().expect("a catalogue");
         hold(&all, policy, "budgets").await?;
         let playing = all.load(rate, number.into()).await?;
         pause(2.0).await;
-        Ok(Fleet { all, door, playing })
+        Ok(Fleet {
+            all,
+            catalogue,
+            playing,
+        })
     }
 
-    /// What the door saw so far, from a moment on.
-    fn since(&self, from: Instant) -> Door {
-        Door::of(&self.door, from, Instant::now())
+    /// The calls that the catalogue has received since this time.
+    fn calls_since(&self, from: Instant) -> Door {
+        Door::of(&self.catalogue, from, Instant::now())
     }
 
-    /// Until all agents are told that it fails everywhere. Their word says when to look; what is seen is the door's.
-    async fn known(&self) -> io::Result<Instant> {
+    /// Waits until all agents know that the catalogue fails everywhere. The agents' reports only
+    /// determine when to measure; the measurement itself is the catalogue's.
+    async fn wait_until_failing(&self) -> io::Result<Instant> {
         let until = Instant::now() + seconds(30.0);
         loop {
-            let mut told = 0;
+            let mut informed = 0;
             for host in &self.all.hosts {
-                let said = host
+                let report = host
                     .policy("budgets", json!({}))
                     .await
-                    .map(|(_, said)| said)
+                    .map(|(_, report)| report)
                     .unwrap_or_default();
-                told += usize::from(said["here"].as_array().is_some_and(|here| {
+                informed += usize::from(report["here"].as_array().is_some_and(|here| {
                     here.iter()
-                        .any(|one| one["kind"] == "probes" && one["fares"] == "fails")
+                        .any(|grant| grant["kind"] == "probes" && grant["fares"] == "fails")
                 }));
             }
-            if told == self.all.hosts.len() {
-                pause(TOLD).await;
+            if informed == self.all.hosts.len() {
+                pause(REMAINING_CALLS_SECONDS).await;
                 return Ok(Instant::now());
             }
-            assert!(Instant::now() < until, "nobody finds that it fails");
+            assert!(Instant::now() < until, "the failure is not detected");
             pause(0.05).await;
         }
     }
 
-    /// All of a kind in every second since.
-    fn probes_hold(&self, from: Instant) {
-        let calls = self.since(from).calls;
-        let worst = worst_second(&calls);
+    /// Checks that there were probes since this time, in no second more than the budget.
+    fn check_probes(&self, from: Instant) {
+        let calls = self.calls_since(from).calls;
+        let most = worst_second(&calls);
         println!(
-            "probes each second {:?}, at once {}",
+            "probes by second {:?}, at once {}",
             each_second(&calls, from, 20),
             most_within(&calls, seconds(0.05))
         );
-        assert!(worst <= PROBES, "{worst} probes in a second, of {PROBES}");
-        assert!(!calls.is_empty(), "nobody looks whether it is back");
+        assert!(most <= PROBES, "{most} probes in a second exceed {PROBES}");
+        assert!(!calls.is_empty(), "no probe was made");
     }
 
-    /// Until calls come as before.
-    async fn is_back(&self, from: Instant, rate: usize) -> f64 {
-        while self.since(Instant::now() - seconds(1.0)).calls.len() < rate {
+    /// Waits until the calls reach this rate per second again. Returns the seconds since `from`.
+    async fn wait_until_recovered(&self, from: Instant, rate: usize) -> f64 {
+        while self.calls_since(Instant::now() - seconds(1.0)).calls.len() < rate {
             assert!(
                 from.elapsed() < seconds(15.0),
                 "{:?}",
-                each_second(&self.since(from).calls, from, 15)
+                each_second(&self.calls_since(from).calls, from, 15)
             );
             pause(0.05).await;
         }
@@ -120,7 +127,7 @@
     }
 }
 
-fn made(instances: u16) -> Made {
+fn installation_with(instances: u16) -> Made {
     Made {
         instances,
         budgets: aside(),
@@ -128,32 +135,34 @@
     }
 }
 
-/// Case 1.
+/// Case 1: the catalogue fails under 24 processes and recovers.
 #[test]
-fn a_catalogue_that_dies_under_24_processes_is_probed_by_the_fleet_and_opened_in_steps() {
-    play(async {
-        let fleet = Fleet::start(10, &made(8), 12.0, &policy(&[])).await?;
-        let before = fleet.since(Instant::now() - seconds(1.0)).calls.len();
-        fleet.door.does(Manners::Errors);
-        let known = fleet.known().await?;
+fn the_fleet_probes_a_failed_catalogue_within_its_budget_and_recovers_it_in_steps() {
+    run_test(async {
+        let fleet = Fleet::start(10, &installation_with(8), 12.0, &policy(&[])).await?;
+        let before = fleet.calls_since(Instant::now() - seconds(1.0)).calls.len();
+        fleet.catalogue.does(Manners::Errors);
+        let failing_since = fleet.wait_until_failing().await?;
         pause(7.0).await;
-        fleet.probes_hold(known);
-        fleet.door.does(Manners::Well);
-        let back = Instant::now();
+        fleet.check_probes(failing_since);
+        fleet.catalogue.does(Manners::Well);
+        let recovered_at = Instant::now();
         pause(1.0).await;
-        let first = fleet.since(back);
+        let first = fleet.calls_since(recovered_at);
         println!(
-            "returns {:?}, before {before}",
-            each_second(&first.calls, back, 2)
+            "recovery by second {:?}, before the failure {before}",
+            each_second(&first.calls, recovered_at, 2)
         );
         assert!(
             worst_second(&first.calls) <= FIRST,
             "{}",
             worst_second(&first.calls)
         );
-        let took = fleet.is_back(back, before * 8 / 10).await;
-        println!("as before after {took:.2} s");
-        assert!(took < 7.0, "{took}");
+        let recovery_seconds = fleet
+            .wait_until_recovered(recovered_at, before * 8 / 10)
+            .await;
+        println!("recovered after {recovery_seconds:.2} s");
+        assert!(recovery_seconds < 7.0, "{recovery_seconds}");
         let mut command = Command::new(PROGRAM);
         let socket = fleet.all.hosts[1].socket();
         let shown = command
@@ -172,41 +181,47 @@
     });
 }
 
-/// Case 2.
+/// Case 2: the leader is paused until another one leads, so that for a while two agents take
+/// themselves for the leader.
 #[test]
-fn of_two_that_believe_that_they_share_out_one_gives_nothing() {
-    play(async {
-        let fleet = Fleet::start(14, &made(4), 12.0, &policy(&[])).await?;
-        fleet.door.does(Manners::Errors);
-        let known = fleet.known().await?;
-        let leader = fleet.all.leader().await.expect("one leads");
+fn a_paused_leader_grants_nothing_after_its_term_ends() {
+    run_test(async {
+        let fleet = Fleet::start(14, &installation_with(4), 12.0, &policy(&[])).await?;
+        fleet.catalogue.does(Manners::Errors);
+        let failing_since = fleet.wait_until_failing().await?;
+        let leader = fleet.all.leader().await.expect("a leader");
         let agent = fleet.all.hosts[leader].agent().expect("an agent");
         signal(agent, Signal::STOP);
         pause(4.0).await;
         signal(agent, Signal::CONT);
         pause(4.0).await;
-        fleet.probes_hold(known);
+        fleet.check_probes(failing_since);
         fleet.end().await;
         Ok(())
     });
 }
 
-/// Case 2 as well: the keeper dies for good, and its host's instances spend what their host has set aside.
+/// Case 2 as well: the leader is killed and restarted only at the end. Its host's instances use their
+/// host's reserve.
 #[test]
-fn when_whoever_shares_out_dies_another_one_does_after_a_lease() {
-    play(async {
-        let mut fleet = Fleet::start(18, &made(4), 12.0, &policy(&[])).await?;
-        fleet.door.does(Manners::Errors);
-        let known = fleet.known().await?;
-        let leader = fleet.all.leader().await.expect("one leads");
+fn after_the_leader_is_killed_another_allocates_after_a_lease() {
+    run_test(async {
+        let mut fleet = Fleet::start(18, &installation_with(4), 12.0, &policy(&[])).await?;
+        fleet.catalogue.does(Manners::Errors);
+        let failing_since = fleet.wait_until_failing().await?;
+        let leader = fleet.all.leader().await.expect("a leader");
         fleet.all.hosts[leader].kill_agent().await;
         pause(5.0).await;
-        fleet.probes_hold(known);
-        fleet.door.does(Manners::Well);
-        let back = Instant::now();
-        let took = fleet.is_back(back, 20).await;
-        println!("as before after {took:.2} s");
-        assert!(worst_second(&Door::of(&fleet.door, back, back + seconds(1.0)).calls) <= FIRST);
+        fleet.check_probes(failing_since);
+        fleet.catalogue.does(Manners::Well);
+        let recovered_at = Instant::now();
+        let recovery_seconds = fleet.wait_until_recovered(recovered_at, 20).await;
+        println!("recovered after {recovery_seconds:.2} s");
+        assert!(
+            worst_second(
+                &Door::of(&fleet.catalogue, recovered_at, recovered_at + seconds(1.0)).calls
+            ) <= FIRST
+        );
         let program = fleet.all.program.clone();
         fleet.all.hosts[leader].start_agent(&program)?;
         fleet.end().await;
@@ -214,15 +229,16 @@
     });
 }
 
-/// Case 3.
+/// Case 3: the leader is partitioned.
 #[test]
-fn a_part_that_is_cut_off_spends_what_was_set_aside_and_heals_with_old_shares_running() {
-    play(async {
-        let fleet = Fleet::start(22, &made(4), 12.0, &policy(&[])).await?;
-        let leader = fleet.all.leader().await.expect("one leads");
-        fleet.door.does(Manners::Errors);
-        let known = fleet.known().await?;
-        // Whoever leads is alone; then heals and parts again while what it gave still runs.
+fn a_partitioned_host_spends_its_reserve_and_rejoins_with_old_grants_running() {
+    run_test(async {
+        let fleet = Fleet::start(22, &installation_with(4), 12.0, &policy(&[])).await?;
+        let leader = fleet.all.leader().await.expect("a leader");
+        fleet.catalogue.does(Manners::Errors);
+        let failing_since = fleet.wait_until_failing().await?;
+        // The leader is isolated, then reconnected, and another host is cut off while the leader's
+        // grants still run.
         fleet.all.set_links(leader, true, true, Fault::Held);
         pause(3.5).await;
         fleet.all.heal();
@@ -233,37 +249,37 @@
         pause(3.0).await;
         fleet.all.heal();
         pause(1.0).await;
-        fleet.probes_hold(known);
+        fleet.check_probes(failing_since);
         fleet.end().await;
         Ok(())
     });
 }
 
-/// Case 3, in the midst of coming back: nobody reaches anybody, and what each host has set aside bounds what it lets through.
+/// Case 3, during recovery: no agent runs, and each host's reserve bounds the calls that it makes.
 #[test]
-fn who_hears_of_nobody_comes_back_by_what_its_host_has_set_aside() {
-    play(async {
-        let mut fleet = Fleet::start(26, &made(4), 12.0, &policy(&[])).await?;
-        fleet.door.does(Manners::Errors);
-        fleet.known().await?;
+fn hosts_without_agents_recover_the_catalogue_with_their_reserves() {
+    run_test(async {
+        let mut fleet = Fleet::start(26, &installation_with(4), 12.0, &policy(&[])).await?;
+        fleet.catalogue.does(Manners::Errors);
+        fleet.wait_until_failing().await?;
         for host in &mut fleet.all.hosts {
             host.kill_agent().await;
         }
         pause(4.0).await;
-        let alone = Instant::now();
+        let without_agents = Instant::now();
         pause(3.0).await;
-        let worst = worst_second(&fleet.since(alone).calls);
+        let most = worst_second(&fleet.calls_since(without_agents).calls);
         assert!(
-            (1..=3).contains(&worst),
-            "{worst} probes in a second where each of 3 hosts has one"
+            (1..=3).contains(&most),
+            "{most} probes in a second with a reserve of 1 on each of 3 hosts"
         );
-        fleet.door.does(Manners::Well);
-        let back = Instant::now();
-        let took = fleet.is_back(back, 20).await;
-        let first = Door::of(&fleet.door, back, back + seconds(3.0));
+        fleet.catalogue.does(Manners::Well);
+        let recovered_at = Instant::now();
+        let recovery_seconds = fleet.wait_until_recovered(recovered_at, 20).await;
+        let first = Door::of(&fleet.catalogue, recovered_at, recovered_at + seconds(3.0));
         println!(
-            "returns {:?}, as before after {took:.2} s",
-            each_second(&first.calls, back, 3)
+            "recovery by second {:?}, recovered after {recovery_seconds:.2} s",
+            each_second(&first.calls, recovered_at, 3)
         );
         assert!(worst_second(&first.calls) <= FIRST);
         fleet.end().await;
@@ -271,22 +287,20 @@
     });
 }
 
-/// Case 4.
+/// Case 4: edge nodes restart and instances stop while the catalogue is slow.
 #[test]
-fn edge_nodes_that_restart_while_the_fleet_shrinks_do_not_push_the_catalogue_past_its_limit() {
-    play(async {
-        let fleet = Fleet::start(30, &made(4), 15.0, &policy(&[("opened", 60)])).await?;
+fn edge_node_restarts_while_the_fleet_shrinks_do_not_exceed_the_catalogues_limit() {
+    run_test(async {
+        let fleet =
+            Fleet::start(30, &installation_with(4), 15.0, &policy(&[("opened", 60)])).await?;
         let from = Instant::now();
-        fleet.door.does(Manners::Slow(3.0));
-        for (place, (host, ..)) in fleet.playing.iter().enumerate() {
-            if place % 4 == 0 {
-                fleet.playing[place].3.seen.borrow_mut().restarts += 1;
-            }
-            let _ = host;
+        fleet.catalogue.does(Manners::Slow(3.0));
+        for (.., playing) in fleet.playing.iter().step_by(4) {
+            playing.seen.borrow_mut().restarts += 1;
         }
         for host in 0..3 {
-            for place in [2, 3] {
-                let names = [format!("web.{place}")];
+            for instance in [2, 3] {
+                let names = [format!("web.{instance}")];
                 fleet.all.hosts[host]
                     .ask(&json!({ "op": "stop", "names": names, "within_s": 10 }))
                     .await?;
@@ -294,7 +308,7 @@
             }
         }
         pause(3.0).await;
-        let seen = fleet.since(from);
+        let seen = fleet.calls_since(from);
         println!(
             "opened {:?} calls {:?}",
             each_second(&seen.opened, from, 9),
@@ -311,9 +325,9 @@
             worst_second(&seen.again)
         );
         assert!(
-            fleet.door.most_open.get() <= 16 * 4,
+            fleet.catalogue.most_open.get() <= 16 * 4,
             "{}",
-            fleet.door.most_open.get()
+            fleet.catalogue.most_open.get()
         );
         let verdict = check(&fleet.all, fleet.playing).await;
         assert_eq!(
@@ -325,37 +339,38 @@
     });
 }
 
-/// Case 5.
+/// Case 5: instances are paused for longer than their lease.
 #[test]
-fn who_stood_still_with_a_share_spends_nothing_of_it_after_its_lease() {
-    play(async {
-        let fleet = Fleet::start(34, &made(2), 20.0, &policy(&[("probes", 6)])).await?;
-        fleet.door.does(Manners::Errors);
-        let known = fleet.known().await?;
-        for turn in 0..3 {
-            let stood: Vec<u32> = (0..3)
-                .flat_map(|host| fleet.all.hosts[host].processes_of(turn % 2))
+fn a_paused_instance_spends_no_grant_after_its_lease() {
+    run_test(async {
+        let fleet =
+            Fleet::start(34, &installation_with(2), 20.0, &policy(&[("probes", 6)])).await?;
+        fleet.catalogue.does(Manners::Errors);
+        let failing_since = fleet.wait_until_failing().await?;
+        for round in 0..3 {
+            let paused: Vec<u32> = (0..3)
+                .flat_map(|host| fleet.all.hosts[host].processes_of(round % 2))
                 .collect();
-            stood.iter().for_each(|pid| signal(*pid, Signal::STOP));
+            paused.iter().for_each(|pid| signal(*pid, Signal::STOP));
             pause(1.6).await;
-            stood.iter().for_each(|pid| signal(*pid, Signal::CONT));
+            paused.iter().for_each(|pid| signal(*pid, Signal::CONT));
             pause(0.6).await;
         }
-        let calls = fleet.since(known).calls;
-        println!("{:?}", each_second(&calls, known, 8));
+        let calls = fleet.calls_since(failing_since).calls;
+        println!("{:?}", each_second(&calls, failing_since, 8));
         assert!(worst_second(&calls) <= 6, "{}", worst_second(&calls));
         fleet.end().await;
         Ok(())
     });
 }
 
-/// Case 6.
+/// Case 6: all agents and instances are killed and start at once.
 #[test]
-fn dozens_that_begin_at_once_with_nobody_to_share_out_yet_spend_no_more() {
-    play(async {
-        let mut fleet = Fleet::start(38, &made(8), 8.0, &policy(&[])).await?;
-        fleet.door.does(Manners::Errors);
-        let known = fleet.known().await?;
+fn instances_starting_together_without_an_allocator_stay_within_the_budget() {
+    run_test(async {
+        let mut fleet = Fleet::start(38, &installation_with(8), 8.0, &policy(&[])).await?;
+        fleet.catalogue.does(Manners::Errors);
+        let failing_since = fleet.wait_until_failing().await?;
         let program = fleet.all.program.clone();
         for host in &mut fleet.all.hosts {
             host.kill_agent().await;
@@ -374,27 +389,33 @@
         for host in &mut fleet.all.hosts {
             host.start_agent(&program)?;
         }
-        let sits = |show: &Value| show["leader"].is_string() && show["lease"].is_object();
+        let has_lease = |show: &Value| show["leader"].is_string() && show["lease"].is_object();
         fleet
             .all
-            .when("all sit again", |shows| shows.iter().all(sits))
+            .when("all agents have a leader and a lease", |shows| {
+                shows.iter().all(has_lease)
+            })
             .await?;
         pause(4.0).await;
-        // Nobody knows anything: it is taken for one that comes back.
-        let starting = Door::of(&fleet.door, known, Instant::now()).calls;
-        println!("{:?}", each_second(&starting, known, 9));
+        // Without observations, the catalogue is treated as recovering.
+        let starting = Door::of(&fleet.catalogue, failing_since, Instant::now()).calls;
+        println!("{:?}", each_second(&starting, failing_since, 9));
         assert!(
             worst_second(&starting) <= FIRST,
             "{}",
             worst_second(&starting)
         );
-        let known = fleet.known().await?;
+        let failing_since = fleet.wait_until_failing().await?;
         pause(2.0).await;
-        fleet.probes_hold(known);
-        fleet.door.does(Manners::Well);
-        let back = Instant::now();
-        fleet.is_back(back, 30).await;
-        assert!(worst_second(&Door::of(&fleet.door, back, back + seconds(1.0)).calls) <= FIRST);
+        fleet.check_probes(failing_since);
+        fleet.catalogue.does(Manners::Well);
+        let recovered_at = Instant::now();
+        fleet.wait_until_recovered(recovered_at, 30).await;
+        assert!(
+            worst_second(
+                &Door::of(&fleet.catalogue, recovered_at, recovered_at + seconds(1.0)).calls
+            ) <= FIRST
+        );
         let verdict = check(&fleet.all, fleet.playing).await;
         assert_eq!(
             verdict.doubled + verdict.spoilt + verdict.run_twice,
@@ -405,20 +426,21 @@
     });
 }
 
-/// Cases 7 and 8: half of the calls fail, and one process has six times the work of any other.
+/// Cases 7 and 8: half of the calls fail, and one process has six times the load of any other.
 #[test]
-fn further_attempts_at_what_fails_by_half_stay_within_their_budget_whoever_wants_most() {
-    play(async {
-        let fleet = Fleet::start(42, &made(4), 10.0, &policy(&[("again", 12)])).await?;
+fn retries_stay_within_their_budget_when_half_of_the_calls_fail() {
+    run_test(async {
+        let fleet =
+            Fleet::start(42, &installation_with(4), 10.0, &policy(&[("again", 12)])).await?;
         let mut load = Load::of_all(&fleet.all.address(0, 0), 8, 60.0, 77);
         load.operations = vec!["thumbnail".into(), "playback-token".into()];
         let greedy = load.start().await?;
-        fleet.door.does(Manners::HalfErrors);
+        fleet.catalogue.does(Manners::HalfErrors);
         let from = Instant::now();
         pause(8.0).await;
-        let seen = fleet.since(from);
+        let seen = fleet.calls_since(from);
         println!(
-            "again {:?} of {:?}",
+            "retries by second {:?}, calls {:?}",
             each_second(&seen.again, from, 8),
             each_second(&seen.calls, from, 8)
         );
@@ -429,7 +451,7 @@
         );
         assert!(
             seen.again.len() >= 8 * 3,
-            "{} further attempts were made",
+            "only {} retries were made",
             seen.again.len()
         );
         greedy.stop().await;
@@ -438,58 +460,58 @@
     });
 }
 
-/// Case 8: for one zone alone.
+/// Case 8: the catalogue fails for one zone only.
 #[test]
-fn what_fails_in_one_zone_is_not_taken_to_fail_in_the_others() {
-    play(async {
+fn a_dependency_failing_in_one_zone_stays_healthy_in_the_others() {
+    run_test(async {
         let fleet = Fleet::start(
             46,
             &Made {
                 zones: true,
-                ..made(3)
+                ..installation_with(3)
             },
             15.0,
             &policy(&[]),
         )
         .await?;
         fleet.all.ways[1].set(Fault::Cut);
-        let fares = |said: &Value| {
-            let all = said["budgets"].as_array().into_iter().flatten();
-            all.clone()
-                .find(|one| one["kind"] == "probes")
-                .map(|one| one["fares"].clone())
+        let health_by_zone = |report: &Value| {
+            let mut budgets = report["budgets"].as_array().into_iter().flatten();
+            budgets
+                .find(|budget| budget["kind"] == "probes")
+                .map(|budget| budget["fares"].clone())
                 .unwrap_or_default()
         };
-        let found = async |wanted: Value| -> io::Result<()> {
+        let wait_for_health = async |expected: Value| -> io::Result<()> {
             let until = Instant::now() + seconds(20.0);
             loop {
-                let said = fleet.all.hosts[0].policy("budgets", json!({})).await?.1;
-                if fares(&said) == wanted {
+                let report = fleet.all.hosts[0].policy("budgets", json!({})).await?.1;
+                if health_by_zone(&report) == expected {
                     return Ok(());
                 }
-                assert!(Instant::now() < until, "never {wanted}: {said}");
+                assert!(Instant::now() < until, "never {expected}: {report}");
                 pause(0.05).await;
             }
         };
-        found(json!({ "z0": "well", "z1": "fails", "z2": "well" })).await?;
+        wait_for_health(json!({ "z0": "well", "z1": "fails", "z2": "well" })).await?;
         let from = Instant::now();
         pause(2.0).await;
-        let rate = fleet.since(from).calls.len() as f64 / 2.0;
-        assert!(rate > 15.0, "the other zones call on: {rate}");
+        let rate = fleet.calls_since(from).calls.len() as f64 / 2.0;
+        assert!(rate > 15.0, "the other zones call too little: {rate}");
         fleet.all.ways[1].set(Fault::None);
-        found(json!({ "z0": "well", "z1": "well", "z2": "well" })).await?;
+        wait_for_health(json!({ "z0": "well", "z1": "well", "z2": "well" })).await?;
         fleet.end().await;
         Ok(())
     });
 }
 
-/// Case 9.
+/// Case 9: all instances are upgraded while the catalogue fails.
 #[test]
-fn successors_spend_on_and_no_share_is_spent_twice() {
-    play(async {
-        let fleet = Fleet::start(50, &made(3), 15.0, &policy(&[])).await?;
-        fleet.door.does(Manners::Errors);
-        let known = fleet.known().await?;
+fn no_grant_is_spent_twice_across_upgrades() {
+    run_test(async {
+        let fleet = Fleet::start(50, &installation_with(3), 15.0, &policy(&[])).await?;
+        fleet.catalogue.does(Manners::Errors);
+        let failing_since = fleet.wait_until_failing().await?;
         let program = fleet.all.hosts[0].folder.join("merlinshelf-2");
         std::fs::copy(PROGRAM, &program)?;
         for host in &fleet.all.hosts {
@@ -500,22 +522,28 @@
             let plan = host.plan_over().await?;
             assert_eq!(plan["state"], "done", "{plan}");
         }
-        fleet.probes_hold(known);
-        fleet.door.does(Manners::Well);
-        let back = Instant::now();
-        fleet.is_back(back, 25).await;
-        assert!(worst_second(&Door::of(&fleet.door, back, back + seconds(1.0)).calls) <= FIRST);
+        fleet.check_probes(failing_since);
+        fleet.catalogue.does(Manners::Well);
+        let recovered_at = Instant::now();
+        fleet.wait_until_recovered(recovered_at, 25).await;
+        assert!(
+            worst_second(
+                &Door::of(&fleet.catalogue, recovered_at, recovered_at + seconds(1.0)).calls
+            ) <= FIRST
+        );
         assert_eq!(fleet.end().await.run_twice, 0);
         Ok(())
     });
 }
 
-/// A change of a budget takes hold for all at once: under the larger one meanwhile, under the new one after a lease.
+/// A smaller budget: until the old leases have ended, the larger budget is the limit; after that,
+/// the smaller one.
 #[test]
-fn a_smaller_budget_holds_after_a_lease_and_what_can_not_be_changes_nothing() {
-    play(async {
-        let fleet = Fleet::start(54, &made(3), 15.0, &policy(&[("probes", 12)])).await?;
-        for (budgets, why) in [
+fn a_smaller_budget_applies_after_a_lease_and_an_invalid_one_is_rejected() {
+    run_test(async {
+        let fleet =
+            Fleet::start(54, &installation_with(3), 15.0, &policy(&[("probes", 12)])).await?;
+        for (budgets, reason) in [
             (
                 json!({ "catalogue": { "probes": 0 } }),
                 "catalogue.probes: 0 is not from 1 to 1000000",
@@ -542,32 +570,34 @@
                 "budgets.nobody.probes: the base policy has none",
             ),
         ] {
-            let ask = json!({ "policy": { "budgets": budgets }, "id": why, "wait": true });
-            let (word, said) = fleet.all.hosts[1].policy("propose", ask).await?;
+            let ask = json!({ "policy": { "budgets": budgets }, "id": reason, "wait": true });
+            let (kind, report) = fleet.all.hosts[1].policy("propose", ask).await?;
             assert!(
-                word == ControlMessage::Refused
-                    && said["text"].as_str().is_some_and(|text| text.contains(why)),
-                "{said}"
+                kind == ControlMessage::Refused
+                    && report["text"]
+                        .as_str()
+                        .is_some_and(|text| text.contains(reason)),
+                "{report}"
             );
         }
-        fleet.door.does(Manners::Errors);
-        let known = fleet.known().await?;
-        let (word, said) = fleet.all.hosts[2]
+        fleet.catalogue.does(Manners::Errors);
+        let failing_since = fleet.wait_until_failing().await?;
+        let (kind, report) = fleet.all.hosts[2]
             .policy(
                 "propose",
                 json!({ "policy": policy(&[("probes", 4)]), "id": "fewer", "wait": true }),
             )
             .await?;
         assert_eq!(
-            (word, &said["number"]),
+            (kind, &report["number"]),
             (ControlMessage::Done, &json!(2)),
-            "{said}"
+            "{report}"
         );
-        let held = Instant::now();
+        let committed = Instant::now();
         pause(5.0).await;
-        let all = fleet.since(known).calls;
-        let after = fleet.since(held + seconds(2.2)).calls;
-        println!("{:?}", each_second(&all, known, 8));
+        let all = fleet.calls_since(failing_since).calls;
+        let after = fleet.calls_since(committed + seconds(2.2)).calls;
+        println!("{:?}", each_second(&all, failing_since, 8));
         assert!(worst_second(&all) <= 12, "{}", worst_second(&all));
         assert!(worst_second(&after) <= 4, "{}", worst_second(&after));
         fleet.end().await;
@@ -575,32 +605,41 @@
     });
 }
 
-/// Returns: callers that connect again all at once are taken in at a pace.
+/// Callers that all reconnect at once are accepted no faster than the budget of the policy allows.
 #[test]
-fn callers_that_all_come_back_at_once_are_taken_in_at_a_pace() {
-    play(async {
-        let mut made = made(2);
+fn callers_reconnecting_at_once_are_accepted_within_the_budget() {
+    run_test(async {
+        let mut made = installation_with(2);
         made.budgets["callers"] = json!({ "opened": 2 });
-        let mut paced = policy(&[]);
-        paced["budgets"]["callers"] = json!({ "opened": 16 });
-        let fleet = Fleet::start(60, &made, 30.0, &paced).await?;
+        let mut limited = policy(&[]);
+        limited["budgets"]["callers"] = json!({ "opened": 16 });
+        let fleet = Fleet::start(60, &made, 30.0, &limited).await?;
         pause(2.0).await;
         let from = Instant::now();
         for (.., playing) in &fleet.playing {
             playing.seen.borrow_mut().restarts += 1;
         }
         pause(6.0).await;
-        let mut taken: Vec<Instant> = fleet
+        let mut accepted: Vec<Instant> = fleet
             .playing
             .iter()
             .flat_map(|(.., playing)| playing.seen.borrow().first_answers.clone())
             .filter(|at| *at >= from)
             .collect();
-        taken.sort_unstable();
-        println!("taken in {:?}", each_second(&taken, from, 6));
-        assert!(taken.len() >= 24, "all are taken in: {}", taken.len());
-        // An answer comes a little after its connection was taken in.
-        assert!(worst_second(&taken) <= 16 + 2, "{}", worst_second(&taken));
+        accepted.sort_unstable();
+        println!("accepted by second {:?}", each_second(&accepted, from, 6));
+        assert!(
+            accepted.len() >= 24,
+            "only {} were accepted",
+            accepted.len()
+        );
+        // An answer arrives shortly after its connection is accepted, so a second may show a few
+        // more.
+        assert!(
+            worst_second(&accepted) <= 16 + 2,
+            "{}",
+            worst_second(&accepted)
+        );
         fleet.end().await;
         Ok(())
     });
--- a/crates/merlinshelf-cli/tests/uwsgi.rs
+++ b/crates/merlinshelf-cli/tests/uwsgi.rs
@@ -1,5 +1,5 @@
-//! Callers that speak uwsgi beside those that speak FastCGI, on one address: the same answers and counters for the same input,
-//! a notice to leave and upgrades in the midst of both, and bytes of neither.
+//! uwsgi and FastCGI clients on one address: the same answers and counters for the same input, a
+//! drain and upgrades under load of both, and bytes of neither protocol.
 
 use std::io;
 use std::time::Duration;
@@ -15,9 +15,9 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_merlinshelf");
 
-/// Plays on one thread, within a time.
-fn play<T>(what: impl Future<Output = io::Result<T>>) -> T {
-    play_within(Duration::from_secs(60), what)
+/// Runs a test on one thread, with a timeout.
+fn run_test<T>(test: impl Future<Output = io::Result<T>>) -> T {
+    play_within(Duration::from_secs(60), test)
 }
 
 fn setup() -> Setup {
@@ -37,45 +37,47 @@
     }
 }
 
-/// Writes, and reads until the connection ends or says nothing for a while; the status it answered with.
-async fn status_of(
+/// Sends the bytes and reads until the headers of an answer, the end of the connection or the
+/// timeout. Returns the status of the answer, if there is one, and the text that was read.
+async fn exchange(
     address: &str,
     bytes: &[u8],
-    within: Duration,
+    max_wait: Duration,
 ) -> io::Result<(Option<u16>, String)> {
     let mut stream = TcpStream::connect(address).await?;
-    let _ = stream.write_all(bytes).await; // it may end before all is written
+    let _ = stream.write_all(bytes).await; // the server may close it before everything is written
     let mut out = Vec::new();
-    let until = Instant::now() + within;
+    let until = Instant::now() + max_wait;
     let text = loop {
-        let mut gulp = [0; 4096];
+        let mut chunk = [0; 4096];
         let read = timeout(
             until.saturating_duration_since(Instant::now()),
-            stream.read(&mut gulp),
+            stream.read(&mut chunk),
         )
         .await;
         let ended = !matches!(read, Ok(Ok(count)) if count > 0);
         if let Ok(Ok(count)) = read {
-            out.extend(&gulp[..count]);
+            out.extend(&chunk[..count]);
         }
         let text = String::from_utf8_lossy(&out).into_owned();
         if ended || text.contains("\r\n\r\n") {
             break text;
         }
     };
-    let after = |mark: &str| {
-        text.split_once(mark)
+    let status_after = |prefix: &str| {
+        text.split_once(prefix)
             .and_then(|(_, rest)| rest.get(..3)?.parse().ok())
     };
-    Ok((after("Status: ").or_else(|| after("HTTP/1.1 ")), text))
+    let status = status_after("Status: ").or_else(|| status_after("HTTP/1.1 "));
+    Ok((status, text))
 }
 
-/// Writes the rest of what is half read after so many ms, and reads the answer to its end.
-async fn the_rest(mut half: TcpStream, rest: &[u8], after_ms: u64) -> io::Result<String> {
-    sleep(Duration::from_millis(after_ms)).await;
-    half.write_all(rest).await?;
+/// Sends the rest of a partial request after a delay, and reads the whole answer.
+async fn send_rest(mut partial: TcpStream, rest: &[u8], delay_ms: u64) -> io::Result<String> {
+    sleep(Duration::from_millis(delay_ms)).await;
+    partial.write_all(rest).await?;
     let mut out = Vec::new();
-    half.read_to_end(&mut out).await?;
+    partial.read_to_end(&mut out).await?;
     Ok(String::from_utf8_lossy(&out).into_owned())
 }
 
@@ -85,12 +87,12 @@
         .unwrap_or(0))
 }
 
-/// Operation, body, changed fields, and the status that it gets.
+/// Operation, body, changed fields, and the expected status.
 type Case<'a> = (&'a str, Vec<u8>, Vec<(&'a str, &'a str)>, u16);
 
 #[test]
-fn the_same_input_gets_the_same_answer_and_counts_alike_whatever_is_spoken() {
-    play(async {
+fn fastcgi_and_uwsgi_requests_get_the_same_answers_and_counters() {
+    run_test(async {
         let instance = Instance::start(&setup(), 11).await?;
         let long = "x".repeat(5000);
         let cases: [Case; 10] = [
@@ -140,20 +142,24 @@
                 200,
             ),
         ];
-        for (class, body, changes, status) in &cases {
-            let fronts = [
-                ask(1, class, body, changes),
-                ask_uwsgi(class, body, changes),
+        for (operation, body, changes, status) in &cases {
+            let requests = [
+                ask(1, operation, body, changes),
+                ask_uwsgi(operation, body, changes),
             ];
-            for (front, bytes) in ["fastcgi", "uwsgi"].into_iter().zip(fronts) {
+            for (protocol, bytes) in ["fastcgi", "uwsgi"].into_iter().zip(requests) {
                 let names = ["bad", "succeeded", "invocations", "checks"];
                 let mut before = Vec::new();
                 for name in names {
                     before.push(counter(&instance, name).await?);
                 }
-                let (said, text) =
-                    status_of(&instance.address, &bytes, Duration::from_secs(3)).await?;
-                assert_eq!(said, Some(*status), "{front} {class} {changes:?}: {text}");
+                let (received, text) =
+                    exchange(&instance.address, &bytes, Duration::from_secs(3)).await?;
+                assert_eq!(
+                    received,
+                    Some(*status),
+                    "{protocol} {operation} {changes:?}: {text}"
+                );
                 let mut counted = Vec::new();
                 for (name, before) in names.into_iter().zip(before) {
                     counted.push(counter(&instance, name).await? - before);
@@ -164,46 +170,50 @@
                     200 => [0, 1, 1, 0],
                     _ => [1, 0, 0, 0],
                 };
-                assert_eq!(counted, expected, "{front} {class} {changes:?}");
+                assert_eq!(counted, expected, "{protocol} {operation} {changes:?}");
             }
         }
-        // What does not come whole is told so, and ends.
+        // An incomplete request is answered with 408.
         let whole = [
             ask(1, "thumbnail", b"page", &[]),
             ask_uwsgi("thumbnail", b"page", &[]),
         ];
         for bytes in whole {
-            let (said, text) = status_of(
+            let (status, text) = exchange(
                 &instance.address,
                 &bytes[..bytes.len() - 3],
                 Duration::from_secs(3),
             )
             .await?;
-            assert_eq!(said, Some(408), "{text}");
+            assert_eq!(status, Some(408), "{text}");
         }
         Ok(())
     });
 }
 
 #[test]
-fn bytes_of_neither_end_at_once_and_without_the_setting_uwsgi_is_neither() {
-    play(async {
+fn connections_with_unknown_or_disabled_protocols_are_closed_at_once() {
+    run_test(async {
         let instance = Instance::start(&setup(), 12).await?;
-        let hello = [&[22, 3, 1, 2, 0, 1, 0, 1, 252, 3, 3][..], &[7; 500]].concat();
+        let tls_hello = [&[22, 3, 1, 2, 0, 1, 0, 1, 252, 3, 3][..], &[7; 500]].concat();
         let other_kind = [&[0, 4, 0, 9][..], b"\x01\0a\x01\0b"].concat();
         for bytes in [
             b"GET / HTTP/1.1\r\nHost: x\r\n\r\n".to_vec(),
-            hello,
+            tls_hello,
             other_kind,
             vec![0, 0, 0, 0],
         ] {
-            let began = Instant::now();
-            let (said, text) = status_of(&instance.address, &bytes, Duration::from_secs(3)).await?;
-            assert_eq!((said, text.as_str()), (None, ""));
-            assert!(began.elapsed() < Duration::from_secs(2), "it hangs");
+            let start = Instant::now();
+            let (status, text) =
+                exchange(&instance.address, &bytes, Duration::from_secs(3)).await?;
+            assert_eq!((status, text.as_str()), (None, ""));
+            assert!(
+                start.elapsed() < Duration::from_secs(2),
+                "the connection is not closed"
+            );
         }
         instance.logged("a connection ends: ", 4).await?;
-        let plain = Instance::start(
+        let without_uwsgi = Instance::start(
             &Setup {
                 uwsgi: false,
                 ..setup()
@@ -211,37 +221,37 @@
             13,
         )
         .await?;
-        let (said, text) = status_of(
-            &plain.address,
+        let (status, text) = exchange(
+            &without_uwsgi.address,
             &ask_uwsgi("thumbnail", b"page", &[]),
             Duration::from_secs(3),
         )
         .await?;
-        assert_eq!((said, text.as_str()), (None, ""));
+        assert_eq!((status, text.as_str()), (None, ""));
         Ok(())
     });
 }
 
 #[test]
-fn a_notice_to_leave_in_the_midst_of_both_loses_nothing() {
-    play(async {
+fn a_drain_under_mixed_load_loses_no_invocation() {
+    run_test(async {
         let instance = Instance::start(&setup(), 14).await?;
         let load = load(&instance, 14);
         let playing = load.start().await?;
         sleep(Duration::from_millis(600)).await;
-        // One that is half read by then, and comes whole within the grace.
+        // A request that is partially read when the drain starts, and completed within the grace.
         let whole = ask_uwsgi(
             "transcript-search",
             b"words",
             &[("HTTP_X_CALL_ID", "00000000000000aa")],
         );
-        let mut half = TcpStream::connect(&instance.address).await?;
-        half.write_all(&whole[..40]).await?;
+        let mut partial = TcpStream::connect(&instance.address).await?;
+        partial.write_all(&whole[..40]).await?;
         sleep(Duration::from_millis(50)).await;
-        let leaving = instance.leave();
-        let rest = the_rest(half, &whole[40..], 100);
-        let (left, answer) = tokio::join!(leaving, rest);
-        left?;
+        let draining = instance.leave();
+        let rest = send_rest(partial, &whole[40..], 100);
+        let (drained, answer) = tokio::join!(draining, rest);
+        drained?;
         let answer = answer?;
         assert!(
             answer.starts_with("HTTP/1.1 200 ") || answer.starts_with("HTTP/1.1 503 "),
@@ -265,36 +275,39 @@
 }
 
 #[test]
-fn upgrades_carry_both_also_one_that_is_half_read_and_one_that_is_taken_back() {
-    play(async {
+fn upgrades_and_a_rollback_under_mixed_load_keep_partially_read_requests() {
+    run_test(async {
         let instance = Instance::start(&setup(), 15).await?;
         let load = load(&instance, 15);
         let playing = load.start().await?;
         sleep(Duration::from_millis(400)).await;
-        let good = format!("exec '{PROGRAM}' \"$@\"");
-        let crashes = format!("export MERLINSHELF_FAULT=successor.heartbeat:9:abort\n{good}");
-        for (number, (program, ended)) in
-            [(&good, "done"), (&crashes, "taken_back"), (&good, "done")]
-                .into_iter()
-                .enumerate()
+        let working = format!("exec '{PROGRAM}' \"$@\"");
+        let crashing = format!("export MERLINSHELF_FAULT=successor.heartbeat:9:abort\n{working}");
+        for (number, (program, expected_stage)) in [
+            (&working, "done"),
+            (&crashing, "taken_back"),
+            (&working, "done"),
+        ]
+        .into_iter()
+        .enumerate()
         {
             let id = format!("{:016x}", 0xb0 + number);
             let whole = ask_uwsgi("thumbnail", &[b'w'; 200], &[("HTTP_X_CALL_ID", &id)]);
-            // In the midst of the variables, and in that of the body.
+            // Cut the request within its variables, or within its body.
             let cut = if number == 1 { whole.len() - 100 } else { 60 };
-            let mut half = TcpStream::connect(&instance.address).await?;
-            half.write_all(&whole[..cut]).await?;
+            let mut partial = TcpStream::connect(&instance.address).await?;
+            partial.write_all(&whole[..cut]).await?;
             sleep(Duration::from_millis(30)).await;
-            let began = Instant::now();
-            let said = round(&instance, program);
-            let rest = the_rest(half, &whole[cut..], 150);
-            let (said, answer) = tokio::join!(said, rest);
-            let (said, answer) = (said?, answer?);
+            let start = Instant::now();
+            let upgrade = round(&instance, program);
+            let rest = send_rest(partial, &whole[cut..], 150);
+            let (stage, answer) = tokio::join!(upgrade, rest);
+            let (stage, answer) = (stage?, answer?);
             assert_eq!(
-                said,
-                ended,
+                stage,
+                expected_stage,
                 "after {:?}\n{}",
-                began.elapsed(),
+                start.elapsed(),
                 instance.log()
             );
             assert!(
