--- a/crates/merlinshelf-cli/tests/dependencies.rs
+++ b/crates/merlinshelf-cli/tests/dependencies.rs
@@ -1,5 +1,6 @@
-//! Calls of the real program to several dependencies on loopback: partial answers, reloaded server lists, an upgrade and
-//! a drain with calls in flight, an engine that does not support names, and effects that must happen at most once.
+//! Calls of the real program to several dependencies on loopback: partial answers, reloaded server
+//! lists, an upgrade and a drain with calls in flight, an engine that does not support names, and
+//! effects that must happen at most once.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -74,7 +75,7 @@
     }
 }
 
-/// Waits until `count` more invocations are answered, or a time has passed.
+/// Waits until `count` more invocations are answered, or 15 s have passed.
 async fn wait_for_answers(playing: &Playing, count: usize) {
     let answered = || {
         playing
@@ -252,7 +253,8 @@
 fn an_engine_without_support_for_names_gets_the_plain_protocol() {
     run_test(async {
         let mut rig = start_rig().await?;
-        // This engine knows no extended ATTACH, and its runs make one call each without naming a dependency.
+        // This engine knows no extended ATTACH, and its runs make one call each without naming a
+        // dependency.
         rig.setup.manner.parts.clear();
         let (instance, load, playing) = rig.start_with_load(4).await?;
         wait_for_answers(&playing, 60).await;
@@ -291,7 +293,7 @@
             .iter()
             .filter_map(|name| dependency(&report, name)["calls"].as_u64())
             .sum();
-        // The servers never receive wait_for_answers calls than the runs have made.
+        // The servers never receive more calls than the runs have made.
         assert!(calls <= wanted, "{calls} of {wanted}: {report}");
         assert_eq!(
             ["again", "hedges"].map(|counter| dependency(&report, "catalogue")[counter].as_u64()),
--- a/crates/merlinshelf-cli/tests/fleet.rs
+++ b/crates/merlinshelf-cli/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! The real agent with real instances between fakes: it starts, upgrades, drains and adopts instances while they, or the
-//! agent itself, are killed.
+//! The real agent with real instances between fakes: it starts, upgrades, drains and adopts
+//! instances while they, or the agent itself, are killed.
 
 use std::io;
 use std::process::Command;
@@ -20,7 +20,7 @@
     play_within(Duration::from_secs(100), test)
 }
 
-fn change_settings() -> Value {
+fn change_section() -> Value {
     json!({ "out_at_once": 2, "floor": 0.5, "warm_ms": 200, "looked_ms": 400, "worse": 0.2 })
 }
 
@@ -51,7 +51,7 @@
 #[test]
 fn a_rolling_upgrade_and_a_drain_under_load_lose_no_invocation() {
     run_test(async {
-        let rig = Rig::start(PROGRAM.as_ref(), 210, 4, &change_settings()).await?;
+        let rig = Rig::start(PROGRAM.as_ref(), 210, 4, &change_section()).await?;
         rig.when("serving", 4).await?;
         let playing = rig.load(60.0, 3).await?;
         sleep(Duration::from_millis(500)).await;
@@ -96,10 +96,10 @@
     });
 }
 
-/// Starts the upgrade of one of two instances and waits for its probation. Returns the process ids of the predecessor
-/// and the successor.
+/// Starts the upgrade of one of two instances and waits for its probation. Returns the process ids
+/// of the predecessor and the successor.
 async fn upgrade_in_probation(number: u8) -> io::Result<(Rig, u32, u32)> {
-    let rig = Rig::start(PROGRAM.as_ref(), number, 2, &change_settings()).await?;
+    let rig = Rig::start(PROGRAM.as_ref(), number, 2, &change_section()).await?;
     rig.when("serving", 2).await?;
     let (all, _) = rig.status().await?;
     let pid = |status: &Value| {
@@ -194,7 +194,7 @@
 #[test]
 fn a_restarted_agent_adopts_the_instances_and_continues_the_plan() {
     run_test(async {
-        let mut rig = Rig::start(PROGRAM.as_ref(), 211, 4, &change_settings()).await?;
+        let mut rig = Rig::start(PROGRAM.as_ref(), 211, 4, &change_section()).await?;
         rig.when("serving", 4).await?;
         let playing = rig.load(40.0, 4).await?;
         let program = copy_of_program(&rig)?;
@@ -226,7 +226,8 @@
             all.lost + all.doubled + all.run_twice == 0,
             "{all:?}\n{history}"
         );
-        // A second agent beside a running one is rejected. An agent that ends leaves the instances running.
+        // A second agent beside a running one is rejected. An agent that ends leaves the instances
+        // running.
         let second = Command::new(PROGRAM)
             .arg("agent")
             .arg(rig.folder.join("fleet.json5"))
@@ -245,7 +246,7 @@
 #[test]
 fn killed_hung_and_manually_drained_instances_are_restarted() {
     run_test(async {
-        let rig = Rig::start(PROGRAM.as_ref(), 212, 4, &change_settings()).await?;
+        let rig = Rig::start(PROGRAM.as_ref(), 212, 4, &change_section()).await?;
         rig.when("serving", 4).await?;
         let (all, _) = rig.status().await?;
         let pid = |index: usize| {
@@ -257,8 +258,8 @@
         signal(pid(0), Signal::KILL);
         signal(pid(1), Signal::STOP);
         signal(pid(2), Signal::TERM);
-        // All three are started again: the killed one, the stopped one once the agent finds that it hangs, and the one
-        // that was drained by hand.
+        // All three are started again: the killed one, the stopped one once the agent finds that it
+        // hangs, and the one that was drained by hand.
         let has_event = |history: &str, name: &str, event: &str| {
             history
                 .lines()
@@ -290,7 +291,7 @@
 #[test]
 fn a_foreign_process_on_a_control_socket_is_reported_and_left_alone() {
     run_test(async {
-        let rig = Rig::start(PROGRAM.as_ref(), 215, 2, &change_settings()).await?;
+        let rig = Rig::start(PROGRAM.as_ref(), 215, 2, &change_section()).await?;
         rig.when("serving", 2).await?;
         request(
             &rig,
@@ -319,7 +320,7 @@
 #[test]
 fn a_fleet_file_with_an_invalid_group_is_rejected_as_a_whole() {
     run_test(async {
-        let rig = Rig::start(PROGRAM.as_ref(), 216, 2, &change_settings()).await?;
+        let rig = Rig::start(PROGRAM.as_ref(), 216, 2, &change_section()).await?;
         rig.when("serving", 2).await?;
         let (before, _) = rig.status().await?;
         let file = rig.folder.join("fleet.json5");
@@ -357,7 +358,7 @@
 #[test]
 fn a_program_that_does_not_start_ends_the_plan_and_the_old_one_serves_on() {
     run_test(async {
-        let rig = Rig::start(PROGRAM.as_ref(), 213, 3, &change_settings()).await?;
+        let rig = Rig::start(PROGRAM.as_ref(), 213, 3, &change_section()).await?;
         rig.when("serving", 3).await?;
         let (before, _) = rig.status().await?;
         let bad = rig.folder.join("bad");
@@ -389,7 +390,7 @@
 #[test]
 fn fleet_commands_report_results_and_errors() {
     run_test(async {
-        let rig = Rig::start(PROGRAM.as_ref(), 214, 3, &change_settings()).await?;
+        let rig = Rig::start(PROGRAM.as_ref(), 214, 3, &change_section()).await?;
         rig.when("serving", 3).await?;
         let socket = rig.socket().to_string_lossy().into_owned();
         let run = |arguments: &[&str]| {
--- a/crates/merlinshelf-cli/tests/handover.rs
+++ b/crates/merlinshelf-cli/tests/handover.rs
@@ -1,5 +1,5 @@
-//! Upgrades checked message by message: what the predecessor began continues in the successor, on the same connections.
-//! Also tests of the command line itself.
+//! Upgrades checked message by message: what the predecessor began continues in the successor, on
+//! the same connections. Also tests of the command line itself.
 
 use std::fmt::Write as _;
 use std::io::{BufRead, BufReader};
@@ -94,9 +94,9 @@
             .spawn()
             .expect("a command");
         let mut lines = BufReader::new(command.stdout.as_mut().expect("a pipe")).lines();
-        let wanted = format!("\"stage\":\"{stage}\"");
+        let expected = format!("\"stage\":\"{stage}\"");
         assert!(
-            lines.any(|line| line.expect("text").contains(&wanted)),
+            lines.any(|line| line.expect("text").contains(&expected)),
             "{}",
             self.rig.log()
         );
@@ -238,8 +238,8 @@
         instance.status()["process"].as_u64(),
         Some(instance.rig.child.id().into())
     );
-    // When that link breaks too, the predecessor resumes at the last sequence number that the successor recorded, or a
-    // later one.
+    // When that link breaks too, the predecessor resumes at the last sequence number that the
+    // successor recorded, or a later one.
     first.send(ask(3, "transcript-search", b"three", &[]));
     let _ = writeln!(trace, "{}", engine.message());
     engine.send("WHAT\r\n");
@@ -314,7 +314,12 @@
     let mut command = instance.start_upgrade_until("took_over");
     let (new_engine, engine_address) = bind();
     let text = std::fs::read_to_string(&instance.rig.config).expect("a file");
-    let old = instance.rig.engine.local_addr().expect("one").to_string();
+    let old = instance
+        .rig
+        .engine
+        .local_addr()
+        .expect("an address")
+        .to_string();
     std::fs::write(&instance.rig.config, text.replace(&old, &engine_address)).expect("a file");
     instance.rig.signal("HUP");
     let mut engine = Peer::accept(&new_engine);
@@ -327,7 +332,7 @@
     command
         .kill()
         .and_then(|()| command.wait())
-        .expect("its end");
+        .expect("an end");
 }
 
 #[test]
--- a/crates/merlinshelf-cli/tests/serving.rs
+++ b/crates/merlinshelf-cli/tests/serving.rs
@@ -1,5 +1,5 @@
-//! The real program on loopback sockets and in real time, with the test playing the edge nodes, the engine, the
-//! catalogue and the membership service.
+//! The real program on loopback sockets and in real time, with the test playing the edge nodes, the
+//! engine, the catalogue and the membership service.
 
 use std::fmt::Write as _;
 use std::io::{ErrorKind, Write};
@@ -123,7 +123,8 @@
             }
         }
     }
-    // Bytes that are not FastCGI close only this connection, after every request read on it is answered.
+    // Bytes that are not FastCGI close only this connection, after every request read on it is
+    // answered.
     let mut other = rig.edge();
     edge.send("GET / HTTP/1.1\r\n\r\n");
     engine.send(format!("DONE 1 {} OK 12 4\r\nfine\r\n", id(1)));
@@ -139,7 +140,8 @@
 fn a_33rd_open_request_on_a_connection_is_rejected() {
     let rig = Rig::start(PROGRAM, 1024, &[]);
     let (_engine, mut edge) = (rig.engine(), rig.edge());
-    // The requests are begun and not completed, so that none is admitted or rejected before the limit is reached.
+    // The requests are begun and not completed, so that none is admitted or rejected before the
+    // limit is reached.
     let begin_records: Vec<u8> = (1..=33)
         .flat_map(|tag| record(1, tag, &[0, 1, 1, 0, 0, 0, 0, 0], 0))
         .collect();
@@ -158,7 +160,8 @@
         id(1)
     ));
     let _ = writeln!(trace, "{}", edge.answer());
-    // An invalid line breaks the link. Requests that arrive meanwhile wait, and a lost run is sent again.
+    // An invalid line breaks the link. Requests that arrive meanwhile wait, and a lost run is sent
+    // again.
     let mut time_without_link = Duration::ZERO;
     for _ in 0..8 {
         engine.idle(millis(60)); // a link that lasted longer than the reconnect delay is replaced at once
@@ -226,8 +229,8 @@
     let _ = writeln!(trace, "{} ... {}", &call[..23], &call[call.len() - 8..]);
     first.send(format!("{} ok 5\r\n\r\n\0\r\n\r\n", id(1)));
     let _ = writeln!(trace, "{}", engine.message());
-    // A connection that breaks during a call leaves its outcome unknown. The call may be retried, since all calls are
-    // idempotent.
+    // A connection that breaks during a call leaves its outcome unknown. The call may be retried,
+    // since all calls are idempotent.
     engine.send(format!("NEED 2 {} 3\r\ntwo\r\n", id(1)));
     let mut second = Peer::accept(&rig.catalogue);
     let _ = writeln!(trace, "{}", &second.message()[..23]);
@@ -270,8 +273,8 @@
         ));
         assert!(edge.answer().contains("200 OK"));
     }
-    // All calls used one connection. It is closed after a while of idleness: a server may drop an idle connection, and
-    // a call sent on it would then have an unknown outcome.
+    // All calls used one connection. It is closed after a while of idleness: a server may drop an
+    // idle connection, and a call sent on it would then have an unknown outcome.
     let (mut connection, idle_since) = (catalogue.expect("a connection"), Instant::now());
     while connection.stream.peek(&mut [0]).is_err() || connection.line().is_some() {
         engine.idle(millis(20));
@@ -359,7 +362,8 @@
     // The retry uses a new connection.
     let mut retry = Peer::accept(&rig.catalogue);
     assert!(retry.message().starts_with(&format!("invoke {}", id(2))));
-    // A reply with another id before the right one and a duplicate after it are ignored, and the connection is not reused.
+    // A reply with another id before the right one and a duplicate after it are ignored, and the
+    // connection is not reused.
     good.send(format!(
         "{} ok 3\r\nbad\r\n{} ok 4\r\ngood\r\n",
         id(77),
@@ -411,7 +415,7 @@
         (&rig.catalogue, catalogue_address),
         (&rig.members, members_address),
     ] {
-        text = text.replace(&old.local_addr().expect("one").to_string(), &new);
+        text = text.replace(&old.local_addr().expect("an address").to_string(), &new);
     }
     std::fs::write(&rig.config, text).expect("a file");
     rig.signal("HUP");
@@ -579,8 +583,8 @@
 fn requests_received_during_a_pause_are_read_before_connections_time_out() {
     let rig = Rig::start(PROGRAM, 1024, &[]);
     serve_all(rig.engine(), "fine");
-    // Before the pause, one connection has sent nothing and the other a partial request. By the end of the pause, both
-    // have sent complete requests.
+    // Before the pause, one connection has sent nothing and the other a partial request. By the end
+    // of the pause, both have sent complete requests.
     let (mut fresh, mut half) = (rig.edge(), rig.edge());
     let first = ask(1, "transcript-search", b"", &[]);
     half.send(&first[..50]);
@@ -593,7 +597,8 @@
     rig.signal("CONT");
     for edge in [&mut fresh, &mut half] {
         let answers: Vec<String> = (0..5).map(|_| edge.answer()).collect();
-        // Rejected requests are answered too; no connection is closed with requests on it unanswered.
+        // Rejected requests are answered too; no connection is closed with requests on it
+        // unanswered.
         let is_complete = |answer: &String| answer.ends_with("fine") || answer.contains(" 503");
         assert!(answers.iter().all(is_complete), "{answers:?}");
         edge.send(ask(12, "transcript-search", b"", &[]));
@@ -604,7 +609,8 @@
     }
 }
 
-/// A request without its body, for the operation without downstream calls: its parameters are complete.
+/// A request without its body, for the operation without downstream calls: its parameters are
+/// complete.
 fn without_body(tag: u16) -> Vec<u8> {
     let mut bytes = ask(tag, "transcript-search", b"", &[]);
     bytes.truncate(bytes.len() - 8);
@@ -696,7 +702,8 @@
 fn repeated_faults_on_one_connection_do_not_affect_others() {
     let mut rig = Rig::start(PROGRAM, 1024, &[("\"stop_ms\": 3200", "\"stop_ms\": 400")]);
     let (mut engine, mut faulty, mut edge) = (rig.engine(), rig.edge(), rig.edge());
-    // The engine does not know this invocation: the edge node is answered at once, and this counts as a fault too.
+    // The engine does not know this invocation: the edge node is answered at once, and this counts
+    // as a fault too.
     faulty.send(ask(1, "transcript-search", b"", &[]));
     assert!(engine.message().starts_with("RUN"));
     engine.send(format!("NO RUN {}\r\n", id(1)));
@@ -762,8 +769,14 @@
     for tag in 1..=600 {
         checked.push(rig.edge());
         let check = ask(tag, "", b"", &[("SCRIPT_NAME", "/status/live")]);
-        checked.last_mut().expect("one").send(check);
-        assert!(checked.last_mut().expect("one").answer().contains("200 OK"));
+        checked.last_mut().expect("a connection").send(check);
+        assert!(
+            checked
+                .last_mut()
+                .expect("a connection")
+                .answer()
+                .contains("200 OK")
+        );
     }
     assert!(
         asked.elapsed() < millis(4000),
@@ -841,7 +854,8 @@
     ];
     let mut rig = Rig::start(PROGRAM, 64, &changes);
     let mut engine = rig.engine();
-    // Gauge queries are answered, so that nothing is rejected and all 32 connections have an invocation in flight.
+    // Gauge queries are answered, so that nothing is rejected and all 32 connections have an
+    // invocation in flight.
     std::thread::spawn(move || while !engine.message().is_empty() {});
     let mut busy: Vec<Peer> = (0..32).map(|_| rig.edge()).collect();
     (1..)
@@ -849,7 +863,8 @@
         .for_each(|(tag, edge)| edge.send(ask(tag, "transcript-search", b"", &[])));
     let mut waiting = rig.edge();
     waiting.send(ask(1, "", b"", &[("SCRIPT_NAME", "/status/live")]));
-    // All 32 have an invocation in flight by the time the new connection waits, so none can be closed for it.
+    // All 32 have an invocation in flight by the time the new connection waits, so none can be
+    // closed for it.
     rig.logged("all 32 connections are in use", 1);
     rig.signal("TERM");
     assert!(waiting.answer().starts_with("1 503"));
@@ -880,9 +895,10 @@
     let _ = writeln!(
         trace,
         "{}",
-        members
-            .text()
-            .replace(&rig.members.local_addr().expect("one").to_string(), "M")
+        members.text().replace(
+            &rig.members.local_addr().expect("an address").to_string(),
+            "M"
+        )
     );
     members.come.clear();
     members.send("HTTP/1.1 204 No Content\r\n\r\n");
--- a/crates/merlinshelf-cli/tests/upgrade.rs
+++ b/crates/merlinshelf-cli/tests/upgrade.rs
@@ -1,5 +1,6 @@
-//! Upgrades of the real program under load between fakes: they succeed, fail at every point, and coincide with SIGTERM.
-//! A checker compares the requests that clients sent with the answers they received and the runs of the engine.
+//! Upgrades of the real program under load between fakes: they succeed, fail at every point, and
+//! coincide with SIGTERM. A checker compares the requests that clients sent with the answers they
+//! received and the runs of the engine.
 
 use std::io;
 use std::time::Duration;
@@ -66,7 +67,8 @@
     Ok((instance, load, playing))
 }
 
-/// Waits until 20 more invocations are answered, or a time has passed. Stops the load and checks all answers.
+/// Waits until 20 more invocations are answered, or 10 s have passed. Stops the load and checks all
+/// answers.
 async fn check(instance: &Instance, load: &Load, playing: Playing) -> Verdict {
     let answered = |playing: &Playing| {
         playing
@@ -88,8 +90,8 @@
     seen.take().check(&instance.records.borrow(), load.patience)
 }
 
-/// Upgrades to a successor with this fault. Returns the last stage of the upgrade, the verdict on the answers, and the
-/// counters `taken_back`, `bad`, `refused_commands` and `unheard`.
+/// Upgrades to a successor with this fault. Returns the last stage of the upgrade, the verdict on
+/// the answers, and the counters `taken_back`, `bad`, `refused_commands` and `unheard`.
 fn upgrade_with_fault(
     number: u8,
     fault: &str,
@@ -113,7 +115,8 @@
         if number.is_multiple_of(3) {
             setup.manner.below = ms(120);
         }
-        // More than one batch of descriptors, so that the fault can interrupt the transfer between two.
+        // More than one batch of descriptors, so that the fault can interrupt the transfer between
+        // two.
         let connections = if program.contains("successor.descriptors") {
             150
         } else {
@@ -182,21 +185,23 @@
             verdict.is_clean() && verdict.served > 20,
             "{fault}: {verdict:?}"
         );
-        // Calls in flight are handed over, not repeated. Only a call that times out during a hang may be retried, if its
-        // effect allows it.
+        // Calls in flight are handed over, not repeated. Only a call that times out during a hang
+        // may be retried, if its effect allows it.
         let repeatable = number.is_multiple_of(2) && fault.ends_with(":hang");
         assert!(
             verdict.called_twice == 0 || repeatable,
             "{fault}: {verdict:?}"
         );
-        // No request is read twice, no command is sent to the engine twice, and no answer lacks a connection. With many
-        // connections on a busy machine, some send nothing for 1.5 s, are closed for it and counted as bad.
+        // No request is read twice, no command is sent to the engine twice, and no answer lacks a
+        // connection. With many connections on a busy machine, some send nothing for 1.5 s, are
+        // closed for it and counted as bad.
         let silent = fault.starts_with("successor.descriptors");
         assert!(
             (bad == 0 || silent) && refused == 0 && unheard == 0,
             "{fault}: {bad} {refused} {unheard}"
         );
-        // A failure before the takeover only ends the freeze, if there was one. A later one takes the connections back.
+        // A failure before the takeover only ends the freeze, if there was one. A later one takes
+        // the connections back.
         assert!(
             taken_back <= 1 && (stage == "given_up" || taken_back == 1),
             "{fault}: {taken_back}"
@@ -273,7 +278,8 @@
 #[test]
 fn a_second_upgrade_is_rejected_and_the_first_continues() {
     run_test(async {
-        // Probation is long enough for the second request to arrive during it, even on a busy machine.
+        // Probation is long enough for the second request to arrive during it, even on a busy
+        // machine.
         let setup = Setup {
             watched: ms(3000),
             ..self::setup()
@@ -320,8 +326,9 @@
     });
 }
 
-/// Sends SIGTERM at a stage of an upgrade, to the predecessor or the successor; in some cases the successor is then
-/// killed. The load stops with the signal, every request is answered, and the first process ends in time with status 0.
+/// Sends SIGTERM at a stage of an upgrade, to the predecessor or the successor; in some cases the
+/// successor is then killed. The load stops with the signal, every request is answered, and the
+/// first process ends in time with status 0.
 async fn sigterm_at_stage(
     number: u8,
     stage: &str,
@@ -342,11 +349,11 @@
     } else {
         processes.first()
     };
-    signal(*receiver.expect("one"), Signal::TERM);
+    signal(*receiver.expect("a process"), Signal::TERM);
     let signalled = Instant::now();
     if kill_successor {
         instance.logged("drain started", 1).await?;
-        signal(*processes.last().expect("one"), Signal::KILL);
+        signal(*processes.last().expect("a process"), Signal::KILL);
     }
     let seen = playing.stop().await;
     let verdict = seen
