--- a/crates/merlinshelf-testbed/src/experiments/shares_size.rs
+++ b/crates/merlinshelf-testbed/src/experiments/shares_size.rs
@@ -24,7 +24,7 @@
 const CALL_DURATION_S: f64 = 0.008;
 const MAX_CALL_DELAY_S: f64 = 0.04;
 /// Consecutive failures after which an instance considers the catalogue failing, and the pause after a failure before its
-/// next probe. Both are as in the backend.
+/// next probe. Both are as in the admission controller.
 const FAILURE_THRESHOLD: u32 = 5;
 const PROBE_PAUSE_S: f64 = 0.5;
 
