--- a/crates/merlinshelf-testbed/src/experiments/dependencies/scenario.rs
+++ b/crates/merlinshelf-testbed/src/experiments/dependencies/scenario.rs
@@ -1,4 +1,5 @@
-//! One play: an instance, two dependencies, a fault for some seconds, and what of the billed value was served in its objective.
+//! Runs an instance with two dependencies, makes servers fail for some seconds, and measures the share of the billed value that
+//! was served within the latency objective.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -14,23 +15,25 @@
 use crate::instance::{Instance, Setup};
 use crate::load::{Load, Seen, Sent};
 
-/// Servers that fail from a moment on: a dependency, which of its servers, and what they do.
+/// A scripted fault: the servers that fail, and how they fail.
 #[derive(Clone, Copy, Debug)]
 pub struct Fault {
     pub name: &'static str,
+    /// Dependency, indexes of its servers, and how they fail.
     pub parts: &'static [(&'static str, &'static [usize], Manners)],
-    /// A dependency fails as a whole.
-    pub whole: bool,
+    /// Whether a dependency fails completely, so that retries on another server can't help.
+    pub fails_whole_dependency: bool,
 }
 
 const ALL: &[usize] = &[0, 1, 2, 3, 4];
 
-/// The first one is no fault. What happens to one server happens to the first, which the version before calls.
+/// The first entry is the baseline without a fault. A fault of a single server hits the first one, since the previous version
+/// calls only that one.
 pub const FAULTS: [Fault; 11] = [
     Fault {
         name: "none",
         parts: &[],
-        whole: false,
+        fails_whole_dependency: false,
     },
     Fault {
         name: "1 catalogue 8 times as slow, assets fail",
@@ -38,61 +41,63 @@
             ("catalogue", ALL, Manners::Slow(8.0)),
             ("assets", ALL, Manners::Errors),
         ],
-        whole: true,
+        fails_whole_dependency: true,
     },
     Fault {
         name: "2 one of five 40 times as slow",
         parts: &[("catalogue", &[0], Manners::Slow(40.0))],
-        whole: false,
+        fails_whole_dependency: false,
     },
     Fault {
         name: "3 one of five answers errors at once",
         parts: &[("catalogue", &[0], Manners::Errors)],
-        whole: false,
+        fails_whole_dependency: false,
     },
     Fault {
         name: "4 one of five never answers",
         parts: &[("catalogue", &[0], Manners::Hangs)],
-        whole: false,
+        fails_whole_dependency: false,
     },
     Fault {
         name: "5 four of five are gone",
         parts: &[("catalogue", &[0, 1, 2, 3], Manners::Gone)],
-        whole: false,
+        fails_whole_dependency: false,
     },
     Fault {
         name: "6 all slow alike, 8 times",
         parts: &[("catalogue", ALL, Manners::Slow(8.0))],
-        whole: false,
+        fails_whole_dependency: false,
     },
     Fault {
         name: "7 assets fail",
         parts: &[("assets", ALL, Manners::Errors)],
-        whole: true,
+        fails_whole_dependency: true,
     },
     Fault {
         name: "8 assets never answer",
         parts: &[("assets", ALL, Manners::Hangs)],
-        whole: true,
+        fails_whole_dependency: true,
     },
     Fault {
         name: "9 one of five 60 times as slow for one",
         parts: &[("catalogue", &[0], Manners::SlowFor("thumbnail", 60.0))],
-        whole: false,
+        fails_whole_dependency: false,
     },
     Fault {
         name: "10 every other call to catalogue breaks",
         parts: &[("catalogue", ALL, Manners::Breaks)],
-        whole: false,
+        fails_whole_dependency: false,
     },
 ];
 
-/// Who chooses servers.
+/// How servers are chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Routing {
+    /// By the program itself.
     Routed,
-    /// The version before: one address each.
+    /// As the previous version does: one address for each dependency.
     Before,
+    /// Round-robin with retries.
     Round,
 }
 
@@ -102,51 +107,51 @@
 
 #[derive(Clone, Debug)]
 pub struct Outcome {
-    /// Of the billed value that was asked for under the fault, what was served within its objective.
-    pub share: f64,
-    /// Calls that reached servers, by call that a run wanted of a dependency that fails.
+    /// Share of the billed value requested during the fault that was served within the latency objective.
+    pub value_share: f64,
+    /// Calls that reached servers during the fault, per call that the runs needed.
     pub attempts: f64,
-    /// Partial answers, as the program counts them and as clients saw them.
-    pub partial_told: u64,
+    /// Partial answers, as the program counted them and as clients received them.
+    pub partial_counted: u64,
     pub partial_seen: u64,
-    /// Calls a second that reached the failing servers, against before the fault.
+    /// Calls per second that reached the failing servers, relative to the rate before the fault.
     pub load: f64,
     pub broken_rules: u64,
 }
 
-/// Seconds of a play: until the fault, and under it.
-const BEFORE: Duration = Duration::from_millis(2000);
-const UNDER: Duration = Duration::from_millis(5000);
-const CALL_TAKES: Duration = Duration::from_millis(5);
-/// Billed value and objective of the operations, as in the example, and what of the value each part costs where it is missing.
-const WORTH: [(&str, f64, f64); 3] = [
+const BEFORE_FAULT: Duration = Duration::from_millis(2000);
+const FAULT_DURATION: Duration = Duration::from_millis(5000);
+const CALL_DURATION: Duration = Duration::from_millis(5);
+/// Operations with their billed value and latency objective in seconds, as in the example configuration.
+const VALUES: [(&str, f64, f64); 3] = [
     ("thumbnail", 1.0, 1.7),
     ("transcript-search", 2.0, 2.3),
     ("playback-token", 3.0, 1.0),
 ];
+/// Operations, the dependencies they call, and the share of the value that is lost without the result of that dependency.
 const COSTS: [(&str, &str, f64); 3] = [
     ("thumbnail", "catalogue", 0.4),
     ("thumbnail", "assets", 0.2),
     ("playback-token", "assets", 0.1),
 ];
 
-/// What the operators say of the two.
+/// The dependencies section of the configuration for these servers.
 pub fn dependencies_config(servers: &BTreeMap<String, Vec<String>>) -> Value {
-    let list = |name: &str| -> Vec<Value> {
+    let server_list = |name: &str| -> Vec<Value> {
         servers[name]
             .iter()
             .map(|address| json!({ "address": address }))
             .collect()
     };
-    let call = |of: &str, to: &str, instead: Value| {
+    let call = |operation: &str, to: &str, instead: Value| {
         let cost = COSTS
             .iter()
-            .find(|(operation, part, _)| (*operation, *part) == (of, to))
-            .map_or(1.0, |one| one.2);
+            .find(|(name, dependency, _)| (*name, *dependency) == (operation, to))
+            .map_or(1.0, |(.., cost)| *cost);
         json!({ "to": to, "cost": cost, "needed": cost == 1.0, "instead": instead })
     };
     json!({
-        "dependencies": { "catalogue": { "servers": list("catalogue") }, "assets": { "servers": list("assets") } },
+        "dependencies": { "catalogue": { "servers": server_list("catalogue") }, "assets": { "servers": server_list("assets") } },
         "operations": {
             "thumbnail": { "calls": [
                 call("thumbnail", "catalogue", json!({ "fixed": "less" })), call("thumbnail", "assets", json!("nothing")),
@@ -158,6 +163,7 @@
     })
 }
 
+/// The dependencies that a run of each operation calls.
 pub fn called_dependencies() -> Vec<(String, Vec<String>)> {
     let both = || vec!["catalogue".to_owned(), "assets".to_owned()];
     vec![
@@ -166,9 +172,10 @@
     ]
 }
 
-/// What an answer is worth: all of it in its objective, less what its missing parts cost.
-fn worth(sent: &Sent, poorer_parts: bool) -> (f64, f64) {
-    let (_, whole, objective) = WORTH
+/// The served and the full billed value of an invocation. An answer within the objective has the full value, less the costs of
+/// its missing parts.
+fn value(sent: &Sent, infers_missing_parts: bool) -> (f64, f64) {
+    let (_, full_value, objective_s) = VALUES
         .iter()
         .find(|(name, ..)| *name == sent.operation)
         .copied()
@@ -176,41 +183,49 @@
     let served = sent
         .answers
         .first()
-        .is_some_and(|(at, status)| *status == 200 && (*at - sent.at).as_secs_f64() <= objective);
-    let mut got = if served { whole } else { 0.0 };
-    for (_, part, cost) in COSTS
+        .is_some_and(|(at, status)| *status == 200 && (*at - sent.at).as_secs_f64() <= objective_s);
+    let mut served_value = if served { full_value } else { 0.0 };
+    for (_, dependency, cost) in COSTS
         .iter()
         .filter(|(operation, ..)| *operation == sent.operation)
     {
-        let named = sent
+        let is_named = sent
             .partial
             .as_ref()
-            .is_some_and(|parts| parts.split(", ").any(|one| one == *part));
-        // Without names one does not know which is missing: the cheaper one is taken, in favour of the plain ways.
-        let unnamed = poorer_parts && sent.poorer && *part == "assets";
-        if named || unnamed {
-            got *= 1.0 - cost;
+            .is_some_and(|parts| parts.split(", ").any(|part| part == *dependency));
+        // The two baselines do not name the missing parts. Assuming the cheaper one favours the baselines.
+        let is_inferred = infers_missing_parts && sent.poorer && *dependency == "assets";
+        if is_named || is_inferred {
+            served_value *= 1.0 - cost;
         }
     }
-    (got, whole)
+    (served_value, full_value)
 }
 
 fn calls(servers: &[Rc<Server>]) -> u64 {
     servers.iter().map(|server| server.calls.get()).sum()
 }
 
+/// Runs one fault with one way of choosing servers.
+///
 /// # Errors
-/// It can't be played.
-pub async fn run(plan: &Plan, fault: &Fault, how: Routing, number: u8) -> io::Result<Outcome> {
-    let mut all: BTreeMap<&str, Vec<Rc<Server>>> = BTreeMap::new();
+/// Fails if the servers, the instance or its load can't be started, or the instance reports no status.
+pub async fn run(
+    plan: &Plan,
+    fault: &Fault,
+    routing: Routing,
+    address_number: u8,
+) -> io::Result<Outcome> {
+    let mut servers_by_dependency: BTreeMap<&str, Vec<Rc<Server>>> = BTreeMap::new();
     for name in ["catalogue", "assets"] {
         for _ in 0..5 {
-            all.entry(name)
+            servers_by_dependency
+                .entry(name)
                 .or_default()
-                .push(Server::start(CALL_TAKES).await?);
+                .push(Server::start(CALL_DURATION).await?);
         }
     }
-    let addresses: BTreeMap<String, Vec<String>> = all
+    let addresses: BTreeMap<String, Vec<String>> = servers_by_dependency
         .iter()
         .map(|(name, servers)| {
             (
@@ -224,12 +239,12 @@
         .collect();
     let mut setup = Setup::small(&plan.program);
     setup.manner.parts = called_dependencies();
-    match how {
+    match routing {
         Routing::Routed => setup.dependencies = Some(dependencies_config(&addresses)),
         Routing::Before | Routing::Round => {
             let listener = TcpListener::bind("127.0.0.1:0").await?;
             setup.catalogue = Some(listener.local_addr()?.to_string());
-            let way = match how {
+            let way = match routing {
                 Routing::Before => Way::First,
                 _ => Way::Round {
                     each: Duration::from_millis(250),
@@ -239,50 +254,66 @@
             Forward::start(listener, way, addresses);
         }
     }
-    let mut instance = Instance::start(&setup, number).await?;
+    let mut instance = Instance::start(&setup, address_number).await?;
     let load = Load::of_all(&instance.address, 20, plan.rate, plan.seed);
-    let playing = load.start().await?;
-    sleep(BEFORE).await;
-    let failing = || {
-        fault
-            .parts
-            .iter()
-            .flat_map(|(name, which, _)| which.iter().map(|place| all[name][*place].clone()))
+    let running_load = load.start().await?;
+    sleep(BEFORE_FAULT).await;
+    let failing_servers = || {
+        fault.parts.iter().flat_map(|(name, indexes, _)| {
+            indexes
+                .iter()
+                .map(|index| servers_by_dependency[name][*index].clone())
+        })
     };
-    let failing: Vec<Rc<Server>> = failing().collect();
-    for (name, which, does) in fault.parts {
-        which.iter().for_each(|place| all[name][*place].does(*does));
+    let failing_servers: Vec<Rc<Server>> = failing_servers().collect();
+    for (name, indexes, failure) in fault.parts {
+        indexes
+            .iter()
+            .for_each(|index| servers_by_dependency[name][*index].does(*failure));
     }
-    let began = Instant::now();
-    let (at_fault, whole_before) = (
-        calls(&failing),
-        calls(&all.values().flatten().cloned().collect::<Vec<_>>()),
+    let fault_start = Instant::now();
+    let (calls_before, total_before) = (
+        calls(&failing_servers),
+        calls(
+            &servers_by_dependency
+                .values()
+                .flatten()
+                .cloned()
+                .collect::<Vec<_>>(),
+        ),
     );
-    sleep(UNDER).await;
-    let until = Instant::now();
-    let (under, whole_under) = (
-        calls(&failing) - at_fault,
-        calls(&all.values().flatten().cloned().collect::<Vec<_>>()) - whole_before,
+    sleep(FAULT_DURATION).await;
+    let fault_end = Instant::now();
+    let (calls_during, total_during) = (
+        calls(&failing_servers) - calls_before,
+        calls(
+            &servers_by_dependency
+                .values()
+                .flatten()
+                .cloned()
+                .collect::<Vec<_>>(),
+        ) - total_before,
     );
-    all.values()
+    servers_by_dependency
+        .values()
         .flatten()
         .for_each(|server| server.does(Manners::Well));
-    let seen = playing.stop().await;
+    let seen = running_load.stop().await;
     let report = instance.status().await?;
     let verdict = seen
         .borrow()
         .check(&instance.records.borrow(), load.patience);
     instance.end().await;
     let seen: &Seen = &seen.borrow();
-    let (mut got, mut asked, mut wanted) = (0.0, 0.0, 0_u64);
+    let (mut served_value, mut requested_value, mut needed_calls) = (0.0, 0.0, 0_u64);
     for sent in seen
         .sent
         .values()
-        .filter(|sent| sent.at >= began && sent.at < until)
+        .filter(|sent| sent.at >= fault_start && sent.at < fault_end)
     {
-        let (value, whole) = worth(sent, how != Routing::Routed);
-        (got, asked) = (got + value, asked + whole);
-        wanted += 2 * u64::from(sent.operation != "transcript-search");
+        let (served, requested) = value(sent, routing != Routing::Routed);
+        (served_value, requested_value) = (served_value + served, requested_value + requested);
+        needed_calls += 2 * u64::from(sent.operation != "transcript-search");
     }
     let partial_seen = seen
         .sent
@@ -291,11 +322,11 @@
         .count() as u64;
     let per_s = |calls: u64, time: Duration| calls as f64 / time.as_secs_f64();
     Ok(Outcome {
-        share: got / f64::max(asked, 1e-9),
-        attempts: whole_under as f64 / wanted.max(1) as f64,
-        partial_told: report["counters"]["partial"].as_u64().unwrap_or(0),
+        value_share: served_value / f64::max(requested_value, 1e-9),
+        attempts: total_during as f64 / needed_calls.max(1) as f64,
+        partial_counted: report["counters"]["partial"].as_u64().unwrap_or(0),
         partial_seen,
-        load: per_s(under, UNDER) / per_s(at_fault, BEFORE).max(1e-9),
+        load: per_s(calls_during, FAULT_DURATION) / per_s(calls_before, BEFORE_FAULT).max(1e-9),
         broken_rules: verdict.lost
             + verdict.doubled
             + verdict.spoilt
--- a/crates/merlinshelf-testbed/src/experiments/dependencies/simulation.rs
+++ b/crates/merlinshelf-testbed/src/experiments/dependencies/simulation.rs
@@ -1,5 +1,5 @@
-//! SimulationResult instances and servers in virtual time: how even the load is, how many connections an instance needs, how fast a server that
-//! slows is left, and how much a limit swings under steady load.
+//! Many instances and servers in virtual time. Measures how evenly load is spread, how many servers an instance connects to,
+//! how fast load moves away from a slow server, and how much the concurrency limits vary under steady load.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -13,98 +13,109 @@
 pub struct SimulationResult {
     pub instances: usize,
     pub servers: usize,
-    /// Largest over mean of what servers get.
+    /// The most calls of any server divided by the mean of all servers.
     pub evenness: f64,
+    /// Servers that an instance uses, on average.
     pub connections: f64,
-    /// From a server's slowdown until it gets less than half of what it got.
+    /// Time from the slowdown of a server until it receives less than half of its former calls.
     pub reaction_s: f64,
-    /// Standard deviation of the limits over their mean, under steady load.
+    /// Standard deviation of the concurrency limits divided by their mean, under steady load.
     pub swing: f64,
 }
 
-/// Calls that a server works on at one time, seconds of one, calls a second of an instance, and servers that an instance uses.
-const AT_ONCE: usize = 16;
-const TAKES: f64 = 0.005;
-const RATE: f64 = 40.0;
+/// Calls that a server works on concurrently.
+const SERVER_CONCURRENCY: usize = 16;
+/// Mean duration of a call.
+const MEAN_CALL_S: f64 = 0.005;
+/// Calls per second of an instance.
+const CALLS_PER_S: f64 = 40.0;
+/// Servers in the subset of an instance.
 const SUBSET: usize = 20;
 
-enum What {
-    Ask(usize),
-    Wake(usize),
-    Ends { instance: usize, attempt: u64 },
+enum Event {
+    StartCall(usize),
+    Timeout(usize),
+    AttemptEnded { instance: usize, attempt: u64 },
 }
 
 struct World {
     now: f64,
     routers: Vec<Router>,
-    wakes: Vec<f64>,
+    /// When each instance next expects a timeout.
+    timeouts: Vec<f64>,
     queue: BinaryHeap<Reverse<(u64, usize)>>,
-    what: Vec<What>,
+    events: Vec<Event>,
     rng: Pcg64Mcg,
-    places: BTreeMap<String, usize>,
-    /// When each of a server's places is free again, calls by server, and how many times as slow it is.
-    free: Vec<Vec<f64>>,
+    server_indexes: BTreeMap<String, usize>,
+    /// When each concurrent slot of a server is free again.
+    free_at: Vec<Vec<f64>>,
+    /// Calls received by each server.
     calls: Vec<u64>,
-    slow: Vec<f64>,
+    /// Factor by which the calls of each server take longer.
+    slowdown: Vec<f64>,
 }
 
 impl World {
-    fn at(&mut self, at: f64, what: What) {
+    fn schedule(&mut self, at: f64, event: Event) {
         self.queue
-            .push(Reverse(((at * 1e6) as u64, self.what.len())));
-        self.what.push(what);
+            .push(Reverse(((at * 1e6) as u64, self.events.len())));
+        self.events.push(event);
     }
 
-    fn steps(&mut self, instance: usize) {
-        while let Some(step) = self.routers[instance].poll_action() {
+    /// Performs the pending actions of an instance and schedules its next timeout.
+    fn run_actions(&mut self, instance: usize) {
+        while let Some(action) = self.routers[instance].poll_action() {
             if let Action::Attempt {
                 attempt_id, server, ..
-            } = step
+            } = action
             {
-                let place = self.places[&server];
-                self.calls[place] += 1;
-                // The place that is free first; exponential durations, as the calls of many kinds are.
-                let free = &mut self.free[place];
-                let first = (0..free.len())
-                    .min_by(|a, b| free[*a].total_cmp(&free[*b]))
+                let server = self.server_indexes[&server];
+                self.calls[server] += 1;
+                // The call takes the slot that is free first. Durations are exponential, as for a mix of many kinds of calls.
+                let free_at = &mut self.free_at[server];
+                let slot = (0..free_at.len())
+                    .min_by(|a, b| free_at[*a].total_cmp(&free_at[*b]))
                     .unwrap_or(0);
-                let took = -(self.rng.random::<f64>().max(1e-9)).ln() * TAKES * self.slow[place];
-                let end = free[first].max(self.now) + took;
-                free[first] = end;
-                self.at(
+                let duration = -(self.rng.random::<f64>().max(1e-9)).ln()
+                    * MEAN_CALL_S
+                    * self.slowdown[server];
+                let end = free_at[slot].max(self.now) + duration;
+                free_at[slot] = end;
+                self.schedule(
                     end + 0.0005,
-                    What::Ends {
+                    Event::AttemptEnded {
                         instance,
                         attempt: attempt_id,
                     },
                 );
             }
         }
-        let wake = self.routers[instance]
+        let timeout = self.routers[instance]
             .next_timeout()
             .unwrap_or(f64::INFINITY);
-        if wake < self.wakes[instance] || self.wakes[instance] <= self.now {
-            self.wakes[instance] = wake;
-            if wake.is_finite() {
-                self.at(wake + 1e-6, What::Wake(instance));
+        if timeout < self.timeouts[instance] || self.timeouts[instance] <= self.now {
+            self.timeouts[instance] = timeout;
+            if timeout.is_finite() {
+                self.schedule(timeout + 1e-6, Event::Timeout(instance));
             }
         }
     }
 
-    fn until(&mut self, end: f64) {
-        while let Some(&Reverse((at, place))) = self.queue.peek() {
+    /// Processes all events until this time.
+    fn run_until(&mut self, end: f64) {
+        while let Some(&Reverse((at, index))) = self.queue.peek() {
             if at as f64 / 1e6 > end {
                 break;
             }
             self.queue.pop();
             self.now = self.now.max(at as f64 / 1e6);
             let now = self.now;
-            let what = std::mem::replace(&mut self.what[place], What::Wake(usize::MAX));
+            let event = std::mem::replace(&mut self.events[index], Event::Timeout(usize::MAX));
             let mut rng = Pcg64Mcg::seed_from_u64(self.rng.random());
             let mut chance = || rng.random::<f64>();
-            let instance = match what {
-                What::Ask(instance) => {
-                    let ask = CallRequest {
+            let instance = match event {
+                Event::StartCall(instance) => {
+                    let request = CallRequest {
                         operation: "page",
                         call_index: 0,
                         named_dependency: None,
@@ -113,17 +124,17 @@
                         effect: Effect::Idempotent,
                         payload: b"",
                     };
-                    self.routers[instance].start_call(now, &ask, &mut chance);
-                    let next = now - self.rng.random::<f64>().max(1e-9).ln() / RATE;
-                    self.at(next, What::Ask(instance));
+                    self.routers[instance].start_call(now, &request, &mut chance);
+                    let next = now - self.rng.random::<f64>().max(1e-9).ln() / CALLS_PER_S;
+                    self.schedule(next, Event::StartCall(instance));
                     instance
                 }
-                What::Wake(usize::MAX) => continue,
-                What::Wake(instance) => {
+                Event::Timeout(usize::MAX) => continue,
+                Event::Timeout(instance) => {
                     self.routers[instance].handle_timeout(now, &mut chance);
                     instance
                 }
-                What::Ends { instance, attempt } => {
+                Event::AttemptEnded { instance, attempt } => {
                     self.routers[instance].attempt_ended(
                         now,
                         attempt,
@@ -134,50 +145,50 @@
                     instance
                 }
             };
-            self.steps(instance);
+            self.run_actions(instance);
         }
         self.now = end;
     }
 }
 
-/// Steady load, then one server becomes ten times as slow.
+/// Applies steady load, then makes one server ten times as slow.
 pub fn run(instances: usize, servers: usize, seed: u64) -> SimulationResult {
-    let address = |place: usize| format!("127.0.{}.{}:5432", place / 250, 1 + place % 250);
-    let list = (0..servers).map(|place| ServerConfig {
-        address: address(place),
+    let address = |index: usize| format!("127.0.{}.{}:5432", index / 250, 1 + index % 250);
+    let server_configs = (0..servers).map(|index| ServerConfig {
+        address: address(index),
         zone: String::new(),
         weight: 1.0,
     });
     let text = format!(
         "{{\"dependencies\":{{\"a\":{{\"servers\":[],\"subset\":{SUBSET}}}}},\"operations\":{{\"page\":{{\"calls\":[{{\"to\":\"a\"}}]}}}}}}"
     );
-    let mut wanted: Dependencies = serde_json::from_str(&text).unwrap_or_default();
-    if let Some(of) = wanted.dependencies.get_mut("a") {
-        of.servers = list.collect();
+    let mut config: Dependencies = serde_json::from_str(&text).unwrap_or_default();
+    if let Some(dependency) = config.dependencies.get_mut("a") {
+        dependency.servers = server_configs.collect();
     }
     let routers =
-        (0..instances).map(|number| Router::new(0.0, wanted.clone(), &format!("n{number}")));
+        (0..instances).map(|number| Router::new(0.0, config.clone(), &format!("n{number}")));
     let mut world = World {
         now: 0.0,
         routers: routers.collect(),
-        wakes: vec![f64::INFINITY; instances],
+        timeouts: vec![f64::INFINITY; instances],
         queue: BinaryHeap::new(),
-        what: Vec::new(),
+        events: Vec::new(),
         rng: Pcg64Mcg::seed_from_u64(seed),
-        places: (0..servers).map(|place| (address(place), place)).collect(),
-        free: vec![vec![0.0; AT_ONCE]; servers],
+        server_indexes: (0..servers).map(|index| (address(index), index)).collect(),
+        free_at: vec![vec![0.0; SERVER_CONCURRENCY]; servers],
         calls: vec![0; servers],
-        slow: vec![1.0; servers],
+        slowdown: vec![1.0; servers],
     };
     for instance in 0..instances {
-        let at = world.rng.random::<f64>() / RATE;
-        world.at(at, What::Ask(instance));
+        let at = world.rng.random::<f64>() / CALLS_PER_S;
+        world.schedule(at, Event::StartCall(instance));
     }
-    world.until(5.0);
+    world.run_until(5.0);
     world.calls.fill(0);
     let mut limits: Vec<f64> = Vec::new();
     while world.now < 15.0 {
-        world.until(world.now + 0.5);
+        world.run_until(world.now + 0.5);
         limits.extend(
             world
                 .routers
@@ -191,24 +202,28 @@
     let connections = world
         .routers
         .iter()
-        .map(|router| router.report().first().map_or(0, |of| of.servers.len()))
+        .map(|router| {
+            router
+                .report()
+                .first()
+                .map_or(0, |dependency| dependency.servers.len())
+        })
         .sum::<usize>();
     let mean_limit = limits.iter().sum::<f64>() / limits.len().max(1) as f64;
-    let square = limits
+    let variance = limits
         .iter()
         .map(|limit| (limit - mean_limit).powi(2))
         .sum::<f64>()
         / limits.len().max(1) as f64;
-    // The first server becomes slow.
-    let usual = world.calls[0] as f64 / 10.0;
-    world.slow[0] = 10.0;
-    let began = world.now;
+    let calls_per_s_before = world.calls[0] as f64 / 10.0;
+    world.slowdown[0] = 10.0;
+    let slowdown_start = world.now;
     let mut reaction_s = f64::INFINITY;
-    while world.now < began + 20.0 {
-        let before = world.calls[0];
-        world.until(world.now + 0.1);
-        if ((world.calls[0] - before) as f64) < 0.5 * usual * 0.1 {
-            reaction_s = world.now - began;
+    while world.now < slowdown_start + 20.0 {
+        let calls_before = world.calls[0];
+        world.run_until(world.now + 0.1);
+        if ((world.calls[0] - calls_before) as f64) < 0.5 * calls_per_s_before * 0.1 {
+            reaction_s = world.now - slowdown_start;
             break;
         }
     }
@@ -218,6 +233,6 @@
         evenness,
         connections: connections as f64 / instances as f64,
         reaction_s,
-        swing: square.sqrt() / mean_limit.max(1e-9),
+        swing: variance.sqrt() / mean_limit.max(1e-9),
     }
 }
