--- a/crates/merlinshelf-testbed/src/experiments/learning/benefit.rs
+++ b/crates/merlinshelf-testbed/src/experiments/learning/benefit.rs
@@ -1,6 +1,6 @@
-//! What being taught is worth on loopback: the real program begins in the midst of an outage below, cold or taught by others,
-//! good and bad; how long until what it serves in its aim is worth as much as when it knows. And the other way round: what it
-//! costs to be told of an outage where there is none.
+//! The benefit of prior observations, measured on loopback. The real program starts during an outage of its dependency, either
+//! cold or with observations from sources of varying quality. Measures how long it takes until the value served within the
+//! latency objective reaches its steady level. Also measures the cost of observations of an outage that does not exist.
 
 use std::io;
 use std::time::Duration;
@@ -17,70 +17,73 @@
 use crate::instance::{Instance, Setup, peer_address};
 use crate::load::{Load, Seen};
 
-/// By what a fresh instance is taught.
+/// The source of the observations that a new instance starts with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PriorSource {
-    Nobody,
-    /// One that has served under the same load for a while.
-    Steady,
-    /// Its own file, from the life before.
-    OwnFile,
-    /// One that has been up for a second.
-    Recovering,
-    /// One that knows servers four times as fast, from two minutes ago.
-    Stale,
-    /// One that says of everything ten times too much or too little, by turns.
-    Wrong,
-    /// One that says that half of all takes for ever and the rest nothing.
-    Lying,
+    Cold,
+    /// A peer that has served the same load for 3.5 s.
+    SteadyPeer,
+    /// The store of its own previous incarnation.
+    OwnStore,
+    /// A peer that started 0.9 s ago.
+    RecoveringPeer,
+    /// A peer with observations from two minutes ago, when servers were four times as fast.
+    StalePeer,
+    /// A peer whose values are alternately ten times too high and too low.
+    WrongPeer,
+    /// A peer whose values are alternately as high and as low as the accepted range allows.
+    LyingPeer,
 }
 
 pub const ALL: [PriorSource; 7] = [
-    PriorSource::Nobody,
-    PriorSource::Steady,
-    PriorSource::OwnFile,
-    PriorSource::Recovering,
-    PriorSource::Stale,
-    PriorSource::Wrong,
-    PriorSource::Lying,
+    PriorSource::Cold,
+    PriorSource::SteadyPeer,
+    PriorSource::OwnStore,
+    PriorSource::RecoveringPeer,
+    PriorSource::StalePeer,
+    PriorSource::WrongPeer,
+    PriorSource::LyingPeer,
 ];
 
 impl PriorSource {
     pub fn name(self) -> &'static str {
         match self {
-            PriorSource::Nobody => "cold",
-            PriorSource::Steady => "steady peer",
-            PriorSource::OwnFile => "own file",
-            PriorSource::Recovering => "recovering peer",
-            PriorSource::Stale => "stale peer",
-            PriorSource::Wrong => "wrong peer",
-            PriorSource::Lying => "lying peer",
+            PriorSource::Cold => "cold",
+            PriorSource::SteadyPeer => "steady peer",
+            PriorSource::OwnStore => "own file",
+            PriorSource::RecoveringPeer => "recovering peer",
+            PriorSource::StalePeer => "stale peer",
+            PriorSource::WrongPeer => "wrong peer",
+            PriorSource::LyingPeer => "lying peer",
         }
     }
 
-    /// Whether it teaches what does not hold.
+    /// Whether its observations are incomplete or wrong.
     pub fn is_bad(self) -> bool {
         matches!(
             self,
-            PriorSource::Recovering | PriorSource::Stale | PriorSource::Wrong | PriorSource::Lying
+            PriorSource::RecoveringPeer
+                | PriorSource::StalePeer
+                | PriorSource::WrongPeer
+                | PriorSource::LyingPeer
         )
     }
 }
 
-/// Each operation: its name, what it is worth, its aim in ms, and the part of its worth without its call.
+/// Each operation: its name, value, latency objective in ms, and the part of the value that a result without its call has.
 const OPERATIONS: [(&str, f64, u64, f64); 3] = [
     ("thumbnail", 1.0, 1700, 0.3),
     ("transcript-search", 2.0, 2300, 1.0),
     ("playback-token", 3.0, 1000, 0.5),
 ];
 const CORES: u32 = 8;
-/// Invocations a second; two thirds want a call. So many that those which wait for calls without an answer keep out others.
-const RATE: f64 = 1200.0;
-/// How long a call takes, and how long where the dependency hangs.
-const BELOW: Duration = Duration::from_millis(20);
-const HANGS: Duration = Duration::from_secs(60);
-/// How long one is looked at, and in what steps and windows.
-const LOOKED: Duration = Duration::from_millis(8000);
+/// Two thirds of the invocations make a call. The rate is so high that invocations waiting for an unanswered call block others.
+const INVOCATIONS_PER_S: f64 = 1200.0;
+const CALL_DURATION: Duration = Duration::from_millis(20);
+/// Duration of a call during an outage, longer than any run waits.
+const HANGING_CALL_DURATION: Duration = Duration::from_secs(60);
+/// How long an instance is observed, the resolution of the series, and the window over which shares are averaged.
+const OBSERVED_FOR: Duration = Duration::from_millis(8000);
 pub const STEP: Duration = Duration::from_millis(50);
 const WINDOW: Duration = Duration::from_millis(1000);
 
@@ -88,7 +91,11 @@
     let mut setup = Setup::small(program);
     setup.cores = CORES;
     setup.manner.cores = f64::from(CORES);
-    setup.manner.below = if outage { HANGS } else { BELOW };
+    setup.manner.below = if outage {
+        HANGING_CALL_DURATION
+    } else {
+        CALL_DURATION
+    };
     setup
 }
 
@@ -103,18 +110,18 @@
     learning
 }
 
-/// What was worth how much, by the step of arrival.
+/// The value offered and served over time, by the step in which an invocation was sent.
 #[derive(Clone, Debug, Default)]
 pub struct ValueSeries {
-    /// Served in its aim.
+    /// Value served within the latency objective.
     served: Vec<f64>,
     offered: Vec<f64>,
 }
 
 impl ValueSeries {
     fn of(seen: &Seen, from: Instant) -> ValueSeries {
-        let count = (LOOKED.as_millis() / STEP.as_millis()) as usize;
-        let mut steps = ValueSeries {
+        let count = (OBSERVED_FOR.as_millis() / STEP.as_millis()) as usize;
+        let mut series = ValueSeries {
             served: vec![0.0; count],
             offered: vec![0.0; count],
         };
@@ -122,19 +129,24 @@
             let Some(since) = sent.at.checked_duration_since(from) else {
                 continue;
             };
-            let place = (since.as_millis() / STEP.as_millis()) as usize;
-            let of = OPERATIONS.iter().find(|(name, ..)| *name == sent.operation);
-            let (Some((_, worth, aim, without)), true) = (of, place < count) else {
+            let step = (since.as_millis() / STEP.as_millis()) as usize;
+            let operation = OPERATIONS.iter().find(|(name, ..)| *name == sent.operation);
+            let (Some((_, value, objective_ms, degraded_part)), true) = (operation, step < count)
+            else {
                 continue;
             };
-            steps.offered[place] += worth;
+            series.offered[step] += value;
             if let Some((at, 200)) = sent.answers.first()
-                && *at <= sent.at + Duration::from_millis(*aim)
+                && *at <= sent.at + Duration::from_millis(*objective_ms)
             {
-                steps.served[place] += if sent.poorer { worth * without } else { *worth };
+                series.served[step] += if sent.poorer {
+                    value * degraded_part
+                } else {
+                    *value
+                };
             }
         }
-        steps
+        series
     }
 
     fn share(&self, from: usize, until: usize) -> f64 {
@@ -142,118 +154,122 @@
             / self.offered[from..until].iter().sum::<f64>().max(1e-9)
     }
 
-    /// The share of the first second.
-    pub fn first(&self) -> f64 {
+    /// The served share of the first second.
+    pub fn first_second(&self) -> f64 {
         self.share(
             0,
             (Duration::from_secs(1).as_millis() / STEP.as_millis()) as usize,
         )
     }
 
-    /// The share of the second half, in which one that was well taught is steady.
-    pub fn steady(&self) -> f64 {
+    /// The served share of the second half, in which an instance with good observations is steady.
+    pub fn steady_share(&self) -> f64 {
         self.share(self.served.len() / 2, self.served.len())
     }
 
-    /// From which moment on every window's share is at least 95% of the steady one; all that is looked at, where never.
-    pub fn settled(&self, steady: f64) -> Duration {
+    /// The time from which the share of every window is at least 95% of `steady_share`. The whole observed time if never.
+    pub fn settling_time(&self, steady_share: f64) -> Duration {
         let window = (WINDOW.as_millis() / STEP.as_millis()) as usize;
         let last = self.served.len() - window;
-        let short = (0..last + 1).rposition(|from| self.share(from, from + window) < 0.95 * steady);
-        STEP * short.map_or(0, |short| {
-            if short == last {
+        let last_short_window =
+            (0..last + 1).rposition(|from| self.share(from, from + window) < 0.95 * steady_share);
+        STEP * last_short_window.map_or(0, |window_start| {
+            if window_start == last {
                 self.served.len()
             } else {
-                short + 1
+                window_start + 1
             }
         }) as u32
     }
 
-    /// Served and offered worth, whole, for a look at it.
+    /// The served share of each step as text.
     pub fn text(&self) -> String {
-        let of =
+        let percent =
             |(served, offered): (&f64, &f64)| format!("{:.0}%", 100.0 * served / offered.max(1e-9));
         self.served
             .iter()
             .zip(&self.offered)
-            .map(of)
+            .map(percent)
             .collect::<Vec<_>>()
             .join(" ")
     }
 }
 
-/// A while under the load, after which an instance knows what there is to know; it is left in the midst of it.
-async fn past(instance: &Instance, seed: u64, time: Duration) -> io::Result<()> {
-    let playing = Load::of_all(&instance.address, 32, RATE, seed + 1000)
+/// Applies load for this time, so that the instance collects observations, and abandons the load without stopping it.
+async fn warm_up(instance: &Instance, seed: u64, time: Duration) -> io::Result<()> {
+    let running_load = Load::of_all(&instance.address, 32, INVOCATIONS_PER_S, seed + 1000)
         .start()
         .await?;
     sleep(time).await;
-    playing.leave();
+    running_load.leave();
     Ok(())
 }
 
-/// One play: what was worth how much.
+/// Runs one instance and returns the value it served over time.
+///
+/// # Errors
+/// Fails if an instance, its load or its peer can't be started.
 pub async fn run(
     outage: bool,
     program: &std::path::Path,
     seed: u64,
-    teacher: PriorSource,
-    number: u8,
+    source: PriorSource,
+    address_number: u8,
 ) -> io::Result<ValueSeries> {
-    let (own, other) = (number, number + 1);
-    let folder = teacher == PriorSource::OwnFile;
-    let taught = |seeds: &[String]| Setup {
+    let (own, other) = (address_number, address_number + 1);
+    let folder = source == PriorSource::OwnStore;
+    let setup_with_seeds = |seeds: &[String]| Setup {
         name: format!("n{own}"),
         learning: Some(learning(own, seeds, folder)),
         ..setup(program, outage)
     };
     let seeds = [peer_address(other)];
-    // Whoever teaches is there first.
-    let mut before: Option<Instance> = None;
-    let mut own_past: Option<Instance> = None;
-    let mut liar = None;
-    match teacher {
-        PriorSource::Nobody => {}
-        PriorSource::Steady | PriorSource::Recovering => {
+    // The source starts first.
+    let mut peer: Option<Instance> = None;
+    let mut previous_incarnation: Option<Instance> = None;
+    let mut bad_peer = None;
+    match source {
+        PriorSource::Cold => {}
+        PriorSource::SteadyPeer | PriorSource::RecoveringPeer => {
             let setup = Setup {
                 name: format!("n{other}"),
                 learning: Some(learning(other, &[], false)),
                 ..setup(program, outage)
             };
             let instance = Instance::start(&setup, other).await?;
-            let time = if teacher == PriorSource::Steady {
+            let time = if source == PriorSource::SteadyPeer {
                 3500
             } else {
                 900
             };
-            past(&instance, seed, Duration::from_millis(time)).await?;
-            before = Some(instance);
+            warm_up(&instance, seed, Duration::from_millis(time)).await?;
+            peer = Some(instance);
         }
-        PriorSource::OwnFile => {
-            let instance = Instance::start(&taught(&[]), own).await?;
-            past(&instance, seed, Duration::from_millis(3500)).await?;
-            own_past = Some(instance);
+        PriorSource::OwnStore => {
+            let instance = Instance::start(&setup_with_seeds(&[]), own).await?;
+            warm_up(&instance, seed, Duration::from_millis(3500)).await?;
+            previous_incarnation = Some(instance);
         }
-        PriorSource::Stale | PriorSource::Wrong | PriorSource::Lying => {
+        PriorSource::StalePeer | PriorSource::WrongPeer | PriorSource::LyingPeer => {
             let listener = TcpListener::bind(&seeds[0]).await?;
-            let figures = wrong(teacher, outage, seed);
-            liar = Some(spawn_local(serve_observations(
+            let observations = bad_observations(source, outage, seed);
+            bad_peer = Some(spawn_local(serve_observations(
                 listener,
                 seeds[0].clone(),
-                figures,
+                observations,
             )));
         }
     }
-    let mut instance = match own_past {
+    let mut instance = match previous_incarnation {
         Some(mut instance) => {
-            // Without a word, as by a crash; what was saved is what there is.
+            // Crashes, so that only what was saved is available.
             instance.crash().await?;
             instance.logged("the engine is up", 2).await?;
             instance
         }
         None => {
             Instance::start(
-                &taught(if teacher == PriorSource::Nobody {
+                &setup_with_seeds(if source == PriorSource::Cold {
                     &[]
                 } else {
                     &seeds
@@ -263,60 +279,60 @@
             .await?
         }
     };
-    if teacher != PriorSource::Nobody {
+    if source != PriorSource::Cold {
         instance
-            .says("taught", |status| {
+            .says("observations were received", |status| {
                 status["learning"]["taught_by"] != json!([])
             })
             .await?;
     }
     let from = Instant::now();
-    let playing = Load::of_all(&instance.address, 32, RATE, seed)
+    let running_load = Load::of_all(&instance.address, 32, INVOCATIONS_PER_S, seed)
         .start()
         .await?;
-    sleep_until(from + LOOKED).await;
+    sleep_until(from + OBSERVED_FOR).await;
     if std::env::var_os("MERLINSHELF_LAB_STEPS").is_some() {
-        println!("{} {}", teacher.name(), instance.status().await?);
+        println!("{} {}", source.name(), instance.status().await?);
     }
-    let seen = playing.stop().await.take();
+    let seen = running_load.stop().await.take();
     instance.end().await;
-    if let Some(mut before) = before {
-        before.end().await;
+    if let Some(mut peer) = peer {
+        peer.end().await;
     }
-    if let Some(liar) = liar {
-        liar.abort();
-        let _ = liar.await; // its listener is closed with it
+    if let Some(bad_peer) = bad_peer {
+        bad_peer.abort();
+        let _ = bad_peer.await; // closes its listener
     }
     Ok(ValueSeries::of(&seen, from))
 }
 
-/// Figures that do not hold.
-fn wrong(teacher: PriorSource, outage: bool, seed: u64) -> Vec<GossipedObservation> {
-    let factor = |place: u64| match teacher {
-        PriorSource::Stale => 0.25,
-        PriorSource::Wrong if (place + seed).is_multiple_of(2) => 10.0,
-        PriorSource::Wrong => 0.1,
-        _ if place.is_multiple_of(2) => 1e4,
+/// Stale, wrong or extreme observations.
+fn bad_observations(source: PriorSource, outage: bool, seed: u64) -> Vec<GossipedObservation> {
+    let factor = |index: u64| match source {
+        PriorSource::StalePeer => 0.25,
+        PriorSource::WrongPeer if (index + seed).is_multiple_of(2) => 10.0,
+        PriorSource::WrongPeer => 0.1,
+        _ if index.is_multiple_of(2) => 1e4,
         _ => 1e-4,
     };
     let (engine, dependency) = (|| "lab".to_owned(), || "catalogue".to_owned());
-    let mut right = Vec::new();
+    let mut base_values = Vec::new();
     for (name, ..) in OPERATIONS {
-        right.push((
+        base_values.push((
             Metric::RunRecent {
                 engine: engine(),
                 operation: name.into(),
             },
             0.005,
         ));
-        right.push((
+        base_values.push((
             Metric::RunLowest {
                 engine: engine(),
                 operation: name.into(),
             },
             0.005,
         ));
-        right.push((
+        base_values.push((
             Metric::RunDownstream {
                 dependency: dependency(),
                 operation: name.into(),
@@ -324,52 +340,52 @@
             0.1,
         ));
     }
-    right.push((Metric::Limit { engine: engine() }, 16.0));
-    right.push((
+    base_values.push((Metric::Limit { engine: engine() }, 16.0));
+    base_values.push((
         Metric::CallRecent {
             dependency: dependency(),
         },
         0.1,
     ));
-    right.push((
+    base_values.push((
         Metric::CallLowest {
             dependency: dependency(),
         },
         0.05,
     ));
-    right.push((
+    base_values.push((
         Metric::CallLimit {
             dependency: dependency(),
         },
         8.0,
     ));
-    right.push((Metric::RetryShare, 0.01));
-    right.push((Metric::ReturningCallerShare, 0.9));
-    // Told of an outage where there is none, and of none where there is one.
+    base_values.push((Metric::RetryShare, 0.01));
+    base_values.push((Metric::ReturningCallerShare, 0.9));
+    // The reported failures contradict the actual state of the dependency.
     let failures = if outage { 0.0 } else { 50.0 };
-    right.push((
+    base_values.push((
         Metric::CallFailures {
             dependency: dependency(),
         },
         failures,
     ));
-    let told = |(place, (subject, value)): (usize, (Metric, f64))| {
-        let callers = matches!(subject, Metric::RetryShare | Metric::ReturningCallerShare);
-        let most = if callers { 1.0 } else { 600.0 };
-        let failures = matches!(subject, Metric::CallFailures { .. });
+    let observation = |(index, (metric, value)): (usize, (Metric, f64))| {
+        let is_share = matches!(metric, Metric::RetryShare | Metric::ReturningCallerShare);
+        let max = if is_share { 1.0 } else { 600.0 };
+        let is_failures = matches!(metric, Metric::CallFailures { .. });
         GossipedObservation {
-            value: if failures {
+            value: if is_failures {
                 value
             } else {
-                (value * factor(place as u64)).clamp(0.01, most)
+                (value * factor(index as u64)).clamp(0.01, max)
             },
-            metric: subject,
+            metric,
             source: Source {
                 name: "bad".into(),
                 incarnation: 1,
             },
             sample_count: 24,
-            age_seconds: if teacher == PriorSource::Stale {
+            age_seconds: if source == PriorSource::StalePeer {
                 120.0
             } else {
                 0.0
@@ -379,14 +395,18 @@
             status: SourceStatus::Steady,
         }
     };
-    right.into_iter().enumerate().map(told).collect()
+    base_values
+        .into_iter()
+        .enumerate()
+        .map(observation)
+        .collect()
 }
 
-/// Teaches whoever asks these figures.
+/// Answers every poll with these observations.
 pub async fn serve_observations(
     listener: TcpListener,
     address: String,
-    figures: Vec<GossipedObservation>,
+    observations: Vec<GossipedObservation>,
 ) {
     while let Ok((mut stream, _)) = listener.accept().await {
         let from = MembershipUpdate {
@@ -396,16 +416,16 @@
             refutations: 0,
             state: merlinshelf_gossip::State::Alive,
         };
-        let figures = figures.clone();
+        let observations = observations.clone();
         spawn_local(async move {
-            let (mut reading, mut come) = (MessageReader::default(), Vec::new());
+            let (mut reader, mut received) = (MessageReader::default(), Vec::new());
             loop {
-                match stream.read_buf(&mut come).await {
+                match stream.read_buf(&mut received).await {
                     Ok(count) if count > 0 => {}
                     _ => return,
                 }
-                match reading.read(&come) {
-                    Ok((used, None)) => _ = come.drain(..used),
+                match reader.read(&received) {
+                    Ok((used, None)) => _ = received.drain(..used),
                     _ => break,
                 }
             }
@@ -414,11 +434,11 @@
                 status: SourceStatus::Steady,
                 wants_observations: false,
                 updates: Vec::new(),
-                observations: figures,
+                observations,
             };
             let mut bytes: Vec<u8> = Vec::new();
             write_message(&mut bytes, MessageKind::Answer, &answer);
-            let _ = stream.write_all(&bytes).await; // it may have given up
+            let _ = stream.write_all(&bytes).await; // the peer may have closed the connection
         });
     }
 }
--- a/crates/merlinshelf-testbed/src/experiments/learning/cost.rs
+++ b/crates/merlinshelf-testbed/src/experiments/learning/cost.rs
@@ -1,5 +1,5 @@
-//! What teaching costs the teacher: time on its cores an invocation, and its clients' 99th latency, with learning off, on, and
-//! while many ask.
+//! What answering gossip polls costs an instance: CPU time per invocation and the 99th percentile of latency, with learning off,
+//! on, and on while many peers poll.
 
 use std::cell::Cell;
 use std::io;
@@ -16,78 +16,82 @@
 use crate::instance::{Instance, Setup, peer_address};
 use crate::load::Load;
 
-/// Questions a second: a hundred instances that all start at once, after their hurry, or two thousand steady ones.
-const QUESTIONS: u32 = 100;
-const RATE: f64 = 1000.0;
-const TIME: Duration = Duration::from_secs(3);
-const NUMBER: u8 = 200;
+/// The poll rate of 100 instances that started together, after their first fast polls, or of 2,000 steady ones.
+const POLLS_PER_S: u32 = 100;
+const INVOCATIONS_PER_S: f64 = 1000.0;
+const MEASURED_FOR: Duration = Duration::from_secs(3);
+const ADDRESS_NUMBER: u8 = 200;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Case {
+    /// Learning is off.
     Off,
+    /// Learning is on, without polls from peers.
     On,
-    Asked,
+    /// Learning is on, and peers poll.
+    Polled,
 }
 
-/// One play.
+/// The result of one run.
 #[derive(Clone, Copy, Debug)]
 pub struct Cost {
-    /// Microseconds on the cores an invocation.
-    pub us: f64,
+    /// CPU time per invocation in microseconds.
+    pub cpu_us: f64,
     pub p99_ms: f64,
-    /// Questions that were answered a second.
-    pub answered: f64,
+    /// Answered polls per second.
+    pub answered_per_s: f64,
 }
 
-/// Plays one case.
+/// Runs one case.
 ///
 /// # Errors
-/// What can't be played.
+/// Fails if the instance or its load can't be started.
 pub async fn run(program: &Path, case: Case, seed: u64) -> io::Result<Cost> {
     let mut setup = Setup::small(program);
     (setup.cores, setup.manner.cores) = (64, 64.0);
     if case != Case::Off {
         setup.learning = Some(json!({
             "engine": "lab", "folder": true,
-            "peers": { "listen": peer_address(NUMBER), "seeds": [] },
+            "peers": { "listen": peer_address(ADDRESS_NUMBER), "seeds": [] },
         }));
     }
-    let mut instance = Instance::start(&setup, NUMBER).await?;
-    let load = Load::of_all(&instance.address, 100, RATE, seed);
-    let playing = load.start().await?;
+    let mut instance = Instance::start(&setup, ADDRESS_NUMBER).await?;
+    let load = Load::of_all(&instance.address, 100, INVOCATIONS_PER_S, seed);
+    let running_load = load.start().await?;
     sleep(Duration::from_millis(700)).await;
     let answered: Rc<Cell<u32>> = Rc::default();
-    let asking = (case == Case::Asked).then(|| spawn_local(ask(answered.clone())));
-    let (from, before, sent) = (
+    let polling = (case == Case::Polled).then(|| spawn_local(send_polls(answered.clone())));
+    let (from, cpu_before, sent_before) = (
         Instant::now(),
         instance.cpu()?,
-        playing.seen.borrow().sent.len(),
+        running_load.seen.borrow().sent.len(),
     );
-    sleep(TIME).await;
-    let (until, after, now) = (
+    sleep(MEASURED_FOR).await;
+    let (until, cpu_after, sent_after) = (
         Instant::now(),
         instance.cpu()?,
-        playing.seen.borrow().sent.len(),
+        running_load.seen.borrow().sent.len(),
     );
-    if let Some(asking) = asking {
-        asking.abort();
+    if let Some(polling) = polling {
+        polling.abort();
     }
-    let seen = playing.stop().await.take();
+    let seen = running_load.stop().await.take();
     instance.end().await;
     Ok(Cost {
-        us: (after - before).as_secs_f64() * 1e6 / (now - sent).max(1) as f64,
+        cpu_us: (cpu_after - cpu_before).as_secs_f64() * 1e6
+            / (sent_after - sent_before).max(1) as f64,
         p99_ms: seen.latencies(from, until).value_at_quantile(0.99) as f64 / 1e3,
-        answered: f64::from(answered.get()) / (until - from).as_secs_f64(),
+        answered_per_s: f64::from(answered.get()) / (until - from).as_secs_f64(),
     })
 }
 
-/// Asks for all figures, so many times a second.
-async fn ask(answered: Rc<Cell<u32>>) {
+/// Polls the instance for its observations, each time on a new connection.
+async fn send_polls(answered: Rc<Cell<u32>>) {
     loop {
-        sleep(Duration::from_secs(1) / QUESTIONS).await;
+        sleep(Duration::from_secs(1) / POLLS_PER_S).await;
         let answered = answered.clone();
         spawn_local(async move {
-            let Ok(mut stream) = TcpStream::connect(peer_address(NUMBER)).await else {
+            let Ok(mut stream) = TcpStream::connect(peer_address(ADDRESS_NUMBER)).await else {
                 return;
             };
             let _ = stream
--- a/crates/merlinshelf-testbed/src/experiments/learning/crashes.rs
+++ b/crates/merlinshelf-testbed/src/experiments/learning/crashes.rs
@@ -1,5 +1,5 @@
-//! CrashCounts of the store: at every operation of a life, and again at every operation of the life after, on a folder that
-//! loses what was not synced. What is read back is held against what was written.
+//! Crashes of the gossip store at every file operation of one incarnation, and again at every operation of the next one, on a
+//! folder that loses what was not synced. Compares what is read back with what was written.
 
 use std::collections::BTreeMap;
 
@@ -11,40 +11,42 @@
 
 use crate::disk::Disk;
 
-/// What the crashes came to.
+/// Totals over all crashes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CrashCounts {
     pub crashes: u64,
     pub read_back: u64,
-    /// Stores that gave back what was never written, or lost what was.
+    /// Stores that returned observations that were never written, or lost some that were saved.
     pub wrong: u64,
 }
 
 type Written = BTreeMap<(Metric, u64), Vec<GossipedObservation>>;
 
-/// One life as the test knows it: what was kept for certain, and everything that was ever handed to the store.
+/// What was written in earlier incarnations.
 #[derive(Clone, Default)]
-struct Past {
-    /// The last saving that went well, as of when.
-    certain: Vec<(f64, GossipedObservation)>,
-    ever: Written,
-    life: u64,
+struct History {
+    /// The observations of the last successful save, with its time.
+    saved: Vec<(f64, GossipedObservation)>,
+    /// All observations that were ever passed to the store.
+    written: Written,
+    incarnation: u64,
 }
 
-fn figures(
+/// Adds a few random observations to these, each replacing the older one of its metric.
+fn next_observations(
     rng: &mut Pcg64Mcg,
-    number: &mut u64,
+    sequence: &mut u64,
     before: &[GossipedObservation],
 ) -> Vec<GossipedObservation> {
     let mut all = before.to_vec();
     for _ in 0..rng.random_range(1..6) {
-        *number += 1;
-        let subject = Metric::RunRecent {
+        *sequence += 1;
+        let metric = Metric::RunRecent {
             engine: "e".into(),
             operation: format!("operation-{}", rng.random_range(0..40)),
         };
-        let told = GossipedObservation {
-            metric: subject,
+        let observation = GossipedObservation {
+            metric,
             source: Source {
                 name: "n0".into(),
                 incarnation: 1,
@@ -52,66 +54,79 @@
             value: rng.random_range(0.001..1.0),
             sample_count: rng.random_range(1..24),
             age_seconds: rng.random_range(0.0..30.0),
-            sequence: *number,
+            sequence: *sequence,
             hops: 1,
             status: SourceStatus::Steady,
         };
-        all.retain(|one| one.metric != told.metric);
-        all.push(told);
+        all.retain(|other| other.metric != observation.metric);
+        all.push(observation);
     }
     all
 }
 
-/// Savings until the end or the crash.
-fn live(disk: &mut Disk, store: &mut Store, past: &mut Past, rng: &mut Pcg64Mcg, clock: &mut f64) {
-    let mut number = past
-        .ever
+/// Saves observations six times, or until the crash.
+fn run_incarnation(
+    disk: &mut Disk,
+    store: &mut Store,
+    history: &mut History,
+    rng: &mut Pcg64Mcg,
+    clock: &mut f64,
+) {
+    let mut sequence = history
+        .written
         .values()
         .flatten()
-        .map(|told| told.sequence)
+        .map(|observation| observation.sequence)
         .max()
         .unwrap_or(0);
-    let mut all: Vec<GossipedObservation> =
-        past.certain.iter().map(|(_, told)| told.clone()).collect();
+    let mut all: Vec<GossipedObservation> = history
+        .saved
+        .iter()
+        .map(|(_, observation)| observation.clone())
+        .collect();
     for _ in 0..6 {
         *clock += 5.0;
-        all = figures(rng, &mut number, &all);
-        for told in &all {
-            let ever = past
-                .ever
-                .entry((told.metric.clone(), told.sequence))
+        all = next_observations(rng, &mut sequence, &all);
+        for observation in &all {
+            let written = history
+                .written
+                .entry((observation.metric.clone(), observation.sequence))
                 .or_default();
-            if !ever.contains(told) {
-                ever.push(told.clone());
+            if !written.contains(observation) {
+                written.push(observation.clone());
             }
         }
         if store.save(disk, *clock, &all).is_err() {
             return;
         }
-        past.certain = all.iter().map(|told| (*clock, told.clone())).collect();
+        history.saved = all
+            .iter()
+            .map(|observation| (*clock, observation.clone()))
+            .collect();
     }
 }
 
-/// Whether what was found is what was written: every figure one that was handed over as it was, none older than the last
-/// saving that went well, and no life begun under a number that was used.
-fn right(found: &Found, past: &Past) -> bool {
+/// Whether the store returned what was written: every observation was once passed to it unchanged, and none is older than in the
+/// last successful save.
+fn is_correct(found: &Found, history: &History) -> bool {
     let mut last: BTreeMap<&Metric, &PersistedObservation> = BTreeMap::new();
-    for kept in &found.observations {
-        let known = past
-            .ever
-            .get(&(kept.observation.metric.clone(), kept.observation.sequence));
-        if !known.is_some_and(|known| known.contains(&kept.observation)) {
+    for persisted in &found.observations {
+        let written = history.written.get(&(
+            persisted.observation.metric.clone(),
+            persisted.observation.sequence,
+        ));
+        if !written.is_some_and(|written| written.contains(&persisted.observation)) {
             return false;
         }
-        last.insert(&kept.observation.metric, kept);
+        last.insert(&persisted.observation.metric, persisted);
     }
-    past.certain.iter().all(|(_, told)| {
-        last.get(&told.metric)
-            .is_some_and(|of| of.observation.sequence >= told.sequence)
+    history.saved.iter().all(|(_, observation)| {
+        last.get(&observation.metric)
+            .is_some_and(|last| last.observation.sequence >= observation.sequence)
     })
 }
 
-/// CrashCounts at each operation of a first life and, after that, of a second one.
+/// Crashes one incarnation at each of the first `operations` file operations and, for each of these, the next incarnation too.
 pub fn run(seed: u64, operations: u32) -> CrashCounts {
     let mut crashes = CrashCounts::default();
     for first in 0..operations {
@@ -119,20 +134,20 @@
             let mut rng =
                 Pcg64Mcg::seed_from_u64(seed ^ u64::from(first) << 32 ^ u64::from(second) << 8);
             let mut disk = Disk::new(Pcg64Mcg::seed_from_u64(rng.random()));
-            let (mut past, mut clock) = (Past::default(), 1e9);
+            let (mut history, mut clock) = (History::default(), 1e9);
             for crash in [Some(first), Some(second), None] {
                 if let Some(crash) = crash {
                     disk.crash_after(crash);
                 }
                 if let Ok((mut store, found)) = Store::open(&mut disk) {
                     crashes.read_back += 1;
-                    let began = store.begin_incarnation((clock * 1e3) as u64);
-                    if !right(&found, &past) || began <= past.life {
+                    let incarnation = store.begin_incarnation((clock * 1e3) as u64);
+                    if !is_correct(&found, &history) || incarnation <= history.incarnation {
                         crashes.wrong += 1;
                     }
-                    past.life = began;
-                    // What was found is what is there: a torn end may have held more than was certain.
-                    live(&mut disk, &mut store, &mut past, &mut rng, &mut clock);
+                    history.incarnation = incarnation;
+                    // A partly written end of the log may hold newer observations than the last successful save.
+                    run_incarnation(&mut disk, &mut store, &mut history, &mut rng, &mut clock);
                 }
                 if crash.is_some() {
                     crashes.crashes += 1;
--- a/crates/merlinshelf-testbed/src/experiments/learning/fleet.rs
+++ b/crates/merlinshelf-testbed/src/experiments/learning/fleet.rs
@@ -1,4 +1,4 @@
-//! Many nodes in virtual time, with a network between them: what one costs, and how fast all know of a change.
+//! Many gossip nodes and their network in virtual time. Measures the cost of a node, and how fast all nodes detect a crash.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
@@ -10,20 +10,21 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// What a fleet came to.
+/// The results of the simulation of a fleet.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FleetMetrics {
-    /// Questions and answers, and their bytes, a peer and second, once all know each other.
+    /// Polls and answers per peer and second, after the nodes have met.
     pub messages: f64,
+    /// Bytes of these messages per peer and second.
     pub bytes: f64,
-    /// Until all that live know that one has died without a word.
+    /// Seconds until all live nodes know that a node has crashed.
     pub known_s: f64,
     pub memory_kb: f64,
 }
 
-enum What {
-    Wake(usize),
-    Question {
+enum Event {
+    Timeout(usize),
+    Poll {
         from: usize,
         to: usize,
         message: Box<Message>,
@@ -34,43 +35,44 @@
     },
 }
 
-/// Learners and the network between them; moments in seconds.
+/// The nodes and the network between them. Times are in seconds.
 pub struct World {
     pub now: f64,
     pub nodes: Vec<Option<GossipNode>>,
     queue: BinaryHeap<Reverse<(u64, usize)>>,
-    what: Vec<Option<What>>,
-    free: Vec<usize>,
+    events: Vec<Option<Event>>,
+    /// Indexes in `events` that can be reused.
+    free_indexes: Vec<usize>,
     rng: Pcg64Mcg,
-    /// To which part of a parted network each belongs.
+    /// The network partition that each node belongs to. Nodes of different partitions can't exchange messages.
     pub partition: Vec<u8>,
     pub messages: u64,
     pub bytes: u64,
-    /// Every so many messages are measured.
-    measured: u64,
+    /// The size of one in this many messages is measured; the total is extrapolated.
+    size_sampling: u64,
 }
 
 pub fn scope() -> Scope {
     Scope {
         engine: "e".into(),
         dependency: "d".into(),
-        operations: (0..8).map(|place| format!("operation-{place}")).collect(),
+        operations: (0..8).map(|index| format!("operation-{index}")).collect(),
         keep_alive_seconds: Some(30),
     }
 }
 
-/// What a module has learned_state that has seen so many runs of each operation, at this speed.
-pub fn learned_state(runs: usize, clock: f64, speed: f64) -> LearnedState {
+/// The state of an admission controller that has observed `runs` runs of each operation. Durations scale with `slowdown`.
+pub fn learned_state(runs: usize, clock: f64, slowdown: f64) -> LearnedState {
     let samples = |value: f64| -> VecDeque<f64> { (0..runs.min(24)).map(|_| value).collect() };
-    let of = |place: usize| LearnedOperation {
-        run_durations: samples(0.01 * speed * (place + 1) as f64),
+    let operation = |index: usize| LearnedOperation {
+        run_durations: samples(0.01 * slowdown * (index + 1) as f64),
         run_costs: samples(1.0),
         downstream_durations: samples(0.005),
-        lowest_duration: 0.008 * speed,
+        lowest_duration: 0.008 * slowdown,
         finishes_until_probe: 100.0,
     };
     LearnedState {
-        operations: (0..8).map(of).collect(),
+        operations: (0..8).map(operation).collect(),
         concurrency_limit: 16.0,
         last_progress_at: clock,
         calls: [(clock - 0.01, clock)].into(),
@@ -102,81 +104,81 @@
             now: 0.0,
             nodes: nodes.collect(),
             queue: BinaryHeap::new(),
-            what: Vec::new(),
-            free: Vec::new(),
+            events: Vec::new(),
+            free_indexes: Vec::new(),
             rng: Pcg64Mcg::seed_from_u64(seed),
             partition: vec![0; count],
             messages: 0,
             bytes: 0,
-            measured: 1,
+            size_sampling: 1,
         };
-        (0..count).for_each(|number| world.at(0.0, What::Wake(number)));
+        (0..count).for_each(|number| world.schedule(0.0, Event::Timeout(number)));
         world
     }
 
-    /// Another life begins in this place.
-    pub fn restart_node(&mut self, number: usize, life: u64) {
+    /// Replaces a node by a new incarnation of it without state.
+    pub fn restart_node(&mut self, number: usize, incarnation: u64) {
         self.nodes[number] = Some(GossipNode::new(
             self.now,
-            life,
+            incarnation,
             settings(number, &[0, 1, 2]),
         ));
     }
 
-    fn at(&mut self, at: f64, what: What) {
-        let place = self.free.pop().unwrap_or_else(|| {
-            self.what.push(None);
-            self.what.len() - 1
+    fn schedule(&mut self, at: f64, event: Event) {
+        let index = self.free_indexes.pop().unwrap_or_else(|| {
+            self.events.push(None);
+            self.events.len() - 1
         });
-        self.what[place] = Some(what);
-        self.queue.push(Reverse(((at * 1e6) as u64, place)));
+        self.events[index] = Some(event);
+        self.queue.push(Reverse(((at * 1e6) as u64, index)));
     }
 
-    fn send(&mut self, from: usize, to: usize, kind: MessageKind, message: &Message, what: What) {
+    fn send(&mut self, from: usize, to: usize, kind: MessageKind, message: &Message, event: Event) {
         self.messages += 1;
-        if self.messages.is_multiple_of(self.measured) {
+        if self.messages.is_multiple_of(self.size_sampling) {
             let mut bytes: Vec<u8> = Vec::new();
             write_message(&mut bytes, kind, message);
-            self.bytes += bytes.len() as u64 * self.measured;
+            self.bytes += bytes.len() as u64 * self.size_sampling;
         }
         let delay = 0.001 + 0.004 * self.rng.random::<f64>();
         if self.nodes.get(to).is_some_and(Option::is_some)
             && self.partition[from] == self.partition[to]
         {
-            self.at(self.now + delay, what);
+            self.schedule(self.now + delay, event);
         }
     }
 
-    /// Lets everything happen until then.
+    /// Processes all events until this time.
     pub fn run_until(&mut self, end: f64) {
-        while let Some(&Reverse((at, place))) = self.queue.peek() {
+        while let Some(&Reverse((at, index))) = self.queue.peek() {
             if at as f64 / 1e6 > end {
                 break;
             }
             self.queue.pop();
             self.now = at as f64 / 1e6;
-            self.free.push(place);
-            match self.what[place].take() {
-                Some(What::Wake(number)) => self.wake(number),
-                Some(What::Question { from, to, message }) => {
+            self.free_indexes.push(index);
+            match self.events[index].take() {
+                Some(Event::Timeout(number)) => self.handle_timeout(number),
+                Some(Event::Poll { from, to, message }) => {
                     let now = self.now;
-                    let Some(one) = &mut self.nodes[to] else {
+                    let Some(node) = &mut self.nodes[to] else {
                         continue;
                     };
-                    let Some(answer) = one.poll_received(now, &message) else {
+                    let Some(answer) = node.poll_received(now, &message) else {
                         continue;
                     };
-                    one.charge_cpu_seconds(2e-5);
-                    let what = What::Answer {
+                    node.charge_cpu_seconds(2e-5);
+                    let event = Event::Answer {
                         to: from,
                         message: Box::new(answer.clone()),
                     };
-                    self.send(to, from, MessageKind::Answer, &answer, what);
+                    self.send(to, from, MessageKind::Answer, &answer, event);
                 }
-                Some(What::Answer { to, message }) => {
+                Some(Event::Answer { to, message }) => {
                     let now = self.now;
-                    if let Some(one) = &mut self.nodes[to] {
-                        one.answer_received(now, &message);
+                    if let Some(node) = &mut self.nodes[to] {
+                        node.answer_received(now, &message);
                     }
                 }
                 None => {}
@@ -185,40 +187,36 @@
         self.now = end;
     }
 
-    fn wake(&mut self, number: usize) {
+    fn handle_timeout(&mut self, number: usize) {
         let (now, rng) = (self.now, &mut self.rng);
-        // One that is gone may come back.
-        let Some(one) = &mut self.nodes[number] else {
-            return self.at(now + 1.0, What::Wake(number));
+        // A crashed node may be restarted later.
+        let Some(node) = &mut self.nodes[number] else {
+            return self.schedule(now + 1.0, Event::Timeout(number));
         };
-        let steps = one.timer_expired(now, &mut || rng.random());
-        let wake = one.next_timeout().unwrap_or(now + 1.0);
-        for Action::Poll {
-            address,
-            poll: question,
-        } in steps
-        {
+        let actions = node.timer_expired(now, &mut || rng.random());
+        let next_timeout = node.next_timeout().unwrap_or(now + 1.0);
+        for Action::Poll { address, poll } in actions {
             let Ok(to) = address.parse() else { continue };
-            let what = What::Question {
+            let event = Event::Poll {
                 from: number,
                 to,
-                message: Box::new(question.clone()),
+                message: Box::new(poll.clone()),
             };
-            self.send(number, to, MessageKind::Poll, &question, what);
+            self.send(number, to, MessageKind::Poll, &poll, event);
         }
-        self.at(wake.max(now + 1e-4), What::Wake(number));
+        self.schedule(next_timeout.max(now + 1e-4), Event::Timeout(number));
     }
 
-    /// All see what a steady module has learned_state.
-    pub fn record_samples_on_all(&mut self, runs: usize, speed: f64) {
-        let (now, learned_state) = (self.now, learned_state(runs, self.now, speed));
+    /// Records the samples of a steady admission controller on all nodes.
+    pub fn record_samples_on_all(&mut self, runs: usize, slowdown: f64) {
+        let (now, learned_state) = (self.now, learned_state(runs, self.now, slowdown));
         self.nodes
             .iter_mut()
             .flatten()
-            .for_each(|one| one.record_own_samples(now, now, &learned_state));
+            .for_each(|node| node.record_own_samples(now, now, &learned_state));
     }
 
-    /// Goes on until all that live say so, at most so long; when that was.
+    /// Runs until the condition holds for all live nodes. Returns the time at which it did, or none after the timeout.
     pub fn run_until_all(
         &mut self,
         timeout: f64,
@@ -249,37 +247,40 @@
         .unwrap_or(0.0)
 }
 
-/// All start at once, meet, go on for a while, and one dies.
+/// Starts all nodes at once, lets them meet, measures their messages for 10 s, and crashes one of them.
 pub fn run(count: usize, seed: u64) -> FleetMetrics {
-    let before = memory_kb();
+    let memory_before = memory_kb();
     let mut world = World::new(count, seed);
-    world.measured = if count > 1000 { 97 } else { 1 };
+    world.size_sampling = if count > 1000 { 97 } else { 1 };
     world.record_samples_on_all(24, 1.0);
-    // Half of all know nearly all: the tables of the largest fleets fill slowly, and no figure waits for that.
-    let met = |one: &GossipNode| one.members().count_alive() * 10 >= (count - 1) * 9;
-    let _ = world.run_until_all(240.0, met);
+    // Waits for 90% of the members only, since the member tables of the largest fleets fill slowly.
+    let has_met = |node: &GossipNode| node.members().count_alive() * 10 >= (count - 1) * 9;
+    let _ = world.run_until_all(240.0, has_met);
     world.run_until(world.now + 10.0);
-    let (from, messages, bytes) = (world.now, world.messages, world.bytes);
+    let (measured_from, messages_before, bytes_before) = (world.now, world.messages, world.bytes);
     for _ in 0..10 {
         world.run_until(world.now + 1.0);
         world.record_samples_on_all(24, 1.0 + world.now / 1e6);
     }
-    let seconds = (world.now - from) * count as f64;
-    let (messages, bytes) = (world.messages - messages, world.bytes - bytes);
-    let memory = (memory_kb() - before) / count as f64;
-    let dead = count / 2;
-    world.nodes[dead] = None;
-    let (began, name) = (world.now, format!("n{dead}"));
-    let knows = |one: &GossipNode| {
-        one.members()
+    let node_seconds = (world.now - measured_from) * count as f64;
+    let (messages, bytes) = (world.messages - messages_before, world.bytes - bytes_before);
+    let memory = (memory_kb() - memory_before) / count as f64;
+    let crashed = count / 2;
+    world.nodes[crashed] = None;
+    let (crashed_at, name) = (world.now, format!("n{crashed}"));
+    let knows_of_crash = |node: &GossipNode| {
+        node.members()
             .state_of(&name)
             .is_none_or(|state| state >= State::Left)
     };
-    let known = world.run_until_all(300.0, knows).unwrap_or(f64::INFINITY) - began;
+    let known_s = world
+        .run_until_all(300.0, knows_of_crash)
+        .unwrap_or(f64::INFINITY)
+        - crashed_at;
     FleetMetrics {
-        messages: messages as f64 / seconds,
-        bytes: bytes as f64 / seconds,
-        known_s: known,
+        messages: messages as f64 / node_seconds,
+        bytes: bytes as f64 / node_seconds,
+        known_s,
         memory_kb: memory,
     }
 }
