--- a/crates/merlinshelf-cli/tests/learning.rs
+++ b/crates/merlinshelf-cli/tests/learning.rs
@@ -8,7 +8,7 @@
 
 use merlinshelf_gossip::{GossipedObservation, Metric, Source, SourceStatus};
 use merlinshelf_protocol::control::{ControlMessage, ControlRequest};
-use merlinshelf_testbed::experiments::learning::worth;
+use merlinshelf_testbed::experiments::learning::benefit;
 use merlinshelf_testbed::instance::{Instance, Setup, peer_address, signal};
 use merlinshelf_testbed::load::{Load, Playing, Verdict};
 use merlinshelf_testbed::play::play_within;
@@ -365,7 +365,11 @@
                 1000.0,
             ),
         ];
-        spawn_local(worth::teach(listener, peer_address(41), observations));
+        spawn_local(benefit::serve_observations(
+            listener,
+            peer_address(41),
+            observations,
+        ));
         let instance = Instance::start(&setup(40, &[41]), 40).await?;
         instance
             .says("taught", |status| learned_from(status, "bad"))
--- a/crates/merlinshelf-cli/tests/uwsgi.rs
+++ b/crates/merlinshelf-cli/tests/uwsgi.rs
@@ -4,7 +4,7 @@
 use std::io;
 use std::time::Duration;
 
-use merlinshelf_testbed::experiments::upgrade::round;
+use merlinshelf_testbed::experiments::upgrade::request_upgrade;
 use merlinshelf_testbed::instance::{Instance, Setup};
 use merlinshelf_testbed::load::{Front, Load};
 use merlinshelf_testbed::play::play_within;
@@ -299,7 +299,7 @@
             partial.write_all(&whole[..cut]).await?;
             sleep(Duration::from_millis(30)).await;
             let start = Instant::now();
-            let upgrade = round(&instance, program);
+            let upgrade = request_upgrade(&instance, program);
             let rest = send_rest(partial, &whole[cut..], 150);
             let (stage, answer) = tokio::join!(upgrade, rest);
             let (stage, answer) = (stage?, answer?);
