--- a/crates/merlinshelf-testbed/src/experiments/learning/crashes.rs
+++ b/crates/merlinshelf-testbed/src/experiments/learning/crashes.rs
@@ -16,7 +16,7 @@
 pub struct CrashCounts {
     pub crashes: u64,
     pub read_back: u64,
-    /// Stores that returned observations that were never written, or lost some that were saved.
+    /// Stores that returned observations that were never written, lost saved ones, or began an incarnation with a used number.
     pub wrong: u64,
 }
 
--- a/crates/merlinshelf-testbed/src/experiments/learning/mod.rs
+++ b/crates/merlinshelf-testbed/src/experiments/learning/mod.rs
@@ -184,7 +184,8 @@
             .map_or(f64::NAN, |(median, _)| *median)
     };
     let cold = median_of(PriorSource::Cold);
-    let taught = median_of(PriorSource::SteadyPeer).max(median_of(PriorSource::OwnStore));
+    let with_observations =
+        median_of(PriorSource::SteadyPeer).max(median_of(PriorSource::OwnStore));
     let bad_sources = || settling_times.iter().filter(|(source, _)| source.is_bad());
     let worst = bad_sources()
         .map(|(_, (median, _))| *median)
@@ -231,13 +232,13 @@
         crashes.crashes, crashes.read_back, crashes.wrong
     );
     let line = json!({
-        "trial": "learning", "seed": plan.seed, "seeds": plan.seeds, "cold_s": cold, "taught_s": taught,
+        "trial": "learning", "seed": plan.seed, "seeds": plan.seeds, "cold_s": cold, "taught_s": with_observations,
         "worst_bad_teacher": worst, "worst_bad_teacher_against_cold": worst_ratio, "calm_first_second": cold_first_second, "calm_first_second_lied_to": misled_first_second, "teacher": costs, "fleets": fleets, "crashes": crashes.crashes,
         "stores_read_back": crashes.read_back, "stores_wrong": crashes.wrong,
     });
     println!("{line}");
     let holds = crashes.wrong == 0
-        && taught <= 0.5 * cold
+        && with_observations <= 0.5 * cold
         && worst_ratio <= 1.05
         && misled_first_second >= 0.95 * cold_first_second;
     Ok((line, holds))
--- a/crates/merlinshelf-testbed/src/experiments/upgrade.rs
+++ b/crates/merlinshelf-testbed/src/experiments/upgrade.rs
@@ -39,11 +39,11 @@
     RejectsConfig,
     ExitsOnStart,
     HangsOnStart,
-    /// KilledAfterTakeover this many milliseconds after it was started.
+    /// Killed this many milliseconds after it was started.
     KilledAfterStart(u64),
-    /// KilledAfterTakeover this many milliseconds after it took over.
+    /// Killed this many milliseconds after it took over.
     KilledAfterTakeover(u64),
-    /// StoppedAfterTakeover by SIGSTOP this many milliseconds after it took over.
+    /// Stopped by SIGSTOP this many milliseconds after it took over.
     StoppedAfterTakeover(u64),
 }
 
--- a/crates/merlinshelf-testbed/src/experiments/uwsgi.rs
+++ b/crates/merlinshelf-testbed/src/experiments/uwsgi.rs
@@ -160,7 +160,7 @@
         let paired: Vec<f64> = values[0]
             .iter()
             .zip(&base[0])
-            .map(|(one, other)| one - other)
+            .map(|(value, baseline)| value - baseline)
             .collect();
         let (mean, half_width) = mean(&paired);
         println!(
