--- a/crates/merlinshelf-cli/tests/dependencies.rs
+++ b/crates/merlinshelf-cli/tests/dependencies.rs
@@ -1,13 +1,16 @@
-//! Calls of the real program to several dependencies on loopback: partial answers, reloaded server lists, an upgrade and
-//! a drain with calls in flight, an engine that does not support names, and effects that must happen at most once.
+//! Calls of the real program to several dependencies on loopback: partial answers, reloaded server
+//! lists, an upgrade and a drain with calls in flight, an engine that does not support names, and
+//! effects that must happen at most once.
 
 use std::collections::BTreeMap;
 use std::io;
 use std::rc::Rc;
 use std::time::Duration;
 
-use merlinshelf_testbed::experiments::dependencies::play::{parts, section};
-use merlinshelf_testbed::experiments::upgrade::round;
+use merlinshelf_testbed::experiments::dependencies::scenario::{
+    called_dependencies, dependencies_config,
+};
+use merlinshelf_testbed::experiments::upgrade::request_upgrade;
 use merlinshelf_testbed::fakes::{Manners, Server};
 use merlinshelf_testbed::instance::{Instance, Setup};
 use merlinshelf_testbed::load::{Load, Playing};
@@ -37,7 +40,10 @@
     }
     let mut setup = Setup::small(PROGRAM);
     (setup.watched, setup.silent) = (Duration::from_millis(700), Duration::from_millis(2000));
-    (setup.manner.parts, setup.dependencies) = (parts(), Some(section(&addresses(&servers, 0..3))));
+    (setup.manner.parts, setup.dependencies) = (
+        called_dependencies(),
+        Some(dependencies_config(&addresses(&servers, 0..3))),
+    );
     Ok(Rig { servers, setup })
 }
 
@@ -74,7 +80,7 @@
     }
 }
 
-/// Waits until `count` more invocations are answered, or a time has passed.
+/// Waits until `count` more invocations are answered, or 15 s have passed.
 async fn wait_for_answers(playing: &Playing, count: usize) {
     let answered = || {
         playing
@@ -183,7 +189,7 @@
         let rig = start_rig().await?;
         let (instance, load, playing) = rig.start_with_load(2).await?;
         // The third server of each is added; the first is removed and gets no further calls.
-        instance.depends_on(&section(&addresses(&rig.servers, 1..3)))?;
+        instance.depends_on(&dependencies_config(&addresses(&rig.servers, 1..3)))?;
         instance.logged("dependencies reloaded: 2", 1).await?;
         wait_for_answers(&playing, 30).await;
         let before = rig.servers["catalogue"][0].calls.get();
@@ -196,12 +202,12 @@
         instance
             .logged("the old dependencies stay in force", 1)
             .await?;
-        instance.depends_on(&section(&addresses(&rig.servers, 0..3)))?;
+        instance.depends_on(&dependencies_config(&addresses(&rig.servers, 0..3)))?;
         instance.logged("dependencies reloaded: 2", 2).await?;
         rig.set_behaviour("catalogue", Manners::Slow(10.0));
         wait_for_answers(&playing, 30).await;
         assert_eq!(
-            round(&instance, &format!("exec '{PROGRAM}' \"$@\"")).await?,
+            request_upgrade(&instance, &format!("exec '{PROGRAM}' \"$@\"")).await?,
             "done"
         );
         wait_for_answers(&playing, 60).await;
@@ -252,7 +258,8 @@
 fn an_engine_without_support_for_names_gets_the_plain_protocol() {
     run_test(async {
         let mut rig = start_rig().await?;
-        // This engine knows no extended ATTACH, and its runs make one call each without naming a dependency.
+        // This engine knows no extended ATTACH, and its runs make one call each without naming a
+        // dependency.
         rig.setup.manner.parts.clear();
         let (instance, load, playing) = rig.start_with_load(4).await?;
         wait_for_answers(&playing, 60).await;
@@ -291,7 +298,7 @@
             .iter()
             .filter_map(|name| dependency(&report, name)["calls"].as_u64())
             .sum();
-        // The servers never receive wait_for_answers calls than the runs have made.
+        // The servers never receive more calls than the runs have made.
         assert!(calls <= wanted, "{calls} of {wanted}: {report}");
         assert_eq!(
             ["again", "hedges"].map(|counter| dependency(&report, "catalogue")[counter].as_u64()),
