--- a/crates/merlinshelf-agent/src/store/mod.rs
+++ b/crates/merlinshelf-agent/src/store/mod.rs
@@ -12,7 +12,7 @@
 use merlinshelf_backend::gossip::disk::Disk;
 use merlinshelf_fleet::Record;
 use merlinshelf_gossip::Files;
-use merlinshelf_gossip::store_format::{FrameError, framed, unframed};
+use merlinshelf_gossip::store_format::{FrameError, decode_frame, encode_frame};
 
 #[cfg(test)]
 mod tests;
@@ -111,7 +111,7 @@
 }
 
 fn encode(record: &Record) -> io::Result<Vec<u8>> {
-    let frame = framed(record).map_err(io::Error::other)?;
+    let frame = encode_frame(record).map_err(io::Error::other)?;
     Ok([FILE_HEADER.as_slice(), &frame].concat())
 }
 
@@ -119,6 +119,6 @@
     let frame = bytes
         .strip_prefix(FILE_HEADER)
         .ok_or(StoreError::UnknownHeader)?;
-    let (payload, _) = unframed(frame, MAX_RECORD_BYTES).map_err(StoreError::Frame)?;
+    let (payload, _) = decode_frame(frame, MAX_RECORD_BYTES).map_err(StoreError::Frame)?;
     Ok(rmp_serde::from_slice(payload)?)
 }
--- a/crates/merlinshelf-agent/tests/golden/store.rs
+++ b/crates/merlinshelf-agent/tests/golden/store.rs
@@ -1,7 +1,7 @@
 //! The agent's store.
 
 use merlinshelf_fleet::Record;
-use merlinshelf_gossip::store_format::{framed, unframed};
+use merlinshelf_gossip::store_format::{decode_frame, encode_frame};
 use serde_json::json;
 
 use crate::support::agent::{Agent, Folder};
@@ -15,13 +15,13 @@
 const MAX_RECORD_BYTES: usize = 64 * 1024 * 1024;
 
 pub fn encode_store(record: &Record) -> Vec<u8> {
-    let frame = framed(record).expect("a record that can be encoded");
+    let frame = encode_frame(record).expect("a record that can be encoded");
     [STORE_HEADER.to_vec(), frame].concat()
 }
 
 fn decode_store(bytes: &[u8]) -> Record {
     let frame = bytes.strip_prefix(STORE_HEADER).expect("the header");
-    let (record, used) = unframed(frame, MAX_RECORD_BYTES).expect("one record");
+    let (record, used) = decode_frame(frame, MAX_RECORD_BYTES).expect("one record");
     assert_eq!(used, frame.len());
     rmp_serde::from_slice(record).expect("a record")
 }
--- a/crates/merlinshelf-backend/src/gossip/disk.rs
+++ b/crates/merlinshelf-backend/src/gossip/disk.rs
@@ -4,7 +4,7 @@
 use std::io::{self, Read, Write};
 use std::path::{Path, PathBuf};
 
-use merlinshelf_gossip::store::{Files, Found, MAX_STORE_BYTES, Store};
+use merlinshelf_gossip::store::{Files, MAX_STORE_BYTES, Store, StoreContents};
 use rustix::fs::{FlockOperation, flock};
 use rustix::io::Errno;
 
@@ -74,7 +74,7 @@
 ///
 /// # Errors
 /// The file system fails.
-pub fn read_store(folder: &Path) -> io::Result<Found> {
+pub fn read_store(folder: &Path) -> io::Result<StoreContents> {
     let (_, found) = Store::open(&mut ReadOnlyFolder(folder))?;
     Ok(found)
 }
--- a/crates/merlinshelf-backend/src/gossip/mod.rs
+++ b/crates/merlinshelf-backend/src/gossip/mod.rs
@@ -124,7 +124,7 @@
                 saved_at,
                 observation,
             });
-            match store_format::record(&record) {
+            match store_format::encode_record(&record) {
                 Ok(record) => bytes.extend(record),
                 // The successor starts without it, as without an observation that has aged out.
                 Err(error) => warn!("observation not handed over: {error}"),
--- a/crates/merlinshelf-backend/src/gossip/store_thread.rs
+++ b/crates/merlinshelf-backend/src/gossip/store_thread.rs
@@ -6,7 +6,7 @@
 use std::sync::mpsc::{Receiver, SyncSender, TrySendError, sync_channel};
 
 use merlinshelf_gossip::GossipedObservation;
-use merlinshelf_gossip::store::{Found, Store};
+use merlinshelf_gossip::store::{Store, StoreContents};
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 
 use super::disk::Disk;
@@ -28,7 +28,7 @@
 pub(super) enum StoreEvent {
     /// The folder was locked and read.
     Opened {
-        found: Found,
+        found: StoreContents,
         /// The number of the incarnation that begins.
         incarnation: u64,
     },
@@ -129,7 +129,7 @@
     let (mut store, found) = Store::open(&mut disk).unwrap_or_else(|error| {
         // The instance starts without observations, and saving is still tried.
         report(events, StoreEvent::Failed(StoreError::Read(error)));
-        (Store::default(), Found::default())
+        (Store::default(), StoreContents::default())
     });
     let incarnation = store.begin_incarnation(unix_ms() as u64);
     report(events, StoreEvent::Opened { found, incarnation });
--- a/crates/merlinshelf-backend/src/gossip/task.rs
+++ b/crates/merlinshelf-backend/src/gossip/task.rs
@@ -7,7 +7,7 @@
 use log::{info, warn};
 use merlinshelf_gossip::GossipedObservation;
 use merlinshelf_gossip::gossip_node::{Action, GossipNode, Settings};
-use merlinshelf_gossip::store::Found;
+use merlinshelf_gossip::store::StoreContents;
 use merlinshelf_gossip::store_format::{Record, recover};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -140,7 +140,7 @@
         }
     }
 
-    fn restore_late(&mut self, found: Found) {
+    fn restore_late(&mut self, found: StoreContents) {
         let was_awaited = std::mem::take(&mut self.awaits_found);
         let observations = observations_in(found);
         if let (true, Some(node)) = (was_awaited, &mut self.state.borrow_mut().node) {
@@ -235,9 +235,9 @@
     }
 }
 
-fn observations_in(found: Found) -> Vec<GossipedObservation> {
+fn observations_in(found: StoreContents) -> Vec<GossipedObservation> {
     if let Some(error) = found.error {
-        let consequence = if found.was_set_aside {
+        let consequence = if found.was_moved_aside {
             "; moved aside"
         } else {
             ""
--- a/crates/merlinshelf-backend/tests/golden.rs
+++ b/crates/merlinshelf-backend/tests/golden.rs
@@ -298,7 +298,8 @@
     };
     [
         store_format::header(),
-        store_format::record(&Record::Observation(stored)).expect("a record that can be encoded"),
+        store_format::encode_record(&Record::Observation(stored))
+            .expect("a record that can be encoded"),
     ]
     .concat()
 }
--- a/crates/merlinshelf-backend/tests/golden_settings.rs
+++ b/crates/merlinshelf-backend/tests/golden_settings.rs
@@ -649,7 +649,7 @@
             saved_at,
             observation,
         });
-        let record = merlinshelf_gossip::store_format::record(&record);
+        let record = merlinshelf_gossip::store_format::encode_record(&record);
         bytes.extend(record.expect("a record that can be encoded"));
     }
     bytes
--- a/crates/merlinshelf-gossip/src/store.rs
+++ b/crates/merlinshelf-gossip/src/store.rs
@@ -12,9 +12,9 @@
 /// The store's file.
 pub const STORE_FILE: &str = "knowledge";
 /// The file that is written to take its place.
-pub const STORE_FILE_NEXT: &str = "knowledge.new";
+pub const TEMPORARY_STORE_FILE: &str = "knowledge.new";
 /// Where a file that can't be read is moved aside.
-pub const STORE_FILE_ASIDE: &str = "knowledge.aside";
+pub const UNREADABLE_STORE_FILE: &str = "knowledge.aside";
 /// A longer file was not written by this program.
 pub const MAX_STORE_BYTES: usize = 8 * 1024 * 1024;
 
@@ -61,7 +61,7 @@
 
 /// What was found at the start.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Found {
+pub struct StoreContents {
     /// The observations that can be read, in the order in which they were written.
     pub observations: Vec<PersistedObservation>,
     /// The highest number of an incarnation that began.
@@ -69,7 +69,7 @@
     /// What was wrong with the file.
     pub error: Option<FrameError>,
     /// Whether the file, or a copy of it, was moved aside for that.
-    pub was_set_aside: bool,
+    pub was_moved_aside: bool,
 }
 
 /// What tells the observations in the file apart.
@@ -111,15 +111,15 @@
     ///
     /// # Errors
     /// The file system's: then nothing is known of the past, and saving may be tried all the same.
-    pub fn open(files: &mut dyn Files) -> io::Result<(Store, Found)> {
+    pub fn open(files: &mut dyn Files) -> io::Result<(Store, StoreContents)> {
         let Some(bytes) = files.read(STORE_FILE)? else {
-            return Ok((Store::default(), Found::default()));
+            return Ok((Store::default(), StoreContents::default()));
         };
         let mut found = found_in(recover(&bytes));
-        found.was_set_aside = match found.error {
-            Some(FrameError::Foreign) => move_aside(files).is_ok(),
+        found.was_moved_aside = match found.error {
+            Some(FrameError::UnknownFormat) => move_aside(files).is_ok(),
             // What can be read of it counts until the next saving has taken its place.
-            Some(FrameError::Garbled) => copy_aside(files, &bytes).is_ok(),
+            Some(FrameError::Corrupt) => copy_aside(files, &bytes).is_ok(),
             Some(FrameError::Torn) | None => false,
         };
         let store = Store {
@@ -174,14 +174,14 @@
     ) -> io::Result<()> {
         let mut bytes = store_format::header();
         let incarnation = Record::Incarnation(self.incarnation);
-        bytes.extend(store_format::record(&incarnation).map_err(invalid_data)?);
+        bytes.extend(store_format::encode_record(&incarnation).map_err(invalid_data)?);
         for observation in observations {
             bytes.extend(encode(unix_seconds, observation)?);
         }
-        files.create(STORE_FILE_NEXT)?;
-        files.append(STORE_FILE_NEXT, &bytes)?;
-        files.sync(STORE_FILE_NEXT)?;
-        files.rename(STORE_FILE_NEXT, STORE_FILE)?;
+        files.create(TEMPORARY_STORE_FILE)?;
+        files.append(TEMPORARY_STORE_FILE, &bytes)?;
+        files.sync(TEMPORARY_STORE_FILE)?;
+        files.rename(TEMPORARY_STORE_FILE, STORE_FILE)?;
         files.sync_folder()?;
         self.file_bytes = bytes.len();
         self.rewritten_bytes = bytes.len();
@@ -202,17 +202,17 @@
 fn recover(bytes: &[u8]) -> Recovered {
     if bytes.len() > MAX_STORE_BYTES {
         return Recovered {
-            error: Some(FrameError::Foreign),
+            error: Some(FrameError::UnknownFormat),
             ..Recovered::default()
         };
     }
     store_format::recover(bytes)
 }
 
-fn found_in(recovered: Recovered) -> Found {
-    let mut found = Found {
+fn found_in(recovered: Recovered) -> StoreContents {
+    let mut found = StoreContents {
         error: recovered.error,
-        ..Found::default()
+        ..StoreContents::default()
     };
     for record in recovered.records {
         match record {
@@ -226,13 +226,13 @@
 }
 
 fn move_aside(files: &mut dyn Files) -> io::Result<()> {
-    files.rename(STORE_FILE, STORE_FILE_ASIDE)?;
+    files.rename(STORE_FILE, UNREADABLE_STORE_FILE)?;
     files.sync_folder()
 }
 
 fn copy_aside(files: &mut dyn Files, bytes: &[u8]) -> io::Result<()> {
-    files.create(STORE_FILE_ASIDE)?;
-    files.append(STORE_FILE_ASIDE, bytes)
+    files.create(UNREADABLE_STORE_FILE)?;
+    files.append(UNREADABLE_STORE_FILE, bytes)
 }
 
 /// Records of what differs from what was written, which is brought up to date.
@@ -256,7 +256,7 @@
         saved_at: unix_seconds,
         observation: observation.clone(),
     });
-    store_format::record(&record).map_err(invalid_data)
+    store_format::encode_record(&record).map_err(invalid_data)
 }
 
 fn invalid_data(error: EncodeError) -> io::Error {
--- a/crates/merlinshelf-gossip/src/store_format.rs
+++ b/crates/merlinshelf-gossip/src/store_format.rs
@@ -64,13 +64,13 @@
 pub enum FrameError {
     /// The header is none of a known version.
     #[error("it is of another program or of a later version")]
-    Foreign,
+    UnknownFormat,
     /// The last record is incomplete.
     #[error("its end was being written when the process or machine ended")]
     Torn,
     /// The checksum or the content of a record is wrong.
     #[error("a record is not what was written")]
-    Garbled,
+    Corrupt,
 }
 
 /// What a file held.
@@ -93,15 +93,15 @@
 ///
 /// # Errors
 /// The encoder's.
-pub fn record(record: &Record) -> Result<Vec<u8>, EncodeError> {
-    framed(record)
+pub fn encode_record(record: &Record) -> Result<Vec<u8>, EncodeError> {
+    encode_frame(record)
 }
 
 /// Any value in the frame of a record: length, CRC-32, and the value in MessagePack.
 ///
 /// # Errors
 /// The encoder's.
-pub fn framed(value: &impl Serialize) -> Result<Vec<u8>, EncodeError> {
+pub fn encode_frame(value: &impl Serialize) -> Result<Vec<u8>, EncodeError> {
     let payload = rmp_serde::to_vec_named(value)?;
     let mut frame = (payload.len() as u32).to_le_bytes().to_vec();
     frame.extend(crc32fast::hash(&payload).to_le_bytes());
@@ -121,7 +121,7 @@
         recovered.error = Some(if is_torn {
             FrameError::Torn
         } else {
-            FrameError::Foreign
+            FrameError::UnknownFormat
         });
         return recovered;
     }
@@ -133,7 +133,7 @@
     recovered.valid_bytes = HEADER.len();
     while recovered.valid_bytes < bytes.len() {
         let rest = &bytes[recovered.valid_bytes..];
-        let read = unframed(rest, MAX_RECORD_BYTES)
+        let read = decode_frame(rest, MAX_RECORD_BYTES)
             .and_then(|(payload, frame_bytes)| Ok((read_payload(payload)?, frame_bytes)));
         match read {
             Ok((record, frame_bytes)) => {
@@ -150,30 +150,30 @@
 }
 
 fn read_version_1(payload: &[u8]) -> Result<Record, FrameError> {
-    let observation = rmp_serde::from_slice(payload).map_err(|_| FrameError::Garbled)?;
+    let observation = rmp_serde::from_slice(payload).map_err(|_| FrameError::Corrupt)?;
     Ok(Record::Observation(observation))
 }
 
 fn read_version_2(payload: &[u8]) -> Result<Record, FrameError> {
-    rmp_serde::from_slice(payload).map_err(|_| FrameError::Garbled)
+    rmp_serde::from_slice(payload).map_err(|_| FrameError::Corrupt)
 }
 
 /// The payload of the frame at the front, and how many bytes the whole frame has.
 ///
 /// # Errors
 /// The frame is incomplete, has more than `max_bytes` of payload, or another checksum.
-pub fn unframed(bytes: &[u8], max_bytes: usize) -> Result<(&[u8], usize), FrameError> {
+pub fn decode_frame(bytes: &[u8], max_bytes: usize) -> Result<(&[u8], usize), FrameError> {
     let length = read_u32(bytes, 0)? as usize;
     let checksum = read_u32(bytes, 4)?;
     if length == 0 || length > max_bytes {
-        return Err(FrameError::Garbled);
+        return Err(FrameError::Corrupt);
     }
     let frame_bytes = FRAME_HEADER_BYTES + length;
     let payload = bytes
         .get(FRAME_HEADER_BYTES..frame_bytes)
         .ok_or(FrameError::Torn)?;
     if crc32fast::hash(payload) != checksum {
-        return Err(FrameError::Garbled);
+        return Err(FrameError::Corrupt);
     }
     Ok((payload, frame_bytes))
 }
--- a/crates/merlinshelf-gossip/tests/golden.rs
+++ b/crates/merlinshelf-gossip/tests/golden.rs
@@ -10,7 +10,7 @@
 use std::io;
 
 use merlinshelf_gossip::store::{
-    Files, Found, STORE_FILE, STORE_FILE_ASIDE, STORE_FILE_NEXT, Store,
+    Files, STORE_FILE, Store, StoreContents, TEMPORARY_STORE_FILE, UNREADABLE_STORE_FILE,
 };
 use merlinshelf_gossip::store_format::{
     self, EncodeError, PersistedObservation, Record, Recovered,
@@ -151,16 +151,16 @@
 }
 
 /// What the store file holds after two savings, the second of which appends what has changed.
-fn stored() -> Found {
+fn stored() -> StoreContents {
     let first = observations()
         .into_iter()
         .map(|observation| persisted(SAVED_AT, observation));
     let second = persisted(SAVED_AGAIN_AT, later_observation());
-    Found {
+    StoreContents {
         observations: first.chain([second]).collect(),
         incarnation: INCARNATION,
         error: None,
-        was_set_aside: false,
+        was_moved_aside: false,
     }
 }
 
@@ -181,7 +181,7 @@
     folder.0.remove("knowledge").expect("the store file")
 }
 
-fn open_store(bytes: &[u8]) -> Found {
+fn open_store(bytes: &[u8]) -> StoreContents {
     let mut folder = MemoryFolder::default();
     folder.0.insert("knowledge".into(), bytes.to_vec());
     let (_, found) = Store::open(&mut folder).expect("memory can be read");
@@ -204,7 +204,7 @@
     let encode = |records: &Vec<Record>| {
         let framed = records
             .iter()
-            .flat_map(|record| encoded(store_format::record(record)));
+            .flat_map(|record| encoded(store_format::encode_record(record)));
         store_format::header().into_iter().chain(framed).collect()
     };
     let decode = |bytes: &[u8]| {
@@ -229,13 +229,13 @@
     let encode = |all: &Vec<PersistedObservation>| {
         let framed = all
             .iter()
-            .flat_map(|value| encoded(store_format::framed(value)));
+            .flat_map(|value| encoded(store_format::encode_frame(value)));
         b"MSK1\x01\0\0\0".iter().copied().chain(framed).collect()
     };
     let decode = |bytes: &[u8]| {
         let found = open_store(bytes);
         assert_eq!(
-            (found.incarnation, found.error, found.was_set_aside),
+            (found.incarnation, found.error, found.was_moved_aside),
             (0, None, false)
         );
         found.observations
@@ -247,7 +247,7 @@
 #[test]
 fn names_of_the_stores_files() {
     assert_eq!(
-        [STORE_FILE, STORE_FILE_NEXT, STORE_FILE_ASIDE],
+        [STORE_FILE, TEMPORARY_STORE_FILE, UNREADABLE_STORE_FILE],
         ["knowledge", "knowledge.new", "knowledge.aside"]
     );
 }
--- a/crates/merlinshelf-gossip/tests/store_format.rs
+++ b/crates/merlinshelf-gossip/tests/store_format.rs
@@ -1,7 +1,7 @@
 //! What a store file gives back after it was torn or garbled.
 
 use merlinshelf_gossip::store_format::{
-    FrameError, PersistedObservation, Record, header, record, recover,
+    FrameError, PersistedObservation, Record, encode_record, header, recover,
 };
 use merlinshelf_gossip::{GossipedObservation, Metric, Source, SourceStatus};
 use proptest::prelude::*;
@@ -51,7 +51,7 @@
         let mut ends = vec![8];
         let mut bytes = header();
         for written in &all {
-            bytes.extend(record(written).expect("a record that can be encoded"));
+            bytes.extend(encode_record(written).expect("a record that can be encoded"));
             ends.push(bytes.len());
         }
         let intact = recover(&bytes);
@@ -76,9 +76,12 @@
 fn a_foreign_file_is_reported_and_a_clock_set_back_makes_nothing_younger() {
     assert_eq!(
         recover(b"SQLite format 3\0").error,
-        Some(FrameError::Foreign)
+        Some(FrameError::UnknownFormat)
+    );
+    assert_eq!(
+        recover(b"MSK1\x03\0\0\0").error,
+        Some(FrameError::UnknownFormat)
     );
-    assert_eq!(recover(b"MSK1\x03\0\0\0").error, Some(FrameError::Foreign));
     assert_eq!(recover(b"MSK1\x01\0\0\0").error, None);
     assert_eq!(
         (recover(b"").error, recover(b"MS").error),
--- a/crates/merlinshelf-testbed/src/experiments/learning/crashes.rs
+++ b/crates/merlinshelf-testbed/src/experiments/learning/crashes.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use merlinshelf_gossip::store::{Found, STORE_FILE, Store};
+use merlinshelf_gossip::store::{STORE_FILE, Store, StoreContents};
 use merlinshelf_gossip::store_format::PersistedObservation;
 use merlinshelf_gossip::{GossipedObservation, Metric, Source, SourceStatus};
 use rand::{RngExt, SeedableRng};
@@ -94,7 +94,7 @@
 
 /// Whether what was found is what was written: every figure one that was handed over as it was, none older than the last
 /// saving that went well, and no life begun under a number that was used.
-fn right(found: &Found, past: &Past) -> bool {
+fn right(found: &StoreContents, past: &Past) -> bool {
     let mut last: BTreeMap<&Metric, &PersistedObservation> = BTreeMap::new();
     for kept in &found.observations {
         let known = past
--- a/crates/merlinshelf-testbed/tests/store.rs
+++ b/crates/merlinshelf-testbed/tests/store.rs
@@ -1,6 +1,6 @@
 //! The store of what is known, on a folder that crashes, fills up, may only be read or holds something else.
 
-use merlinshelf_gossip::store::{MAX_STORE_BYTES, STORE_FILE, STORE_FILE_ASIDE, Store};
+use merlinshelf_gossip::store::{MAX_STORE_BYTES, STORE_FILE, Store, UNREADABLE_STORE_FILE};
 use merlinshelf_gossip::store_format::{FrameError, PersistedObservation};
 use merlinshelf_gossip::{GossipedObservation, Metric, Source, SourceStatus};
 use merlinshelf_testbed::disk::{Disk, Trouble};
@@ -93,10 +93,10 @@
         disk.put(STORE_FILE, &bytes);
         let (mut store, found) = Store::open(&mut disk).expect("it can be read");
         assert_eq!(
-            (found.error, found.was_set_aside, found.observations.len()),
-            (Some(FrameError::Foreign), true, 0)
+            (found.error, found.was_moved_aside, found.observations.len()),
+            (Some(FrameError::UnknownFormat), true, 0)
         );
-        assert!(disk.has(STORE_FILE_ASIDE) && !disk.has(STORE_FILE));
+        assert!(disk.has(UNREADABLE_STORE_FILE) && !disk.has(STORE_FILE));
         store
             .save(&mut disk, 1.0, &[told("a", 1)])
             .expect("a new one is made");
@@ -136,8 +136,8 @@
     disk.put(STORE_FILE, &whole);
     let (_, found) = Store::open(&mut disk).expect("it can be read");
     assert_eq!(
-        (found.error, found.observations.len(), found.was_set_aside),
-        (Some(FrameError::Garbled), 1, true)
+        (found.error, found.observations.len(), found.was_moved_aside),
+        (Some(FrameError::Corrupt), 1, true)
     );
     assert!(
         disk.has(STORE_FILE),
