--- a/crates/merlinshelf-cli/tests/learning.rs
+++ b/crates/merlinshelf-cli/tests/learning.rs
@@ -375,10 +375,10 @@
             .says("taught", |status| learned_from(status, "bad"))
             .await?;
         instance
-            .logged("rejected 2 observations of bad: values that can't be", 1)
+            .logged("rejected 2 observations of bad: implausible values", 1)
             .await?;
         instance
-            .logged("rejected 1 observations of bad: ages that can't be", 1)
+            .logged("rejected 1 observations of bad: implausible ages", 1)
             .await?;
         let (load, playing) = load(&instance, 7).await?;
         let verdict = check(&instance, &load, playing).await;
--- a/crates/merlinshelf-gossip/src/cpu_budget.rs
+++ b/crates/merlinshelf-gossip/src/cpu_budget.rs
@@ -1,10 +1,10 @@
 //! A token bucket of CPU time for answering polls.
 
-/// What an idle node may save up, seconds of CPU time.
+/// Capacity of the bucket: what an idle node accumulates, seconds of CPU time.
 const MAX_BUDGET_SECONDS: f64 = 0.05;
 
-/// CPU time that answering may take now. It refills in proportion to the time that passes and may
-/// be overdrawn by one answer.
+/// The CPU time available for answers. It refills in proportion to elapsed time, and one answer may
+/// overdraw it.
 #[derive(Clone, Debug)]
 pub(crate) struct CpuBudget {
     share: f64,
@@ -13,7 +13,7 @@
 }
 
 impl CpuBudget {
-    /// A full budget that refills with this share of one core.
+    /// A full budget that refills at this share of one core.
     pub(crate) fn new(now: f64, share: f64) -> CpuBudget {
         CpuBudget {
             share,
--- a/crates/merlinshelf-gossip/src/gossip_node.rs
+++ b/crates/merlinshelf-gossip/src/gossip_node.rs
@@ -1,6 +1,6 @@
-//! One instance among those that gossip: when it polls whom, what it sends, what it accepts, its
-//! own status, and how much CPU time answering may take. It puts membership and store together; the
-//! host carries messages and provides time and randomness.
+//! A gossip node: combines membership and the observation store, decides when to poll which peer,
+//! what to send and what to accept, tracks its own status, and limits the CPU time of answers. The
+//! host transports messages and provides time and randomness.
 
 use std::collections::BTreeMap;
 
@@ -12,41 +12,42 @@
 use crate::observation_store::ObservationStore;
 use crate::own_samples::{self, Scope};
 
-/// Most membership updates in one message, whoever sends it.
+/// Maximum number of membership updates in one message, sent or received.
 pub const MAX_UPDATES: usize = 32;
-/// Most observations in one message, whoever sends it.
+/// Maximum number of observations in one message, sent or received.
 pub const MAX_OBSERVATIONS: usize = 64;
 
-/// A starting instance polls urgently for so long, or until so many peers, or all that are alive,
-/// have answered with observations.
+/// A starting instance polls urgently for this long, or until this many peers (or all peers that
+/// are alive, if fewer) have answered with observations.
 const STARTUP_SECONDS: f64 = 3.0;
 const STARTUP_ANSWERS: usize = 3;
-/// For so long after a start or a rollback, own samples are of the recovery.
+/// How long after a start or a rollback own samples count as taken during recovery.
 const RECOVERY_SECONDS: f64 = 5.0;
-/// A young instance wants observations with every poll; later its own samples win, and others'
-/// serve for forwarding and for its file.
+/// For this long after its start an instance requests observations with every poll, later only with
+/// every `POLLS_PER_OBSERVATIONS`th: by then its own samples have more weight, and those of peers
+/// are mostly forwarded and persisted.
 const YOUNG_SECONDS: f64 = 30.0;
 const POLLS_PER_OBSERVATIONS: u64 = 16;
-/// An instance with fewer runs has few samples of its own.
+/// With fewer runs an instance is not steady: it relies on the observations of peers.
 const MIN_OWN_RUNS: usize = 24;
-/// Downstream calls that failed in a row from which an instance counts as recovering.
+/// Consecutive failed downstream calls from which an instance counts as recovering.
 const MIN_RECOVERING_FAILURES: u32 = 5;
 const MAX_PEER_STATISTICS: usize = 16;
-/// The source of an observation is its first hop; who forwards it is another.
+/// The first hop is from the source itself; forwarding adds another.
 const MIN_FORWARDED_HOPS: u8 = 2;
 
-/// What passes between two instances, as a poll or as an answer.
+/// A message between two instances: a poll or an answer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Message {
     /// The sender and its state.
     pub from: MembershipUpdate,
     /// The sender's status as a source of observations.
     pub status: SourceStatus,
-    /// In a poll: whether observations are wanted in the answer.
+    /// In a poll: whether the answer should contain observations.
     pub wants_observations: bool,
     /// Updates of other members.
     pub updates: Vec<MembershipUpdate>,
-    /// In an answer: the observations that were wanted.
+    /// In an answer: the requested observations.
     pub observations: Vec<GossipedObservation>,
 }
 
@@ -55,45 +56,45 @@
 pub struct Settings {
     /// Name of the instance.
     pub name: String,
-    /// Where others reach it; empty: nobody does, and it polls nobody.
+    /// Address at which peers reach it; if empty, it neither polls nor is polled.
     pub address: String,
-    /// Addresses of instances to begin with.
+    /// Addresses of the instances that are polled first.
     pub seeds: Vec<String>,
-    /// What its own samples are of.
+    /// The servers and operations that its own samples belong to.
     pub scope: Scope,
-    /// Share of one core that answering may take, 0 to 1.
+    /// Share of one core that answers may use, 0 to 1.
     pub cpu_share: f64,
     /// Intervals and limits of membership.
     pub membership: membership::Settings,
 }
 
-/// What the host is to do.
+/// An action that the host must carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Poll a peer. Its answer goes to [`GossipNode::answer_received`]; silence is noticed by
-    /// itself.
+    /// Poll a peer. Pass its answer to [`GossipNode::answer_received`]; a missing answer needs no
+    /// report.
     Poll {
-        /// Where the peer is.
+        /// Address of the peer.
         address: String,
-        /// What to send.
+        /// The message to send.
         poll: Message,
     },
 }
 
-/// What one peer has sent, for reports.
+/// Statistics of the answers from one peer, for reports.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PeerStatistics {
-    /// When the latest answer with observations came, seconds.
+    /// When the latest answer with observations arrived, in seconds of the monotonic clock.
     pub last_answer_at: f64,
-    /// How many such answers came.
+    /// How many such answers arrived.
     pub answers: u64,
     /// Observations that were accepted.
     pub accepted: u64,
-    /// Observations that can't be true.
+    /// Observations that were rejected as invalid.
     pub rejected: u64,
 }
 
-/// One instance among those that gossip.
+/// The gossip state of one instance.
 #[derive(Clone, Debug)]
 pub struct GossipNode {
     settings: Settings,
@@ -101,20 +102,20 @@
     store: ObservationStore,
     members: Members,
     status: SourceStatus,
-    /// Until when own samples are of a recovery.
+    /// Until when own samples count as taken during recovery.
     recovering_until: f64,
     is_leaving: bool,
     poll_count: u64,
     peer_statistics: BTreeMap<String, PeerStatistics>,
     cpu_budget: CpuBudget,
-    /// Polls that were not answered because answering had taken its CPU time.
+    /// Polls that were not answered because the CPU budget was overdrawn.
     pub rejected_polls: u64,
-    /// Polls and answers that were sent.
+    /// Polls and answers sent.
     pub message_count: u64,
 }
 
 impl GossipNode {
-    /// An instance without observations. Later incarnations of one name need higher numbers.
+    /// A node without observations. Later incarnations of the same name need higher numbers.
     pub fn new(now: f64, incarnation: u64, settings: Settings) -> GossipNode {
         let own = Source {
             name: settings.name.clone(),
@@ -144,12 +145,12 @@
         }
     }
 
-    /// Its observations and those of others.
+    /// The node's own observations and those of others.
     pub fn store(&self) -> &ObservationStore {
         &self.store
     }
 
-    /// The same, to remove observations.
+    /// Mutable access to the store, to remove observations.
     pub fn store_mut(&mut self) -> &mut ObservationStore {
         &mut self.store
     }
@@ -159,22 +160,22 @@
         &self.members
     }
 
-    /// Its status as a source of observations.
+    /// The node's status as a source of observations.
     pub fn status(&self) -> SourceStatus {
         self.status
     }
 
-    /// What each peer has sent, by its name.
+    /// Statistics of the answers from each peer, by name.
     pub fn peer_statistics(&self) -> &BTreeMap<String, PeerStatistics> {
         &self.peer_statistics
     }
 
-    /// When [`GossipNode::timer_expired`] must be called though nothing happens.
+    /// When [`GossipNode::timer_expired`] must be called at the latest; `None` if never.
     pub fn next_timeout(&self) -> Option<f64> {
         (!self.is_alone()).then(|| self.members.next_timeout())
     }
 
-    /// Nobody is polled by who can't be reached.
+    /// Whether the node has no address: it then polls no peers and needs no timer.
     fn is_alone(&self) -> bool {
         self.settings.address.is_empty()
     }
@@ -190,7 +191,7 @@
         }
     }
 
-    /// Records what the admission controller has learned, whose clock shows `controller_now`.
+    /// Records what the admission controller has learned; `controller_now` is on its clock.
     pub fn record_own_samples(&mut self, now: f64, controller_now: f64, learned: &LearnedState) {
         self.status = self.source_status(now, learned);
         for observation in self.settings.scope.observations(controller_now, learned) {
@@ -212,25 +213,26 @@
         }
     }
 
-    /// The admission controller's priors, from what others have observed.
+    /// Priors for the admission controller, estimated from the observations of others.
     pub fn prior_estimates(&self, now: f64) -> PriorEstimates {
         self.settings.scope.prior_estimates(now, &self.store)
     }
 
-    /// A successor failed and this process serves again: what it observes next is the recovery.
+    /// A handover was rolled back and this process serves again: its next samples count as taken
+    /// during recovery.
     pub fn handover_rolled_back(&mut self, now: f64) {
         self.recovering_until = now + RECOVERY_SECONDS;
     }
 
-    /// The instance leaves, and announces it with its further polls and answers.
+    /// Marks the instance as leaving, which its further polls and answers announce.
     pub fn leave(&mut self) {
         self.is_leaving = true;
         self.status = SourceStatus::Leaving;
         self.members.leave();
     }
 
-    /// The time of [`GossipNode::next_timeout`] has come. `random` gives another number from 0 to
-    /// under 1 at each call.
+    /// Handles the timeout of [`GossipNode::next_timeout`]. Each call of `random` returns a random
+    /// number in [0, 1).
     pub fn timer_expired(&mut self, now: f64, random: &mut dyn FnMut() -> f64) -> Vec<Action> {
         let mut actions = Vec::new();
         if self.is_alone() {
@@ -258,7 +260,7 @@
         }
     }
 
-    /// A peer polls. Returns the answer, or none where answering has taken its CPU time.
+    /// Handles a poll. Returns the answer, or `None` if the CPU budget is overdrawn.
     pub fn poll_received(&mut self, now: f64, poll: &Message) -> Option<Message> {
         self.cpu_budget.refill(now);
         if self.cpu_budget.is_overdrawn() {
@@ -282,12 +284,12 @@
         })
     }
 
-    /// Charges the CPU time that an answer took.
+    /// Charges the CPU time of an answer to the budget.
     pub fn charge_cpu_seconds(&mut self, seconds: f64) {
         self.cpu_budget.charge(seconds);
     }
 
-    /// A polled peer has answered. Returns how many observations were rejected, by reason.
+    /// Handles the answer of a polled peer. Returns how many observations were rejected, by reason.
     pub fn answer_received(
         &mut self,
         now: f64,
@@ -301,7 +303,7 @@
             let observation = attribute(answer, observation.clone());
             match self.store.accept(now, observation) {
                 Ok(()) => accepted += 1,
-                // Peers send everything, with what they have from here.
+                // Peers also send back the observations of this instance, which is expected.
                 Err(InvalidObservation::Echo) => {}
                 Err(reason) => *rejected.entry(reason).or_default() += 1,
             }
@@ -314,7 +316,7 @@
         rejected
     }
 
-    /// Makes place for the statistics of this peer.
+    /// Removes the oldest statistics if those of this peer would exceed the limit.
     fn limit_statistics(&mut self, name: &str) {
         if self.peer_statistics.contains_key(name)
             || self.peer_statistics.len() < MAX_PEER_STATISTICS
@@ -338,13 +340,13 @@
         statistics.rejected += rejected;
     }
 
-    /// All observations, for a file or a successor.
+    /// All observations, to persist them or hand them over to a successor.
     pub fn export(&self, now: f64) -> Vec<GossipedObservation> {
         self.store.export(now)
     }
 
-    /// Accepts what an earlier incarnation of this instance exported, as from a peer. Returns how
-    /// many observations were accepted.
+    /// Accepts the observations that an earlier incarnation of this instance exported, like those
+    /// of a peer. Returns how many were accepted.
     pub fn restore(&mut self, now: f64, observations: Vec<GossipedObservation>) -> usize {
         let mut accepted = 0;
         for observation in observations {
@@ -358,8 +360,8 @@
     }
 }
 
-/// The observation as its sender may claim it. Of its own observations the sender's status now
-/// counts where that is trusted less; what it forwards came over more hops than one.
+/// Corrects what the sender claims about an observation. For the sender's own observations its
+/// current status applies if that is trusted less; forwarded ones have at least two hops.
 fn attribute(answer: &Message, mut observation: GossipedObservation) -> GossipedObservation {
     if observation.source.name != answer.from.name {
         observation.hops = observation.hops.max(MIN_FORWARDED_HOPS);
--- a/crates/merlinshelf-gossip/src/lib.rs
+++ b/crates/merlinshelf-gossip/src/lib.rs
@@ -3,14 +3,12 @@
 //! - [`metric`] and [`observation`]: what is measured, with its sample count, age and source;
 //! - [`observation_store`]: the store of observations and the estimates made from it;
 //! - [`own_samples`]: the exchange with the admission controller;
-//! - [`membership`]: which other instances there are (epidemic membership with suspicion, as in
-//!   SWIM);
-//! - [`gossip_node`]: whom to poll when, and what to accept from an answer;
-//! - [`store_format`] and [`store`]: the file in which observations outlive a process.
+//! - [`membership`]: the other instances (epidemic membership with suspicion, as in SWIM);
+//! - [`gossip_node`]: when to poll which peer, and what to accept from an answer;
+//! - [`store_format`] and [`store`]: the file that keeps observations across restarts.
 //!
-//! Everything is fed with the time and with messages; nothing here does I/O. A `now` is in seconds
-//! of the reader's own monotonic clock. Between instances only ages pass, so that clocks need not
-//! agree.
+//! All modules are sans-I/O: the host passes in the time and messages. A `now` is in seconds of the
+//! local monotonic clock. Messages carry ages instead of times, so clocks need not be synchronized.
 
 mod cpu_budget;
 pub mod gossip_node;
--- a/crates/merlinshelf-gossip/src/membership.rs
+++ b/crates/merlinshelf-gossip/src/membership.rs
@@ -1,10 +1,10 @@
-//! Which other instances there are: peers by name, found from a few seeds, polled in turn,
-//! suspected when they are silent, and sent on by gossip. What this costs one instance does not
-//! grow with the number of peers.
+//! Membership: discovers peers from a few seeds, polls them in turn, suspects those that do not
+//! answer, and spreads changes by gossip. The message rate of one instance does not grow with the
+//! number of peers.
 //!
 //! The protocol follows SWIM (Das, Gupta, Motivala, 2002): peers are polled in an order that is
-//! shuffled anew for each round, so that every peer is polled once a round; a suspected peer may
-//! refute the suspicion; updates go with polls and answers, few at a time, and each is sent a
+//! reshuffled for each round, so that every peer is polled once a round; a suspected peer may
+//! refute the suspicion; polls and answers carry a few updates each, and each update is sent a
 //! number of times that grows with the logarithm of the number of peers.
 
 use std::collections::VecDeque;
@@ -14,40 +14,40 @@
 
 use crate::peer_table::{Peer, PeerTable};
 
-/// Each update is sent so many times for each doubling of the table. With three, one in some
-/// thousands of changes misses some peer, which its next round makes good.
+/// How often each update is sent per doubling of the table's size. With three, one in several
+/// thousand changes misses a peer, which the next round corrects.
 const SENDS_PER_DOUBLING: u32 = 3;
-/// Stands before the address of a seed in the round, where it is no peer's name.
+/// Marks the address of a seed in a round; peer names must not start with it.
 const SEED_PREFIX: char = '@';
 const MAX_NAME_BYTES: usize = 64;
 const MAX_ADDRESS_BYTES: usize = 64;
-/// Shortest pause between two polls, as a part of the interval, and how much chance may add: so
-/// that instances that start together do not poll together.
+/// Shortest pause between two polls and the range of its random extension, as parts of the poll
+/// interval. The jitter keeps instances that start together from polling in step.
 const MIN_PAUSE: f64 = 0.75;
 const PAUSE_JITTER: f64 = 0.5;
 
-/// The state that a peer is taken to be in.
+/// The state of a peer as this instance sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum State {
-    /// It answers.
+    /// The peer answers polls.
     Alive,
-    /// It did not answer somebody, and may refute that.
+    /// The peer did not answer a poll of some instance, and may refute the suspicion.
     Suspect,
-    /// It announced that it leaves.
+    /// The peer announced that it is leaving.
     Left,
-    /// It was suspected for too long.
+    /// The suspicion timed out without a refutation.
     Gone,
 }
 
-/// The state of one peer. Within an incarnation the worse state wins, unless it was refuted; a
-/// later incarnation wins over any.
+/// The state of one peer. Within an incarnation the later state in the order of [`State`] wins,
+/// unless the peer refuted it; a later incarnation overrides any state of an earlier one.
 ///
 /// Stored by the field names of the first version of the format, hence the `rename`s.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MembershipUpdate {
     /// Name of the peer.
     pub name: String,
-    /// Where it can be polled.
+    /// Address at which it can be polled.
     pub address: String,
     /// Number of its incarnation; later ones are higher.
     #[serde(rename = "life")]
@@ -62,21 +62,21 @@
 /// Intervals and limits of the protocol.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
-    /// Between two polls.
+    /// Time between two polls.
     pub poll_interval_seconds: f64,
-    /// Who has not answered by then is suspected.
+    /// A peer that has not answered a poll within this time is suspected.
     pub answer_timeout_seconds: f64,
-    /// How long a peer is suspected before it is taken for gone.
+    /// How long a peer is suspected before it is declared gone.
     pub suspicion_timeout_seconds: f64,
-    /// After how long a peer that has left or is gone is forgotten.
+    /// How long a peer that has left or is gone stays in the table.
     pub forget_after_seconds: f64,
-    /// Peers in the table; more are not taken in.
+    /// Maximum number of peers in the table; further ones are ignored.
     pub max_peers: usize,
-    /// Updates that go with one poll or answer.
+    /// Maximum number of updates in one poll or answer.
     pub max_updates: usize,
-    /// Polls that are awaited at one time at [`PollRate::Urgent`].
+    /// Maximum number of pending polls at [`PollRate::Urgent`].
     pub max_concurrent_polls: usize,
-    /// Between two polls at [`PollRate::Urgent`].
+    /// Time between two polls at [`PollRate::Urgent`].
     pub urgent_poll_interval_seconds: f64,
 }
 
@@ -98,18 +98,19 @@
 /// How often peers are polled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PollRate {
-    /// One peer at a time.
+    /// One pending poll at a time.
     Normal,
-    /// Several at a time and again soon, as a starting instance does.
+    /// Several pending polls and a short interval, for a starting instance.
     Urgent,
 }
 
-/// What the host is to do.
+/// An action that the host must carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Poll a peer. Its answer goes to [`Members::answer_received`]; silence is noticed by itself.
+    /// Poll a peer. Pass its answer to [`Members::answer_received`]; a missing answer needs no
+    /// report.
     Poll {
-        /// Where the peer is.
+        /// Address of the peer.
         address: String,
         /// Updates to send with the poll.
         updates: Vec<MembershipUpdate>,
@@ -121,11 +122,11 @@
 pub struct PeerAddress<'a> {
     /// Its name.
     pub name: &'a str,
-    /// Where it can be polled.
+    /// Address at which it can be polled.
     pub address: &'a str,
 }
 
-/// A poll whose answer is awaited.
+/// A poll that was not answered yet.
 #[derive(Clone, Debug)]
 struct PendingPoll {
     name: Arc<str>,
@@ -139,7 +140,7 @@
     seeds: Vec<String>,
     settings: Settings,
     peers: PeerTable,
-    /// Names of peers, and seeds, that are yet to be polled in this round.
+    /// Names of peers, and seeds, that remain to be polled in this round.
     round: VecDeque<Arc<str>>,
     pending_polls: Vec<PendingPoll>,
     poll_at: f64,
@@ -147,7 +148,7 @@
 }
 
 impl Members {
-    /// An instance that knows nobody but its seeds, which are addresses.
+    /// An instance that knows only its seeds, which are addresses.
     pub fn new(
         now: f64,
         name: &str,
@@ -176,23 +177,23 @@
         }
     }
 
-    /// The next thing that the host is to do.
+    /// The next action for the host.
     pub fn poll_action(&mut self) -> Option<Action> {
         self.actions.pop_front()
     }
 
-    /// When [`Members::timer_expired`] must be called though nothing happens.
+    /// When [`Members::timer_expired`] must be called at the latest.
     pub fn next_timeout(&self) -> f64 {
         let deadlines = self.pending_polls.iter().map(|poll| poll.deadline);
         deadlines.fold(self.poll_at, f64::min)
     }
 
-    /// The state of this instance itself, for polls and answers.
+    /// The update about this instance itself, for polls and answers.
     pub fn own(&self) -> &MembershipUpdate {
         &self.own
     }
 
-    /// Peers that can be polled.
+    /// Peers that are alive.
     pub fn alive(&self) -> impl Iterator<Item = PeerAddress<'_>> {
         let alive = self
             .peers
@@ -204,17 +205,17 @@
         })
     }
 
-    /// How many peers can be polled.
+    /// How many peers are alive.
     pub fn count_alive(&self) -> usize {
         self.peers.alive_count()
     }
 
-    /// The state of a peer; none for one that is not in the table.
+    /// The state of a peer; `None` if it is not in the table.
     pub fn state_of(&self, name: &str) -> Option<State> {
         self.peers.get(name).map(|peer| peer.state)
     }
 
-    /// How many peers are in the table, in whatever state.
+    /// How many peers are in the table, in any state.
     pub fn len(&self) -> usize {
         self.peers.len()
     }
@@ -224,13 +225,13 @@
         self.len() == 0
     }
 
-    /// This instance leaves, and announces it with its further polls and answers.
+    /// Marks this instance as leaving, which its further polls and answers announce.
     pub fn leave(&mut self) {
         self.own.state = State::Left;
     }
 
-    /// The time of [`Members::next_timeout`] has come. `random` gives another number from 0 to
-    /// under 1 at each call.
+    /// Handles the timeout of [`Members::next_timeout`]. Each call of `random` returns a random
+    /// number in [0, 1).
     pub fn timer_expired(&mut self, now: f64, rate: PollRate, random: &mut dyn FnMut() -> f64) {
         self.suspect_silent_peers(now);
         self.end_due_states(now);
@@ -255,7 +256,8 @@
         }
     }
 
-    /// Suspected peers are gone after a while, and those that have left or are gone forgotten.
+    /// Declares peers gone whose suspicion has timed out, and removes peers that have left or are
+    /// gone for long enough.
     fn end_due_states(&mut self, now: f64) {
         while let Some((name, peer)) = self.peers.next_due(now) {
             if peer.state == State::Suspect {
@@ -298,8 +300,8 @@
         }
     }
 
-    /// All peers that may be there, shuffled. Seeds, too, as long as nobody is known at their
-    /// address, so that parts of a network that have lost sight of each other meet again.
+    /// Starts a round over all reachable peers, shuffled. Seeds at whose address no peer is known
+    /// are included, so that partitions that no longer know each other merge again.
     fn start_round(&mut self, random: &mut dyn FnMut() -> f64) {
         let reachable = self.peers.iter().filter(|(_, peer)| peer.is_reachable());
         let mut names: Vec<Arc<str>> = reachable.map(|(name, _)| name.clone()).collect();
@@ -329,7 +331,8 @@
         Some(peer.address.clone())
     }
 
-    /// A peer polls, with its own state and updates of others. Returns the updates to answer with.
+    /// Handles a poll with the sender's own state and updates of others. Returns the updates to
+    /// answer with.
     pub fn poll_received(
         &mut self,
         now: f64,
@@ -340,7 +343,7 @@
         self.take_updates()
     }
 
-    /// A polled peer has answered, with its own state and updates of others.
+    /// Handles an answer with the sender's own state and updates of others.
     pub fn answer_received(
         &mut self,
         now: f64,
@@ -374,18 +377,18 @@
             return;
         }
         let known = self.peers.get_key_value(&update.name);
-        let is_news = match known {
+        let is_newer = match known {
             Some((_, known)) => known.is_older_than(update),
-            // That a peer is gone does not matter to who never knew it.
+            // An unknown peer that has left or is gone need not be added.
             None => update.state <= State::Suspect && self.peers.len() < self.settings.max_peers,
         };
-        if is_news {
+        if is_newer {
             let name = known.map_or_else(|| update.name.as_str().into(), |(name, _)| name.clone());
             self.peers.insert(&name, Peer::from_update(now, update));
         }
     }
 
-    /// Contradicts a peer that takes this incarnation for worse than it is.
+    /// Refutes an update that claims a worse state of this incarnation than the actual one.
     fn refute(&mut self, update: &MembershipUpdate) {
         let is_wrong = update.state > self.own.state
             && update.incarnation == self.own.incarnation
@@ -395,8 +398,8 @@
         }
     }
 
-    /// The updates that were sent least, of those that were not sent often enough, which counts
-    /// them as sent once more.
+    /// The updates to send next: those sent least often that have not yet been sent the maximum
+    /// number of times. Counts them as sent once more.
     fn take_updates(&mut self) -> Vec<MembershipUpdate> {
         let doublings = usize::BITS - self.peers.len().leading_zeros();
         let max_sent_count = SENDS_PER_DOUBLING * (doublings + 1);
--- a/crates/merlinshelf-gossip/src/metric.rs
+++ b/crates/merlinshelf-gossip/src/metric.rs
@@ -1,20 +1,22 @@
-//! What can be observed of the servers behind an instance, and of its callers.
+//! The metrics that instances observe of the servers behind them and of their callers.
 
 use serde::{Deserialize, Serialize};
 
-/// What an observation is of. Names of operations and servers are those of the settings.
+/// The metric of an observation. Names of operations and servers are those of the settings.
 ///
-/// Stored by the variants' names of the first version of the format, hence the `rename`s.
+/// Variants are stored by their names in the first version of the format, hence the `rename`s.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Metric {
-    /// The lowest duration of a run of an operation, seconds. Holds for engines of one kind only.
+    /// The lowest duration of a run of an operation, seconds. Valid only for engines of the same
+    /// kind.
     RunLowest {
         /// Kind of the engine.
         engine: String,
         /// Name of the operation.
         operation: String,
     },
-    /// The recent duration of a run of an operation, seconds. Holds for engines of one kind only.
+    /// The recent duration of a run of an operation, seconds. Valid only for engines of the same
+    /// kind.
     RunRecent {
         /// Kind of the engine.
         engine: String,
@@ -26,8 +28,8 @@
         /// Kind of the engine.
         engine: String,
     },
-    /// The lowest mean duration of a downstream call, seconds. Holds for all that share the
-    /// dependency, as do the other metrics of calls.
+    /// The lowest mean duration of a downstream call, seconds. Valid for all instances that share
+    /// the dependency, like the other metrics of calls.
     CallLowest {
         /// Name of the dependency.
         dependency: String,
@@ -42,7 +44,7 @@
         /// Name of the dependency.
         dependency: String,
     },
-    /// Downstream calls that failed in a row.
+    /// Number of consecutive failed downstream calls.
     CallFailures {
         /// Name of the dependency.
         dependency: String,
@@ -63,7 +65,7 @@
     ReturningCallerShare,
 }
 
-/// The names that tell metrics of one kind apart.
+/// The names that identify a metric among those of its kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MetricLabels<'a> {
     /// Kind of the engine, or name of the dependency.
@@ -73,15 +75,15 @@
 }
 
 impl Metric {
-    /// Whether the metric can have this value; others are a fault or a lie.
+    /// Whether the metric can have this value. Others are measurement errors or false.
     pub fn is_plausible(&self, value: f64) -> bool {
         let plausible = match self {
-            // A run or call of under ten microseconds or over ten minutes is none.
+            // A shorter or longer duration is a measurement error.
             Metric::RunLowest { .. }
             | Metric::RunRecent { .. }
             | Metric::CallLowest { .. }
             | Metric::CallRecent { .. } => 1e-5..=600.0,
-            // No process holds more than its descriptors and memory allow.
+            // A process has no descriptors and memory for more.
             Metric::Limit { .. } | Metric::CallLimit { .. } => 0.01..=20_000.0,
             Metric::CallFailures { .. } => 0.0..=1e6,
             Metric::RunDownstream { .. } => 0.0..=600.0,
@@ -90,9 +92,9 @@
         value.is_finite() && plausible.contains(&value)
     }
 
-    /// After how many seconds an observation counts half as much. What a server can do at best
-    /// changes with its releases, what it does lately within a minute, and whether it fails within
-    /// seconds.
+    /// After how many seconds the weight of an observation has halved. The best performance of a
+    /// server changes with its releases, its recent performance within a minute, and its failures
+    /// within seconds.
     pub fn half_life_seconds(&self) -> f64 {
         match self {
             Metric::RunLowest { .. } | Metric::CallLowest { .. } => 600.0,
@@ -103,13 +105,13 @@
             Metric::CallRecent { .. } | Metric::CallLimit { .. } | Metric::RunDownstream { .. } => {
                 20.0
             }
-            // Longer than the second in which failures are observed: a false alarm costs one trial
-            // call, a missed one an outage.
+            // Longer than the second in which failures are observed: a false alarm costs one probe,
+            // a missed failure an outage.
             Metric::CallFailures { .. } => 10.0,
         }
     }
 
-    /// The kind of metric, as it stands on the wire and in reports.
+    /// The kind of metric, as written on the wire and in reports.
     pub fn kind(&self) -> &'static str {
         match self {
             Metric::RunLowest { .. } => "run-lowest",
@@ -125,7 +127,7 @@
         }
     }
 
-    /// The server and the operation, as far as the metric has them.
+    /// The server and the operation, if the metric has them.
     pub fn labels(&self) -> MetricLabels<'_> {
         let (server, operation) = match self {
             Metric::RunLowest { engine, operation } | Metric::RunRecent { engine, operation } => {
@@ -148,7 +150,7 @@
         }
     }
 
-    /// The metric of a [`Metric::kind`] with its labels; none where they do not fit together.
+    /// The metric of a [`Metric::kind`] with these labels; `None` if they do not match the kind.
     pub fn parse(kind: &str, server: Option<&str>, operation: Option<&str>) -> Option<Metric> {
         let server_name = || server.map(str::to_owned);
         let operation_name = || operation.map(str::to_owned);
@@ -184,7 +186,7 @@
             "callers-back" => Metric::ReturningCallerShare,
             _ => return None,
         };
-        // A label too many is refused, too.
+        // Superfluous labels are also rejected.
         (metric.labels() == MetricLabels { server, operation }).then_some(metric)
     }
 }
--- a/crates/merlinshelf-gossip/src/observation.rs
+++ b/crates/merlinshelf-gossip/src/observation.rs
@@ -1,6 +1,6 @@
-//! One observation: its value, how many samples it rests on, how old it is and who made it.
+//! One observation: its value, sample count, age and source.
 //!
-//! Fields are stored by the names of the first version of the format, hence the `rename`s.
+//! Fields are stored under their names in the first version of the format, hence the `rename`s.
 
 use std::fmt;
 
@@ -8,16 +8,17 @@
 
 use crate::metric::Metric;
 
-/// Nothing older has any weight: several half-lives of the metric that changes slowest.
+/// Older observations are rejected; six half-lives of the metric that changes most slowly.
 pub const MAX_AGE_SECONDS: f64 = 3600.0;
-/// Observations are forwarded once: the source sends it to a peer, and that peer to others.
+/// Observations are forwarded once: from the source to a peer, and from that peer to others.
 pub const MAX_HOPS: u8 = 2;
 const MAX_SAMPLE_COUNT: u32 = 1_000_000;
 const MAX_NAME_BYTES: usize = 64;
-/// So many samples give an observation half of the weight that it can get.
+/// Number of samples that give an observation half of its maximum weight.
 const HALF_CONFIDENCE_SAMPLES: f64 = 8.0;
 
-/// Who made an observation: one incarnation of an instance. A restart or an upgrade begins another.
+/// The source of an observation: one incarnation of an instance. A restart or an upgrade starts a
+/// new incarnation.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Source {
     /// Name of the instance.
@@ -36,12 +37,13 @@
 /// The status of a source when it made an observation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum SourceStatus {
-    /// It serves and has samples of its own.
+    /// It serves and has enough samples of its own.
     #[default]
     Steady,
-    /// Warming up, its breaker open, or back from a failed upgrade: it observes its own recovery.
+    /// It is warming up, its breaker is open, or its upgrade was rolled back: its samples show the
+    /// recovery rather than the steady state.
     Recovering,
-    /// It has what peers sent, and few samples of its own.
+    /// It has observations of peers and few samples of its own.
     #[serde(rename = "JustTaught")]
     RecentlySynced,
     /// It is shutting down.
@@ -56,7 +58,7 @@
         SourceStatus::Leaving,
     ];
 
-    /// The status as it stands on the wire and in reports.
+    /// The status as written on the wire and in reports.
     pub fn as_str(self) -> &'static str {
         match self {
             SourceStatus::Steady => "steady",
@@ -66,7 +68,7 @@
         }
     }
 
-    /// The status of an [`SourceStatus::as_str`].
+    /// The status whose [`SourceStatus::as_str`] is `text`.
     pub fn parse(text: &str) -> Option<SourceStatus> {
         let mut statuses = SourceStatus::ALL.into_iter();
         statuses.find(|status| status.as_str() == text)
@@ -84,21 +86,21 @@
     }
 }
 
-/// An observation as an instance holds it.
+/// An observation as an instance stores it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Observation {
     /// In the metric's unit.
     pub value: f64,
-    /// How many samples it rests on.
+    /// Number of samples that it is based on.
     #[serde(rename = "count")]
     pub sample_count: u32,
-    /// When it was made, seconds of the holder's monotonic clock.
+    /// When it was made, in seconds of the local monotonic clock.
     #[serde(rename = "seen")]
     pub observed_at: f64,
-    /// The source's own number of it; later observations of a source have higher ones.
+    /// Sequence number assigned by the source, increasing with each of its observations.
     #[serde(rename = "number")]
     pub sequence: u64,
-    /// Over how many instances it came: 0 was observed here.
+    /// How many instances sent it on its way here; 0 for an own observation.
     pub hops: u8,
     /// Status of its source.
     #[serde(rename = "standing")]
@@ -106,7 +108,7 @@
 }
 
 impl Observation {
-    /// How much the observation counts, 0 to 1: by its samples, age, hops and its source's status.
+    /// Weight of the observation, 0 to 1, from its samples, age, hops and its source's status.
     pub fn weight(&self, now: f64, metric: &Metric) -> f64 {
         let age_seconds = (now - self.observed_at).max(0.0);
         weight(
@@ -119,27 +121,27 @@
     }
 }
 
-/// An observation as it passes between instances.
+/// An observation as sent between instances.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct GossipedObservation {
     /// What was observed.
     #[serde(rename = "subject")]
     pub metric: Metric,
-    /// Who observed it.
+    /// The source of the observation.
     #[serde(rename = "origin")]
     pub source: Source,
     /// In the metric's unit.
     pub value: f64,
-    /// How many samples it rests on.
+    /// Number of samples that it is based on.
     #[serde(rename = "count")]
     pub sample_count: u32,
-    /// Seconds since it was made, by the clocks of all instances that it came over.
+    /// Seconds since it was made, added up by the clocks of all instances that forwarded it.
     #[serde(rename = "age")]
     pub age_seconds: f64,
-    /// The source's own number of it; later observations of a source have higher ones.
+    /// Sequence number assigned by the source, increasing with each of its observations.
     #[serde(rename = "number")]
     pub sequence: u64,
-    /// Over how many instances it came, with the one that sends it.
+    /// How many instances have sent it, including the present sender.
     pub hops: u8,
     /// Status of its source.
     #[serde(rename = "standing")]
@@ -147,7 +149,7 @@
 }
 
 impl GossipedObservation {
-    /// How much the observation counts at its receiver, 0 to 1.
+    /// Weight of the observation at its receiver, 0 to 1.
     pub fn weight(&self) -> f64 {
         weight(
             &self.metric,
@@ -158,10 +160,10 @@
         )
     }
 
-    /// Whether the observation can be true at all, for a receiver that is this source itself.
+    /// Validates an observation that the incarnation `own` has received.
     ///
     /// # Errors
-    /// The first thing that is wrong with it.
+    /// The first reason for which the observation is invalid.
     pub fn check(&self, own: &Source) -> Result<(), InvalidObservation> {
         if !self.metric.is_plausible(self.value) {
             Err(InvalidObservation::Value)
@@ -204,30 +206,30 @@
     let samples = f64::from(sample_count);
     let confidence = samples / (samples + HALF_CONFIDENCE_SAMPLES);
     let decay = 0.5_f64.powf(age_seconds / metric.half_life_seconds());
-    // Each instance in between halves the weight; the source itself is the first hop.
+    // Each forwarding instance halves the weight; the first hop is from the source itself.
     let hop_discount = 0.5_f64.powi(i32::from(hops.saturating_sub(1)));
     confidence * decay * hop_discount * status.trust(metric)
 }
 
-/// Why a gossiped observation is rejected; shown as what an observation had that can't be.
+/// Why a gossiped observation is rejected. The text completes "rejected observations: ...".
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
 pub enum InvalidObservation {
-    /// Not a number, or a value that the metric can't have.
-    #[error("values that can't be")]
+    /// The value is not a number, or not one that the metric can have.
+    #[error("implausible values")]
     Value,
-    /// Not a number, in the future, or older than [`MAX_AGE_SECONDS`].
-    #[error("ages that can't be")]
+    /// The age is not a number, negative, or above [`MAX_AGE_SECONDS`].
+    #[error("implausible ages")]
     Age,
-    /// No samples, or more than any instance takes.
-    #[error("counts that can't be")]
+    /// The sample count is zero, or higher than any instance counts.
+    #[error("implausible sample counts")]
     Count,
-    /// Over none or more than [`MAX_HOPS`] hops.
-    #[error("too many hops")]
+    /// The hop count is zero or above [`MAX_HOPS`].
+    #[error("invalid hop counts")]
     Hops,
-    /// The receiver's own observation, on its way back.
-    #[error("its own echoes")]
+    /// The observation is the receiver's own, sent back to it.
+    #[error("the receiver's own observations")]
     Echo,
-    /// A name that is empty or too long.
-    #[error("names that can't be")]
+    /// A name is empty or too long.
+    #[error("invalid names")]
     Name,
 }
--- a/crates/merlinshelf-gossip/src/observation_store.rs
+++ b/crates/merlinshelf-gossip/src/observation_store.rs
@@ -1,5 +1,5 @@
-//! All observations that an instance holds, its own and those of others, and the estimates from
-//! them.
+//! The observations that an instance stores, its own and those of others, and the estimates made
+//! from them.
 
 use std::collections::BTreeMap;
 
@@ -10,34 +10,35 @@
 };
 use crate::own_samples::OwnObservation;
 
-/// Sources that are held for one metric: enough that a lying one is outvoted, few enough that 3,000
-/// peers cost no more than 8.
+/// Maximum number of sources stored per metric: enough to outvote a false one, and few enough that
+/// the cost does not grow with the number of peers (3,000 cost no more than 8).
 const MAX_SOURCES_PER_METRIC: usize = 8;
-/// Metrics that are held: operations and dependencies of a large installation.
+/// Maximum number of stored metrics: enough for the operations and dependencies of a large
+/// installation.
 const MAX_METRICS: usize = 512;
-/// An observation of less weight is left out of estimates.
+/// Observations with no more weight are left out of estimates.
 const MIN_WEIGHT: f64 = 0.01;
-/// Own samples beside which an estimate of full weight has half of the result.
+/// Number of own samples at which an estimate of full weight contributes half of the result.
 const BLENDING_SAMPLES: f64 = 3.0;
 
-/// An estimate of a metric from what others have observed.
+/// An estimate of a metric from the observations of others.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Estimate {
     /// In the metric's unit.
     pub value: f64,
-    /// How sure it is, 0 to 1.
+    /// Confidence in the estimate, 0 to 1.
     pub weight: f64,
-    /// The sources that it rests on, the one of most weight first.
+    /// The sources of the estimate, in descending order of weight.
     pub sources: Vec<Source>,
 }
 
 impl Estimate {
-    /// The part that the estimate has beside so many own samples, 0 to 1.
+    /// The share of the estimate in a blend with this number of own samples, 0 to 1.
     pub fn share(&self, own_samples: usize) -> f64 {
         self.weight / (self.weight + own_samples as f64 / BLENDING_SAMPLES)
     }
 
-    /// The estimate blended with an own value, each by its part.
+    /// The weighted mean of the estimate and an own value.
     pub fn blend(&self, own_value: f64, own_samples: usize) -> f64 {
         if own_samples == 0 {
             return self.value;
@@ -47,18 +48,18 @@
     }
 }
 
-/// One observation of the store with what it is of and who made it.
+/// One observation of the store with its metric and source.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ObservationEntry<'a> {
     /// What was observed.
     pub metric: &'a Metric,
-    /// Who observed it.
+    /// The source of the observation.
     pub source: &'a Source,
     /// The observation.
     pub observation: &'a Observation,
 }
 
-/// The observations that one incarnation of an instance holds, the latest of each source.
+/// The observations that one incarnation of an instance stores, the latest of each source.
 #[derive(Clone, Debug)]
 pub struct ObservationStore {
     own: Source,
@@ -82,14 +83,14 @@
         &self.own
     }
 
-    /// Records an own observation. The same value from as many samples as before is the earlier
-    /// observation again: where nothing happens, it ages.
+    /// Records an own observation. One with the same value and sample count as before is the
+    /// previous observation repeated and is not recorded, so that without new samples it ages.
     pub fn record_own(&mut self, now: f64, own: OwnObservation, status: SourceStatus) {
         let known = self.get(&own.metric, &self.own);
         let is_repeated = known.is_some_and(|known| {
             known.value == own.value && known.sample_count == own.sample_count
         });
-        // An implausible value is a fault of a clock or a sum, and is not sent to others either.
+        // An implausible value is a clock or arithmetic error and must not be sent to peers.
         if is_repeated || !own.metric.is_plausible(own.value) {
             return;
         }
@@ -106,12 +107,12 @@
         self.insert(observed_at, own.metric, self.own.clone(), observation);
     }
 
-    /// Takes an observation that a peer sent. The same sequence number of the same source is the
-    /// same observation, however often and over whatever peers it comes: it gets neither younger
-    /// nor surer by that.
+    /// Accepts an observation that a peer sent. The sequence number identifies an observation of a
+    /// source: receiving it again, also over other peers, neither makes it younger nor gives it
+    /// more samples.
     ///
     /// # Errors
-    /// It can't be true, or is an own one.
+    /// The observation is invalid, or this incarnation made it.
     pub fn accept(
         &mut self,
         now: f64,
@@ -153,7 +154,7 @@
         let by_source = self.observations.entry(metric.clone()).or_default();
         by_source.insert(source, observation);
         while by_source.len() > MAX_SOURCES_PER_METRIC {
-            // Own observations stay, whatever their weight.
+            // Own observations are never removed here, whatever their weight.
             let others = by_source.iter().filter(|(source, _)| **source != self.own);
             let weights =
                 others.map(|(source, observation)| (observation.weight(now, &metric), source));
@@ -165,7 +166,7 @@
         }
     }
 
-    /// Makes place by removing the metric whose latest observation is the oldest.
+    /// Removes the metric whose latest observation is the oldest.
     fn remove_stalest_metric(&mut self) {
         let latest = |by_source: &BTreeMap<Source, Observation>| {
             let times = by_source
@@ -182,8 +183,8 @@
         }
     }
 
-    /// What may be sent to a peer. Of more than `max_count`, own observations go first, and of each
-    /// kind those of most weight.
+    /// The observations to send to a peer. If there are more than `max_count`, own ones take
+    /// precedence over those of others, and higher weights over lower ones.
     pub fn select_for_gossip(&self, now: f64, max_count: usize) -> Vec<GossipedObservation> {
         let mut selected = self.export(now);
         if selected.len() > max_count {
@@ -196,8 +197,8 @@
         selected
     }
 
-    /// All observations that may be sent or persisted: own ones, and those of others that were sent
-    /// by their source.
+    /// All observations that may be sent or persisted: own ones, and those of others that came
+    /// directly from their source.
     pub fn export(&self, now: f64) -> Vec<GossipedObservation> {
         let gossiped = self.observations().map(|entry| GossipedObservation {
             metric: entry.metric.clone(),
@@ -214,8 +215,8 @@
             .collect()
     }
 
-    /// An estimate of the metric from what others have observed: the weighted median, so that no
-    /// single liar moves it past what an honest source says where there are two of those.
+    /// Estimates the metric from the observations of others by their weighted median: with two
+    /// correct sources, a single false one can't move it beyond their values.
     pub fn estimate(&self, now: f64, metric: &Metric) -> Option<Estimate> {
         struct WeightedValue<'a> {
             value: f64,
@@ -243,7 +244,7 @@
         weighted.sort_by(|left, right| right.weight.total_cmp(&left.weight));
         Some(Estimate {
             value,
-            // As sure as the surest source: many echoes of a guess are still a guess.
+            // The highest weight, not the sum: many copies of one guess add no confidence.
             weight: weighted.first()?.weight,
             sources: weighted
                 .into_iter()
--- a/crates/merlinshelf-gossip/src/own_samples.rs
+++ b/crates/merlinshelf-gossip/src/own_samples.rs
@@ -1,5 +1,5 @@
-//! Between the admission controller and the store: what the controller has learned becomes
-//! observations, and estimates become its priors.
+//! Converts what the admission controller has learned to observations, and estimates of the store
+//! to priors of the controller.
 
 use std::collections::VecDeque;
 
@@ -8,17 +8,17 @@
 use crate::metric::Metric;
 use crate::observation_store::ObservationStore;
 
-/// Age of the samples of calls where no call is known to have ended, seconds.
+/// Age assumed for samples of calls when the end of the latest call is unknown, seconds.
 const UNKNOWN_CALL_AGE_SECONDS: f64 = 5.0;
-/// The controller takes its lowest mean of calls from so many samples.
+/// Number of call samples from which the controller computes its lowest mean.
 const MIN_CALLS_FOR_LOWEST: usize = 8;
-/// No more samples are counted behind a run of failures.
+/// Maximum sample count of a failure observation.
 const MAX_FAILURE_SAMPLES: usize = 24;
-/// Guards a division.
+/// Avoids division by zero.
 const MIN_TOTAL_COST: f64 = 1e-9;
 
-/// Which servers and operations the samples of an instance are of. Those of an engine hold for
-/// engines of one kind only, those of a dependency for all instances that share it.
+/// The servers and operations that an instance's samples belong to. Samples of an engine are valid
+/// only for engines of the same kind, samples of a dependency for all instances that share it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Scope {
     /// Kind of the engine.
@@ -27,25 +27,26 @@
     pub dependency: String,
     /// Names of the operations, in the order of the settings.
     pub operations: Vec<String>,
-    /// For how long callers keep a connection, seconds; who calls again within it has returned.
+    /// How long callers keep a connection alive, seconds. A caller that calls again within this
+    /// time counts as returning.
     pub keep_alive_seconds: Option<u64>,
 }
 
-/// One observation out of an instance's own samples.
+/// One observation made from an instance's own samples.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OwnObservation {
     /// What was observed.
     pub metric: Metric,
     /// In the metric's unit.
     pub value: f64,
-    /// How many samples it rests on.
+    /// Number of samples that it is based on.
     pub sample_count: u32,
     /// How long ago the newest sample was taken, seconds.
     pub age_seconds: f64,
 }
 
 impl OwnObservation {
-    /// None without samples.
+    /// Returns `None` if there are no samples.
     fn from_samples(
         metric: Metric,
         value: f64,
@@ -65,7 +66,7 @@
     samples.iter().sum::<f64>() / samples.len().max(1) as f64
 }
 
-/// How many runs the controller holds samples of, over all operations.
+/// Number of runs that the controller has samples of, over all operations.
 pub(crate) fn count_runs(learned: &LearnedState) -> usize {
     let counts = learned
         .operations
@@ -126,7 +127,8 @@
         }
     }
 
-    /// The observations in what the controller has learned; `now` is on the controller's clock.
+    /// The observations made from what the controller has learned; `now` is on the controller's
+    /// clock.
     pub fn observations(&self, now: f64, learned: &LearnedState) -> Vec<OwnObservation> {
         let run_age_seconds = now - learned.last_progress_at;
         let mut observations = Vec::new();
@@ -215,7 +217,7 @@
         observations.into_iter().flatten()
     }
 
-    /// No failures are an observation, too, once there were calls.
+    /// Zero failures are also observed, once there were calls.
     fn failure_observation(
         &self,
         now: f64,
@@ -261,7 +263,7 @@
         [retries, returning].into_iter().flatten()
     }
 
-    /// The controller's priors, estimated from what others have observed.
+    /// Priors for the controller, estimated from the observations of others.
     pub fn prior_estimates(&self, now: f64, store: &ObservationStore) -> PriorEstimates {
         let prior = |metric: Metric| {
             let estimate = store.estimate(now, &metric)?;
--- a/crates/merlinshelf-gossip/src/peer_table.rs
+++ b/crates/merlinshelf-gossip/src/peer_table.rs
@@ -1,14 +1,14 @@
 //! The table of known peers, with the orders in which the protocol visits them.
 //!
-//! What is due next and what was sent least are kept sorted, so that one step costs no more than
-//! the logarithm of the table's size.
+//! Peers are indexed by deadline and by how often their update was sent, so that each operation
+//! takes time logarithmic in the table's size.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
 use crate::membership::{MembershipUpdate, Settings, State};
 
-/// What is known of one peer.
+/// The known state of one peer.
 #[derive(Clone, Debug)]
 pub(crate) struct Peer {
     pub(crate) address: String,
@@ -16,7 +16,7 @@
     pub(crate) refutations: u32,
     pub(crate) state: State,
     pub(crate) state_since: f64,
-    /// How often this update of it was sent from here.
+    /// How often this instance has sent the update of this state.
     pub(crate) sent_count: u32,
 }
 
@@ -32,7 +32,7 @@
         }
     }
 
-    /// The same peer in another state, which has yet to be sent.
+    /// The same peer in another state, whose update has not been sent yet.
     pub(crate) fn with_state(&self, now: f64, state: State) -> Peer {
         Peer {
             state,
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Whether it may answer a poll.
+    /// Whether the peer may answer a poll.
     pub(crate) fn is_reachable(&self) -> bool {
         self.state <= State::Suspect
     }
@@ -63,19 +63,20 @@
     }
 }
 
-/// Peers by name. [`PeerTable::insert`] and [`PeerTable::remove`] alone change it.
+/// Peers by name. Only [`PeerTable::insert`] and [`PeerTable::remove`] change it, to keep the
+/// indexes consistent.
 #[derive(Clone, Debug)]
 pub(crate) struct PeerTable {
     suspicion_timeout_seconds: f64,
     forget_after_seconds: f64,
     peers: BTreeMap<Arc<str>, Peer>,
     by_sent_count: BTreeSet<(u32, Arc<str>)>,
-    /// By the time at which the state ends, as [`sortable`] gives it.
+    /// By the time at which the state ends, as a [`sortable`] integer.
     by_deadline: BTreeSet<(u64, Arc<str>)>,
     alive_count: usize,
 }
 
-/// A time as a number that sorts alike.
+/// Maps a time to an integer with the same order.
 fn sortable(time: f64) -> u64 {
     let bits = time.to_bits();
     let is_positive = bits >> 63 == 0;
@@ -94,7 +95,7 @@
         }
     }
 
-    /// When a suspected peer is taken for gone, and one that has left or is gone is forgotten.
+    /// When a suspected peer is declared gone, or a peer that has left or is gone is removed.
     fn deadline(&self, peer: &Peer) -> Option<u64> {
         match peer.state {
             State::Alive => None,
@@ -130,7 +131,7 @@
         self.peers.get(name)
     }
 
-    /// The peer with the shared string of its name.
+    /// The peer and the shared string of its name.
     pub(crate) fn get_key_value(&self, name: &str) -> Option<(&Arc<str>, &Peer)> {
         self.peers.get_key_value(name)
     }
@@ -147,7 +148,7 @@
         self.alive_count
     }
 
-    /// The next peer whose state has ended by now.
+    /// The next peer whose deadline has passed.
     pub(crate) fn next_due(&self, now: f64) -> Option<(Arc<str>, Peer)> {
         let (deadline, name) = self.by_deadline.first()?;
         if *deadline > sortable(now) {
@@ -157,8 +158,8 @@
         Some((name.clone(), peer.clone()))
     }
 
-    /// Names of the peers whose updates were sent least, of those sent less often than
-    /// `max_sent_count`.
+    /// Names of the peers whose updates were sent least often, among those sent fewer than
+    /// `max_sent_count` times.
     pub(crate) fn least_sent(&self, max_sent_count: u32, max_names: usize) -> Vec<Arc<str>> {
         let least_sent = self
             .by_sent_count
--- a/crates/merlinshelf-gossip/src/store.rs
+++ b/crates/merlinshelf-gossip/src/store.rs
@@ -1,6 +1,6 @@
-//! The file in which observations outlive crashes and power loss: which bytes are written when,
-//! over primitive operations on files that the host carries out and the tests let fail. A failure
-//! costs the saving, never the service.
+//! The file that keeps observations across crashes and power loss. This module decides which bytes
+//! are written when; the host provides the primitive file operations, so that tests can inject
+//! failures. A failure affects only persistence, not the service.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -9,73 +9,73 @@
 use crate::observation::{GossipedObservation, Source};
 use crate::store_format::{self, EncodeError, FrameError, PersistedObservation, Record, Recovered};
 
-/// The store's file.
+/// Name of the store file.
 pub const STORE_FILE: &str = "knowledge";
-/// The file that is written to take its place.
+/// File that is written first and then renamed to [`STORE_FILE`].
 pub const TEMPORARY_STORE_FILE: &str = "knowledge.new";
-/// Where a file that can't be read is moved aside.
+/// Name under which an unreadable store file is kept.
 pub const UNREADABLE_STORE_FILE: &str = "knowledge.aside";
 /// A longer file was not written by this program.
 pub const MAX_STORE_BYTES: usize = 8 * 1024 * 1024;
 
-/// The file is rewritten once it has grown to so many times its size after the last rewriting, and
-/// by so many bytes more.
+/// The file is rewritten once it has grown to `MAX_GROWTH` times its size after the last rewrite
+/// plus `MIN_GROWTH_BYTES`.
 const MAX_GROWTH: usize = 4;
 const MIN_GROWTH_BYTES: usize = 64 * 1024;
 
-/// Primitive operations on the files of one folder, each of which may fail or be cut short by a
-/// crash. What was written and not synced may be there after a crash, in part, or not at all; for
-/// names that holds until the folder is synced.
+/// Primitive operations on the files of one folder, each of which may fail or be interrupted by a
+/// crash. After a crash, data that was not synced may be there completely, in part or not at all;
+/// the same applies to file names until the folder is synced.
 pub trait Files {
-    /// Reads the whole file; none where there is none.
+    /// Reads the whole file; `None` if it does not exist.
     ///
     /// # Errors
-    /// The file system's.
+    /// The file system operation failed.
     fn read(&mut self, name: &str) -> io::Result<Option<Vec<u8>>>;
-    /// Creates an empty file, in place of one of this name.
+    /// Creates an empty file, replacing one of this name.
     ///
     /// # Errors
-    /// The file system's.
+    /// The file system operation failed.
     fn create(&mut self, name: &str) -> io::Result<()>;
-    /// Writes at the file's end.
+    /// Appends to the file.
     ///
     /// # Errors
-    /// The file system's; a part may be written.
+    /// The file system operation failed; a part may have been written.
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
     /// Waits until the file's content is durable.
     ///
     /// # Errors
-    /// The file system's.
+    /// The file system operation failed.
     fn sync(&mut self, name: &str) -> io::Result<()>;
-    /// Renames a file, in place of one of the new name.
+    /// Renames a file, replacing one of the new name.
     ///
     /// # Errors
-    /// The file system's.
+    /// The file system operation failed.
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
-    /// Waits until the folder's names are durable.
+    /// Waits until the folder's entries are durable.
     ///
     /// # Errors
-    /// The file system's.
+    /// The file system operation failed.
     fn sync_folder(&mut self) -> io::Result<()>;
 }
 
-/// What was found at the start.
+/// The contents of the store file at startup.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct StoreContents {
-    /// The observations that can be read, in the order in which they were written.
+    /// The readable observations, in the order in which they were written.
     pub observations: Vec<PersistedObservation>,
-    /// The highest number of an incarnation that began.
+    /// The highest incarnation number in the file.
     pub incarnation: u64,
-    /// What was wrong with the file.
+    /// Why the file could not be read to its end.
     pub error: Option<FrameError>,
-    /// Whether the file, or a copy of it, was moved aside for that.
+    /// Whether the file, or a copy of it, was therefore kept as [`UNREADABLE_STORE_FILE`].
     pub was_moved_aside: bool,
 }
 
-/// What tells the observations in the file apart.
+/// Identifies an observation in the file.
 type Key = (Metric, Source);
 
-/// What changes when an observation must be written again.
+/// An observation is written again when one of these has changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Version {
     sequence: u64,
@@ -93,61 +93,61 @@
     }
 }
 
-/// The writing side.
+/// Writes observations to the store file.
 #[derive(Debug, Default)]
 pub struct Store {
     incarnation: u64,
-    /// What the file holds last of each observation; none where that is not known, so that the next
-    /// saving rewrites the file.
+    /// The latest version of each observation in the file; `None` if unknown, so that the next save
+    /// rewrites the file.
     written: Option<BTreeMap<Key, Version>>,
-    /// Bytes in the file, and how many it had after the last rewriting.
+    /// Size of the file now and after the last rewrite.
     file_bytes: usize,
     rewritten_bytes: usize,
 }
 
 impl Store {
-    /// Reads what is there. A file that can't be read is moved aside, as far as that can be done,
-    /// and reported.
+    /// Reads the store file. An unreadable file is reported and, if possible, kept as
+    /// [`UNREADABLE_STORE_FILE`].
     ///
     /// # Errors
-    /// The file system's: then nothing is known of the past, and saving may be tried all the same.
+    /// The file can't be read. The caller may continue with an empty store and still save.
     pub fn open(files: &mut dyn Files) -> io::Result<(Store, StoreContents)> {
         let Some(bytes) = files.read(STORE_FILE)? else {
             return Ok((Store::default(), StoreContents::default()));
         };
-        let mut found = found_in(recover(&bytes));
-        found.was_moved_aside = match found.error {
+        let mut contents = contents_of(recover(&bytes));
+        contents.was_moved_aside = match contents.error {
             Some(FrameError::UnknownFormat) => move_aside(files).is_ok(),
-            // What can be read of it counts until the next saving has taken its place.
+            // A copy, since its readable records stay in use until the next save replaces it.
             Some(FrameError::Corrupt) => copy_aside(files, &bytes).is_ok(),
             Some(FrameError::Torn) | None => false,
         };
         let store = Store {
-            incarnation: found.incarnation,
+            incarnation: contents.incarnation,
             ..Store::default()
         };
-        Ok((store, found))
+        Ok((store, contents))
     }
 
-    /// Begins an incarnation. Its number is above all that began here and, by the wall clock in
-    /// milliseconds of Unix time, above those whose records were lost.
+    /// Starts an incarnation. Its number is higher than all previous ones in the file and at least
+    /// the wall clock in milliseconds of Unix time, which exceeds numbers whose records were lost.
     pub fn begin_incarnation(&mut self, unix_milliseconds: u64) -> u64 {
         self.incarnation = unix_milliseconds.max(self.incarnation + 1);
         self.incarnation
     }
 
-    /// Saves all observations. What has changed is appended, or the file is rewritten where it has
-    /// grown too long or is not known to be complete. `unix_seconds` is the wall clock.
+    /// Saves all observations: appends those that have changed, or rewrites the file if it has
+    /// grown too large or may be incomplete. `unix_seconds` is the wall clock.
     ///
     /// # Errors
-    /// The file system's. The next saving then rewrites the file.
+    /// A file system operation failed. The next save then rewrites the file.
     pub fn save(
         &mut self,
         files: &mut dyn Files,
         unix_seconds: f64,
         observations: &[GossipedObservation],
     ) -> io::Result<()> {
-        // Whatever fails from here on, the file is not known to be complete.
+        // If anything below fails, the file may be incomplete and `written` stays `None`.
         let Some(mut written) = self.written.take() else {
             return self.rewrite(files, unix_seconds, observations);
         };
@@ -192,8 +192,7 @@
         Ok(())
     }
 
-    /// Makes the next saving rewrite the file: observations were removed and must be gone from the
-    /// file, too.
+    /// Makes the next save rewrite the file, so that removed observations are also removed from it.
     pub fn invalidate(&mut self) {
         self.written = None;
     }
@@ -209,20 +208,20 @@
     store_format::recover(bytes)
 }
 
-fn found_in(recovered: Recovered) -> StoreContents {
-    let mut found = StoreContents {
+fn contents_of(recovered: Recovered) -> StoreContents {
+    let mut contents = StoreContents {
         error: recovered.error,
         ..StoreContents::default()
     };
     for record in recovered.records {
         match record {
-            Record::Observation(observation) => found.observations.push(observation),
+            Record::Observation(observation) => contents.observations.push(observation),
             Record::Incarnation(incarnation) => {
-                found.incarnation = found.incarnation.max(incarnation);
+                contents.incarnation = contents.incarnation.max(incarnation);
             }
         }
     }
-    found
+    contents
 }
 
 fn move_aside(files: &mut dyn Files) -> io::Result<()> {
@@ -235,7 +234,7 @@
     files.append(UNREADABLE_STORE_FILE, bytes)
 }
 
-/// Records of what differs from what was written, which is brought up to date.
+/// Encodes the observations that differ from those in `written`, and updates it.
 fn encode_changes(
     written: &mut BTreeMap<Key, Version>,
     unix_seconds: f64,
--- a/crates/merlinshelf-gossip/src/store_format.rs
+++ b/crates/merlinshelf-gossip/src/store_format.rs
@@ -1,13 +1,13 @@
-//! The format of the store file: a header, then records, each complete or not there at all.
+//! The format of the store file: a header, then checksummed records.
 //!
 //! The header is `MSK1` and the format's version (u32, little endian). A record is its length
-//! (u32), the CRC-32 of its payload, and the payload in MessagePack. In version 1 that is an
-//! observation with the wall clock's time of its age; in version 2, the one that is written, an
-//! observation or the number of an incarnation that began. Reading ends at the first record that is
-//! torn, garbled or foreign, which is reported; what stands before it counts.
+//! (u32), the CRC-32 of its payload, and the payload in MessagePack. In version 1 the
+//! payload is an observation with the wall-clock time at which it was saved; in version 2, which is
+//! the version written, it is an observation or the number of an incarnation. Reading stops at the
+//! first record that is torn or corrupt and reports it; the records before it are used.
 //!
-//! MessagePack maps carry field names, and unknown ones are skipped. Types whose names have changed
-//! since keep the stored ones by `#[serde(rename)]`.
+//! MessagePack maps carry field names, and unknown fields are skipped. Renamed fields and variants
+//! keep their stored names by `#[serde(rename)]`.
 
 use serde::{Deserialize, Serialize};
 
@@ -15,25 +15,25 @@
 
 const HEADER: [u8; 8] = *b"MSK1\x02\0\0\0";
 const HEADER_VERSION_1: [u8; 8] = *b"MSK1\x01\0\0\0";
-/// An observation takes a fraction of it.
+/// Observations are far smaller.
 const MAX_RECORD_BYTES: usize = 4096;
-/// Length and checksum.
+/// Length and checksum, 4 bytes each.
 const FRAME_HEADER_BYTES: usize = 8;
 
-/// An observation as it is written.
+/// An observation as it is stored.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PersistedObservation {
     /// When it was written, seconds of Unix time.
     #[serde(rename = "at")]
     pub saved_at: f64,
-    /// The observation, as old as it was then.
+    /// The observation, with its age at that time.
     #[serde(rename = "told")]
     pub observation: GossipedObservation,
 }
 
 impl PersistedObservation {
-    /// The observation as old as it is at this Unix time in seconds. A wall clock that was set back
-    /// since makes it no younger than it was.
+    /// The observation with its age at this Unix time in seconds. A wall clock that was set back
+    /// does not reduce the age.
     pub fn aged_to(self, unix_seconds: f64) -> GossipedObservation {
         let elapsed_seconds = (unix_seconds - self.saved_at).max(0.0);
         GossipedObservation {
@@ -49,38 +49,38 @@
     /// An observation; a later one of the same metric and source replaces it.
     #[serde(rename = "Figure")]
     Observation(PersistedObservation),
-    /// An incarnation of the instance began under this number.
+    /// An incarnation of the instance started with this number.
     #[serde(rename = "Life")]
     Incarnation(u64),
 }
 
 /// A value can't be encoded as MessagePack.
 #[derive(Debug, thiserror::Error)]
-#[error("record not encoded: {0}")]
+#[error("failed to encode a record: {0}")]
 pub struct EncodeError(#[from] rmp_serde::encode::Error);
 
-/// Why reading ended before the end.
+/// Why reading stopped before the end of the file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
-    /// The header is none of a known version.
-    #[error("it is of another program or of a later version")]
+    /// The header is not that of a known version.
+    #[error("unknown format: written by another program or a later version")]
     UnknownFormat,
     /// The last record is incomplete.
-    #[error("its end was being written when the process or machine ended")]
+    #[error("the last record is incomplete: the process or machine stopped while writing it")]
     Torn,
-    /// The checksum or the content of a record is wrong.
-    #[error("a record is not what was written")]
+    /// A record's checksum does not match, or its payload can't be decoded.
+    #[error("a record is corrupt")]
     Corrupt,
 }
 
-/// What a file held.
+/// What was read from a file.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Recovered {
-    /// The records that can be read.
+    /// The records before the first unreadable one.
     pub records: Vec<Record>,
-    /// How many bytes these are, with the header.
+    /// Size of the header and these records.
     pub valid_bytes: usize,
-    /// Why reading ended there; none at the file's end.
+    /// Why reading stopped there; `None` at the end of the file.
     pub error: Option<FrameError>,
 }
 
@@ -89,18 +89,18 @@
     HEADER.to_vec()
 }
 
-/// One framed record.
+/// Encodes one record in its frame.
 ///
 /// # Errors
-/// The encoder's.
+/// The value can't be encoded.
 pub fn encode_record(record: &Record) -> Result<Vec<u8>, EncodeError> {
     encode_frame(record)
 }
 
-/// Any value in the frame of a record: length, CRC-32, and the value in MessagePack.
+/// Encodes any value in the frame of a record: length, CRC-32, and the value in MessagePack.
 ///
 /// # Errors
-/// The encoder's.
+/// The value can't be encoded.
 pub fn encode_frame(value: &impl Serialize) -> Result<Vec<u8>, EncodeError> {
     let payload = rmp_serde::to_vec_named(value)?;
     let mut frame = (payload.len() as u32).to_le_bytes().to_vec();
@@ -109,7 +109,7 @@
     Ok(frame)
 }
 
-/// Reads a file as far as it can be read. An empty one is new, which is no error.
+/// Reads a file up to the first unreadable record. An empty file is a new one, not an error.
 pub fn recover(bytes: &[u8]) -> Recovered {
     let mut recovered = Recovered::default();
     if bytes.is_empty() {
@@ -158,10 +158,11 @@
     rmp_serde::from_slice(payload).map_err(|_| FrameError::Corrupt)
 }
 
-/// The payload of the frame at the front, and how many bytes the whole frame has.
+/// The payload of the frame at the start of `bytes`, and the size of the whole frame.
 ///
 /// # Errors
-/// The frame is incomplete, has more than `max_bytes` of payload, or another checksum.
+/// The frame is incomplete, has no payload or one of more than `max_bytes`, or its checksum does
+/// not match.
 pub fn decode_frame(bytes: &[u8], max_bytes: usize) -> Result<(&[u8], usize), FrameError> {
     let length = read_u32(bytes, 0)? as usize;
     let checksum = read_u32(bytes, 4)?;
