--- a/crates/merlinshelf-gossip/tests/golden.rs
+++ b/crates/merlinshelf-gossip/tests/golden.rs
@@ -1,10 +1,10 @@
-//! What outlives an instance's process, held to golden files: the store file in both of its
-//! versions and the names of its files; and the types of this package that are encoded with field
-//! names.
+//! Golden tests of the formats that outlive an instance's process: the store file in both of its
+//! versions, the names of the store's files, and the types of this package that are encoded with
+//! field names.
 //!
-//! Every field of a sample has a value of its own that is not its default, so that a field that is
-//! lost, swapped or renamed on the wire shows. The files hold bytes as programs in the field wrote
-//! them: where a test fails, the code is to be mended, not the file.
+//! Every field of a sample has a distinct value other than its default, so that the tests detect a
+//! field that is lost, swapped or renamed on the wire. The files contain bytes as released programs
+//! wrote them: if a test fails, fix the code, not the file.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -37,7 +37,7 @@
     rmp_serde::from_slice(bytes).expect("bytes that can be decoded")
 }
 
-/// Every metric, each with names of its own.
+/// One metric of every kind, each with distinct names.
 fn metrics() -> Vec<Metric> {
     vec![
         Metric::RunLowest {
@@ -81,23 +81,23 @@
 
 /// An observation of every metric, from sources of every status.
 fn observations() -> Vec<GossipedObservation> {
-    let observation = |(place, metric): (usize, Metric)| GossipedObservation {
+    let observation = |(number, metric): (usize, Metric)| GossipedObservation {
         metric,
         source: Source {
-            name: format!("n{place}"),
-            incarnation: INCARNATION + 1 + place as u64,
+            name: format!("n{number}"),
+            incarnation: INCARNATION + 1 + number as u64,
         },
-        value: 0.0625 + place as f64,
-        sample_count: 20 + place as u32,
-        age_seconds: 40.5 + place as f64,
-        sequence: 300_000 + place as u64,
-        hops: 60 + place as u8,
-        status: STATUSES[place % STATUSES.len()],
+        value: 0.0625 + number as f64,
+        sample_count: 20 + number as u32,
+        age_seconds: 40.5 + number as f64,
+        sequence: 300_000 + number as u64,
+        hops: 60 + number as u8,
+        status: STATUSES[number % STATUSES.len()],
     };
     metrics().into_iter().enumerate().map(observation).collect()
 }
 
-/// A later observation in place of the first one.
+/// A later observation in number of the first one.
 fn later_observation() -> GossipedObservation {
     GossipedObservation {
         value: 77.5,
@@ -150,8 +150,8 @@
     }
 }
 
-/// What the store file holds after two savings, the second of which appends what has changed.
-fn stored() -> StoreContents {
+/// The contents of the store file after two saves, the second of which appends the changes.
+fn expected_contents() -> StoreContents {
     let first = observations()
         .into_iter()
         .map(|observation| persisted(SAVED_AT, observation));
@@ -171,11 +171,11 @@
     let mut all = observations();
     store
         .save(&mut folder, SAVED_AT, &all)
-        .expect("memory takes it");
+        .expect("in-memory writes succeed");
     all[0] = later_observation();
     store
         .save(&mut folder, SAVED_AGAIN_AT, &all)
-        .expect("memory takes it");
+        .expect("in-memory writes succeed");
     let names: Vec<&str> = folder.0.keys().map(String::as_str).collect();
     assert_eq!(names, ["knowledge"]);
     folder.0.remove("knowledge").expect("the store file")
@@ -184,19 +184,27 @@
 fn open_store(bytes: &[u8]) -> StoreContents {
     let mut folder = MemoryFolder::default();
     folder.0.insert("knowledge".into(), bytes.to_vec());
-    let (_, found) = Store::open(&mut folder).expect("memory can be read");
-    found
+    let (_, contents) = Store::open(&mut folder).expect("in-memory reads succeed");
+    contents
 }
 
 #[test]
 fn store_file() {
-    golden_file::assert_form("store_file", &stored(), |_| write_store(), open_store);
+    golden_file::assert_form(
+        "store_file",
+        &expected_contents(),
+        |_| write_store(),
+        open_store,
+    );
 }
 
-/// The same bytes record by record: the form in which a handover image carries them.
+/// The same bytes record by record: the format in which a handover image carries them.
 #[test]
 fn records_of_the_store_file() {
-    let observations = stored().observations.into_iter().map(Record::Observation);
+    let observations = expected_contents()
+        .observations
+        .into_iter()
+        .map(Record::Observation);
     let records: Vec<Record> = [Record::Incarnation(INCARNATION)]
         .into_iter()
         .chain(observations)
@@ -219,7 +227,7 @@
     golden_file::assert_form("store_file", &records, encode, decode);
 }
 
-/// Nothing writes it any more, but files of it are still to be read.
+/// Version 1 is no longer written, but existing files must still be readable.
 #[test]
 fn store_file_of_version_1() {
     let expected: Vec<PersistedObservation> = observations()
@@ -233,17 +241,21 @@
         b"MSK1\x01\0\0\0".iter().copied().chain(framed).collect()
     };
     let decode = |bytes: &[u8]| {
-        let found = open_store(bytes);
+        let contents = open_store(bytes);
         assert_eq!(
-            (found.incarnation, found.error, found.was_moved_aside),
+            (
+                contents.incarnation,
+                contents.error,
+                contents.was_moved_aside
+            ),
             (0, None, false)
         );
-        found.observations
+        contents.observations
     };
     golden_file::assert_form("store_file_first_form", &expected, encode, decode);
 }
 
-/// A later program finds what an earlier one left by these names.
+/// Later versions find the files of earlier ones by these names.
 #[test]
 fn names_of_the_stores_files() {
     assert_eq!(
@@ -253,16 +265,16 @@
 }
 
 #[test]
-fn observation_as_it_is_held() {
+fn stored_observations() {
     let observations: Vec<Observation> = STATUSES
         .into_iter()
         .zip(1..)
-        .map(|(status, place)| Observation {
-            value: 0.125 + f64::from(place),
-            sample_count: 10 + place,
-            observed_at: 20.5 + f64::from(place),
-            sequence: 300_000 + u64::from(place),
-            hops: 40 + place as u8,
+        .map(|(status, number)| Observation {
+            value: 0.125 + f64::from(number),
+            sample_count: 10 + number,
+            observed_at: 20.5 + f64::from(number),
+            sequence: 300_000 + u64::from(number),
+            hops: 40 + number as u8,
             status,
         })
         .collect();
@@ -275,11 +287,11 @@
     let updates: Vec<MembershipUpdate> = states
         .into_iter()
         .zip(1..)
-        .map(|(state, place)| MembershipUpdate {
-            name: format!("n{place}"),
-            address: format!("127.0.0.1:74{place:02}"),
-            incarnation: INCARNATION + u64::from(place),
-            refutations: 10 + place,
+        .map(|(state, number)| MembershipUpdate {
+            name: format!("n{number}"),
+            address: format!("127.0.0.1:74{number:02}"),
+            incarnation: INCARNATION + u64::from(number),
+            refutations: 10 + number,
             state,
         })
         .collect();
--- a/crates/merlinshelf-gossip/tests/gossip_node.rs
+++ b/crates/merlinshelf-gossip/tests/gossip_node.rs
@@ -1,5 +1,5 @@
-//! Gossip nodes among others: whose observations have how much weight, how a start polls, and how
-//! little CPU time answering may take.
+//! Gossip nodes that exchange messages: the weight of observations by their source, the polls of a
+//! starting node, and the CPU budget of answers.
 
 use std::collections::VecDeque;
 
@@ -29,8 +29,8 @@
     GossipNode::new(now, 1, settings(name, seeds))
 }
 
-/// What a controller has learned from so many runs and calls, with so many failures in a row by
-/// now. `slowdown` scales the durations of runs.
+/// What a controller has learned from `samples` runs and calls, with `failures` consecutive failed
+/// calls up to now. `slowdown` scales the durations of runs.
 fn learned(samples: usize, clock: f64, slowdown: f64, failures: u32) -> LearnedState {
     let all = |value: f64| -> VecDeque<f64> { (0..samples.min(24)).map(|_| value).collect() };
     let operation = |seconds: f64| LearnedOperation {
@@ -56,7 +56,7 @@
     }
 }
 
-/// The receiver polls the sender once; why observations were rejected.
+/// The receiver polls the sender once. Returns the reasons for which observations were rejected.
 fn poll(now: f64, receiver: &mut GossipNode, sender: &mut GossipNode) -> Vec<InvalidObservation> {
     let poll_message = Message {
         from: receiver.members().own().clone(),
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn observations_of_a_steady_source_count_for_like_engines_and_the_shared_dependency() {
+fn observations_apply_to_engines_of_the_same_kind_and_the_shared_dependency() {
     let mut receiver = node(100.0, "receiver", &[]);
     assert!(poll(100.0, &mut receiver, &mut steady_node(100.0, "sender", 1.0)).is_empty());
     let priors = receiver.prior_estimates(100.0);
@@ -87,8 +87,7 @@
     assert_eq!(value(priors.call_limit), Some(5.0));
     assert_eq!(value(priors.call_failures), Some(0.0));
     assert_eq!(value(priors.returning_caller_share), Some(1.0));
-    // Another kind of engine: what holds for engines does not count, what holds for the dependency
-    // does.
+    // For another kind of engine only the observations of the dependency apply.
     let mut other = settings("other", &[]);
     other.scope.engine = "another kind".into();
     let mut other = GossipNode::new(100.0, 1, other);
@@ -101,19 +100,19 @@
 }
 
 #[test]
-fn the_status_of_a_source_decides_how_much_its_observations_count() {
+fn the_weight_of_observations_depends_on_the_status_of_their_source() {
     let weight_of_long = |sender: &mut GossipNode| {
         let mut receiver = node(200.0, "receiver", &[]);
         poll(200.0, &mut receiver, sender);
         receiver.prior_estimates(200.0).run_durations[1].map_or(0.0, |prior| prior.weight)
     };
     let full = weight_of_long(&mut steady_node(200.0, "a", 1.0));
-    // Warming up: few samples, and little trust in them.
+    // Warming up: few samples, which have little weight.
     let mut warming_up = node(199.0, "b", &[]);
     warming_up.record_own_samples(200.0, 200.0, &learned(3, 200.0, 1.0, 0));
     assert_eq!(warming_up.status(), SourceStatus::Recovering);
     assert!(weight_of_long(&mut warming_up) < 0.15 * full);
-    // Its breaker open: its runs count less, its failing calls in full.
+    // Breaker open: its runs have less weight, its call failures full weight.
     let mut broken = node(100.0, "c", &[]);
     broken.record_own_samples(200.0, 200.0, &learned(24, 200.0, 1.0, 9));
     let mut receiver = node(200.0, "receiver", &[]);
@@ -125,12 +124,12 @@
         failures.value == 9.0 && failures.weight > 0.9 * full,
         "{failures:?}"
     );
-    // Its upgrade was rolled back a moment ago.
+    // Its upgrade was just rolled back.
     let mut rolled_back = steady_node(199.0, "d", 1.0);
     rolled_back.handover_rolled_back(199.5);
     rolled_back.record_own_samples(200.0, 200.0, &learned(23, 200.0, 1.0, 0));
     assert!(weight_of_long(&mut rolled_back) < 0.3 * full);
-    // Recently synced: it forwards others' observations over one hop more, and has few own ones.
+    // Recently synced: it forwards observations of others with one more hop, and has few own ones.
     let mut synced = node(199.5, "e", &[]);
     poll(199.5, &mut synced, &mut steady_node(199.5, "a", 1.0));
     synced.record_own_samples(200.0, 200.0, &learned(1, 200.0, 1.0, 0));
@@ -140,7 +139,7 @@
         forwarded < 0.55 * full && forwarded > 0.4 * full,
         "{forwarded} of {full}"
     );
-    // Leaving: its observations count as before.
+    // Leaving: its observations keep their weight.
     let mut leaving = steady_node(200.0, "f", 1.0);
     leaving.leave();
     assert!(weight_of_long(&mut leaving) > 0.9 * full);
@@ -154,14 +153,14 @@
 }
 
 #[test]
-fn one_liar_among_three_is_outvoted_and_invalid_observations_are_counted_by_reason() {
+fn one_false_source_of_three_is_outvoted_and_rejections_are_counted_by_reason() {
     let mut receiver = node(300.0, "receiver", &[]);
     poll(300.0, &mut receiver, &mut steady_node(300.0, "a", 1.0));
     poll(300.0, &mut receiver, &mut steady_node(300.0, "b", 1.2));
     poll(300.0, &mut receiver, &mut steady_node(300.0, "liar", 400.0));
     let long = receiver.prior_estimates(300.0).run_durations[1].expect("an estimate");
     assert!((1.0..=1.2).contains(&long.value), "{long:?}");
-    // Observations that can't be true.
+    // Invalid observations.
     let gossiped = |value: f64, age_seconds: f64, source: &str, hops: u8| GossipedObservation {
         metric: Metric::RunLowest {
             engine: "e".into(),
@@ -204,7 +203,7 @@
             (InvalidObservation::Hops, 1)
         ]
     );
-    // A sender that claims another source's observations over one hop is corrected.
+    // A forwarded observation that claims a single hop is corrected.
     let answer = Message {
         observations: vec![gossiped(0.01, 0.0, "z", 1)],
         ..answer
@@ -219,7 +218,7 @@
 }
 
 #[test]
-fn clocks_an_hour_apart_agree_on_ages() {
+fn ages_are_correct_between_clocks_an_hour_apart() {
     for clock_offset in [-3600.0, 3600.0] {
         let sender_now = 10_000.0 + clock_offset;
         let mut sender = steady_node(sender_now, "sender", 1.0);
@@ -247,7 +246,7 @@
 }
 
 #[test]
-fn messages_are_bounded_and_a_flood_of_polls_takes_no_more_than_the_cpu_share() {
+fn messages_are_bounded_and_a_flood_of_polls_stays_within_the_cpu_share() {
     let mut sender = steady_node(400.0, "sender", 1.0);
     for peer in 0..40 {
         poll(
@@ -267,7 +266,7 @@
         .poll_received(400.0, &poll_from("poller"))
         .expect("an answer");
     assert_eq!(answer.observations.len(), MAX_OBSERVATIONS);
-    // Its own observations go first.
+    // Its own observations take precedence.
     let own = answer
         .observations
         .iter()
@@ -279,8 +278,8 @@
         .filter(|entry| entry.source.name == "sender")
         .count();
     assert_eq!(own, known);
-    // A thousand polls a second that take a millisecond each get a hundredth of the time, and the
-    // budget that was saved up.
+    // A thousand polls a second at a millisecond each: answers get a hundredth of the time, plus
+    // the accumulated budget.
     let mut answered = 0;
     for number in 0..10_000 {
         let now = 401.0 + number as f64 / 1e3;
@@ -294,7 +293,7 @@
 }
 
 #[test]
-fn a_start_polls_urgently_with_few_polls_at_once_and_then_normally() {
+fn a_starting_node_polls_urgently_with_few_pending_polls_and_then_normally() {
     let seeds = ["a", "b", "c", "d", "e"];
     let mut starting = node(0.0, "me", &seeds);
     let mut now = 0.0;
@@ -304,15 +303,15 @@
         polled_at.extend(actions.iter().map(|_| now));
         now += 0.01;
     }
-    // Nobody answers: at most three polls are awaited at once, each for half a second, and after
-    // three seconds there is one a second.
+    // No peer answers: at most three polls are pending at once, each for half a second, and after
+    // three seconds one poll is sent a second.
     let early = polled_at.iter().filter(|time| **time < 3.0).count();
     let late = polled_at.iter().filter(|time| **time >= 3.5).count();
     assert!(
         (6..=21).contains(&early) && (2..=3).contains(&late),
         "{early} {late}"
     );
-    // Without an address it polls nobody and needs no timer.
+    // Without an address the node sends no polls and needs no timer.
     let mut alone = GossipNode::new(
         0.0,
         1,
@@ -326,13 +325,13 @@
 }
 
 #[test]
-fn observations_of_an_earlier_incarnation_count_as_a_peers_and_age() {
+fn restored_observations_of_an_earlier_incarnation_age_like_those_of_a_peer() {
     let before = steady_node(500.0, "me", 1.0);
     let exported = before.export(500.0);
     let is_own =
         |gossiped: &GossipedObservation| gossiped.hops == 1 && gossiped.source.name == "me";
     assert!(exported.iter().all(is_own));
-    // The next incarnation, half a minute later.
+    // The next incarnation starts half a minute later.
     let mut after = GossipNode::new(530.0, 2, settings("me", &[]));
     let persisted: Vec<GossipedObservation> = exported
         .into_iter()
@@ -354,19 +353,19 @@
             .keys()
             .any(|name| name.contains("its own past"))
     );
-    // The engine has changed since: peers get the new own observation, not the restored one.
+    // After the engine has changed, peers get the new own observation instead of the restored one.
     after.record_own_samples(531.0, 531.0, &learned(24, 531.0, 2.0, 0));
     let mut receiver = node(531.0, "receiver", &[]);
     poll(531.0, &mut receiver, &mut after);
     let long = receiver.prior_estimates(531.0).run_durations[1].expect("an estimate");
     assert_eq!(long.value, 2.0);
-    // The same incarnation takes none of its own.
+    // The same incarnation rejects its own observations.
     let mut same = GossipNode::new(530.0, 1, settings("me", &[]));
     assert_eq!(same.restore(530.0, persisted), 0);
 }
 
 #[test]
-fn removing_one_source_or_all_leaves_own_observations() {
+fn removing_other_sources_keeps_own_observations() {
     let mut receiver = steady_node(600.0, "me", 1.0);
     poll(600.0, &mut receiver, &mut steady_node(600.0, "a", 1.0));
     poll(600.0, &mut receiver, &mut steady_node(600.0, "b", 1.0));
@@ -389,7 +388,7 @@
 }
 
 #[test]
-fn a_leaving_node_announces_it_to_whom_it_polls() {
+fn a_leaving_node_announces_it_with_its_polls() {
     let mut leaving = node(0.0, "leaving", &["other"]);
     let mut other = node(0.0, "other", &["leaving"]);
     poll(0.0, &mut other, &mut leaving);
@@ -397,7 +396,7 @@
     leaving.leave();
     let actions = leaving.timer_expired(1.0, &mut || 0.5);
     let Some(Action::Poll { poll, .. }) = actions.first() else {
-        panic!("it polls")
+        panic!("expected a poll")
     };
     other.poll_received(1.0, poll);
     assert_eq!(other.members().state_of("leaving"), Some(State::Left));
--- a/crates/merlinshelf-gossip/tests/membership.rs
+++ b/crates/merlinshelf-gossip/tests/membership.rs
@@ -1,5 +1,5 @@
-//! Membership of many instances in virtual time: how fast all know of a change, and what it costs
-//! each, over a network that delays, partitions and heals.
+//! Membership of many instances in virtual time: how fast a change reaches all, and how many
+//! messages each sends, over a network that delays messages, partitions and heals.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -32,12 +32,12 @@
     Timeout(usize),
     Poll(Envelope),
     Answer(Envelope),
-    /// Stands in the place of an event that has happened.
-    Done,
+    /// Replaces an event that was processed.
+    Processed,
 }
 
-/// All instances and the network between them. Times in the queue are in microseconds, with the
-/// event's place in `events`.
+/// All instances and the network between them. The queue holds times in microseconds and indices
+/// into `events`.
 struct Simulation {
     now: f64,
     members: Vec<Option<Members>>,
@@ -84,14 +84,14 @@
     }
 
     fn run_until(&mut self, end: f64) {
-        while let Some(Reverse((microseconds, place))) = self.queue.pop() {
+        while let Some(Reverse((microseconds, index))) = self.queue.pop() {
             let time = microseconds as f64 / 1e6;
             if time > end {
-                self.queue.push(Reverse((microseconds, place)));
+                self.queue.push(Reverse((microseconds, index)));
                 break;
             }
             self.now = time;
-            match std::mem::replace(&mut self.events[place as usize], Event::Done) {
+            match std::mem::replace(&mut self.events[index as usize], Event::Processed) {
                 Event::Timeout(number) => self.handle_timeout(number),
                 Event::Poll(poll) => self.handle_poll(&poll),
                 Event::Answer(answer) => {
@@ -99,7 +99,7 @@
                         member.answer_received(self.now, &answer.sender, &answer.updates);
                     }
                 }
-                Event::Done => {}
+                Event::Processed => {}
             }
         }
         self.now = end;
@@ -142,7 +142,7 @@
         self.send(poll.to, poll.from, Event::Answer(answer));
     }
 
-    /// Runs until the condition holds for all that live; when that was.
+    /// Runs until the condition holds for all running instances, and returns the time.
     fn run_until_all(
         &mut self,
         max_seconds: f64,
@@ -163,7 +163,7 @@
     }
 }
 
-/// An instance that is reached under its number.
+/// An instance whose address is its number.
 fn start_member(now: f64, number: usize, incarnation: u64, seeds: &[String]) -> Members {
     let name = format!("n{number}");
     let address = number.to_string();
@@ -181,16 +181,16 @@
     move |member| member.alive().count() == count
 }
 
-/// Whether an instance, if it is another one, takes this one to be in this state or has forgotten
-/// it.
-fn knows(name: String, state: State) -> impl Fn(&Members) -> bool {
+/// Whether a member is the instance `name` itself, sees it in this or a later state, or no longer
+/// has it in its table.
+fn has_seen(name: String, state: State) -> impl Fn(&Members) -> bool {
     move |member| {
         member.own().name == name || member.state_of(&name).is_none_or(|known| known >= state)
     }
 }
 
 #[test]
-fn all_meet_after_a_simultaneous_start_and_a_change_reaches_all() {
+fn instances_started_together_discover_each_other_and_learn_of_changes() {
     let mut message_rates = Vec::new();
     for count in [16, 120] {
         let mut simulation = Simulation::new(count, 7);
@@ -201,17 +201,17 @@
         simulation.run_until(simulation.now + 20.0);
         let messages = simulation.message_count - messages_before;
         message_rates.push(messages as f64 / 20.0 / count as f64);
-        // One crashes, one announces that it leaves.
+        // One instance crashes, another announces that it is leaving.
         simulation.members[count / 2] = None;
         let leaving = simulation.members[count / 3].as_mut();
         leaving.expect("it lives").leave();
         let changed_at = simulation.now;
-        let knows_left = knows(format!("n{}", count / 3), State::Left);
+        let knows_left = has_seen(format!("n{}", count / 3), State::Left);
         let left_after = simulation
             .run_until_all(60.0, knows_left)
             .expect("all know that it left")
             - changed_at;
-        let knows_gone = knows(format!("n{}", count / 2), State::Gone);
+        let knows_gone = has_seen(format!("n{}", count / 2), State::Gone);
         simulation
             .run_until_all(60.0, knows_gone)
             .expect("all know that it is gone");
@@ -220,10 +220,10 @@
             met_at < 60.0 && left_after < 20.0 && gone_after < 40.0,
             "{count}: met at {met_at}, left after {left_after}, gone after {gone_after}"
         );
-        // Nobody else was lost over it.
+        // No other instance was removed.
         assert!(simulation.all(|member| member.alive().count() >= count - 3));
     }
-    // A poll and an answer a second each, whatever the size.
+    // Each instance sends one poll and one answer a second, at any cluster size.
     assert!(
         message_rates[0] < 2.5
             && message_rates[1] < 2.5
@@ -233,13 +233,13 @@
 }
 
 #[test]
-fn a_partitioned_network_heals() {
+fn partitions_merge_after_the_network_heals() {
     let count = 40;
     let mut simulation = Simulation::new(count, 11);
     simulation
         .run_until_all(60.0, sees_alive(count - 1))
         .expect("all meet");
-    // The seeds are all on one side.
+    // All seeds are in the same partition.
     simulation.partitions[20..].fill(1);
     simulation.run_until(simulation.now + 90.0);
     assert!(
@@ -253,13 +253,13 @@
 }
 
 #[test]
-fn a_silent_peer_is_gone_for_all_and_a_slow_one_refutes_its_suspicion() {
+fn a_short_outage_is_refuted_and_a_long_one_makes_a_peer_gone() {
     let count = 30;
     let mut simulation = Simulation::new(count, 13);
     simulation
         .run_until_all(60.0, sees_alive(count - 1))
         .expect("all meet");
-    // It is cut off for less than the suspicion lasts.
+    // The outage is shorter than the suspicion timeout.
     simulation.partitions[9] = 1;
     simulation.run_until(simulation.now + 3.0);
     simulation.partitions[9] = 0;
@@ -276,7 +276,7 @@
     simulation
         .run_until_all(60.0, knows_gone)
         .expect("it is gone for all");
-    // A later incarnation under the same name is another member.
+    // A later incarnation of the same name overrides the gone state.
     simulation.partitions[9] = 0;
     let seeds = ["0".to_owned()];
     simulation.members[9] = Some(start_member(simulation.now, 9, 2, &seeds));
--- a/crates/merlinshelf-gossip/tests/observation_store.rs
+++ b/crates/merlinshelf-gossip/tests/observation_store.rs
@@ -1,4 +1,4 @@
-//! The store of observations: what it accepts, and how much each observation counts in estimates.
+//! The observation store: which observations it accepts, and their weight in estimates.
 
 use std::fmt::Write as _;
 
@@ -37,7 +37,7 @@
     }
 }
 
-/// An own observation of [`calls`] from so many samples.
+/// An own observation of [`calls`] with this sample count.
 fn own_calls(sample_count: u32) -> OwnObservation {
     OwnObservation {
         metric: calls(),
@@ -77,7 +77,9 @@
     ];
     for (description, observation) in cases {
         let mut store = ObservationStore::new(source("me"));
-        store.accept(100.0, observation).expect("it can be true");
+        store
+            .accept(100.0, observation)
+            .expect("a valid observation");
         let estimate = store.estimate(100.0, &calls());
         let line = estimate.map(|estimate| {
             let shares = [0, 1, 3, 10]
@@ -152,7 +154,7 @@
 }
 
 #[test]
-fn one_liar_among_three_moves_no_estimate_past_an_honest_value() {
+fn one_false_source_of_three_moves_no_estimate_beyond_the_correct_values() {
     for lie in [1e-5, 0.001, 0.5, 599.0] {
         let mut store = ObservationStore::new(source("me"));
         for observation in [
@@ -160,7 +162,9 @@
             gossiped("b", 0.012, 4.0),
             gossiped("liar", lie, 0.0),
         ] {
-            store.accept(50.0, observation).expect("it might be true");
+            store
+                .accept(50.0, observation)
+                .expect("a valid observation");
         }
         let estimate = store.estimate(50.0, &calls()).expect("three sources");
         assert!(
@@ -168,11 +172,11 @@
             "{lie}: {estimate:?}"
         );
     }
-    // Alone it makes the estimate, and loses weight beside a few own samples.
+    // A single false source determines the estimate, but own samples soon outweigh it.
     let mut store = ObservationStore::new(source("me"));
     store
         .accept(50.0, gossiped("liar", 0.5, 0.0))
-        .expect("it might be true");
+        .expect("a valid observation");
     let estimate = store.estimate(50.0, &calls()).expect("one source");
     let blended = [0, 1, 3, 10, 24].map(|own| estimate.blend(0.010, own));
     assert!(
@@ -181,7 +185,7 @@
     );
 }
 
-/// One instance sends another all that it may.
+/// One instance sends all its observations to another.
 #[derive(Clone, Debug)]
 struct Exchange {
     from: usize,
@@ -207,10 +211,10 @@
         ..ProptestConfig::default()
     })]
 
-    /// One observation, sent in circles: nowhere is it younger than it is or surer than at its
-    /// source, and it is never forwarded as an own one.
+    /// An observation that is forwarded in cycles never gets younger or more samples than at its
+    /// source, and is never forwarded as an own observation.
     #[test]
-    fn circles_make_no_observation_younger_or_surer(exchanges in exchanges()) {
+    fn forwarding_in_cycles_adds_no_confidence_and_reduces_no_age(exchanges in exchanges()) {
         let new_store = |number: usize| ObservationStore::new(source(&number.to_string()));
         let mut stores: Vec<ObservationStore> = (0..5).map(new_store).collect();
         let mut now = 1000.0;
@@ -227,7 +231,7 @@
                     let observation = entry.observation;
                     prop_assert_eq!(entry.source, &source("0"));
                     let is_old_enough = observation.observed_at <= 1000.0 + 1e-6;
-                    prop_assert!(is_old_enough, "younger than it is: {observation:?}");
+                    prop_assert!(is_old_enough, "too young: {observation:?}");
                     prop_assert_eq!(observation.sample_count, 24);
                     prop_assert_eq!(observation.hops == 0, number == 0);
                 }
@@ -238,7 +242,7 @@
         }
     }
 
-    /// However many send, a store stays small and its own observations stay in it.
+    /// The store stays within its limits for any number of sources and keeps its own observations.
     #[test]
     fn the_store_is_bounded(names in proptest::collection::vec((0u32..400, 0u32..2000), 1..800)) {
         let mut store = ObservationStore::new(source("me"));
--- a/crates/merlinshelf-gossip/tests/store_format.rs
+++ b/crates/merlinshelf-gossip/tests/store_format.rs
@@ -1,4 +1,4 @@
-//! What a store file gives back after it was torn or garbled.
+//! Recovery of records from a truncated or corrupt store file.
 
 use merlinshelf_gossip::store_format::{
     FrameError, PersistedObservation, Record, encode_record, header, recover,
@@ -33,10 +33,10 @@
         ..ProptestConfig::default()
     })]
 
-    /// A file cut at any byte gives back every record before the cut and none that was not written;
-    /// a byte changed anywhere gives back what stood before it.
+    /// A file truncated at any byte yields exactly the records before the cut, and a file with a
+    /// flipped bit yields exactly the records before the damaged one.
     #[test]
-    fn a_torn_or_garbled_file_gives_back_what_stood_before(
+    fn a_truncated_or_corrupt_file_yields_the_records_before_the_damage(
         values in proptest::collection::vec(0.001f64..1.0, 1..12),
         cut in 0usize..3000,
         flip in 0usize..3000,
@@ -65,15 +65,15 @@
         prop_assert_eq!(torn.error.is_none(), is_between_records, "{:?}", torn.error);
         let flip = flip % bytes.len();
         bytes[flip] ^= 1 << bit;
-        let garbled = recover(&bytes);
+        let corrupt = recover(&bytes);
         let before = ends.iter().filter(|end| **end <= flip).count().saturating_sub(1);
-        prop_assert_eq!(garbled.records.as_slice(), &all[..before]);
-        prop_assert!(garbled.error.is_some());
+        prop_assert_eq!(corrupt.records.as_slice(), &all[..before]);
+        prop_assert!(corrupt.error.is_some());
     }
 }
 
 #[test]
-fn a_foreign_file_is_reported_and_a_clock_set_back_makes_nothing_younger() {
+fn an_unknown_format_is_reported_and_a_clock_set_back_reduces_no_age() {
     assert_eq!(
         recover(b"SQLite format 3\0").error,
         Some(FrameError::UnknownFormat)
