--- a/crates/merlinshelf-dependencies/src/config_check.rs
+++ b/crates/merlinshelf-dependencies/src/config_check.rs
@@ -1,4 +1,4 @@
-//! Validation of the operators' settings of dependencies. Messages name the keys of the operators'
+//! Validation of the operators' settings of dependencies. Errors name the keys of the operators'
 //! file.
 
 use std::collections::BTreeSet;
@@ -8,29 +8,31 @@
 
 /// Longest name of a dependency, in bytes.
 const MAX_NAME_BYTES: usize = 64;
-/// Names are listed in a header's field, separated by commas.
+/// Names are listed in a header field, separated by commas.
 const FORBIDDEN_IN_NAMES: [char; 4] = [',', '\r', '\n', ' '];
-/// Rounding that a sum of shares may be over 1 by.
+/// Rounding error by which a sum of shares may exceed 1.
 const SHARE_TOLERANCE: f64 = 1e-9;
 
-/// What is wrong in the settings of dependencies, and where.
+/// An error in the settings of dependencies, with the key that is invalid.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum ConfigError {
-    /// A dependency's name is empty, too long, or can't stand in a list.
-    #[error("dependencies.{dependency}: no name: up to 64 characters without commas and blanks")]
+    /// A dependency's name is empty, too long, or has characters that are not allowed in a list.
+    #[error(
+        "dependencies.{dependency}: invalid name: must have 1 to 64 bytes without commas, spaces and line breaks"
+    )]
     InvalidName {
         /// The name.
         dependency: String,
     },
     /// A dependency has no servers.
-    #[error("dependencies.{dependency}.servers: a list of none")]
+    #[error("dependencies.{dependency}.servers: must not be empty")]
     NoServers {
         /// The dependency's name.
         dependency: String,
     },
-    /// A server's address is no IP address with a port.
+    /// A server's address is not an IP address with a port.
     #[error(
-        "dependencies.{dependency}.servers[{index}].address: {address:?} is no address with a port"
+        "dependencies.{dependency}.servers[{index}].address: {address:?} is not an IP address with a port"
     )]
     InvalidAddress {
         /// The dependency's name.
@@ -41,7 +43,7 @@
         address: String,
     },
     /// Two servers of a dependency have the same address.
-    #[error("dependencies.{dependency}.servers[{index}].address: {address} is there twice")]
+    #[error("dependencies.{dependency}.servers[{index}].address: {address} is a duplicate")]
     DuplicateAddress {
         /// The dependency's name.
         dependency: String,
@@ -68,14 +70,14 @@
         /// The share.
         share: f64,
     },
-    /// The subset is empty.
-    #[error("dependencies.{dependency}.subset: of none nobody could be asked")]
+    /// The size of the subset is 0.
+    #[error("dependencies.{dependency}.subset: must be at least 1")]
     EmptySubset {
         /// The dependency's name.
         dependency: String,
     },
-    /// Fallback dependencies lead back to the first one.
-    #[error("dependencies.{dependency}.instead: a circle: {}", .cycle.join(", "))]
+    /// Fallback dependencies form a cycle.
+    #[error("dependencies.{dependency}.instead: fallback cycle: {}", .cycle.join(", "))]
     FallbackCycle {
         /// The first name of the cycle in alphabetical order.
         dependency: String,
@@ -91,7 +93,7 @@
         fallback: String,
     },
     /// Concurrent calls are not supported.
-    #[error("operations.{operation}.at_once: calls of one run at once are not served yet")]
+    #[error("operations.{operation}.at_once: concurrent calls of one run are not supported yet")]
     ConcurrentCalls {
         /// The operation's name.
         operation: String,
@@ -128,19 +130,19 @@
         /// The age in seconds.
         max_age_seconds: f64,
     },
-    /// The value that is lost without a call is not from 0 to 1.
+    /// The share of the value that is lost without a call is not from 0 to 1.
     #[error("operations.{operation}.calls[{index}].cost: {value_loss} is not from 0 to 1")]
     InvalidValueLoss {
         /// The operation's name.
         operation: String,
         /// The call's index.
         index: usize,
-        /// The part of the value.
+        /// The share of the value.
         value_loss: f64,
     },
-    /// Consecutive calls together have more than all of the remaining time.
+    /// The shares of consecutive calls add up to more than the remaining time.
     #[error(
-        "operations.{operation}.calls: shares of one after the other are {sum:.2} together, over 1"
+        "operations.{operation}.calls: shares of consecutive calls add up to {sum:.2}, above 1"
     )]
     SharesExceedTime {
         /// The operation's name.
@@ -154,7 +156,7 @@
     /// Validates the settings as a whole.
     ///
     /// # Errors
-    /// Everything that is wrong, in the order of the settings.
+    /// All errors, in the order of the settings.
     pub fn check(&self) -> Result<(), Vec<ConfigError>> {
         let mut errors = Vec::new();
         for (name, dependency) in &self.dependencies {
@@ -196,7 +198,7 @@
         }
     }
 
-    /// The names from a dependency back to itself, where its fallbacks lead there.
+    /// The names of the fallback cycle that includes `start`; `None` if there is no such cycle.
     fn fallback_cycle<'a>(&'a self, start: &'a str) -> Option<Vec<&'a str>> {
         let mut path = vec![start];
         let mut current = start;
--- a/crates/merlinshelf-dependencies/src/counters.rs
+++ b/crates/merlinshelf-dependencies/src/counters.rs
@@ -1,13 +1,13 @@
-//! Counters of one dependency. In reports the fields have the names that operators' tools read.
+//! Counters of one dependency. Renamed fields keep the JSON names that operators' tools read.
 
 use serde::Serialize;
 
 /// Events at one dependency since the start of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Counters {
-    /// Calls that were routed to it, made or not.
+    /// Calls routed to the dependency, whether or not they were made.
     pub calls: u64,
-    /// Attempts that were sent.
+    /// Attempts sent.
     pub attempts: u64,
     /// Attempts that succeeded.
     pub succeeded: u64,
@@ -23,8 +23,8 @@
     /// Calls that ended with a degraded result.
     #[serde(rename = "lesser")]
     pub degraded: u64,
-    /// Calls that were not made: no time, no capacity in time, no usable server, or the dependency
-    /// as a whole fails.
+    /// Calls not made: too little time, no capacity in time, no usable server, or a dependency that
+    /// fails as a whole.
     pub not_made: u64,
     /// Calls whose deadline passed.
     #[serde(rename = "out_of_time")]
--- a/crates/merlinshelf-dependencies/src/fallback.rs
+++ b/crates/merlinshelf-dependencies/src/fallback.rs
@@ -1,10 +1,10 @@
-//! Degraded results: what a run gets for a call that was not made or failed, and what its caller is
-//! notified of. A degraded result is never presented as a complete one.
+//! Degraded results: what a run gets for a call that was not made or failed, and how its caller is
+//! notified. A degraded result is never presented as a complete one.
 
 /// What replaces a call that can't be made.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DegradedResult {
-    /// Nothing can: the run fails without the call.
+    /// There is no replacement: the run fails without the call.
     Required,
     /// No bytes; the run continues without the call.
     Nothing,
@@ -12,7 +12,7 @@
     Fixed(Vec<u8>),
     /// The last good reply to the same request.
     Cached {
-        /// The oldest reply that is used, in seconds.
+        /// Maximum age of the reply, in seconds.
         max_age_seconds: f64,
     },
 }
@@ -22,13 +22,13 @@
 pub enum CallResult {
     /// The complete reply.
     Complete(Vec<u8>),
-    /// A degraded result, and its bytes where it has any.
+    /// A degraded result, and its bytes if it has any.
     Degraded(Option<Vec<u8>>),
     /// The run can't continue.
     Failed,
 }
 
-/// A reply to an earlier request of the same payload.
+/// A reply to an earlier request with the same payload.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CachedReply<'a> {
     /// The reply.
@@ -37,7 +37,7 @@
     pub age_seconds: f64,
 }
 
-/// The result in place of a reply; `cached` is the last good one, if any.
+/// The result in place of a reply; `cached` is the last good reply, if any.
 pub fn degraded_result(fallback: &DegradedResult, cached: Option<CachedReply<'_>>) -> CallResult {
     match fallback {
         DegradedResult::Required => CallResult::Failed,
@@ -57,7 +57,7 @@
 pub struct MissingParts(Vec<String>);
 
 impl MissingParts {
-    /// Adds a dependency, once.
+    /// Adds a dependency, unless it is already listed.
     pub fn add(&mut self, dependency: &str) {
         if !self.0.iter().any(|known| known == dependency) {
             self.0.push(dependency.to_owned());
@@ -69,17 +69,17 @@
         !self.0.is_empty()
     }
 
-    /// The value of the field that notifies the caller; `None` where nothing is missing. Names hold
-    /// no commas (`Dependencies::check`).
+    /// The value of the header field that notifies the caller; `None` if nothing is missing. Names
+    /// contain no commas (`Dependencies::check`).
     pub fn field_value(&self) -> Option<String> {
         self.is_partial().then(|| self.0.join(", "))
     }
 
-    /// Expected billed value of the result, where the complete one has `complete_value` and each
-    /// missing dependency loses the part `value_loss` of it (0 to 1).
+    /// Expected billed value of the result, if a complete one has `complete_value` and each missing
+    /// dependency reduces it by the share `value_loss` (0 to 1).
     pub fn expected_value(&self, complete_value: f64, value_loss: impl Fn(&str) -> f64) -> f64 {
-        self.0.iter().fold(complete_value, |value, part| {
-            value * (1.0 - value_loss(part).clamp(0.0, 1.0))
+        self.0.iter().fold(complete_value, |value, dependency| {
+            value * (1.0 - value_loss(dependency).clamp(0.0, 1.0))
         })
     }
 }
--- a/crates/merlinshelf-dependencies/src/lib.rs
+++ b/crates/merlinshelf-dependencies/src/lib.rs
@@ -1,13 +1,14 @@
-//! Downstream calls to several dependencies with several servers each.
+//! Downstream calls to dependencies with several servers each.
 //!
-//! Health checks and the choice of a server ([`server_pool`]), the few of many servers that an
-//! instance connects to ([`mod@subset`]), concurrency limits ([`concurrency_limit`]) and the queue
-//! before them ([`wait_queue`]), deadlines ([`deadline`]), retries and hedged requests
-//! ([`retry_budget`]), fallbacks ([`fallback`]), and the router that combines them ([`router`]).
+//! Outlier ejection and the choice of a server ([`server_pool`]), the subset of the servers that an
+//! instance uses ([`mod@subset`]), concurrency limits ([`concurrency_limit`]) and the queue of
+//! calls that wait for capacity ([`wait_queue`]), deadlines ([`deadline`]), retries and hedged
+//! requests ([`retry_budget`]), fallbacks ([`fallback`]), and the router that combines them
+//! ([`router`]).
 //!
-//! Everything is fed with events and the time, in seconds on one monotonic clock; nothing here does
-//! I/O. How many calls are made, by which priority, and the circuit breaker are decided by the
-//! admission controller.
+//! All modules are sans-I/O: the host passes in events and the time, in seconds of a monotonic
+//! clock. The admission controller decides on the number and priority of calls and holds the
+//! circuit breaker.
 
 pub mod concurrency_limit;
 pub mod config;
--- a/crates/merlinshelf-dependencies/src/report.rs
+++ b/crates/merlinshelf-dependencies/src/report.rs
@@ -1,5 +1,5 @@
-//! Reports of dependencies and their servers for operators. The JSON has the names that operators'
-//! tools read, also where a field was renamed.
+//! Reports of dependencies and their servers for operators. Renamed fields keep the JSON names that
+//! operators' tools read.
 
 use serde::Serialize;
 
@@ -13,21 +13,21 @@
 pub struct ServerReport {
     /// IP address and port.
     pub address: String,
-    /// Its zone; empty where none is configured.
+    /// Zone; empty if none is configured.
     pub zone: String,
-    /// Its health: `in`, `out` (ejected) or `on trial` (probing).
+    /// Health: `in`, `out` (ejected) or `on trial` (probing).
     #[serde(rename = "state")]
     pub health: &'static str,
-    /// Why it was ejected, while it is.
+    /// Reason of the ejection, while the server is ejected.
     #[serde(rename = "why")]
     pub ejection_reason: Option<&'static str>,
     /// Calls in flight.
     #[serde(rename = "open")]
     pub in_flight: u32,
-    /// Its concurrency limit; `None` before the first success.
+    /// Concurrency limit; `None` before the first success.
     #[serde(rename = "limit")]
     pub concurrency_limit: Option<f64>,
-    /// Mean duration of the latest calls in milliseconds; `None` before the first one.
+    /// Mean duration of the latest calls in milliseconds; `None` before the first call.
     pub mean_ms: Option<f64>,
     /// Share of the latest calls that failed, 0 to 1.
     #[serde(rename = "failures")]
@@ -37,12 +37,12 @@
 /// The report of one dependency.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Report {
-    /// Its name.
+    /// Name of the dependency.
     pub name: String,
-    /// Whether it fails as a whole.
+    /// Whether the dependency as a whole fails.
     #[serde(rename = "fails")]
     pub is_failing: bool,
-    /// Its concurrency limit.
+    /// Concurrency limit.
     #[serde(rename = "limit")]
     pub concurrency_limit: f64,
     /// Attempts in flight.
@@ -50,13 +50,13 @@
     pub in_flight: usize,
     /// Calls that wait for capacity.
     pub waiting: usize,
-    /// Retries and hedged requests that its retry budget has.
+    /// Tokens in the retry budget, for retries and hedged requests.
     #[serde(rename = "attempts_left")]
     pub retry_tokens: f64,
-    /// Its counters.
+    /// Counters since the start of the process.
     #[serde(flatten)]
     pub counters: Counters,
-    /// Its servers.
+    /// The servers.
     pub servers: Vec<ServerReport>,
 }
 
--- a/crates/merlinshelf-dependencies/src/retry_budget.rs
+++ b/crates/merlinshelf-dependencies/src/retry_budget.rs
@@ -1,5 +1,5 @@
-//! Retries and hedged requests, out of a budget that successes fill: never where an effect might
-//! happen twice, and not while the dependency as a whole fails.
+//! A budget for retries and hedged requests, which successes refill. A call is not repeated if its
+//! effect might happen twice, nor while the dependency as a whole fails.
 //!
 //! Hedged requests follow J. Dean and L. A. Barroso, "The Tail at Scale" (CACM 56:2, 2013): a
 //! second request is sent once the first one takes longer than the 95th percentile.
@@ -8,10 +8,10 @@
 
 use crate::samples::push_bounded;
 
-/// What happens if a call is made twice.
+/// The effect of making a call twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// The same as if it is made once.
+    /// The same as making it once.
     Idempotent,
     /// Its effect may happen twice.
     NonIdempotent,
@@ -20,27 +20,28 @@
 /// The outcome of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// It was replied to.
+    /// The server replied.
     Succeeded,
-    /// It never reached the server: the connection was refused.
+    /// The attempt never reached the server: the connection was refused.
     NeverSent,
-    /// The server replied that it failed and did nothing.
+    /// The server replied that the call failed without any effect.
     Refused,
-    /// Anything else: it may have taken effect.
+    /// Anything else: the attempt may have taken effect.
     Unknown,
 }
 
-/// Tokens that each success adds: a tenth bounds all attempts to 1.1 a call.
+/// Tokens added by each success: a tenth limits the attempts to 1.1 per call.
 const TOKENS_PER_SUCCESS: f64 = 0.1;
-/// Tokens that a full budget has, as it does at the start.
+/// Tokens of a full budget; it starts full.
 const MAX_TOKENS: f64 = 10.0;
-/// The latest attempts by which the dependency as a whole is judged, the fewest that suffice, and
-/// the share of failures from which it fails: while more than one in five still succeeds, holding
-/// all calls back loses more than it saves.
+/// Number of latest attempts from which the health of the dependency as a whole is derived, the
+/// fewest that suffice, and the share of failures from which it counts as failing. While more than
+/// one in five attempts succeeds, blocking all calls would lose more than it saves.
 const OUTCOME_WINDOW: usize = 50;
 const MIN_OUTCOMES: usize = 10;
 const FAILING_SHARE: f64 = 0.8;
-/// The latest durations, the fewest that suffice, and the percentile of a hedged request's delay.
+/// Number of latest durations from which the delay of hedged requests is derived, the fewest that
+/// suffice, and the percentile used.
 const DURATION_WINDOW: usize = 100;
 const MIN_DURATIONS: usize = DURATION_WINDOW / 5;
 const HEDGE_PERCENTILE: f64 = 0.95;
@@ -79,14 +80,15 @@
         }
     }
 
-    /// Whether the dependency as a whole fails: a retry does not help, and adds to its load.
+    /// Whether the dependency as a whole fails, so that retries would only add load.
     pub fn is_failing(&self) -> bool {
         let attempts = self.successes.len();
         let failures = self.successes.iter().filter(|success| !**success).count();
         attempts >= MIN_OUTCOMES && failures as f64 >= FAILING_SHARE * attempts as f64
     }
 
-    /// Discards the recorded outcomes: others found that the dependency has recovered.
+    /// Discards the recorded outcomes, after other instances have found that the dependency has
+    /// recovered.
     pub fn clear_outcomes(&mut self) {
         self.successes.clear();
     }
@@ -101,7 +103,7 @@
         is_safe && self.try_withdraw()
     }
 
-    /// Seconds after which a hedged request may be sent; `None` where it never may.
+    /// Seconds after which a hedged request may be sent; `None` if it may not be sent.
     pub fn hedge_delay_seconds(&self, effect: Effect) -> Option<f64> {
         if effect != Effect::Idempotent || self.durations_seconds.len() < MIN_DURATIONS {
             return None;
@@ -117,7 +119,7 @@
         effect == Effect::Idempotent && self.try_withdraw()
     }
 
-    /// Tokens in the budget: a retry or hedged request takes one.
+    /// Tokens in the budget; a retry or hedged request takes one.
     pub fn tokens(&self) -> f64 {
         self.tokens
     }
--- a/crates/merlinshelf-dependencies/src/samples.rs
+++ b/crates/merlinshelf-dependencies/src/samples.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-/// Appends a sample and drops the oldest one of a full window.
+/// Appends a sample; a full window first drops its oldest one.
 pub(crate) fn push_bounded<T>(samples: &mut VecDeque<T>, sample: T, capacity: usize) {
     if samples.len() == capacity {
         samples.pop_front();
--- a/crates/merlinshelf-dependencies/src/server.rs
+++ b/crates/merlinshelf-dependencies/src/server.rs
@@ -9,20 +9,20 @@
 /// The outcome of a call to a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerOutcome {
-    /// It replied.
+    /// The server replied.
     Succeeded,
-    /// It replied with an error or with something unreadable, or closed the connection.
+    /// The server replied with an error or an unreadable reply, or closed the connection.
     Failed,
-    /// Its time passed.
+    /// The call timed out.
     TimedOut,
-    /// It was cancelled for another reason: it shows only how long the call took at the least.
+    /// The call was cancelled for another reason: its duration is only a lower bound.
     Cancelled,
 }
 
 /// Why a server was ejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EjectionReason {
-    /// A larger share of its calls fails.
+    /// A larger share of its calls fails than of its peers'.
     MoreFailures,
     /// Its mean duration is a multiple of its peers' median.
     Slower,
@@ -31,7 +31,7 @@
 }
 
 impl EjectionReason {
-    /// The reason as reports show it.
+    /// The reason as shown in reports.
     pub fn as_str(self) -> &'static str {
         match self {
             EjectionReason::MoreFailures => "fails more than its peers",
@@ -41,31 +41,31 @@
     }
 }
 
-/// Whether a server gets calls.
+/// The health of a server, which decides whether it gets calls.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ServerHealth {
-    /// It gets calls.
+    /// The server gets calls.
     Healthy,
-    /// It gets none.
+    /// The server gets no calls.
     Ejected {
-        /// It is probed from then on.
+        /// When probing starts.
         until: f64,
-        /// How often in a row it was ejected.
+        /// Number of consecutive ejections.
         ejections: u32,
-        /// Why.
+        /// Reason of the latest ejection.
         reason: EjectionReason,
     },
-    /// It gets one call at a time.
+    /// The server gets one call at a time, as a probe.
     Probing {
-        /// How often in a row it was ejected before.
+        /// Number of consecutive ejections before.
         ejections: u32,
-        /// Probes in a row that succeeded.
+        /// Number of consecutive successful probes.
         successes: u32,
     },
 }
 
 impl ServerHealth {
-    /// A server that was ejected `ejections` times in a row, the last time now.
+    /// The health of a server that is ejected now, for the `ejections`th consecutive time.
     pub(crate) fn ejected(now: f64, ejections: u32, reason: EjectionReason) -> ServerHealth {
         let doublings = ejections.min(MAX_BACKOFF_DOUBLINGS) as i32 - 1;
         let backoff_seconds =
@@ -77,26 +77,27 @@
         }
     }
 
-    /// Whether probes find out if it has recovered.
+    /// Whether the server is being probed for recovery.
     pub(crate) fn is_probing(&self) -> bool {
         matches!(self, ServerHealth::Probing { .. })
     }
 }
 
-/// The latest calls that are recorded of each server: few enough to be recent, and enough to be
-/// steady.
+/// Number of latest calls that are recorded per server: few enough to be recent, and enough for a
+/// stable mean.
 const SAMPLE_WINDOW: usize = 24;
-/// The first ejection's duration, and the longest one; doubled in between, so that a recovered
-/// server is found within seconds.
+/// Duration of the first ejection, which doubles up to the maximum. The maximum is short, so that a
+/// recovered server is detected within seconds.
 const FIRST_EJECTION_SECONDS: f64 = 1.0;
 const MAX_EJECTION_SECONDS: f64 = 8.0;
 const MAX_BACKOFF_DOUBLINGS: u32 = 10;
-/// After so long without a call what a server showed counts half.
+/// Time without a call after which the samples of a server have half of their weight.
 const SAMPLE_HALF_LIFE_SECONDS: f64 = 1.0;
-/// How long a new or recovered server warms up, and the part of its weight that it begins with.
+/// Duration of the slow start of a new or recovered server, and the share of its weight at the
+/// start.
 pub(crate) const SLOW_START_SECONDS: f64 = 5.0;
 const SLOW_START_SHARE: f64 = 0.1;
-/// The least success rate that is assumed.
+/// Lowest success rate that the expected cost assumes; avoids division by zero.
 const MIN_SUCCESS_RATE: f64 = 0.05;
 
 #[derive(Clone, Copy, Debug)]
@@ -105,16 +106,16 @@
     succeeded: bool,
 }
 
-/// One server, as one instance sees it.
+/// One server as seen by this instance.
 #[derive(Clone, Debug)]
 pub struct Server {
-    /// Its address, which identifies it.
+    /// Address of the server, which identifies it.
     pub name: String,
-    /// Its zone; empty where none is configured.
+    /// Zone of the server; empty if none is configured.
     pub zone: String,
-    /// Its capacity relative to the others'.
+    /// Capacity relative to the other servers.
     pub weight: f64,
-    /// Whether it gets calls.
+    /// Whether the server gets calls.
     pub health: ServerHealth,
     /// Calls in flight.
     pub in_flight: u32,
@@ -137,7 +138,7 @@
         }
     }
 
-    /// Applies another zone and weight; what is known of the server stays.
+    /// Applies a new zone and weight; samples and health are kept.
     pub(crate) fn update_config(&mut self, config: &ServerConfig) {
         self.zone.clone_from(&config.zone);
         self.weight = effective_weight(config.weight);
@@ -156,14 +157,14 @@
         self.samples.len()
     }
 
-    /// The server has recovered: it warms up, and earlier calls no longer count.
+    /// Readmits a recovered server: it warms up, and earlier samples are dropped.
     pub(crate) fn readmit(&mut self, now: f64) {
         self.samples.clear();
         self.healthy_since = now;
         self.health = ServerHealth::Healthy;
     }
 
-    /// Mean duration of the latest calls, in seconds; `None` before the first one.
+    /// Mean duration of the latest calls in seconds; `None` before the first call.
     pub fn mean_seconds(&self) -> Option<f64> {
         let sum: f64 = self
             .samples
@@ -183,16 +184,16 @@
         failed as f64 / self.samples.len().max(1) as f64
     }
 
-    /// Expected cost of a call: its time behind the calls in flight, more where the server fails or
-    /// warms up. `typical_seconds` is what a call takes with its peers.
+    /// Expected cost of a call: its duration after the calls in flight, increased while the server
+    /// fails or warms up. `typical_seconds` is the typical duration of a call to its peers.
     pub(crate) fn expected_cost(&self, now: f64, typical_seconds: f64) -> f64 {
-        // Samples count less the older they are, so that an avoided server gets calls again.
+        // Samples lose weight with age, so that an avoided server eventually gets calls again.
         let age_seconds = (now - self.last_sample_at).max(0.0);
         let sample_weight = 0.5_f64.powf(age_seconds / SAMPLE_HALF_LIFE_SECONDS);
         let mean_seconds = self.mean_seconds().map_or(typical_seconds, |mean| {
             typical_seconds + (mean - typical_seconds) * sample_weight
         });
-        // A server is not fast for replying its errors at once.
+        // A server that fails quickly must not appear fast.
         let failure_rate = self.failure_rate();
         let floor_seconds = if failure_rate > 0.0 {
             typical_seconds
@@ -200,8 +201,8 @@
             0.0
         };
         let healthy_seconds = now - self.healthy_since;
-        let warmth = (healthy_seconds / SLOW_START_SECONDS).clamp(SLOW_START_SHARE, 1.0);
-        let capacity = self.weight * warmth * (1.0 - failure_rate).max(MIN_SUCCESS_RATE);
+        let warm_up_share = (healthy_seconds / SLOW_START_SECONDS).clamp(SLOW_START_SHARE, 1.0);
+        let capacity = self.weight * warm_up_share * (1.0 - failure_rate).max(MIN_SUCCESS_RATE);
         f64::from(self.in_flight + 1) * mean_seconds.max(floor_seconds) / capacity
     }
 }
--- a/crates/merlinshelf-dependencies/src/subset.rs
+++ b/crates/merlinshelf-dependencies/src/subset.rs
@@ -1,10 +1,11 @@
-//! Deterministic subsetting by rendezvous hashing: which few of many servers an instance uses. A
-//! server that is added or removed changes one entry in some instances' subsets; an instance that
-//! is added or removed changes no other instance's subset.
+//! Deterministic subsetting by rendezvous hashing: selects the servers that an instance uses.
+//! Adding or removing a server changes one entry in the subsets of some instances; adding or
+//! removing an instance changes no other instance's subset.
 
-/// Indices into `servers`, the highest ranks first: `count` of them, or all where there are fewer.
+/// Indices of the `count` servers of highest rank, in descending order of rank; of all servers if
+/// there are fewer.
 ///
-/// `instance` and `servers` are hashes of names; every version must rank alike.
+/// `instance` and `servers` are hashes of names. The ranking must be the same in every version.
 pub fn subset(instance: u64, servers: &[u64], count: usize) -> Vec<usize> {
     let mut ranked: Vec<(u64, usize)> = servers
         .iter()
--- a/crates/merlinshelf-dependencies/src/wait_queue.rs
+++ b/crates/merlinshelf-dependencies/src/wait_queue.rs
@@ -6,11 +6,11 @@
 #[derive(Clone, Debug)]
 struct WaitingCall {
     call_id: u64,
-    /// The call is not made from then on.
+    /// When the call stops waiting and is not made.
     expires_at: f64,
 }
 
-/// A call whose turn has come.
+/// A call that was taken from the queue to be made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DequeuedCall {
     /// Index of its operation.
@@ -27,7 +27,7 @@
 }
 
 impl WaitQueue {
-    /// Adds a call of an operation that waits until `expires_at` at the longest.
+    /// Adds a call of an operation, which waits until `expires_at` at most.
     pub fn enqueue(&mut self, operation: usize, call_id: u64, expires_at: f64) {
         self.queues
             .entry(operation)
@@ -38,7 +38,7 @@
             });
     }
 
-    /// Removes and returns the calls whose time to wait has passed: they are not made.
+    /// Removes and returns the calls whose waiting time has expired; they are not made.
     pub fn take_expired(&mut self, now: f64) -> Vec<u64> {
         let mut expired = Vec::new();
         for queue in self.queues.values_mut() {
@@ -53,8 +53,8 @@
         expired
     }
 
-    /// The next call to be made: of the operation with the fewest calls in flight, so that a busy
-    /// one starves no other. It counts as in flight from here on.
+    /// Takes the next call, from the operation with the fewest calls in flight, so that a busy
+    /// operation does not starve others. The call counts as in flight from now on.
     pub fn dequeue(&mut self) -> Option<DequeuedCall> {
         let waiting = self.queues.iter().filter(|(_, queue)| !queue.is_empty());
         let in_flight = |operation: &usize| self.in_flight.get(operation).copied().unwrap_or(0);
@@ -64,12 +64,12 @@
         Some(DequeuedCall { operation, call_id })
     }
 
-    /// A call of the operation was made without waiting.
+    /// Counts a call of the operation that was made without waiting.
     pub fn call_started(&mut self, operation: usize) {
         *self.in_flight.entry(operation).or_default() += 1;
     }
 
-    /// A call of the operation is no longer in flight.
+    /// Stops counting a call of the operation as in flight.
     pub fn call_ended(&mut self, operation: usize) {
         if let Some(in_flight) = self.in_flight.get_mut(&operation) {
             *in_flight = in_flight.saturating_sub(1);
