--- a/crates/merlinshelf-dependencies/src/router/attempts.rs
+++ b/crates/merlinshelf-dependencies/src/router/attempts.rs
@@ -8,8 +8,8 @@
 use crate::server::ServerOutcome;
 
 impl Router {
-    /// An attempt ended, with its reply where it succeeded. Late outcomes of attempts that were
-    /// cancelled are ignored.
+    /// Handles the end of an attempt, with its reply if it succeeded. Late outcomes of cancelled
+    /// attempts are ignored.
     pub fn attempt_ended(
         &mut self,
         now: f64,
@@ -81,7 +81,7 @@
         };
         call.may_have_run |= outcome == AttemptOutcome::Unknown;
         if !call.attempts.is_empty() {
-            return; // the other one may still succeed
+            return; // the other attempt may still succeed
         }
         let state = self.states.get_mut(&call.dependency);
         let may_retry = state.is_some_and(|state| {
@@ -154,8 +154,8 @@
         self.calls.remove(&call_id);
     }
 
-    /// Cancels a call whose result is no longer needed: its attempts are cancelled, and it is not
-    /// reported as complete.
+    /// Cancels a call whose result is no longer needed, with its attempts. It is not reported as
+    /// complete.
     pub fn cancel_call(&mut self, now: f64, call_id: u64, random: &mut dyn FnMut() -> f64) {
         let Some(call) = self.calls.get(&call_id) else {
             return;
@@ -170,8 +170,8 @@
         }
     }
 
-    /// The time of [`next_timeout`](Router::next_timeout) has come: ends calls whose deadline has
-    /// passed, and sends hedged requests.
+    /// Handles the timeout of [`next_timeout`](Router::next_timeout): ends calls whose deadline has
+    /// passed, and sends hedged requests that are due.
     pub fn handle_timeout(&mut self, now: f64, random: &mut dyn FnMut() -> f64) {
         let due: Vec<u64> = self
             .calls
@@ -212,7 +212,7 @@
         self.fall_back(now, call_id, cause, random);
     }
 
-    /// Sends a hedged request, unless the first attempt is the last one that there is capacity for.
+    /// Sends a hedged request if there is capacity, quota and budget for it.
     fn hedge(&mut self, now: f64, call_id: u64, random: &mut dyn FnMut() -> f64) {
         let Some(call) = self.calls.get_mut(&call_id) else {
             return;
--- a/crates/merlinshelf-dependencies/src/router/dependency_state.rs
+++ b/crates/merlinshelf-dependencies/src/router/dependency_state.rs
@@ -1,4 +1,4 @@
-//! What the router knows of one dependency: its servers, limits, budgets and calls in flight.
+//! The router's state of one dependency: its servers, limits, budgets and calls in flight.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -14,56 +14,57 @@
 use crate::server_pool::ServerPool;
 use crate::wait_queue::WaitQueue;
 
-/// A concurrency limit begins where a small pool of servers is surely not overloaded, and ends at
-/// what no instance has in flight.
+/// Start and maximum of concurrency limits: the start does not overload a small pool of servers,
+/// and no instance has more calls in flight than the maximum.
 const INITIAL_LIMIT: f64 = 32.0;
 const MAX_LIMIT: f64 = 4096.0;
-/// The latest durations by which a call's duration is predicted.
+/// Number of latest durations from which the duration of a call is predicted.
 const DURATION_WINDOW: usize = 24;
-/// Probes at one time of a dependency that fails as a whole.
+/// Maximum number of concurrent probes of a dependency that fails as a whole.
 const MAX_PROBES: usize = 1;
-/// Seconds from a probe that fails to the next one: those that fail at once would follow each other
-/// as fast as calls arrive. Ten a second find a recovery within about one second; a probe that
-/// succeeds is followed at once.
+/// Seconds from the start of a probe that fails to the next one. Without a pause, probes that fail
+/// immediately would follow each other as fast as calls arrive. Ten probes a second detect a
+/// recovery within about a second; a successful probe is followed by the next one without a pause.
 const PROBE_INTERVAL_SECONDS: f64 = 0.1;
 
 /// Whether a call may be made now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Admission {
     Granted,
-    /// Once there is capacity.
+    /// The call may be made once there is capacity.
     Deferred,
     Denied,
 }
 
-/// Why no server can be sent an attempt.
+/// Why an attempt can't be sent to any server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Unavailable {
-    /// Each usable server has reached its concurrency limit.
+    /// All usable servers have reached their concurrency limits.
     AllFull,
     NoServer,
 }
 
-/// One dependency, as one instance sees it.
+/// One dependency as seen by this instance.
 #[derive(Clone, Debug)]
 pub(crate) struct DependencyState {
     pub(super) config: Dependency,
     pub(crate) pool: ServerPool,
     pub(crate) retry_budget: RetryBudget,
     pub(crate) concurrency_limit: ConcurrencyLimit,
-    /// By server: one with less capacity gets fewer calls, whatever the pool can take.
+    /// Concurrency limits by server, so that a server with less capacity gets fewer calls than the
+    /// pool's limit would allow.
     pub(crate) server_limits: BTreeMap<String, ConcurrencyLimit>,
     pub(crate) wait_queue: WaitQueue,
-    /// Attempts in flight, of all operations.
+    /// Attempts in flight of all operations.
     pub(crate) in_flight: usize,
-    /// While the dependency as a whole fails, no probe before then.
+    /// Earliest time of the next probe while the dependency as a whole fails.
     next_probe_at: f64,
     /// Durations of the latest attempts that succeeded.
     durations_seconds: VecDeque<f64>,
-    /// The lowest of them; 0 before the first one.
+    /// The lowest of these durations; 0 before the first one.
     pub(super) lowest_seconds: f64,
     pub(crate) counters: Counters,
-    /// What the fleet's budgets leave of calls to it.
+    /// What remains of the fleet's budgets for calls to the dependency.
     pub(super) quota: Remaining,
 }
 
@@ -90,7 +91,7 @@
         }
     }
 
-    /// Applies other settings; what is known of servers that stay is kept.
+    /// Applies new settings; servers that remain keep their state.
     pub(super) fn update_config(
         &mut self,
         now: f64,
@@ -103,13 +104,13 @@
         self.config = config.clone();
     }
 
-    /// Whether it fails as a whole, here or for the fleet.
+    /// Whether the dependency as a whole fails, by this instance's calls or by the fleet's.
     pub(super) fn is_failing(&self) -> bool {
         self.retry_budget.is_failing() || self.quota.probes_only
     }
 
-    /// Whether the fleet's budgets allow a retry or a hedged request: never to a dependency that
-    /// fails for all.
+    /// Whether the fleet's budgets allow a retry or a hedged request, which they never do to a
+    /// dependency that fails for the fleet.
     pub(super) fn has_retry_quota(&self) -> bool {
         !self.quota.probes_only && self.quota.retries > 0
     }
@@ -130,7 +131,7 @@
         self.durations_seconds.iter().copied().fold(0.0, f64::max)
     }
 
-    /// Whether a call may be made now. While the dependency fails, the calls admitted are probes.
+    /// Whether a call may be made now. While the dependency fails, admitted calls are probes.
     pub(super) fn admit(&mut self, now: f64) -> Admission {
         if self.is_failing() {
             let is_too_early = self.in_flight >= MAX_PROBES || now < self.next_probe_at;
@@ -148,14 +149,14 @@
         }
     }
 
-    /// Lets a call wait for capacity, as long as there is time for the call itself after that.
+    /// Queues a call until there is capacity, or until too little time remains to make it.
     pub(super) fn enqueue(&mut self, call_id: u64, call: &mut CallState) {
         call.is_waiting = true;
         let expires_at = call.deadline - self.lowest_seconds;
         self.wait_queue.enqueue(call.operation, call_id, expires_at);
     }
 
-    /// Picks a server that the call was not sent to yet and that has capacity; counts the attempt
+    /// Picks a server that has capacity and was not tried by the call yet, and counts the attempt
     /// as in flight there.
     pub(super) fn pick_server(
         &mut self,
@@ -185,7 +186,7 @@
                 .is_some_and(|limit| !limit.has_capacity(server.in_flight as usize))
     }
 
-    /// Counts an attempt of a call as in flight, and takes it from the fleet's budgets.
+    /// Counts an attempt of a call as in flight, and deducts it from the fleet's budgets.
     pub(super) fn attempt_started(&mut self, call: &CallState, kind: AttemptKind) {
         self.in_flight += 1;
         self.counters.attempts += 1;
--- a/crates/merlinshelf-dependencies/src/router/fallback.rs
+++ b/crates/merlinshelf-dependencies/src/router/fallback.rs
@@ -1,16 +1,16 @@
-//! Calls that can't be made at a dependency: another dependency, a degraded result, or failure.
+//! Fallbacks of calls that got no reply: another dependency, a degraded result, or failure.
 
 use super::call_state::CallState;
 use super::{Action, CallEnd, Router};
 use crate::config::{Call, Fallback};
 use crate::fallback::{CallResult, DegradedResult, degraded_result};
 
-/// Why a call falls back.
+/// Why a fallback is used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum FallbackCause {
     /// No attempt was sent to the present dependency.
     NotMade,
-    /// The attempts there failed, or took too long.
+    /// The attempts at the present dependency failed or timed out.
     AttemptFailed,
 }
 
@@ -62,7 +62,7 @@
                 bytes,
                 missing: dependency.clone(),
             },
-            // No reply is cached: the run continues without a call that is not required.
+            // There is no degraded result: the run continues without a call that is not required.
             _ if !call.config.is_required => CallEnd::Degraded {
                 bytes: None,
                 missing: dependency.clone(),
--- a/crates/merlinshelf-dependencies/src/router/handover.rs
+++ b/crates/merlinshelf-dependencies/src/router/handover.rs
@@ -1,11 +1,11 @@
-//! The stop of all calls in an upgrade: the successor carries them on with a router of its own.
+//! Stops all calls in an upgrade: the successor continues them with its own router.
 
 use super::Router;
 use crate::server::ServerOutcome;
 
 impl Router {
-    /// Drops all calls and actions without reporting them; what is known of dependencies and
-    /// servers stays.
+    /// Drops all calls and actions without reporting them. The state of dependencies and servers is
+    /// kept.
     pub fn discard_calls(&mut self) {
         for (call_id, call) in std::mem::take(&mut self.calls) {
             let Some(state) = self.states.get_mut(&call.dependency) else {
@@ -18,7 +18,7 @@
             for attempt in call.attempts {
                 state.in_flight = state.in_flight.saturating_sub(1);
                 if let Some(server) = state.pool.index_of(&attempt.server) {
-                    // A duration of zero that was cancelled is no sample.
+                    // A cancelled call with a duration of zero is not recorded as a sample.
                     let outcome = ServerOutcome::Cancelled;
                     state
                         .pool
--- a/crates/merlinshelf-dependencies/src/router/messages.rs
+++ b/crates/merlinshelf-dependencies/src/router/messages.rs
@@ -1,4 +1,4 @@
-//! What the router is asked for, the actions that its host carries out, and how calls end.
+//! Requests to the router, actions for its host, and results of calls.
 
 use crate::retry_budget::Effect;
 
@@ -9,15 +9,15 @@
     pub operation: &'a str,
     /// Index of the call among those of its run.
     pub call_index: usize,
-    /// The dependency, where the run names one.
+    /// The dependency, if the run names one.
     pub named_dependency: Option<&'a str>,
-    /// Seconds that the call may take at the most, by the admission controller.
+    /// Maximum duration of the call in seconds, set by the admission controller.
     pub max_wait_seconds: f64,
-    /// Seconds until the caller's deadline; `None` where that is unknown.
+    /// Seconds until the caller's deadline; `None` if unknown.
     pub remaining_seconds: Option<f64>,
-    /// Whether it may be made twice.
+    /// Whether the call may be made twice.
     pub effect: Effect,
-    /// The request's bytes: equal ones may get a cached reply.
+    /// The request's bytes; equal requests may get a cached reply.
     pub payload: &'a [u8],
 }
 
@@ -26,7 +26,7 @@
 pub enum CallEnd {
     /// With the reply of the attempt that was reported last.
     Reply {
-        /// The dependency that a fallback dependency replied for, if any.
+        /// The dependency in whose place a fallback dependency replied, if any.
         missing: Option<String>,
     },
     /// With a degraded result.
@@ -36,16 +36,16 @@
         /// The dependency that did not reply.
         missing: String,
     },
-    /// It failed, and may have taken effect.
+    /// The call failed, and may have taken effect.
     Failed,
-    /// It failed, and no attempt of it ran.
+    /// The call failed, and no attempt of it ran.
     NeverRan,
 }
 
-/// What the host of a [`Router`](super::Router) is to do.
+/// An action that the host of a [`Router`](super::Router) must carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send the request to a server, and report by
+    /// Send the request to a server, and report the outcome to
     /// [`attempt_ended`](super::Router::attempt_ended).
     Attempt {
         /// The call.
--- a/crates/merlinshelf-dependencies/src/router/mod.rs
+++ b/crates/merlinshelf-dependencies/src/router/mod.rs
@@ -1,12 +1,12 @@
-//! Calls from request to result: which dependency, which server, for how long, whether a retry or a
-//! hedged request, and which fallback.
+//! Routes calls from request to result: chooses the dependency, server and deadline, and decides on
+//! retries, hedged requests and fallbacks.
 //!
-//! [`Router`] is a sans-I/O state machine: it is fed events with the time at which they happened,
-//! and polled for the [`Action`]s that its host carries out.
+//! [`Router`] is a sans-I/O state machine: the host passes in events with the time at which they
+//! happened, and polls the [`Action`]s to carry out.
 //!
 //! `routing` starts calls and sends attempts, `attempts` handles their outcomes, retries, hedged
-//! requests and deadlines, `fallback` replaces replies, and `handover` stops calls that a successor
-//! carries on.
+//! requests and deadlines, `fallback` handles calls without a reply, and `handover` stops calls
+//! that a successor continues.
 
 mod attempts;
 mod call_state;
@@ -29,7 +29,7 @@
 use dependency_state::DependencyState;
 use reply_cache::ReplyCache;
 
-/// Numbers of calls and attempts: one sequence, from 1.
+/// Assigns the numbers of calls and attempts from one sequence, starting at 1.
 #[derive(Clone, Debug, Default)]
 struct IdSequence(u64);
 
@@ -40,22 +40,22 @@
     }
 }
 
-/// What happened to the quota that a dependency had before.
+/// Usage of the previous quota of a dependency.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QuotaUsage {
-    /// What remained of it.
+    /// The part of the quota that was not used.
     pub unused: Remaining,
-    /// Whether the dependency fails as a whole by this instance's own calls.
+    /// Whether the dependency as a whole fails, judged by this instance's own calls.
     pub is_failing: bool,
 }
 
-/// All dependencies, as one instance sees them.
+/// All dependencies as seen by this instance, and the calls in flight.
 #[derive(Clone, Debug)]
 pub struct Router {
     config: Dependencies,
     instance_hash: u64,
     pub(crate) states: BTreeMap<String, DependencyState>,
-    /// Indices of operations, which stay as long as the router.
+    /// Indices of operations, which never change during the router's lifetime.
     operations: BTreeMap<String, usize>,
     calls: BTreeMap<u64, CallState>,
     call_by_attempt: BTreeMap<u64, u64>,
@@ -64,7 +64,7 @@
     actions: VecDeque<Action>,
 }
 
-/// FNV-1a: the same in every process and version, as ranks of servers must be.
+/// FNV-1a, since the ranks of servers must be the same in every process and version.
 fn hash_name(name: &str) -> u64 {
     name.bytes().fold(0xCBF2_9CE4_8422_2325, |hash, byte| {
         (hash ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01B3)
@@ -72,7 +72,7 @@
 }
 
 impl Router {
-    /// A router with valid settings ([`Dependencies::check`]) for the instance of this name.
+    /// A router for the instance of this name, with settings that passed [`Dependencies::check`].
     pub fn new(now: f64, config: Dependencies, instance: &str) -> Router {
         let mut router = Router {
             config: Dependencies::default(),
@@ -89,8 +89,8 @@
         router
     }
 
-    /// Applies other settings. What is known of dependencies and servers that stay is kept;
-    /// attempts in flight end where they are.
+    /// Applies new settings. Dependencies and servers that remain keep their state; attempts in
+    /// flight end at their present servers.
     pub fn update_config(&mut self, now: f64, config: Dependencies) {
         for (name, dependency) in &config.dependencies {
             let servers = self.chosen_servers(dependency);
@@ -127,8 +127,8 @@
             .collect()
     }
 
-    /// Sets what the fleet's budgets leave of calls to a dependency from here on, and returns what
-    /// became of the previous quota. `None`: there is no such dependency.
+    /// Sets the quota that the fleet's budgets grant for calls to a dependency, and returns the
+    /// usage of the previous one. Returns `None` if there is no such dependency.
     pub fn update_quota(&mut self, dependency: &str, quota: Remaining) -> Option<QuotaUsage> {
         let state = self.states.get_mut(dependency)?;
         let is_failing = state.retry_budget.is_failing();
@@ -144,7 +144,8 @@
         self.actions.pop_front()
     }
 
-    /// When [`handle_timeout`](Router::handle_timeout) must be called though nothing happens.
+    /// When [`handle_timeout`](Router::handle_timeout) must be called at the latest; `None` if
+    /// there are no calls.
     pub fn next_timeout(&self) -> Option<f64> {
         self.calls
             .values()
@@ -152,8 +153,7 @@
             .min_by(f64::total_cmp)
     }
 
-    /// The settings of a call; `None` where there are none, so that the platform's catalogue serves
-    /// it.
+    /// The settings of a call; `None` if it is not configured and goes to the platform's catalogue.
     fn call_config(
         &self,
         operation: &str,
@@ -167,7 +167,7 @@
         }
     }
 
-    /// The dependency that a call goes to; `None` where the call is not configured.
+    /// The dependency that a call goes to; `None` if the call is not configured.
     pub fn dependency_of_call(
         &self,
         operation: &str,
--- a/crates/merlinshelf-dependencies/src/router/reply_cache.rs
+++ b/crates/merlinshelf-dependencies/src/router/reply_cache.rs
@@ -4,7 +4,7 @@
 
 use crate::fallback::CachedReply;
 
-/// Replies that are cached at the most, of all dependencies.
+/// Maximum number of cached replies of all dependencies.
 const MAX_REPLIES: usize = 512;
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -26,7 +26,7 @@
 }
 
 impl ReplyCache {
-    /// Stores a reply; drops the oldest one where there are too many.
+    /// Stores a reply; removes the oldest one if there are too many.
     pub(super) fn insert(&mut self, now: f64, dependency: &str, payload: &[u8], reply: &[u8]) {
         let stored = StoredReply {
             bytes: reply.to_vec(),
--- a/crates/merlinshelf-dependencies/src/router/routing.rs
+++ b/crates/merlinshelf-dependencies/src/router/routing.rs
@@ -1,4 +1,4 @@
-//! The start of calls: deadline, admission, choice of a server, and the queue for capacity.
+//! Starts calls: deadline, admission, choice of a server, and waiting for capacity.
 
 use super::call_state::{Attempt, AttemptKind, CallState};
 use super::dependency_state::{Admission, DependencyState, Unavailable};
@@ -7,15 +7,15 @@
 use crate::config::{Call, Fallback};
 use crate::deadline::deadline_share;
 
-/// What a call is assumed to take before any was measured: one over a local network.
+/// Assumed duration of a call before any was measured: that of a call over a local network.
 const UNMEASURED_SECONDS: f64 = 0.01;
-/// A call ends within this share of what the admission controller allows, whose own timeout leaves
-/// no time for a fallback.
+/// Share of the time allowed by the admission controller within which a call ends, since that
+/// controller's timeout would leave no time for a fallback.
 const MAX_WAIT_SHARE: f64 = 0.95;
-/// A call with a fallback is abandoned once it takes so many times the slowest of the latest ones:
-/// it will probably never be replied to, and its run's deadline passes meanwhile. Probes of a
-/// failing dependency have all of their time.
-const PATIENCE: f64 = 10.0;
+/// A call with a fallback is abandoned once it takes this multiple of the slowest of the latest
+/// calls: a reply is then unlikely, and waiting would use up the run's remaining time. Probes of a
+/// failing dependency are not limited by this.
+const MAX_SLOWDOWN: f64 = 10.0;
 /// Shortest timeout of an attempt, in seconds.
 const MIN_TIMEOUT_SECONDS: f64 = 0.001;
 
@@ -76,7 +76,7 @@
     }
 
     /// Seconds that a call may take: its share of the remaining time, and no longer than the
-    /// admission controller allows. `None`: there is no time for it.
+    /// admission controller allows. `None` if there is no time for it.
     fn time_limit_seconds(&self, request: &CallRequest<'_>, config: &Call) -> Option<f64> {
         let remaining_seconds = request
             .remaining_seconds
@@ -87,11 +87,12 @@
         };
         share_seconds
             .map(|share| share.min(request.max_wait_seconds * MAX_WAIT_SHARE))
-            .map(|limit| limit.min(self.patience_seconds(config)))
+            .map(|limit| limit.min(self.abandon_after_seconds(config)))
             .filter(|limit| *limit > 0.0)
     }
 
-    /// The share of the remaining time by the measured durations of this and later calls.
+    /// The share of the remaining time in proportion to the measured durations of this and later
+    /// calls.
     fn measured_share_seconds(
         &self,
         request: &CallRequest<'_>,
@@ -120,7 +121,7 @@
     }
 
     /// Seconds after which a call is abandoned for its fallback.
-    fn patience_seconds(&self, config: &Call) -> f64 {
+    fn abandon_after_seconds(&self, config: &Call) -> f64 {
         let has_fallback = !config.is_required || config.fallback != Fallback::Nothing;
         let slowest_seconds = self
             .states
@@ -128,13 +129,14 @@
             .filter(|state| !state.retry_budget.is_failing())
             .map_or(0.0, DependencyState::slowest_seconds);
         if has_fallback && slowest_seconds > 0.0 {
-            PATIENCE * slowest_seconds
+            MAX_SLOWDOWN * slowest_seconds
         } else {
             f64::INFINITY
         }
     }
 
-    /// Sends the first attempt at the call's dependency, or lets the call wait for capacity there.
+    /// Sends the first attempt to the call's dependency, or queues the call until there is
+    /// capacity.
     pub(super) fn begin(&mut self, now: f64, call_id: u64, random: &mut dyn FnMut() -> f64) {
         let Some(call) = self.calls.get_mut(&call_id) else {
             return;
@@ -160,7 +162,7 @@
         }
     }
 
-    /// A call whose turn had come waits for the next one, since all servers are full.
+    /// Queues a dequeued or admitted call again, since all servers are full.
     fn requeue(&mut self, call_id: u64) {
         let Some(call) = self.calls.get_mut(&call_id) else {
             return;
@@ -171,7 +173,7 @@
         }
     }
 
-    /// Sends an attempt to a server that the call was not sent to yet.
+    /// Sends an attempt to a server that the call has not tried yet.
     pub(super) fn send_attempt(
         &mut self,
         now: f64,
@@ -208,8 +210,8 @@
         Ok(())
     }
 
-    /// The call is no longer among its operation's calls in flight at its dependency.
-    fn leave_dependency(&mut self, call_id: u64) {
+    /// Stops counting the call among its operation's calls in flight at its dependency.
+    fn stop_counting(&mut self, call_id: u64) {
         let Some(call) = self.calls.get(&call_id) else {
             return;
         };
@@ -218,7 +220,7 @@
         }
     }
 
-    /// The call has left its dependency: those that wait there may be next.
+    /// Releases the call's capacity at its dependency, and starts calls that wait there.
     pub(super) fn release_capacity(
         &mut self,
         now: f64,
@@ -229,9 +231,9 @@
             return;
         };
         let dependency = call.dependency.clone();
-        self.leave_dependency(call_id);
+        self.stop_counting(call_id);
         while let Some(state) = self.states.get_mut(&dependency) {
-            // No call waits for a dependency that fails as a whole, or that there is no quota for.
+            // No call waits for a dependency that fails as a whole or has no quota left.
             let is_unavailable = state.is_failing() || state.quota.first_calls == 0;
             if !is_unavailable && !state.has_capacity() {
                 return;
@@ -252,7 +254,7 @@
                 Ok(()) => {}
                 Err(Unavailable::AllFull) => return self.requeue(next.call_id),
                 Err(Unavailable::NoServer) => {
-                    self.leave_dependency(next.call_id);
+                    self.stop_counting(next.call_id);
                     self.fall_back(now, next.call_id, FallbackCause::NotMade, random);
                 }
             }
--- a/crates/merlinshelf-dependencies/src/server_pool.rs
+++ b/crates/merlinshelf-dependencies/src/server_pool.rs
@@ -1,32 +1,33 @@
-//! The servers of one dependency: which one gets the next call, and outlier ejection. A server is
-//! judged by its peers alone: where all are slow none is ejected for it.
+//! The servers of one dependency: chooses the server of the next call and ejects outliers. A server
+//! is compared only with its peers: if all are slow, none is ejected.
 
 use crate::config::ServerConfig;
 use crate::server::{EjectionReason, SLOW_START_SECONDS, Server, ServerHealth, ServerOutcome};
 
-/// Fewest samples by which a server is judged.
+/// Fewest samples from which a server is compared with its peers.
 const MIN_SAMPLES: usize = 8;
-/// A server is an outlier if its mean is so many times the median of its peers', or if its failure
-/// rate is so much higher than their median.
+/// A server is an outlier if its mean duration is more than this multiple of its peers' median, or
+/// if its failure rate exceeds their median by more than this.
 const OUTLIER_SLOWDOWN: f64 = 3.0;
 const OUTLIER_FAILURE_RATE: f64 = 0.3;
-/// Servers with a higher failure rate don't count for the typical duration.
+/// Servers with at least this failure rate are left out of the typical duration.
 const MOSTLY_FAILING: f64 = 0.5;
-/// Probes in a row that must succeed until a server is readmitted.
+/// Consecutive successful probes after which a server is readmitted.
 const PROBES_TO_READMIT: u32 = 3;
-/// With more servers the cheaper of two random ones is nearly as good as the cheapest of all.
+/// Up to this many servers are all compared. Of more, the cheaper of two random ones is used, which
+/// is nearly as good as the cheapest of all.
 const MAX_COMPARED: usize = 8;
-/// Servers of the own zone are used while they cost at most so many times what others do.
+/// Servers of the own zone are used while they cost at most this multiple of the cheapest server.
 const ZONE_PREFERENCE: f64 = 2.0;
-/// What a call is assumed to take before any was measured.
+/// Assumed duration of a call before any was measured.
 const UNMEASURED_SECONDS: f64 = 0.01;
 
-/// The servers of one dependency, as one instance sees them.
+/// The servers of one dependency as seen by this instance.
 #[derive(Clone, Debug)]
 pub struct ServerPool {
     servers: Vec<Server>,
     zone: String,
-    /// The share of the servers that may be ejected at one time.
+    /// Maximum share of the servers that may be ejected at the same time.
     max_ejected_share: f64,
 }
 
@@ -37,11 +38,11 @@
     cost: f64,
 }
 
-/// What the healthy peers of a server show.
+/// Statistics of the healthy peers of a server.
 #[derive(Clone, Copy, Debug)]
 struct PeerStatistics {
-    /// Median of the mean durations of those that mostly succeed: errors that come at once make no
-    /// other server slow.
+    /// Median of the mean durations of peers that mostly succeed: quick errors must not make other
+    /// servers appear slow.
     typical_seconds: Option<f64>,
     failure_rate: Option<f64>,
 }
@@ -53,14 +54,14 @@
 
 impl ServerPool {
     /// A pool of these servers for an instance in `zone`, with at most `max_ejected_share` (0 to 1)
-    /// of them ejected at one time.
+    /// of them ejected at the same time.
     pub fn new(
         now: f64,
         servers: &[ServerConfig],
         zone: &str,
         max_ejected_share: f64,
     ) -> ServerPool {
-        // At the start all servers are alike: none needs to warm up.
+        // At the start all servers are equally cold, so that none needs a slow start.
         let healthy_since = now - SLOW_START_SECONDS;
         let servers = servers
             .iter()
@@ -73,13 +74,14 @@
         }
     }
 
-    /// All servers; methods that take an index mean theirs in this slice.
+    /// All servers. Indices in other methods refer to this slice.
     pub fn servers(&self) -> &[Server] {
         &self.servers
     }
 
-    /// Applies another list: a server that stays keeps what is known of it, a new one warms up, a
-    /// removed one gets no more calls. Indices change; calls in flight are identified by name.
+    /// Applies a new list of servers: a server that remains keeps its state, a new one warms up,
+    /// and a removed one gets no more calls. Indices change; calls in flight are identified by
+    /// name.
     pub fn update_servers(&mut self, now: f64, servers: &[ServerConfig]) {
         let mut previous = std::mem::take(&mut self.servers);
         for config in servers {
@@ -100,11 +102,11 @@
         self.servers.iter().position(|server| server.name == name)
     }
 
-    /// Chooses the server of the next call, which counts as in flight from here on.
+    /// Chooses the server of the next call and counts the call as in flight there.
     ///
-    /// A server that is due for a probe comes first; else the cheapest of few or the cheaper of two
-    /// random ones of many, in the own zone while that costs little more. `excluded` are servers
-    /// that are not to be used. `None`: there is no usable server.
+    /// A server that is due for a probe has precedence. Otherwise the cheapest of few servers or
+    /// the cheaper of two random ones of many is used, from the own zone unless that costs much
+    /// more. Servers in `excluded` are not used. Returns `None` if there is no usable server.
     pub fn pick(
         &mut self,
         now: f64,
@@ -134,7 +136,8 @@
         Some(chosen.index)
     }
 
-    /// Begins to probe the servers whose ejection ends, and picks one without a probe in flight.
+    /// Starts probing the servers whose ejection has ended, and picks one without a probe in
+    /// flight.
     fn pick_probed(&mut self, now: f64, excluded: &[usize]) -> Option<usize> {
         for (index, server) in self.servers.iter_mut().enumerate() {
             if let ServerHealth::Ejected {
@@ -163,7 +166,7 @@
         typical_seconds: f64,
         random: &mut dyn FnMut() -> f64,
     ) -> Option<Candidate> {
-        // A random start, so that the first of equal servers does not get all calls.
+        // Starts at a random server, so that the first of equal servers does not get all calls.
         let start = (random() * indices.len() as f64) as usize;
         let compared: Vec<usize> = if indices.len() <= MAX_COMPARED {
             let (before, after) = indices.split_at(start);
@@ -182,8 +185,8 @@
             .min_by(|a, b| a.cost.total_cmp(&b.cost))
     }
 
-    /// Median duration with healthy servers that mostly succeed, or with all healthy ones where
-    /// none does: errors that come at once are no measure.
+    /// Median of the mean durations of healthy servers that mostly succeed, since quick errors say
+    /// nothing about duration; of all healthy servers if none mostly succeeds.
     fn typical_seconds(&self) -> Option<f64> {
         let healthy = || {
             self.servers
@@ -196,7 +199,7 @@
     }
 
     /// Records that a call to a server ended after `duration_seconds`, and ejects or readmits the
-    /// server.
+    /// server if necessary.
     pub fn record_outcome(
         &mut self,
         now: f64,
@@ -215,7 +218,7 @@
             .typical_seconds
             .is_some_and(|typical| duration_seconds >= typical);
         if is_cancelled && !is_longer_than_typical {
-            return; // it shows nothing of the server
+            return; // a short cancelled call is no evidence of the server's speed
         }
         let succeeded = outcome == ServerOutcome::Succeeded;
         server.record_sample(now, duration_seconds, succeeded || is_cancelled);
@@ -281,7 +284,7 @@
 }
 
 impl PeerStatistics {
-    /// Why a server is an outlier among these peers; `None` where it is none.
+    /// Why a server is an outlier among these peers; `None` if it is not one.
     fn outlier_reason(&self, server: &Server) -> Option<EjectionReason> {
         if server.sample_count() < MIN_SAMPLES {
             return None;
