--- a/crates/merlinshelf-dependencies/tests/concurrency.rs
+++ b/crates/merlinshelf-dependencies/tests/concurrency.rs
@@ -15,8 +15,8 @@
     duration_seconds: f64,
 }
 
-/// Runs a dependency that serves `capacity` calls concurrently, at the limit: with more calls in
-/// flight all take longer in proportion.
+/// Keeps as many calls in flight as the limit allows, at a dependency that serves `capacity` calls
+/// concurrently: with more in flight, all take proportionally longer.
 fn run_at_limit(limit: &mut ConcurrencyLimit, capacity: f64, seconds: f64) -> LimitRange {
     let mut range = LimitRange {
         lowest: f64::MAX,
@@ -49,15 +49,16 @@
 }
 
 #[test]
-fn limit_finds_the_capacity_of_a_dependency_and_swings_little() {
+fn limit_converges_to_the_capacity_of_a_dependency_with_small_oscillation() {
     let mut limit = ConcurrencyLimit::new(2.0, 200.0);
     run_at_limit(&mut limit, 20.0, 20.0);
-    // Between the capacity without a queue and three times that, where queueing can't be chance.
+    // Between the capacity and about three times that, from which queueing is distinguishable from
+    // noise.
     assert!((20.0..65.0).contains(&limit.get()), "{}", limit.get());
-    // Down to the quarter at which the lowest duration is measured anew.
+    // The range includes probes, which reduce the limit to a quarter.
     let range = run_at_limit(&mut limit, 20.0, 10.0);
     assert!(range.highest / range.lowest < 5.5, "{range:?}");
-    // The capacity falls to a quarter: the limit follows.
+    // The limit follows a capacity that falls to a quarter.
     run_at_limit(&mut limit, 5.0, 10.0);
     assert!(limit.get() < 20.0, "{}", limit.get());
     // An unused limit is not raised, and one call is always possible.
@@ -73,7 +74,7 @@
 }
 
 #[test]
-fn queue_is_fair_between_operations_and_bounded_by_time() {
+fn queue_is_fair_between_operations_and_calls_expire() {
     let mut queue = WaitQueue::default();
     for call_id in 0..50 {
         queue.enqueue(0, call_id, 1.0);
--- a/crates/merlinshelf-dependencies/tests/config.rs
+++ b/crates/merlinshelf-dependencies/tests/config.rs
@@ -3,11 +3,11 @@
 use merlinshelf_dependencies::Dependencies;
 
 fn parse(text: &str) -> Dependencies {
-    json5::from_str(text).expect("it can be decoded")
+    json5::from_str(text).expect("decodable settings")
 }
 
 #[test]
-fn check_reports_every_finding() {
+fn check_reports_every_error() {
     let valid = r#"{
         dependencies: {
             prices: { servers: [{ address: "127.0.0.1:1" }, { address: "127.0.0.1:2", zone: "a", weight: 2 }], subset: 2 },
@@ -29,7 +29,7 @@
             all: { at_once: true, calls: [{ to: "a", share: 0.7 }, { to: "b", share: 0.7 }] },
         },
     }"#;
-    let errors = parse(invalid).check().expect_err("much is wrong");
+    let errors = parse(invalid).check().expect_err("invalid settings");
     let messages: Vec<String> = errors.iter().map(ToString::to_string).collect();
     insta::assert_snapshot!(messages.join("\n"));
     assert!(json5::from_str::<Dependencies>("{ dependancies: {} }").is_err());
--- a/crates/merlinshelf-dependencies/tests/golden.rs
+++ b/crates/merlinshelf-dependencies/tests/golden.rs
@@ -1,18 +1,18 @@
-//! Golden files of every format of this package that outlives a process or passes between two: the
-//! operators' settings of dependencies (a section of their file, in JSON5), the report of
+//! Golden tests of the formats of this package that outlive a process or pass between processes:
+//! the operators' settings of dependencies (a section of their file, in JSON5), the report of
 //! dependencies (JSON over the control socket), and the subset of servers that an instance chooses,
-//! which all versions must choose alike.
+//! which must be the same in all versions.
 //!
-//! In an upgrade nothing of this package is handed over: of calls in flight the names of
-//! dependencies, addresses of servers and numbers pass in the records of `merlinshelf-handover`,
-//! and the successor begins with a new router.
+//! An upgrade hands over no types of this package: the records of `merlinshelf-handover` carry the
+//! names of dependencies, addresses of servers and numbers of calls in flight, and the successor
+//! starts with a new router.
 //!
-//! A report is encoded as the program encodes it and must give the bytes of its file under
-//! `tests/golden/`. No program writes the operators' settings: stored files must be read as the
-//! expected values, whatever form a later version would write them in. Every field of a sample has
-//! a value of its own that is not the default, so that a field that is lost by a rename shows. A
-//! test that fails here means that operators' files or tools of an earlier version are
-//! misunderstood. `GOLDEN_WRITE=1` writes the files anew; without it a missing file is a failure.
+//! An encoded report must match the bytes of its file under `tests/golden/`. Settings are only
+//! read: stored files must be decoded to the expected values, whatever format a later version would
+//! write. Every field of a sample has a distinct value other than its default, so that the tests
+//! detect a field that is lost by a rename. A failing test means that operators' files or tools of
+//! an earlier version would be misread. `GOLDEN_WRITE=1` rewrites the files; without it a missing
+//! file is a failure.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Path, PathBuf};
@@ -40,7 +40,7 @@
     std::fs::read(&path).unwrap_or_else(|error| panic!("golden file {}: {error}", path.display()))
 }
 
-/// The bytes of a golden file, which must be those that were encoded now.
+/// Asserts that the encoded bytes match the golden file, and returns its bytes.
 fn assert_golden(name: &str, encoded: &[u8]) -> Vec<u8> {
     if std::env::var("GOLDEN_WRITE").as_deref() == Ok("1") {
         std::fs::write(golden_path(name), encoded).expect("a golden file is written");
@@ -49,22 +49,22 @@
     assert_eq!(
         encoded.escape_ascii().to_string(),
         golden.escape_ascii().to_string(),
-        "{name}: the encoded form (left) is another than that of the golden file (right)"
+        "{name}: the encoded bytes (left) differ from the golden file (right)"
     );
     golden
 }
 
-/// Operators' settings, which must be decoded as `expected`, also after they were encoded anew.
+/// Asserts that the operators' settings are decoded to `expected`, also after re-encoding them.
 fn assert_settings(name: &str, expected: &Dependencies) {
     let golden = String::from_utf8(read_golden(name)).expect("text");
     let decoded: Dependencies = json5::from_str(&golden).expect("the golden file is decoded");
     assert_eq!(decoded, *expected, "{name}");
     let encoded = serde_json::to_string(expected).expect("it is encoded");
     let decoded: Dependencies = json5::from_str(&encoded).expect("it is decoded again");
-    assert_eq!(decoded, *expected, "{name}, written anew");
+    assert_eq!(decoded, *expected, "{name}, re-encoded");
 }
 
-/// JSON as the control socket gives it.
+/// Asserts that the reports match the golden file, in JSON as on the control socket.
 fn assert_report(name: &str, reports: &[Report]) {
     let value = serde_json::to_value(reports).expect("a value");
     let golden = assert_golden(name, value.to_string().as_bytes());
@@ -143,9 +143,9 @@
     assert_settings("settings_filled.json", &expected);
 }
 
-/// Optional fields and their defaults.
+/// Omitted optional fields get their defaults.
 #[test]
-fn settings_with_required_fields_alone() {
+fn settings_with_only_required_fields() {
     let expected = Dependencies {
         zone: String::new(),
         dependencies: BTreeMap::from([(
@@ -229,7 +229,7 @@
     assert_report("report.json", &[report]);
 }
 
-/// A report of a router that has made no call.
+/// The report of a router that has made no calls.
 #[test]
 fn report_of_a_new_router() {
     let text = "{zone: 'garching', dependencies: {
@@ -242,8 +242,8 @@
     assert_report("report_new.json", &router.report());
 }
 
-/// Makes rounds of calls to servers of which two fail mostly, one is slow and the others succeed,
-/// until ejected ones have been probed; returns the states in the reports, with their reasons.
+/// Makes calls to servers of which two mostly fail, one is slow and the others succeed, until
+/// ejected servers have been probed. Returns the states in the reports with their reasons.
 fn reported_states() -> BTreeSet<(String, Option<String>)> {
     let servers: Vec<String> = (1..=8)
         .map(|port| format!("{{address: '127.0.0.1:{port}'}}"))
@@ -284,7 +284,7 @@
                 "127.0.0.1:3" => (0.05, AttemptOutcome::Succeeded),
                 _ => (0.0, AttemptOutcome::Succeeded),
             };
-            // A probed server shows as such while the attempt is in flight.
+            // A server is reported as probing while the attempt is in flight.
             states.extend(states_of(&router));
             let random = &mut || random.random();
             router.attempt_ended(
@@ -332,10 +332,10 @@
     assert_eq!(decoded, BTreeSet::from(expected));
 }
 
-// Subsets are chosen alike by all versions.
+// Subsets, which must be the same in all versions.
 
-/// The subset of an instance follows from its name and the addresses alone: an upgrade that chose
-/// another one would shift load between servers.
+/// The subset of an instance depends only on its name and the addresses. An upgrade that chose a
+/// different subset would shift load between servers.
 #[test]
 fn subset_of_an_instance() {
     let servers: Vec<String> = (1..=9)
--- a/crates/merlinshelf-dependencies/tests/retries.rs
+++ b/crates/merlinshelf-dependencies/tests/retries.rs
@@ -3,14 +3,15 @@
 use merlinshelf_dependencies::{AttemptOutcome, Effect, RetryBudget, deadline_share};
 
 #[test]
-fn remaining_time_is_divided_and_saved_time_is_used_by_later_calls() {
-    // A call of 30 ms, another of 60 ms and a run of 10 ms after them, in 200 ms.
+fn remaining_time_is_divided_and_saved_time_goes_to_later_calls() {
+    // Calls of 30, 60 and 10 ms, with 200 ms remaining.
     let first = deadline_share(0.2, &[0.03, 0.06, 0.01], 0.01).expect("it can finish");
     assert!((first - 0.06).abs() < 1e-9, "{first}");
-    // It took only 20 of these: the second one may take more than its share of all would have been.
+    // The first call took only 20 ms, so that the second one gets more than 120 ms, its share of
+    // the initial 200 ms.
     let second = deadline_share(0.18, &[0.06, 0.01], 0.01).expect("it can finish");
     assert!(second > 0.12 && second < 0.18, "{second}");
-    // 40 ms are too few, 0 ms are, and an undefined time is not guessed at.
+    // 40 and 0 ms are too little time, and an undefined time is rejected.
     assert_eq!(deadline_share(0.04, &[0.03, 0.06, 0.01], 0.02), None);
     assert_eq!(deadline_share(0.0, &[0.03], 0.001), None);
     assert_eq!(deadline_share(f64::NAN, &[0.03], 0.001), None);
@@ -19,9 +20,9 @@
 }
 
 #[test]
-fn retries_stay_within_a_tenth_and_stop_where_the_dependency_fails() {
+fn retries_stay_within_a_tenth_and_stop_when_the_dependency_fails() {
     let mut budget = RetryBudget::default();
-    // One in twenty fails: each is retried, and the budget stays full.
+    // One in twenty calls fails: each is retried, and the budget stays nearly full.
     let mut retries = 0;
     for call in 0..2000 {
         let outcome = if call % 20 == 0 {
@@ -37,7 +38,7 @@
     }
     assert_eq!(retries, 100);
     assert!(budget.tokens() > 5.0);
-    // It fails as a whole: after a few retries there are no more.
+    // The dependency as a whole fails: retries stop after a few.
     let mut retries = 0;
     for _ in 0..500 {
         budget.record_attempt(AttemptOutcome::Unknown, 0.01);
@@ -45,7 +46,7 @@
     }
     assert!(retries <= 10, "{retries} of 500");
     assert!(budget.is_failing());
-    // It recovers, and so does the budget.
+    // The dependency recovers, and the budget refills.
     for _ in 0..200 {
         budget.record_attempt(AttemptOutcome::Succeeded, 0.01);
     }
@@ -73,12 +74,12 @@
 }
 
 #[test]
-fn hedged_requests_stay_few_where_all_calls_are_slow() {
+fn hedged_requests_stay_few_when_all_calls_become_slow() {
     let mut budget = RetryBudget::default();
     for _ in 0..100 {
         budget.record_attempt(AttemptOutcome::Succeeded, 0.010);
     }
-    // Every call is slow from one moment on: each would be hedged, and the budget ends that soon.
+    // All calls become slow at once: each would be hedged, which the budget soon stops.
     let mut hedged = 0;
     for _ in 0..300 {
         let is_due = budget
--- a/crates/merlinshelf-dependencies/tests/router/fallback.rs
+++ b/crates/merlinshelf-dependencies/tests/router/fallback.rs
@@ -5,7 +5,7 @@
 use crate::simulation::{ServerReply, Simulation, becomes_slow, succeeds};
 
 #[test]
-fn failing_dependency_gets_few_calls_and_degraded_results_come_at_once() {
+fn failing_dependency_gets_few_calls_and_callers_get_degraded_results() {
     let mut simulation = Simulation::new("{to: 'a', instead: {fixed: 'less'}}", |_, _| {
         Some(ServerReply {
             duration_seconds: 0.003,
@@ -19,21 +19,21 @@
         attempts as usize * 10 <= completion.calls * 11,
         "{attempts}: {completion:?}"
     );
-    // Ten probes a second, once it was found to fail.
+    // Ten probes a second, once the dependency counts as failing.
     assert!(attempts < 200, "{attempts}");
     let degraded = CallEnd::Degraded {
         bytes: Some(b"less".to_vec()),
         missing: "a".into(),
     };
     assert!(simulation.ends.values().all(|end| *end == degraded));
-    // It recovers and is found again within seconds.
+    // The recovery is detected within seconds.
     simulation.behaviour = succeeds;
     let completion = simulation.run_load(200.0, 15.0);
     assert!(completion.is_at_least(80), "{completion:?}");
 }
 
 #[test]
-fn fallback_dependency_replies_and_the_result_is_marked() {
+fn reply_of_a_fallback_dependency_marks_the_result_as_partial() {
     let mut simulation = Simulation::new("{to: 'c', needed: true}", |_, server| {
         Some(if server.starts_with("127.0.0.1:2") {
             ServerReply {
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn cached_reply_is_used_up_to_its_maximal_age_and_a_required_call_fails_after_it() {
+fn cached_reply_is_used_up_to_its_maximum_age_and_then_a_required_call_fails() {
     let mut simulation = Simulation::new(
         "{to: 'a', needed: true, instead: {kept: {within_s: 30}}}",
         succeeds,
@@ -77,10 +77,10 @@
     assert_eq!(simulation.ends[&call_id], CallEnd::Failed);
 }
 
-/// A call with a fallback waits at most ten times the slowest duration; the slower pace is learned
-/// by probes, and calls are complete again.
+/// A call with a fallback waits at most ten times the slowest recent duration. Probes measure the
+/// longer durations, after which calls complete again.
 #[test]
-fn few_calls_fall_back_where_all_servers_become_slow() {
+fn few_calls_fall_back_when_all_servers_become_slow() {
     let mut simulation = Simulation::new("{to: 'a', instead: {fixed: 'less'}}", becomes_slow);
     let completion = simulation.run_load(100.0, 20.0);
     assert!(completion.is_at_least(85), "{completion:?}");
--- a/crates/merlinshelf-dependencies/tests/router/invariants.rs
+++ b/crates/merlinshelf-dependencies/tests/router/invariants.rs
@@ -1,5 +1,5 @@
-//! Random walks over all events, with the invariants that hold after each: every call ends once, no
-//! attempt outlives its call, and no effect happens twice.
+//! Property tests with random sequences of events. After each event these invariants are checked:
+//! every call ends once, no attempt outlives its call, and no effect happens twice.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -69,8 +69,8 @@
     call_id: u64,
 }
 
-/// The router, and what must be true of it by the events and actions so far.
-struct Walk {
+/// A router, and the state expected after the events and actions so far.
+struct Model {
     now: f64,
     router: Router,
     random: Random,
@@ -80,9 +80,9 @@
     may_have_run: BTreeSet<u64>,
 }
 
-impl Walk {
-    fn new() -> Walk {
-        Walk {
+impl Model {
+    fn new() -> Model {
+        Model {
             now: 0.0,
             router: Router::new(0.0, settings(SETTINGS), "n1"),
             random: Random::new(5),
@@ -102,7 +102,7 @@
             Event::CancelCall { index } => self.cancel_call(index),
             Event::TimePasses { seconds } => {
                 self.now += seconds;
-                // A host calls it late, never early.
+                // Hosts may handle a timeout late, but never early.
                 let timeout = self.router.next_timeout();
                 if timeout.is_some_and(|timeout| timeout <= self.now) {
                     self.handle_timeout();
@@ -115,7 +115,10 @@
             }
             Event::ChangeServers { count } => {
                 let mut changed = settings(SETTINGS);
-                let dependency = changed.dependencies.get_mut("a").expect("it is there");
+                let dependency = changed
+                    .dependencies
+                    .get_mut("a")
+                    .expect("a configured dependency");
                 dependency.servers.truncate(count);
                 self.router.update_config(self.now, changed);
             }
@@ -147,7 +150,7 @@
         if outcome == AttemptOutcome::Unknown {
             self.may_have_run.insert(attempt.call_id);
         }
-        // A late second outcome is ignored.
+        // The second outcome is late and must be ignored.
         for outcome in [outcome, AttemptOutcome::Succeeded] {
             let random = &mut self.random;
             self.router
@@ -164,7 +167,7 @@
         let mut call_ids = self.calls.keys().copied();
         let call_id = call_ids
             .nth(index % self.calls.len())
-            .expect("there are some");
+            .expect("a call in flight");
         let random = &mut self.random;
         self.router
             .cancel_call(self.now, call_id, &mut || random.next());
@@ -226,12 +229,12 @@
     fn check_end(&mut self, call_id: u64, end: &CallEnd) -> Result<(), TestCaseError> {
         prop_assert!(
             self.calls.remove(&call_id).is_some(),
-            "it ended twice, or was cancelled"
+            "a call ended twice or after its cancellation"
         );
         prop_assert_eq!(self.attempts_of(call_id), 0, "an attempt outlives its call");
         prop_assert!(
             *end != CallEnd::NeverRan || !self.may_have_run.contains(&call_id),
-            "it may have run"
+            "a call that may have run ended as NeverRan"
         );
         Ok(())
     }
@@ -243,23 +246,23 @@
     fn each_call_ends_once_and_no_effect_happens_twice(
         events in prop::collection::vec(event(), 1..200)
     ) {
-        let mut walk = Walk::new();
+        let mut model = Model::new();
         for event in events {
-            walk.apply(event);
-            walk.check_actions()?;
-            prop_assert_eq!(walk.router.calls_in_flight(), walk.calls.len());
-            let report = walk.router.report();
-            prop_assert_eq!(report[0].in_flight, walk.attempts.len());
+            model.apply(event);
+            model.check_actions()?;
+            prop_assert_eq!(model.router.calls_in_flight(), model.calls.len());
+            let report = model.router.report();
+            prop_assert_eq!(report[0].in_flight, model.attempts.len());
         }
-        // Time alone ends all calls.
-        walk.now += 10.0;
-        walk.handle_timeout();
-        while let Some(action) = walk.router.poll_action() {
+        // All calls end by their deadlines without further events.
+        model.now += 10.0;
+        model.handle_timeout();
+        while let Some(action) = model.router.poll_action() {
             if let Action::Complete { call_id, .. } = action {
-                walk.calls.remove(&call_id);
+                model.calls.remove(&call_id);
             }
         }
-        prop_assert!(walk.calls.is_empty());
-        prop_assert_eq!(walk.router.calls_in_flight(), 0);
+        prop_assert!(model.calls.is_empty());
+        prop_assert_eq!(model.router.calls_in_flight(), 0);
     }
 }
--- a/crates/merlinshelf-dependencies/tests/router/main.rs
+++ b/crates/merlinshelf-dependencies/tests/router/main.rs
@@ -1,5 +1,4 @@
-//! Calls from request to result in virtual time, with scripted servers; and random walks that
-//! assert the router's invariants.
+//! The router in virtual time with scripted servers, and property tests of its invariants.
 
 mod fallback;
 mod invariants;
--- a/crates/merlinshelf-dependencies/tests/router/quota.rs
+++ b/crates/merlinshelf-dependencies/tests/router/quota.rs
@@ -1,4 +1,4 @@
-//! The fleet's budgets.
+//! Quotas from the fleet's budgets.
 
 use merlinshelf_dependencies::AttemptOutcome;
 use merlinshelf_quota::Remaining;
@@ -6,7 +6,7 @@
 use crate::simulation::{ServerReply, Simulation, succeeds};
 
 #[test]
-fn fleet_quota_bounds_calls_and_the_fleet_s_health_counts() {
+fn fleet_quota_limits_attempts_and_fleet_health_overrides_local_health() {
     let mut simulation = Simulation::new("{to: 'a'}", |_, _| {
         Some(ServerReply {
             duration_seconds: 0.005,
@@ -20,7 +20,7 @@
         ..Remaining::UNLIMITED
     };
     simulation.router.update_quota("a", three_first_calls);
-    // Three first calls are made, one of them is retried, and then nothing more.
+    // Three first calls are made and one of them is retried; then the quota is used up.
     for _ in 0..5 {
         simulation.start_call();
         simulation.run_for(0.02);
@@ -36,7 +36,7 @@
     let usage = simulation
         .router
         .update_quota("a", two_probes)
-        .expect("it is there");
+        .expect("a configured dependency");
     let used_up = Remaining {
         first_calls: 0,
         retries: 0,
@@ -45,13 +45,13 @@
     };
     assert_eq!(usage.unused, used_up);
     assert!(!usage.is_failing);
-    // It fails for the fleet: only probes, one at a time.
+    // The dependency fails for the fleet: only probes are sent, one at a time.
     for _ in 0..9 {
         simulation.start_call();
         simulation.run_for(0.2);
     }
     assert_eq!(simulation.attempts(), 6);
-    // It has recovered for the fleet: its failures here no longer count.
+    // The dependency has recovered for the fleet: local failures are discarded.
     simulation.behaviour = succeeds;
     let reopened = Remaining {
         reopened: true,
@@ -60,7 +60,7 @@
     let usage = simulation
         .router
         .update_quota("a", reopened)
-        .expect("it is there");
+        .expect("a configured dependency");
     assert_eq!(usage.unused.probes, 0);
     assert!(usage.unused.probes_only);
     let completion = simulation.run_load(50.0, simulation.now + 0.5);
--- a/crates/merlinshelf-dependencies/tests/router/retries.rs
+++ b/crates/merlinshelf-dependencies/tests/router/retries.rs
@@ -3,7 +3,7 @@
 use crate::simulation::{Simulation, becomes_slow};
 
 #[test]
-fn none_is_ejected_and_hedged_requests_stay_few_where_all_servers_become_slow() {
+fn no_server_is_ejected_and_hedged_requests_stay_few_when_all_become_slow() {
     let mut simulation = Simulation::new("{to: 'a', needed: true}", becomes_slow);
     let completion = simulation.run_load(100.0, 15.0);
     assert!(completion.is_at_least(95), "{completion:?}");
--- a/crates/merlinshelf-dependencies/tests/router/routing.rs
+++ b/crates/merlinshelf-dependencies/tests/router/routing.rs
@@ -7,7 +7,7 @@
 use crate::simulation::{Completion, ServerReply, Simulation, settings, succeeds};
 
 #[test]
-fn one_attempt_is_made_for_each_call_where_all_succeed() {
+fn calls_that_succeed_need_about_one_attempt_each() {
     let mut simulation = Simulation::new("{to: 'a'}", succeeds);
     let expected = Completion {
         complete: 2000,
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn server_that_never_replies_costs_few_calls_and_is_ejected_soon() {
+fn server_that_never_replies_gets_few_attempts() {
     let mut simulation = Simulation::new("{to: 'a'}", |_, server| {
         (server != "127.0.0.1:3").then_some(ServerReply::success(0.004))
     });
@@ -37,7 +37,7 @@
             outcome: AttemptOutcome::Unknown,
         })
     });
-    // Far more than the limit, so that most wait for capacity.
+    // Far more calls than the limit, so that most wait for capacity.
     let calls: Vec<u64> = (0..400).map(|_| simulation.start_call()).collect();
     assert!(simulation.router.report()[0].waiting > 300);
     simulation.run_until(0.1);
@@ -45,7 +45,7 @@
         .iter()
         .filter(|call_id| simulation.ends.contains_key(call_id))
         .count();
-    assert_eq!(ended, 400, "calls wait though the dependency fails");
+    assert_eq!(ended, 400, "calls wait although the dependency fails");
 }
 
 #[test]
@@ -58,28 +58,31 @@
         simulation.run_for(0.05);
     }
     let attempts_before = simulation.attempts();
-    // Two calls of 25 ms don't fit into 40: the first one's share of 20 ms is less than such a call
-    // ever took.
+    // Two calls of 25 ms don't fit into 40 ms: the first one's share of 20 ms is less than the
+    // lowest measured duration.
     for remaining_seconds in [0.04, 0.0, -1.0] {
         let call_id = simulation.start_call_at(0, Some(remaining_seconds));
         assert_eq!(simulation.ends[&call_id], CallEnd::NeverRan);
     }
     assert_eq!(simulation.attempts(), attempts_before);
-    // The last call may take all of it.
+    // The last call may use all of the remaining time.
     let last = simulation.start_call_at(1, Some(0.04));
     simulation.run_for(1.0);
     assert_eq!(simulation.ends[&last], CallEnd::Reply { missing: None });
 }
 
 #[test]
-fn changed_settings_keep_what_is_known_and_let_calls_in_flight_end() {
+fn calls_in_flight_complete_after_servers_and_dependencies_are_removed() {
     let mut simulation = Simulation::new("{to: 'a'}", succeeds);
     simulation.run_load(100.0, 1.0);
     let in_flight = simulation.start_call();
     let mut changed = settings("{to: 'a'}");
     changed.dependencies.remove("b");
     changed.dependencies.remove("c");
-    let dependency = changed.dependencies.get_mut("a").expect("it is there");
+    let dependency = changed
+        .dependencies
+        .get_mut("a")
+        .expect("a configured dependency");
     dependency.servers.truncate(2);
     simulation.router.update_config(simulation.now, changed);
     simulation.run_for(1.0);
@@ -96,9 +99,9 @@
     assert!(router.routes_call("page", 0, Some("a")) && !router.routes_call("page", 0, Some("b")));
 }
 
-/// A server that serves one call after the other while its peers serve many concurrently.
+/// One server serves calls sequentially while its peers serve many concurrently.
 #[test]
-fn server_with_less_capacity_gets_fewer_calls_and_none_is_lost() {
+fn server_with_less_capacity_gets_fewer_calls_and_no_call_is_lost() {
     thread_local!(static IDLE_AT: Cell<f64> = const { Cell::new(0.0) });
     IDLE_AT.set(0.0);
     let mut simulation = Simulation::new("{to: 'a', needed: true}", |now, server| {
@@ -138,7 +141,7 @@
         "{{operations: {{page: {{calls: [{}]}}}}}}",
         calls.join(", ")
     );
-    let parsed: Dependencies = json5::from_str(&text).expect("it can be decoded");
+    let parsed: Dependencies = json5::from_str(&text).expect("decodable settings");
     config.operations = parsed.operations;
     config.dependencies = (0..50)
         .map(|index| (format!("d{index}"), dependency.clone()))
--- a/crates/merlinshelf-dependencies/tests/router/simulation.rs
+++ b/crates/merlinshelf-dependencies/tests/router/simulation.rs
@@ -1,4 +1,4 @@
-//! A router in virtual time, and its settings.
+//! A simulation of a router and its servers in virtual time.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,7 +8,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// A seeded generator of numbers from 0 to under 1.
+/// A seeded generator of numbers in [0, 1).
 pub struct Random(Pcg64Mcg);
 
 impl Random {
@@ -21,8 +21,8 @@
     }
 }
 
-/// Settings of an operation `page` with these calls, and of dependencies `a`, `b` and `c` with five
-/// servers each at the ports from 1, 11 and 21; `b` is the fallback of `c`.
+/// Settings of an operation `page` with these calls and of dependencies `a`, `b` and `c`, each with
+/// five servers at ports starting from 1, 11 and 21. `b` is the fallback of `c`.
 pub fn settings(calls: &str) -> Dependencies {
     let servers = |first_port: u16| {
         let addresses: Vec<String> = (first_port..first_port + 5)
@@ -37,12 +37,12 @@
         servers(11),
         servers(21)
     );
-    let settings: Dependencies = json5::from_str(&text).expect("it can be decoded");
+    let settings: Dependencies = json5::from_str(&text).expect("decodable settings");
     settings.check().expect("valid settings");
     settings
 }
 
-/// How an attempt ends.
+/// Duration and outcome of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerReply {
     pub duration_seconds: f64,
@@ -58,15 +58,15 @@
     }
 }
 
-/// How a server replies to an attempt that is sent now; `None`: never.
+/// The reply of a server to an attempt that is sent now; `None` if it never replies.
 pub type Behaviour = fn(now: f64, server: &str) -> Option<ServerReply>;
 
-/// A server that succeeds. Durations differ, so that some are the slowest tenth.
+/// Succeeds. Durations differ between servers, so that some are the slowest tenth.
 pub fn succeeds(_: f64, server: &str) -> Option<ServerReply> {
     Some(ServerReply::success(0.004 + 0.0001 * server.len() as f64))
 }
 
-/// A server that succeeds, 20 times as slowly from the fifth second on.
+/// Succeeds, 20 times more slowly after the fifth second.
 pub fn becomes_slow(now: f64, server: &str) -> Option<ServerReply> {
     let slowdown = if now > 5.0 { 20.0 } else { 1.0 };
     succeeds(now, server).map(|reply| ServerReply::success(slowdown * reply.duration_seconds))
@@ -78,7 +78,7 @@
     outcome: AttemptOutcome,
 }
 
-/// How many of the calls got a complete reply.
+/// The number of calls, and of those with a complete reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Completion {
     pub complete: usize,
@@ -86,7 +86,7 @@
 }
 
 impl Completion {
-    /// Whether at least this share of the calls got a complete reply.
+    /// Whether at least this percentage of the calls got a complete reply.
     pub fn is_at_least(&self, percent: usize) -> bool {
         self.complete * 100 >= self.calls * percent
     }
@@ -115,12 +115,12 @@
         }
     }
 
-    /// Starts the operation's first call, of a caller that waits for a second.
+    /// Starts the operation's first call, with one second remaining.
     pub fn start_call(&mut self) -> u64 {
         self.start_call_at(0, Some(1.0))
     }
 
-    /// Starts an idempotent call by its index.
+    /// Starts the idempotent call with this index.
     pub fn start_call_at(&mut self, call_index: usize, remaining_seconds: Option<f64>) -> u64 {
         let request = CallRequest {
             operation: "page",
@@ -200,7 +200,7 @@
             .pending_replies
             .iter()
             .position(|reply| reply.arrives_at == arrives_at)
-            .expect("it is pending");
+            .expect("a pending reply");
         let reply = self.pending_replies.swap_remove(index);
         let random = &mut self.random;
         self.router.attempt_ended(
@@ -212,7 +212,7 @@
         );
     }
 
-    /// Starts so many calls a second until `end`, and lets all of them end.
+    /// Starts calls at this rate until `end`, and waits until all have ended.
     pub fn run_load(&mut self, calls_per_second: f64, end: f64) -> Completion {
         let mut calls = BTreeSet::new();
         while self.now < end {
--- a/crates/merlinshelf-dependencies/tests/server_pool.rs
+++ b/crates/merlinshelf-dependencies/tests/server_pool.rs
@@ -1,11 +1,12 @@
-//! Servers that become slow, fail, hang and recover in virtual time, and lists that change.
+//! Server pools in virtual time: servers that become slow, fail, hang and recover, and changes of
+//! the list of servers.
 
 use std::collections::BTreeMap;
 
 use merlinshelf_dependencies::config::ServerConfig;
 use merlinshelf_dependencies::{ServerHealth, ServerOutcome, ServerPool};
 
-/// A seeded generator of numbers from 0 to under 1.
+/// A seeded generator of numbers in [0, 1).
 struct XorShift(u64);
 
 impl XorShift {
@@ -33,7 +34,7 @@
         .collect()
 }
 
-/// How a server replies.
+/// Duration and outcome of a server's replies.
 #[derive(Clone, Copy, Debug)]
 struct Behaviour {
     duration_seconds: f64,
@@ -56,7 +57,7 @@
     started_at: f64,
 }
 
-/// Calls at a steady rate to servers in virtual time, and what became of them in the last run.
+/// Calls at a constant rate to servers in virtual time, with counts of the last run.
 struct Simulation {
     now: f64,
     pool: ServerPool,
@@ -165,7 +166,7 @@
         simulation.run_for(3.0);
         simulation.behaviours[2] = fault;
         simulation.run_for(3.0);
-        // Ejected, or avoided for its cost alone.
+        // Either ejected, or avoided because of its cost.
         assert!(
             !simulation.is_healthy(2) || simulation.share(2) < 0.1,
             "{fault:?}: {:?}",
@@ -200,7 +201,7 @@
 }
 
 #[test]
-fn none_is_ejected_where_all_are_slow_and_never_more_than_the_maximal_share() {
+fn no_server_is_ejected_if_all_are_slow_and_ejections_stay_within_the_limit() {
     let mut simulation = Simulation::new(6, "");
     simulation.run_for(3.0);
     simulation.behaviours = vec![Behaviour::succeeds_after(0.200); 6];
@@ -210,7 +211,7 @@
         "{:?}",
         simulation.pool.servers()
     );
-    // Five of six fail: at most half of all are ejected, and not the one that succeeds.
+    // Five of six fail: at most half of the servers are ejected, but not the one that succeeds.
     let mut simulation = Simulation::new(6, "");
     simulation.run_for(3.0);
     for server in 1..6 {
@@ -228,7 +229,7 @@
         "{ejected}: {:?}",
         simulation.pool.servers()
     );
-    // The succeeding one gets most calls, though the failing ones reply faster.
+    // The succeeding server gets most calls, although the failing ones reply faster.
     assert!(
         simulation.share(0) > 0.5,
         "{:?}",
@@ -288,7 +289,7 @@
 }
 
 #[test]
-fn pools_of_no_one_and_ten_thousand_servers() {
+fn pools_of_zero_one_and_ten_thousand_servers() {
     let mut random = XorShift::new(3);
     let mut empty = ServerPool::new(0.0, &[], "", 0.5);
     assert_eq!(empty.pick(0.0, &[], &mut || random.next()), None);
@@ -297,24 +298,24 @@
         let now = f64::from(second);
         let server = single
             .pick(now, &[], &mut || random.next())
-            .expect("there is one");
+            .expect("a usable server");
         single.record_outcome(now, server, ServerOutcome::Failed, 0.01);
     }
     assert_eq!(
         single.servers()[0].health,
         ServerHealth::Healthy,
-        "the last one is never ejected"
+        "the only server is never ejected"
     );
     assert_eq!(
         single.pick(200.0, &[0], &mut || random.next()),
         None,
-        "it is excluded"
+        "the only server is excluded"
     );
     let mut large = ServerPool::new(0.0, &servers(10_000), "", 0.1);
     for _ in 0..200 {
         let server = large
             .pick(1.0, &[], &mut || random.next())
-            .expect("there are many");
+            .expect("a usable server");
         large.record_outcome(1.0, server, ServerOutcome::Succeeded, 0.01);
     }
 }
--- a/crates/merlinshelf-dependencies/tests/subset.rs
+++ b/crates/merlinshelf-dependencies/tests/subset.rs
@@ -12,14 +12,14 @@
     for server in subsets.iter().flatten() {
         load[*server] += 1;
     }
-    let max_load = *load.iter().max().expect("some");
+    let max_load = *load.iter().max().expect("a hundred servers");
     assert!(
         max_load < 85,
-        "largest over mean: {}",
+        "highest load relative to the mean: {}",
         f64::from(max_load) / 60.0
     );
     assert!(subsets.iter().all(|subset| subset.len() == 20));
-    // One server less: each subset with it changes in one entry, the others in none.
+    // Without one server, each subset that contained it changes in one entry, the others in none.
     let fewer: Vec<u64> = servers
         .iter()
         .copied()
