--- a/crates/merlinshelf-gossip/tests/golden.rs
+++ b/crates/merlinshelf-gossip/tests/golden.rs
@@ -1,16 +1,16 @@
-//! What outlives an instance's process, held to golden files: the store file in both of its
-//! versions and the names of its files; and the types of this package that are encoded with field
-//! names.
+//! Golden tests of the formats that outlive an instance's process: the store file in both of its
+//! versions, the names of the store's files, and the types of this package that are encoded with
+//! field names.
 //!
-//! Every field of a sample has a value of its own that is not its default, so that a field that is
-//! lost, swapped or renamed on the wire shows. The files hold bytes as programs in the field wrote
-//! them: where a test fails, the code is to be mended, not the file.
+//! Every field of a sample has a distinct value other than its default, so that the tests detect a
+//! field that is lost, swapped or renamed on the wire. The files contain bytes as released programs
+//! wrote them: if a test fails, fix the code, not the file.
 
 use std::collections::BTreeMap;
 use std::io;
 
 use merlinshelf_gossip::store::{
-    Files, Found, STORE_FILE, STORE_FILE_ASIDE, STORE_FILE_NEXT, Store,
+    Files, STORE_FILE, Store, StoreContents, TEMPORARY_STORE_FILE, UNREADABLE_STORE_FILE,
 };
 use merlinshelf_gossip::store_format::{
     self, EncodeError, PersistedObservation, Record, Recovered,
@@ -37,7 +37,7 @@
     rmp_serde::from_slice(bytes).expect("bytes that can be decoded")
 }
 
-/// Every metric, each with names of its own.
+/// One metric of every kind, each with distinct names.
 fn metrics() -> Vec<Metric> {
     vec![
         Metric::RunLowest {
@@ -81,23 +81,23 @@
 
 /// An observation of every metric, from sources of every status.
 fn observations() -> Vec<GossipedObservation> {
-    let observation = |(place, metric): (usize, Metric)| GossipedObservation {
+    let observation = |(number, metric): (usize, Metric)| GossipedObservation {
         metric,
         source: Source {
-            name: format!("n{place}"),
-            incarnation: INCARNATION + 1 + place as u64,
+            name: format!("n{number}"),
+            incarnation: INCARNATION + 1 + number as u64,
         },
-        value: 0.0625 + place as f64,
-        sample_count: 20 + place as u32,
-        age_seconds: 40.5 + place as f64,
-        sequence: 300_000 + place as u64,
-        hops: 60 + place as u8,
-        status: STATUSES[place % STATUSES.len()],
+        value: 0.0625 + number as f64,
+        sample_count: 20 + number as u32,
+        age_seconds: 40.5 + number as f64,
+        sequence: 300_000 + number as u64,
+        hops: 60 + number as u8,
+        status: STATUSES[number % STATUSES.len()],
     };
     metrics().into_iter().enumerate().map(observation).collect()
 }
 
-/// A later observation in place of the first one.
+/// A later observation in number of the first one.
 fn later_observation() -> GossipedObservation {
     GossipedObservation {
         value: 77.5,
@@ -150,17 +150,17 @@
     }
 }
 
-/// What the store file holds after two savings, the second of which appends what has changed.
-fn stored() -> Found {
+/// The contents of the store file after two saves, the second of which appends the changes.
+fn expected_contents() -> StoreContents {
     let first = observations()
         .into_iter()
         .map(|observation| persisted(SAVED_AT, observation));
     let second = persisted(SAVED_AGAIN_AT, later_observation());
-    Found {
+    StoreContents {
         observations: first.chain([second]).collect(),
         incarnation: INCARNATION,
         error: None,
-        was_set_aside: false,
+        was_moved_aside: false,
     }
 }
 
@@ -171,32 +171,40 @@
     let mut all = observations();
     store
         .save(&mut folder, SAVED_AT, &all)
-        .expect("memory takes it");
+        .expect("in-memory writes succeed");
     all[0] = later_observation();
     store
         .save(&mut folder, SAVED_AGAIN_AT, &all)
-        .expect("memory takes it");
+        .expect("in-memory writes succeed");
     let names: Vec<&str> = folder.0.keys().map(String::as_str).collect();
     assert_eq!(names, ["knowledge"]);
     folder.0.remove("knowledge").expect("the store file")
 }
 
-fn open_store(bytes: &[u8]) -> Found {
+fn open_store(bytes: &[u8]) -> StoreContents {
     let mut folder = MemoryFolder::default();
     folder.0.insert("knowledge".into(), bytes.to_vec());
-    let (_, found) = Store::open(&mut folder).expect("memory can be read");
-    found
+    let (_, contents) = Store::open(&mut folder).expect("in-memory reads succeed");
+    contents
 }
 
 #[test]
 fn store_file() {
-    golden_file::assert_form("store_file", &stored(), |_| write_store(), open_store);
+    golden_file::assert_form(
+        "store_file",
+        &expected_contents(),
+        |_| write_store(),
+        open_store,
+    );
 }
 
-/// The same bytes record by record: the form in which a handover image carries them.
+/// The same bytes record by record: the format in which a handover image carries them.
 #[test]
 fn records_of_the_store_file() {
-    let observations = stored().observations.into_iter().map(Record::Observation);
+    let observations = expected_contents()
+        .observations
+        .into_iter()
+        .map(Record::Observation);
     let records: Vec<Record> = [Record::Incarnation(INCARNATION)]
         .into_iter()
         .chain(observations)
@@ -204,7 +212,7 @@
     let encode = |records: &Vec<Record>| {
         let framed = records
             .iter()
-            .flat_map(|record| encoded(store_format::record(record)));
+            .flat_map(|record| encoded(store_format::encode_record(record)));
         store_format::header().into_iter().chain(framed).collect()
     };
     let decode = |bytes: &[u8]| {
@@ -219,7 +227,7 @@
     golden_file::assert_form("store_file", &records, encode, decode);
 }
 
-/// Nothing writes it any more, but files of it are still to be read.
+/// Version 1 is no longer written, but existing files must still be readable.
 #[test]
 fn store_file_of_version_1() {
     let expected: Vec<PersistedObservation> = observations()
@@ -229,40 +237,44 @@
     let encode = |all: &Vec<PersistedObservation>| {
         let framed = all
             .iter()
-            .flat_map(|value| encoded(store_format::framed(value)));
+            .flat_map(|value| encoded(store_format::encode_frame(value)));
         b"MSK1\x01\0\0\0".iter().copied().chain(framed).collect()
     };
     let decode = |bytes: &[u8]| {
-        let found = open_store(bytes);
+        let contents = open_store(bytes);
         assert_eq!(
-            (found.incarnation, found.error, found.was_set_aside),
+            (
+                contents.incarnation,
+                contents.error,
+                contents.was_moved_aside
+            ),
             (0, None, false)
         );
-        found.observations
+        contents.observations
     };
     golden_file::assert_form("store_file_first_form", &expected, encode, decode);
 }
 
-/// A later program finds what an earlier one left by these names.
+/// Later versions find the files of earlier ones by these names.
 #[test]
 fn names_of_the_stores_files() {
     assert_eq!(
-        [STORE_FILE, STORE_FILE_NEXT, STORE_FILE_ASIDE],
+        [STORE_FILE, TEMPORARY_STORE_FILE, UNREADABLE_STORE_FILE],
         ["knowledge", "knowledge.new", "knowledge.aside"]
     );
 }
 
 #[test]
-fn observation_as_it_is_held() {
+fn stored_observations() {
     let observations: Vec<Observation> = STATUSES
         .into_iter()
         .zip(1..)
-        .map(|(status, place)| Observation {
-            value: 0.125 + f64::from(place),
-            sample_count: 10 + place,
-            observed_at: 20.5 + f64::from(place),
-            sequence: 300_000 + u64::from(place),
-            hops: 40 + place as u8,
+        .map(|(status, number)| Observation {
+            value: 0.125 + f64::from(number),
+            sample_count: 10 + number,
+            observed_at: 20.5 + f64::from(number),
+            sequence: 300_000 + u64::from(number),
+            hops: 40 + number as u8,
             status,
         })
         .collect();
@@ -275,11 +287,11 @@
     let updates: Vec<MembershipUpdate> = states
         .into_iter()
         .zip(1..)
-        .map(|(state, place)| MembershipUpdate {
-            name: format!("n{place}"),
-            address: format!("127.0.0.1:74{place:02}"),
-            incarnation: INCARNATION + u64::from(place),
-            refutations: 10 + place,
+        .map(|(state, number)| MembershipUpdate {
+            name: format!("n{number}"),
+            address: format!("127.0.0.1:74{number:02}"),
+            incarnation: INCARNATION + u64::from(number),
+            refutations: 10 + number,
             state,
         })
         .collect();
