--- a/crates/merlinshelf-cli/tests/upgrade.rs
+++ b/crates/merlinshelf-cli/tests/upgrade.rs
@@ -474,7 +474,7 @@
         assert_eq!(client.next_reply().await?.1["stage"], "starting");
         instance.logged("fault successor.ready", 1).await?;
         signal(instance.processes()[0], Signal::KILL);
-        instance.logged("the old process is gone", 1).await
+        instance.logged("the predecessor has exited", 1).await
     });
 }
 
--- a/crates/merlinshelf-handover/src/flow.rs
+++ b/crates/merlinshelf-handover/src/flow.rs
@@ -1,43 +1,44 @@
-//! The bytes of one connection: what the process that serves it has recorded, reconciled with what
-//! the kernel counted.
+//! Byte counts of one connection: the counts recorded by the process that serves it are reconciled
+//! with those of the kernel.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// How far one connection has come, as recorded by the process that serves it. Counts are bytes
-/// since the connection was established. Names in `#[serde(rename = "...")]` are those stored and
-/// stay.
+/// Byte counts and buffers of one connection, as recorded by the process that serves it. Counts are
+/// bytes since the connection was established. Names in `#[serde(rename = "...")]` are part of the
+/// stored format and must not change.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Flow {
-    /// Bytes that were read, those still in `read_buffer` included.
+    /// Bytes that were read, including those still in `read_buffer`.
     #[serde(rename = "taken")]
     pub read_bytes: u64,
     /// Bytes that were written to the kernel.
     #[serde(rename = "given")]
     pub written_bytes: u64,
-    /// Read and not processed yet.
+    /// Bytes that were read and not processed yet.
     #[serde(with = "serde_bytes", rename = "coming")]
     pub read_buffer: Vec<u8>,
-    /// Not written to the kernel yet.
+    /// Bytes that were not written to the kernel yet.
     #[serde(with = "serde_bytes", rename = "going")]
     pub write_buffer: Vec<u8>,
 }
 
-/// What the kernel reports of a connection at one moment.
+/// The kernel's byte counts of a connection at one moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct KernelByteCounts {
     /// Bytes received in order (`tcpi_bytes_received`).
     pub received_bytes: u64,
-    /// Of these, bytes that nobody has read (`SIOCINQ`).
+    /// Of these, bytes that were not read yet (`SIOCINQ`).
     pub unread_bytes: u64,
-    /// The peer has closed its direction, which `received_bytes` counts as one byte more.
+    /// The peer has closed its direction, which `received_bytes` counts as one additional byte.
     pub is_closed_by_peer: bool,
     /// Bytes that the peer has acknowledged (`tcpi_bytes_acked`).
     pub acknowledged_bytes: u64,
     /// Bytes written and not acknowledged yet (`SIOCOUTQ`).
     pub unacknowledged_bytes: u64,
-    /// This side has opened the connection, which `acknowledged_bytes` counts as one byte more.
+    /// This side has opened the connection, which `acknowledged_bytes` counts as one additional
+    /// byte.
     pub is_opened_locally: bool,
 }
 
@@ -55,38 +56,39 @@
     }
 }
 
-/// What remains to be done for a connection once record and kernel agree.
+/// Corrections to apply before a connection is continued.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Reconciliation {
     /// Bytes at the front of the kernel's receive buffer that were recorded as read already.
     pub discard_bytes: usize,
-    /// Bytes of the recorded `write_buffer` that the kernel has already.
+    /// Bytes of the recorded `write_buffer` that were already written to the kernel.
     pub written_bytes: usize,
 }
 
-/// Record and kernel contradict each other: the connection can't be continued.
+/// The recorded counts contradict the kernel's: the connection can't be continued.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ByteCountMismatch {
-    /// More was read out of the kernel than recorded, by so many bytes.
+    /// More was read from the kernel than recorded, by this number of bytes.
     #[error("{0} bytes were read and never recorded")]
     UnrecordedRead(u64),
-    /// More was recorded as read than can still lie in the kernel, by so many bytes.
+    /// More was recorded as read than the kernel has received, by this number of bytes.
     #[error("{0} bytes were recorded as read that the kernel has not received")]
     RecordedReadMissing(u64),
-    /// More was written to the kernel than recorded, by so many bytes.
+    /// More was written to the kernel than recorded, by this number of bytes.
     #[error("{0} bytes were written and never recorded")]
     UnrecordedWrite(u64),
-    /// Less was written to the kernel than recorded, by so many bytes.
+    /// Less was written to the kernel than recorded, by this number of bytes.
     #[error("{0} bytes were recorded as written that the kernel does not have")]
     RecordedWriteMissing(u64),
 }
 
 impl Flow {
-    /// Reconciles what a process that died may have done after its last record: it recorded what it
-    /// saw before it took it out of the kernel, and what it was about to write before it wrote.
+    /// Accounts for reads and writes that a process may have made between its last record and its
+    /// death. It records received bytes before it reads them from the kernel, and outgoing bytes
+    /// before it writes them.
     ///
     /// # Errors
-    /// The counts can't be those of the same connection; the flow is unchanged then.
+    /// The counts can't belong to the same connection; the flow is left unchanged.
     pub fn reconcile(
         &mut self,
         kernel: KernelByteCounts,
@@ -101,7 +103,7 @@
         })
     }
 
-    /// Bytes that were recorded as read and still lie in the kernel.
+    /// Bytes that were recorded as read and are still in the kernel's receive buffer.
     fn bytes_to_discard(&self, kernel: KernelByteCounts) -> Result<usize, ByteCountMismatch> {
         let read_from_kernel = kernel.read_bytes();
         let Some(ahead) = self.read_bytes.checked_sub(read_from_kernel) else {
--- a/crates/merlinshelf-handover/src/image.rs
+++ b/crates/merlinshelf-handover/src/image.rs
@@ -1,10 +1,10 @@
-//! An image of an instance: records by key, changed by atomic transactions, as bytes that two
-//! versions can share.
+//! An image of an instance: records by key, changed by atomic transactions, in a format that
+//! different versions of the program can exchange.
 //!
-//! A transaction is `MSH1`, the length of what follows (u32, big endian), then its entries. Each
-//! entry is its kind (u8), 16 bytes of name, a length (u32), and so many bytes of a record in
-//! MessagePack; the length `u32::MAX` means that the record was removed. Entries of an unknown kind
-//! are skipped.
+//! A transaction consists of `MSH1`, the length of its entries in bytes (u32, big endian) and the
+//! entries. Each entry consists of its kind (u8), a name of 16 bytes, the length of its record (u32,
+//! big endian) and the record in MessagePack; the length `u32::MAX` means that the record was
+//! removed. Entries of an unknown kind are skipped.
 
 use std::collections::BTreeMap;
 
@@ -18,11 +18,10 @@
 const ENTRY_HEADER_BYTES: usize = 1 + NAME_BYTES + 4;
 /// The length that marks a removal.
 const REMOVED: u32 = u32::MAX;
-/// No transaction is longer: an image of a full table of invocations at their largest is a fraction
-/// of it.
+/// An image with a full table of invocations of maximum size is a fraction of this.
 const MAX_TRANSACTION_BYTES: usize = 256 * 1024 * 1024;
 
-/// What a record is about.
+/// Identifies the object that a record describes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Key {
     /// The instance itself.
@@ -31,7 +30,7 @@
     EngineConnection,
     /// An edge node's connection, by its stream number.
     ClientConnection(u64),
-    /// The responses that wait for a client connection, by the same stream number.
+    /// The responses queued for a client connection, by the same stream number.
     ResponseQueue(u64),
     /// A connection to the catalogue or a dependency, by its stream number.
     DownstreamConnection(u64),
@@ -40,7 +39,7 @@
 }
 
 impl Key {
-    /// The kind and the name under which the key is encoded.
+    /// Encodes the key as kind and name.
     fn encode(self) -> (u8, [u8; NAME_BYTES]) {
         match self {
             Key::Instance => (1, [0; NAME_BYTES]),
@@ -52,7 +51,7 @@
         }
     }
 
-    /// The key of an entry; `None` for a kind that only a later version knows.
+    /// Decodes the key of an entry; `None` for a kind that this version does not know.
     fn decode(kind: u8, name: [u8; NAME_BYTES]) -> Option<Key> {
         let stream = decode_stream(name);
         match kind {
@@ -67,7 +66,7 @@
     }
 }
 
-/// A stream number stands in the last 8 bytes of a name.
+/// Encodes a stream number into the last 8 bytes of a name.
 fn encode_stream(stream: u64) -> [u8; NAME_BYTES] {
     let mut name = [0; NAME_BYTES];
     name[8..].copy_from_slice(&stream.to_be_bytes());
@@ -80,30 +79,30 @@
     u64::from_be_bytes(low)
 }
 
-/// Why bytes are no image.
+/// Why bytes can't be decoded as an image.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum DecodeError {
-    /// The bytes don't begin with the magic of a transaction.
-    #[error("no transaction where one must begin")]
+    /// The bytes don't begin with the magic bytes of a transaction.
+    #[error("missing magic bytes at the start of a transaction")]
     MissingMagic,
-    /// A transaction says that it is longer than any can be.
-    #[error("a transaction of an impossible length")]
+    /// The length in a transaction's header exceeds the maximum.
+    #[error("transaction length of {bytes} bytes exceeds the maximum")]
     ExcessiveLength {
-        /// The length that it says.
+        /// The length in the header.
         bytes: usize,
     },
     /// A transaction ends within the header of an entry.
-    #[error("an entry that is cut short")]
+    #[error("truncated entry")]
     TruncatedEntry,
     /// A transaction ends within a record.
-    #[error("a record that is cut short")]
+    #[error("truncated record")]
     TruncatedRecord,
     /// The bytes of a record don't decode to its type.
     #[error("the record of {key:?} can't be decoded: {reason}")]
     InvalidRecord {
         /// Which record.
         key: Key,
-        /// What the decoder says.
+        /// The decoder's error.
         reason: String,
     },
 }
@@ -117,8 +116,8 @@
 impl Transaction {
     /// Adds or replaces a record.
     pub fn put(&mut self, key: Key, record: &impl Serialize) {
-        // Records are plain structures, whose encoding into memory can't fail; one that did would
-        // stay as it was.
+        // Encoding a plain structure into memory can't fail. If it did, the former record would be
+        // kept.
         if let Ok(record) = rmp_serde::to_vec_named(record) {
             self.push_entry(key, record.len() as u32, &record);
         }
@@ -132,7 +131,7 @@
     fn push_entry(&mut self, key: Key, length: u32, record: &[u8]) {
         if self.bytes.is_empty() {
             self.bytes.extend(MAGIC);
-            self.bytes.extend([0; 4]); // the length, known in `take`
+            self.bytes.extend([0; 4]); // the length, set in `take`
         }
         let (kind, name) = key.encode();
         self.bytes.push(kind);
@@ -146,7 +145,7 @@
         self.bytes.is_empty()
     }
 
-    /// The encoded transaction, to be written at once. It is empty afterwards.
+    /// Returns the encoded transaction, to be written at once, and leaves an empty one.
     pub fn take(&mut self) -> Vec<u8> {
         let mut bytes = std::mem::take(&mut self.bytes);
         if !bytes.is_empty() {
@@ -157,7 +156,7 @@
     }
 }
 
-/// Records by key, each decoded when it is requested. Of removed records the keys stay until
+/// Records by key, each decoded on request. The keys of removed records are kept until
 /// `take_removed`.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Image {
@@ -165,12 +164,11 @@
 }
 
 impl Image {
-    /// Applies all complete transactions at the front of the bytes, and returns how many bytes
-    /// these are. An incomplete one behind them was being written when its writer ended, and never
-    /// happened.
+    /// Applies all complete transactions at the front of the bytes, and returns their total length.
+    /// An incomplete transaction after them is ignored: its writer ended while writing it.
     ///
     /// # Errors
-    /// What is no transaction; those before it were applied.
+    /// The first invalid transaction; those before it were applied.
     pub fn apply(&mut self, bytes: &[u8]) -> Result<usize, DecodeError> {
         let mut applied_bytes = 0;
         while let Some((header, rest)) =
@@ -217,7 +215,7 @@
         Ok(())
     }
 
-    /// The record under that key; `None` where there is none.
+    /// Decodes the record of a key; `None` if there is none.
     ///
     /// # Errors
     /// The record can't be decoded.
@@ -232,18 +230,18 @@
         rmp_serde::from_slice(bytes).map(Some).map_err(invalid)
     }
 
-    /// The record under that key, if it is there and can be decoded. Where the difference matters,
-    /// use `decode`.
+    /// The record of a key, if it exists and can be decoded. Use `decode` to distinguish a missing
+    /// record from an invalid one.
     pub fn get<T: DeserializeOwned>(&self, key: Key) -> Option<T> {
         self.decode(key).ok().flatten()
     }
 
-    /// Whether the record was there and has been removed.
+    /// Whether the record was removed and `take_removed` was not called since.
     pub fn is_removed(&self, key: Key) -> bool {
         self.records.get(&key).is_some_and(Option::is_none)
     }
 
-    /// The keys of all records, in the order of kinds and names.
+    /// The keys of all records, ordered by kind and name.
     pub fn keys(&self) -> impl Iterator<Item = Key> + '_ {
         self.records
             .iter()
@@ -251,8 +249,8 @@
             .map(|(key, _)| *key)
     }
 
-    /// Forgets which records were removed, and returns their keys: what they described is known to
-    /// be closed.
+    /// Returns the keys of removed records and forgets them. Call this once the objects that they
+    /// described are known to be closed.
     pub fn take_removed(&mut self) -> Vec<Key> {
         let removed: Vec<Key> = self
             .records
@@ -266,13 +264,13 @@
         removed
     }
 
-    /// The bytes of all records.
+    /// The total size of all records, in bytes.
     pub fn size_bytes(&self) -> usize {
         self.records.values().flatten().map(Vec::len).sum()
     }
 }
 
-/// The first four bytes, big endian.
+/// Decodes the first four bytes as a big-endian number.
 fn decode_u32(bytes: &[u8]) -> u32 {
     bytes
         .iter()
--- a/crates/merlinshelf-handover/src/lib.rs
+++ b/crates/merlinshelf-handover/src/lib.rs
@@ -1,11 +1,11 @@
-//! The handover of a serving instance to a successor: what is transferred ([`records`], [`image`]),
-//! how much of it the kernel has seen ([`flow`]), the messages between the two processes
-//! ([`messages`]), and the two state machines that determine who owns everything at any time
-//! ([`predecessor`] in the old process, [`successor`] in the new one).
+//! The handover of a serving instance to a successor process: the transferred state ([`records`],
+//! [`image`]), its reconciliation with the kernel's byte counts ([`flow`]), the messages between the
+//! two processes ([`messages`]), and the two state machines that determine which process owns the
+//! connections at any time ([`predecessor`] in the old process, [`successor`] in the new one).
 //!
-//! Nothing here reads a clock or a descriptor or draws random numbers: time comes in as a
-//! [`std::time::Duration`] since any fixed moment, and what is to be done goes out as actions that
-//! a host carries out and reports on.
+//! The crate performs no I/O, reads no clock and draws no random numbers. Callers pass the time as a
+//! [`std::time::Duration`] since a fixed but arbitrary moment, carry out the returned actions and
+//! report their results.
 
 pub mod flow;
 pub mod image;
--- a/crates/merlinshelf-handover/src/messages.rs
+++ b/crates/merlinshelf-handover/src/messages.rs
@@ -1,17 +1,17 @@
-//! The messages between a predecessor and its successor, one a datagram of MessagePack written by
-//! field name.
+//! The messages between a predecessor and its successor. Each is one datagram in MessagePack, with
+//! fields encoded by name.
 //!
-//! Two versions of the program exchange them: names in `#[serde(rename = "...")]` are those on the
-//! wire and stay.
+//! Different versions of the program exchange them: names in `#[serde(rename = "...")]` are part of
+//! the wire format and must not change.
 
 use serde::{Deserialize, Serialize};
 
-/// The format versions of the image and of these messages that this program supports. A successor
-/// advertises those that it can decode; the highest that both support is selected.
+/// The supported format versions of the image and of these messages. A successor advertises the
+/// versions that it can decode, and the predecessor selects the highest common one.
 pub const SUPPORTED_FORMATS: &[u32] = &[1];
 
-/// Selects the format version to use with a process that supports `peer_formats`; `None` without a
-/// common one.
+/// Selects the highest format version that a peer with `peer_formats` supports too; `None` if there
+/// is no common version.
 pub fn select_format(peer_formats: &[u32]) -> Option<u32> {
     SUPPORTED_FORMATS
         .iter()
@@ -20,12 +20,12 @@
         .max()
 }
 
-/// What a descriptor is that is attached to a message.
+/// What an attached descriptor refers to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Role {
     /// The file that contains the image.
     Image,
-    /// The file into which the successor records its changes during probation.
+    /// The file in which the successor records its changes during probation.
     Journal,
     /// The listening socket for client connections.
     Listener,
@@ -46,10 +46,10 @@
 /// clock.
 pub type MonotonicSeconds = f64;
 
-/// A message of either process. Each variant says who sends it.
+/// A message of either process. The documentation of each variant begins with its sender.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// Successor: the first message, once its configuration is read.
+    /// Successor: the first message, sent once its configuration is read.
     Hello {
         /// The format versions that it supports.
         #[serde(rename = "forms")]
@@ -64,19 +64,19 @@
         #[serde(rename = "why")]
         reason: String,
     },
-    /// Successor: its settings are usable, it can take over at once.
+    /// Successor: its settings are valid, and it can take over at once.
     Ready,
     /// Successor: everything that was transferred has been restored and can be continued.
     #[serde(rename = "Taken")]
     Restored,
-    /// Successor: it opened or accepted a connection, whose descriptor is attached. Sent before a
-    /// byte passes on it.
+    /// Successor: it opened or accepted a connection, whose descriptor is attached. Sent before any
+    /// byte is transferred on the connection.
     #[serde(rename = "Opened")]
     ConnectionOpened {
         /// What the attached descriptor is.
         role: Role,
     },
-    /// Successor: its main loop turns.
+    /// Successor: its main loop is running.
     #[serde(rename = "Beat")]
     Heartbeat,
     /// Successor: it has served for the whole probation.
@@ -85,15 +85,15 @@
     /// Successor: it was notified to shut down.
     #[serde(rename = "Leaves")]
     Draining {
-        /// When its process must have exited.
+        /// Time by which its process must have exited.
         #[serde(rename = "stop")]
         deadline: MonotonicSeconds,
     },
-    /// Successor: the predecessor has not released it in time or does not read its journal. It
-    /// continues alone and records nothing any more.
+    /// Successor: the predecessor has not released it in time or does not read its journal. The
+    /// successor continues alone and stops recording.
     #[serde(rename = "Unwatched")]
     Detached,
-    /// Predecessor: the format that is used from here on.
+    /// Predecessor: the format version that is used from now on.
     #[serde(rename = "Form")]
     FormatSelected {
         /// One of the versions that the successor advertised.
@@ -103,24 +103,24 @@
     /// Predecessor: descriptors are attached.
     #[serde(rename = "Pass")]
     Descriptors {
-        /// What they are, in the order in which they are attached.
+        /// Their roles, in the order of attachment.
         roles: Vec<Role>,
     },
     /// Predecessor: all descriptors were sent.
     #[serde(rename = "Passed")]
     TransferCompleted {
-        /// How many descriptors in all.
+        /// Total number of descriptors.
         count: usize,
     },
-    /// Predecessor: from here on the successor owns everything.
+    /// Predecessor: the successor owns everything from now on.
     #[serde(rename = "Go")]
     Activate,
-    /// Predecessor: the probation is over, nothing needs to be recorded any more.
+    /// Predecessor: the probation is over, and recording can stop.
     Released,
     /// Predecessor: it was notified to shut down, and the successor is to drain in its place.
     #[serde(rename = "Leave")]
     Drain {
-        /// When the process must have exited.
+        /// Time by which the process must have exited.
         #[serde(rename = "stop")]
         deadline: MonotonicSeconds,
     },
--- a/crates/merlinshelf-handover/src/predecessor/failure.rs
+++ b/crates/merlinshelf-handover/src/predecessor/failure.rs
@@ -3,7 +3,7 @@
 
 use thiserror::Error;
 
-/// Why a requested upgrade does not begin.
+/// Why a requested upgrade is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub(super) enum Rejection {
     /// The host can't run two processes now.
@@ -15,7 +15,7 @@
     UpgradeInProgress,
 }
 
-/// Why an upgrade that had begun failed.
+/// Why a started upgrade failed.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub(super) enum Failure {
     #[error("{reason}")]
@@ -25,7 +25,7 @@
         program: String,
         format_versions: Vec<u32>,
     },
-    /// The successor said that it can't take over.
+    /// The successor reported that it can't take over.
     #[error("{reason}")]
     Declined { reason: String },
     #[error("{reason}")]
@@ -44,7 +44,7 @@
     HeartbeatLost,
     #[error("the successor does not become steady")]
     ProbationTimedOut,
-    /// A process that must shut down does not begin a handover that it may not live to complete.
+    /// This process must shut down and might exit before the handover is complete.
     #[error("the notice to leave came")]
     DrainRequested,
     #[error("the successor ended with status {status}")]
@@ -55,7 +55,7 @@
 }
 
 impl Failure {
-    /// The end of the successor's process: its exit status, or `None` where a signal ended it.
+    /// The failure for an exit of the successor's process; `status` is `None` if a signal ended it.
     pub(super) fn of_exit(status: Option<i32>) -> Failure {
         match status {
             Some(status) => Failure::SuccessorExited { status },
--- a/crates/merlinshelf-handover/src/predecessor/mod.rs
+++ b/crates/merlinshelf-handover/src/predecessor/mod.rs
@@ -1,9 +1,9 @@
 //! The predecessor's side of a handover: it starts a successor, transfers everything, observes the
 //! successor during its probation, and recovers everything if the successor fails.
 //!
-//! Until `Activate` is sent the predecessor owns everything, and a successor that fails costs a
-//! freeze at most. From then on the successor is the owner, and the predecessor only once the
-//! successor is known to be dead: the end of its process is awaited before anything is touched.
+//! Until `Activate` is sent the predecessor owns everything, and a failure of the successor costs at
+//! most one freeze. From then on the successor is the owner. The predecessor becomes the owner again
+//! only after the successor's process has ended.
 
 mod action;
 mod failure;
@@ -22,15 +22,14 @@
 use failure::{Failure, Rejection};
 use state::{Probation, RecoverySource, State};
 
-/// The predecessor's state machine. It is fed events, with the time at which they happened, and
-/// polled for actions.
+/// The predecessor's state machine. The host reports events with their times, and polls for actions.
 #[derive(Debug)]
 pub struct Predecessor {
     timeouts: StageTimeouts,
     state: State,
-    /// When a process must have exited, once this one was notified to shut down.
+    /// Time by which the serving process must have exited, once this one was notified to shut down.
     drain_deadline: Option<MonotonicSeconds>,
-    /// SIGHUP arrived while nobody served.
+    /// SIGHUP arrived while no process served.
     is_reload_pending: bool,
     actions: VecDeque<Action>,
 }
@@ -52,12 +51,12 @@
         self.actions.pop_front()
     }
 
-    /// When `handle_timeout` has to be called though nothing happens.
+    /// Time at which `handle_timeout` must be called if no event occurs before.
     pub fn next_timeout(&self) -> Option<Duration> {
         self.state.next_timeout(&self.timeouts)
     }
 
-    /// Whether this process may touch connections, engine and catalogue.
+    /// Whether this process may use the connections, the engine and the catalogue.
     pub fn is_owner(&self) -> bool {
         self.state.is_owner()
     }
@@ -77,8 +76,8 @@
         self.state.name()
     }
 
-    /// An upgrade was requested. `unavailable` says why the host can't run two processes, where it
-    /// can't.
+    /// An upgrade was requested. `unavailable` is the reason why the host can't run two processes, if
+    /// it can't.
     pub fn start_upgrade(&mut self, now: Duration, unavailable: Option<String>) {
         let rejection = if self.state != State::Serving {
             Some(Rejection::UpgradeInProgress)
@@ -109,8 +108,7 @@
         }
     }
 
-    /// A message was received from the successor. One that is late, doubled or out of place is
-    /// ignored.
+    /// A message was received from the successor. A late, duplicate or unexpected message is ignored.
     pub fn handle_message(&mut self, now: Duration, message: Message) {
         match (&mut self.state, message) {
             (_, Message::Declined { reason }) => self.fail(Failure::Declined { reason }),
@@ -132,7 +130,7 @@
             (State::Restoring { .. }, Message::Restored) => self.activate(now),
             (State::Probation(probation), Message::Draining { deadline }) => {
                 probation.last_heartbeat_at = now;
-                // The first notification counts.
+                // The earlier deadline applies.
                 let deadline = match probation.drain_deadline {
                     Some(known) => f64::min(known, deadline),
                     None => deadline,
@@ -146,10 +144,10 @@
                 self.actions.push_back(Action::Send(Message::Released));
                 self.complete();
             }
-            // This process was asleep, and the successor has recorded nothing since: there is
-            // nothing to recover.
+            // This process was suspended, and the successor has stopped recording: its changes since
+            // then can't be recovered.
             (State::Probation(_), Message::Detached) => self.complete(),
-            // A successor that drains is observed until its process ends, also after its probation.
+            // A draining successor is observed until its process ends, even after its probation.
             (
                 State::Probation(probation),
                 Message::Heartbeat | Message::ConnectionOpened { .. } | Message::ProbationCompleted,
@@ -158,7 +156,7 @@
         }
     }
 
-    /// The image is made.
+    /// The image was created.
     pub fn freeze_completed(&mut self, now: Duration) {
         if let State::Freezing { deadline } = self.state {
             if now >= deadline {
@@ -169,7 +167,7 @@
         }
     }
 
-    /// The image could not be made.
+    /// The image could not be created.
     pub fn freeze_failed(&mut self, reason: &str) {
         if matches!(self.state, State::Freezing { .. }) {
             let reason = reason.to_owned();
@@ -177,7 +175,7 @@
         }
     }
 
-    /// Image and descriptors were sent, `count` descriptors in all.
+    /// The image and all `count` descriptors were sent.
     pub fn transfer_completed(&mut self, count: usize) {
         if let State::Transferring { deadline } = self.state {
             self.state = State::Restoring { deadline };
@@ -200,13 +198,13 @@
         self.fail(Failure::ChannelFailed { reason });
     }
 
-    /// The successor's process has ended, with this exit status or by a signal. Seen in the process
-    /// table, so that it touches nothing any more.
+    /// The successor's process has ended, with this exit status or by a signal. The host observes
+    /// this in the process table, so that the successor can't change anything any more.
     pub fn successor_exited(&mut self, status: Option<i32>) {
         match std::mem::replace(&mut self.state, State::Serving) {
             State::Serving => {}
             State::Ended => self.state = State::Ended,
-            // It was notified to shut down, and did.
+            // It was notified to shut down and has shut down successfully.
             State::Probation(Probation {
                 drain_deadline: Some(_),
                 ..
@@ -227,8 +225,8 @@
         }
     }
 
-    /// This process was notified to shut down and must have exited by then. The first notification
-    /// counts.
+    /// This process was notified to shut down and must have exited by `deadline`. Later notifications
+    /// are ignored.
     pub fn drain(&mut self, deadline: MonotonicSeconds) {
         if self.drain_deadline.is_some() {
             return;
@@ -244,7 +242,7 @@
             }
             State::Probation(_) => self.forward_drain(deadline),
             state if state.is_serving() => self.actions.push_back(Action::Drain { deadline }),
-            // Applied once the successor's end is seen.
+            // Applied once the end of the successor's process is observed.
             State::Serving | State::KillingSuccessor { .. } | State::Ended => {}
         }
     }
@@ -259,7 +257,7 @@
         }
     }
 
-    /// Time has passed. Does nothing before `next_timeout`.
+    /// Fails the upgrade if its current state has timed out. Does nothing before `next_timeout`.
     pub fn handle_timeout(&mut self, now: Duration) {
         let is_due = self.next_timeout().is_some_and(|timeout| now >= timeout);
         if !is_due {
@@ -293,7 +291,7 @@
         self.actions.push_back(Action::Freeze);
     }
 
-    /// Makes the successor the owner, and passes on the signals that arrived while nobody served.
+    /// Makes the successor the owner, and forwards signals that arrived while no process served.
     fn activate(&mut self, now: Duration) {
         self.state = State::Probation(Probation::new(now));
         self.actions.push_back(Action::ReleaseOwnership);
@@ -321,8 +319,8 @@
         self.actions.push_back(Action::Exit);
     }
 
-    /// The upgrade failed. The successor must be dead before anything else happens: two owners
-    /// would answer twice.
+    /// The upgrade failed. The successor's process must have ended before this process continues:
+    /// two owners would send responses twice.
     fn fail(&mut self, failure: Failure) {
         if let Some(recovery) = self.state.recovery_source() {
             self.state = State::KillingSuccessor { failure, recovery };
@@ -330,7 +328,7 @@
         }
     }
 
-    /// The failed successor is dead.
+    /// Serves again after the failed successor's process has ended.
     fn recover(&mut self, recovery: RecoverySource, failure: &Failure) {
         let reason = failure.to_string();
         match recovery {
@@ -346,7 +344,7 @@
         }
     }
 
-    /// This process serves again: what arrived meanwhile concerns it.
+    /// Applies the signals that arrived while this process did not serve.
     fn apply_pending_signals(&mut self) {
         if let Some(deadline) = self.drain_deadline {
             self.actions.push_back(Action::Drain { deadline });
--- a/crates/merlinshelf-handover/src/predecessor/progress.rs
+++ b/crates/merlinshelf-handover/src/predecessor/progress.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-/// How an upgrade stands. The texts are for operators.
+/// The progress of an upgrade. The texts are for operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Progress {
     /// The successor's process is being started.
@@ -13,11 +13,12 @@
     Activated,
     /// The successor owns everything; the predecessor exits.
     Completed,
-    /// The request was rejected before anything was touched: why.
+    /// The request was rejected before anything was changed; contains the reason.
     Rejected(String),
-    /// The upgrade failed before the successor took over; nothing was lost: why.
+    /// The upgrade failed before the successor took over, without any loss; contains the reason.
     Aborted(String),
-    /// The successor failed after it took over, and the predecessor recovered everything: why.
+    /// The successor failed after it took over, and the predecessor recovered everything; contains
+    /// the reason.
     Recovered(String),
 }
 
@@ -38,7 +39,7 @@
 }
 
 impl Progress {
-    /// Whether nothing more follows.
+    /// Whether this is the last report of the upgrade.
     pub fn is_final(&self) -> bool {
         !matches!(
             self,
--- a/crates/merlinshelf-handover/src/predecessor/state.rs
+++ b/crates/merlinshelf-handover/src/predecessor/state.rs
@@ -1,4 +1,4 @@
-//! The states of a predecessor and what each one permits.
+//! The states of a predecessor, with the timeout and the permissions of each.
 
 use std::time::Duration;
 
@@ -6,26 +6,26 @@
 use super::timeouts::{DrainStatus, StageTimeouts};
 use crate::messages::MonotonicSeconds;
 
-/// Where a handover stands. Points in time are those of the machine that drives it.
+/// The state of a handover. Points in time are on the clock of the calling host.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum State {
-    /// It serves, and no upgrade is in progress.
+    /// This process serves, and no upgrade is in progress.
     Serving,
     /// The successor's process is being started or gets ready.
     Starting {
         /// The successor's `Hello` was received and answered.
         is_greeted: bool,
-        /// When it must be ready.
+        /// Time by which it must be ready.
         deadline: Duration,
     },
-    /// Nobody serves: the image is being made.
+    /// No process serves: the image is being created.
     Freezing {
-        /// When the successor must have restored everything.
+        /// Time by which the successor must have restored everything.
         deadline: Duration,
     },
-    /// Nobody serves: image and descriptors are being transferred.
+    /// No process serves: image and descriptors are being transferred.
     Transferring { deadline: Duration },
-    /// Nobody serves: the successor restores what it received.
+    /// No process serves: the successor restores what it received.
     Restoring { deadline: Duration },
     /// The successor serves and is observed until it has completed its probation.
     Probation(Probation),
@@ -43,7 +43,7 @@
 pub(super) struct Probation {
     pub activated_at: Duration,
     pub last_heartbeat_at: Duration,
-    /// When the successor must have exited, if it was notified to shut down.
+    /// Time by which the successor must have exited, if it was notified to shut down.
     pub drain_deadline: Option<MonotonicSeconds>,
 }
 
@@ -57,7 +57,7 @@
         }
     }
 
-    /// When the successor counts as failed if nothing more is received from it.
+    /// Time at which the successor counts as failed unless a message is received from it.
     fn next_timeout(&self, timeouts: &StageTimeouts) -> Duration {
         let drain = match self.drain_deadline {
             Some(_) => DrainStatus::Draining,
@@ -77,19 +77,19 @@
     }
 }
 
-/// From what a predecessor goes on once the end of the killed successor was seen.
+/// The state from which a predecessor serves again once its successor's process has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RecoverySource {
-    /// It has served all along.
+    /// It has served without interruption.
     Uninterrupted,
-    /// The image that it froze: the successor touched nothing.
+    /// The frozen image: the successor has changed nothing.
     FrozenImage,
-    /// The image and the successor's journal: the successor served.
+    /// The image and the successor's journal: the successor has served.
     Journal,
 }
 
 impl State {
-    /// When the stage has to be over, if it has a timeout.
+    /// Time at which the state times out, if it has a timeout.
     pub(super) fn next_timeout(&self, timeouts: &StageTimeouts) -> Option<Duration> {
         match self {
             State::Starting { deadline, .. }
@@ -117,7 +117,7 @@
         }
     }
 
-    /// From what to go on if the successor fails now; `None` where there is no successor that can
+    /// What to recover from if the successor fails now; `None` if there is no successor that can
     /// fail.
     pub(super) fn recovery_source(&self) -> Option<RecoverySource> {
         match self {
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Whether this process may touch connections, engine and catalogue.
+    /// Whether this process may use the connections, the engine and the catalogue.
     pub(super) fn is_owner(&self) -> bool {
         match self {
             State::KillingSuccessor { recovery, .. } => *recovery != RecoverySource::Journal,
@@ -156,7 +156,7 @@
         )
     }
 
-    /// The name in status reports, which stays the same between versions.
+    /// The name in status reports. Names must not change between versions.
     pub(super) fn name(&self) -> &'static str {
         match self {
             State::Serving => "serving",
--- a/crates/merlinshelf-handover/src/predecessor/timeouts.rs
+++ b/crates/merlinshelf-handover/src/predecessor/timeouts.rs
@@ -1,27 +1,27 @@
-//! How long each stage of a handover may take.
+//! Time limits of the stages of a handover.
 
 use std::time::Duration;
 
-/// The limit of each stage. All are set by the operator.
+/// The time limit of each stage, set by the operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StageTimeouts {
     /// From the start of the successor's process until it is ready, its configuration read.
     pub ready: Duration,
-    /// From the freeze until the successor has restored everything: nobody is served meanwhile.
+    /// From the freeze until the successor has restored everything; no process serves meanwhile.
     pub takeover: Duration,
-    /// How long the successor is observed after it took over.
+    /// Duration of the observation after the successor took over.
     pub probation: Duration,
-    /// A successor without a heartbeat for so long hangs.
+    /// Time without a heartbeat after which the successor counts as hanging.
     pub heartbeat: Duration,
 }
 
-/// A successor that drains during its probation runs to its end, however long that takes. The limit
-/// is only there so that a predecessor does not wait for ever.
+/// A successor that drains during its probation is given all the time it needs; this limit only
+/// keeps the predecessor from waiting forever.
 const DRAINING_PROBATION_LIMIT: Duration = Duration::from_secs(24 * 3600);
 
 impl StageTimeouts {
-    /// How long a successor may stay on probation. One that sends heartbeats and never completes
-    /// its probation has failed as well.
+    /// Longest time that a successor may stay on probation. A successor that sends heartbeats but
+    /// never completes its probation has failed too.
     pub(super) fn probation_limit(&self, drain: DrainStatus) -> Duration {
         match drain {
             DrainStatus::Draining => DRAINING_PROBATION_LIMIT,
--- a/crates/merlinshelf-handover/src/records.rs
+++ b/crates/merlinshelf-handover/src/records.rs
@@ -1,9 +1,9 @@
 //! The records of an image, one for each connection, invocation and so on.
 //!
-//! Records pass between versions in MessagePack, written by field name. Every field has a default
-//! and unknown ones are skipped, so that a later version can add some. Names in `#[serde(rename =
-//! "...")]` are those stored and stay. Points in time (`..._at`) are seconds of the machine's
-//! monotonic clock, which both processes read alike.
+//! Different versions exchange records in MessagePack, with fields encoded by name. Every field has
+//! a default and unknown fields are skipped, so that a later version can add fields. Names in
+//! `#[serde(rename = "...")]` are part of the stored format and must not change. Points in time
+//! (`..._at`) are seconds on the machine's monotonic clock, which is the same for both processes.
 
 use std::collections::BTreeMap;
 
@@ -17,23 +17,23 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Instance {
-    /// The clock of the admission controller less the monotonic clock.
+    /// Offset of the admission controller's clock from the monotonic clock.
     #[serde(rename = "clock")]
     pub clock_offset_seconds: f64,
-    /// The operations by name, in the order in which invocations number them.
+    /// The names of the operations; `Invocation::operation` is a position in this list.
     pub operations: Vec<String>,
     /// The number of the next connection.
     pub next_stream: u64,
-    /// What health checks were answered last.
+    /// The result of the last health check.
     #[serde(rename = "healthy")]
     pub is_healthy: bool,
     /// Idle time after which client connections close, in seconds.
     #[serde(rename = "trim_after")]
     pub idle_timeout_seconds: f64,
-    /// When the process must have exited, while it shuts down.
+    /// Time by which the process must have exited, while it shuts down.
     #[serde(rename = "stop")]
     pub drain_deadline_at: Option<f64>,
-    /// The engine's `FamilyInfo.FreshStart`, where it differs from the settings.
+    /// The engine's `FamilyInfo.FreshStart`, if it differs from the settings.
     pub fresh_start: Option<String>,
     /// By operation, whether a run was ever observed to make more than one downstream call.
     #[serde(rename = "calls_again")]
@@ -46,10 +46,10 @@
     /// The store of observations, in the format of its file (`merlinshelf-gossip`).
     #[serde(rename = "knowledge")]
     pub gossip: ByteBuf,
-    /// The policy lease and the policies (`merlinshelf-policy`), for a successor alone: empty in a
-    /// journal, since recovery must not revive a lease that may be fenced by then.
+    /// The policy lease and the policies (`merlinshelf-policy`), transferred to a successor only.
+    /// Empty in a journal: a recovery must not restore a lease that may have been fenced meanwhile.
     pub policy: ByteBuf,
-    /// The quota leases (`merlinshelf-quota`), for a successor alone as well.
+    /// The quota leases (`merlinshelf-quota`), also transferred to a successor only.
     #[serde(rename = "shares")]
     pub quota: ByteBuf,
 }
@@ -62,19 +62,19 @@
     pub stream: Option<u64>,
     /// The engine's address.
     pub address: String,
-    /// The number of the last notification that was read.
+    /// The number of the last notification read.
     #[serde(rename = "last")]
     pub last_notification: u64,
     /// The tag of the last request.
     #[serde(rename = "tag")]
     pub last_request_tag: u64,
-    /// Whether its response is awaited.
+    /// Whether the response to that request is still awaited.
     #[serde(rename = "asked")]
     pub is_request_pending: bool,
     /// Whether the engine has sent its greeting.
     #[serde(rename = "hello")]
     pub is_greeted: bool,
-    /// Whether the notifications missed while disconnected were all received.
+    /// Whether all notifications missed while disconnected have been received.
     #[serde(rename = "caught_up")]
     pub is_caught_up: bool,
     /// Whether the engine names the dependency of a call.
@@ -98,7 +98,7 @@
     pub keeps_connection: bool,
     /// The parameters received so far.
     pub params: ByteBuf,
-    /// Whether these are all.
+    /// Whether all parameters were received.
     #[serde(rename = "params_done")]
     pub has_all_params: bool,
     /// The body received so far.
@@ -119,8 +119,8 @@
     pub padding_bytes: usize,
 }
 
-/// As a partial record is stored and as the parser has it: kind, id, bytes of content, bytes of
-/// padding.
+/// The stored form of a partial record, which is also the parser's: kind, id, bytes of content,
+/// bytes of padding.
 type PartialRecordFields = (u8, u16, usize, usize);
 
 impl From<PartialRecordFields> for PartialRecord {
@@ -154,7 +154,7 @@
     /// The protocol record that is being received.
     #[serde(rename = "record")]
     pub partial_record: PartialRecord,
-    /// The protocol: 0 FastCGI, 1 uwsgi, 2 not known yet.
+    /// The protocol: 0 FastCGI, 1 uwsgi, 2 not detected yet.
     #[serde(rename = "front")]
     pub protocol: u8,
     /// The invocations that are being read.
@@ -163,13 +163,12 @@
     /// after the response.
     #[serde(rename = "open")]
     pub unanswered: Vec<(u16, bool)>,
-    /// Bytes received since the last complete invocation that belong to none.
+    /// Bytes received since the last complete invocation that belong to no invocation.
     #[serde(rename = "astray")]
     pub unassigned_bytes: usize,
     /// Protocol errors since the last success.
     pub faults: u32,
-    /// The most significant that was received complete: 0 nothing, 1 a health check, 2 an
-    /// invocation.
+    /// The highest kind of request received completely: 0 none, 1 a health check, 2 an invocation.
     #[serde(rename = "said")]
     pub received_kind: u8,
     /// The client has closed its direction.
@@ -180,19 +179,19 @@
     pub closes_after_write: bool,
 }
 
-/// A final response on its way to a connection.
+/// A final response that is queued for a connection.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Answer {
     /// The result.
     Succeeded(ByteBuf),
-    /// The result, and a list of the parts that are missing from it.
+    /// The degraded result, and a list of the parts that are missing from it.
     Partial(ByteBuf, String),
     /// Rejected under load.
     Throttled {
-        /// How long the caller should stay away; 0 where nothing is advised.
+        /// Time after which the caller should retry; 0 without a recommendation.
         #[serde(rename = "away")]
         retry_after_seconds: f64,
-        /// The caller should not try another server either.
+        /// The caller should not try another server.
         #[serde(rename = "last")]
         forbids_failover: bool,
     },
@@ -202,7 +201,7 @@
     Unknown,
 }
 
-/// Responses that wait to be written to a client connection.
+/// Responses queued for a client connection.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ResponseQueueRecord {
@@ -219,24 +218,25 @@
     /// The invocation that makes the call.
     #[serde(rename = "id")]
     pub invocation_id: ByteBuf,
-    /// Which call of its invocation it is, counted from 1.
+    /// Position of the call among the calls of its invocation, from 1.
     #[serde(rename = "number")]
     pub call_index: usize,
-    /// All invocations whose calls the connection has carried.
+    /// All invocations whose calls were made over this connection.
     #[serde(rename = "carried")]
     pub carried_invocation_ids: Vec<ByteBuf>,
     /// The bytes of the connection.
     pub flow: Flow,
 }
 
-/// The last command to the engine about an invocation, until the engine is known to have read it.
+/// The last command to the engine about an invocation, kept until the engine is known to have read
+/// it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Command {
-    /// Run it.
+    /// Run the invocation.
     Run,
-    /// Continue its run with the response of a call.
+    /// Continue the run with the response of a call.
     Feed(ByteBuf),
-    /// Continue its run without the call of this number.
+    /// Continue the run without the call of this number.
     Skip(u64),
 }
 
@@ -248,7 +248,8 @@
     pub operation: usize,
     /// Its body.
     pub body: ByteBuf,
-    /// The stream number and the request id that its response goes to; `None` once it was answered.
+    /// The stream number and the request id to which its response is sent; `None` once it was
+    /// answered.
     #[serde(rename = "reply")]
     pub response_target: Option<(u64, u16)>,
     /// The last notification that requested a downstream call: its number and the call's body.
@@ -257,22 +258,22 @@
     /// The dependency that this notification named.
     #[serde(rename = "named")]
     pub dependency: Option<String>,
-    /// How many calls its run has requested.
+    /// Number of calls that its run has requested.
     #[serde(rename = "wanted")]
     pub requested_calls: usize,
     /// The parts that are missing from its result.
     #[serde(rename = "missing")]
     pub missing_parts: Vec<String>,
-    /// How many calls were made.
+    /// Number of calls that were made.
     #[serde(rename = "calls")]
     pub call_count: usize,
-    /// When its call in progress is abandoned; `None` while there is none.
+    /// Time at which its call in progress is abandoned; `None` without a call in progress.
     #[serde(rename = "calling_until")]
     pub call_deadline_at: Option<f64>,
-    /// Whether a run of it was ever started.
+    /// Whether a run was ever started.
     #[serde(rename = "begun")]
     pub has_started: bool,
-    /// How many notifications the engine has sent about it.
+    /// Number of notifications received from the engine about it.
     #[serde(rename = "heard")]
     pub notification_count: u64,
     /// The last command, and whether it was written to the engine connection.
--- a/crates/merlinshelf-handover/src/successor.rs
+++ b/crates/merlinshelf-handover/src/successor.rs
@@ -1,40 +1,39 @@
-//! The successor's side of a handover: it gets ready, restores what is transferred to it, serves
-//! once it is activated, records everything it does during its probation, and is independent from
-//! then on.
+//! The successor's side of a handover: it gets ready, restores the transferred state, serves once it
+//! is activated, records all its changes during its probation, and is independent afterwards.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use crate::messages::{Message, MonotonicSeconds, SUPPORTED_FORMATS};
 
-/// Between two heartbeats of its main loop.
+/// Interval between the heartbeats of the main loop.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(50);
-/// A predecessor that does not release a successor for so long after its probation is asleep: a
-/// journal that nobody reads would fill the memory.
+/// Time after its probation at which a successor that was not released detaches. Its predecessor is
+/// suspended then, and the unread journal would fill the memory.
 const RELEASE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What the successor's host carries out, in the order in which it is polled.
+/// Actions that the successor's host carries out, in the order in which they are polled.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send a message to the predecessor.
     Send(Message),
-    /// Restore everything that was transferred, touching nothing yet; reported by
+    /// Restore everything that was transferred without using it yet; reported by
     /// `restore_completed` or `restore_failed`.
     Restore,
-    /// Serve, and record every change before its effect shows.
+    /// Serve, and record every change before its effect is visible to others.
     Activate,
-    /// Nothing needs to be recorded any more.
+    /// Stop recording changes.
     StopRecording,
     /// Begin the graceful shutdown of this process.
     Drain {
-        /// When the process must have exited.
+        /// Time by which the process must have exited.
         deadline: MonotonicSeconds,
     },
     /// Reload the configuration.
     Reload,
-    /// Exit without having touched anything.
+    /// Exit; nothing was changed.
     Exit {
-        /// Why, as text for operators.
+        /// The reason, as text for operators.
         reason: String,
     },
 }
@@ -43,15 +42,15 @@
 enum State {
     /// `Hello` was sent.
     Greeting,
-    /// Descriptors are being received, so many so far.
+    /// Descriptors are being received; counts those received so far.
     Receiving { descriptors: usize },
-    /// What was received is being restored. The predecessor may have exited meanwhile.
+    /// The received state is being restored.
     Restoring { has_predecessor_exited: bool },
     /// Everything is restored, and `Activate` is awaited.
     AwaitingActivation,
-    /// It serves, and records what it does.
+    /// It serves, and records its changes.
     Probation(Probation),
-    /// It serves and is observed by nobody.
+    /// It serves without being observed.
     Independent,
     /// It can't take over.
     Ended,
@@ -65,11 +64,11 @@
     is_completed: bool,
 }
 
-/// The successor's state machine. It is created once the configuration is read: its first message
-/// says that this process could take over.
+/// The successor's state machine. It must be created only after the configuration is read, since its
+/// first message tells the predecessor that this process could take over.
 #[derive(Debug)]
 pub struct Successor {
-    /// How long the probation is.
+    /// Duration of the probation.
     probation: Duration,
     state: State,
     is_draining: bool,
@@ -77,8 +76,8 @@
 }
 
 impl Successor {
-    /// A successor with this length of probation; `program` is its name and version for the
-    /// predecessor's log.
+    /// Creates a successor with this duration of probation. `program` is its name and version for
+    /// the predecessor's log.
     pub fn new(probation: Duration, program: &str) -> Successor {
         let hello = Message::Hello {
             format_versions: SUPPORTED_FORMATS.to_vec(),
@@ -97,7 +96,7 @@
         self.actions.pop_front()
     }
 
-    /// When `handle_timeout` has to be called though nothing happens.
+    /// Time at which `handle_timeout` must be called if no event occurs before.
     pub fn next_timeout(&self) -> Option<Duration> {
         match self.state {
             State::Probation(probation) => Some(probation.last_heartbeat_at + HEARTBEAT_INTERVAL),
@@ -105,17 +104,18 @@
         }
     }
 
-    /// Whether this process may touch connections, engine and catalogue.
+    /// Whether this process may use the connections, the engine and the catalogue.
     pub fn is_owner(&self) -> bool {
         matches!(self.state, State::Probation(_) | State::Independent)
     }
 
-    /// Whether changes must be recorded before their effect shows.
+    /// Whether changes must be recorded before their effect is visible to others.
     pub fn is_recording(&self) -> bool {
         matches!(self.state, State::Probation(_))
     }
 
-    /// This process can't take over.
+    /// Reports to the predecessor that this process can't take over, and exits. Has no effect once it
+    /// is the owner.
     pub fn decline(&mut self, reason: &str) {
         if self.is_owner() {
             return;
@@ -128,7 +128,7 @@
         self.actions.push_back(Action::Exit { reason });
     }
 
-    /// A message was received from the predecessor. One that is out of place is ignored.
+    /// A message was received from the predecessor. An unexpected message is ignored.
     pub fn handle_message(&mut self, now: Duration, message: Message) {
         match (&mut self.state, message) {
             (State::Greeting, Message::FormatSelected { version })
@@ -179,25 +179,25 @@
         }
     }
 
-    /// What was transferred can't be restored.
+    /// The transferred state can't be restored.
     pub fn restore_failed(&mut self, reason: &str) {
         if matches!(self.state, State::Restoring { .. }) {
             self.decline(reason);
         }
     }
 
-    /// The predecessor is gone: observed by the end of the channel, which it closes in no other way
-    /// before `Released`.
+    /// The predecessor has exited, as observed by the end of the channel: before `Released` it closes
+    /// the channel only by exiting.
     pub fn predecessor_exited(&mut self, now: Duration) {
         match self.state {
-            // Everything is here, and nobody else can serve it.
+            // Everything is restored, and no other process can serve it.
             State::AwaitingActivation => {
                 self.activate(now);
                 self.stop_recording();
             }
             State::Probation(_) => self.stop_recording(),
             State::Independent | State::Ended => {}
-            // Decided once it is known whether everything can be restored.
+            // Handled once it is known whether everything can be restored.
             State::Restoring { .. } => {
                 self.state = State::Restoring {
                     has_predecessor_exited: true,
@@ -206,15 +206,14 @@
             State::Greeting | State::Receiving { .. } => {
                 self.state = State::Ended;
                 self.actions.push_back(Action::Exit {
-                    reason: "the old process is gone".into(),
+                    reason: "the predecessor has exited".into(),
                 });
             }
         }
     }
 
-    /// This process itself was notified to shut down. The predecessor learns of it before anybody
-    /// else can: if this process dies after a client has seen it drain, the predecessor drains as
-    /// well.
+    /// This process itself was notified to shut down. The predecessor is informed before any client
+    /// can observe it, so that the predecessor drains too if this process dies while draining.
     pub fn drain(&mut self, deadline: MonotonicSeconds) {
         if self.is_draining || !self.is_owner() {
             return;
@@ -227,7 +226,7 @@
         self.actions.push_back(Action::Drain { deadline });
     }
 
-    /// Time has passed. Sends the next heartbeat once it is due.
+    /// Sends the next heartbeat once it is due, and detaches if the release timed out.
     pub fn handle_timeout(&mut self, now: Duration) {
         let State::Probation(probation) = &mut self.state else {
             return;
@@ -249,7 +248,7 @@
         self.actions.push_back(Action::Send(message));
     }
 
-    /// The predecessor does not read the journal any more: this process continues alone.
+    /// Continues alone because the predecessor no longer reads the journal.
     pub fn detach(&mut self) {
         if self.is_recording() {
             self.actions.push_back(Action::Send(Message::Detached));
