--- a/crates/merlinshelf-backend/src/server/assembly.rs
+++ b/crates/merlinshelf-backend/src/server/assembly.rs
@@ -122,8 +122,8 @@
     }
 
     /// The partial invocations, for a handover to another process.
-    pub fn records(&self) -> Vec<records::Partial> {
-        let record = |(tag, partial): (&u16, &PartialInvocation)| records::Partial {
+    pub fn records(&self) -> Vec<records::PartialInvocation> {
+        let record = |(tag, partial): (&u16, &PartialInvocation)| records::PartialInvocation {
             tag: *tag,
             keeps_connection: partial.keeps_connection,
             params: partial.params.clone().into(),
@@ -134,8 +134,8 @@
     }
 
     /// Continues one that another process was reading; its timeout starts again.
-    pub fn resume(&mut self, record: records::Partial, reservation: ReadReservation) {
-        let records::Partial {
+    pub fn resume(&mut self, record: records::PartialInvocation, reservation: ReadReservation) {
+        let records::PartialInvocation {
             tag,
             keeps_connection,
             params,
--- a/crates/merlinshelf-handover/src/records.rs
+++ b/crates/merlinshelf-handover/src/records.rs
@@ -90,7 +90,7 @@
 /// An invocation that is being read on a client connection.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Partial {
+pub struct PartialInvocation {
     /// Its request id on the connection.
     pub tag: u16,
     /// Whether the connection stays open after the response.
@@ -158,7 +158,7 @@
     #[serde(rename = "front")]
     pub protocol: u8,
     /// The invocations that are being read.
-    pub partials: Vec<Partial>,
+    pub partials: Vec<PartialInvocation>,
     /// Invocations read and not answered yet: the request id, and whether the connection stays open
     /// after the response.
     #[serde(rename = "open")]
--- a/crates/merlinshelf-handover/tests/golden.rs
+++ b/crates/merlinshelf-handover/tests/golden.rs
@@ -13,7 +13,7 @@
 };
 use merlinshelf_handover::records::{
     Answer, ClientConnectionRecord, Command, DownstreamConnectionRecord, EngineConnectionRecord,
-    Instance, Invocation, Partial, PartialRecord, ResponseQueueRecord,
+    Instance, Invocation, PartialInvocation, PartialRecord, ResponseQueueRecord,
 };
 use merlinshelf_handover::{Flow, Image, Key, Message, Role, SUPPORTED_FORMATS, Transaction};
 use serde::Serialize;
@@ -111,14 +111,14 @@
         },
         protocol: 2,
         partials: vec![
-            Partial {
+            PartialInvocation {
                 tag: 97,
                 keeps_connection: true,
                 params: bytes("first params"),
                 has_all_params: true,
                 body: bytes("first body"),
             },
-            Partial {
+            PartialInvocation {
                 tag: 98,
                 keeps_connection: false,
                 params: bytes("second params"),
