--- a/crates/merlinshelf-fleet/src/capacity.rs
+++ b/crates/merlinshelf-fleet/src/capacity.rs
@@ -1,5 +1,5 @@
-//! Whether the specified instances fit the host: memory, cores, descriptors and ports, summed
-//! before anything is started.
+//! Checks before any start that the specified instances fit the host: memory, cores, descriptors
+//! and ports.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,7 +9,7 @@
 /// One reason why the instances do not fit.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum Shortage {
-    /// The ports of a group exceed the highest one.
+    /// The ports of a group exceed the highest port number.
     #[error("{group}: {listen} has no port for number {index}")]
     NoPort {
         /// Name of the group.
@@ -22,9 +22,9 @@
     /// Two instances have the same address.
     #[error("{first} and {second} would both listen on {address}")]
     AddressConflict {
-        /// Name of the one.
+        /// Name of one instance.
         first: String,
-        /// Name of the other.
+        /// Name of the other instance.
         second: String,
         /// Their address.
         address: SocketAddr,
@@ -71,11 +71,11 @@
     },
 }
 
-/// Everything that does not fit, with its sums.
+/// All resources and addresses that do not fit.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[error("{}", join(shortages))]
 pub struct CapacityError {
-    /// The reasons, at least one.
+    /// The reasons; never empty.
     pub shortages: Vec<Shortage>,
 }
 
@@ -84,19 +84,19 @@
     texts.join("; ")
 }
 
-/// The address of an instance: the group's port, and the next one for each further instance.
+/// The address of an instance: the port of the group's first instance plus `index`. `None` if there
+/// is no such port.
 pub fn address(first: &str, index: u32) -> Option<SocketAddr> {
     let mut address: SocketAddr = first.parse().ok()?;
     address.set_port(u16::try_from(u32::from(address.port()) + index).ok()?);
     Some(address)
 }
 
-/// Checks that all instances fit the host, with a second process for each that is upgraded at one
-/// time.
+/// Checks that all instances fit the host, including second processes for the largest number of
+/// concurrent upgrades.
 ///
 /// # Errors
-/// [`CapacityError`], with every sum that is too large and every address that two instances would
-/// have.
+/// [`CapacityError`], with every exceeded resource and every address conflict.
 pub fn check(spec: &FleetSpec) -> Result<(), CapacityError> {
     let mut shortages = address_shortages(spec);
     if let Some(consensus) = &spec.council
@@ -140,7 +140,7 @@
     shortages
 }
 
-/// What the instances need.
+/// The resources that all instances need.
 #[derive(Default)]
 struct Demand {
     memory_mb: u64,
--- a/crates/merlinshelf-fleet/src/crash_backoff.rs
+++ b/crates/merlinshelf-fleet/src/crash_backoff.rs
@@ -1,11 +1,11 @@
-//! Backoff before an instance is started again after a crash. Each delay doubles the one before,
-//! with jitter, so that instances that crashed for one reason do not start again together.
+//! Exponential backoff before an instance is restarted after a crash, with jitter, so that instances
+//! that crashed for the same reason do not restart simultaneously.
 
 use serde::{Deserialize, Serialize};
 
 use crate::fleet_spec::Restarts;
 
-/// Bounds the doubling: far above every maximum that can be specified.
+/// Limits the exponent. The backoff at this limit exceeds every maximum that can be specified.
 const MAX_DOUBLINGS: u32 = 30;
 
 /// The crashes of one instance that still count.
@@ -14,7 +14,7 @@
     /// Crashes without a steady run between them.
     #[serde(rename = "in_a_row")]
     pub crashes_in_a_row: u32,
-    /// No start before this time.
+    /// Earliest time of the next start.
     #[serde(rename = "not_before")]
     pub next_start_at: f64,
 }
@@ -38,12 +38,12 @@
         self.next_start_at = now + backoff_ms * (0.75 + 0.5 * jitter) / 1e3;
     }
 
-    /// Whether the delay is over.
+    /// Whether the backoff is over.
     pub fn may_start(&self, now: f64) -> bool {
         now >= self.next_start_at
     }
 
-    /// Forgets all crashes: the operators start the instance, or it has shut down as requested.
+    /// Resets the count of crashes, after a start by operators or a requested shutdown.
     pub fn reset(&mut self) {
         *self = CrashBackoff::default();
     }
--- a/crates/merlinshelf-fleet/src/fleet/command.rs
+++ b/crates/merlinshelf-fleet/src/fleet/command.rs
@@ -1,6 +1,6 @@
-//! What goes into the fleet from operators, and what comes out for its host.
+//! Operators' commands to the fleet, and the fleet's actions for its host.
 
-/// What the host of this state machine is to do.
+/// An action for the host of this state machine.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start a process; reported by [`Fleet::process_started`](super::Fleet::process_started) or
@@ -11,7 +11,7 @@
         /// Path of the program.
         program: String,
     },
-    /// Request a graceful shutdown over the control socket, or by signal where that does not
+    /// Request a graceful shutdown over the control socket, or by signal if the socket does not
     /// answer.
     Drain {
         /// Name of the instance.
@@ -38,7 +38,7 @@
     },
 }
 
-/// Selects instances: those that meet every list that is not empty.
+/// Selects the instances that match all non-empty lists.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Selector {
     /// Names of instances.
@@ -49,26 +49,26 @@
     pub labels: Vec<(String, String)>,
 }
 
-/// What operators do to instances.
+/// An operators' command to instances.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
-    /// Start what is down.
+    /// Start instances that are down.
     Start,
-    /// Shut down gracefully, and leave down.
+    /// Shut down gracefully without a restart.
     Drain {
-        /// Those whose runs take longest come first.
+        /// Drain the instances with the longest runs first.
         slowest_first: bool,
-        /// Most instances at one time; all where there is none.
+        /// Maximum number of instances that drain concurrently; unlimited if absent.
         max_in_progress: Option<u32>,
     },
-    /// Shut down gracefully within a time, and leave down.
+    /// Shut down gracefully with a time limit, without a restart.
     Stop {
         /// Time after which a process is killed, in seconds.
         timeout_seconds: f64,
     },
-    /// Shut down gracefully and start, some at a time.
+    /// Shut down gracefully and start again, a limited number at a time.
     Restart,
-    /// Hand over to another program under load, some at a time.
+    /// Hand over to another program while serving, a limited number at a time.
     Upgrade {
         /// Path of the program.
         program: String,
--- a/crates/merlinshelf-fleet/src/fleet/commands.rs
+++ b/crates/merlinshelf-fleet/src/fleet/commands.rs
@@ -1,4 +1,4 @@
-//! What operators request, and whether it can be done.
+//! Validation and execution of operators' commands.
 
 use super::{Command, Fleet, Selector};
 use crate::capacity;
@@ -8,10 +8,10 @@
 use crate::plan::{Plan, PlanKind, PlanState};
 
 impl Fleet {
-    /// Names of the selected instances, in the order of their groups and places there.
+    /// Names of the selected instances, ordered by group and index.
     ///
     /// # Errors
-    /// [`FleetError`]: a name, a group or the labels select nothing.
+    /// [`FleetError`]: a name or a group is unknown, or no instance matches.
     pub fn select(&self, selector: &Selector) -> Result<Vec<String>, FleetError> {
         let is_unknown = |name: &&String| !self.instances.contains_key(*name);
         if let Some(name) = selector.names.iter().find(is_unknown) {
@@ -52,10 +52,10 @@
             && labels.iter().all(has_label)
     }
 
-    /// The plan that a command would begin.
+    /// Creates the plan for a command without starting it.
     ///
     /// # Errors
-    /// [`FleetError`]: another plan is under way, or nothing is selected.
+    /// [`FleetError`]: another plan is in progress, or the selector is invalid.
     pub fn plan_for(&self, selector: &Selector, command: &Command) -> Result<Plan, FleetError> {
         if let Some(plan) = self.plan.as_ref().filter(|plan| !plan.state.is_over()) {
             let progress = plan.progress();
@@ -97,7 +97,7 @@
         Ok(Plan::new(number, kind, names, max_in_progress))
     }
 
-    /// How long an instance's runs take.
+    /// Recent duration of an instance's runs, in milliseconds.
     fn run_ms(&self, name: &str) -> f64 {
         let report = self
             .instances
@@ -106,10 +106,10 @@
         report.and_then(|report| report.run_ms).unwrap_or(0.0)
     }
 
-    /// Begins a plan; returns its number.
+    /// Starts the plan for a command; returns its number.
     ///
     /// # Errors
-    /// As [`Fleet::plan_for`].
+    /// The same as for [`Fleet::plan_for`].
     pub fn begin_plan(
         &mut self,
         now: f64,
@@ -130,7 +130,7 @@
         Ok(number)
     }
 
-    /// Pauses the plan: what is under way comes to its end, and nothing further begins.
+    /// Pauses the plan: changes in progress are completed, and no further ones begin.
     ///
     /// # Errors
     /// [`FleetError::NoRunningPlan`].
@@ -161,7 +161,7 @@
         }
     }
 
-    /// Ends the plan: what is under way comes to its end, and nothing further begins.
+    /// Abandons the plan: changes in progress are completed, and no further ones begin.
     ///
     /// # Errors
     /// [`FleetError::NoPlan`].
@@ -176,7 +176,7 @@
         }
     }
 
-    /// Sets the count of a group: surplus instances are drained, missing ones started.
+    /// Sets the number of a group's instances: surplus ones are drained, missing ones started.
     ///
     /// # Errors
     /// [`FleetError`]: there is no such group, or the instances do not fit the host.
@@ -199,7 +199,7 @@
         Ok(())
     }
 
-    /// Replaces the specification. A plan that is under way goes on by the new one.
+    /// Replaces the specification. A plan in progress continues under the new one.
     ///
     /// # Errors
     /// [`FleetError::Capacity`]: the instances do not fit the host.
--- a/crates/merlinshelf-fleet/src/fleet/failure.rs
+++ b/crates/merlinshelf-fleet/src/fleet/failure.rs
@@ -1,13 +1,13 @@
-//! Failures of a plan's targets: no further target is changed, and programs are restored.
+//! Failures of a plan's targets: no further target is changed, and upgrades are rolled back.
 
 use super::Fleet;
 use crate::plan::{PlanState, Stage};
 
 /// How the change of a target has failed, with the reason for operators.
 pub(super) enum TargetFailure {
-    /// Its process did not start, has exited, or does not get warm.
+    /// Its process did not start, has exited, or did not get warm in time.
     Process(String),
-    /// Its upgrade has failed; it serves on with the program before.
+    /// Its upgrade has failed; it continues to serve with the former program.
     Upgrade(String),
 }
 
@@ -30,8 +30,8 @@
         let Some(target) = plan.targets.iter_mut().find(|target| target.name == name) else {
             return;
         };
-        // A crash some time after the upgrade is the upgrade's, as long as other targets are to
-        // follow.
+        // While the plan is in progress, a crash after the target's upgrade is attributed to the
+        // upgrade.
         let is_affected = match target.stage {
             Stage::InProgress { .. } | Stage::Observing { .. } | Stage::RollingBack => true,
             Stage::Done { .. } => is_upgrade,
--- a/crates/merlinshelf-fleet/src/fleet/mod.rs
+++ b/crates/merlinshelf-fleet/src/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! All instances and the plan. What happens goes in by one method for each event, with its time;
-//! [`Fleet::poll_action`] returns what is to be done.
+//! All instances and the plan. The host reports each event with its time by calling a method, and
+//! polls for actions with [`Fleet::poll_action`].
 
 mod command;
 mod commands;
@@ -21,7 +21,8 @@
 pub use command::{Action, Command, Selector};
 pub use serving_capacity::ServingCapacity;
 
-/// Added to the time for a graceful shutdown, so that a process is killed only when it is late.
+/// Added to the time for a graceful shutdown, so that a process that exits just in time is not
+/// killed.
 const SHUTDOWN_MARGIN_SECONDS: f64 = 2.0;
 
 /// The state machine of all instances.
@@ -32,22 +33,22 @@
     instances: BTreeMap<String, Instance>,
     plan: Option<Plan>,
     last_plan_number: u64,
-    /// By group, counts and programs that replace the specification's.
+    /// Counts and programs by group that override the specification.
     group_counts: BTreeMap<String, u32>,
     group_programs: BTreeMap<String, String>,
     history: History,
     /// Longest time for a graceful shutdown.
     shutdown_timeout_seconds: f64,
     actions: VecDeque<Action>,
-    /// The record has changed since it was taken.
+    /// The record has changed since the last `take_record`.
     is_record_changed: bool,
     /// The wall clock, for the history.
     unix_seconds: f64,
 }
 
 impl Fleet {
-    /// A fleet by its specification and the record of an earlier agent. Processes that still exist
-    /// are reported by [`Fleet::process_found`].
+    /// Creates a fleet from its specification and the record of an earlier agent. The host reports
+    /// processes that still exist by [`Fleet::process_found`].
     pub fn new(
         now: f64,
         unix_seconds: f64,
@@ -75,8 +76,8 @@
         fleet
     }
 
-    /// Takes the record of an instance, also of one that is no longer specified: its process may
-    /// exist.
+    /// Restores an instance from its record, even if it is no longer specified, since its process may
+    /// still exist.
     fn restore_instance(&mut self, name: String, record: InstanceRecord) {
         let Some((group, index)) = parse_instance_name(&name) else {
             return;
@@ -95,7 +96,7 @@
         }
     }
 
-    /// The next action for the host; none until something else happens.
+    /// The next action for the host; `None` until another event occurs.
     pub fn poll_action(&mut self) -> Option<Action> {
         self.actions.pop_front()
     }
@@ -110,7 +111,7 @@
         self.instances.values()
     }
 
-    /// The instance of a name.
+    /// The instance with a name.
     pub fn get(&self, name: &str) -> Option<&Instance> {
         self.instances.get(name)
     }
@@ -125,7 +126,7 @@
         &self.history
     }
 
-    /// The record for the next agent, where it has changed since the last call.
+    /// The record for the next agent, if it has changed since the last call.
     pub fn take_record(&mut self) -> Option<Record> {
         if !std::mem::take(&mut self.is_record_changed) {
             return None;
@@ -150,7 +151,7 @@
         })
     }
 
-    /// Sets the wall clock, for the history alone.
+    /// Sets the wall clock, which is used for the history only.
     pub fn set_wall_clock(&mut self, unix_seconds: f64) {
         self.unix_seconds = unix_seconds;
     }
@@ -166,7 +167,7 @@
         self.group_counts.get(group).copied().unwrap_or(specified)
     }
 
-    /// Adds the instances that are specified and not there yet.
+    /// Adds specified instances that do not exist yet.
     fn create_instances(&mut self, now: f64) {
         for (group_name, group) in &self.spec.groups {
             let specified = || group.program.to_string_lossy().into_owned();
@@ -184,7 +185,7 @@
         }
     }
 
-    /// Whether an instance is to have a process.
+    /// Whether an instance should have a process.
     fn is_desired(&self, instance: &Instance) -> bool {
         !instance.is_disabled && self.is_specified(instance)
     }
--- a/crates/merlinshelf-fleet/src/fleet/observation.rs
+++ b/crates/merlinshelf-fleet/src/fleet/observation.rs
@@ -1,4 +1,4 @@
-//! What the host observes of instances and reports.
+//! Events of instances that the host observes and reports.
 
 use super::failure::TargetFailure;
 use super::{Fleet, SHUTDOWN_MARGIN_SECONDS};
@@ -6,8 +6,8 @@
 use crate::plan::Stage;
 
 impl Fleet {
-    /// A process of an instance was found: it was started by an earlier agent, or took over
-    /// unobserved.
+    /// A running process of an instance was found: an earlier agent started it, or it took over while
+    /// no agent was running.
     pub fn process_found(&mut self, now: f64, name: &str, identity: Identity) {
         let kill_at = self.shutdown_deadline(now);
         let Some(instance) = self.instances.get_mut(name) else {
@@ -47,7 +47,7 @@
         self.fail_target(name, &TargetFailure::Process(text));
     }
 
-    /// A process has exited, with its status where that is known. `jitter` is from 0 to below 1.
+    /// A process has exited, with its status if known. `jitter` is from 0 to below 1.
     pub fn process_exited(&mut self, now: f64, name: &str, status: Option<i32>, jitter: f64) {
         let Some(instance) = self.instances.get_mut(name) else {
             return;
@@ -107,8 +107,8 @@
         }
     }
 
-    /// A process that is not the instance's answers in its place. It belongs to somebody else, and
-    /// must not be signalled.
+    /// Another process answers on the instance's socket. It must not be signalled, since it does not
+    /// belong to the fleet.
     fn foreign_process_answered(&mut self, now: f64, name: &str, pid: u32) {
         let Some(instance) = self.instances.get_mut(name) else {
             return;
@@ -120,7 +120,7 @@
         }
     }
 
-    /// An instance has handed over to the program that was requested.
+    /// An instance has handed over to the requested program.
     pub fn upgrade_succeeded(&mut self, now: f64, name: &str) {
         let Some(instance) = self.instances.get_mut(name) else {
             return;
@@ -133,7 +133,7 @@
         self.add_event(Some(name), "upgraded");
     }
 
-    /// An instance has not handed over, and serves on with its program.
+    /// An instance has not handed over and continues to serve with its former program.
     pub fn upgrade_failed(&mut self, now: f64, name: &str, reason: &str) {
         let former_program = self.former_program(name);
         let Some(instance) = self.instances.get_mut(name) else {
@@ -151,7 +151,7 @@
         self.fail_target(name, &TargetFailure::Upgrade(text));
     }
 
-    /// The program before a change that is under way.
+    /// The program that an instance ran before its change in progress.
     fn former_program(&self, name: &str) -> Option<String> {
         let targets = &self.plan.as_ref()?.targets;
         match &targets.iter().find(|target| target.name == name)?.stage {
@@ -160,7 +160,7 @@
         }
     }
 
-    /// When a process is killed whose graceful shutdown begins now.
+    /// Time at which a process is killed if its graceful shutdown begins now.
     pub(super) fn shutdown_deadline(&self, now: f64) -> f64 {
         now + self.shutdown_timeout_seconds + SHUTDOWN_MARGIN_SECONDS
     }
@@ -173,18 +173,18 @@
     let is_healthy = report.is_some_and(|report| report.healthy == Some(true));
     match (instance.state, reported) {
         (State::Stopping, _) => State::Stopping,
-        // Also where operators have requested it from the instance itself.
+        // Operators may have requested the shutdown from the instance itself.
         (_, "leaving") => State::Draining,
         (State::Draining, _) if instance.is_shutdown_requested => State::Draining,
         (State::Upgrading, _) if instance.is_upgrade_requested => State::Upgrading,
-        // Also a handover that an earlier agent or an operator has requested.
+        // An earlier agent or an operator may have requested the handover.
         (
             _,
             "starting" | "readying" | "freezing" | "passing" | "taking" | "watching" | "watched",
         ) => State::Upgrading,
         (former @ (State::Absent | State::Failed), _) => former,
         _ if is_warm => State::Serving,
-        // An instance that became unhealthy has to get warm again.
+        // An instance that became unhealthy must get warm again.
         (State::Serving, _) if is_healthy => State::Serving,
         _ => State::Warming,
     }
--- a/crates/merlinshelf-fleet/src/fleet/reconcile.rs
+++ b/crates/merlinshelf-fleet/src/fleet/reconcile.rs
@@ -1,15 +1,15 @@
-//! What is done as time goes on: instances that hang are terminated, late ones killed, and the
-//! specified ones started.
+//! Periodic reconciliation: hanging instances are terminated, processes that exceed their shutdown
+//! deadline are killed, and specified instances are started.
 
 use super::failure::TargetFailure;
 use super::{Action, Fleet};
 use crate::instance::{Instance, State};
 
-/// Time before a kill without effect is repeated, in seconds.
+/// Interval between repeated kills of a process that has not exited, in seconds.
 const KILL_RETRY_SECONDS: f64 = 1.0;
 
 impl Fleet {
-    /// Does everything that is due.
+    /// Performs everything that is due.
     pub fn advance(&mut self, now: f64) {
         self.fail_cold_targets(now);
         self.check_instances(now);
@@ -18,8 +18,8 @@
         self.remove_instances();
     }
 
-    /// A target that does not get warm has failed. Other instances may be cold by their engines'
-    /// fault.
+    /// Fails targets of the plan that do not get warm in time. Other instances are ignored, since
+    /// their engines may be the cause.
     fn fail_cold_targets(&mut self, now: f64) {
         let timeout_seconds = self.warm_timeout_seconds();
         let is_late = |instance: &&Instance| {
@@ -37,7 +37,7 @@
         self.spec.change.warm_within_ms as f64 / 1e3
     }
 
-    /// Terminates instances that are silent, and kills those that are late.
+    /// Terminates instances that do not answer, and kills processes past their deadline.
     fn check_instances(&mut self, now: f64) {
         let names: Vec<String> = self.instances.keys().cloned().collect();
         for name in names {
@@ -59,7 +59,8 @@
             State::Starting | State::Adopted if state_seconds > answer_timeout_seconds => {
                 format!("has not answered within {state_seconds:.1} s")
             }
-            // A handover is silent for a moment, far shorter than a hang.
+            // A handover interrupts answers for far less than the time after which an instance
+            // counts as hanging.
             State::Warming | State::Serving | State::Upgrading if silent_seconds > hang_seconds => {
                 format!("hangs: no answer for {silent_seconds:.1} s")
             }
@@ -90,8 +91,8 @@
         self.actions.push_back(Action::Kill { name });
     }
 
-    /// Starts the instances that are to have a process, some at a time, and drains those that are
-    /// no longer specified.
+    /// Starts the instances that should have a process, a limited number at a time, and drains those
+    /// that are no longer specified.
     fn start_instances(&mut self, now: f64) {
         let is_starting = |instance: &&Instance| instance.state == State::Starting;
         let starting = self.instances.values().filter(is_starting).count();
@@ -141,8 +142,8 @@
         }
     }
 
-    /// Requests a graceful shutdown, once however often this is called: a second request might
-    /// shorten the time for it. A `timeout_seconds` may bring the kill forward.
+    /// Requests a graceful shutdown. Repeated calls send no second request, since that might shorten
+    /// the time for the shutdown; a `timeout_seconds` can bring the kill forward.
     pub(super) fn request_shutdown(&mut self, now: f64, name: &str, timeout_seconds: Option<f64>) {
         let default_kill_at = self.shutdown_deadline(now);
         let Some(instance) = self.instances.get_mut(name) else {
--- a/crates/merlinshelf-fleet/src/fleet/rolling.rs
+++ b/crates/merlinshelf-fleet/src/fleet/rolling.rs
@@ -1,5 +1,6 @@
-//! Rolling plans: targets are restarted or upgraded some at a time while the others serve. Service
-//! is observed after each change; an upgrade that makes it worse is rolled back.
+//! Rolling plans: a limited number of targets at a time is restarted or upgraded while the others
+//! serve. The success ratio of each target is observed after its change; if it drops, an upgrade is
+//! rolled back.
 
 use super::rollout::{REMOVED, update_state};
 use super::serving_capacity::Blocked;
@@ -7,11 +8,11 @@
 use crate::instance::{Instance, State};
 use crate::plan::{Plan, PlanKind, PlanState, Stage, Target};
 
-/// Invocations from which on a success ratio is meaningful.
+/// Minimum number of invocations for a meaningful success ratio.
 const MIN_INVOCATIONS: u64 = 50;
 /// Shortest observation before a change, in seconds.
 const MIN_OBSERVATION_SECONDS: f64 = 1.0;
-/// Why a target is skipped that runs its former program again.
+/// Why a target is shown as skipped after its rollback.
 const ROLLED_BACK: &str = "put back";
 
 #[derive(Clone, Copy, PartialEq)]
@@ -20,44 +21,44 @@
     Rollback,
 }
 
-/// What becomes of a target whose change is under way.
+/// Progress of a target whose change has begun.
 #[derive(Default)]
-struct Settlement {
+struct TargetUpdate {
     stage: Option<Stage>,
     /// The plan waits for it.
     is_waiting: bool,
-    /// It serves worse than before, which ends the plan.
+    /// Reason for a rollback: its success ratio has dropped.
     degradation: Option<String>,
 }
 
-impl Settlement {
-    fn waiting() -> Settlement {
-        Settlement {
+impl TargetUpdate {
+    fn waiting() -> TargetUpdate {
+        TargetUpdate {
             is_waiting: true,
-            ..Settlement::default()
+            ..TargetUpdate::default()
         }
     }
 
-    fn stage(stage: Stage) -> Settlement {
-        Settlement {
+    fn stage(stage: Stage) -> TargetUpdate {
+        TargetUpdate {
             stage: Some(stage),
-            ..Settlement::default()
+            ..TargetUpdate::default()
         }
     }
 }
 
-/// The change of one target that begins.
+/// A change of one target that is to begin.
 struct TargetChange {
     position: usize,
     name: String,
-    /// The program to hand over to; none for a restart.
+    /// The program to hand over to; `None` for a restart.
     program: Option<String>,
     direction: Direction,
 }
 
 impl Fleet {
     pub(super) fn advance_rolling(&mut self, now: f64, plan: &mut Plan) {
-        let mut waiting = self.settle_targets(now, plan);
+        let mut waiting = self.update_targets(now, plan);
         let direction = match &plan.state {
             PlanState::RollingBack(_) => Direction::Rollback,
             PlanState::Paused => return,
@@ -65,9 +66,9 @@
         };
         if let Err(blocked) = self.begin_changes(now, plan, direction, &mut waiting) {
             if direction == Direction::Forward {
-                // Without instances that could come back there is nothing to wait for.
-                let is_hopeless = waiting.is_empty() && blocked.is_permanent();
-                plan.state = if is_hopeless {
+                // Waiting is useless if no instance can come back.
+                let is_permanent = waiting.is_empty() && blocked.is_permanent();
+                plan.state = if is_permanent {
                     PlanState::Stopped(blocked.to_string())
                 } else {
                     PlanState::Waiting(blocked.to_string())
@@ -84,59 +85,59 @@
         }
     }
 
-    /// Carries changes that are under way to their ends, whatever the plan's state; returns the
-    /// targets that are waited for.
-    fn settle_targets(&self, now: f64, plan: &mut Plan) -> Vec<String> {
+    /// Advances changes in progress, in every state of the plan; returns the targets that the plan
+    /// waits for.
+    fn update_targets(&self, now: f64, plan: &mut Plan) -> Vec<String> {
         let is_rolling_back = matches!(plan.state, PlanState::RollingBack(_));
         let mut waiting = Vec::new();
         for target in &mut plan.targets {
-            let settlement = match self.instances.get(&target.name) {
-                Some(instance) => self.settle_target(now, target, instance),
-                None => Settlement::stage(Stage::Skipped(REMOVED.into())),
+            let update = match self.instances.get(&target.name) {
+                Some(instance) => self.target_update(now, target, instance),
+                None => TargetUpdate::stage(Stage::Skipped(REMOVED.into())),
             };
-            if let Some(stage) = settlement.stage {
+            if let Some(stage) = update.stage {
                 target.stage = stage;
             }
-            if settlement.is_waiting {
+            if update.is_waiting {
                 waiting.push(target.name.clone());
             }
-            if let Some(reason) = settlement.degradation.filter(|_| !is_rolling_back) {
+            if let Some(reason) = update.degradation.filter(|_| !is_rolling_back) {
                 plan.state = PlanState::RollingBack(reason);
             }
         }
         waiting
     }
 
-    fn settle_target(&self, now: f64, target: &Target, instance: &Instance) -> Settlement {
+    fn target_update(&self, now: f64, target: &Target, instance: &Instance) -> TargetUpdate {
         let is_serving = instance.state == State::Serving;
         match &target.stage {
-            // An upgrade that an earlier agent has requested may have failed unobserved.
+            // An upgrade requested by an earlier agent may have failed while no agent was running.
             Stage::InProgress { .. } if is_serving && !instance.runs_its_program() => {
-                Settlement::stage(Stage::Pending)
+                TargetUpdate::stage(Stage::Pending)
             }
-            Stage::InProgress { program } if is_serving => Settlement {
+            Stage::InProgress { program } if is_serving => TargetUpdate {
                 stage: Some(Stage::Observing {
                     program: program.clone(),
                     started_at: now,
                 }),
-                ..Settlement::waiting()
+                ..TargetUpdate::waiting()
             },
             Stage::Observing {
                 program,
                 started_at,
-            } if now >= started_at + self.observation_seconds() => Settlement {
+            } if now >= started_at + self.observation_seconds() => TargetUpdate {
                 degradation: self.degradation(target, instance, *started_at, now),
-                ..Settlement::stage(Stage::Done {
+                ..TargetUpdate::stage(Stage::Done {
                     program: program.clone(),
                 })
             },
             Stage::RollingBack if is_serving => {
-                Settlement::stage(Stage::Skipped(ROLLED_BACK.into()))
+                TargetUpdate::stage(Stage::Skipped(ROLLED_BACK.into()))
             }
             Stage::InProgress { .. } | Stage::Observing { .. } | Stage::RollingBack => {
-                Settlement::waiting()
+                TargetUpdate::waiting()
             }
-            Stage::Pending | Stage::Done { .. } | Stage::Skipped(_) => Settlement::default(),
+            Stage::Pending | Stage::Done { .. } | Stage::Skipped(_) => TargetUpdate::default(),
         }
     }
 
@@ -144,7 +145,7 @@
         self.spec.change.looked_ms as f64 / 1e3
     }
 
-    /// Whether a target serves worse than before its change, as a reason to roll back.
+    /// The reason to roll back if a target's success ratio has dropped since its change.
     fn degradation(
         &self,
         target: &Target,
@@ -163,7 +164,7 @@
             .then(|| format!("{name} serves {after:.3} of what it is sent, {before:.3} before"))
     }
 
-    /// Begins changes as long as some more may be under way.
+    /// Begins changes up to the maximum number in progress.
     fn begin_changes(
         &mut self,
         now: f64,
@@ -173,7 +174,7 @@
     ) -> Result<(), Blocked> {
         let mut in_progress = match direction {
             Direction::Forward => plan.in_progress_count(),
-            // A target whose upgrade is under way is to be rolled back itself.
+            // Upgrades in progress do not count: they are to be rolled back themselves.
             Direction::Rollback => {
                 let targets = plan.targets.iter();
                 targets
@@ -197,7 +198,7 @@
         Ok(())
     }
 
-    /// Begins the change of one target, or its rollback; whether it is under way now.
+    /// Begins the change of one target, or its rollback; returns whether it is in progress now.
     fn begin_change(
         &mut self,
         now: f64,
@@ -254,7 +255,7 @@
         Ok(true)
     }
 
-    /// An instance without a serving process runs the program at its next start.
+    /// Sets the program that an instance runs at its next start.
     fn set_next_program(&mut self, name: &str, program: Option<String>) {
         if let (Some(instance), Some(program)) = (self.instances.get_mut(name), program) {
             instance.program = program;
@@ -271,8 +272,8 @@
     }
 }
 
-/// Whether an instance has to reach another state before it is changed. A rollback does not wait
-/// for it to get warm.
+/// Whether an instance must reach another state before it can be changed. A rollback does not wait
+/// until it is warm.
 fn is_in_transition(state: State, direction: Direction) -> bool {
     match state {
         State::Starting | State::Adopted | State::Upgrading | State::Lost => true,
@@ -281,8 +282,7 @@
     }
 }
 
-/// The change that a target needs; where a plan is rolled back, targets that are not begun are
-/// skipped.
+/// The next change of a target. During a rollback, targets that were not begun are skipped.
 fn next_change(plan: &mut Plan, position: usize, direction: Direction) -> Option<TargetChange> {
     let target = &mut plan.targets[position];
     let program = match (direction, &target.stage) {
--- a/crates/merlinshelf-fleet/src/fleet/rollout.rs
+++ b/crates/merlinshelf-fleet/src/fleet/rollout.rs
@@ -1,17 +1,17 @@
-//! Progress of the plan: what it does to which target next.
+//! Execution of the plan: decides on the next change of each target.
 
 use super::Fleet;
 use crate::instance::State;
 use crate::plan::{Plan, PlanKind, PlanState, Stage};
 
-/// Targets that are named in the text of what a plan waits for.
+/// Maximum number of targets named in the text of what a plan waits for.
 const MAX_NAMED_TARGETS: usize = 3;
-/// Why a target is skipped whose instance was removed.
+/// Why a target is skipped after its instance was removed.
 pub(super) const REMOVED: &str = "it is not there any more";
 
 impl Fleet {
     pub(super) fn advance_plan(&mut self, now: f64) {
-        // The plan is taken out while it changes instances.
+        // The plan is taken out of `self` while it changes the instances.
         let Some(mut plan) = self.plan.take() else {
             return;
         };
@@ -101,7 +101,7 @@
     }
 }
 
-/// The plan is done, or waits for some targets.
+/// Sets the state of the plan: done, or waiting for targets.
 pub(super) fn update_state(plan: &mut Plan, waiting: &[String], condition: &str) {
     if matches!(plan.state, PlanState::Paused | PlanState::RollingBack(_)) {
         return;
--- a/crates/merlinshelf-fleet/src/fleet/serving_capacity.rs
+++ b/crates/merlinshelf-fleet/src/fleet/serving_capacity.rs
@@ -3,24 +3,24 @@
 use super::Fleet;
 use crate::instance::{Instance, State};
 
-/// Over how long the rate of service is measured, in seconds.
+/// Window over which the rate of service is measured, in seconds.
 const RATE_WINDOW_SECONDS: f64 = 20.0;
-/// Absorbs rounding where capacities are compared.
+/// Tolerance for rounding errors when capacities are compared.
 const ROUNDING: f64 = 1e-9;
 
-/// Capacity by weight of the instances.
+/// Serving capacity, as a sum of the instances' weights.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ServingCapacity {
-    /// Of the instances that serve.
+    /// Sum over the instances that serve.
     pub serving: f64,
-    /// Of all instances that are to serve.
+    /// Sum over all instances that should serve.
     pub total: f64,
 }
 
-/// Why an instance can't be taken out of service now.
+/// Why an instance can't be changed now.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum Blocked {
-    /// It is not in a state to be changed.
+    /// It is in a state in which it can't be changed.
     #[error("{name} is {}", state.name())]
     NotReady { name: String, state: State },
     /// Too little capacity would be left.
@@ -32,13 +32,13 @@
         name: String,
         serving_fraction: f64,
         min_capacity: f64,
-        /// Instances that are to serve and do not.
+        /// Instances that should serve and do not.
         down: Vec<String>,
     },
 }
 
 impl Blocked {
-    /// Whether no instance could come back and end the blockade.
+    /// Whether waiting is useless: no instance is down that could come back.
     pub fn is_permanent(&self) -> bool {
         matches!(self, Blocked::TooLittleCapacity { down, .. } if down.is_empty())
     }
@@ -53,7 +53,7 @@
 }
 
 impl Fleet {
-    /// The capacity that serves, and that would serve if all instances did that are to.
+    /// The capacity in service, and the total if all desired instances served.
     pub fn capacity(&self, now: f64) -> ServingCapacity {
         let mut capacity = ServingCapacity::default();
         let desired = self.instances.values();
@@ -67,7 +67,7 @@
         capacity
     }
 
-    /// What an instance counts: its rate of service, or its group's weight until the rates are
+    /// The weight of an instance: its rate of service, or its group's weight until the rates are
     /// known.
     fn weight(&self, now: f64, instance: &Instance) -> f64 {
         let rate_of = |instance: &Instance| instance.success_rate(now, RATE_WINDOW_SECONDS);
@@ -76,8 +76,8 @@
                 .values()
                 .filter(|other| other.state.is_serving())
         };
-        // Rates count only where all serving instances have one: the two measures must not be
-        // mixed.
+        // Rates are used only if all serving instances have one: rates and specified weights must
+        // not be mixed.
         let has_rates = serving().all(|serving| rate_of(serving) > 0.0) && serving().count() > 0;
         if !has_rates {
             return self.specified_weight(instance);
@@ -86,7 +86,7 @@
         if rate > 0.0 {
             return rate;
         }
-        // An instance that is down counts as much as others of its group.
+        // An instance that is down has the mean weight of its group.
         let group_rates: Vec<f64> = serving()
             .filter(|serving| serving.group == instance.group)
             .map(rate_of)
@@ -103,7 +103,7 @@
         group.map_or(1.0, |group| group.weight)
     }
 
-    /// Checks that enough capacity serves without an instance.
+    /// Checks that enough capacity would serve without an instance.
     pub(super) fn check_min_capacity(&self, now: f64, instance: &Instance) -> Result<(), Blocked> {
         let capacity = self.capacity(now);
         let min_capacity = self.spec.change.floor;
--- a/crates/merlinshelf-fleet/src/fleet_spec.rs
+++ b/crates/merlinshelf-fleet/src/fleet_spec.rs
@@ -1,8 +1,7 @@
-//! The fleet's file as operators write it, in JSON5: groups of instances, and the host's capacity
-//! for them. Its keys are part of the interface, and fields that are validated are named like their
-//! keys: `garde` reports a field's name in the path of an error, and operators look for that in
-//! their file (its `rename` does not change the path). The doc comments are the descriptions in the
-//! file's schema.
+//! The operators' fleet file in JSON5: groups of instances and the host's capacity. Its keys are
+//! part of the interface. Validated fields must be named like their keys: `garde` reports the field
+//! name in the path of an error, regardless of serde's `rename`, and operators look up that path in
+//! their file. The doc comments of the types are the descriptions in the file's schema.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -297,7 +296,7 @@
     Ok(())
 }
 
-/// The name of an instance, by its group and its place there.
+/// The name of an instance, from its group and its index in the group.
 pub fn instance_name(group: &str, index: u32) -> String {
     format!("{group}.{index}")
 }
--- a/crates/merlinshelf-fleet/src/history.rs
+++ b/crates/merlinshelf-fleet/src/history.rs
@@ -1,4 +1,4 @@
-//! The latest events of the fleet, for operators. It is part of the stored record.
+//! The latest events of the fleet, for operators. They are part of the stored record.
 
 use std::collections::VecDeque;
 
@@ -9,12 +9,12 @@
 /// One event.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Event {
-    /// Counts the events, from 1.
+    /// Number of the event, counted from 1.
     pub number: u64,
     /// Seconds of Unix time.
     #[serde(rename = "at")]
     pub unix_seconds: f64,
-    /// The instance that it is about; none for the fleet's own.
+    /// The instance that the event concerns; `None` for the whole fleet.
     pub instance: Option<String>,
     /// What happened.
     pub text: String,
@@ -29,7 +29,7 @@
 }
 
 impl History {
-    /// Adds an event; the oldest one is dropped where there are too many.
+    /// Adds an event; drops the oldest one if there are too many.
     pub fn add(&mut self, unix_seconds: f64, instance: Option<&str>, text: impl Into<String>) {
         self.last_number += 1;
         if self.events.len() == MAX_EVENTS {
--- a/crates/merlinshelf-fleet/src/instance.rs
+++ b/crates/merlinshelf-fleet/src/instance.rs
@@ -1,4 +1,4 @@
-//! One instance: what is observed of it, and the state that this puts it into.
+//! One instance: its state and the observations that determine it.
 
 use std::collections::VecDeque;
 
@@ -6,41 +6,41 @@
 
 use crate::crash_backoff::CrashBackoff;
 
-/// Samples of the service counters that are stored: a minute at four a second.
+/// Maximum number of stored samples of the service counters: one minute at four per second.
 const MAX_SAMPLES: usize = 240;
 
-/// Identifies a process. Its number alone does not: numbers are used again.
+/// Identifies a process. The pid alone is not unique, since the kernel reuses pids.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Identity {
-    /// Number of the process.
+    /// Process id.
     pub pid: u32,
-    /// When the kernel started it, in clock ticks since the boot.
+    /// Start time of the process, in clock ticks since boot.
     #[serde(rename = "started")]
     pub start_ticks: u64,
 }
 
-/// The status that an instance answers a health check with.
+/// The status with which an instance answers a health check.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Report {
     /// The process that answered.
     pub identity: Identity,
-    /// Number of the process that handed over to it.
+    /// Process id of its predecessor, if it took over from one.
     pub predecessor: Option<u32>,
-    /// Its state, as the instance spells it.
+    /// Name of its state in the instance's own reports.
     pub state: String,
-    /// Whether it is healthy; none before its engine was up.
+    /// Whether it is healthy; `None` until its engine was first connected.
     pub healthy: Option<bool>,
     /// Invocations in flight.
     pub in_flight: u64,
-    /// Invocations since its service began, also by its predecessors.
+    /// Invocations since the start of service, including those of predecessors.
     pub invocations: u64,
     /// Those that succeeded.
     pub succeeded: u64,
-    /// How long its runs take lately, in milliseconds.
+    /// Recent duration of its runs, in milliseconds.
     pub run_ms: Option<f64>,
     /// Resident memory, in kilobytes.
     pub memory_kb: u64,
-    /// The file that its process executes, where that is known.
+    /// The program file that its process executes, if known.
     pub program: Option<String>,
 }
 
@@ -52,7 +52,7 @@
     Absent,
     /// Its process has not answered yet.
     Starting,
-    /// It answers, and was not healthy for long enough yet.
+    /// It answers, but has not been healthy for long enough yet.
     Warming,
     /// It is warm.
     Serving,
@@ -62,17 +62,16 @@
     Draining,
     /// A graceful shutdown with a time limit is under way.
     Stopping,
-    /// It has crashed or could not be started; it is started again after a backoff.
+    /// It has crashed or could not be started; it is restarted after a backoff.
     Failed,
     /// Its process was found by a new agent and has not answered yet.
     Adopted,
-    /// It hangs, or another process answers in its place. Its own process, as far as it is known,
-    /// was asked to terminate by signal.
+    /// It hangs and was requested to terminate by signal, or another process answers on its socket.
     Lost,
 }
 
 impl State {
-    /// The state as replies spell it.
+    /// The name of the state in replies.
     pub fn name(self) -> &'static str {
         match self {
             State::Absent => "absent",
@@ -104,12 +103,12 @@
     }
 }
 
-/// Invocations of an instance over some time.
+/// Invocations of an instance during an interval.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ServiceCounts {
-    /// Invocations that it was sent.
+    /// Invocations that it received.
     pub invocations: u64,
-    /// Those that succeeded.
+    /// Invocations that succeeded.
     pub succeeded: u64,
 }
 
@@ -134,13 +133,13 @@
     pub name: String,
     /// Name of its group.
     pub group: String,
-    /// Its place in the group, from 0.
+    /// Its index in the group, from 0.
     pub index: u32,
     /// Its state.
     pub state: State,
     /// When it entered the state.
     pub state_entered_at: f64,
-    /// Its process, where there is one.
+    /// Its process, if there is one.
     pub identity: Option<Identity>,
     /// The program that it runs, or that its next start runs.
     pub program: String,
@@ -148,21 +147,21 @@
     pub is_disabled: bool,
     /// A graceful shutdown was requested. A second request might shorten the time for it.
     pub is_shutdown_requested: bool,
-    /// When its process is killed.
+    /// Time at which its process is killed.
     pub kill_at: Option<f64>,
-    /// Its process was killed.
+    /// A kill of its process was requested.
     pub is_kill_sent: bool,
     /// This agent has requested an upgrade that has not ended yet.
     pub is_upgrade_requested: bool,
-    /// Its last answer.
+    /// Its last answer to a health check.
     pub report: Option<Report>,
-    /// When it last answered.
+    /// Time of its last answer, or of its process's start if it has not answered since.
     pub answered_at: f64,
-    /// Since when it is healthy without interruption.
+    /// Start of its current uninterrupted time of being healthy.
     pub healthy_since: Option<f64>,
     /// When its process was started or adopted.
     pub process_started_at: f64,
-    /// Delays its next start.
+    /// Backoff before its next start.
     pub backoff: CrashBackoff,
     samples: VecDeque<Sample>,
 }
@@ -192,7 +191,7 @@
         }
     }
 
-    /// Enters a state, unless it is in it.
+    /// Enters a state; has no effect if it is already in that state.
     pub fn enter_state(&mut self, now: f64, state: State) {
         if self.state != state {
             self.state = state;
@@ -216,7 +215,7 @@
         self.enter_state(now, state);
     }
 
-    /// Forgets what is known of a process only.
+    /// Clears the state that belongs to the former process.
     fn clear_process(&mut self) {
         self.identity = None;
         self.is_shutdown_requested = false;
@@ -227,7 +226,7 @@
         self.samples.clear();
     }
 
-    /// Takes the answer to a health check.
+    /// Records the answer to a health check.
     pub fn record_report(&mut self, now: f64, report: Report) {
         self.answered_at = now;
         if report.healthy == Some(true) {
@@ -239,7 +238,7 @@
             invocations: report.invocations,
             succeeded: report.succeeded,
         };
-        // Counters that went back are another process's.
+        // Decreased counters belong to another process.
         let last = self.samples.back();
         if last.is_some_and(|last| counts.invocations < last.counts.invocations) {
             self.samples.clear();
@@ -255,13 +254,13 @@
         self.report = Some(report);
     }
 
-    /// Whether it was healthy for this long.
+    /// Whether it has been healthy for `warm_seconds`.
     pub fn is_warm(&self, now: f64, warm_seconds: f64) -> bool {
         self.healthy_since
             .is_some_and(|since| now >= since + warm_seconds)
     }
 
-    /// Whether its process executes its program, as far as that is known.
+    /// Whether its process executes its program; `true` if that is unknown.
     pub fn runs_its_program(&self) -> bool {
         self.report
             .as_ref()
@@ -269,7 +268,7 @@
             .is_none_or(|program| *program == self.program)
     }
 
-    /// Its invocations between two times.
+    /// Its invocations between two points in time.
     pub fn service_between(&self, from: f64, until: f64) -> ServiceCounts {
         let mut within = self
             .samples
@@ -285,7 +284,7 @@
         }
     }
 
-    /// Invocations that succeed per second, over the last `window_seconds`.
+    /// Successful invocations per second over the last `window_seconds`.
     pub fn success_rate(&self, now: f64, window_seconds: f64) -> f64 {
         let first = self
             .samples
--- a/crates/merlinshelf-fleet/src/lib.rs
+++ b/crates/merlinshelf-fleet/src/lib.rs
@@ -1,11 +1,11 @@
-//! Supervision of many instances on one host, without input or output: what the operators specify
-//! ([`fleet_spec`]) against what is observed of each instance ([`instance`]), whether it fits the
-//! host ([`capacity`]), and one plan at a time that changes several instances without taking too
-//! much capacity out of service ([`plan`]). [`fleet`] puts these together and decides what to do;
-//! [`record`] is what outlives the agent.
+//! Supervision of many instances on one host, without I/O. [`fleet_spec`] is the operators'
+//! specification, [`instance`] the observed state of each instance, [`capacity`] checks that the
+//! specified instances fit the host, and a [`plan`] changes several instances without taking too
+//! much capacity out of service; one plan runs at a time. [`fleet`] reconciles the observed with the
+//! specified state; [`record`] is the state that is stored across restarts of the agent.
 //!
-//! Nothing here reads a clock, a process table or random numbers. Times are seconds of the agent's
-//! monotonic clock, unless they say otherwise.
+//! The crate reads no clock and no process table and draws no random numbers. Times are seconds on
+//! the agent's monotonic clock unless documented otherwise.
 
 pub mod capacity;
 pub mod crash_backoff;
--- a/crates/merlinshelf-fleet/src/plan.rs
+++ b/crates/merlinshelf-fleet/src/plan.rs
@@ -1,6 +1,5 @@
-//! A plan: one change of several instances, some at a time. What it does next is decided by
-//! [`Fleet`](crate::Fleet), which knows the instances. Plans are part of the stored record:
-//! serialized names stay.
+//! A plan: one change of several instances, a limited number at a time. [`Fleet`](crate::Fleet)
+//! executes it. Plans are part of the stored record: serialized names must not change.
 
 use serde::{Deserialize, Serialize};
 
@@ -8,17 +7,17 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum PlanKind {
-    /// Start what is down.
+    /// Start instances that are down.
     Start,
-    /// Shut down gracefully, and leave down.
+    /// Shut down gracefully without a restart.
     Drain {
         /// Time after which a process is killed, in seconds.
         #[serde(rename = "within")]
         timeout_seconds: Option<f64>,
     },
-    /// Shut down gracefully and start, some at a time.
+    /// Shut down gracefully and start again, a limited number at a time.
     Restart,
-    /// Hand over to another program under load, some at a time.
+    /// Hand over to another program while serving, a limited number at a time.
     Upgrade {
         /// Path of the program.
         program: String,
@@ -26,7 +25,7 @@
 }
 
 impl PlanKind {
-    /// The kind as replies spell it.
+    /// The name of the kind in replies.
     pub fn name(&self) -> &'static str {
         match self {
             PlanKind::Start => "start",
@@ -41,31 +40,31 @@
         }
     }
 
-    /// Whether targets are changed some at a time while they serve.
+    /// Whether targets are changed a limited number at a time while the others serve.
     pub fn is_rolling(&self) -> bool {
         matches!(self, PlanKind::Restart | PlanKind::Upgrade { .. })
     }
 
-    /// Whether targets get another program.
+    /// Whether targets are changed to another program.
     pub fn is_upgrade(&self) -> bool {
         matches!(self, PlanKind::Upgrade { .. })
     }
 }
 
-/// How far the change of one target is.
+/// Progress of the change of one target.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Stage {
-    /// It is not begun.
+    /// The change has not begun.
     #[serde(rename = "todo")]
     Pending,
-    /// It is under way.
+    /// The change is in progress.
     #[serde(rename = "under")]
     InProgress {
         /// The program before, for a rollback.
         program: String,
     },
-    /// It is made, and the target's service is observed.
+    /// The change was made, and the target's success ratio is being observed.
     #[serde(rename = "looking")]
     Observing {
         /// The program before, for a rollback.
@@ -74,15 +73,15 @@
         #[serde(rename = "from")]
         started_at: f64,
     },
-    /// It is made.
+    /// The change was made.
     Done {
         /// The program before, for a rollback.
         program: String,
     },
-    /// The program before is being restored.
+    /// The former program is being restored.
     #[serde(rename = "back")]
     RollingBack,
-    /// The target stays as it is, for this reason.
+    /// The target is not changed, for this reason.
     #[serde(rename = "left")]
     Skipped(String),
 }
@@ -92,24 +91,25 @@
 pub struct Target {
     /// Name of the instance.
     pub name: String,
-    /// How far its change is.
+    /// Progress of its change.
     pub stage: Stage,
-    /// Share of invocations that succeeded before the change, where there were enough to tell.
+    /// Fraction of invocations that succeeded before the change, if there were enough invocations.
     #[serde(rename = "before")]
     pub success_ratio_before: Option<f64>,
 }
 
-/// How a plan stands.
+/// The state of a plan.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum PlanState {
-    /// It was just begun or resumed.
+    /// It has just started or was resumed.
     Running,
-    /// It goes on once this is the case.
+    /// It continues once this condition holds.
     Waiting(String),
     /// The operators have paused it.
     Paused,
-    /// It made service worse, for this reason, and restores the programs before.
+    /// A change failed or made service worse, for this reason, and the former programs are being
+    /// restored.
     #[serde(rename = "goingback")]
     RollingBack(String),
     /// All targets are done or skipped.
@@ -119,12 +119,12 @@
 }
 
 impl PlanState {
-    /// Whether nothing more is done.
+    /// Whether the plan has ended.
     pub fn is_over(&self) -> bool {
         matches!(self, PlanState::Done | PlanState::Stopped(_))
     }
 
-    /// The state as replies spell it, in one line.
+    /// The state in replies, as one line of text.
     pub fn text(&self) -> String {
         match self {
             PlanState::Running => "running".into(),
@@ -137,33 +137,33 @@
     }
 }
 
-/// How many of a plan's targets are done or skipped.
+/// The number of a plan's completed targets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PlanProgress {
-    /// Targets that are done or skipped.
+    /// Number of targets that are done or skipped.
     pub done: usize,
-    /// All targets.
+    /// Number of all targets.
     pub total: usize,
 }
 
 /// One change of several instances.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Plan {
-    /// Counts the plans of this fleet, from 1.
+    /// Number of the plan in this fleet, counted from 1.
     pub number: u64,
-    /// What is done.
+    /// What the plan does.
     pub kind: PlanKind,
     /// The instances, in the order of their changes.
     pub targets: Vec<Target>,
-    /// How it stands.
+    /// Its state.
     pub state: PlanState,
-    /// Most targets that are changed at one time.
+    /// Maximum number of targets that are changed concurrently.
     #[serde(rename = "at_once")]
     pub max_in_progress: u32,
 }
 
 impl Plan {
-    /// A plan that begins.
+    /// Creates a running plan with all targets pending.
     pub fn new(number: u64, kind: PlanKind, names: Vec<String>, max_in_progress: u32) -> Plan {
         let pending_target = |name| Target {
             name,
@@ -179,7 +179,7 @@
         }
     }
 
-    /// How many targets are being changed or rolled back.
+    /// Number of targets that are being changed or rolled back.
     pub fn in_progress_count(&self) -> usize {
         let is_in_progress = |target: &&Target| {
             matches!(target.stage, Stage::InProgress { .. } | Stage::RollingBack)
@@ -187,7 +187,7 @@
         self.targets.iter().filter(is_in_progress).count()
     }
 
-    /// How many targets are done or skipped.
+    /// Number of completed targets.
     pub fn progress(&self) -> PlanProgress {
         let is_over =
             |target: &&Target| matches!(target.stage, Stage::Done { .. } | Stage::Skipped(_));
--- a/crates/merlinshelf-fleet/src/record.rs
+++ b/crates/merlinshelf-fleet/src/record.rs
@@ -1,4 +1,5 @@
-//! What outlives the agent. The agent stores it with fields by name: serialized names stay.
+//! The state that the agent stores across restarts, encoded by field name: serialized names must
+//! not change.
 
 use std::collections::BTreeMap;
 
@@ -8,11 +9,11 @@
 use crate::instance::Identity;
 use crate::plan::Plan;
 
-/// What is stored of one instance.
+/// The stored state of one instance.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct InstanceRecord {
-    /// Its process, where there is one.
+    /// Its process, if there is one.
     pub identity: Option<Identity>,
     /// The program that it runs, or that its next start runs.
     pub program: String,
@@ -22,20 +23,20 @@
     /// A graceful shutdown was requested: it must not be requested again.
     #[serde(rename = "told")]
     pub is_shutdown_requested: bool,
-    /// Crashes without a steady run between them.
+    /// Consecutive crashes without a steady run between them.
     pub crashes_in_a_row: u32,
 }
 
-/// The state of the fleet that outlives the agent.
+/// The stored state of the fleet.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Record {
-    /// By name.
+    /// The instances by name.
     pub instances: BTreeMap<String, InstanceRecord>,
-    /// By group, counts that replace the specification's.
+    /// Counts by group that override the specification.
     #[serde(rename = "counts")]
     pub group_counts: BTreeMap<String, u32>,
-    /// By group, programs that replace the specification's.
+    /// Programs by group that override the specification.
     #[serde(rename = "programs")]
     pub group_programs: BTreeMap<String, String>,
     /// The last plan.
