--- a/crates/merlinshelf-consensus/src/action.rs
+++ b/crates/merlinshelf-consensus/src/action.rs
@@ -1,26 +1,26 @@
-//! What a replica asks of its host.
+//! The actions that a replica requests from its host.
 
 use crate::encoding::DecodeError;
 use crate::message::Message;
 use crate::record::Record;
 
-/// One thing for the host to carry out, in the order of
-/// [`Replica::poll_action`](crate::Replica::poll_action).
+/// An operation that the host carries out, in the order in which
+/// [`Replica::poll_action`](crate::Replica::poll_action) returns them.
 ///
-/// Where one fails, none of the later ones may be carried out: the host drops the replica and
-/// starts it again from the records on its disk. Otherwise a message could acknowledge entries that
+/// After a failed action the host must not carry out any later one: it drops the replica and
+/// restarts it from the records on its disk. Otherwise a message could acknowledge entries that
 /// were never made durable.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Append these records to the log file and make them durable before the next action.
     Append(Vec<Record>),
-    /// Replace the log file by these records, atomically and durably, before the next action.
+    /// Replace the log file with these records, atomically and durably, before the next action.
     ReplaceLog(Vec<Record>),
     /// Send a message to another agent. It may be lost.
     Send {
         /// Name of the receiving agent.
         to: String,
-        /// What to send.
+        /// The message.
         message: Message,
     },
     /// Apply a committed entry to the replicated state.
@@ -30,11 +30,11 @@
         /// The proposed data.
         data: Vec<u8>,
     },
-    /// Replace the replicated state by that of a snapshot.
+    /// Replace the replicated state with that of a snapshot.
     Restore {
         /// Index of the last entry that the state includes.
         index: u64,
-        /// The state that [`Replica::compact`](crate::Replica::compact) was given; empty at the
+        /// The state passed to [`Replica::compact`](crate::Replica::compact); empty at the
         /// bootstrap.
         state: Vec<u8>,
     },
--- a/crates/merlinshelf-consensus/src/encoding.rs
+++ b/crates/merlinshelf-consensus/src/encoding.rs
@@ -1,10 +1,10 @@
-//! Encoding and decoding of what is stored and sent.
+//! Encoding of stored and sent data, and its decoding errors.
 
 use protobuf::Message as ProtobufMessage;
 use serde::Serialize;
 
-/// Bytes that can't be decoded. They passed a checksum, so that another version of the program
-/// wrote them, and this one goes on without them.
+/// Bytes that can't be decoded. Since their checksum was correct, another version of the program
+/// wrote them; this version skips them.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
     /// An entry in the log file.
@@ -35,7 +35,7 @@
         /// What the decoder reported.
         reason: String,
     },
-    /// A message of raft from another agent.
+    /// A raft message from another agent.
     #[error("a raft message from {peer} can't be decoded: {reason}")]
     RaftMessage {
         /// Name of the agent that sent it.
@@ -45,12 +45,13 @@
     },
 }
 
-/// Encodes a value as MessagePack with fields by position, as all stored forms of this package are.
+/// Encodes a value as MessagePack with fields by position, the encoding of all data that this
+/// package stores.
 pub(crate) fn encode_messagepack(value: &impl Serialize) -> Vec<u8> {
     rmp_serde::to_vec(value).expect("plain data is encoded into memory without errors")
 }
 
-/// Encodes a structure of raft.
+/// Encodes one of raft's protobuf structures.
 pub(crate) fn encode_protobuf(value: &impl ProtobufMessage) -> Vec<u8> {
     value
         .write_to_bytes()
--- a/crates/merlinshelf-consensus/src/lib.rs
+++ b/crates/merlinshelf-consensus/src/lib.rs
@@ -1,12 +1,12 @@
 //! The consensus group of an installation's agents: a replicated log.
 //!
-//! The `raft` crate brings leader election and log replication without input or output. This
-//! package adds the bootstrap of an installation, membership changes, and the verification of a
-//! restarted replica: one whose disk was lost, or was set back to an older state than the replica
-//! has acknowledged, does not vote again. It joins under a new slot instead (docs/policy.md).
+//! The `raft` crate implements leader election and log replication without I/O. This package adds
+//! the bootstrap of an installation, membership changes, and the verification of a restarted
+//! replica: a replica whose disk was lost, or was reset to an older state than the replica has
+//! acknowledged, does not vote again. It joins under a new slot instead (docs/policy.md).
 //!
-//! A [`Replica`] is fed clock ticks and messages and is polled for [`Action`]s. The host carries
-//! these out in order; when one fails, none of the later ones may be carried out.
+//! The host feeds clock ticks and messages to a [`Replica`] and polls it for [`Action`]s. It
+//! carries out the actions in order; after a failed action it must not carry out any later one.
 //!
 //! Sources: D. Ongaro, J. Ousterhout, "In Search of an Understandable Consensus Algorithm" (Raft),
 //! and D. Ongaro's thesis "Consensus: Bridging Theory and Practice" (pre-vote: 9.6, check-quorum:
--- a/crates/merlinshelf-consensus/src/log_storage.rs
+++ b/crates/merlinshelf-consensus/src/log_storage.rs
@@ -15,23 +15,23 @@
     pub hard_state: HardState,
     /// The voters as of the last applied membership change.
     pub conf_state: ConfState,
-    /// Its index is the last one that is not among the entries.
+    /// The entries start after the index of this snapshot.
     pub snapshot: Snapshot,
     entries: Vec<Entry>,
 }
 
 impl LogStorage {
-    /// The index of the snapshot: entries begin behind it.
+    /// The index of the snapshot; the first entry has the next index.
     pub fn snapshot_index(&self) -> u64 {
         self.snapshot.get_metadata().index
     }
 
-    /// The index of the last entry, or of the snapshot where there is none.
+    /// The index of the last entry, or of the snapshot if there are no entries.
     pub fn last_index(&self) -> u64 {
         self.snapshot_index() + self.entries.len() as u64
     }
 
-    /// Appends entries. Each replaces the stored ones from its own index on (Raft paper, 5.3).
+    /// Appends entries. Each entry replaces all stored entries from its index on (Raft paper, 5.3).
     pub fn append(&mut self, entries: &[Entry]) {
         for entry in entries {
             if entry.index <= self.snapshot_index() {
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Replaces everything up to the snapshot's index by the snapshot. Later entries stay where
+    /// Replaces everything up to the snapshot's index with the snapshot. Later entries are kept if
     /// they continue the snapshot's history (Raft paper, section 7).
     pub fn install_snapshot(&mut self, snapshot: Snapshot) {
         let metadata = snapshot.get_metadata();
@@ -63,10 +63,11 @@
         self.snapshot = snapshot;
     }
 
-    /// Takes one record of the log file, in the file's order. Records of slots are not the log's.
+    /// Loads one record of the log file; records must be loaded in the file's order. Slot records
+    /// are ignored, since they are not part of the log.
     ///
     /// # Errors
-    /// The record can't be decoded; nothing was changed.
+    /// The record can't be decoded; the log is unchanged.
     pub fn load_record(&mut self, record: &Record) -> std::result::Result<(), DecodeError> {
         match record {
             Record::Entry(bytes) => {
@@ -92,7 +93,7 @@
         Ok(())
     }
 
-    /// All of it as records, for a new log file.
+    /// The whole log as records, for a new log file.
     pub fn to_records(&self) -> Vec<Record> {
         let mut records = vec![snapshot_record(&self.snapshot)];
         records.extend(self.entries.iter().map(entry_record));
@@ -100,7 +101,7 @@
         records
     }
 
-    /// Where an entry of this index stands among the entries; the index lies behind the snapshot.
+    /// Position in `entries` of the entry with this index, which must be above the snapshot's index.
     fn position(&self, index: u64) -> usize {
         (index - self.snapshot_index() - 1) as usize
     }
--- a/crates/merlinshelf-consensus/src/membership.rs
+++ b/crates/merlinshelf-consensus/src/membership.rs
@@ -40,7 +40,7 @@
         self.members.get(&slot).map(|member| member.name.as_str())
     }
 
-    /// How many members a majority has.
+    /// The number of members that form a majority.
     pub(crate) fn majority(&self) -> usize {
         self.members.len() / 2 + 1
     }
--- a/crates/merlinshelf-consensus/src/message.rs
+++ b/crates/merlinshelf-consensus/src/message.rs
@@ -1,5 +1,5 @@
-//! Messages between the agents of a consensus group. They pass between versions of the program: the
-//! serialized names stay.
+//! Messages between the agents of a consensus group. Different versions of the program exchange
+//! them, so the serialized names must not change.
 
 use serde::{Deserialize, Serialize};
 use serde_bytes::ByteBuf;
@@ -9,8 +9,7 @@
 pub enum Message {
     /// An agent that does not vote yet introduces itself.
     Hello {
-        /// Identifies the sending process; a slot that is assigned to this process is recognized by
-        /// it.
+        /// Identifies the sending process, so that it recognizes a slot assigned to it.
         #[serde(rename = "ticket")]
         boot_id: u64,
         /// The sender's slot according to its disk.
@@ -22,15 +21,15 @@
         /// The boot id of the `Hello`.
         #[serde(rename = "ticket")]
         boot_id: u64,
-        /// How far the responder itself is.
+        /// The responder's own bootstrap state.
         state: BootstrapState,
         /// The responder's own slot.
         #[serde(rename = "own")]
         responder_slot: Option<u64>,
-        /// What the responder knows of the slot in the `Hello`.
+        /// What the responder knows about the slot in the `Hello`.
         #[serde(rename = "known")]
         progress: PeerProgress,
-        /// The slot that is assigned to the asking process.
+        /// The slot assigned to the process that sent the `Hello`.
         #[serde(rename = "seat")]
         reserved_slot: Option<u64>,
     },
@@ -38,7 +37,7 @@
     Raft(ByteBuf),
 }
 
-/// A voter slot and which start of its replica this is. It is encoded as a pair.
+/// A voter slot and the incarnation of its replica, encoded as a pair.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u64, u64)", into = "(u64, u64)")]
 pub struct SlotIncarnation {
@@ -60,10 +59,10 @@
     }
 }
 
-/// What one agent knows of the replica in another agent's slot.
+/// What one agent knows about the replica in another agent's slot.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerProgress {
-    /// An incarnation of the replica that is not the asking one.
+    /// The known incarnation of the replica, if it differs from the requesting process.
     #[serde(rename = "life")]
     pub incarnation: Option<u64>,
     /// The highest term that the replica has acknowledged, as far as the responder remembers.
@@ -77,12 +76,12 @@
     pub leader: Option<u64>,
 }
 
-/// How far an agent is on its way into a consensus group.
+/// An agent's progress towards membership in a consensus group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum BootstrapState {
     /// Its disk holds no log.
     Empty,
-    /// It has bootstrapped a group in which nothing has happened yet.
+    /// It has bootstrapped a group that has neither voted nor appended an entry yet.
     Fresh,
     /// It belongs to a group that has a history.
     #[serde(rename = "Seated")]
--- a/crates/merlinshelf-consensus/src/record.rs
+++ b/crates/merlinshelf-consensus/src/record.rs
@@ -1,23 +1,23 @@
 //! The log file: a header, then records. A record is its length (u32, little endian), the CRC-32 of
-//! its bytes (u32), and that many bytes of MessagePack with fields by position; names of variants
-//! are stored, so that they stay.
+//! its bytes (u32), and its bytes: MessagePack with fields by position. Variant names are stored,
+//! so the serialized names must not change.
 //!
-//! The observation store of `merlinshelf-gossip` frames its records alike, but encodes fields by
+//! The observation store of `merlinshelf-gossip` uses the same framing, but encodes fields by
 //! name, and treats a record of an impossible length as damage where this file treats it as an
-//! unfinished write. Neither package depends on the other, and a package for the dozen lines that
-//! they have in common would cost more than it saves.
+//! unfinished write. Neither package depends on the other, and a package for the dozen shared
+//! lines would cost more than it saves.
 
 use serde::{Deserialize, Serialize};
 use serde_bytes::ByteBuf;
 
 use crate::encoding::encode_messagepack;
 
-/// First bytes of a log file: its magic number and the version of the form.
+/// First bytes of a log file: magic number and format version.
 pub const FILE_HEADER: &[u8; 8] = b"MSC1\x01\0\0\0";
-/// Longest record that is read. An entry holds one policy document at most; a snapshot a few of
-/// them and a history.
+/// Maximum length of a record. An entry holds at most one policy document; a snapshot holds a few
+/// of them and a history.
 const MAX_RECORD_BYTES: usize = 16 * 1024 * 1024;
-/// Length and checksum before each record.
+/// Length of the frame header before each record: payload length and checksum.
 const FRAME_HEADER_BYTES: usize = 8;
 
 /// One record of the log file.
@@ -28,12 +28,12 @@
     VoterSlot {
         /// Number of the slot.
         id: u64,
-        /// The incarnation that starts.
+        /// The incarnation that is starting.
         #[serde(rename = "life")]
         incarnation: u64,
     },
     /// The latest known incarnation of another replica. Two processes with the same incarnation
-    /// show that a disk was copied or set back.
+    /// show that a disk was copied or reset to an older state.
     #[serde(rename = "Met")]
     PeerSlot {
         /// Number of the slot.
@@ -50,7 +50,7 @@
     HardState {
         /// The current term.
         term: u64,
-        /// The slot that the vote of this term was given to; 0 for none.
+        /// The slot voted for in this term; 0 for none.
         vote: u64,
         /// The highest index known to be committed.
         commit: u64,
@@ -62,7 +62,7 @@
 }
 
 impl Record {
-    /// The record with its length and checksum, as it stands in the file.
+    /// Encodes the record with its length and checksum, as stored in the file.
     pub fn encode_frame(&self) -> Vec<u8> {
         let payload = encode_messagepack(self);
         let mut frame = (payload.len() as u32).to_le_bytes().to_vec();
@@ -75,28 +75,29 @@
 /// Why a log file can't be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LogFileError {
-    /// The header is not that of this form.
-    #[error("it is of another program or of a later form")]
+    /// The file has another header.
+    #[error("the file was written by another program or a later version")]
     UnknownHeader,
-    /// A record before the last one is damaged. What followed it was acknowledged and may be lost.
-    #[error("a record in its midst is not what was written")]
+    /// A record before the last one is damaged. The records after it were acknowledged and may be
+    /// lost.
+    #[error("a record before the last one is damaged")]
     CorruptRecord {
         /// Where the record begins, in bytes from the start of the file.
         offset_bytes: usize,
     },
 }
 
-/// What could be read of a log file.
+/// The readable part of a log file.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RecoveredLog {
-    /// The complete records in their order.
+    /// The complete records in order.
     pub records: Vec<Record>,
-    /// How many bytes these are with the header. Bytes behind them are of an unfinished write,
+    /// Length of the header and these records. Any bytes after them belong to an unfinished write,
     /// which was never acknowledged.
     pub used_bytes: usize,
 }
 
-/// Reads a log file. An incomplete record at the end is left out.
+/// Reads a log file. An incomplete record at the end is skipped.
 ///
 /// # Errors
 /// [`LogFileError`]: the file has another header, or a record before its last one is damaged.
@@ -135,8 +136,7 @@
 }
 
 impl<'a> Frame<'a> {
-    /// The frame at the start of these bytes; none where they end within it or its length is
-    /// impossible.
+    /// The frame at the start of these bytes; `None` if it is incomplete or its length is impossible.
     fn split_from(bytes: &'a [u8]) -> Option<Frame<'a>> {
         let length = read_u32(bytes, 0)? as usize;
         let checksum = read_u32(bytes, 4)?;
@@ -147,7 +147,7 @@
         Some(Frame { checksum, payload })
     }
 
-    /// The record; none where it is damaged.
+    /// The record; `None` if it is damaged.
     fn decode(&self) -> Option<Record> {
         if crc32fast::hash(self.payload) != self.checksum {
             return None;
--- a/crates/merlinshelf-consensus/src/replica/bootstrap.rs
+++ b/crates/merlinshelf-consensus/src/replica/bootstrap.rs
@@ -1,9 +1,9 @@
-//! How an agent without a log gets one: by bootstrapping a group together with all others, or by a
-//! slot in an existing group.
+//! How an agent without a log gets one: by bootstrapping a group together with all others, or by
+//! joining an existing group in a new slot.
 //!
-//! Every agent that bootstraps makes the same group from its configuration, so that no agent needs
-//! to go first. It may do so only once all others said that they have no history: an agent that
-//! missed the answer of an established one would otherwise form a second group beside it.
+//! Every agent derives the same group from its configuration, so no agent needs to go first. It
+//! bootstraps only after all others have answered that they have no history: otherwise an agent
+//! that missed the answer of an established one would form a second group.
 
 use raft::prelude::{ConfState, HardState, Snapshot};
 
@@ -15,16 +15,16 @@
 use crate::message::{BootstrapState, SlotIncarnation};
 use crate::record::Record;
 
-/// The index of the first snapshot. The log starts behind it, so that an agent that joins later
+/// The index of the first snapshot. The log starts after it, so an agent that joins later
 /// must be sent a snapshot.
 pub(super) const BOOTSTRAP_INDEX: u64 = 1;
 /// The term of the first snapshot.
 const BOOTSTRAP_TERM: u64 = 1;
-/// The first start of a replica in its slot.
+/// The incarnation of a replica that starts in its slot for the first time.
 const FIRST_INCARNATION: u64 = 1;
 
 impl Replica {
-    /// Bootstraps the group, where all other configured agents have answered that they have no
+    /// Bootstraps the group if all other configured agents have answered that they have no
     /// history.
     pub(super) fn try_bootstrap(&mut self) {
         if self.status != ReplicaStatus::Joining || !self.is_bootstrap_safe() {
@@ -52,8 +52,8 @@
         self.activate_with(slot, log);
     }
 
-    /// Takes the slot that the group assigned to this very process: an empty replica that is sent a
-    /// snapshot.
+    /// Starts an empty replica in the slot that the group assigned to this process; the leader
+    /// sends it a snapshot.
     pub(super) fn join(&mut self, slot: u64) {
         self.own_slot = Some(SlotIncarnation {
             slot,
@@ -69,7 +69,7 @@
     }
 
     fn activate_with(&mut self, slot: u64, log: LogStorage) {
-        // Raft accepts every new log; were it not so, the replica would stay out of the group.
+        // Raft accepts every new log; if it did not, the replica would stay out of the group.
         if self.create_node(slot, log).is_ok() {
             self.status = ReplicaStatus::Active;
         }
@@ -93,7 +93,7 @@
             })
     }
 
-    /// All configured agents in the order of their names.
+    /// Assigns slots to all configured agents in the order of their names.
     fn bootstrap_membership(&self) -> Membership {
         let mut membership = Membership::default();
         for (slot, name) in (1..).zip(&self.configured_agents) {
--- a/crates/merlinshelf-consensus/src/replica/compaction.rs
+++ b/crates/merlinshelf-consensus/src/replica/compaction.rs
@@ -1,4 +1,4 @@
-//! Snapshots: what they hold, and when one takes the place of a long log (Raft paper, section 7).
+//! Snapshots: their content, and when one replaces a long log (Raft paper, section 7).
 
 use raft::prelude::Snapshot;
 use raft::{ProgressState, SnapshotStatus, Storage};
@@ -11,10 +11,10 @@
 use crate::membership::Membership;
 use crate::record::Record;
 
-/// Applied entries after a snapshot from which on a new one is due.
+/// Maximum number of entries applied after a snapshot; beyond it a new snapshot is due.
 const MAX_APPLIED_ENTRIES: u64 = 400;
 
-/// The data of a snapshot: the membership beside the state of the log's user. Stored with fields by
+/// The data of a snapshot: the membership and the host's replicated state. Stored with fields by
 /// position.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub(super) struct SnapshotPayload {
@@ -24,7 +24,7 @@
 }
 
 impl SnapshotPayload {
-    /// `state` is that of the log's user.
+    /// `state` is the host's replicated state.
     pub fn new(membership: Membership, state: Vec<u8>) -> SnapshotPayload {
         SnapshotPayload {
             membership,
@@ -32,15 +32,15 @@
         }
     }
 
-    /// The data of raft's snapshot.
+    /// Encodes the payload as the data of a raft snapshot.
     pub fn encode(&self) -> Vec<u8> {
         encode_messagepack(self)
     }
 }
 
 impl Replica {
-    /// Replaces the log by a snapshot. `state` is the replicated state after all actions that were
-    /// polled so far.
+    /// Replaces the log with a snapshot. `state` is the replicated state after all actions polled
+    /// so far.
     pub fn compact(&mut self, state: Vec<u8>) {
         let (Some(own), Some(node)) = (self.own_slot, &mut self.node) else {
             return;
@@ -48,7 +48,7 @@
         let conf_state = node.raft.prs().conf().to_conf_state();
         let log = node.mut_store();
         let Ok(term) = log.term(self.applied_index) else {
-            return; // the log was compacted up to here before
+            return; // the log is already compacted up to this index
         };
         let payload = SnapshotPayload::new(self.membership.clone(), state);
         let mut snapshot = Snapshot::default();
@@ -68,8 +68,8 @@
         self.actions.push_back(Action::ReplaceLog(records));
     }
 
-    /// Whether [`compact`](Replica::compact) is due. Only once all actions are polled does the
-    /// state match the applied index.
+    /// Whether [`compact`](Replica::compact) is due. It is not due while actions are queued, since
+    /// the host's state matches the applied index only after all actions are polled.
     pub fn needs_compaction(&self) -> bool {
         let snapshot_index = self
             .node
@@ -80,7 +80,7 @@
         self.actions.is_empty() && is_due
     }
 
-    /// Takes membership and state from a snapshot.
+    /// Restores membership and state from a snapshot.
     pub(super) fn restore(&mut self, snapshot: &Snapshot) {
         let index = snapshot.get_metadata().index;
         let payload = rmp_serde::from_slice(snapshot.get_data()).unwrap_or_else(|error| {
@@ -88,7 +88,7 @@
                 index,
                 reason: error.to_string(),
             };
-            // The entries after it still count; the group's next snapshot restores what is missing.
+            // The entries after it are still applied; the group's next snapshot restores the rest.
             self.actions.push_back(Action::ReportDecodeError(error));
             SnapshotPayload::default()
         });
@@ -100,8 +100,7 @@
         });
     }
 
-    /// Sends unacknowledged snapshots again: the snapshot, or its acknowledgement, may have been
-    /// lost on the way.
+    /// Resends unacknowledged snapshots: the snapshot or its acknowledgement may have been lost.
     pub(super) fn retry_snapshots(&mut self) {
         let Some(node) = &mut self.node else { return };
         let unacknowledged: Vec<u64> = node
--- a/crates/merlinshelf-consensus/src/replica/handshake.rs
+++ b/crates/merlinshelf-consensus/src/replica/handshake.rs
@@ -1,4 +1,5 @@
-//! Hello and welcome: agents tell each other how far they are before they take part in the group.
+//! Hello and welcome messages: agents exchange their bootstrap state before they take part in the
+//! group.
 
 use std::collections::BTreeSet;
 
@@ -10,7 +11,7 @@
 use crate::message::{BootstrapState, Message, PeerProgress, SlotIncarnation};
 use crate::record::Record;
 
-/// What an agent answered about itself.
+/// An agent's answer about its own state.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Welcome {
     pub state: BootstrapState,
@@ -20,7 +21,7 @@
 }
 
 impl Replica {
-    /// Sends a hello to all others, and bootstraps where their earlier answers allow it.
+    /// Sends a hello to all other agents, and bootstraps if their earlier answers allow it.
     pub(super) fn send_hello(&mut self) {
         for to in self.other_agents() {
             let message = Message::Hello {
@@ -72,7 +73,7 @@
         self.actions.push_back(Action::Send { to, message });
     }
 
-    /// What this replica knows of the asking one.
+    /// What this replica knows about the requesting one.
     fn progress_of(&self, asking: SlotIncarnation, boot_id: u64) -> PeerProgress {
         let slot = asking.slot;
         let known = self.peer_incarnations.get(&slot);
@@ -90,7 +91,7 @@
         }
     }
 
-    /// Remembers a later incarnation durably, before the answer is sent.
+    /// Records a later incarnation durably before the answer is sent.
     fn record_incarnation(&mut self, asking: SlotIncarnation, boot_id: u64) {
         let SlotIncarnation { slot, incarnation } = asking;
         let known = self.peer_incarnations.get(&slot);
@@ -126,13 +127,13 @@
                 }
             },
             ReplicaStatus::Verifying => self.verify(from, welcome, progress),
-            // It was removed while it was cut off, and did not receive the entry.
+            // The replica was removed while it was disconnected, and did not receive the entry.
             ReplicaStatus::Active if progress.replaced => self.abandon_slot(),
             ReplicaStatus::Active => {}
         }
     }
 
-    /// How far this agent is.
+    /// This agent's bootstrap state.
     fn bootstrap_state(&self) -> BootstrapState {
         let Some(node) = &self.node else {
             return BootstrapState::Empty;
@@ -147,7 +148,8 @@
         }
     }
 
-    /// Remembers what the sender must have made durable before it sent this message.
+    /// Records the term and index that the sender must have made durable before it sent this
+    /// message.
     pub(super) fn observe_progress(&mut self, message: &RaftMessage) {
         let index = match message.get_msg_type() {
             MessageType::MsgAppendResponse if !message.reject => message.index,
--- a/crates/merlinshelf-consensus/src/replica/membership_changes.rs
+++ b/crates/merlinshelf-consensus/src/replica/membership_changes.rs
@@ -34,12 +34,12 @@
 }
 
 impl Replica {
-    /// Requests that an agent's slot be removed; carried out as soon as this replica leads.
+    /// Requests the removal of an agent's slot, which is proposed while this replica leads.
     pub fn remove_member(&mut self, name: &str) {
         self.removal_requests.insert(name.to_owned());
     }
 
-    /// Proposes the next change, where none is under way.
+    /// Proposes the next change if none is pending.
     pub(super) fn propose_membership_change(&mut self) {
         if self
             .node
@@ -53,7 +53,7 @@
             return;
         };
         if let Some(node) = &mut self.node {
-            // A proposal that raft drops is made again with the next tick.
+            // If raft drops the proposal, the next tick proposes it again.
             let _ = node.propose_conf_change(Vec::new(), change.to_conf_change());
         }
     }
@@ -72,8 +72,7 @@
         });
     }
 
-    /// Removals come first: an agent that joins anew loses its former slot before it gets another
-    /// one.
+    /// Removals come first: an agent that rejoins loses its former slot before it gets a new one.
     fn next_membership_change(&self) -> Option<MembershipChange> {
         let slot_of = |name: &String| self.membership.slot_of(name);
         let obsolete = self
@@ -120,8 +119,8 @@
 
     fn add_member(&mut self, index: u64, change: &ConfChange) {
         let member = rmp_serde::from_slice(&change.context).unwrap_or_else(|error| {
-            // The voter counts even without its name: raft's voters and the membership must not
-            // diverge.
+            // The voter is added even without its name, so that raft's voters and the membership do
+            // not diverge.
             self.report_membership_change(index, error.to_string());
             Member::default()
         });
--- a/crates/merlinshelf-consensus/src/replica/mod.rs
+++ b/crates/merlinshelf-consensus/src/replica/mod.rs
@@ -1,9 +1,9 @@
-//! One agent's replica of the log, as a state machine without input or output.
+//! One agent's replica of the log, as a state machine without I/O.
 //!
-//! Each module adds the part of [`Replica`] that its name says: `bootstrap` and `verification` lead
-//! to [`ReplicaStatus::Active`], `handshake` exchanges the messages that both need, `ready` carries
-//! raft's output to the host, `membership_changes` and `compaction` keep the group and its log in
-//! order.
+//! Each module implements one part of [`Replica`]: `bootstrap` and `verification` lead to
+//! [`ReplicaStatus::Active`], `handshake` exchanges the messages that both need, `ready` turns
+//! raft's output into actions of the host, `membership_changes` changes the voters, and
+//! `compaction` replaces a long log with a snapshot.
 
 mod bootstrap;
 mod compaction;
@@ -28,12 +28,13 @@
 
 /// Ticks between two hellos of a replica that is not active.
 const HELLO_INTERVAL_TICKS: u32 = 2;
-/// Ticks without a message from the group after which a replica asks whether its slot is still its
-/// own; also the ticks between two attempts to send a snapshot.
+/// Ticks without a message from the group after which a replica checks whether it still owns its
+/// slot; also the ticks between two attempts to send a snapshot.
 const SILENCE_TICKS: u32 = 20;
 /// Ticks between two heartbeats of a leader.
 const HEARTBEAT_TICKS: usize = 2;
-/// Bounds of the ticks without a heartbeat after which a follower stands for election.
+/// Bounds of the election timeout: ticks without a heartbeat after which a follower becomes a
+/// candidate.
 const MIN_ELECTION_TICKS: usize = 10;
 const MAX_ELECTION_TICKS: usize = 20;
 
@@ -43,10 +44,10 @@
     /// It has no log: it bootstraps a group together with all other agents, or waits for a slot in
     /// the existing one.
     Joining,
-    /// It has restarted and asks the others whether its disk holds all that the replica ever
-    /// acknowledged.
+    /// It has restarted and checks with the others whether its disk holds everything that the
+    /// replica has acknowledged.
     Verifying,
-    /// It votes, and replicates the log.
+    /// It votes and replicates the log.
     Active,
 }
 
@@ -58,7 +59,7 @@
     InvalidLog {
         /// The replica's slot.
         slot: u64,
-        /// What raft reports.
+        /// The error that raft reports.
         source: raft::Error,
     },
 }
@@ -73,27 +74,27 @@
 /// The state machine of one agent's replica.
 pub struct Replica {
     name: String,
-    /// Names of all agents in the configuration, this one among them.
+    /// Names of all agents in the configuration, including this one.
     configured_agents: BTreeSet<String>,
     boot_id: u64,
     election_jitter: usize,
     own_slot: Option<SlotIncarnation>,
-    /// By slot. It outlives this replica's own slot: see [`Record::PeerSlot`].
+    /// By slot. Kept when this replica loses its own slot: see [`Record::PeerSlot`].
     peer_incarnations: BTreeMap<u64, PeerIncarnation>,
     /// By slot, the highest term and index that its replica has acknowledged to this one.
     peer_progress: BTreeMap<u64, PeerProgress>,
-    /// Exists as soon as the replica has a slot, but is driven only while the replica is active.
+    /// Present once the replica has a slot, but driven only while the replica is active.
     node: Option<RawNode<LogStorage>>,
     status: ReplicaStatus,
     /// By agent, its last answer to a hello.
     welcomes: BTreeMap<String, Welcome>,
     membership: Membership,
-    /// By slot, the agent that last sent a message from it. A member that has not received a
-    /// snapshot yet has no membership to find the receiver of its answer in.
+    /// By slot, the agent that last sent a message from it. A member without a snapshot has no
+    /// membership yet in which to look up the receiver of its answer.
     senders: BTreeMap<u64, String>,
     tick_count: u32,
     ticks_since_message: u32,
-    /// By agent without a valid slot, the boot id of its process.
+    /// Boot ids of the processes of agents that have no valid slot, by agent.
     join_requests: BTreeMap<String, u64>,
     /// Agents whose slots are to be removed.
     removal_requests: BTreeSet<String>,
@@ -105,11 +106,11 @@
 }
 
 impl Replica {
-    /// Starts a replica from the records of its log file; without any, it has no slot yet.
+    /// Starts a replica from the records of its log file; without records it has no slot yet.
     ///
     /// `boot_id` is unique to this start and not 0. `election_jitter` is a small number that
-    /// spreads the election timeouts of the replicas; it is an argument so that the same seed gives
-    /// the same run.
+    /// spreads the election timeouts of the replicas; it is an argument so that simulations are
+    /// reproducible.
     ///
     /// # Errors
     /// [`StartError::InvalidLog`]: raft rejects the stored log.
@@ -149,7 +150,7 @@
         Ok(replica)
     }
 
-    /// Takes the slots out of the records; the rest is the log.
+    /// Loads the slots from the records, and returns the log that the other records form.
     fn load_records(&mut self, records: &[Record]) -> LogStorage {
         let mut log = LogStorage::default();
         for record in records {
@@ -181,9 +182,9 @@
         log
     }
 
-    /// Creates raft's node over the log; it is not driven before the replica is active.
+    /// Creates raft's node on the log; it is not driven until the replica is active.
     fn create_node(&mut self, slot: u64, log: LogStorage) -> Result<(), StartError> {
-        // Spread by slot rather than by a random number, so that the same seed gives the same run.
+        // Spread by slot rather than by a random number, so that simulations are reproducible.
         let spread = MIN_ELECTION_TICKS + 4 * (slot as usize % 8).min(5) + self.election_jitter % 4;
         let election_ticks = spread.min(MAX_ELECTION_TICKS - 1);
         let config = Config {
@@ -209,7 +210,7 @@
         Ok(())
     }
 
-    /// The next action for the host; none until something else happens.
+    /// The next action for the host; `None` until another event causes one.
     pub fn poll_action(&mut self) -> Option<Action> {
         self.actions.pop_front()
     }
@@ -229,7 +230,7 @@
         self.own_slot.map(|own| own.slot)
     }
 
-    /// Name of the leader that this replica follows; possibly its own.
+    /// Name of the leader that this replica follows, which may be this agent.
     pub fn leader(&self) -> Option<&str> {
         self.membership.name_of(self.leader_slot()?)
     }
@@ -267,8 +268,8 @@
         let is_check_due = self.tick_count.is_multiple_of(SILENCE_TICKS);
         let is_leading = self.leading_term().is_some();
         if !is_leading && self.ticks_since_message > SILENCE_TICKS && is_check_due {
-            // Its removal may have been committed while it was cut off: the others answer that it
-            // was replaced.
+            // Its removal may have been committed while it was disconnected; the others then answer
+            // that it was replaced.
             self.send_hello();
         }
         if is_leading {
@@ -280,7 +281,7 @@
         self.process_ready();
     }
 
-    /// Takes a message from another agent.
+    /// Handles a message from another agent.
     pub fn handle_message(&mut self, from: &str, message: Message) {
         match message {
             Message::Hello { boot_id, slot } => self.handle_hello(from, boot_id, slot),
@@ -327,14 +328,14 @@
         self.ticks_since_message = 0;
         if let Some(node) = &mut self.node {
             // Raft rejects messages of former terms and of removed members; the sender needs no
-            // answer.
+            // reply.
             let _ = node.step(message);
         }
         self.process_ready();
     }
 
-    /// Proposes an entry; false where this replica does not lead. It may be lost until it is
-    /// applied.
+    /// Proposes an entry; returns false if this replica does not lead. The entry may be lost until
+    /// it is applied.
     pub fn propose(&mut self, data: Vec<u8>) -> bool {
         let is_leading = self.leading_term().is_some();
         let is_proposed = is_leading
@@ -347,7 +348,7 @@
     }
 
     /// Asks a majority to confirm that this replica still leads (thesis, 6.4). The answer is
-    /// [`Action::LeadershipConfirmed`]; there is none where it does not lead.
+    /// [`Action::LeadershipConfirmed`]; there is none if it does not lead.
     pub fn confirm_leadership(&mut self, request_id: u64) {
         if let (Some(_), Some(node)) = (self.leading_term(), &mut self.node) {
             node.read_index(request_id.to_le_bytes().to_vec());
--- a/crates/merlinshelf-consensus/src/replica/ready.rs
+++ b/crates/merlinshelf-consensus/src/replica/ready.rs
@@ -1,5 +1,5 @@
-//! What raft's `Ready` asks for, turned into actions: which messages may be sent before the log is
-//! durable, and which only after.
+//! Turns raft's `Ready` into actions, and orders them: some messages may be sent before the log is
+//! durable, others only after.
 
 use raft::prelude::{Entry, EntryType, Message as RaftMessage};
 use raft::{ReadState, Ready};
@@ -33,7 +33,7 @@
         if !records.is_empty() {
             self.actions.push_back(Action::Append(records));
         }
-        // These acknowledge what the records above make durable.
+        // These messages acknowledge the records above, which must be durable first.
         self.queue_messages(ready.take_persisted_messages());
         if snapshot.get_metadata().index > 0 {
             self.restore(&snapshot);
@@ -43,7 +43,7 @@
         self.advance(ready);
     }
 
-    /// Takes snapshot, entries and persistent state into the log in memory; returns them as
+    /// Stores snapshot, entries and persistent state in the in-memory log, and returns them as
     /// records.
     fn store_ready(&mut self, ready: &mut Ready) -> Vec<Record> {
         let Some(node) = &mut self.node else {
@@ -66,7 +66,8 @@
         records
     }
 
-    /// Reports the ready as processed; raft may have more messages and committed entries thereupon.
+    /// Reports the ready as processed, after which raft may have more messages and committed
+    /// entries.
     fn advance(&mut self, ready: Ready) {
         // A committed change may have removed this replica.
         let Some(node) = &mut self.node else { return };
@@ -86,7 +87,7 @@
             let member = self.membership.name_of(message.to);
             let sender = || self.senders.get(&message.to).map(String::as_str);
             let Some(to) = member.or_else(sender) else {
-                continue; // raft sends again once the receiver is known
+                continue; // raft resends it once the receiver is known
             };
             let to = to.to_owned();
             let message = Message::Raft(ByteBuf::from(encode_protobuf(&message)));
@@ -96,7 +97,7 @@
 
     fn queue_confirmations(&mut self, read_states: Vec<ReadState>) {
         for read_state in read_states {
-            // The context is the one that `confirm_leadership` gave.
+            // The context was set by `confirm_leadership`.
             if let Ok(request_id) = read_state.request_ctx.try_into() {
                 self.actions.push_back(Action::LeadershipConfirmed {
                     request_id: u64::from_le_bytes(request_id),
@@ -107,7 +108,7 @@
 
     fn apply_entries(&mut self, entries: Vec<Entry>) {
         for entry in entries {
-            // Without a node the replica was removed by an entry before this one.
+            // An earlier entry removed this replica if it has no node.
             if self.node.is_none() {
                 return;
             }
@@ -118,7 +119,7 @@
             if entry.get_entry_type() != EntryType::EntryNormal {
                 self.apply_membership_change(&entry);
             } else if !entry.data.is_empty() {
-                // An empty entry begins a leader's term (Raft paper, section 8).
+                // A leader appends an empty entry at the start of its term (Raft paper, section 8).
                 self.actions.push_back(Action::Apply {
                     index: entry.index,
                     data: entry.data.to_vec(),
--- a/crates/merlinshelf-consensus/src/replica/verification.rs
+++ b/crates/merlinshelf-consensus/src/replica/verification.rs
@@ -1,11 +1,10 @@
 //! Verification of a restarted replica.
 //!
 //! Raft requires that a voter never forgets what it acknowledged. A disk that was lost, copied or
-//! set back to an older state breaks this: the replica could vote twice in a term, or help to elect
-//! a leader that lacks a committed entry. A restarted replica therefore asks the others first. Any
-//! two majorities overlap, so that a majority with this replica includes one that knows what this
-//! replica acknowledged; the leader, where there is one, knows most and must be among those that
-//! answer.
+//! reset to an older state breaks this: the replica could vote twice in a term, or help to elect a
+//! leader that lacks a committed entry. A restarted replica therefore asks the others first. Any two
+//! majorities overlap, so a majority that includes this replica also includes one that knows what
+//! this replica acknowledged. The leader, if there is one, knows most and must have answered.
 
 use super::handshake::Welcome;
 use super::{Replica, ReplicaStatus, StartError};
@@ -16,7 +15,7 @@
 use crate::record::Record;
 
 impl Replica {
-    /// Begins the next incarnation of the replica; it is durable before the first hello is sent.
+    /// Starts the next incarnation of the replica, which is durable before the first hello is sent.
     pub(super) fn start_verification(
         &mut self,
         previous: SlotIncarnation,
@@ -36,7 +35,7 @@
         Ok(())
     }
 
-    /// Takes another agent's answer about this replica's slot.
+    /// Handles another agent's answer about this replica's slot.
     pub(super) fn verify(&mut self, from: &str, welcome: Welcome, progress: PeerProgress) {
         if self.has_forgotten(progress) {
             return self.abandon_slot();
@@ -45,7 +44,8 @@
         self.try_finish_verification();
     }
 
-    /// Whether the replica acknowledged more than its disk holds, or another one took its slot.
+    /// Whether the replica acknowledged more than its disk holds, or its slot was removed or used by
+    /// another process.
     fn has_forgotten(&self, progress: PeerProgress) -> bool {
         let is_older_incarnation = progress
             .incarnation
@@ -60,13 +60,13 @@
             || progress.index > stored_index
     }
 
-    /// Activates the replica once enough others know of nothing that its disk lacks.
+    /// Activates the replica once enough others have confirmed that its disk lacks nothing.
     fn try_finish_verification(&mut self) {
         if !self.has_every_leader_answered() {
             return;
         }
         if self.membership.members.is_empty() {
-            // It joined, but had not received a snapshot: its disk names no members to count.
+            // It joined without receiving a snapshot: its disk names no members to count.
             if self.is_joined_group_confirmed() {
                 self.activate();
             }
@@ -74,14 +74,14 @@
         }
         let majority = self.membership.majority();
         let confirmed = self.count_welcomes(|stored, answered| stored == Some(answered));
-        // A replica in a new slot has no memory of what it was sent in its former one.
+        // A replica in a new slot does not know what it received in its former one.
         let moved =
             self.count_welcomes(|stored, answered| stored.is_some_and(|slot| slot != answered));
         if confirmed + 1 >= majority {
             self.activate();
         } else if self.membership.members.len() - moved < majority {
-            // Too many of the members that this disk names were replaced: no majority of them can
-            // ever answer.
+            // Too many of the members on this disk were replaced, so a majority of them can never
+            // answer.
             self.abandon_slot();
         }
     }
@@ -91,7 +91,7 @@
         self.process_ready();
     }
 
-    /// Whether each leader that somebody follows is this replica or has answered.
+    /// Whether each leader named in an answer is this replica or has answered itself.
     fn has_every_leader_answered(&self) -> bool {
         let own = self.slot();
         let has_answered = |slot: u64| {
@@ -105,8 +105,8 @@
             .all(|leader| Some(leader) == own || has_answered(leader))
     }
 
-    /// Whether a majority of the configured agents, with a leader, could tell what this replica was
-    /// sent.
+    /// Whether a majority of the configured agents are in the group and a leader is known, so that
+    /// they know what this replica was sent.
     fn is_joined_group_confirmed(&self) -> bool {
         let in_group = self
             .welcomes
@@ -120,7 +120,8 @@
         in_group + 1 > self.configured_agents.len() / 2 && has_leader
     }
 
-    /// Counts the answers whose sender's slot on this disk and slot by its own answer are so.
+    /// Counts the answers for which `matches` accepts the sender's slot on this disk and its slot
+    /// by its own answer.
     fn count_welcomes(&self, matches: impl Fn(Option<u64>, u64) -> bool) -> usize {
         let answers = self.welcomes.iter();
         answers
@@ -132,15 +133,15 @@
             .count()
     }
 
-    /// Gives the slot up for good, since the disk lacks what was acknowledged or the slot was
-    /// removed. The replica joins anew.
+    /// Abandons the slot permanently, since the disk lacks acknowledged data or the slot was
+    /// removed. The replica rejoins in a new slot.
     pub(super) fn abandon_slot(&mut self) {
         self.own_slot = None;
         self.node = None;
         self.status = ReplicaStatus::Joining;
         self.membership = Membership::default();
-        // A slot that was assigned to the old boot id may have been used already, and what it
-        // acknowledged is forgotten now.
+        // A slot assigned to the old boot id may have been used already, and its acknowledgements
+        // are now lost.
         self.boot_id = next_boot_id(self.boot_id);
         self.applied_index = 0;
         self.tick_count = 0;
@@ -150,7 +151,7 @@
     }
 }
 
-/// The next number of a linear congruential generator: another boot id without a source of random
+/// The next number of a linear congruential generator: a new boot id without a source of random
 /// numbers.
 fn next_boot_id(boot_id: u64) -> u64 {
     boot_id
--- a/crates/merlinshelf-consensus/tests/golden.rs
+++ b/crates/merlinshelf-consensus/tests/golden.rs
@@ -1,11 +1,11 @@
-//! Golden files of what this package stores and sends: the log file, the payload of a snapshot, the
-//! context of a membership change and the messages between agents. Each golden file decodes to the
-//! expected values, and these encode to the same bytes, so that two versions of the program read
-//! each other's files and messages.
+//! Golden files of the data that this package stores and sends: the log file, the payload of a
+//! snapshot, the context of a membership change and the messages between agents. Each golden file
+//! must decode to the expected values, and these must encode to the same bytes, so that two versions
+//! of the program can read each other's files and messages.
 //!
-//! The files lie in `tests/golden`. `GOLDEN_WRITE=1 cargo test -p merlinshelf-consensus --test
-//! golden` writes them from the code as it stands: for a new form alone, since a changed file is a
-//! broken upgrade.
+//! The files are in `tests/golden`. `GOLDEN_WRITE=1 cargo test -p merlinshelf-consensus --test
+//! golden` writes them from the current code. Use it for a new format only: a changed file means
+//! that an upgrade breaks.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::{Debug, Write as _};
@@ -19,7 +19,7 @@
 use raft::prelude::{ConfChange, ConfChangeType, ConfState, Entry, EntryType, Snapshot};
 use serde_bytes::ByteBuf;
 
-/// One value of a form: what the code makes of it today, and what a decoder must read from the
+/// One value of a format: its current encoding, and the value that a decoder must read from the
 /// golden bytes.
 struct Sample<T> {
     label: &'static str,
@@ -27,7 +27,7 @@
     encoded: Vec<u8>,
 }
 
-/// Bytes as lines of sixteen, in hexadecimal and as text.
+/// Formats bytes in lines of 16, in hexadecimal and as text.
 fn hex_dump(bytes: &[u8]) -> String {
     let mut text = String::new();
     for line in bytes.chunks(16) {
@@ -45,7 +45,7 @@
     text
 }
 
-/// The bytes of a dump.
+/// Parses the bytes of a hex dump.
 fn parse_hex_dump(text: &str) -> Vec<u8> {
     let columns = text.lines().filter_map(|line| line.split("  |").next());
     let words = columns.flat_map(str::split_whitespace);
@@ -54,7 +54,7 @@
         .collect()
 }
 
-/// Compares all samples of a form with its golden file, both ways.
+/// Checks that all samples of a format encode to and decode from its golden file.
 fn check_form<T: Debug + PartialEq>(
     file: &str,
     samples: &[Sample<T>],
@@ -128,7 +128,7 @@
     });
 }
 
-/// Each kind of message with its label.
+/// One message of each kind with its label.
 fn labelled_messages() -> [(&'static str, Message); 6] {
     let progress = PeerProgress {
         incarnation: Some(31),
@@ -191,7 +191,7 @@
 
 #[test]
 fn messages_between_agents() {
-    // As `merlinshelf-agent` sends them, inside its own envelope.
+    // `merlinshelf-agent` sends them in this encoding inside its own envelope.
     let samples = labelled_messages().map(|(label, value)| {
         let encoded = rmp_serde::to_vec_named(&value).expect("a message can be encoded");
         Sample {
@@ -212,9 +212,9 @@
 /// A replica whose actions are carried out in memory.
 struct TestReplica {
     replica: Replica,
-    /// What is on its disk now.
+    /// The current records on its disk.
     disk: Vec<Record>,
-    /// All that was ever put there.
+    /// All records that were ever written, including replaced ones.
     written: Vec<Record>,
     restored: Option<(u64, Vec<u8>)>,
 }
@@ -232,7 +232,7 @@
         }
     }
 
-    /// Carries out all actions; returns what is to be sent, and to whom.
+    /// Carries out all actions; returns the messages to send, with their receivers.
     fn carry_out(&mut self) -> Vec<(String, Message)> {
         let mut sent = Vec::new();
         loop {
@@ -267,7 +267,7 @@
         snapshot.expect("a snapshot of raft").get_data().to_vec()
     }
 
-    /// The contexts of all membership changes that were ever written, in their order.
+    /// The contexts of all membership changes ever written, in order.
     fn membership_contexts(&self) -> Vec<Vec<u8>> {
         let entries = self.written.iter().filter_map(|record| match record {
             Record::Entry(bytes) => Some(Entry::parse_from_bytes(bytes).expect("an entry of raft")),
@@ -282,8 +282,8 @@
     }
 }
 
-/// Ticks the replicas and passes their messages on until something holds; messages to others are
-/// lost.
+/// Ticks the replicas and delivers their messages until a condition holds; messages to agents that
+/// are not running are lost.
 fn run_until(
     replicas: &mut BTreeMap<&str, TestReplica>,
     what: &str,
@@ -315,10 +315,10 @@
             }
         }
     }
-    panic!("{what} never holds");
+    panic!("condition not reached: {what}");
 }
 
-/// What a replica alone in its installation has on its disk.
+/// A replica that has bootstrapped an installation of its own and leads it.
 fn bootstrapped_alone() -> TestReplica {
     let mut replicas = BTreeMap::from([("a", TestReplica::start("a", &["a"], 0xA1, Vec::new()))]);
     run_until(&mut replicas, "a leader", |replicas| {
@@ -327,7 +327,7 @@
     replicas.remove("a").expect("it runs")
 }
 
-/// The leader after a second replica has joined, and a third one has joined and was removed.
+/// The leader after a second replica has joined and a third one has joined and been removed.
 fn leader_after_membership_changes() -> TestReplica {
     let alone = bootstrapped_alone();
     let agents = ["a", "b", "c"];
--- a/crates/merlinshelf-consensus/tests/replica.rs
+++ b/crates/merlinshelf-consensus/tests/replica.rs
@@ -1,6 +1,6 @@
-//! Replicas with disks in virtual time: they crash at every moment, also while a record is being
-//! written, are cut off, come back without their disk or with an older one, and are replaced. What
-//! one replica applied every replica must apply, in the same order, for ever.
+//! Simulates replicas with disks in virtual time. Replicas crash at any moment, also during a write,
+//! are disconnected, restart without their disk or with an older one, and are replaced. All replicas
+//! must apply the same entries in the same order.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,7 +14,7 @@
     None,
     /// Disks report records as durable that are not.
     UnsyncedDisk,
-    /// A replica whose disk is older than its acknowledgements is verified as if it were not.
+    /// A replica whose disk is older than its acknowledgements passes verification.
     SkippedVerification,
 }
 
@@ -32,10 +32,10 @@
 }
 
 struct Agent {
-    /// None while the process is down.
+    /// `None` while the process is down.
     replica: Option<Replica>,
     disk: Vec<Record>,
-    /// What an older disk would hold.
+    /// An earlier content of the disk, used to simulate a disk that is reset.
     old_disk: Vec<Record>,
     /// Tick.
     restart_at: u32,
@@ -64,13 +64,13 @@
     names: Vec<String>,
     agents: BTreeMap<String, Agent>,
     in_flight: Vec<MessageInFlight>,
-    /// Sender and receiver of each link that is cut.
+    /// Sender and receiver of each disconnected link.
     cut_links: BTreeSet<(String, String)>,
     tick: u32,
     last_boot_id: u64,
     bug: SeededBug,
-    /// The agent whose disk was lost or set back and that is not active yet: nobody else crashes
-    /// meanwhile.
+    /// The agent whose disk was lost or reset and that is not active yet: no other agent crashes
+    /// until it is.
     recovering: Option<String>,
     /// By index, the entry that was applied first.
     first_applied: BTreeMap<u64, Vec<u8>>,
@@ -188,8 +188,8 @@
         self.crash(name);
     }
 
-    /// State machine safety (Raft paper, figure 3): no two replicas apply different entries of one
-    /// index.
+    /// State machine safety (Raft paper, figure 3): no two replicas apply different entries at the
+    /// same index.
     fn apply(&mut self, name: &str, index: u64, data: Vec<u8>) {
         let agent = self.agent(name);
         let is_repeated = agent.applied.last().is_some_and(|(last, _)| *last >= index);
@@ -217,7 +217,7 @@
         self.agent(name).applied = applied;
         if is_unknown || is_later {
             self.violations
-                .push(format!("{name} restores a state that never was"));
+                .push(format!("{name} restores a state that no replica has had"));
         }
     }
 
@@ -276,7 +276,7 @@
         let Some(replica) = &mut self.agent(&to).replica else {
             return;
         };
-        // Raft panics on a message that contradicts the log: that is a violation, too.
+        // Raft panics on a message that contradicts the log, which is also a violation.
         let handle_message =
             std::panic::AssertUnwindSafe(|| replica.handle_message(&from, message));
         if std::panic::catch_unwind(handle_message).is_err() {
@@ -334,8 +334,8 @@
         if self.rng.random_bool(0.02) {
             self.toggle_link(&name, other);
         }
-        // Disks are lost or set back only where all else works: without a majority nothing could be
-        // verified.
+        // Disks are lost or reset only while all other agents work: without a majority a replica
+        // can't be verified.
         let is_healthy = self.cut_links.is_empty() && self.agents.values().all(Agent::is_following);
         if self.rng.random_bool(0.01) {
             let agent = self.agent(&name);
@@ -378,12 +378,13 @@
                         })
                     })
                     .collect();
-            self.violations
-                .push(format!("nothing is committed any more: {replicas:?}"));
+            self.violations.push(format!(
+                "no entry is committed after all faults ended: {replicas:?}"
+            ));
         }
     }
 
-    /// How many slots were assigned after the bootstrap.
+    /// The number of slots assigned after the bootstrap.
     fn replaced_member_count(&self) -> u64 {
         let highest_slot = self
             .agents
@@ -430,7 +431,7 @@
 }
 
 #[test]
-fn applied_entries_are_applied_everywhere_through_crashes_cuts_and_lost_disks() {
+fn replicas_apply_the_same_entries_despite_crashes_disconnections_and_lost_disks() {
     let mut applied = 0;
     let mut replaced = 0;
     for seed in 0..60 {
