--- a/crates/merlinshelf-agent/src/agent/event_loop.rs
+++ b/crates/merlinshelf-agent/src/agent/event_loop.rs
@@ -1,4 +1,4 @@
-//! The loop: one event, then everything that is due thereupon.
+//! The event loop: handles one event, then does all work that is due.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -27,27 +27,27 @@
 use crate::process;
 use crate::store::FleetStore;
 
-/// Longest time between two rounds of the loop.
+/// Maximum time between two iterations of the loop.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
-/// Time between two rounds of health checks of few instances.
+/// Minimum time between two rounds of health checks.
 const MIN_HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// Of many instances, the time for each of them.
+/// Time per instance in one round of health checks, which lengthens the rounds of many instances.
 const HEALTH_CHECK_TIME_PER_INSTANCE: Duration = Duration::from_millis(4);
-/// Time between two looks at the sizes of the instances' logs.
+/// Time between two checks of the sizes of the instances' logs.
 const LOG_ROTATION_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Why the agent does not serve.
+/// Why the agent can't serve.
 #[derive(Debug, thiserror::Error)]
 pub enum AgentError {
-    /// The fleet's file can't be used.
+    /// The fleet file can't be used.
     #[error(transparent)]
     FleetFile(#[from] FleetFileError),
-    /// Another agent holds the folder, or a socket, the folder or the runtime can't be had.
+    /// Another agent has locked the folder, or a socket, the folder or the runtime can't be opened.
     #[error(transparent)]
     Io(#[from] io::Error),
 }
 
-/// Why the fleet's file is not applied again.
+/// Why a reloaded fleet file is not applied.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ApplyError {
     #[error(transparent)]
@@ -58,11 +58,11 @@
     Rejected(#[from] FleetError),
 }
 
-/// Serves until SIGTERM or SIGINT; the instances go on.
+/// Serves until SIGTERM or SIGINT; the instances keep running.
 ///
 /// # Errors
-/// [`AgentError`]: the file can't be used, another agent holds the folder, or a socket can't be
-/// opened.
+/// [`AgentError`]: the file can't be used, another agent has locked the folder, or a socket can't
+/// be opened.
 pub fn serve(file: &Path) -> Result<(), AgentError> {
     let spec = fleet_file::load(file)?;
     logger::start(None, Format::Text);
@@ -89,7 +89,7 @@
     }
 }
 
-/// When periodic work was last done.
+/// The times at which periodic work was last done.
 struct Schedule {
     health_checks_at: Instant,
     log_rotation_at: Instant,
@@ -102,7 +102,7 @@
         io::Error::new(error.kind(), format!("{}: {error}", spec.folder.display()))
     })?;
     process::adopt_orphans();
-    // The lock of the folder is held: no other agent listens on the socket.
+    // This agent has locked the folder, so no other agent listens on the socket.
     let _control = control::open(&socket, request_sender)?;
     let mut agent = Agent::open(file, spec, store, record).await?;
     let instance_count = agent.fleet.instances().count();
@@ -128,7 +128,7 @@
         agent.advance();
         agent.run_scheduled(&mut schedule);
     }
-    info!("agent stopping; the instances go on");
+    info!("agent stopping; the instances keep running");
     Ok(())
 }
 
@@ -140,7 +140,7 @@
 }
 
 impl Agent {
-    /// Opens the agent's part in the policy and adopts the instances of an earlier agent.
+    /// Starts the agent's policy state machines and adopts the instances of an earlier agent.
     async fn open(
         file: PathBuf,
         spec: FleetSpec,
@@ -180,7 +180,7 @@
         Ok(agent)
     }
 
-    /// Reads the fleet's file again, after SIGHUP.
+    /// Reloads the fleet file after SIGHUP.
     fn reload(&mut self) {
         match self.apply_file() {
             Ok(()) => info!("fleet file applied"),
@@ -238,7 +238,7 @@
         }
     }
 
-    /// Everything that is due by now.
+    /// Does all work that is due.
     fn advance(&mut self) {
         self.fleet.set_wall_clock(unix_seconds());
         let now = self.now();
@@ -255,12 +255,12 @@
 
     fn advance_policy(&mut self) {
         let now = self.now();
-        // It is driven with what the rest of the agent knows, and so is taken out of it meanwhile.
+        // Taken out of the agent for the call, since its arguments borrow from the agent.
         let Some(mut policy) = self.policy.take() else {
             return;
         };
-        // Also an instance whose process has exited while its successor is looked for: that one may
-        // hold a lease.
+        // Includes an instance whose process has exited while its successor is searched for, since
+        // the successor may hold a lease.
         let instances = self
             .fleet
             .instances()
--- a/crates/merlinshelf-agent/src/agent/fleet_report.rs
+++ b/crates/merlinshelf-agent/src/agent/fleet_report.rs
@@ -7,18 +7,18 @@
 use merlinshelf_fleet::{Fleet, Instance};
 use serde_json::{Value, json};
 
-/// Instances in one reply.
+/// Maximum number of instances in one reply.
 const INSTANCES_PER_PAGE: usize = 100;
-/// What the rate of served invocations is measured over, in seconds.
+/// Time over which the rate of served invocations is measured, in seconds.
 const RATE_WINDOW_SECONDS: f64 = 10.0;
 
-/// Some instances in pages, and a summary of all.
+/// Reports on selected instances, in pages, and a summary of all instances.
 pub(super) struct StatusReport {
     pub pages: Vec<Value>,
     pub summary: Value,
 }
 
-/// The status of the named instances.
+/// Reports the status of the named instances.
 pub(super) fn status_report(fleet: &Fleet, now: f64, names: &[String]) -> StatusReport {
     let instances: Vec<Value> = names
         .iter()
@@ -51,7 +51,7 @@
     })
 }
 
-/// One instance.
+/// Reports the status of one instance.
 pub(super) fn instance_report(now: f64, instance: &Instance) -> Value {
     let report = instance.report.as_ref();
     json!({
@@ -70,7 +70,7 @@
     })
 }
 
-/// A plan with all its targets.
+/// Reports a plan with all its targets.
 pub(super) fn plan_report(plan: &Plan) -> Value {
     let progress = plan.progress();
     let targets: Vec<Value> = plan
@@ -101,7 +101,7 @@
     }
 }
 
-/// A number with one decimal place.
+/// Rounds a number to one decimal place.
 pub(super) fn round_to_tenth(number: f64) -> f64 {
     (number * 10.0).round() / 10.0
 }
--- a/crates/merlinshelf-agent/src/agent/health_checks.rs
+++ b/crates/merlinshelf-agent/src/agent/health_checks.rs
@@ -1,5 +1,5 @@
-//! Health checks: instances are asked for their status over their control sockets, and some of the
-//! times a client's connection is tried, too.
+//! Health checks: the agent requests the status of instances over their control sockets, and in
+//! some rounds also opens a connection as a client does.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -16,13 +16,13 @@
 use crate::control_client::ControlClient;
 use crate::process;
 
-/// An instance that does not answer within this is silent.
+/// An instance that does not answer within this time counts as unresponsive.
 pub(super) const STATUS_TIMEOUT: Duration = Duration::from_millis(1000);
-/// Rounds of health checks for each one that tries a client's connection.
+/// Every how many rounds of health checks one also opens a client connection.
 const ROUNDS_PER_CONNECT_CHECK: u32 = 4;
 
 impl Agent {
-    /// Starts a check of each supervised instance whose last one has ended.
+    /// Starts a check of each supervised instance that has no check in flight.
     pub(super) fn start_health_checks(&mut self) {
         self.health_check_rounds = self.health_check_rounds.wrapping_add(1);
         let checks_connect = self
@@ -54,13 +54,13 @@
             .fleet
             .get(name)
             .and_then(|instance| instance.identity.as_ref());
-        // A successor names the known process as its predecessor before the handover's end is
-        // reported.
+        // A successor may report the known process as its predecessor before the end of the
+        // handover is reported.
         let is_instance = known.is_some_and(|known| {
             *known == report.identity || report.predecessor == Some(known.pid)
         });
         if is_instance && !self.supervise(name, &report.identity) {
-            return; // it has exited since
+            return; // it has exited since the check
         }
         if let Some(policy) = &mut self.policy {
             policy.record_service_counts(name, report.invocations, report.succeeded);
@@ -69,7 +69,7 @@
     }
 }
 
-/// An instance's status; a healthy one that accepts no connection of a client is not healthy.
+/// Requests an instance's status; an instance that accepts no client connection is not healthy.
 async fn check_health(control: &Path, address: Option<SocketAddr>) -> Option<Report> {
     let mut report = request_report(control).await?;
     if let Some(address) = address
@@ -81,7 +81,8 @@
     Some(report)
 }
 
-/// The status of the process that listens on a control socket; none without an answer in time.
+/// Requests the status of the process that listens on a control socket; `None` without an answer
+/// in time.
 pub(super) async fn request_report(control: &Path) -> Option<Report> {
     let request = ControlClient::request_once(control, ControlRequest::Status, STATUS_TIMEOUT);
     match request.await {
@@ -90,7 +91,7 @@
     }
 }
 
-/// None where it is no status of a running process.
+/// Decodes the status of a running process; `None` for anything else.
 fn decode_report(status: &Value) -> Option<Report> {
     let pid = u32::try_from(status["process"].as_u64()?).ok()?;
     let counter = |name: &str| status["counters"][name].as_u64().unwrap_or(0);
--- a/crates/merlinshelf-agent/src/agent/instance_processes.rs
+++ b/crates/merlinshelf-agent/src/agent/instance_processes.rs
@@ -1,4 +1,4 @@
-//! Starting, upgrading and ending the processes of instances.
+//! Starts, upgrades and stops the processes of instances.
 
 use std::io;
 use std::path::Path;
@@ -22,9 +22,9 @@
 use crate::instance_files::{self, InstancePaths};
 use crate::process::{self, Process};
 
-/// The longest upgrade of one instance.
+/// Maximum duration of the upgrade of one instance.
 const UPGRADE_TIMEOUT: Duration = Duration::from_secs(600);
-/// Time for a successor to open the control socket, after the connection to its predecessor broke.
+/// Time for a successor to open the control socket after the connection to its predecessor closed.
 const SUCCESSOR_DELAY: Duration = Duration::from_millis(300);
 
 /// Why an upgrade has failed.
@@ -34,18 +34,18 @@
     LinkProgram(io::Error),
     #[error("{0}")]
     Connection(#[from] io::Error),
-    /// The instance has reported a failure.
+    /// The instance reported a failure.
     #[error("{reason}")]
     Failed { reason: String },
 }
 
 impl Agent {
-    /// Carries out a decision of the fleet.
+    /// Carries out an action that the fleet's state machine decided on.
     pub(super) fn carry_out(&mut self, action: Action) {
         match action {
             Action::Start { name, program } => self.start_instance(name, &program),
             Action::Drain { name } => self.drain_instance(&name),
-            // A stopped process handles SIGTERM only once it continues.
+            // A stopped process handles SIGTERM only after SIGCONT.
             Action::Terminate { name } => self.signal(&name, &[Signal::CONT, Signal::TERM]),
             Action::Kill { name } => self.signal(&name, &[Signal::KILL]),
             Action::Upgrade { name, program } => self.upgrade_instance(name, &program),
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Supervises a process from now on; false where it has exited.
+    /// Starts supervising a process; returns false if it has exited.
     pub(super) fn supervise(&mut self, name: &str, identity: &Identity) -> bool {
         let supervised = self.processes.get(name);
         if supervised.is_some_and(|supervised| supervised.identity == *identity) {
@@ -109,7 +109,7 @@
     }
 
     pub(super) fn process_exited(&mut self, name: String, identity: Identity, status: Option<i32>) {
-        // A predecessor exits after its handover: only the process that is supervised now counts.
+        // A predecessor exits after its handover; only the currently supervised process matters.
         let is_current = self
             .processes
             .get(&name)
@@ -118,7 +118,7 @@
             return;
         }
         self.processes.remove(&name);
-        // An instance that is shutting down hands over to nobody.
+        // An instance that is shutting down has no successor.
         let instance = self
             .fleet
             .get(&name)
@@ -138,7 +138,7 @@
             .process_exited(now, &name, status, backoff_jitter);
     }
 
-    /// Asks for a graceful shutdown; by signal where the control socket does not answer.
+    /// Requests a graceful shutdown, by signal if the control socket does not answer.
     fn drain_instance(&self, name: &str) {
         let Some(supervised) = self.processes.get(name) else {
             return;
@@ -181,7 +181,7 @@
             return self.fleet.upgrade_succeeded(now, name);
         };
         self.fleet.upgrade_failed(now, name, &error.to_string());
-        // The instance's next process runs the former program again.
+        // The link must point to the former program again, for the instance's next process.
         if let Some(instance) = self.fleet.get(name)
             && let Err(error) = instance_files::link_program(&self.paths(name), &instance.program)
         {
@@ -190,7 +190,7 @@
     }
 }
 
-/// Asks an instance to hand over, and waits for the end of the handover.
+/// Requests a handover from an instance and waits until it ends.
 async fn request_upgrade(paths: &InstancePaths) -> Result<(), UpgradeError> {
     let mut client = ControlClient::request(
         &paths.control,
--- a/crates/merlinshelf-agent/src/agent/mod.rs
+++ b/crates/merlinshelf-agent/src/agent/mod.rs
@@ -1,8 +1,8 @@
-//! The agent: what happens to instances goes into `merlinshelf_fleet::Fleet`, and what that decides
-//! is carried out.
+//! The agent: it reports events of instances to `merlinshelf_fleet::Fleet`, and carries out the
+//! actions that the fleet decides on.
 //!
-//! `event_loop` drives it, `instance_processes` starts and ends processes, `health_checks` asks
-//! instances for their status, `recovery` finds the process of an instance again,
+//! `event_loop` drives it, `instance_processes` starts and stops processes, `health_checks`
+//! requests the status of instances, `recovery` finds the process of an instance again,
 //! `operator_requests` and `plan_progress` serve the control socket.
 
 mod event_loop;
@@ -37,9 +37,9 @@
 
 pub use event_loop::{AgentError, serve};
 
-/// What the tasks beside the loop report. `name` is the instance's.
+/// Events reported by background tasks. `name` is the instance's.
 enum AgentEvent {
-    /// A supervised process has exited; with its status, where it is known.
+    /// A supervised process has exited; `status` is its exit status, if known.
     ProcessExited {
         name: String,
         identity: Identity,
@@ -47,7 +47,7 @@
     },
     /// An unsupervised process serves with the instance's own files and control socket.
     ProcessFound { name: String, identity: Identity },
-    /// No process serves in place of the one that was looked for.
+    /// The search found no process that serves for the instance.
     ProcessNotFound { name: String, reason: SearchReason },
     /// An instance has answered a health check.
     HealthChecked { name: String, report: Box<Report> },
@@ -58,7 +58,7 @@
     },
 }
 
-/// A process that is supervised.
+/// The supervised process of an instance.
 struct SupervisedProcess {
     identity: Identity,
     process: Rc<Process>,
@@ -66,7 +66,7 @@
 
 /// The state of the event loop.
 struct Agent {
-    /// The fleet's file.
+    /// Path of the fleet file.
     file: PathBuf,
     fleet: Fleet,
     store: FleetStore,
@@ -74,14 +74,14 @@
     rng: Pcg64Mcg,
     /// By instance.
     processes: BTreeMap<String, SupervisedProcess>,
-    /// Instances whose health check is under way; shared with the tasks that make them.
+    /// Instances with a health check in flight; shared with the tasks that run the checks.
     checks_in_flight: Rc<RefCell<BTreeSet<String>>>,
     health_check_rounds: u32,
     event_sender: UnboundedSender<AgentEvent>,
     events: UnboundedReceiver<AgentEvent>,
     plan_followers: Vec<PlanFollower>,
     status_watchers: Vec<ReplySender>,
-    /// None where the fleet's file names no consensus group.
+    /// `None` if the fleet file configures no consensus group.
     policy: Option<PolicyAgent>,
 }
 
@@ -95,7 +95,7 @@
         InstancePaths::new(self.fleet.spec(), name)
     }
 
-    /// Where clients reach an instance.
+    /// The address at which clients reach an instance.
     fn address(&self, name: &str) -> Option<SocketAddr> {
         let instance = self.fleet.get(name)?;
         let group = self.fleet.spec().groups.get(&instance.group)?;
@@ -110,7 +110,7 @@
     }
 }
 
-/// Seconds of Unix time, by the wall clock.
+/// Unix time in seconds, from the wall clock.
 fn unix_seconds() -> f64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/crates/merlinshelf-agent/src/agent/operator_requests.rs
+++ b/crates/merlinshelf-agent/src/agent/operator_requests.rs
@@ -13,18 +13,17 @@
 use crate::instance_files;
 use crate::reply::ReplySender;
 
-/// Lines of a log or history that a request may ask for at the most, and where it does not say how
-/// many.
+/// Maximum and default number of lines of a log or history in the replies to a request.
 const MAX_LINES: u64 = 1000;
 const DEFAULT_LOG_LINES: u64 = 20;
 const DEFAULT_HISTORY_LINES: u64 = 50;
-/// Events of the history in one reply.
+/// Maximum number of history events in one reply.
 const EVENTS_PER_PAGE: usize = 100;
-/// Time for a stop that names none, and the longest one, in seconds.
+/// Default and maximum time for a stop, in seconds.
 const DEFAULT_STOP_SECONDS: f64 = 30.0;
 const MAX_STOP_SECONDS: f64 = 86_400.0;
 
-/// Why a request names no command.
+/// Why a request can't be decoded as a command.
 #[derive(Debug, thiserror::Error)]
 enum CommandError {
     #[error("it names no program")]
@@ -46,7 +45,7 @@
                 let status = status_report(&self.fleet, self.now(), &self.instance_names());
                 let _ = reply.send(status.summary); // the client may have disconnected
             }
-            // Requests to instances: the client sees that its connection ends without a reply.
+            // These requests are for instances: the connection is closed without a reply.
             PendingRequest::Drain(_)
             | PendingRequest::Upgrade(_)
             | PendingRequest::Knowledge(_)
@@ -78,7 +77,7 @@
             "scale" => {
                 let group = body["group"].as_str().unwrap_or("");
                 let count = body["count"].as_u64().map(u32::try_from);
-                // A count that is no number does not fit the host, and is rejected there.
+                // A count that is not a number becomes one that does not fit the host: rejected.
                 let count = count.and_then(Result::ok).unwrap_or(u32::MAX);
                 send_result(&reply, self.fleet.scale(now, group, count));
             }
@@ -119,7 +118,7 @@
         };
         let count = line_count(body, DEFAULT_LOG_LINES);
         for name in names {
-            // An instance that was never started has no log; the others' are sent all the same.
+            // An instance that was never started has no log; the logs of the others are still sent.
             let lines =
                 instance_files::last_lines(&self.paths(&name).log, count).unwrap_or_else(|error| {
                     if error.kind() != io::ErrorKind::NotFound {
@@ -153,7 +152,7 @@
         reply.done(json!({}));
     }
 
-    /// Plans what a command asks for; begins the plan, unless it is a dry run.
+    /// Plans a command, and starts the plan unless the request is a dry run.
     fn handle_command(&mut self, now: f64, body: &Value, reply: ReplySender) {
         let command = match decode_command(body) {
             Ok(command) => command,
@@ -188,7 +187,7 @@
     body["lines"].as_u64().unwrap_or(default).min(MAX_LINES) as usize
 }
 
-/// The instances that a request names.
+/// Decodes the instances that a request selects.
 fn decode_selector(body: &Value) -> Selector {
     let labels = decode_texts(body, "labels");
     Selector {
--- a/crates/merlinshelf-agent/src/agent/plan_progress.rs
+++ b/crates/merlinshelf-agent/src/agent/plan_progress.rs
@@ -8,16 +8,16 @@
 use super::fleet_report::{StatusReport, plan_report, status_report};
 use crate::reply::ReplySender;
 
-/// A tool that follows a plan to its end.
+/// A tool that follows a plan until it ends.
 pub(super) struct PlanFollower {
     plan_number: u64,
     reply: ReplySender,
-    /// The progress that was sent last.
+    /// The last progress sent.
     last_progress: String,
 }
 
 impl PlanFollower {
-    /// A tool that was sent nothing yet.
+    /// A follower to which no progress has been sent yet.
     pub fn new(plan_number: u64, reply: ReplySender) -> PlanFollower {
         PlanFollower {
             plan_number,
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Sends the plan's progress where it has changed; whether the tool follows on.
+    /// Sends the plan's progress if it has changed; returns whether the tool keeps following.
     fn update(&mut self, plan: &Plan, report: &Value, progress: &str) -> bool {
         if self.plan_number != plan.number {
             self.reply
--- a/crates/merlinshelf-agent/src/agent/recovery.rs
+++ b/crates/merlinshelf-agent/src/agent/recovery.rs
@@ -1,5 +1,5 @@
-//! Finding the process of an instance: after a restart of the agent, after the exit of a process
-//! that may have handed over, and where somebody listens on the control socket of an instance that
+//! Finds the process of an instance after a restart of the agent, after the exit of a process that
+//! may have handed over, and when another process listens on the control socket of an instance that
 //! is to be started.
 
 use std::time::Duration;
@@ -13,22 +13,22 @@
 use crate::instance_files::InstancePaths;
 use crate::process;
 
-/// A successor whose predecessor was killed in the handover opens its control socket within a
-/// fraction of this.
+/// A successor whose predecessor was killed during the handover opens its control socket within a
+/// fraction of this time.
 const SEARCH_TIMEOUT: Duration = Duration::from_millis(600);
 const SEARCH_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Why an instance's process is looked for.
+/// Why the agent searches for an instance's process.
 #[derive(Debug)]
 pub(super) enum SearchReason {
-    /// The known process has exited; with its status, where it is known.
+    /// The known process has exited; `status` is its exit status, if known.
     ProcessExited {
         identity: Identity,
         status: Option<i32>,
-        /// In an upgrade the socket may be opened a moment later.
+        /// During an upgrade the successor may open the socket slightly later.
         is_upgrading: bool,
     },
-    /// Somebody listens on the control socket of an instance that is to be started.
+    /// Another process listens on the control socket of an instance that is to be started.
     SocketTaken,
 }
 
@@ -51,7 +51,7 @@
 }
 
 impl Agent {
-    /// Finds the process of an earlier agent's instance: the known one, or its successor, which
+    /// Finds the process of an earlier agent's instance: the known process, or its successor that
     /// answers on the control socket.
     pub(super) async fn adopt(&mut self, name: &str, known: Identity) {
         let now = self.now();
@@ -67,11 +67,11 @@
         }
     }
 
-    /// Looks for a process that serves in place of the one that has exited, from a task of its own.
+    /// Searches, in a separate task, for a process that serves in place of one that has exited.
     ///
-    /// A process that exits during an upgrade may have handed over, and a successor that exits may
-    /// have been taken back from: whoever names the exited process as its predecessor, or was
-    /// started with the instance's own files, is the instance.
+    /// A process that exits during an upgrade may have handed over, and after the exit of a
+    /// successor its predecessor may serve again. A process belongs to the instance if it reports
+    /// the exited process as its predecessor, or was started with the instance's files.
     pub(super) fn search_process(&self, name: String, reason: SearchReason) {
         let events = self.event_sender.clone();
         let paths = self.paths(&name);
--- a/crates/merlinshelf-agent/src/consensus_log.rs
+++ b/crates/merlinshelf-agent/src/consensus_log.rs
@@ -1,5 +1,5 @@
-//! The log file of this agent's replica. A thread of its own writes it: while the disk stalls the
-//! replica acknowledges nothing, and everything else goes on.
+//! The log file of this agent's replica. A separate thread writes it: while the disk stalls, the
+//! replica acknowledges nothing, and the rest of the agent keeps running.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -15,21 +15,20 @@
 const NEW_FILE: &str = "council.new";
 const ASIDE_FILE: &str = "council.aside";
 
-/// A write that failed.
+/// A failed write.
 #[derive(Debug, thiserror::Error)]
 #[error("{}: {source}", file.display())]
 pub(crate) struct LogWriteError {
     /// The log file.
     file: PathBuf,
-    /// What the system reports.
+    /// The error that the system reports.
     source: io::Error,
 }
 
 /// The result of one write, in the order of the writes.
 #[derive(Debug)]
 pub(crate) struct WriteResult {
-    /// The start of the replica that asked for the write. Results of an earlier start are of no
-    /// interest.
+    /// The start of the replica that requested the write. Results for an earlier start are ignored.
     pub generation: u64,
     pub result: Result<(), LogWriteError>,
 }
@@ -39,14 +38,14 @@
     Replace(Vec<Record>),
 }
 
-/// The writing thread's end; dropping it ends the thread after the last write.
+/// Handle of the writer thread; dropping it ends the thread after the last write.
 pub(crate) struct LogWriter(Sender<Write>);
 
 impl LogWriter {
-    /// Starts the thread, which takes the disk over.
+    /// Starts the thread, which owns the disk from then on.
     ///
     /// # Errors
-    /// No thread can be started.
+    /// The thread can't be started.
     pub fn start(
         disk: Disk,
         folder: &Path,
@@ -63,11 +62,11 @@
 
     /// Appends records durably.
     pub fn append(&self, records: Vec<Record>) {
-        // Were the thread gone, its missing results would stop the replica.
+        // If the thread has ended, the missing result stops the replica.
         let _ = self.0.send(Write::Append(records));
     }
 
-    /// Replaces the file by these records, atomically and durably.
+    /// Replaces the file with these records, atomically and durably.
     pub fn replace(&self, records: Vec<Record>) {
         let _ = self.0.send(Write::Replace(records));
     }
@@ -99,7 +98,7 @@
 /// slot.
 ///
 /// # Errors
-/// Another process holds the folder, or a file can't be read, written or renamed.
+/// Another process has locked the folder, or a file can't be read, written or renamed.
 pub(crate) fn open(folder: &Path) -> io::Result<(Disk, Vec<Record>)> {
     let mut disk = Disk::lock(folder)?;
     let Some(bytes) = disk.read(FILE)? else {
@@ -109,7 +108,7 @@
     match recover(&bytes) {
         Ok(log) => {
             if log.used_bytes < bytes.len() || log.used_bytes == 0 {
-                // Records must not be appended behind an incomplete one.
+                // Records must not be appended after an incomplete one.
                 replace(&mut disk, &log.records)?;
             }
             Ok((disk, log.records))
--- a/crates/merlinshelf-agent/src/fleet_file.rs
+++ b/crates/merlinshelf-agent/src/fleet_file.rs
@@ -1,4 +1,4 @@
-//! The fleet's file as operators write it: reading, and checking it against the host.
+//! Reads the fleet file that operators write, and checks it against the host.
 
 use std::fs::File;
 use std::io::{self, Read};
@@ -10,12 +10,12 @@
 use merlinshelf_fleet::{FleetSpec, Group};
 use serde_json::Value;
 
-/// Longest file that is read: the fleet's file has a few pages.
+/// Maximum length of the fleet file, which normally has a few pages.
 const MAX_FILE_BYTES: u64 = 1024 * 1024;
-/// Time for a graceful shutdown where no group's configuration says more.
+/// Minimum time for a graceful shutdown; a group's configuration may set a longer one.
 const MIN_STOP_MILLISECONDS: f64 = 1000.0;
 
-/// Why the fleet's file can't be used.
+/// Why the fleet file can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum FleetFileError {
     /// The file can't be read.
@@ -51,7 +51,7 @@
         group: String,
         /// The group's field.
         field: &'static str,
-        /// The path as it is written there.
+        /// The path as written in the fleet file.
         path: PathBuf,
         /// What the system reports.
         source: io::Error,
@@ -71,12 +71,12 @@
     Capacity {
         /// The fleet's file.
         file: PathBuf,
-        /// What does not fit.
+        /// Which limit of the host is exceeded.
         error: CapacityError,
     },
 }
 
-/// Reads the fleet's file and checks it: the instances fit the host, and each group's program and
+/// Reads the fleet file and checks it: the instances fit the host, and each group's program and
 /// configuration exist.
 ///
 /// # Errors
@@ -140,7 +140,7 @@
     })
 }
 
-/// The longest time that an instance of any group may take for a graceful shutdown.
+/// Maximum time for a graceful shutdown over the instances of all groups, in seconds.
 pub(crate) fn shutdown_timeout_seconds(spec: &FleetSpec) -> f64 {
     let milliseconds = spec
         .groups
@@ -150,8 +150,8 @@
     milliseconds / 1e3
 }
 
-/// None where the configuration was changed since it was checked; instances then say what is wrong
-/// with it.
+/// `None` if the configuration has changed since it was checked and is no longer valid; instances
+/// then report the error.
 fn stop_milliseconds(group: &Group) -> Option<f64> {
     let text = std::fs::read_to_string(&group.config).ok()?;
     let config: Value = serde_json::from_str(&text).ok()?;
--- a/crates/merlinshelf-agent/src/lib.rs
+++ b/crates/merlinshelf-agent/src/lib.rs
@@ -1,6 +1,6 @@
-//! The agent of one host: it supervises the host's instances as `merlinshelf-fleet` decides, and
-//! takes part in the consensus group of all agents where the fleet's file names one. Instances are
-//! processes of their own that outlive the agent; the next agent adopts them.
+//! The agent of one host. It supervises the host's instances as `merlinshelf-fleet` decides, and
+//! takes part in the consensus group of all agents if the fleet file configures one. Instances are
+//! separate processes that keep running when the agent stops; the next agent adopts them.
 
 mod agent;
 mod consensus_log;
@@ -17,7 +17,7 @@
 pub use agent::{AgentError, serve};
 pub use fleet_file::{FleetFileError, load};
 
-/// The JSON schema of the fleet's file.
+/// The JSON schema of the fleet file.
 ///
 /// # Panics
 /// Never: the schema is plain data.
--- a/crates/merlinshelf-agent/src/reply.rs
+++ b/crates/merlinshelf-agent/src/reply.rs
@@ -1,16 +1,16 @@
-//! Where the replies to a control request go.
+//! Sender of the replies to a control request.
 
 use merlinshelf_protocol::control::ControlMessage;
 use serde_json::{Value, json};
 use tokio::sync::mpsc::UnboundedSender;
 
-/// The sender of the replies to one request. A client that has disconnected receives nothing, which
-/// is no error here.
+/// Sends the replies to one request. Replies to a client that has disconnected are dropped without
+/// an error.
 #[derive(Clone)]
 pub(crate) struct ReplySender(UnboundedSender<(ControlMessage, Value)>);
 
 impl ReplySender {
-    /// Around the channel of a request.
+    /// Wraps the channel of a request.
     pub fn new(sender: UnboundedSender<(ControlMessage, Value)>) -> ReplySender {
         ReplySender(sender)
     }
@@ -20,27 +20,27 @@
         self.0.is_closed()
     }
 
-    /// A part of the reply.
+    /// Sends a part of the reply.
     pub fn more(&self, body: Value) {
         self.send(ControlMessage::More, body);
     }
 
-    /// The last reply: the request was carried out.
+    /// Sends the last reply: the request was carried out.
     pub fn done(&self, body: Value) {
         self.send(ControlMessage::Done, body);
     }
 
-    /// The last reply: the request was begun and has failed.
+    /// Sends the last reply: the request was started and has failed.
     pub fn failed(&self, body: Value) {
         self.send(ControlMessage::Failed, body);
     }
 
-    /// The last reply: the request was not begun.
+    /// Sends the last reply: the request was not started.
     pub fn rejected(&self, text: impl Into<String>) {
         self.send(ControlMessage::Refused, json!({ "text": text.into() }));
     }
 
-    /// Any reply.
+    /// Sends a reply of any kind.
     pub fn send(&self, message: ControlMessage, body: Value) {
         let _ = self.0.send((message, body));
     }
--- a/crates/merlinshelf-agent/src/store/mod.rs
+++ b/crates/merlinshelf-agent/src/store/mod.rs
@@ -1,6 +1,6 @@
-//! What outlives the agent: the fleet's record, in a file behind the lock that makes this agent the
-//! only one. A thread of its own writes it, so that a disk that stalls does not stall the
-//! supervision; what is lost then is what the next agent would know.
+//! The agent's persistent state: the fleet's record, in a file of the folder that this agent has
+//! locked. A separate thread writes it, so that a stalled disk does not stall the supervision; the
+//! next agent then lacks the changes that were not written.
 //!
 //! The file is a header and one record in the framing of `merlinshelf_gossip::store_format`.
 
@@ -26,7 +26,7 @@
 /// Why a stored record can't be used.
 #[derive(Debug, thiserror::Error)]
 enum StoreError {
-    #[error("it is of another program or of a later version")]
+    #[error("the file was written by another program or a later version")]
     UnknownHeader,
     #[error("{0:?}")]
     Frame(FrameError),
@@ -34,17 +34,17 @@
     Record(#[from] rmp_serde::decode::Error),
 }
 
-/// The writing thread's end; dropping it ends the thread after the last record.
+/// Handle of the writer thread; dropping it ends the thread after the last record.
 pub(crate) struct FleetStore {
     records: Sender<Record>,
 }
 
 impl FleetStore {
     /// Locks the folder and reads what an earlier agent stored. A file that can't be decoded is
-    /// moved aside: the instances are supervised anew, which is better than no supervision.
+    /// moved aside: supervising from an empty record is better than no supervision.
     ///
     /// # Errors
-    /// Another agent holds the folder, or it can't be created.
+    /// Another agent has locked the folder, or it can't be created.
     pub fn open(folder: &Path) -> io::Result<(FleetStore, Record)> {
         let mut disk = Disk::lock(folder)?;
         let record = read_record(&mut disk);
@@ -55,9 +55,9 @@
         Ok((FleetStore { records }, record))
     }
 
-    /// Stores a record in place of the one before it.
+    /// Stores a record, replacing the previous one.
     pub fn save(&self, record: Record) {
-        let _ = self.records.send(record); // the thread ends with the process only
+        let _ = self.records.send(record); // the thread ends only with the process
     }
 }
 
@@ -81,7 +81,7 @@
 fn run_writer(mut disk: Disk, queue: &Receiver<Record>) {
     let mut is_failing = false;
     while let Ok(mut record) = queue.recv() {
-        // Of several records only the latest counts.
+        // Only the latest of several queued records is written.
         while let Ok(later) = queue.try_recv() {
             record = later;
         }
--- a/crates/merlinshelf-consensus/src/log_storage.rs
+++ b/crates/merlinshelf-consensus/src/log_storage.rs
@@ -101,7 +101,7 @@
         records
     }
 
-    /// Position in `entries` of the entry with this index, which must be above the snapshot's index.
+    /// Position in `entries` of the entry with this index, which must be above the snapshot's.
     fn position(&self, index: u64) -> usize {
         (index - self.snapshot_index() - 1) as usize
     }
--- a/crates/merlinshelf-consensus/src/record.rs
+++ b/crates/merlinshelf-consensus/src/record.rs
@@ -136,7 +136,7 @@
 }
 
 impl<'a> Frame<'a> {
-    /// The frame at the start of these bytes; `None` if it is incomplete or its length is impossible.
+    /// The frame at the start of these bytes; `None` if it is incomplete or too long.
     fn split_from(bytes: &'a [u8]) -> Option<Frame<'a>> {
         let length = read_u32(bytes, 0)? as usize;
         let checksum = read_u32(bytes, 4)?;
