--- a/crates/merlinshelf-agent/src/consensus_node.rs
+++ b/crates/merlinshelf-agent/src/consensus_node.rs
@@ -1,5 +1,5 @@
-//! This agent's replica with its log file, and the state that it replicates. After a failure of the
-//! disk, or of the log library, the replica is dropped and started again from the log file.
+//! This agent's replica with its log file and the replicated state. After a failure of the disk or
+//! of the raft library, the replica is dropped and restarted from the log file.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
@@ -14,9 +14,9 @@
 
 use crate::consensus_log::{self, LogWriteError, LogWriter, WriteResult};
 
-/// Folder of the log file inside the agent's.
+/// Folder of the log file inside the agent's folder.
 const FOLDER: &str = "council";
-/// Time before the next start of a replica that failed, in seconds.
+/// Delay before a failed replica is restarted, in seconds.
 const RESTART_DELAY_SECONDS: f64 = 0.5;
 
 /// Why the replica does not run.
@@ -28,34 +28,34 @@
     Start(#[from] StartError),
     #[error("{0}")]
     Write(#[from] LogWriteError),
-    /// The log library panics where a message contradicts the log.
+    /// The raft library panics on a message that contradicts the log.
     #[error("a message from another agent contradicts the log")]
     Panicked,
 }
 
-/// What the node asks of its host, or reports to it.
+/// Requests and events for the host of the node.
 #[derive(Debug)]
 pub(crate) enum NodeOutput {
     /// Send a message to another agent.
     Send { to: String, message: Message },
     /// An entry was applied to the state.
     Applied(ReplicatedEvent),
-    /// The state was replaced: the replica was started or has received a snapshot.
+    /// The state was replaced, since the replica was started or has received a snapshot.
     StateReplaced,
     /// A majority confirmed that this agent led after the request.
     LeadershipConfirmed { request_id: u64 },
 }
 
-/// A replica that runs.
+/// A running replica and its log writer.
 struct RunningReplica {
     replica: Replica,
     log_writer: LogWriter,
     generation: u64,
-    /// A write is under way: no later action may be carried out before it is durable.
+    /// A write is in flight; no later action may be carried out before it is durable.
     is_writing: bool,
 }
 
-/// This agent's part in the consensus group.
+/// This agent's node of the consensus group.
 pub(crate) struct ConsensusNode {
     name: String,
     agents: BTreeSet<String>,
@@ -73,8 +73,9 @@
 }
 
 impl ConsensusNode {
-    /// A node that starts with the first tick. `boot_id` is unique to this process; the results of
-    /// writes go to `write_results` and come back by [`ConsensusNode::write_finished`].
+    /// Creates a node that starts with the first tick. `boot_id` is unique to this process. Results
+    /// of writes are sent to `write_results`; the host passes them to
+    /// [`ConsensusNode::write_finished`].
     pub fn new(
         name: &str,
         agents: &BTreeMap<String, String>,
@@ -102,7 +103,7 @@
         &self.state
     }
 
-    /// The members; none while the replica does not run.
+    /// The membership; empty while the replica does not run.
     pub fn membership(&self) -> Membership {
         self.replica()
             .map(|replica| replica.membership().clone())
@@ -125,7 +126,7 @@
         self.replica()?.leading_term()
     }
 
-    /// The node's status as the control socket's replies spell it.
+    /// The node's status as written in replies on the control socket.
     pub fn status_text(&self) -> &'static str {
         match self.replica().map(Replica::status) {
             None => "without its disk",
@@ -165,7 +166,7 @@
         Ok(())
     }
 
-    /// Advances the replica's clock by one tick, and starts a replica that does not run.
+    /// Advances the replica's clock by one tick, and starts the replica if it does not run.
     pub fn tick(&mut self, now: f64) {
         let is_start_due = self
             .failed_at
@@ -184,7 +185,7 @@
         self.drive(now, Replica::tick);
     }
 
-    /// Takes the result of a write.
+    /// Handles the result of a write.
     pub fn write_finished(&mut self, now: f64, write: WriteResult) {
         let Some(running) = &mut self.running else {
             return;
@@ -199,13 +200,13 @@
         }
     }
 
-    /// Takes a message from another agent.
+    /// Handles a message from another agent.
     pub fn handle_message(&mut self, now: f64, from: &str, message: Message) {
         self.drive(now, |replica| replica.handle_message(from, message));
     }
 
-    /// Proposes an entry where this agent leads. It may be lost: the proposer looks for it in
-    /// the state.
+    /// Proposes an entry if this agent leads. The entry may be lost: the proposer must check the
+    /// state for it.
     pub fn propose(&mut self, now: f64, entry: &Entry) {
         match rmp_serde::to_vec_named(entry) {
             Ok(bytes) => self.drive(now, |replica| _ = replica.propose(bytes)),
@@ -213,7 +214,7 @@
         }
     }
 
-    /// Requests that an agent's slot be removed, where this agent leads.
+    /// Requests the removal of an agent's slot, if this agent leads.
     pub fn remove_member(&mut self, now: f64, name: &str) {
         self.drive(now, |replica| replica.remove_member(name));
     }
@@ -232,8 +233,7 @@
         let Some(running) = &mut self.running else {
             return;
         };
-        // After a panic the replica's memory is not to be trusted: it starts again from its log
-        // file.
+        // After a panic the replica's memory may be inconsistent, so it restarts from its log file.
         let result = catch_unwind(AssertUnwindSafe(|| event(&mut running.replica)));
         if result.is_err() {
             return self.fail(now, &NodeError::Panicked);
@@ -250,7 +250,7 @@
         self.failed_at = Some(now);
     }
 
-    /// Carries out the replica's actions in order, up to one that waits for the disk.
+    /// Carries out the replica's actions in order, until one must wait for the disk.
     fn carry_out_actions(&mut self) {
         while let Some(running) = &mut self.running
             && !running.is_writing
@@ -297,7 +297,7 @@
                 let event = self.state.apply(entry);
                 self.outputs.extend(event.map(NodeOutput::Applied));
             }
-            // A later version proposed it: this agent can't know what it means.
+            // A later version proposed an entry that this version does not know.
             Err(error) => {
                 error!(index = index, error:% = error; "entry {index} not decoded, skipped: {error}");
             }
@@ -309,7 +309,7 @@
             ReplicatedState::default()
         } else {
             rmp_serde::from_slice(state).unwrap_or_else(|error| {
-                // A later version stored it; the base policy is safe without it.
+                // A later version stored the state; the base policy is safe without it.
                 error!(index = index, error:% = error; "state at {index} not decoded, serving base policy: {error}");
                 ReplicatedState::default()
             })
--- a/crates/merlinshelf-agent/src/control_client.rs
+++ b/crates/merlinshelf-agent/src/control_client.rs
@@ -1,5 +1,5 @@
-//! Client of the control sockets of instances and agents: one request, then messages up to the last
-//! one.
+//! Client of the control sockets of instances and agents: sends one request and receives its
+//! replies.
 
 use std::io;
 use std::path::Path;
@@ -12,13 +12,13 @@
 use tokio::runtime::{Builder, Runtime};
 use tokio::time::timeout;
 
-/// A server accepts a request at once, however long it works on it.
+/// A server accepts a request immediately, even if processing it takes long.
 const ACCEPT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A request whose replies are under way.
+/// A request whose replies are being received.
 pub struct ControlClient {
     stream: UnixStream,
-    /// Received, and not decoded yet.
+    /// Bytes received but not decoded yet.
     buffer: Vec<u8>,
     reply_timeout: Duration,
 }
@@ -27,7 +27,7 @@
     /// Connects and sends a request. Each reply may take `reply_timeout`.
     ///
     /// # Errors
-    /// Nobody listens on the socket, or the server does not accept the request in time.
+    /// No process listens on the socket, or the server does not accept the request in time.
     pub async fn request(
         socket: &Path,
         request: ControlRequest,
@@ -60,7 +60,7 @@
             }
             let read = self.stream.read_buf(&mut self.buffer);
             if timeout(self.reply_timeout, read).await?? == 0 {
-                let text = "it closed the connection without its last word";
+                let text = "connection closed before the last reply";
                 return Err(io::Error::new(io::ErrorKind::UnexpectedEof, text));
             }
         }
@@ -75,7 +75,9 @@
         };
         let version = frame.version;
         if version != PROTOCOL_VERSION {
-            let text = format!("it speaks form {version}, this program form {PROTOCOL_VERSION}");
+            let text = format!(
+                "protocol version {version} is not supported, only version {PROTOCOL_VERSION}"
+            );
             return Err(io::Error::other(text));
         }
         let body = serde_json::from_slice(frame.body)?;
@@ -100,7 +102,7 @@
     }
 }
 
-/// A [`ControlClient`] for programs that do nothing else meanwhile.
+/// A blocking [`ControlClient`].
 pub struct BlockingControlClient {
     runtime: Runtime,
     client: ControlClient,
--- a/crates/merlinshelf-agent/src/instance_files.rs
+++ b/crates/merlinshelf-agent/src/instance_files.rs
@@ -13,17 +13,17 @@
 use merlinshelf_fleet::{FleetSpec, Group, Instance};
 use serde_json::{Value, json};
 
-/// A log that is longer is rotated.
+/// Length above which a log is rotated.
 const MAX_LOG_BYTES: u64 = 8 * 1024 * 1024;
-/// How much of a log's end is searched for its last lines.
+/// Length of a log's tail in which its last lines are searched.
 const LOG_TAIL_BYTES: u64 = 48 * 1024;
-/// Most that is read from there, since the log grows meanwhile.
+/// Maximum length read from the start of the tail, since the log may grow during the read.
 const MAX_LOG_READ_BYTES: u64 = 64 * 1024;
-/// Instances gossip on this port above the one of their clients.
+/// Offset of an instance's gossip port from its client port.
 const GOSSIP_PORT_OFFSET: u16 = 20_000;
-/// How many others of its group an instance starts to gossip with.
+/// Number of instances of its group with which an instance starts to gossip.
 const GOSSIP_SEEDS: u32 = 4;
-/// Makes the seeds of a group's instances differ.
+/// Multiplier that makes the seeds of a group's instances differ.
 const SEED_MULTIPLIER: u64 = 0x9E37_79B9_7F4A_7C15;
 
 /// Paths of one instance's files.
@@ -56,7 +56,7 @@
 /// Writes the files that an instance is started with.
 ///
 /// # Errors
-/// The group is no longer in the fleet's file, its configuration can't be read, or the folder can't
+/// The group is no longer in the fleet file, its configuration can't be read, or the folder can't
 /// be written.
 pub(crate) fn write_instance_files(
     spec: &FleetSpec,
@@ -65,7 +65,7 @@
     let group = spec
         .groups
         .get(&instance.group)
-        .ok_or_else(|| io::Error::other("its group is gone from the file"))?;
+        .ok_or_else(|| io::Error::other("its group is no longer in the fleet file"))?;
     let paths = InstancePaths::new(spec, &instance.name);
     std::fs::create_dir_all(&paths.folder)?;
     let listen =
@@ -104,7 +104,7 @@
     listen: SocketAddr,
     paths: &InstancePaths,
 ) -> Value {
-    // During an upgrade predecessor and successor run side by side.
+    // During an upgrade predecessor and successor run at the same time.
     let mut operator = json!({
         "control": { "socket": paths.control },
         "log": { "format": "json" },
@@ -131,7 +131,7 @@
 ) -> Value {
     let mut gossip = json!({ "engine": instance.group, "folder": paths.folder.join("kept") });
     if let Some(own) = gossip_address(listen) {
-        // Some others, spread over the group: an instance that starts learns from them.
+        // Instances spread over the group, from which a starting instance learns.
         let stride = (group.count / GOSSIP_SEEDS).max(1);
         let mut seeds: Vec<String> = (1..=GOSSIP_SEEDS)
             .map(|place| (instance.index + place * stride) % group.count.max(1))
@@ -144,7 +144,7 @@
     gossip
 }
 
-/// Where an instance gossips: on the loopback interface.
+/// The gossip address of an instance, on the loopback interface.
 fn gossip_address(listen: SocketAddr) -> Option<String> {
     let port = listen.port().checked_add(GOSSIP_PORT_OFFSET)?;
     let ip = if listen.ip().is_loopback() {
@@ -156,8 +156,8 @@
 }
 
 fn policy_config(spec: &FleetSpec, consensus: &ConsensusConfig) -> Value {
-    // An instance waits for two leases: a leader is elected within the first one, and heard of
-    // within the second one.
+    // An instance waits for two lease durations: a leader is elected within the first one, and
+    // its lease arrives within the second one.
     let mut policy = json!({
         "base": consensus.base,
         "without": consensus.lease_expiry_mode,
@@ -165,7 +165,7 @@
         "wait_ms": 2 * consensus.lease_ms,
     });
     if !consensus.base.budgets.is_empty() {
-        // Only with budgets: programs from before there were any read the file as well.
+        // Only with budgets, since programs without support for them also read the file.
         policy["lease_ms"] = json!(consensus.lease_ms);
         policy["aside"] = json!(Path::new(&spec.folder).join("aside"));
     }
@@ -193,10 +193,10 @@
     std::fs::rename(new, &paths.program)
 }
 
-/// Copies a long log beside and truncates it; its writer goes on at its new end.
+/// Copies a long log to another file and truncates it; its writer continues at the new end.
 pub(crate) fn rotate_log(log: &Path) {
     if std::fs::metadata(log).is_ok_and(|metadata| metadata.len() > MAX_LOG_BYTES) {
-        // On a full disk the old lines are lost rather than the service.
+        // On a full disk, losing the old lines is better than stopping the service.
         if let Err(error) = std::fs::copy(log, log.with_extension("1")) {
             warn!(error:% = error; "log {} not copied at its rotation: {error}", log.display());
         }
@@ -217,7 +217,7 @@
     let mut bytes = Vec::new();
     file.take(MAX_LOG_READ_BYTES).read_to_end(&mut bytes)?;
     let text = String::from_utf8_lossy(&bytes);
-    // The first line may begin before the part that was read.
+    // The first line may start before the part that was read.
     let lines: Vec<&str> = text.lines().skip(usize::from(start > 0)).collect();
     let first = lines.len().saturating_sub(count);
     Ok(lines[first..]
--- a/crates/merlinshelf-agent/src/peer_transport.rs
+++ b/crates/merlinshelf-agent/src/peer_transport.rs
@@ -1,5 +1,6 @@
 //! Messages between agents: one listener, and one connection to each other agent, over which
-//! messages go one way. What can't be sent at once is dropped; the protocols above send again.
+//! messages are sent in one direction. Messages that can't be sent immediately are dropped; the
+//! protocols above resend them.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -17,31 +18,31 @@
 use tokio::task::{AbortHandle, spawn_local};
 use tokio::time::{sleep, timeout};
 
-/// Most messages that wait for one agent.
+/// Maximum number of messages queued for one agent.
 const MAX_QUEUED_MESSAGES: usize = 256;
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 const WRITE_TIMEOUT: Duration = Duration::from_millis(500);
-/// Time before the next attempt to connect or accept.
+/// Delay before the next attempt to connect or accept.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
-/// Most connections from other agents.
+/// Maximum number of connections from other agents.
 const MAX_CONNECTIONS: usize = 64;
 
-/// A message from one agent to another. It passes between versions of the program: the serialized
-/// names stay.
+/// A message from one agent to another. Different versions of the program exchange it, so the
+/// serialized names must not change.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) enum PeerMessage {
-    /// Between the replicas of the log.
+    /// A message between the replicas of the log.
     #[serde(rename = "Council")]
     Consensus(Message),
-    /// A host asks the leader for a lease.
+    /// A host requests a lease from the leader.
     #[serde(rename = "Ask")]
     LeaseRequest(HostLeaseRequest),
     /// The leader's answer.
     #[serde(rename = "Word")]
     LeaseResponse(HostLeaseResponse),
-    /// For the leader: an entry to propose.
+    /// Asks the leader to propose an entry.
     Propose(Entry),
-    /// For the leader: the agent of this name is gone for good.
+    /// Asks the leader to remove the agent of this name permanently.
     #[serde(rename = "Remove")]
     RemoveMember(String),
     /// Status of the sender's host, as JSON.
@@ -49,9 +50,9 @@
     HostStatus(String),
 }
 
-/// A message that was received.
+/// A received message and its sender.
 pub(crate) struct ReceivedMessage {
-    /// Name of the agent that sent it, by its own account.
+    /// Name of the sender, as stated in the message.
     pub from: String,
     pub message: PeerMessage,
 }
@@ -70,8 +71,8 @@
 }
 
 impl PeerTransport {
-    /// Listens, and connects to each other agent once there is a message for it. What is received
-    /// goes to `received`.
+    /// Listens, and connects to each other agent once there is a message for it. Received messages
+    /// are sent to `received`.
     ///
     /// # Errors
     /// The address can't be listened on.
@@ -111,7 +112,7 @@
         };
         let mut bytes = Vec::new();
         control::write_request(&mut bytes, ControlRequest::Consensus, &body);
-        let _ = queue.try_send(bytes); // full where the peer is not reached: the message is lost
+        let _ = queue.try_send(bytes); // full if the peer is unreachable: the message is lost
     }
 
     /// Names of the other agents.
@@ -120,7 +121,7 @@
     }
 }
 
-/// Sends what is queued for one agent, over a connection that is opened anew after each failure.
+/// Sends the messages queued for one agent, over a connection that is reopened after each failure.
 async fn send_queue(address: String, mut queue: Receiver<Vec<u8>>) {
     let mut connection: Option<TcpStream> = None;
     while let Some(bytes) = queue.recv().await {
@@ -129,12 +130,13 @@
         }
         let Some(stream) = &mut connection else {
             sleep(RETRY_DELAY).await;
-            while queue.try_recv().is_ok() {} // what waited is outdated by now
+            while queue.try_recv().is_ok() {} // queued messages are outdated by now
             continue;
         };
         let write = timeout(WRITE_TIMEOUT, stream.write_all(&bytes)).await;
         if !matches!(write, Ok(Ok(()))) {
-            connection = None; // part of the message may have been sent: the next one needs a new connection
+            // Part of the message may have been sent, so the next one needs a new connection.
+            connection = None;
         }
     }
 }
@@ -144,7 +146,7 @@
         .await
         .ok()?
         .ok()?;
-    let _ = stream.set_nodelay(true); // it works without, only slower
+    let _ = stream.set_nodelay(true); // only an optimization
     Some(stream)
 }
 
@@ -183,7 +185,7 @@
         match decode(&buffer)? {
             Some((message, length)) => {
                 if received.send(message).is_err() {
-                    return Ok(()); // the agent ends
+                    return Ok(()); // the agent is stopping
                 }
                 buffer.drain(..length);
             }
@@ -196,7 +198,7 @@
     }
 }
 
-/// A complete message at the start of the bytes, and its length.
+/// Decodes a complete message at the start of the bytes; returns it with its length.
 fn decode(bytes: &[u8]) -> io::Result<Option<(ReceivedMessage, usize)>> {
     let frame =
         control::read_consensus_request(bytes).map_err(|fault| io::Error::other(fault.0))?;
--- a/crates/merlinshelf-agent/src/policy/heartbeats.rs
+++ b/crates/merlinshelf-agent/src/policy/heartbeats.rs
@@ -1,5 +1,5 @@
-//! Heartbeats to the host's instances: they carry leases and quota, and the answers what the
-//! instances need and how they fare.
+//! Heartbeats to the host's instances: they carry leases and quota. The responses carry quota
+//! requests and the status of the instances.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -15,23 +15,23 @@
 use super::PolicyAgent;
 use crate::control_client::ControlClient;
 
-/// A healthy instance answers in a fraction of this.
+/// A healthy instance answers in a fraction of this time.
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(400);
-/// How an instance from before there were policies answers.
+/// The answer of an instance whose version does not support policies.
 const UNKNOWN_REQUEST: &str = "unreadable question";
 
-/// Why an instance did not take a heartbeat.
+/// Why an instance did not accept a heartbeat.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum HeartbeatError {
     /// There was no answer in time.
     #[error("no answer")]
     Unreachable,
-    /// It answered that it can't follow policies, or something that is no answer to a heartbeat.
+    /// It answered that it can't follow policies, or its answer is not a heartbeat response.
     #[error("{reason}")]
     Rejected { reason: String },
 }
 
-/// What became of a heartbeat.
+/// The result of a heartbeat to an instance.
 pub(crate) struct HeartbeatResult {
     instance: String,
     result: Result<InstanceStatus, HeartbeatError>,
@@ -45,7 +45,7 @@
 }
 
 impl PolicyAgent {
-    /// Sends the heartbeats that are due, each from a task of its own.
+    /// Sends the heartbeats that are due, each from a separate task.
     pub(super) fn send_heartbeats(&mut self, now: f64, instances: &BTreeMap<String, PathBuf>) {
         while let Some((instance, mut heartbeat)) = self.lease_manager.poll_heartbeat(now) {
             heartbeat.quota_grants = self.quota.allocator.take_grants(now, &instance);
@@ -84,8 +84,8 @@
         }
     }
 
-    /// Takes an instance's counters, for the watch after a change. Counters that went back are
-    /// another process's.
+    /// Records an instance's counters, which are observed after a change. Counters that decrease
+    /// belong to another process.
     pub fn record_service_counts(&mut self, instance: &str, invocations: u64, succeeded: u64) {
         let counts = ServiceCounts {
             invocations,
--- a/crates/merlinshelf-agent/src/policy/leadership.rs
+++ b/crates/merlinshelf-agent/src/policy/leadership.rs
@@ -1,4 +1,4 @@
-//! What this agent does as the leader: it grants leases to hosts and drives changes of the policy.
+//! This agent's work as the leader: it grants leases to hosts and drives changes of the policy.
 
 use log::info;
 use merlinshelf_policy::rollout_leader::{Action, ServiceWatch};
@@ -14,8 +14,8 @@
 }
 
 impl PolicyAgent {
-    /// Follows the leadership, requests this host's lease, and carries out what the leader's state
-    /// machine asks for; whether anything was done.
+    /// Follows changes of leadership, requests this host's lease, and carries out the actions of
+    /// the leader's state machine; returns whether anything was done.
     pub(super) fn advance_leases(&mut self, now: f64) -> bool {
         self.follow_leadership(now);
         let has_requested = self.request_lease(now);
@@ -50,7 +50,7 @@
             window_seconds: self.config.watch_ms as f64 / 1e3,
             tolerated_loss: self.config.worse,
         };
-        // Members that the file does not name count, too: a replaced host may still hold a lease.
+        // Includes members that the file does not name: a replaced host may still hold a lease.
         let members = self.node.membership().members.into_values();
         let hosts = members
             .map(|member| member.name)
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Requests this host's lease where that is due; the leader may be this agent.
+    /// Requests this host's lease if that is due; the leader may be this agent.
     fn request_lease(&mut self, now: f64) -> bool {
         let Some(mut request) = self.lease_manager.poll_lease_request(now) else {
             return false;
@@ -78,7 +78,7 @@
         true
     }
 
-    /// A host's request; ignored where this agent does not lead.
+    /// Handles a host's lease request, which is ignored unless this agent leads.
     pub(super) fn handle_lease_request(&mut self, now: f64, mut request: HostLeaseRequest) {
         if let Some(leadership) = &mut self.leadership {
             self.quota.defer_request(&mut request);
--- a/crates/merlinshelf-agent/src/policy/mod.rs
+++ b/crates/merlinshelf-agent/src/policy/mod.rs
@@ -1,9 +1,9 @@
-//! This agent's part in the installation's policy: it hosts the state machines of
-//! `merlinshelf-policy` and `merlinshelf-quota`, carries out what they ask for, and forwards what
-//! operators request to the leader.
+//! Policies on this agent: it hosts the state machines of `merlinshelf-policy` and
+//! `merlinshelf-quota`, carries out their actions, and forwards operators' requests to the leader.
 //!
-//! `leadership` is driven while this agent leads, `heartbeats` reach the instances, `quota` shares
-//! the fleet's budgets out, `operator_requests` and `pending_requests` serve the control socket.
+//! `leadership` is driven while this agent leads, `heartbeats` sends heartbeats to the instances,
+//! `quota` distributes the fleet's budgets, `operator_requests` and `pending_requests` serve the
+//! control socket.
 
 mod heartbeats;
 mod leadership;
@@ -30,18 +30,18 @@
 use crate::consensus_node::{ConsensusNode, NodeOutput};
 use crate::peer_transport::{PeerMessage, PeerTransport, ReceivedMessage};
 
-/// Time between two lease requests while a dependency is unhealthy, in seconds: its recovery is
-/// found sooner.
+/// Time between two lease requests while a dependency is unhealthy, in seconds. It is short so that
+/// a recovery is detected sooner.
 const UNHEALTHY_REQUEST_INTERVAL_SECONDS: f64 = 0.1;
 /// Time between two reports of this host's status to the other agents, in seconds.
 const STATUS_INTERVAL_SECONDS: f64 = 1.0;
-/// Most rounds of the state machines for one event. Each may cause another one, until nothing
-/// changes any more.
+/// Maximum number of rounds of the state machines for one event. Each round may cause another one,
+/// until nothing changes.
 const MAX_ROUNDS: usize = 64;
-/// The clock's rate, for tests of clocks that drift.
+/// Environment variable that sets the clock's rate, for tests of clock drift.
 const CLOCK_RATE_VARIABLE: &str = "MERLINSHELF_CLOCK_RATE";
 
-/// What happens outside of the state machines.
+/// Events from outside of the state machines.
 pub(crate) enum PolicyEvent {
     MessageReceived(ReceivedMessage),
     HeartbeatAnswered(HeartbeatResult),
@@ -50,7 +50,7 @@
 
 /// The status of another agent's host.
 pub(crate) struct PeerStatus {
-    /// Seconds of the policy's clock.
+    /// Time of receipt, in seconds of the policy's clock.
     received_at: f64,
     status: Value,
 }
@@ -62,15 +62,15 @@
     pub status: &'a Value,
 }
 
-/// This agent's part in the policy. Times are seconds of the agent's monotonic clock.
+/// The policy state of this agent. Times are seconds of the agent's monotonic clock.
 pub(crate) struct PolicyAgent {
     config: ConsensusConfig,
-    /// What this agent's file says of the parameters that are agreed once.
+    /// The parameters that are agreed once at the bootstrap, as set in this agent's file.
     bootstrap: Bootstrap,
     node: ConsensusNode,
     transport: PeerTransport,
     lease_manager: HostLeaseManager,
-    /// Exists while this agent leads.
+    /// Present while this agent leads.
     leadership: Option<Leadership>,
     quota: HostQuota,
     unhealthy_request_at: f64,
@@ -81,7 +81,7 @@
     ticked_at: f64,
     clock_rate: f64,
     service_counts: BTreeMap<String, ServiceCounts>,
-    /// The agreed parameters that the file's difference from was logged.
+    /// The agreed parameters for which a difference from the file was last logged.
     logged_difference: Option<Bootstrap>,
     heartbeat_sender: UnboundedSender<HeartbeatResult>,
     heartbeat_results: UnboundedReceiver<HeartbeatResult>,
@@ -156,7 +156,7 @@
         }
     }
 
-    /// Takes an event; [`PolicyAgent::advance`] acts on it.
+    /// Handles an event; [`PolicyAgent::advance`] then does the resulting work.
     pub fn handle_event(&mut self, agent_now: f64, event: PolicyEvent) {
         let now = agent_now * self.clock_rate;
         match event {
@@ -186,7 +186,7 @@
                     };
                     self.peer_statuses.insert(from, status);
                 }
-                // It is for reports only; the next one comes within a second.
+                // The status is used in reports only, and the next one arrives within a second.
                 Err(error) => {
                     warn!(error:% = error, agent = from.as_str(); "status of {from} not decoded: {error}");
                 }
@@ -194,8 +194,8 @@
         }
     }
 
-    /// Everything that is due. `instances` are those with a process, by their control sockets;
-    /// `host_status` lists all.
+    /// Does all work that is due. `instances` maps the instances that have a process to their
+    /// control sockets; `host_status` lists all instances.
     pub fn advance(
         &mut self,
         agent_now: f64,
@@ -211,7 +211,7 @@
         }
         self.lease_manager.set_instances(now, instances.keys());
         self.update_budgets(now);
-        self.hurry_recovery(now);
+        self.expedite_recovery(now);
         for _ in 0..MAX_ROUNDS {
             let is_busy = self.advance_leases(now);
             let outputs = self.node.take_outputs();
@@ -227,7 +227,7 @@
         self.advance_pending_removals(now);
     }
 
-    /// Ticks follow the agent's clock; what is counted in leases follows the policy's.
+    /// Ticks follow the agent's clock; lease times follow the policy's clock.
     fn tick(&mut self, agent_now: f64, now: f64) {
         let interval_seconds = merlinshelf_consensus::TICK_MS as f64 / 1e3;
         if agent_now < self.ticked_at + interval_seconds {
@@ -252,7 +252,7 @@
         }
     }
 
-    fn hurry_recovery(&mut self, now: f64) {
+    fn expedite_recovery(&mut self, now: f64) {
         let is_due = now >= self.unhealthy_request_at + UNHEALTHY_REQUEST_INTERVAL_SECONDS;
         if is_due && self.quota.allocator.has_unhealthy_dependency(now) {
             self.unhealthy_request_at = now;
@@ -261,7 +261,7 @@
         }
     }
 
-    /// Sends a message to the leader, where one is known; the leader may be this agent.
+    /// Sends a message to the leader, if one is known; the leader may be this agent.
     fn send_to_leader(&mut self, now: f64, message: PeerMessage) {
         let Some(leader) = self.node.leader().map(str::to_owned) else {
             return;
@@ -276,21 +276,21 @@
         }
     }
 
-    /// Operators may only propose changes: the other entries are the leader's own.
+    /// Proposes a change for an operator. Other entries may only come from the leader itself.
     fn propose_for_operator(&mut self, now: f64, entry: &Entry) {
         if matches!(entry, Entry::Propose { .. }) {
             self.node.propose(now, entry);
         }
     }
 
-    /// A slot is removed only where this agent's own file no longer names the agent.
+    /// Removes an agent's slot, but only if this agent's file no longer names that agent.
     fn remove_member_as_leader(&mut self, now: f64, name: &str) {
         if self.node.leading_term().is_some() && !self.config.agents.contains_key(name) {
             self.node.remove_member(now, name);
         }
     }
 
-    /// The leader's answer: a lease on the current policy, and quota.
+    /// Handles the leader's response: a lease on the current policy, and quota.
     fn handle_lease_response(&mut self, now: f64, response: &HostLeaseResponse) {
         self.lease_manager.handle_lease_response(now, response);
         if let Some(grants) = &response.quota_grants
@@ -331,7 +331,7 @@
         self.check_agreed_parameters();
     }
 
-    /// Logs once where this agent's file differs from what the installation agreed on.
+    /// Logs once if this agent's file differs from the parameters that the installation agreed on.
     fn check_agreed_parameters(&mut self) {
         let agreed = self.node.state().bootstrap.clone();
         let Some(agreed) = agreed.filter(|agreed| *agreed != self.bootstrap) else {
@@ -412,14 +412,14 @@
     }
 }
 
-/// A place where tests crash an agent, by what it is about to do and for which policy version.
+/// A failure point at which tests crash an agent, named by its next action and policy version.
 fn reach_failure_point(name: &str, version: u64) {
     if cfg!(debug_assertions) {
         fault::injection_point_in_any_process(&format!("agent.{name}.{version}"));
     }
 }
 
-/// Who rejected a change and why; empty where nobody did.
+/// The rejections of a change, each with its origin and reason; empty if there are none.
 fn rejection_reasons(outcome: &ChangeOutcome) -> String {
     match outcome {
         ChangeOutcome::Committed => String::new(),
--- a/crates/merlinshelf-agent/src/policy/operator_requests.rs
+++ b/crates/merlinshelf-agent/src/policy/operator_requests.rs
@@ -12,7 +12,7 @@
 use crate::reply::ReplySender;
 use merlinshelf_quota::budget::ReserveError;
 
-/// Longest id of a change.
+/// Maximum length of the id of a change.
 const MAX_CHANGE_ID_BYTES: usize = 64;
 
 /// Why a change is not proposed.
@@ -85,7 +85,7 @@
         }));
     }
 
-    /// The policy before the current one, as a document of its own.
+    /// The previous policy as a new document.
     fn previous_policy(&self) -> Result<Policy, ProposalError> {
         match &self.node.state().previous {
             None => Err(ProposalError::NothingToUndo),
@@ -129,7 +129,7 @@
             change_id: change_id.to_owned(),
             policy: Box::new(policy),
             proposed_by: proposed_by.to_owned(),
-            // Set whenever it is sent to the leader.
+            // Set each time the change is sent to the leader.
             proposed_at: 0.0,
         };
         let change = PendingChange::new(now, change_id, Some(entry), wait_for(body), reply);
@@ -163,7 +163,7 @@
         let change_id = body["id"].as_str().unwrap_or("");
         let is_known = self.node.state().knows_change(change_id);
         let wait_for = wait_for(body);
-        // Without a leader this agent's state may be behind.
+        // Without a leader this agent's state may be outdated.
         if !is_known && self.node.leader().is_some() && wait_for == WaitFor::Proposal {
             let text = format!("no change with id {change_id} is known");
             return reply.send(
--- a/crates/merlinshelf-agent/src/policy/pending_requests.rs
+++ b/crates/merlinshelf-agent/src/policy/pending_requests.rs
@@ -1,5 +1,5 @@
 //! Changes and removals that an operator's tool waits for. Messages to the leader may be lost, and
-//! leaders change: each request is sent again until the replicated state shows its effect.
+//! the leader may change, so each request is resent until the replicated state shows its effect.
 
 use merlinshelf_policy::Entry;
 use merlinshelf_policy::replicated_state::{ChangeOutcome, CompletedChange};
@@ -10,12 +10,12 @@
 use crate::peer_transport::PeerMessage;
 use crate::reply::ReplySender;
 
-/// Time before a request without an effect is sent again, in seconds.
+/// Time after which a request without an effect is resent, in seconds.
 const RETRY_INTERVAL_SECONDS: f64 = 0.3;
-/// Time beyond a lease after which a tool is answered that the outcome is not known, in seconds.
+/// Time beyond a lease after which a tool is told that the outcome is unknown, in seconds.
 const REPLY_TIMEOUT_SECONDS: f64 = 4.0;
 
-/// How long a tool waits.
+/// The stage of a change that a tool waits for.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum WaitFor {
     /// Until the change is in the log.
@@ -27,7 +27,7 @@
 /// A change that a tool waits for.
 pub(super) struct PendingChange {
     change_id: String,
-    /// What to propose; none where the tool asks for the outcome only.
+    /// The entry to propose; `None` if the tool only requests the outcome.
     entry: Option<Entry>,
     reply: ReplySender,
     wait_for: WaitFor,
@@ -36,7 +36,7 @@
 }
 
 impl PendingChange {
-    /// A change that is sent to the leader at once.
+    /// Creates a pending change, which is due to be sent to the leader immediately.
     pub fn new(
         now: f64,
         change_id: &str,
@@ -64,7 +64,7 @@
 }
 
 impl PendingRemoval {
-    /// A removal that is sent to the leader at once.
+    /// Creates a pending removal, which is due to be sent to the leader immediately.
     pub fn new(now: f64, name: String, reply: ReplySender) -> PendingRemoval {
         PendingRemoval {
             name,
@@ -76,7 +76,7 @@
 }
 
 impl PolicyAgent {
-    /// Sends removals to the leader, and answers those that are settled or took too long.
+    /// Sends removals to the leader, and replies to those that are completed or timed out.
     pub(super) fn advance_pending_removals(&mut self, now: f64) {
         for mut removal in std::mem::take(&mut self.pending_removals) {
             let name = &removal.name;
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Sends changes to the leader, and answers those that are settled or took too long.
+    /// Sends changes to the leader, and replies to those that are completed or timed out.
     pub(super) fn advance_pending_changes(&mut self, now: f64, unix_seconds: f64) {
         for mut change in std::mem::take(&mut self.pending_changes) {
             if let Some((message, body)) = self.change_reply(now, &change) {
@@ -115,7 +115,7 @@
         }
     }
 
-    /// The reply to a pending change, where there is one by now.
+    /// The reply to a pending change, if its outcome is known or it has timed out.
     fn change_reply(&self, now: f64, pending: &PendingChange) -> Option<(ControlMessage, Value)> {
         let state = self.node.state();
         if let Some(completed) = state.outcome(&pending.change_id) {
@@ -156,7 +156,7 @@
         json!({ "text": text, "id": change_id, "state": "unknown" })
     }
 
-    /// The change's id makes proposing it again idempotent.
+    /// Proposes a change again if that is due; the change's id makes this idempotent.
     fn retry_proposal(&mut self, now: f64, unix_seconds: f64, pending: &mut PendingChange) {
         let is_due = now >= pending.sent_at + RETRY_INTERVAL_SECONDS;
         if !is_due || self.node.state().knows_change(&pending.change_id) {
--- a/crates/merlinshelf-agent/src/policy/quota.rs
+++ b/crates/merlinshelf-agent/src/policy/quota.rs
@@ -1,5 +1,6 @@
-//! The fleet's budgets on this host: requests of its instances go up with the host's lease request,
-//! the leader's grants come down with the lease, and from there with the heartbeats.
+//! The fleet's budgets on this host. The host's lease request carries the quota requests of its
+//! instances to the leader; the lease carries the leader's grants to the host, and heartbeats carry
+//! them to the instances.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -13,10 +14,10 @@
 
 use super::PolicyAgent;
 
-/// Most requests of one host whose leases are not granted yet.
+/// Maximum number of quota requests of one host whose leases are not granted yet.
 const MAX_DEFERRED_REQUESTS: usize = 16;
 
-/// A request that waits for the lease it came with.
+/// A quota request that waits until its lease request is granted.
 struct DeferredRequest {
     request_id: u64,
     quota: QuotaRequestBatch,
@@ -28,11 +29,11 @@
     term: u64,
 }
 
-/// Budgets as seen from this host.
+/// The budgets' state on this host.
 pub(super) struct HostQuota {
     lease: LeaseTerms,
     pub allocator: HostAllocator,
-    /// Exists while this agent leads.
+    /// Present while this agent leads.
     leader: Option<LeaderQuota>,
     /// By host.
     deferred_requests: BTreeMap<String, VecDeque<DeferredRequest>>,
@@ -40,7 +41,7 @@
 }
 
 impl HostQuota {
-    /// Without budgets until the first [`PolicyAgent::update_budgets`].
+    /// Has no budgets until the first [`PolicyAgent::update_budgets`].
     pub fn new(config: &ConsensusConfig, incarnation: u64) -> HostQuota {
         let lease = LeaseTerms {
             lease_seconds: config.lease_ms as f64 / 1e3,
@@ -55,7 +56,7 @@
         }
     }
 
-    /// This agent leads in this term, or no longer.
+    /// Handles a change of leadership: `term` is the term in which this agent leads, if it does.
     pub fn leadership_changed(&mut self, term: Option<u64>) {
         self.deferred_requests.clear();
         self.leader = term.map(|term| LeaderQuota {
@@ -64,12 +65,12 @@
         });
     }
 
-    /// This host's request; none without budgets.
+    /// This host's quota request; `None` without budgets.
     pub fn request(&mut self, now: f64) -> Option<QuotaRequestBatch> {
         (!self.budgets.is_empty()).then(|| self.allocator.request(now))
     }
 
-    /// Takes the quota request out of a lease request until the lease is granted: only then it is
+    /// Moves the quota request out of a lease request until the lease is granted: only then is it
     /// certain that this agent leads, and that no other leader grants the same quota.
     pub fn defer_request(&mut self, request: &mut HostLeaseRequest) {
         let Some(quota) = request.quota_requests.take() else {
@@ -88,7 +89,7 @@
         }
     }
 
-    /// Grants what came with the lease request that is granted now.
+    /// Grants the quota request that arrived with the lease request that is being granted.
     pub fn grant_deferred_request(
         &mut self,
         now: f64,
@@ -105,7 +106,7 @@
         Some(leader.allocator.handle_request(now, host, &request.quota))
     }
 
-    /// What is shared out among all hosts, where this agent leads.
+    /// Reports the quota of all hosts, if this agent leads.
     pub fn fleet_report(&self, now: f64) -> Option<Value> {
         let LeaderQuota { allocator, term } = self.leader.as_ref()?;
         let budgets: Vec<Value> = allocator
@@ -128,7 +129,7 @@
         Some(json!({ "term": term, "budgets": budgets }))
     }
 
-    /// What is granted to this host, and from it to its instances.
+    /// Reports the quota granted to this host, and by it to its instances.
     fn host_report(&self, now: f64) -> Vec<Value> {
         let mut report = Vec::new();
         for (dependency, kinds) in &self.budgets {
@@ -149,7 +150,7 @@
 }
 
 impl PolicyAgent {
-    /// How many hosts have a reserve: all members, and all in the file.
+    /// The number of hosts with a reserve: all members, and all agents in the file.
     fn host_count(&self) -> u32 {
         let members = self.node.membership().members.into_values();
         let hosts: BTreeSet<String> = members
@@ -159,7 +160,7 @@
         hosts.len() as u32
     }
 
-    /// Takes the budgets of the current policy.
+    /// Updates the budgets to those of the current policy.
     pub(super) fn update_budgets(&mut self, now: f64) {
         let state = self.node.state();
         let budgets = if state.current_version > 0 {
@@ -182,13 +183,13 @@
         }
     }
 
-    /// Checks that budgets cover what each host has in reserve.
+    /// Checks that the budgets cover the reserves of all hosts.
     pub(super) fn validate_budgets(&self, budgets: &Budgets) -> Result<(), ReserveError> {
         let reserve = &self.config.base.budgets;
         budget::validate_against_reserve(budgets, reserve, Some(self.host_count()))
     }
 
-    /// All budgets for operators: from this agent where it leads, else from the leader's last
+    /// Reports all budgets to operators: from this agent if it leads, else from the leader's last
     /// status.
     pub(super) fn budgets_report(&self, now: f64) -> Value {
         let leader = self.node.leader();
