--- a/crates/merlinshelf-agent/tests/golden/follower.rs
+++ b/crates/merlinshelf-agent/tests/golden/follower.rs
@@ -1,4 +1,4 @@
-//! A real agent that follows a leader: what it sends to the leader and to its instance, and what it
+//! A real agent that follows a leader: its messages to the leader and to its instance, and its
 //! replies to operators.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn agent_that_follows_another_one() {
+fn follower_output_matches_golden_files() {
     let mut follower = Follower::start();
     follower.check_lease_request();
     follower.check_heartbeat();
@@ -60,8 +60,8 @@
         }
     }
 
-    /// It joins, is sent the state in a snapshot, and requests a lease, with its instance's answer
-    /// to the policy that is prepared.
+    /// The agent joins, receives the state in a snapshot, and requests a lease. The request carries
+    /// its instance's answer to the policy that is being prepared.
     fn check_lease_request(&mut self) {
         let prepared = PrepareResult {
             version: 8,
@@ -83,7 +83,7 @@
             (request.host.as_str(), request.service_counts),
             ("c", (0, 0).into())
         );
-        // The fence is at 6 as soon as no lease of an earlier agent can be valid any more.
+        // The fence is at 6 once no lease of an earlier agent can be valid.
         assert!(
             [0, 6].contains(&request.fenced_version),
             "{}",
@@ -95,7 +95,7 @@
         check_quota_request(&quota);
     }
 
-    /// It is granted a lease and quota, and passes both on to its instance.
+    /// The agent is granted a lease and quota, and forwards both to its instance.
     fn check_heartbeat(&mut self) {
         let instance = &self.instance;
         let heartbeat = self
@@ -126,7 +126,7 @@
         check_quota_grants(&heartbeat.quota_grants.expect("quota"));
     }
 
-    /// What its operators are shown, once all that was sent to it shows there.
+    /// The replies to operators, once they show everything that was sent to the agent.
     fn check_replies(&mut self) {
         let Follower {
             folder,
@@ -162,7 +162,7 @@
         );
     }
 
-    /// The files that it has written for the instance that it started.
+    /// The files that the agent has written for the instance that it started.
     fn check_instance_files(&self) {
         let read = |name: &str| -> Value {
             let path = self.folder.path("run/web.2").join(name);
@@ -178,7 +178,7 @@
         golden::check_json("instance_config.json", &json!(BTreeMap::from(own)));
     }
 
-    /// What its operators request goes to the leader.
+    /// The agent forwards its operators' requests to the leader.
     fn check_requests_to_the_leader(&mut self) {
         let new_policy = policy("a proposed policy", 400);
         let _proposing = self.agent.begin_request(&json!({
@@ -219,7 +219,7 @@
         assert_eq!(removal.as_deref(), Some("b"));
     }
 
-    /// One more agent joins: the agent replaces its log by a snapshot with the state.
+    /// After another agent joins, the agent replaces its log with a snapshot of the state.
     fn check_snapshot(&mut self) {
         let hello = Message::Hello {
             boot_id: 0xD0D0,
@@ -243,7 +243,7 @@
     }
 }
 
-/// An instance that an earlier agent has left, and that serves.
+/// A running instance that an earlier agent started.
 fn start_instance(folder: &Folder) -> FakeInstance {
     let status = json!({
         "state": "serving", "healthy": true, "in_hand": 51, "run_ms": 52.5, "memory_kb": 53, "predecessor": null,
@@ -254,7 +254,7 @@
     FakeInstance::start(&control, &own_address(6565), status, response)
 }
 
-/// The store of that agent: one instance serves, one is down, and one was never started.
+/// Writes the store of that agent: one instance serves, one is down, and one was never started.
 fn write_store(folder: &Folder, instance: &FakeInstance) {
     let serving = InstanceRecord {
         identity: Some(instance.identity()),
@@ -274,8 +274,8 @@
     folder.write(STORE_FILE, &encode_store(&record));
 }
 
-/// The leader `a` and one more, which the file of the agent under test does not name: a majority,
-/// so that the leader stays the leader however slow the agent under test is.
+/// Starts the leader `a` and another agent, which the file of the agent under test does not name.
+/// The two are a majority, so that `a` keeps leading even if the agent under test is slow.
 fn start_peers(leader_address: &str, agent_address: &str) -> Peers {
     let state = encode_state(&replicated_state(Stage::Preparing));
     let mut peers = Peers::new("c", agent_address, Duration::from_millis(50), state);
@@ -311,14 +311,14 @@
     assert!(kinds.eq(&CallKind::ALL));
 }
 
-/// The last heartbeat that the instance received; its body must hold what the type encodes to and
-/// nothing else.
+/// The last heartbeat that the instance received; its body must be exactly the encoding of the
+/// decoded value.
 fn last_heartbeat(instance: &FakeInstance) -> Option<Heartbeat> {
     let body = instance.last_heartbeat()?;
     let heartbeat: Heartbeat = serde_json::from_slice(&body).expect("a heartbeat");
     let decoded: Value = serde_json::from_slice(&body).expect("JSON");
     let encoded = serde_json::to_value(&heartbeat).expect("a heartbeat can be encoded");
-    // Read as JSON and as a number, a time may differ in its last digit.
+    // A time may differ in its last digit between its JSON text and the parsed number.
     let without_times = |value| with_placeholders(value, &["for_s"]);
     assert_eq!(without_times(&decoded), without_times(&encoded));
     Some(heartbeat)
@@ -356,7 +356,7 @@
     })
 }
 
-/// What a replica starts with.
+/// The state from which a replica starts.
 struct RestoredReplica {
     members: Vec<String>,
     state: Vec<u8>,
--- a/crates/merlinshelf-agent/tests/golden/forms.rs
+++ b/crates/merlinshelf-agent/tests/golden/forms.rs
@@ -1,4 +1,5 @@
-//! Forms that need no running agent: the replicated log, messages between agents, heartbeats.
+//! Formats that can be tested without a running agent: the replicated log, messages between agents,
+//! heartbeats.
 
 use merlinshelf_consensus::{Message, SlotIncarnation};
 use merlinshelf_policy::replicated_state::Stage;
@@ -135,7 +136,7 @@
         }),
         quota_grants: Some(quota_grant()),
     };
-    // As the agent and its instances encode and decode them.
+    // The agent and its instances use the same encoding.
     let encoded = serde_json::to_value(&heartbeat).expect("a heartbeat can be encoded");
     let file = golden::check_json("heartbeat.json", &encoded);
     let decoded: Heartbeat =
--- a/crates/merlinshelf-agent/tests/golden/installation.rs
+++ b/crates/merlinshelf-agent/tests/golden/installation.rs
@@ -1,4 +1,4 @@
-//! An installation of a real agent and others that the tests play.
+//! An installation of a real agent and other agents that the tests simulate.
 
 use std::collections::BTreeMap;
 use std::os::unix::fs::PermissionsExt;
@@ -13,7 +13,8 @@
 use crate::support::peers::{PeerMessage, Peers};
 use crate::support::samples::{LEASE_MS, host_status_of_a};
 
-/// A fleet's file of agent `name`. The group `web` has three instances whose program ends at once.
+/// The fleet file of agent `name`. The group `web` has three instances whose program exits
+/// immediately.
 pub fn spec(folder: &Folder, name: &str, agents: &[(&str, String)]) -> Value {
     folder.write(
         "web.json",
@@ -44,7 +45,7 @@
     })
 }
 
-/// Keys in replies whose numbers differ from run to run.
+/// Keys in replies whose numbers differ between runs.
 pub const RUN_DEPENDENT_KEYS: [&str; 6] = [
     "since_s",
     "age_s",
@@ -54,8 +55,8 @@
     "spent_s",
 ];
 
-/// What was received from the agent under test since the last call. As the leader, `a` answers
-/// requests for leases and sends the status of its host.
+/// Returns the messages received from the agent under test since the last call. As the leader, `a`
+/// responds to lease requests and sends the status of its host.
 pub fn serve_as_leader(peers: &mut Peers) -> Vec<PeerMessage> {
     let received = std::mem::take(&mut peers.received);
     for message in &received {
@@ -67,7 +68,7 @@
     received
 }
 
-/// The leader's answer to a request: a lease on policy 7, and quota where that was requested.
+/// The leader's response to a request: a lease on policy 7, and quota if it was requested.
 fn lease_response(request: &HostLeaseRequest) -> HostLeaseResponse {
     let grant = |request: &QuotaRequest| QuotaGrant {
         incarnation: request.incarnation,
--- a/crates/merlinshelf-agent/tests/golden/leader.rs
+++ b/crates/merlinshelf-agent/tests/golden/leader.rs
@@ -1,5 +1,5 @@
-//! A real agent that leads others: what it grants, what it puts into the log, and how it removes a
-//! member.
+//! A real agent that leads others: the leases and quota that it grants, the entries that it appends
+//! to the log, and its removal of a member.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 
 use crate::forms::{decode_entry, encode_entry};
 use crate::installation::spec;
-use crate::support::Pace;
+use crate::support::ResendTimer;
 use crate::support::agent::{Agent, Folder, own_address};
 use crate::support::golden;
 use crate::support::peers::{PeerMessage, Peers};
@@ -18,15 +18,15 @@
 /// The agent `a` and the other agents.
 struct Leader {
     folder: Folder,
-    /// The fleet's file.
+    /// Content of the fleet file.
     spec: Value,
     peers: Peers,
     agent: Agent,
-    pace: Pace,
+    resend_timer: ResendTimer,
 }
 
 #[test]
-fn agent_that_leads_others() {
+fn leader_output_matches_golden_files() {
     let mut leader = Leader::start();
     leader.check_lease_response();
     leader.check_consensus_messages();
@@ -44,8 +44,8 @@
             ("c", own_address(7713)),
         ];
         let names = ["a", "b", "c"];
-        // Far slower than the agent under test, so that it is always the first one to stand for
-        // election.
+        // Their ticks are far longer than those of the agent under test, so that it is always the
+        // first candidate.
         let mut peers = Peers::new("a", &addresses[0].1, Duration::from_millis(200), Vec::new());
         for (name, address) in &addresses[1..] {
             peers.start(name, &names, Vec::new());
@@ -62,16 +62,16 @@
             spec,
             peers,
             agent,
-            pace: Pace::new(),
+            resend_timer: ResendTimer::new(),
         }
     }
 
-    /// It bootstraps the installation, and grants a lease and quota to whoever requests them.
+    /// The agent bootstraps the installation, and grants a lease and quota on request.
     fn check_lease_response(&mut self) {
         let request = PeerMessage::Ask(lease_request());
-        let pace = &mut self.pace;
+        let resend_timer = &mut self.resend_timer;
         let response = self.peers.run_until("a lease", |peers| {
-            if pace.is_due() {
+            if resend_timer.is_due() {
                 peers.send("b", &request);
             }
             let received = std::mem::take(&mut peers.received);
@@ -96,19 +96,19 @@
         assert!(kinds.iter().eq(&["hello", "raft", "welcome"]), "{kinds:?}");
     }
 
-    /// A proposal comes into the log, and is committed.
+    /// A proposal is appended to the log and committed.
     fn check_entries(&mut self) {
-        let pace = &mut self.pace;
+        let resend_timer = &mut self.resend_timer;
         self.peers.run_until("a change that holds", |peers| {
             let entries = applied_entries(peers);
-            if pace.is_due() && !entries.contains(&proposal()) {
+            if resend_timer.is_due() && !entries.contains(&proposal()) {
                 peers.send("b", &PeerMessage::Propose(proposal()));
             }
             entries
                 .contains(&Entry::Activate { version: 1 })
                 .then_some(())
         });
-        // A message that is sent again may come into the log again, where it has no effect.
+        // A resent message may be appended to the log again, where it has no effect.
         let mut entries: Vec<Entry> = Vec::new();
         for entry in applied_entries(&self.peers) {
             if !entries.contains(&entry) {
@@ -144,15 +144,15 @@
         golden::check_json("leader_replies.json", &replies);
     }
 
-    /// After a start without c in its file it removes c from the membership, where another agent
-    /// requests that.
+    /// After a restart without `c` in its file, the agent removes `c` from the membership when
+    /// another agent requests it.
     fn check_removal(self) {
         let Leader {
             folder,
             mut spec,
             mut peers,
             agent,
-            mut pace,
+            mut resend_timer,
         } = self;
         drop(agent);
         peers.stop("c");
@@ -162,7 +162,7 @@
             .remove("c");
         let _agent = Agent::start(&folder, &spec);
         peers.run_until("c is no member", |peers| {
-            if pace.is_due() {
+            if resend_timer.is_due() {
                 peers.send("b", &PeerMessage::Remove("c".into()));
             }
             (peers.membership("b").slot_of("c").is_none()).then_some(())
@@ -190,7 +190,7 @@
     );
 }
 
-/// The entries that `b` has applied; the agent must have encoded them as the type does.
+/// The entries that `b` has applied; the agent's encoding must be the same as that of the type.
 fn applied_entries(peers: &Peers) -> Vec<Entry> {
     let entries = peers.applied.get("b").into_iter().flatten();
     entries
--- a/crates/merlinshelf-agent/tests/golden/store.rs
+++ b/crates/merlinshelf-agent/tests/golden/store.rs
@@ -1,4 +1,4 @@
-//! The agent's store.
+//! The golden file of the agent's store.
 
 use merlinshelf_fleet::Record;
 use merlinshelf_gossip::store_format::{decode_frame, encode_frame};
@@ -38,7 +38,7 @@
     let record = store_record();
     folder.write(STORE_FILE, &encode_store(&record));
     let agent = Agent::start(&folder, &json!({ "folder": "run", "groups": {} }));
-    // The process in the record has exited; all else is as it was.
+    // The process in the record has exited; everything else is unchanged.
     let mut expected = record;
     expected
         .instances
--- a/crates/merlinshelf-agent/tests/golden/support/agent.rs
+++ b/crates/merlinshelf-agent/tests/golden/support/agent.rs
@@ -1,5 +1,4 @@
-//! A real agent in a process of its own, over a folder of its own, and an instance that it finds
-//! there.
+//! A real agent in a separate process with its own folder, and an instance that it finds there.
 
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
@@ -17,11 +16,11 @@
 
 use super::wait_for;
 
-/// The variable that names the fleet's file to the process that is to be the agent.
+/// Environment variable with the path of the fleet file, read by the agent's process.
 pub const FLEET_FILE: &str = "MERLINSHELF_GOLDEN_FLEET_FILE";
-const ANSWER_WITHIN: Duration = Duration::from_secs(20);
+const REPLY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A host on the loopback interface that no other test has, also of another process.
+/// A loopback address that no other test uses, not even in another process.
 pub fn own_host() -> String {
     let [.., high, low] = std::process::id().to_be_bytes();
     format!("127.{}.{low}.251", 1 + high % 250)
@@ -31,7 +30,7 @@
     format!("{}:{port}", own_host())
 }
 
-/// A folder that is gone with this.
+/// A folder that is removed on drop.
 pub struct Folder(PathBuf);
 
 impl Folder {
@@ -53,7 +52,7 @@
         std::fs::write(path, bytes).expect("a file can be written");
     }
 
-    /// JSON with a placeholder for the folder in all its texts.
+    /// Replaces the folder's path in all strings of a JSON value with a placeholder.
     pub fn replace_in(&self, value: &Value) -> Value {
         let text = value
             .to_string()
@@ -72,7 +71,7 @@
     }
 }
 
-/// A process that ends with this.
+/// A process that is killed on drop.
 struct Process(Child);
 
 impl Drop for Process {
@@ -89,7 +88,7 @@
 }
 
 impl Agent {
-    /// Starts one on a fleet's file in the folder, whose own folder is `run`.
+    /// Starts an agent with a fleet file in the folder; the agent's own folder is `run`.
     pub fn start(folder: &Folder, spec: &Value) -> Agent {
         folder.write("fleet.json5", spec.to_string().as_bytes());
         let log = std::fs::OpenOptions::new()
@@ -119,19 +118,19 @@
         }
     }
 
-    /// Sends a request as operators' tools do; waits for no reply.
+    /// Sends a request as operators' tools do, without waiting for a reply.
     pub fn begin_request(&self, body: &Value) -> BlockingControlClient {
         let client = BlockingControlClient::request(
             &self.socket,
             ControlRequest::Fleet,
             body,
-            ANSWER_WITHIN,
+            REPLY_TIMEOUT,
         );
         client.expect("the agent accepts the request")
     }
 
-    /// The replies to a request, each with its kind and its body. The reasons of rejections are for
-    /// people: a placeholder stands for the text.
+    /// The replies to a request, each with its kind and its body. The text of a rejection is not
+    /// part of the interface, so a placeholder replaces it.
     pub fn request(&self, body: &Value) -> Vec<Value> {
         let mut client = self.begin_request(body);
         let mut replies = Vec::new();
@@ -148,7 +147,7 @@
     }
 }
 
-/// A process of this number by its start, as the kernel counts it.
+/// Start time of the process with this PID, in clock ticks since boot.
 fn start_ticks(pid: u32) -> u64 {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).expect("the process is there");
     let (_, fields) = stat.rsplit_once(") ").expect("its name in brackets");
@@ -159,18 +158,18 @@
         .expect("its start")
 }
 
-/// An instance that an earlier agent left: a process, and whoever answers on its control socket and
-/// lets its clients in.
+/// An instance that an earlier agent started: a process, a server on its control socket, and a
+/// listener for its clients.
 pub struct FakeInstance {
     process: Process,
     _clients: TcpListener,
-    /// The bodies of the last requests, by their kind.
+    /// The bodies of the last requests, by kind.
     requests: Arc<Mutex<BTreeMap<&'static str, Vec<u8>>>>,
 }
 
 impl FakeInstance {
-    /// Answers `status` and `policy` with these bodies; the first one gets the number of its
-    /// process.
+    /// Answers `status` and `policy` with these bodies; the PID of the process is added to the
+    /// status.
     pub fn start(
         control_socket: &Path,
         listen: &str,
@@ -195,8 +194,8 @@
             for mut stream in listener.incoming().flatten() {
                 let mut bytes = Vec::new();
                 let mut part = [0; 65536];
-                // The agent gives up where it is busy: its next request comes on another
-                // connection.
+                // A busy agent times out and closes the connection; its next request uses
+                // another one.
                 while let Ok(count @ 1..) = stream.read(&mut part) {
                     bytes.extend(&part[..count]);
                     let Ok(Some((frame, _))) = control::read_request(&bytes) else {
@@ -237,7 +236,7 @@
         }
     }
 
-    /// The body of the last heartbeat of the agent.
+    /// The body of the agent's last heartbeat.
     pub fn last_heartbeat(&self) -> Option<Vec<u8>> {
         self.requests
             .lock()
--- a/crates/merlinshelf-agent/tests/golden/support/golden.rs
+++ b/crates/merlinshelf-agent/tests/golden/support/golden.rs
@@ -1,4 +1,4 @@
-//! Golden files: reading, comparing and, with `GOLDEN_WRITE=1`, writing them.
+//! Reads, compares and, with `GOLDEN_WRITE=1`, writes golden files.
 
 use std::fmt::{Debug, Write as _};
 use std::path::{Path, PathBuf};
@@ -11,7 +11,7 @@
         .join(file)
 }
 
-/// The text of a golden file.
+/// Reads the text of a golden file.
 fn read(file: &str) -> String {
     let path = path_of(file);
     std::fs::read_to_string(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()))
@@ -23,7 +23,7 @@
     }
 }
 
-/// Bytes as lines of sixteen, in hexadecimal and as text.
+/// Formats bytes in lines of 16, in hexadecimal and as text.
 fn hex_dump(bytes: &[u8]) -> String {
     let mut text = String::new();
     for line in bytes.chunks(16) {
@@ -41,7 +41,7 @@
     text
 }
 
-/// The bytes of a dump.
+/// Parses the bytes of a hex dump.
 fn parse_hex_dump(text: &str) -> Vec<u8> {
     let columns = text.lines().filter_map(|line| line.split("  |").next());
     let words = columns.flat_map(str::split_whitespace);
@@ -50,7 +50,7 @@
         .collect()
 }
 
-/// The labels and bytes of a binary form's golden file.
+/// The labels and bytes of the golden file of a binary format.
 fn sections(file: &str) -> Vec<(String, Vec<u8>)> {
     let text = read(file);
     let sections = text.split("# ").skip(1);
@@ -60,7 +60,7 @@
         .collect()
 }
 
-/// Compares labelled values of a binary form with its golden file, both ways.
+/// Checks that the labelled values of a binary format encode to and decode from its golden file.
 pub fn check_form<T: Debug + PartialEq>(
     file: &str,
     samples: &[(&str, T)],
@@ -85,8 +85,7 @@
     }
 }
 
-/// Compares JSON with its golden file, and gives what the file holds; in JSON the order of keys
-/// says nothing.
+/// Compares JSON with its golden file, ignoring the order of keys, and returns the file's content.
 pub fn check_json(file: &str, value: &Value) -> Value {
     write_on_request(file, &format!("{value:#}\n"));
     let golden: Value =
@@ -98,7 +97,7 @@
     golden
 }
 
-/// JSON with a placeholder for the numbers under these keys, which differ from run to run.
+/// Replaces the numbers under these keys, which differ between runs, with a placeholder.
 pub fn with_placeholders(value: &Value, keys: &[&str]) -> Value {
     match value {
         Value::Array(all) => all
--- a/crates/merlinshelf-agent/tests/golden/support/mod.rs
+++ b/crates/merlinshelf-agent/tests/golden/support/mod.rs
@@ -1,5 +1,5 @@
-//! What the golden tests share: the golden files themselves, a real agent in a process of its own,
-//! and what it talks to.
+//! Shared code of the golden tests: the golden files, a real agent in a separate process, and the
+//! agents and instances that it communicates with.
 
 pub mod agent;
 pub mod golden;
@@ -8,27 +8,30 @@
 
 use std::time::{Duration, Instant};
 
-/// Far longer than anything here takes, also on a busy machine.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// Timeout of a condition, far longer than any takes even on a busy machine.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Polls until there is a value.
+/// Polls until `find` returns a value.
 pub fn wait_for<T>(what: &str, mut find: impl FnMut() -> Option<T>) -> T {
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + WAIT_TIMEOUT;
     loop {
         if let Some(found) = find() {
             return found;
         }
-        assert!(Instant::now() < until, "not within {PATIENCE:?}: {what}");
+        assert!(
+            Instant::now() < until,
+            "timed out after {WAIT_TIMEOUT:?}: {what}"
+        );
         std::thread::sleep(Duration::from_millis(10));
     }
 }
 
-/// Tells when a message that may have been lost is sent again.
-pub struct Pace(Option<Instant>);
+/// Determines when a message that may have been lost is resent.
+pub struct ResendTimer(Option<Instant>);
 
-impl Pace {
-    pub fn new() -> Pace {
-        Pace(None)
+impl ResendTimer {
+    pub fn new() -> ResendTimer {
+        ResendTimer(None)
     }
 
     pub fn is_due(&mut self) -> bool {
--- a/crates/merlinshelf-agent/tests/golden/support/peers.rs
+++ b/crates/merlinshelf-agent/tests/golden/support/peers.rs
@@ -1,6 +1,5 @@
-//! Other agents of the installation, played by the test: each has a real replica of the log, and
-//! exchanges messages with the agent under test over sockets, in the form that is written down
-//! here.
+//! Simulated other agents of the installation: each has a real replica of the log, and exchanges
+//! messages with the agent under test over sockets, in the format that this module defines.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{Read, Write};
@@ -13,10 +12,9 @@
 use merlinshelf_protocol::control::{self, ControlRequest, PROTOCOL_VERSION};
 use serde::{Deserialize, Serialize};
 
-use super::PATIENCE;
+use super::WAIT_TIMEOUT;
 
-/// What agents send each other: the same variants as `merlinshelf-agent`'s own type, which is
-/// private.
+/// A message between agents, with the same variants as the private type of `merlinshelf-agent`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PeerMessage {
     Council(Message),
@@ -27,7 +25,7 @@
     Standing(String),
 }
 
-/// A message on the wire, with who sends it.
+/// Encodes a message with its sender for the wire.
 pub fn encode(sender: &str, message: &PeerMessage) -> Vec<u8> {
     let body = rmp_serde::to_vec_named(&(sender, message)).expect("a message can be encoded");
     let mut bytes = Vec::new();
@@ -35,7 +33,7 @@
     bytes
 }
 
-/// Who sends a message, and the message; the bytes must hold it and nothing else.
+/// Decodes a sender and its message; the bytes must contain nothing else.
 pub fn decode(bytes: &[u8]) -> (String, PeerMessage) {
     let (frame, used) = control::read_consensus_request(bytes)
         .expect("a frame")
@@ -44,7 +42,7 @@
     rmp_serde::from_slice(frame.body).expect("a message between agents")
 }
 
-/// A message that the agent under test has sent: to whom, and its bytes.
+/// A message that the agent under test has sent: its receiver and its bytes.
 struct Incoming {
     receiver: String,
     bytes: Vec<u8>,
@@ -59,7 +57,7 @@
 /// The agent under test.
 struct AgentUnderTest {
     name: String,
-    /// Where it listens.
+    /// The address that it listens on.
     address: String,
 }
 
@@ -68,22 +66,22 @@
     agents: BTreeMap<String, TestAgent>,
     agent_under_test: AgentUnderTest,
     connection: Option<TcpStream>,
-    /// What the agent sends, from the threads that read it.
+    /// The agent's messages, from the threads that read them.
     incoming: (Sender<Incoming>, Receiver<Incoming>),
-    /// What it sent beside the log's own messages, in order.
+    /// Its messages in order, except raft's.
     pub received: Vec<PeerMessage>,
     /// Which kinds of the log's own messages it sent.
     pub consensus_messages: BTreeSet<&'static str>,
-    /// What was applied by each, in the log's order.
+    /// The entries applied by each agent, in the log's order.
     pub applied: BTreeMap<String, Vec<Vec<u8>>>,
-    /// The state of whoever uses the log, for snapshots.
+    /// The replicated state for snapshots.
     state: Vec<u8>,
     tick: Duration,
     ticked_at: Instant,
 }
 
 impl Peers {
-    /// No other agents yet. `tick` is how long one is, `state` what their snapshots hold.
+    /// Starts with no agents. `tick` is the duration of a tick, `state` the state in snapshots.
     pub fn new(agent: &str, address: &str, tick: Duration, state: Vec<u8>) -> Peers {
         Peers {
             agents: BTreeMap::new(),
@@ -102,7 +100,7 @@
         }
     }
 
-    /// Starts an agent from its disk. `agents` are those of its fleet's file.
+    /// Starts an agent from its disk. `agents` are the agents in its fleet file.
     pub fn start(&mut self, name: &str, agents: &[&str], disk: Vec<Record>) {
         let agents: BTreeSet<String> = agents.iter().map(|name| (*name).to_owned()).collect();
         let boot_id = 1_000 + self.agents.len() as u64;
@@ -112,12 +110,12 @@
             .insert(name.to_owned(), TestAgent { replica, disk });
     }
 
-    /// Stops an agent; returns what is on its disk.
+    /// Stops an agent; returns the records on its disk.
     pub fn stop(&mut self, name: &str) -> Vec<Record> {
         self.agents.remove(name).expect("it runs").disk
     }
 
-    /// The agent under test reaches this one at the address.
+    /// Listens at the address on which the agent under test reaches this agent.
     pub fn listen(&self, name: &str, address: &str) {
         let listener = TcpListener::bind(address).expect("an address of the test's own");
         let (name, messages) = (name.to_owned(), self.incoming.0.clone());
@@ -137,7 +135,7 @@
             .map(|(name, _)| name.as_str())
     }
 
-    /// The leader that one of them follows.
+    /// The leader that the named agent follows.
     pub fn leader_of(&self, name: &str) -> Option<&str> {
         self.agents[name].replica.leader()
     }
@@ -146,7 +144,7 @@
         self.agents[name].replica.membership()
     }
 
-    /// Delivers a message to one of them, as if it were from another agent.
+    /// Delivers a message to the named agent, as if it were from another agent.
     pub fn deliver(&mut self, name: &str, from: &str, message: Message) {
         self.agents
             .get_mut(name)
@@ -155,7 +153,7 @@
             .handle_message(from, message);
     }
 
-    /// Sends bytes to the agent under test; they may be lost, as between agents at all times.
+    /// Sends bytes to the agent under test; as for all messages between agents, they may be lost.
     pub fn send_bytes(&mut self, bytes: &[u8]) {
         if self.connection.is_none() {
             self.connection = TcpStream::connect(&self.agent_under_test.address).ok();
@@ -173,7 +171,7 @@
         self.send_bytes(&encode(from, message));
     }
 
-    /// Handles what was received, and advances the clocks by a tick where that is due.
+    /// Handles the received messages, and advances the clocks by a tick if one is due.
     pub fn advance(&mut self) {
         while let Ok(Incoming { receiver, bytes }) = self.incoming.1.try_recv() {
             let (from, message) = decode(&bytes);
@@ -207,7 +205,7 @@
         std::thread::sleep(Duration::from_millis(2));
     }
 
-    /// Carries out the actions of all until there are no more.
+    /// Carries out the actions of all agents until there are none left.
     fn carry_out_actions(&mut self) {
         loop {
             let mut sent = Vec::new();
@@ -241,16 +239,16 @@
         }
     }
 
-    /// Advances until a condition holds; returns what it gives.
+    /// Advances until `find` returns a value, and returns it.
     pub fn run_until<T>(&mut self, what: &str, mut find: impl FnMut(&mut Peers) -> Option<T>) -> T {
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + WAIT_TIMEOUT;
         loop {
             if let Some(found) = find(self) {
                 return found;
             }
             assert!(
                 Instant::now() < until,
-                "not within {PATIENCE:?}: {what}; {} messages were received, the last one is {:?}",
+                "timed out after {WAIT_TIMEOUT:?}: {what}; {} messages were received, the last one is {:?}",
                 self.received.len(),
                 self.received.last()
             );
--- a/crates/merlinshelf-agent/tests/golden/support/samples.rs
+++ b/crates/merlinshelf-agent/tests/golden/support/samples.rs
@@ -1,6 +1,5 @@
-//! Values of the types that the golden files hold. Each field of each type has a value of its own
-//! somewhere that is not its default, so that one that is lost, or read into another one's place,
-//! shows.
+//! Values of the types in the golden files. Each field of each type has a distinct value other than
+//! its default in at least one sample, so that a lost or misplaced field is detected.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -31,7 +30,7 @@
         .collect()
 }
 
-/// A plan that is over, with a target of every stage.
+/// A completed plan with a target in every stage.
 fn completed_plan() -> Plan {
     let target = |name: &str, stage, success_ratio_before| Target {
         name: name.into(),
@@ -79,14 +78,14 @@
     }
 }
 
-/// The record of an agent whose instances are down and whose plan is over, so that the next agent
-/// changes nothing about it.
+/// The record of an agent whose instances are down and whose plan is completed, so that the next
+/// agent does not change it.
 pub fn store_record() -> Record {
     let mut history = History::default();
     history.add(1_700_000_001.25, Some("web.0"), "started as process 31");
     history.add(1_700_000_002.5, None, "plan 41: upgrade of 6");
     let first = InstanceRecord {
-        // No process has a number as high as this.
+        // Higher than any PID.
         identity: Some(Identity {
             pid: 4_194_999,
             start_ticks: 0x3200_0000_0032,
@@ -147,11 +146,11 @@
     }
 }
 
-/// Long, so that no lease runs out while a test is under way on a busy machine.
+/// Long enough that no lease expires during a test on a busy machine.
 pub const LEASE_MS: u64 = 30_000;
 pub const BASE_FINGERPRINT: u64 = 0xBA5E_BA5E_BA5E_BA52;
 
-/// The state of a log whose policy 7 holds, with change 8 under way.
+/// The replicated state with policy 7 in force and change 8 in progress.
 pub fn replicated_state(stage: Stage) -> ReplicatedState {
     let ended = |number, id: &str, verdict| CompletedChange {
         version: number,
@@ -290,7 +289,7 @@
     }
 }
 
-/// A lease request of host `b` to the leader.
+/// A lease request from host `b` to the leader.
 pub fn lease_request() -> HostLeaseRequest {
     HostLeaseRequest {
         host: "b".into(),
