--- a/crates/merlinshelf-protocol/src/catalogue.rs
+++ b/crates/merlinshelf-protocol/src/catalogue.rs
@@ -1,5 +1,5 @@
-//! Downstream calls: `invoke` out, one reply for each call back. A call is given up by closing its
-//! connection.
+//! Downstream calls to the catalogue: each `invoke` request receives one reply. Closing the
+//! connection cancels its calls.
 
 use winnow::ascii::dec_uint;
 use winnow::combinator::{alt, preceded, terminated};
@@ -11,43 +11,44 @@
     call_id, has_line_end, line, parse_front, parse_line, write_with_body,
 };
 
-/// The longest line of a reply: an id, a word and a length.
+/// Maximum length of a reply line: an id, an outcome and a length.
 const MAX_REPLY_LINE_BYTES: usize = 64;
 
 /// How a call ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reply<'a> {
-    /// Its result.
+    /// The call's result.
     Succeeded(&'a [u8]),
-    /// Rejected: it never ran.
+    /// The call was rejected and did not run.
     Overload,
-    /// It may have had its effect.
+    /// The call failed; it may have had side effects.
     Internal,
-    /// Its deadline passed, or its run has ended; it may have had its effect.
+    /// The call's deadline passed or its run has ended; it may have had side effects.
     Deadline,
-    /// No run waits for it: it never ran.
+    /// No run waits for the call; it did not run.
     Stale,
 }
 
-/// Reads one reply off the front, with the id of its call.
+/// Reads the reply at the front of `input` with the id of its call.
 ///
 /// # Errors
-/// The bytes can't become a reply.
+/// The input is not a prefix of a valid reply.
 pub fn read_reply(input: &[u8]) -> Parsed<(CallId, Reply<'_>)> {
     parse_front(
         input,
         MAX_LINE_BYTES + MAX_BODY_BYTES,
-        Fault("unreadable reply"),
+        Fault("malformed call reply"),
         reply,
     )
 }
 
 fn reply<'i>(input: &mut Bytes<'i>) -> ModalResult<(CallId, Reply<'i>)> {
-    // What begins with no id, or has no end where one must be, is not waited for.
+    // Rejects input that does not start with an id, or a line that is too long, without waiting for
+    // more input.
     let received = &input[..input.len().min(MAX_REPLY_LINE_BYTES)];
     let id = &received[..received.len().min(CALL_ID_DIGITS)];
-    let is_endless = received.len() == MAX_REPLY_LINE_BYTES && !has_line_end(received);
-    if is_endless || !id.iter().all(u8::is_ascii_hexdigit) {
+    let is_too_long = received.len() == MAX_REPLY_LINE_BYTES && !has_line_end(received);
+    if is_too_long || !id.iter().all(u8::is_ascii_hexdigit) {
         return Err(ErrMode::Cut(ContextError::new()));
     }
     let text = line(input)?;
@@ -59,7 +60,7 @@
     Ok((id, reply))
 }
 
-/// What the line of a reply says.
+/// The outcome in the line of a reply.
 #[derive(Clone)]
 enum Outcome {
     /// A body of this length follows.
@@ -80,7 +81,7 @@
     .parse_next(input)
 }
 
-/// Writes a call that is answered within `wait_ms` milliseconds or not at all.
+/// Writes a call that the catalogue answers within `wait_ms` milliseconds or not at all.
 pub fn write_invoke(out: &mut impl Buffer, id: CallId, wait_ms: u64, body: &[u8]) {
     let length = body.len();
     write_with_body(
--- a/crates/merlinshelf-protocol/src/control.rs
+++ b/crates/merlinshelf-protocol/src/control.rs
@@ -1,10 +1,10 @@
-//! The control socket: requests of operators' tools, one a connection, and the messages that answer
-//! them; and the messages that agents send each other in the same framing.
+//! The control socket: requests from operators' tools, one per connection, and the messages that
+//! answer them. Agents use the same framing for messages to each other.
 //!
-//! A frame is a line, the last field of which is a length, so many bytes of body, and CR LF:
-//! `ask 1 status 2` and `{}`; `say 1 done 17` and the report. The number is the version of what
-//! follows; another one is answered `failed`. A request may be answered by several `say more`
-//! before the final message.
+//! A frame is a line whose last field is the length of the body, then the body and CR LF: for
+//! example `ask 1 status 2` and `{}`, or `say 1 done 17` and the report. The first number is the
+//! version of the body; an unsupported version is answered `failed`. Several `say more` messages
+//! may precede the final message.
 
 use winnow::ascii::dec_uint;
 use winnow::combinator::{alt, preceded, terminated};
@@ -16,53 +16,53 @@
     parse_line, write_with_body,
 };
 
-/// The version that is spoken here.
+/// The protocol version that this crate writes.
 pub const PROTOCOL_VERSION: u32 = 1;
-/// The longest message between agents: a snapshot of their log.
+/// Maximum body length of a message between agents, which may contain a snapshot of their log.
 pub const MAX_CONSENSUS_BYTES: usize = 4 * 1024 * 1024;
 
-/// What may be requested.
+/// A request on the control socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ControlRequest {
-    /// A report of the process.
+    /// Returns a status report of the process.
     Status,
-    /// A graceful shutdown.
+    /// Starts a graceful shutdown.
     Drain,
-    /// A handover to a new process.
+    /// Starts a handover to a new process.
     Upgrade,
-    /// All observations, with their sources and ages.
+    /// Returns all observations with their sources and ages.
     Knowledge,
-    /// Removes gossiped observations: of the source that the body names, or of all.
+    /// Removes gossiped observations, either of the source named in the body or of all sources.
     Forget,
-    /// A request to the agent of a fleet, which the body holds.
+    /// A request to the agent of a fleet; the body contains it.
     Fleet,
-    /// A heartbeat of the host's agent: the policy in force, and for how long.
+    /// A heartbeat from the host's agent: the policy in force and how long it stays valid.
     Policy,
-    /// A message of one agent to another, in MessagePack; it is not answered.
+    /// A message from one agent to another, in MessagePack; it is not answered.
     Consensus,
 }
 
-/// An answer, and how far the request has come with it.
+/// The kind of an answer, which tells the progress of its request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ControlMessage {
     /// More answers follow.
     More,
-    /// It was carried out.
+    /// The request was carried out.
     Done,
-    /// It was attempted and failed.
+    /// The request was attempted and failed.
     Failed,
-    /// It was not attempted.
+    /// The request was not attempted.
     Refused,
 }
 
-/// One frame.
+/// A parsed frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Frame<'a, T> {
-    /// Version of what the body holds.
+    /// Version of the body.
     pub version: u32,
     /// The request or message.
     pub message: T,
-    /// JSON, or MessagePack between agents.
+    /// The payload: JSON, or MessagePack between agents.
     pub body: &'a [u8],
 }
 
@@ -92,10 +92,10 @@
     }
 }
 
-/// Reads a request off the front.
+/// Reads the request at the front of `input`.
 ///
 /// # Errors
-/// The bytes can't become a request.
+/// The input is not a prefix of a valid request.
 pub fn read_request(input: &[u8]) -> Parsed<Frame<'_, ControlRequest>> {
     let request = alt((
         "status".value(ControlRequest::Status),
@@ -111,20 +111,21 @@
     read_frame(input, "ask ", request, MAX_BODY_BYTES, fault)
 }
 
-/// Reads a message of another agent off the front; its body may hold a part of the agents' log.
+/// Reads the consensus message at the front of `input`. Its body may be longer than that of other
+/// requests, since it may contain a part of the agents' log.
 ///
 /// # Errors
-/// The bytes can't become such a message.
+/// The input is not a prefix of a valid consensus message.
 pub fn read_consensus_request(input: &[u8]) -> Parsed<Frame<'_, ControlRequest>> {
     let request = "council".value(ControlRequest::Consensus);
-    let fault = Fault("unreadable word of an agent");
+    let fault = Fault("malformed message of an agent");
     read_frame(input, "ask ", request, MAX_CONSENSUS_BYTES, fault)
 }
 
-/// Reads an answer off the front.
+/// Reads the answer at the front of `input`.
 ///
 /// # Errors
-/// The bytes can't become an answer.
+/// The input is not a prefix of a valid answer.
 pub fn read_message(input: &[u8]) -> Parsed<Frame<'_, ControlMessage>> {
     let message = alt((
         "more".value(ControlMessage::More),
--- a/crates/merlinshelf-protocol/src/engine.rs
+++ b/crates/merlinshelf-protocol/src/engine.rs
@@ -1,4 +1,5 @@
-//! The engine's connection: commands to it, notifications from it.
+//! The connection to the engine: commands that the backend sends and notifications that it
+//! receives.
 
 use winnow::ascii::{dec_uint, float};
 use winnow::combinator::{alt, opt, preceded, repeat, terminated};
@@ -12,35 +13,35 @@
     parse_front, parse_line, write_line, write_with_body,
 };
 
-/// The extension by which a `NEED` may name its dependency, with its version: offered in `ATTACH`,
-/// agreed in `HELLO`.
+/// Name and version of the extension that lets a `NEED` name its dependency. The backend offers it
+/// in `ATTACH` and the engine accepts it in `HELLO`.
 pub const NAMES_EXTENSION: &str = "NAMES/1";
-/// The longest name of a dependency, which begins with a letter.
+/// Maximum length of a dependency name, which starts with a letter.
 pub const MAX_NAME_BYTES: usize = 64;
 
 /// How a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
-    /// With a result.
+    /// The run returned a result.
     Succeeded,
-    /// With an error.
+    /// The run returned an error.
     Errored,
-    /// It was stopped.
+    /// The run was stopped.
     Stopped,
-    /// Nothing was started, as the invocation is over.
+    /// The run was not started because the invocation had already ended.
     Moot,
 }
 
-/// What the engine sends. Only `Done` and `Need` are numbered for acknowledgement.
+/// A message from the engine. Only `Done` and `Need` have sequence numbers that are acknowledged.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EngineNotification<'a> {
-    /// The first one of a connection.
+    /// The first notification of a connection.
     Hello {
         /// Whether the engine has warmed up.
         warm: bool,
-        /// For how long it has been up, milliseconds.
+        /// The engine's uptime in milliseconds.
         up_ms: f64,
-        /// Whether calls may name their dependency ([`NAMES_EXTENSION`]), as was offered.
+        /// Whether the engine accepted [`NAMES_EXTENSION`], so that calls may name a dependency.
         names: bool,
     },
     /// A run has ended.
@@ -51,7 +52,7 @@
         id: CallId,
         /// How it ended.
         end: End,
-        /// Its duration, milliseconds.
+        /// Its duration in milliseconds.
         took_ms: f64,
         /// Its result.
         result: &'a [u8],
@@ -60,26 +61,26 @@
     Need {
         /// Its sequence number.
         number: u64,
-        /// The attempt that runs.
+        /// The attempt that needs the call.
         id: CallId,
-        /// The dependency to call, only where naming was agreed.
+        /// The dependency to call, if [`NAMES_EXTENSION`] was negotiated and the run named one.
         named: Option<&'a [u8]>,
         /// The call's body.
         body: &'a [u8],
     },
-    /// The answer to a `STAT`.
+    /// The response to a `STAT` command.
     Stats {
-        /// The tag of the `STAT`.
+        /// The tag of the `STAT` command.
         tag: u64,
         /// The engine's gauges.
         gauges: Vec<f64>,
     },
-    /// A command was not carried out.
+    /// The engine did not carry out a command.
     No {
-        /// The command; see [`parse_rejected_command`].
+        /// The text of the command; see [`parse_rejected_command`].
         what: &'a [u8],
     },
-    /// A remark for the log.
+    /// A message for the log.
     Note {
         /// Its number.
         number: u64,
@@ -89,7 +90,7 @@
 }
 
 impl EngineNotification<'_> {
-    /// The sequence number, of what has one.
+    /// The sequence number, if this kind of notification is acknowledged.
     pub fn number(&self) -> Option<u64> {
         match self {
             EngineNotification::Done { number, .. } | EngineNotification::Need { number, .. } => {
@@ -100,15 +101,15 @@
     }
 }
 
-/// Reads one notification off the front.
+/// Reads the notification at the front of `input`.
 ///
 /// # Errors
-/// The bytes can't become a notification.
+/// The input is not a prefix of a valid notification.
 pub fn read_notification(input: &[u8]) -> Parsed<EngineNotification<'_>> {
     parse_front(
         input,
         MAX_LINE_BYTES + MAX_BODY_BYTES,
-        Fault("unreadable notice"),
+        Fault("malformed engine notification"),
         notification,
     )
 }
@@ -127,14 +128,14 @@
     Ok(notification)
 }
 
-/// A notification without its body, and the length of the body that follows.
+/// A notification whose body is still empty, and the length of the body that follows, if any.
 type NotificationLine<'i> = (EngineNotification<'i>, Option<usize>);
 
 fn notification_line<'i>(input: &mut &'i [u8]) -> ModalResult<NotificationLine<'i>> {
     alt((hello, done, need, stats, no, note)).parse_next(input)
 }
 
-/// A field and the space after it.
+/// Parses a field and the space after it.
 fn field<'i, T>(
     parser: impl Parser<&'i [u8], T, ErrMode<ContextError>>,
 ) -> impl Parser<&'i [u8], T, ErrMode<ContextError>> {
@@ -181,7 +182,7 @@
 }
 
 fn need<'i>(input: &mut &'i [u8]) -> ModalResult<NotificationLine<'i>> {
-    // A name begins with no digit, so that none passes for a length.
+    // A name starts with a letter, so that it cannot be mistaken for a length.
     let name = (
         take_while(1, AsChar::is_alpha),
         take_while(0..MAX_NAME_BYTES, |byte: u8| byte.is_ascii_graphic()),
@@ -219,14 +220,14 @@
     Ok((EngineNotification::Note { number, text }, None))
 }
 
-/// Of a `NO`: the command that was not carried out, and the id that it named.
+/// Parses the text of a `NO` into the name of the rejected command and the attempt id in it.
 pub fn parse_rejected_command(what: &[u8]) -> Option<(&[u8], CallId)> {
     let command = take_while(1.., AsChar::is_alpha);
     (field(command), call_id).parse(what).ok()
 }
 
 /// Writes the first command of a connection, which acknowledges notifications up to `last`. An
-/// engine of the plain protocol closes a connection that offers an extension.
+/// engine that does not support extensions closes a connection that offers one.
 pub fn write_attach(out: &mut impl Buffer, last: u64, offered_extension: Option<&str>) {
     match offered_extension {
         Some(extension) => write_line(out, format_args!("ATTACH {last} {extension}\r\n")),
@@ -240,17 +241,17 @@
     write_with_body(out, format_args!("RUN {id} {operation} {length}\r\n"), body);
 }
 
-/// Writes the reply to a call that a run needed.
+/// Writes the reply to a downstream call that a run requested.
 pub fn write_feed(out: &mut impl Buffer, id: CallId, reply: &[u8]) {
     write_with_body(out, format_args!("FEED {id} {}\r\n", reply.len()), reply);
 }
 
-/// Writes the command to continue without the call that notification `need` asked for.
+/// Writes the command to continue without the call that notification number `need` requested.
 pub fn write_skip(out: &mut impl Buffer, id: CallId, need: u64) {
     write_line(out, format_args!("SKIP {id} {need}\r\n"));
 }
 
-/// Writes the request for statistics.
+/// Writes the request for statistics; the response repeats `tag`.
 pub fn write_stat(out: &mut impl Buffer, tag: u64) {
     write_line(out, format_args!("STAT {tag}\r\n"));
 }
--- a/crates/merlinshelf-protocol/src/fastcgi.rs
+++ b/crates/merlinshelf-protocol/src/fastcgi.rs
@@ -1,5 +1,5 @@
-//! FastCGI 1.0 as a Responder sees it: a stream of records cut into fragments as they come,
-//! name-value pairs, and answers.
+//! The Responder's side of FastCGI 1.0: an incremental parser that splits a stream of records into
+//! fragments, a parser of name-value pairs, and encoders of answers.
 
 use winnow::binary::{be_u16, be_u32, u8};
 use winnow::combinator::{repeat, seq};
@@ -23,36 +23,38 @@
 const BEGIN_BODY_BYTES: usize = 8;
 const RESPONDER_ROLE: [u8; 2] = [0, 1];
 const KEEP_CONNECTION: u8 = 1;
-/// Content of one record, a multiple of the padding.
+/// Maximum content length of a written record, a multiple of `PADDING_BYTES`.
 const MAX_CONTENT_BYTES: usize = 65_528;
+/// Written records are padded to a multiple of this.
 const PADDING_BYTES: usize = 8;
-/// The names of all values that can be requested fit into a fraction of this.
+/// Maximum content length of an FCGI_GET_VALUES record; the names of all defined values need far
+/// less.
 const MAX_VALUES_BYTES: usize = 1024;
 
-/// How the exchange of an invocation ended, in the protocol's own terms.
+/// The protocol status with which an invocation ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Status {
-    /// With an answer.
+    /// The invocation was answered.
     Complete = 0,
-    /// Rejected: too many are in flight.
+    /// Rejected because too many invocations are in flight.
     Overloaded = 2,
-    /// Rejected: this is a Responder only.
+    /// Rejected because only the Responder role is supported.
     UnknownRole = 3,
 }
 
-/// What records bring, part by part. An empty `Params` or `Stdin` ends its stream.
+/// A parsed part of the record stream. An empty `Params` or `Stdin` ends its stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fragment<'a> {
     /// An invocation begins.
     Begin {
         /// Id of the invocation on its connection.
         id: u16,
-        /// Whether a Responder is to serve it.
+        /// Whether the requested role is Responder.
         responder: bool,
-        /// Whether the connection is kept open after its end.
+        /// Whether the connection stays open after the invocation.
         keep: bool,
     },
-    /// The client has given up.
+    /// The client aborted the invocation.
     Abort {
         /// Id of the invocation.
         id: u16,
@@ -71,7 +73,7 @@
         /// The part.
         bytes: &'a [u8],
     },
-    /// A request for values of the server.
+    /// A request for the server's configuration values.
     GetValues {
         /// Their names, as name-value pairs.
         names: &'a [u8],
@@ -103,31 +105,32 @@
     .parse_next(input)
 }
 
-/// Where a parser stands, for a process that continues it.
+/// The state of a parser, from which another process can continue after a handover.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RecordsState {
     /// Type of the current record.
     pub kind: u8,
     /// Its invocation's id.
     pub id: u16,
-    /// Bytes of its content that are still to come.
+    /// Number of its content bytes not yet received.
     pub content_bytes: usize,
-    /// Bytes of its padding that are still to come.
+    /// Number of its padding bytes not yet received.
     pub padding_bytes: usize,
 }
 
-/// Cuts a stream of bytes into fragments. Long contents need not have come completely.
+/// Splits a stream of bytes into fragments. Contents of PARAMS and STDIN records are returned in
+/// parts, as they are received.
 #[derive(Debug, Default)]
 pub struct Records {
     state: RecordsState,
 }
 
 impl Records {
-    /// Reads on. Returns how many bytes are consumed, 0 until more have come, and what they
-    /// brought.
+    /// Parses the next fragment. Returns the number of bytes consumed, which is 0 if more input is
+    /// needed, and the fragment, if any.
     ///
     /// # Errors
-    /// The bytes are no FastCGI.
+    /// The input is not valid FastCGI.
     pub fn next<'a>(&mut self, input: &'a [u8]) -> Result<(usize, Option<Fragment<'a>>), Fault> {
         if self.state.content_bytes > 0 {
             return Ok(self.read_content(input));
@@ -140,7 +143,7 @@
         let Some((mut head, rest)) = input.split_at_checked(HEADER_BYTES) else {
             return Ok((0, None));
         };
-        let header = header(&mut head).map_err(|_| Fault("no FastCGI 1.0 record"))?;
+        let header = header(&mut head).map_err(|_| Fault("not a FastCGI 1.0 record"))?;
         if needs_whole_content(header)? {
             let Some(content) = rest.get(..usize::from(header.content)) else {
                 return Ok((0, None));
@@ -163,17 +166,17 @@
         Ok((HEADER_BYTES, header_fragment(header)))
     }
 
-    /// Where it stands.
+    /// The current state, for [`Records::resume`].
     pub fn state(&self) -> RecordsState {
         self.state
     }
 
-    /// A parser that continues where another stood.
+    /// Restores a parser from the result of [`Records::state`].
     pub fn resume(state: RecordsState) -> Records {
         Records { state }
     }
 
-    /// Whether the current record has not come to its end.
+    /// Whether the current record is incomplete.
     pub fn is_partial(&self) -> bool {
         self.state.content_bytes > 0 || self.state.padding_bytes > 0
     }
@@ -193,14 +196,17 @@
     }
 }
 
-/// Whether the record must be seen completely: short ones, so that little is ever held back.
+/// Whether the record is parsed only once its whole content is received. This holds for short
+/// records only, which bounds the unparsed input.
 fn needs_whole_content(header: Header) -> Result<bool, Fault> {
     let content_bytes = usize::from(header.content);
     match header.kind {
         BEGIN_REQUEST if content_bytes != BEGIN_BODY_BYTES => {
-            Err(Fault("a begin of the wrong length"))
+            Err(Fault("FCGI_BEGIN_REQUEST record of the wrong length"))
+        }
+        GET_VALUES if content_bytes > MAX_VALUES_BYTES => {
+            Err(Fault("FCGI_GET_VALUES record is too long"))
         }
-        GET_VALUES if content_bytes > MAX_VALUES_BYTES => Err(Fault("too many values asked for")),
         BEGIN_REQUEST | GET_VALUES => Ok(true),
         _ => Ok(false),
     }
@@ -217,7 +223,7 @@
     }
 }
 
-/// What a header brings whose content comes as it comes.
+/// The fragment for the header of a record whose content is not needed as a whole, if any.
 fn header_fragment(header: Header) -> Option<Fragment<'static>> {
     let id = header.id;
     match header.kind {
@@ -226,7 +232,7 @@
         STDIN if header.content == 0 => Some(Fragment::Stdin { id, bytes: b"" }),
         PARAMS | STDIN => None,
         kind if id == 0 => Some(Fragment::Unknown { kind }),
-        _ => None, // of an open invocation: skipped
+        _ => None, // unknown record of an invocation: skipped
     }
 }
 
@@ -248,14 +254,14 @@
     (take(name), take(value)).parse_next(input)
 }
 
-/// The name-value pairs of a complete stream.
+/// Parses the name-value pairs of a complete stream.
 ///
 /// # Errors
-/// A length does not fit.
+/// A name or a value extends beyond the stream.
 pub fn pairs(bytes: &[u8]) -> Result<Vec<Pair<'_>>, Fault> {
     repeat(0.., pair)
         .parse(bytes)
-        .map_err(|_| Fault("name-value pairs that do not fit"))
+        .map_err(|_| Fault("name or value extends beyond the FastCGI stream"))
 }
 
 fn write_record(out: &mut impl Buffer, kind: u8, id: u16, content: &[u8]) {
@@ -276,7 +282,8 @@
     out.extend(&[0; PADDING_BYTES][..padding]);
 }
 
-/// Writes a whole answer: head and body on STDOUT, its end, and the end of the invocation.
+/// Writes a complete answer: head and body on STDOUT, the end of the stream and the end of the
+/// invocation.
 pub fn write_answer(out: &mut impl Buffer, id: u16, head: &str, body: &[u8]) {
     let answer = [head.as_bytes(), body].concat();
     for part in answer.chunks(MAX_CONTENT_BYTES) {
@@ -286,21 +293,21 @@
     write_end(out, id, Status::Complete);
 }
 
-/// Writes the end of an invocation, which may have no answer of its own.
+/// Writes the end of an invocation, also of one without an answer.
 pub fn write_end(out: &mut impl Buffer, id: u16, status: Status) {
     let content = [0, 0, 0, 0, status as u8, 0, 0, 0];
     write_record(out, END_REQUEST, id, &content);
 }
 
-/// Writes that management records of this type are unknown.
+/// Writes an FCGI_UNKNOWN_TYPE record for a management record of type `kind`.
 pub fn write_unknown(out: &mut impl Buffer, kind: u8) {
     write_record(out, UNKNOWN_TYPE, 0, &[kind, 0, 0, 0, 0, 0, 0, 0]);
 }
 
-/// Answers a request for values with those that are known.
+/// Writes the answer to FCGI_GET_VALUES, with the requested values that are in `known`.
 ///
 /// # Errors
-/// The names can't be read.
+/// The names are malformed.
 pub fn write_values(
     out: &mut impl Buffer,
     names: &[u8],
--- a/crates/merlinshelf-protocol/src/gossip.rs
+++ b/crates/merlinshelf-protocol/src/gossip.rs
@@ -1,11 +1,11 @@
-//! Gossip between instances: one poll and one answer a connection, each a header line that says how
-//! many lines follow.
+//! Gossip between instances: one poll and one answer per connection. Each message starts with a
+//! header line that contains the number of lines that follow.
 //!
-//! `ask 1 n0 1700 2 alive 127.0.0.1:7400 steady 1 1 0`, then `peer` lines with membership updates
-//! and `figure` lines with observations; `tell` answers in the same form. The number behind the
-//! first word is the version; another one is a fault. Names have every byte that does not print
-//! percent-encoded; an absent name is `-`. Every line is read once, however slowly it comes, and
-//! more lines or bytes than the limits are a fault.
+//! A poll is a header such as `ask 1 n0 1700 2 alive 127.0.0.1:7400 steady 1 1 0`, then `peer`
+//! lines with membership updates and `figure` lines with observations. An answer has the same form
+//! and starts with `tell`. The first number is the version; any other version is a fault.
+//! Non-printable bytes in names are percent-encoded; an absent name is `-`. Lines are parsed once,
+//! as they are received, and exceeding the limits on lines or bytes is a fault.
 
 use std::borrow::Cow;
 
@@ -24,18 +24,18 @@
     write_line,
 };
 
-/// The version that is spoken here.
+/// The supported protocol version.
 pub const PROTOCOL_VERSION: u32 = 1;
-/// The longest message there is.
+/// Maximum length of a message.
 pub const MAX_MESSAGE_BYTES: usize =
     (1 + MAX_UPDATES + MAX_OBSERVATIONS) * (MAX_LINE_BYTES + LINE_END_BYTES);
 
-/// Which message of an exchange it is.
+/// The role of a message in an exchange.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MessageKind {
-    /// The first.
+    /// The first message.
     Poll,
-    /// The second.
+    /// The reply to a poll.
     Answer,
 }
 
@@ -136,7 +136,7 @@
     )
 }
 
-/// A message that is still coming.
+/// A message that is not completely received.
 #[derive(Debug)]
 struct PartialMessage {
     kind: MessageKind,
@@ -152,11 +152,11 @@
 }
 
 impl MessageReader {
-    /// Reads all complete lines at the front. Returns how many bytes these were, and the message
-    /// once it is complete.
+    /// Reads complete lines at the front of `input`, up to the end of the message. Returns the
+    /// number of bytes consumed, and the message once it is complete.
     ///
     /// # Errors
-    /// The bytes are no such message; the connection that they came on ends.
+    /// The input is not a valid gossip message; the caller closes the connection.
     pub fn read(&mut self, input: &[u8]) -> Result<(usize, Option<(MessageKind, Message)>), Fault> {
         let mut used = 0;
         loop {
@@ -171,7 +171,7 @@
         }
     }
 
-    /// Reads one line, and returns its length; none until it is complete.
+    /// Reads one line and returns its length, or `None` if the line is incomplete.
     fn read_line(&mut self, input: &[u8]) -> Result<Option<usize>, Fault> {
         let Some(partial) = &mut self.partial else {
             let Some((partial, line_bytes)) = read_header(input)? else {
@@ -203,18 +203,18 @@
 }
 
 fn read_header(input: &[u8]) -> Parsed<PartialMessage> {
-    read_line(input, Fault("unreadable message of a peer"), header)
+    read_line(input, Fault("malformed gossip header"), header)
 }
 
 fn read_update(input: &[u8]) -> Parsed<MembershipUpdate> {
-    let fault = Fault("unreadable news of a peer");
+    let fault = Fault("malformed gossip membership update");
     read_line(input, fault, |input: &mut &[u8]| {
         preceded("peer ", update).parse_next(input)
     })
 }
 
 fn read_observation(input: &[u8]) -> Parsed<GossipedObservation> {
-    read_line(input, Fault("unreadable figure of a peer"), observation)
+    read_line(input, Fault("malformed gossip observation"), observation)
 }
 
 fn read_line<T>(
@@ -298,7 +298,7 @@
     let (_, address) = (" ", optional_name).parse_next(input)?;
     Ok(MembershipUpdate {
         name,
-        // A peer that can't be reached has none.
+        // An unreachable peer has no address.
         address: address.unwrap_or_default(),
         incarnation,
         refutations,
@@ -327,7 +327,7 @@
     optional_name.verify_map(|name| name).parse_next(input)
 }
 
-/// A name, or none where it is absent.
+/// Parses a name, or `None` for [`ABSENT`].
 fn optional_name(input: &mut &[u8]) -> ModalResult<Option<String>> {
     word.verify_map(|text: &[u8]| {
         if text == ABSENT.as_bytes() {
--- a/crates/merlinshelf-protocol/src/lib.rs
+++ b/crates/merlinshelf-protocol/src/lib.rs
@@ -1,7 +1,7 @@
-//! What a backend speaks with its edge nodes ([`fastcgi`], [`uwsgi`]), its engine ([`engine`]), the
-//! catalogue ([`catalogue`]), the membership service ([`registration`]), operators' tools
-//! ([`control`]) and other instances ([`gossip`]): parsers over bytes that may have come in part,
-//! and encoders into any buffer. Nothing here does I/O.
+//! The wire protocols between a backend and its edge nodes ([`fastcgi`], [`uwsgi`]), its engine
+//! ([`engine`]), the catalogue ([`catalogue`]), the membership service ([`registration`]),
+//! operators' tools ([`control`]) and other instances ([`gossip`]): incremental parsers, which
+//! accept partially received messages, and encoders into any buffer. This crate does no I/O.
 
 pub mod catalogue;
 pub mod control;
@@ -19,30 +19,30 @@
 use winnow::token::{take, take_until, take_while};
 use winnow::{ModalResult, Parser, Partial};
 
-/// The longest line, without its end.
+/// Maximum length of a line, without its CR LF.
 const MAX_LINE_BYTES: usize = 1024;
-/// CR LF.
+/// Length of CR LF.
 const LINE_END_BYTES: usize = 2;
-/// The longest body that any peer may send after a line.
+/// Maximum length of a body that follows a line.
 const MAX_BODY_BYTES: usize = 64 * 1024;
 const CALL_ID_DIGITS: usize = 16;
 
-/// What can't be parsed, named for the log. The connection that it came on ends.
+/// A parse error with its text for the log. The connection on which it occurred is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0}")]
 pub struct Fault(pub &'static str);
 
-/// The id of one attempt: its 16 hexadecimal digits just as they came.
+/// The id of one attempt: 16 hexadecimal digits, kept exactly as received.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct CallId([u8; CALL_ID_DIGITS]);
 
 impl CallId {
-    /// The id of these digits; none where they are not 16 hexadecimal digits.
+    /// Parses an id. Returns `None` unless `text` is exactly 16 hexadecimal digits.
     pub fn parse(text: &[u8]) -> Option<CallId> {
         call_id.parse(text).ok()
     }
 
-    /// The digits.
+    /// The hexadecimal digits.
     pub fn as_bytes(&self) -> &[u8] {
         &self.0
     }
@@ -67,16 +67,17 @@
     Ok(CallId(id))
 }
 
-/// Where encoders put their bytes: a plain vector or a ring.
+/// The output of encoders: a vector or a ring buffer.
 pub trait Buffer: for<'a> Extend<&'a u8> {}
 impl<T: for<'a> Extend<&'a u8>> Buffer for T {}
 
-/// One message off the front of the bytes, and its length; none until more bytes have come.
+/// The first message of the input and its length in bytes, or `None` if more input is needed.
 pub type Parsed<T> = Result<Option<(T, usize)>, Fault>;
 
 type Bytes<'i> = Partial<&'i [u8]>;
 
-/// Parses a message that is complete within `max_bytes` off the front.
+/// Parses the message at the front of `input`. An incomplete message of `max_bytes` or more is a
+/// fault.
 fn parse_front<'i, T>(
     input: &'i [u8],
     max_bytes: usize,
@@ -92,7 +93,8 @@
     }
 }
 
-/// One line without its CR LF. An incomplete one is judged as far as it goes.
+/// Parses one line and strips its CR LF. An incomplete line is rejected as soon as it is too long
+/// or contains a control character.
 fn line<'i>(input: &mut Bytes<'i>) -> ModalResult<&'i [u8]> {
     let received = &input[..input.len().min(MAX_LINE_BYTES + LINE_END_BYTES)];
     if !has_line_end(received) && !may_become_line(received) {
@@ -106,13 +108,13 @@
 }
 
 fn may_become_line(received: &[u8]) -> bool {
-    // A CR that came last may be half of the end; other control characters are in no line.
+    // A trailing CR may be the first half of CR LF; lines contain no other control characters.
     let text = received.strip_suffix(b"\r").unwrap_or(received);
     let is_printable = |byte: &u8| matches!(byte, b' '..=b'~' | b'\t' | 0x80..);
     received.len() <= MAX_LINE_BYTES && text.iter().all(is_printable)
 }
 
-/// Parses the whole text of a line; one that does not fit can't be mended by more bytes.
+/// Parses the whole text of a line. A mismatch is final, since more input cannot repair it.
 fn parse_line<'i, T>(
     text: &'i [u8],
     mut fields: impl Parser<&'i [u8], T, ErrMode<ContextError>>,
@@ -122,12 +124,12 @@
         .map_err(|error| ErrMode::Cut(error.into_inner()))
 }
 
-/// The body whose length a line announced, without its CR LF.
+/// Parses the body whose length a line announced and strips its CR LF.
 fn body<'i>(length: usize) -> impl FnMut(&mut Bytes<'i>) -> ModalResult<&'i [u8]> {
     body_up_to(length, MAX_BODY_BYTES)
 }
 
-/// The same, with another limit.
+/// Parses a body of at most `max_bytes`; see [`body`].
 fn body_up_to<'i>(
     length: usize,
     max_bytes: usize,
--- a/crates/merlinshelf-protocol/src/registration.rs
+++ b/crates/merlinshelf-protocol/src/registration.rs
@@ -1,4 +1,4 @@
-//! Reports to the membership service: HTTP/1.1, as far as one kind of request needs it.
+//! Reports to the membership service, in the subset of HTTP/1.1 that they need.
 
 use winnow::ascii::{Caseless, dec_uint, digit1, space0};
 use winnow::combinator::{alt, delimited, preceded, terminated};
@@ -10,18 +10,18 @@
     write_line,
 };
 
-/// A response with more header lines is none of this service.
+/// Maximum number of header lines in a response.
 const MAX_HEADERS: usize = 64;
-/// A response of this status has no body, and neither have those below `FIRST_FINAL_STATUS`.
+/// Responses with this status have no body, and neither do those below `FIRST_FINAL_STATUS`.
 const NO_CONTENT: u16 = 204;
 const FIRST_FINAL_STATUS: u16 = 200;
 
 /// The phase that an instance reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// It serves.
+    /// The instance accepts requests.
     Up,
-    /// It is shutting down.
+    /// The instance is shutting down.
     Out,
 }
 
@@ -39,24 +39,24 @@
     write_line(out, request);
 }
 
-/// A response, without its body.
+/// The parts of a response that the caller needs; the body is skipped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Response {
     /// The status code.
     pub status: u16,
-    /// Whether the connection may carry the next report.
+    /// Whether the connection can be used for the next report.
     pub is_reusable: bool,
 }
 
-/// Reads one response off the front and skips its body.
+/// Reads the response at the front of `input` and skips its body.
 ///
 /// # Errors
-/// The bytes can't become a response.
+/// The input is not a prefix of a valid response.
 pub fn read_response(input: &[u8]) -> Parsed<Response> {
     parse_front(
         input,
         MAX_HEADERS * MAX_LINE_BYTES + MAX_BODY_BYTES,
-        Fault("unreadable answer"),
+        Fault("malformed HTTP response"),
         response,
     )
 }
@@ -79,7 +79,7 @@
         }
     }
     if is_chunked {
-        is_reusable = false; // the rest of it is left unread with the connection
+        is_reusable = false; // the chunked body is not read, so the connection cannot be reused
     } else if status != NO_CONTENT && status >= FIRST_FINAL_STATUS {
         let body_bytes = content_length.unwrap_or(0).min(MAX_BODY_BYTES);
         take(body_bytes).void().parse_next(input)?;
@@ -91,7 +91,7 @@
     })
 }
 
-/// The minor version and the status code.
+/// Parses the minor HTTP version and the status code.
 fn status_line<'i>(input: &mut &'i [u8]) -> ModalResult<(&'i [u8], u16)> {
     let minor_version = delimited("HTTP/1.", digit1, " ");
     let status = take_while(3, b'0'..=b'9').and_then(dec_uint::<_, u16, _>);
--- a/crates/merlinshelf-protocol/src/uwsgi.rs
+++ b/crates/merlinshelf-protocol/src/uwsgi.rs
@@ -1,10 +1,10 @@
-//! uwsgi as an application server sees it, from the public description of the protocol: one packet
-//! of variables, the body that these announce, one answer, and the end of the connection.
+//! The application server's side of the uwsgi protocol, after its public description: a connection
+//! carries one packet of variables, the request body that they announce, and one answer.
 //!
-//! A packet is a header of four bytes (modifier1, size of the variables, little-endian, modifier2)
-//! and the variables, each a name and a value with their lengths in two bytes, little-endian.
-//! Modifier1 is 0 for a request of this kind. The description leaves open how the body ends: here
-//! CONTENT_LENGTH says so, and without it there is none.
+//! A packet is a header of four bytes (modifier1, size of the variables as two little-endian bytes,
+//! modifier2) and the variables. Each name and each value is preceded by its length as two
+//! little-endian bytes. Both modifiers are 0 for the requests supported here. The description does
+//! not define where the body ends: this parser uses CONTENT_LENGTH and assumes no body without it.
 
 use winnow::binary::le_u16;
 use winnow::combinator::repeat;
@@ -15,24 +15,24 @@
 use crate::{Buffer, Fault};
 
 const HEADER_BYTES: usize = 4;
-/// Longer variables are forwarded as they come, to be rejected where all parameters are.
+/// Larger packets are forwarded in parts; the code that limits the size of parameters rejects them.
 const MAX_VARIABLES_BYTES: usize = 4 * 1024;
-/// The lengths of one variable's name and value.
+/// Size of the two length fields of a variable.
 const LENGTHS_BYTES: usize = 4;
 
-/// What a request brings. There is one on a connection, so that it needs no id.
+/// A parsed part of a request. It has no id, since a connection carries a single request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fragment<'a> {
-    /// A request begins.
+    /// The request begins.
     Begin,
-    /// All variables.
+    /// The complete variables.
     Variables {
         /// The variables, for [`pairs`].
         bytes: &'a [u8],
-        /// Length of the body that they announce.
+        /// Length of the body that the variables announce.
         body: usize,
     },
-    /// A part of variables that are too long; never the last.
+    /// A part of variables that exceed the size limit. No fragment marks their end.
     VariablesPart {
         /// The part.
         bytes: &'a [u8],
@@ -41,7 +41,7 @@
     Body {
         /// The part.
         bytes: &'a [u8],
-        /// Whether the body ends with it.
+        /// Whether this is the last part of the body.
         last: bool,
     },
 }
@@ -50,26 +50,26 @@
 enum State {
     #[default]
     Header,
-    /// All variables are awaited; how many bytes they have.
+    /// Waits for all variables; contains their size in bytes.
     Variables(usize),
-    /// Too long; how many bytes are still to come.
+    /// The variables exceed the limit; contains the number of bytes not yet received.
     LongVariables(usize),
-    /// How many bytes are still to come.
+    /// Contains the number of body bytes not yet received.
     Body(usize),
-    /// What comes now belongs to nothing.
+    /// The request is complete; further bytes are discarded.
     Ended,
 }
 
-/// Cuts what comes on a connection into fragments.
+/// Splits the bytes of a connection into fragments.
 #[derive(Debug, Default)]
 pub struct Request(State);
 
 impl Request {
-    /// Reads on. Returns how many bytes are consumed, 0 until more have come, and what they
-    /// brought.
+    /// Parses the next fragment. Returns the number of bytes consumed, which is 0 if more input is
+    /// needed, and the fragment, if any.
     ///
     /// # Errors
-    /// The bytes are no such request.
+    /// The input is not a supported uwsgi request.
     pub fn next<'a>(&mut self, input: &'a [u8]) -> Result<(usize, Option<Fragment<'a>>), Fault> {
         if input.is_empty() {
             return Ok((0, None));
@@ -105,7 +105,7 @@
         };
         let [modifier1, size_low, size_high, modifier2] = *header;
         if (modifier1, modifier2) != (0, 0) {
-            return Err(Fault("a uwsgi packet of another kind"));
+            return Err(Fault("unsupported uwsgi modifiers"));
         }
         let size = usize::from(u16::from_le_bytes([size_low, size_high]));
         self.0 = if size > MAX_VARIABLES_BYTES {
@@ -114,7 +114,7 @@
             State::Variables(size)
         };
         if size == 0 {
-            return Err(Fault("a uwsgi packet without variables"));
+            return Err(Fault("uwsgi packet without variables"));
         }
         Ok((HEADER_BYTES, Some(Fragment::Begin)))
     }
@@ -127,7 +127,7 @@
         let Some(bytes) = input.get(..size) else {
             return (0, None);
         };
-        // Variables that can't be read announce nothing, and are rejected by who parses them.
+        // Malformed variables announce no body; the caller rejects them when it parses them.
         let variables = pairs(bytes).unwrap_or_else(|_| Vec::new());
         let body = content_length(&variables).unwrap_or(0);
         self.0 = if body > 0 {
@@ -138,13 +138,13 @@
         (size, Some(Fragment::Variables { bytes, body }))
     }
 
-    /// Whether the request has begun and not come to its end.
+    /// Whether the request has begun and is not complete.
     pub fn is_partial(&self) -> bool {
         !matches!(self.0, State::Header | State::Ended)
     }
 
-    /// Where it stands, for a process that continues it: a number for the part of the request, and
-    /// how many of its bytes are awaited.
+    /// The parser's state for a handover: a number for the current part of the request, and the
+    /// number of its bytes that are expected.
     pub fn state(&self) -> (u8, usize) {
         match self.0 {
             State::Header => (0, 0),
@@ -155,7 +155,7 @@
         }
     }
 
-    /// A parser that continues where another stood.
+    /// Restores a parser from the result of [`Request::state`].
     pub fn resume((part, bytes): (u8, usize)) -> Request {
         Request(match part {
             0 => State::Header,
@@ -167,7 +167,7 @@
     }
 }
 
-/// As much as has come of what remains, and how many bytes remain behind it.
+/// Returns the received part of the remaining bytes, and how many bytes remain after it.
 fn split_part(input: &[u8], remaining: usize) -> (&[u8], usize) {
     let count = remaining.min(input.len());
     (&input[..count], remaining - count)
@@ -189,18 +189,18 @@
     (text, text).parse_next(input)
 }
 
-/// The variables of a complete packet.
+/// Parses the variables of a complete packet.
 ///
 /// # Errors
-/// A length does not fit.
+/// A name or a value extends beyond the packet.
 pub fn pairs(bytes: &[u8]) -> Result<Vec<Pair<'_>>, Fault> {
     repeat(0.., pair)
         .parse(bytes)
-        .map_err(|_| Fault("name-value pairs that do not fit"))
+        .map_err(|_| Fault("name or value extends beyond the uwsgi packet"))
 }
 
-/// Writes a whole answer. A CGI head becomes that of an HTTP response, the end of which is given by
-/// its length and by the connection's.
+/// Writes a complete answer. Converts the CGI head to that of an HTTP response with a
+/// Content-Length, on a connection that is closed afterwards.
 pub fn write_answer(out: &mut impl Buffer, head: &str, body: &[u8]) {
     let head = head.strip_prefix("Status: ").unwrap_or(head);
     let (status, fields) = head.split_once("\r\n").unwrap_or((head, "\r\n"));
@@ -211,7 +211,7 @@
     out.extend(body);
 }
 
-/// Writes the packet of a request, as a front end does; the body follows.
+/// Writes the packet of a request, as a front-end server does. The caller appends the body.
 pub fn write_request(out: &mut impl Buffer, variables: &[(&str, &str)]) {
     let sizes = variables
         .iter()
@@ -226,8 +226,8 @@
     }
 }
 
-/// Whether a connection that begins with this byte may carry uwsgi: FastCGI begins with its
-/// version, 1, HTTP with a letter, TLS with 22.
+/// Whether a connection whose first byte is `first` can be uwsgi. FastCGI starts with its version,
+/// 1, HTTP with a letter and TLS with 22.
 pub fn is_first_byte(first: u8) -> bool {
     first == 0
 }
--- a/crates/merlinshelf-protocol/tests/uwsgi.rs
+++ b/crates/merlinshelf-protocol/tests/uwsgi.rs
@@ -89,8 +89,8 @@
 #[test]
 fn what_is_no_request_or_announces_nothing() {
     for (bytes, reason) in [
-        (&[5, 0, 0, 0][..], "another kind"),
-        (&[0, 9, 0, 1], "another kind"),
+        (&[5, 0, 0, 0][..], "unsupported uwsgi modifiers"),
+        (&[0, 9, 0, 1], "unsupported uwsgi modifiers"),
         (&[0; 4], "without variables"),
     ] {
         assert!(
