--- a/crates/merlinshelf-protocol/tests/control.rs
+++ b/crates/merlinshelf-protocol/tests/control.rs
@@ -1,11 +1,12 @@
-//! Frames of the control socket: whole, cut at every byte, garbled and endless.
+//! Reading and writing frames of the control socket: complete, cut at every byte, malformed and too
+//! long.
 
 use merlinshelf_protocol::control::{
     ControlMessage, ControlRequest, Frame, read_message, read_request, write_message, write_request,
 };
 
 #[test]
-fn frames_are_read_as_they_were_written_and_not_before_they_are_complete() {
+fn frames_round_trip_and_are_not_read_before_they_are_complete() {
     let mut bytes: Vec<u8> = Vec::new();
     write_request(&mut bytes, ControlRequest::Upgrade, b"{\"a\":1}");
     assert_eq!(bytes, b"ask 1 upgrade 7\r\n{\"a\":1}\r\n");
@@ -42,7 +43,7 @@
 }
 
 #[test]
-fn another_version_is_returned_and_what_is_no_request_is_a_fault_at_once() {
+fn unsupported_version_is_returned_and_malformed_requests_are_faults_at_once() {
     let frame = Frame {
         version: 7,
         message: ControlRequest::Status,
@@ -65,6 +66,6 @@
     for fault in faults {
         assert!(read_request(fault).is_err(), "{}", fault.escape_ascii());
     }
-    // A line without an end is not waited for.
+    // A line that is too long is rejected without waiting for its end.
     assert!(read_request(&[b'a'; 2000]).is_err());
 }
--- a/crates/merlinshelf-protocol/tests/golden.rs
+++ b/crates/merlinshelf-protocol/tests/golden.rs
@@ -1,12 +1,12 @@
-//! What two processes of ours send each other in text, held to golden files: the messages of gossip
+//! Compares the text protocols between merlinshelf processes with golden files: gossip messages
 //! with every metric, status and state, and the framing of the control socket with every request
-//! and message. Beside them what `wire.rs` has no sample of: a report to the membership service
-//! that an instance is up, a run that failed, and the numbers by which a handover image tells where
-//! a parser stood.
+//! and message. It also covers samples that `wire.rs` lacks: a report to the membership service
+//! that an instance is up, a run that failed, and the numbers that store the state of a parser in a
+//! handover image.
 //!
-//! Every field of a sample has a value of its own that is not its default, so that a field that is
-//! lost or swapped shows. The files hold bytes as programs in the field wrote them: where a test
-//! fails, the code is to be mended, not the file.
+//! Every field of a sample has a distinct value other than its default, so that a lost or swapped
+//! field is detected. The files contain bytes as deployed versions write them: if a test fails, fix
+//! the code, not the file.
 
 use merlinshelf_gossip::{
     GossipedObservation, MembershipUpdate, Message, Metric, Source, SourceStatus, State,
@@ -25,7 +25,7 @@
 ];
 const STATES: [State; 4] = [State::Alive, State::Suspect, State::Left, State::Gone];
 
-/// Every metric, each with names of its own: some have bytes that are escaped.
+/// Every metric, each with distinct names, some of which contain bytes that are escaped.
 fn metrics() -> Vec<Metric> {
     vec![
         Metric::RunLowest {
@@ -77,7 +77,7 @@
     metrics().into_iter().enumerate().map(observation).collect()
 }
 
-/// A peer in every state, the last of them without an address.
+/// One peer in each state; the last one has no address.
 fn updates() -> Vec<MembershipUpdate> {
     let peer = |(state, place): (State, u32)| MembershipUpdate {
         name: format!("peer {place}"),
@@ -92,7 +92,7 @@
     STATES.into_iter().zip(1..).map(peer).collect()
 }
 
-/// What says which kind of message it is, and the message.
+/// A message and its kind.
 type Gossip = (MessageKind, Message);
 
 fn poll_of_peer() -> Gossip {
@@ -112,8 +112,8 @@
     (MessageKind::Poll, message)
 }
 
-/// With counts of updates and observations that differ, and the three statuses that the poll does
-/// not have.
+/// Answers with different numbers of updates and observations, and with the three statuses that the
+/// poll does not contain.
 fn answers_of_peer() -> Vec<Gossip> {
     let statuses = [
         SourceStatus::Steady,
@@ -159,7 +159,7 @@
 
 #[test]
 fn poll_of_a_peer() {
-    golden_file::assert_form(
+    golden_file::assert_round_trip(
         "gossip_question",
         &vec![poll_of_peer()],
         |all| encode_gossip(all),
@@ -169,7 +169,7 @@
 
 #[test]
 fn answers_of_peers() {
-    golden_file::assert_form(
+    golden_file::assert_round_trip(
         "gossip_answers",
         &answers_of_peer(),
         |all| encode_gossip(all),
@@ -177,7 +177,7 @@
     );
 }
 
-/// A request or message of the control socket with the version and the body.
+/// The version, the request or message, and the body of a control socket frame.
 type Framed<T> = (u32, T, Vec<u8>);
 
 const PROTOCOL_VERSION: u32 = 1;
@@ -195,7 +195,7 @@
     all
 }
 
-/// Each with a body of its own: none, one of several lines, one that is not text.
+/// Combines the messages with four bodies in turn: one line, empty, several lines and binary.
 fn framed<T: Copy>(messages: &[T]) -> Vec<Framed<T>> {
     let bodies: [&[u8]; 4] = [b"{\"of\":1}", b"", b"{\r\n\"of\":3}\r\n", b"\x81\xa2of\x04"];
     let bodies = bodies.into_iter().cycle().map(<[u8]>::to_vec);
@@ -224,10 +224,10 @@
         bytes
     };
     let decode = |bytes: &[u8]| decode_framed(bytes, control::read_request);
-    golden_file::assert_form("control_questions", &requests, encode, decode);
+    golden_file::assert_round_trip("control_questions", &requests, encode, decode);
 }
 
-/// What one agent says to another has a reader of its own.
+/// Messages between agents are read by a separate function.
 #[test]
 fn message_between_agents() {
     let message = framed(&[ControlRequest::Consensus]);
@@ -237,7 +237,7 @@
         bytes
     };
     let decode = |bytes: &[u8]| decode_framed(bytes, control::read_consensus_request);
-    golden_file::assert_form("control_between_agents", &message, encode, decode);
+    golden_file::assert_round_trip("control_between_agents", &message, encode, decode);
 }
 
 #[test]
@@ -257,7 +257,7 @@
         bytes
     };
     let decode = |bytes: &[u8]| decode_framed(bytes, control::read_message);
-    golden_file::assert_form("control_answers", &messages, encode, decode);
+    golden_file::assert_round_trip("control_answers", &messages, encode, decode);
 }
 
 #[test]
@@ -284,13 +284,15 @@
     );
 }
 
-/// A handover image carries these four numbers (`records::Edge::record`).
+/// A handover image contains these four numbers (`records::ClientConnectionRecord`).
 #[test]
-fn where_a_parser_of_fastcgi_stood() {
+fn fastcgi_parser_state_is_saved_and_restored() {
     let mut records = fastcgi::Records::default();
-    let begun = [&[1, 5, 1, 2, 0, 9, 7, 0][..], b"four"].concat();
-    let (head, _) = records.next(&begun).expect("a record's head");
-    let (body, _) = records.next(&begun[head..]).expect("a part of its content");
+    let received = [&[1, 5, 1, 2, 0, 9, 7, 0][..], b"four"].concat();
+    let (head, _) = records.next(&received).expect("a record's head");
+    let (body, _) = records
+        .next(&received[head..])
+        .expect("a part of its content");
     assert_eq!((head, body), (8, 4));
     let state = fastcgi::RecordsState {
         kind: 5,
@@ -302,9 +304,9 @@
     assert_eq!(fastcgi::Records::resume(state).state(), state);
 }
 
-/// And these two in the same place for a request in uwsgi.
+/// For a uwsgi connection a handover image contains these two numbers in the same record.
 #[test]
-fn where_a_parser_of_uwsgi_stood() {
+fn uwsgi_parser_state_is_saved_and_restored() {
     let mut packet: Vec<u8> = Vec::new();
     uwsgi::write_request(&mut packet, &[("CONTENT_LENGTH", "9")]);
     let mut request = uwsgi::Request::default();
@@ -320,7 +322,7 @@
     let variables = packet.len() - 4;
     assert_eq!(states, [(0, 0), (1, variables), (3, 9), (3, 5), (4, 0)]);
 
-    // Variables that are too long are passed over.
+    // Variables that exceed the limit are skipped.
     let mut request = uwsgi::Request::default();
     let (used, _) = request.next(&[0, 0xff, 0xff, 0]).expect("a head");
     assert_eq!((used, request.state()), (4, (2, 0xffff)));
@@ -329,8 +331,8 @@
     }
 }
 
-/// Golden files: `tests/golden/NAME.hex`, sixteen bytes a line, each line with its offset, the
-/// bytes in hexadecimal and the same bytes as text.
+/// Golden files: `tests/golden/NAME.hex`, with sixteen bytes per line. Each line contains its
+/// offset, the bytes in hexadecimal and the same bytes as text.
 mod golden_file {
     use std::fmt::Write as _;
     use std::path::{Path, PathBuf};
@@ -373,9 +375,9 @@
             .collect()
     }
 
-    /// The bytes of a golden file, which must be there. With `GOLDEN_WRITE=1` in the environment a
-    /// file that is missing is written from `encoded`; one that is there is never changed, since
-    /// bytes in the field don't change either.
+    /// Reads the bytes of a golden file and panics if it is missing. With `GOLDEN_WRITE=1` in the
+    /// environment a missing file is written from `encoded`. An existing file is never overwritten,
+    /// since deployed versions keep using its format.
     pub fn read(name: &str, encoded: &[u8]) -> Vec<u8> {
         let path = path_of(name);
         if std::env::var_os("GOLDEN_WRITE").is_some_and(|value| value == "1") && !path.exists() {
@@ -399,9 +401,9 @@
         );
     }
 
-    /// Asserts that the golden bytes are decoded to exactly this value, and the value encoded to
-    /// the golden bytes.
-    pub fn assert_form<T: std::fmt::Debug + PartialEq>(
+    /// Asserts that the golden bytes decode to exactly this value and that the value encodes to the
+    /// golden bytes.
+    pub fn assert_round_trip<T: std::fmt::Debug + PartialEq>(
         name: &str,
         value: &T,
         encode: impl Fn(&T) -> Vec<u8>,
--- a/crates/merlinshelf-protocol/tests/gossip.rs
+++ b/crates/merlinshelf-protocol/tests/gossip.rs
@@ -1,4 +1,4 @@
-//! Gossip messages: whole, in parts of any size, garbled, endless.
+//! Reading and writing gossip messages: complete, in parts of any size, malformed and too long.
 
 use merlinshelf_gossip::gossip_node::{MAX_OBSERVATIONS, MAX_UPDATES};
 use merlinshelf_gossip::{
@@ -124,10 +124,13 @@
             let mut rest = whole.as_slice();
             let read = loop {
                 let count = rng.random_range(1..=max_part).min(rest.len());
-                assert!(count > 0, "it never ends");
+                assert!(
+                    count > 0,
+                    "the message is not complete at the end of the input"
+                );
                 received.extend(&rest[..count]);
                 rest = &rest[count..];
-                let (used, read) = reader.read(&received).expect("it can be read");
+                let (used, read) = reader.read(&received).expect("a valid message");
                 received.drain(..used);
                 if let Some(read) = read {
                     break read;
@@ -142,7 +145,7 @@
 }
 
 #[test]
-fn the_longest_message_is_within_the_limit_and_more_lines_are_a_fault() {
+fn longest_message_is_within_the_limit_and_excess_lines_are_a_fault() {
     let long = "x".repeat(64);
     let metric = Metric::RunRecent {
         engine: long.clone(),
@@ -158,7 +161,7 @@
     assert_eq!(
         MessageReader::default()
             .read(&whole)
-            .expect("it can be read")
+            .expect("a valid message")
             .1,
         Some((MessageKind::Answer, message.clone()))
     );
@@ -184,7 +187,7 @@
 }
 
 #[test]
-fn invalid_messages_are_faults_at_once() {
+fn malformed_messages_are_faults_at_once() {
     let good = bytes(MessageKind::Poll, &message());
     let texts: Vec<Vec<u8>> = vec![
         b"GET / HTTP/1.1\r\n".to_vec(),
@@ -209,15 +212,15 @@
             text.escape_ascii()
         );
     }
-    // A byte changed anywhere gives a fault, another message or the wait for more, and nothing
-    // else.
+    // A message with one changed byte is a fault, a different message or incomplete. It never makes
+    // the reader panic or consume more bytes than there are.
     let mut rng = Pcg64Mcg::seed_from_u64(9);
     for _ in 0..5000 {
-        let mut garbled = good.clone();
-        let place = rng.random_range(0..garbled.len());
-        garbled[place] = rng.random();
-        if let Ok((used, _)) = MessageReader::default().read(&garbled) {
-            assert!(used <= garbled.len());
+        let mut corrupted = good.clone();
+        let place = rng.random_range(0..corrupted.len());
+        corrupted[place] = rng.random();
+        if let Ok((used, _)) = MessageReader::default().read(&corrupted) {
+            assert!(used <= corrupted.len());
         }
     }
 }
--- a/crates/merlinshelf-protocol/tests/uwsgi.rs
+++ b/crates/merlinshelf-protocol/tests/uwsgi.rs
@@ -1,5 +1,4 @@
-//! What the parser of uwsgi makes of requests, whole, cut at every byte, and of bytes that are
-//! none.
+//! The uwsgi parser on complete, split and malformed requests.
 
 use merlinshelf_protocol::uwsgi::{self, Fragment, Request};
 use proptest::prelude::*;
@@ -22,13 +21,13 @@
 struct ReadRequest {
     variables: Vec<u8>,
     body: Vec<u8>,
-    /// Whether the body's last part came.
+    /// Whether the request was read to its end.
     has_ended: bool,
-    /// Bytes that belong to nothing.
+    /// Bytes consumed without a fragment: those after the end of the request.
     stray_bytes: usize,
 }
 
-/// What bytes bring that come in parts so long, or the fault.
+/// Reads a request that is received in parts of `part` bytes. Returns the text of a fault.
 fn read(bytes: &[u8], part: usize) -> Result<ReadRequest, &'static str> {
     let mut request = Request::default();
     let mut result = ReadRequest::default();
@@ -37,7 +36,7 @@
     while received < bytes.len() {
         received = bytes.len().min(received + part.max(1));
         loop {
-            // As after an upgrade: where it stands is all that it knows.
+            // Restores the parser from its state before each step, as after a handover.
             request = Request::resume(request.state());
             let next = request.next(&bytes[from..received]);
             let (used, fragment) = next.map_err(|fault| fault.0)?;
@@ -67,12 +66,12 @@
 }
 
 #[test]
-fn a_request_cut_at_every_byte_is_the_same_as_uncut() {
+fn request_split_into_parts_of_any_size_is_read_the_same() {
     let bytes = [request_bytes(b"four", "4"), b"and more".to_vec()].concat();
-    let once = read(&bytes, bytes.len()).expect("it can be read");
+    let once = read(&bytes, bytes.len()).expect("a valid request");
     assert_eq!(once.body, b"four");
     assert_eq!((once.has_ended, once.stray_bytes), (true, 8));
-    let pairs = uwsgi::pairs(&once.variables).expect("they fit");
+    let pairs = uwsgi::pairs(&once.variables).expect("complete variables");
     assert_eq!(
         pairs,
         [
@@ -87,7 +86,7 @@
 }
 
 #[test]
-fn what_is_no_request_or_announces_nothing() {
+fn malformed_requests_are_faults_and_invalid_lengths_announce_no_body() {
     for (bytes, reason) in [
         (&[5, 0, 0, 0][..], "unsupported uwsgi modifiers"),
         (&[0, 9, 0, 1], "unsupported uwsgi modifiers"),
@@ -98,7 +97,7 @@
             "{bytes:?}"
         );
     }
-    // A length that is none is the variables' fault, and nothing is waited for.
+    // An invalid CONTENT_LENGTH is not a fault of the parser, which then expects no body.
     for length in ["", "-1", "1e3", "99999999999999999999999"] {
         assert!(
             read(&request_bytes(b"", length), 7)
@@ -109,9 +108,9 @@
     let wrong = [&[0, 6, 0, 0][..], &[9, 0, b'a', 0, 0, 0]].concat();
     let unreadable = read(&wrong, 3).expect("a complete packet");
     assert!(unreadable.has_ended && uwsgi::pairs(&unreadable.variables).is_err());
-    // Too long ones are forwarded as they come and never end.
+    // Variables that exceed the limit are forwarded in parts, and no fragment marks their end.
     let long = [&[0, 0xff, 0xff, 0][..], &[1; 70_000]].concat();
-    let skipped = read(&long, 1000).expect("it can be skipped");
+    let skipped = read(&long, 1000).expect("a request with long variables");
     assert_eq!(skipped.variables.len(), 0xffff);
     assert_eq!(
         (skipped.has_ended, skipped.stray_bytes),
@@ -120,14 +119,14 @@
 }
 
 #[test]
-fn an_answer_is_that_of_http_with_its_length() {
+fn answer_is_an_http_response_with_its_length() {
     let mut out: Vec<u8> = Vec::new();
     uwsgi::write_answer(
         &mut out,
         "Status: 503 Service Unavailable\r\nX-Come-Back-Ms: 40\r\n\r\n",
         b"abc",
     );
-    let text = String::from_utf8(out).expect("text");
+    let text = String::from_utf8(out).expect("UTF-8");
     assert_eq!(
         text,
         "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 3\r\nConnection: close\r\n\
@@ -138,7 +137,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 2000, ..ProptestConfig::default() })]
     #[test]
-    fn no_bytes_make_it_panic_and_parts_change_nothing(
+    fn random_bytes_never_panic_and_splitting_does_not_change_the_result(
         mut bytes in prop::collection::vec(any::<u8>(), 0..300),
         request in any::<bool>(),
         part in 1..40_usize,
--- a/crates/merlinshelf-protocol/tests/wire.rs
+++ b/crates/merlinshelf-protocol/tests/wire.rs
@@ -1,4 +1,4 @@
-//! What parsers make of bytes, whole and in parts, and what encoders write.
+//! Parsers on complete, split and malformed input, and the output of encoders.
 
 use insta::assert_snapshot;
 use merlinshelf_protocol::fastcgi::{self, Fragment, Records};
@@ -12,7 +12,7 @@
     [&head, content, &vec![7; padding.into()]].concat()
 }
 
-/// Two interleaved invocations among management records, oddities and padding.
+/// Two interleaved invocations with management records, records of unknown types and padding.
 fn stream() -> Vec<u8> {
     [
         record(9, 0, b"\x0f\0FCGI_MPXS_CONNS\x03\0ANY", 3),
@@ -30,7 +30,7 @@
     .concat()
 }
 
-/// What the stream brings when it comes in parts of at most that many bytes.
+/// The fragments of a stream that is received in parts of at most `part` bytes.
 fn fragments(bytes: &[u8], part: usize) -> Vec<String> {
     let mut records = Records::default();
     let mut seen = Vec::<String>::new();
@@ -44,7 +44,7 @@
                 Ok((used, None)) => from += used,
                 Ok((used, Some(fragment))) => {
                     from += used;
-                    // Contents may come in any parts: those of one stream are put together again.
+                    // Contents are split at arbitrary places: consecutive parts are joined.
                     match (fragment, seen.last_mut()) {
                         (
                             Fragment::Params { bytes, .. } | Fragment::Stdin { bytes, .. },
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn what_is_no_fastcgi_is_a_fault() {
+fn malformed_fastcgi_records_are_faults() {
     let long = record(9, 0, &[0; 2000], 0);
     let trace = [
         &b"GET / HTTP/1.1\r\n"[..],
@@ -104,10 +104,10 @@
         b"\x80\x00\x00\x02\x00BB",
     ]
     .concat();
-    let pairs = fastcgi::pairs(&bytes).expect("pairs that fit");
+    let pairs = fastcgi::pairs(&bytes).expect("complete pairs");
     assert_eq!(pairs, [(&b"A"[..], &long[..]), (b"BB", b"")]);
     for cut in 1..bytes.len() {
-        let is_complete = cut == 306; // just behind the first pair
+        let is_complete = cut == 306; // the end of the first pair
         assert_eq!(
             fastcgi::pairs(&bytes[..cut]).is_ok(),
             is_complete,
@@ -124,13 +124,13 @@
     fastcgi::write_end(&mut out, 3, fastcgi::Status::Overloaded);
     fastcgi::write_unknown(&mut out, 77);
     fastcgi::write_values(&mut out, b"\x01\0A\x01\0B", &[("B", "32".into())])
-        .expect("names that fit");
+        .expect("complete names");
     assert_snapshot!(
         out.chunks(8)
             .map(|row| format!("{}\n", row.escape_ascii()))
             .collect::<String>()
     );
-    // More than one record holds: cut, and all there.
+    // A body longer than one record is split without losing bytes.
     let body: Vec<u8> = (0..70_000u32).map(|n| n as u8).collect();
     let mut out = Vec::new();
     fastcgi::write_answer(&mut out, 1, "", &body);
@@ -142,7 +142,7 @@
     );
 }
 
-/// Reads messages one after the other, and asserts that no part of one passes for a complete one.
+/// Reads consecutive messages and asserts that no prefix of a message is read as a complete one.
 fn messages<T: std::fmt::Debug>(bytes: &[u8], read: impl Fn(&[u8]) -> Parsed<T>) -> String {
     let (mut from, mut trace) = (0, String::new());
     while from < bytes.len() {
@@ -172,7 +172,7 @@
 }
 
 #[test]
-fn the_engines_notifications_are_read() {
+fn engine_notifications_are_read() {
     let bytes = b"HELLO COLD 120\r\nDONE 1 9b1f03aa5c7e2d41 OK 88 6\r\na\r\nb\0c\r\n\
         NEED 2 9b1f03aa5c7e2d42 0\r\n\r\n\
         STATS 17 0.62 3 0.41 120\r\nNO RUN 9b1f03aa5c7e2d41\r\nNOTE 3 all is well\r\n\
@@ -195,7 +195,7 @@
 }
 
 #[test]
-fn replies_of_the_catalogue_are_read() {
+fn catalogue_replies_are_read() {
     let id = "9b1f03aa5c7e2d41";
     let bytes = format!(
         "{id} ok 4\r\n\r\n\r\n\r\n{id} overload\r\n{id} internal\r\n{id} deadline\r\n{id} stale\r\n"
@@ -211,13 +211,16 @@
     ];
     let bad = bad.map(|bytes| messages(bytes.as_bytes(), read)).concat();
     assert_snapshot!(messages(bytes.as_bytes(), read) + &bad);
-    // What can't become a reply is not waited for, however little has come.
-    for begun in [
+    // Input that cannot become a reply is rejected without waiting for more, however short it is.
+    for prefix in [
         "noise",
         &format!("{id} ok 3000000000\r\n"),
         &format!("{id} ok {}", "1".repeat(60)),
     ] {
-        assert!(read(begun.as_bytes()).is_err(), "{begun} is waited for");
+        assert!(
+            read(prefix.as_bytes()).is_err(),
+            "{prefix} is accepted as an incomplete reply"
+        );
     }
 }
 
@@ -245,7 +248,7 @@
 }
 
 #[test]
-fn names_of_dependencies_are_offered_agreed_and_read() {
+fn dependency_names_are_negotiated_and_read() {
     let mut out = Vec::new();
     engine::write_attach(&mut out, 7, Some(engine::NAMES_EXTENSION));
     assert_eq!(out, b"ATTACH 7 NAMES/1\r\n");
@@ -271,7 +274,7 @@
 }
 
 #[test]
-fn responses_of_the_membership_service_are_read() {
+fn membership_service_responses_are_read() {
     let bytes =
         b"HTTP/1.1 204 No Content\r\n\r\nHTTP/1.1 503 Busy\r\ncontent-LENGTH: 3 \r\n\r\nnow\
         HTTP/1.1 204 \r\nConnection: close\r\nX: y\r\n\r\nHTTP/1.0 200 OK\r\n\r\n\
@@ -279,9 +282,9 @@
     assert_snapshot!(messages(bytes, registration::read_response));
 }
 
-/// Complete messages with bytes changed, cut off and inserted: nothing panics or never ends.
+/// Parsers neither panic nor loop forever on messages with changed, removed or inserted bytes.
 #[test]
-fn no_bytes_make_a_parser_panic() {
+fn corrupted_messages_never_panic_a_parser() {
     let seeds = [
         stream(),
         b"DONE 1 9b1f03aa5c7e2d41 OK 88 6\r\na\r\nb\0c\r\nSTATS 1 0.5 1 2 3\r\n\
@@ -313,7 +316,7 @@
             faults += usize::from(has_fault(&bytes));
         }
     }
-    assert!(faults > 1000, "only {faults} were found unreadable");
+    assert!(faults > 1000, "only {faults} faults were detected");
 }
 
 fn has_fault(bytes: &[u8]) -> bool {
