--- a/crates/merlinshelf-cli/tests/dependencies.rs
+++ b/crates/merlinshelf-cli/tests/dependencies.rs
@@ -11,10 +11,10 @@
     called_dependencies, dependencies_config,
 };
 use merlinshelf_testbed::experiments::upgrade::request_upgrade;
-use merlinshelf_testbed::fakes::{Manners, Server};
+use merlinshelf_testbed::fakes::{Server, ServerBehavior};
 use merlinshelf_testbed::instance::{Instance, Setup};
-use merlinshelf_testbed::load::{Load, Playing};
-use merlinshelf_testbed::play::play_within;
+use merlinshelf_testbed::load::{Load, RunningLoad};
+use merlinshelf_testbed::runtime::run_with_timeout;
 use serde_json::Value;
 use tokio::time::{Instant, sleep};
 
@@ -22,7 +22,7 @@
 
 /// Runs a test on one thread, with a timeout.
 fn run_test<T>(test: impl Future<Output = io::Result<T>>) -> T {
-    play_within(Duration::from_secs(60), test)
+    run_with_timeout(Duration::from_secs(60), test)
 }
 
 struct Rig {
@@ -65,7 +65,7 @@
 
 impl Rig {
     /// Starts an instance under load and waits until it has answered a few invocations.
-    async fn start_with_load(&self, number: u8) -> io::Result<(Instance, Load, Playing)> {
+    async fn start_with_load(&self, number: u8) -> io::Result<(Instance, Load, RunningLoad)> {
         let instance = Instance::start(&self.setup, number).await?;
         let load = Load::of_all(&instance.address, 8, 150.0, number.into());
         let playing = load.start().await?;
@@ -73,7 +73,7 @@
         Ok((instance, load, playing))
     }
 
-    fn set_behaviour(&self, name: &str, manners: Manners) {
+    fn set_behaviour(&self, name: &str, manners: ServerBehavior) {
         self.servers[name]
             .iter()
             .for_each(|server| server.does(manners));
@@ -81,7 +81,7 @@
 }
 
 /// Waits until `count` more invocations are answered, or 15 s have passed.
-async fn wait_for_answers(playing: &Playing, count: usize) {
+async fn wait_for_answers(playing: &RunningLoad, count: usize) {
     let answered = || {
         playing
             .seen
@@ -120,14 +120,14 @@
                 .values()
                 .all(|sent| sent.partial.is_none())
         );
-        rig.set_behaviour("catalogue", Manners::Slow(20.0));
-        rig.set_behaviour("assets", Manners::Errors);
+        rig.set_behaviour("catalogue", ServerBehavior::Slow(20.0));
+        rig.set_behaviour("assets", ServerBehavior::Errors);
         wait_for_answers(&playing, 150).await;
-        rig.set_behaviour("assets", Manners::Well);
+        rig.set_behaviour("assets", ServerBehavior::Well);
         wait_for_answers(&playing, 50).await;
-        rig.set_behaviour("catalogue", Manners::Well);
+        rig.set_behaviour("catalogue", ServerBehavior::Well);
         // Within seconds, all answers are complete again.
-        let all_complete = |playing: &Playing| {
+        let all_complete = |playing: &RunningLoad| {
             let seen = playing.seen.borrow();
             let recent = seen
                 .sent
@@ -204,7 +204,7 @@
             .await?;
         instance.depends_on(&dependencies_config(&addresses(&rig.servers, 0..3)))?;
         instance.logged("dependencies reloaded: 2", 2).await?;
-        rig.set_behaviour("catalogue", Manners::Slow(10.0));
+        rig.set_behaviour("catalogue", ServerBehavior::Slow(10.0));
         wait_for_answers(&playing, 30).await;
         assert_eq!(
             request_upgrade(&instance, &format!("exec '{PROGRAM}' \"$@\"")).await?,
@@ -234,8 +234,8 @@
     run_test(async {
         let rig = start_rig().await?;
         let (instance, load, playing) = rig.start_with_load(3).await?;
-        rig.servers["catalogue"][0].does(Manners::Hangs);
-        rig.servers["assets"][1].does(Manners::Breaks);
+        rig.servers["catalogue"][0].does(ServerBehavior::Hangs);
+        rig.servers["assets"][1].does(ServerBehavior::Breaks);
         wait_for_answers(&playing, 20).await;
         instance.leave().await?;
         let seen = playing.stop().await.take();
@@ -283,8 +283,8 @@
         let mut rig = start_rig().await?;
         rig.setup.effect = "at_most_once".into();
         let (instance, load, playing) = rig.start_with_load(5).await?;
-        rig.set_behaviour("catalogue", Manners::Breaks);
-        rig.servers["assets"][0].does(Manners::Hangs);
+        rig.set_behaviour("catalogue", ServerBehavior::Breaks);
+        rig.servers["assets"][0].does(ServerBehavior::Hangs);
         wait_for_answers(&playing, 150).await;
         let seen = playing.stop().await.take();
         let calls: u64 = rig
--- a/crates/merlinshelf-cli/tests/fleet.rs
+++ b/crates/merlinshelf-cli/tests/fleet.rs
@@ -6,9 +6,9 @@
 use std::time::Duration;
 
 use merlinshelf_protocol::control::ControlMessage;
-use merlinshelf_testbed::fleet::{Rig, sum};
+use merlinshelf_testbed::fleet::{FleetUnderTest, sum};
 use merlinshelf_testbed::instance::signal;
-use merlinshelf_testbed::play::play_within;
+use merlinshelf_testbed::runtime::run_with_timeout;
 use rustix::process::Signal;
 use serde_json::{Value, json};
 use tokio::time::sleep;
@@ -17,7 +17,7 @@
 
 /// Runs a test on one thread, with a timeout.
 fn run_test<T>(test: impl Future<Output = io::Result<T>>) -> T {
-    play_within(Duration::from_secs(100), test)
+    run_with_timeout(Duration::from_secs(100), test)
 }
 
 fn change_section() -> Value {
@@ -25,21 +25,24 @@
 }
 
 /// Another program file with the same content.
-fn copy_of_program(rig: &Rig) -> io::Result<String> {
+fn copy_of_program(rig: &FleetUnderTest) -> io::Result<String> {
     let copy = rig.folder.join("merlinshelf-2");
     std::fs::copy(PROGRAM, &copy)?;
     Ok(std::fs::canonicalize(copy)?.to_string_lossy().into_owned())
 }
 
 /// Sends a request and returns the last reply.
-async fn request(rig: &Rig, body: Value) -> io::Result<(ControlMessage, Value)> {
+async fn request(rig: &FleetUnderTest, body: Value) -> io::Result<(ControlMessage, Value)> {
     rig.ask(&body)
         .await?
         .pop()
         .ok_or_else(|| io::ErrorKind::UnexpectedEof.into())
 }
 
-async fn names_where(rig: &Rig, predicate: impl Fn(&Value) -> bool) -> io::Result<Vec<String>> {
+async fn names_where(
+    rig: &FleetUnderTest,
+    predicate: impl Fn(&Value) -> bool,
+) -> io::Result<Vec<String>> {
     let (all, _) = rig.status().await?;
     Ok(all
         .iter()
@@ -51,7 +54,7 @@
 #[test]
 fn a_rolling_upgrade_and_a_drain_under_load_lose_no_invocation() {
     run_test(async {
-        let rig = Rig::start(PROGRAM.as_ref(), 210, 4, &change_section()).await?;
+        let rig = FleetUnderTest::start(PROGRAM.as_ref(), 210, 4, &change_section()).await?;
         rig.when("serving", 4).await?;
         let playing = rig.load(60.0, 3).await?;
         sleep(Duration::from_millis(500)).await;
@@ -98,8 +101,8 @@
 
 /// Starts the upgrade of one of two instances and waits for its probation. Returns the process ids
 /// of the predecessor and the successor.
-async fn upgrade_in_probation(number: u8) -> io::Result<(Rig, u32, u32)> {
-    let rig = Rig::start(PROGRAM.as_ref(), number, 2, &change_section()).await?;
+async fn upgrade_in_probation(number: u8) -> io::Result<(FleetUnderTest, u32, u32)> {
+    let rig = FleetUnderTest::start(PROGRAM.as_ref(), number, 2, &change_section()).await?;
     rig.when("serving", 2).await?;
     let (all, _) = rig.status().await?;
     let pid = |status: &Value| {
@@ -131,7 +134,7 @@
 }
 
 /// Waits until the plan has ended and returns it.
-async fn plan_over(rig: &Rig) -> io::Result<Value> {
+async fn plan_over(rig: &FleetUnderTest) -> io::Result<Value> {
     loop {
         let (_, plan) = request(rig, json!({ "op": "plan" })).await?;
         if plan["over"] == true {
@@ -194,7 +197,7 @@
 #[test]
 fn a_restarted_agent_adopts_the_instances_and_continues_the_plan() {
     run_test(async {
-        let mut rig = Rig::start(PROGRAM.as_ref(), 211, 4, &change_section()).await?;
+        let mut rig = FleetUnderTest::start(PROGRAM.as_ref(), 211, 4, &change_section()).await?;
         rig.when("serving", 4).await?;
         let playing = rig.load(40.0, 4).await?;
         let program = copy_of_program(&rig)?;
@@ -246,7 +249,7 @@
 #[test]
 fn killed_hung_and_manually_drained_instances_are_restarted() {
     run_test(async {
-        let rig = Rig::start(PROGRAM.as_ref(), 212, 4, &change_section()).await?;
+        let rig = FleetUnderTest::start(PROGRAM.as_ref(), 212, 4, &change_section()).await?;
         rig.when("serving", 4).await?;
         let (all, _) = rig.status().await?;
         let pid = |index: usize| {
@@ -291,7 +294,7 @@
 #[test]
 fn a_foreign_process_on_a_control_socket_is_reported_and_left_alone() {
     run_test(async {
-        let rig = Rig::start(PROGRAM.as_ref(), 215, 2, &change_section()).await?;
+        let rig = FleetUnderTest::start(PROGRAM.as_ref(), 215, 2, &change_section()).await?;
         rig.when("serving", 2).await?;
         request(
             &rig,
@@ -320,7 +323,7 @@
 #[test]
 fn a_fleet_file_with_an_invalid_group_is_rejected_as_a_whole() {
     run_test(async {
-        let rig = Rig::start(PROGRAM.as_ref(), 216, 2, &change_section()).await?;
+        let rig = FleetUnderTest::start(PROGRAM.as_ref(), 216, 2, &change_section()).await?;
         rig.when("serving", 2).await?;
         let (before, _) = rig.status().await?;
         let file = rig.folder.join("fleet.json5");
@@ -358,7 +361,7 @@
 #[test]
 fn a_program_that_does_not_start_ends_the_plan_and_the_old_one_serves_on() {
     run_test(async {
-        let rig = Rig::start(PROGRAM.as_ref(), 213, 3, &change_section()).await?;
+        let rig = FleetUnderTest::start(PROGRAM.as_ref(), 213, 3, &change_section()).await?;
         rig.when("serving", 3).await?;
         let (before, _) = rig.status().await?;
         let bad = rig.folder.join("bad");
@@ -390,7 +393,7 @@
 #[test]
 fn fleet_commands_report_results_and_errors() {
     run_test(async {
-        let rig = Rig::start(PROGRAM.as_ref(), 214, 3, &change_section()).await?;
+        let rig = FleetUnderTest::start(PROGRAM.as_ref(), 214, 3, &change_section()).await?;
         rig.when("serving", 3).await?;
         let socket = rig.socket().to_string_lossy().into_owned();
         let run = |arguments: &[&str]| {
--- a/crates/merlinshelf-cli/tests/handover.rs
+++ b/crates/merlinshelf-cli/tests/handover.rs
@@ -10,7 +10,9 @@
 
 use insta::assert_snapshot;
 use merlinshelf_testbed::instance::signal;
-use merlinshelf_testbed::script::{PATIENCE, Peer, Rig, ask_until_stalled, bind, serve_all};
+use merlinshelf_testbed::script::{
+    PATIENCE, Peer, ProgramUnderTest, bind, complete_all_runs, send_until_stalled,
+};
 use merlinshelf_testbed::wire::{ask, id};
 use rustix::process::Signal;
 
@@ -18,7 +20,7 @@
 
 /// A rig whose program has a control socket and can be upgraded.
 struct Upgradable {
-    rig: Rig,
+    rig: ProgramUnderTest,
     folder: PathBuf,
 }
 
@@ -56,7 +58,7 @@
         ("MERLINSHELF_FAULT", fault),
     ];
     Upgradable {
-        rig: Rig::with(PROGRAM, 1024, changes, &variables),
+        rig: ProgramUnderTest::with(PROGRAM, 1024, changes, &variables),
         folder,
     }
 }
@@ -340,8 +342,8 @@
     let instance = start_upgradable(300, &[("\"Cores\": 2", "\"Cores\": 60")]);
     let (engine, mut slow) = (instance.rig.engine(), instance.rig.edge());
     let result = "r".repeat(4000);
-    let answered = serve_all(engine, &result);
-    let sent = ask_until_stalled(&mut slow, &answered);
+    let answered = complete_all_runs(engine, &result);
+    let sent = send_until_stalled(&mut slow, &answered);
     assert!(
         instance
             .start_upgrade_until("done")
@@ -443,7 +445,7 @@
     let operator = instance.folder.join("operator.json5");
     std::fs::write(&operator, "{ log: { format: 'json' } }").expect("a file");
     let variables = [("MERLINSHELF_OPERATOR", operator.to_str().expect("text"))];
-    let mut rig = Rig::with(
+    let mut rig = ProgramUnderTest::with(
         PROGRAM,
         1024,
         &[("\"stop_ms\": 3200", "\"stop_ms\": 300")],
--- a/crates/merlinshelf-cli/tests/learning.rs
+++ b/crates/merlinshelf-cli/tests/learning.rs
@@ -10,8 +10,8 @@
 use merlinshelf_protocol::control::{ControlMessage, ControlRequest};
 use merlinshelf_testbed::experiments::learning::benefit;
 use merlinshelf_testbed::instance::{Instance, Setup, peer_address, signal};
-use merlinshelf_testbed::load::{Load, Playing, Verdict};
-use merlinshelf_testbed::play::play_within;
+use merlinshelf_testbed::load::{Load, RunningLoad, Verdict};
+use merlinshelf_testbed::runtime::run_with_timeout;
 use rustix::process::Signal;
 use serde_json::{Value, json};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -23,7 +23,7 @@
 
 /// Runs a test on one thread, with a timeout.
 fn run_test<T>(test: impl Future<Output = io::Result<T>>) -> T {
-    play_within(Duration::from_secs(60), test)
+    run_with_timeout(Duration::from_secs(60), test)
 }
 
 fn setup(number: u8, seeds: &[u8]) -> Setup {
@@ -39,7 +39,7 @@
 }
 
 /// Starts a load whose invocation ids depend on the seed.
-async fn load(instance: &Instance, seed: u64) -> io::Result<(Load, Playing)> {
+async fn load(instance: &Instance, seed: u64) -> io::Result<(Load, RunningLoad)> {
     let load = Load::of_all(&instance.address, 8, 120.0, seed);
     let playing = load.start().await?;
     Ok((load, playing))
@@ -47,8 +47,8 @@
 
 /// Waits until 30 more invocations are answered, or 10 s have passed. Stops the load and checks all
 /// answers.
-async fn check(instance: &Instance, load: &Load, playing: Playing) -> Verdict {
-    let answered = |playing: &Playing| {
+async fn check(instance: &Instance, load: &Load, playing: RunningLoad) -> Verdict {
+    let answered = |playing: &RunningLoad| {
         playing
             .seen
             .borrow()
@@ -80,7 +80,7 @@
 
 /// Starts an instance under load and waits until it is steady, with observations from its own
 /// samples.
-async fn start_steady(number: u8) -> io::Result<(Instance, Load, Playing)> {
+async fn start_steady(number: u8) -> io::Result<(Instance, Load, RunningLoad)> {
     let instance = Instance::start(&setup(number, &[]), number).await?;
     let (load, playing) = load(&instance, number.into()).await?;
     instance
--- a/crates/merlinshelf-cli/tests/policy.rs
+++ b/crates/merlinshelf-cli/tests/policy.rs
@@ -10,17 +10,17 @@
 use merlinshelf_agent::control_client::ControlClient;
 use merlinshelf_protocol::control::{ControlMessage, ControlRequest};
 use merlinshelf_testbed::installation::{
-    Changed, Installation, Made, check, evidence, out_of_order, policy_of,
+    Changed, Installation, InstallationConfig, check, evidence, out_of_order, policy_of,
 };
 use merlinshelf_testbed::instance::signal;
-use merlinshelf_testbed::link::{ControlLink, Fault, Manner};
-use merlinshelf_testbed::play::play_in_a_lane;
+use merlinshelf_testbed::link::{ControlLink, ControlLinkMode, Fault};
+use merlinshelf_testbed::runtime::run_installation_with_timeout;
 use rustix::process::Signal;
 use serde_json::{Value, json};
 use tokio::time::{Instant, sleep, timeout};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_merlinshelf");
-const THREE_HOSTS: Made = Made {
+const THREE_HOSTS: InstallationConfig = InstallationConfig {
     hosts: 3,
     instances: 2,
     lease_ms: 1000,
@@ -36,7 +36,7 @@
 
 /// Runs a test on one thread, with a timeout.
 fn run_test<T>(test: impl Future<Output = io::Result<T>>) -> T {
-    play_in_a_lane(Duration::from_secs(100), test)
+    run_installation_with_timeout(Duration::from_secs(100), test)
 }
 
 /// Proposes the policy that admits this sign, and waits for the outcome.
@@ -88,7 +88,7 @@
         usize,
         u16,
         merlinshelf_testbed::load::Load,
-        merlinshelf_testbed::load::Playing,
+        merlinshelf_testbed::load::RunningLoad,
     )>,
     changes: &[Changed],
 ) {
@@ -447,7 +447,7 @@
 #[test]
 fn an_instance_starting_without_a_majority_rejects_at_once_until_it_uses_the_base_policy() {
     run_test(async {
-        let made = Made {
+        let made = InstallationConfig {
             lease_ms: 1500,
             ..THREE_HOSTS
         };
@@ -594,7 +594,7 @@
         let playing = all.load(40.0, 11).await?;
         let mut changes = vec![complete_change(&all, 0, 0, "one").await?];
         let link = ControlLink::take(&all.hosts[2].control(1))?;
-        link.set(Manner::Older);
+        link.set(ControlLinkMode::Older);
         let (proposed, reply) = (Instant::now(), propose(&all, 1, 1, "too new").await?);
         assert_eq!(
             (reply.0, &reply.1["state"]),
@@ -612,7 +612,7 @@
             held: false,
         });
         sleep(Duration::from_millis(1500)).await; // longer than a lease: this instance now uses the base policy, and all others the previous one
-        link.set(Manner::Plain);
+        link.set(ControlLinkMode::Plain);
         sleep(Duration::from_millis(300)).await; // time for a heartbeat
         changes.push(complete_change(&all, 1, 2, "now").await?);
         assert!(changes[2].held);
@@ -725,7 +725,7 @@
 #[test]
 fn a_change_that_makes_service_worse_is_rolled_back_everywhere() {
     run_test(async {
-        let made = Made {
+        let made = InstallationConfig {
             watch_ms: 2000,
             ..THREE_HOSTS
         };
@@ -801,7 +801,7 @@
 #[test]
 fn a_lost_agent_is_removed_and_a_new_one_added_under_load() {
     run_test(async {
-        let made = Made {
+        let made = InstallationConfig {
             hosts: 4,
             instances: 1,
             ..THREE_HOSTS
@@ -991,7 +991,7 @@
         let mut changes = vec![complete_change(&all, 0, 0, "one").await?];
         let link = ControlLink::take(&all.hosts[1].control(0))?;
         sleep(Duration::from_millis(400)).await; // heartbeats pass through the link
-        link.set(Manner::Held);
+        link.set(ControlLinkMode::Held);
         let start = Instant::now();
         changes.push(complete_change(&all, 0, 1, "two").await?);
         assert!(
@@ -1000,7 +1000,7 @@
             start.elapsed()
         );
         // Held data now arrives all at once, including grants of the previous policy.
-        link.set(Manner::Plain);
+        link.set(ControlLinkMode::Plain);
         changes.push(complete_change(&all, 2, 2, "three").await?);
         drop(link);
         wait_until_all_use(&all, 3).await?;
--- a/crates/merlinshelf-cli/tests/serving.rs
+++ b/crates/merlinshelf-cli/tests/serving.rs
@@ -10,7 +10,8 @@
 
 use insta::assert_snapshot;
 use merlinshelf_testbed::script::{
-    PATIENCE, Peer, Rig, ask_until_stalled, bind, configuration, millis, program, serve_all,
+    PATIENCE, Peer, ProgramUnderTest, bind, complete_all_runs, configuration, millis, program,
+    send_until_stalled,
 };
 use merlinshelf_testbed::wire::{ask, id, record, unix_ms};
 use rand::{RngExt, SeedableRng};
@@ -20,7 +21,7 @@
 
 #[test]
 fn interleaved_invocations_are_answered_in_completion_order_with_bodies_unchanged() {
-    let rig = Rig::start(PROGRAM, 1024, &[]);
+    let rig = ProgramUnderTest::start(PROGRAM, 1024, &[]);
     let (mut engine, mut edge) = (rig.engine(), rig.edge());
     let mut trace = String::new();
     // The second request arrives byte by byte and is answered before the first.
@@ -65,7 +66,7 @@
 
 #[test]
 fn malformed_requests_do_not_affect_other_requests() {
-    let rig = Rig::start(PROGRAM, 1024, &[]);
+    let rig = ProgramUnderTest::start(PROGRAM, 1024, &[]);
     let (mut engine, mut edge) = (rig.engine(), rig.edge());
     let mut trace = String::new();
     edge.send(ask(1, "transcript-search", b"good", &[]));
@@ -138,7 +139,7 @@
 
 #[test]
 fn a_33rd_open_request_on_a_connection_is_rejected() {
-    let rig = Rig::start(PROGRAM, 1024, &[]);
+    let rig = ProgramUnderTest::start(PROGRAM, 1024, &[]);
     let (_engine, mut edge) = (rig.engine(), rig.edge());
     // The requests are begun and not completed, so that none is admitted or rejected before the
     // limit is reached.
@@ -151,7 +152,7 @@
 
 #[test]
 fn a_broken_engine_link_is_replaced_and_lost_runs_are_sent_again() {
-    let rig = Rig::start(PROGRAM, 1024, &[]);
+    let rig = ProgramUnderTest::start(PROGRAM, 1024, &[]);
     let (mut engine, mut edge) = (rig.engine(), rig.edge());
     edge.send(ask(1, "transcript-search", b"first", &[]));
     let mut trace = engine.message() + "\n";
@@ -199,7 +200,7 @@
 
 #[test]
 fn a_silent_engine_link_is_replaced() {
-    let rig = Rig::start(PROGRAM, 1024, &[]);
+    let rig = ProgramUnderTest::start(PROGRAM, 1024, &[]);
     let mut engine = rig.engine();
     // From here on, neither gauge queries nor the next ATTACH are answered.
     let mut waits = Vec::new();
@@ -218,7 +219,7 @@
 
 #[test]
 fn downstream_calls_are_made_and_their_outcomes_distinguished() {
-    let mut rig = Rig::start(PROGRAM, 1024, &[]);
+    let mut rig = ProgramUnderTest::start(PROGRAM, 1024, &[]);
     let (mut engine, mut edge) = (rig.engine(), rig.edge());
     let mut trace = String::new();
     edge.send(ask(1, "thumbnail", b"", &[]));
@@ -246,7 +247,8 @@
 
 #[test]
 fn call_reply_statuses_are_counted_and_idle_catalogue_connections_closed() {
-    let mut rig = Rig::start(PROGRAM, 1024, &[("\"stop_ms\": 3200", "\"stop_ms\": 400")]);
+    let mut rig =
+        ProgramUnderTest::start(PROGRAM, 1024, &[("\"stop_ms\": 3200", "\"stop_ms\": 400")]);
     let (mut engine, mut edge) = (rig.engine(), rig.edge());
     let mut catalogue: Option<Peer> = None;
     for (number, status) in (1..).zip(["overload", "stale", "internal", "deadline"]) {
@@ -298,7 +300,7 @@
 
 #[test]
 fn a_call_without_a_reply_times_out_and_its_connection_is_closed() {
-    let rig = Rig::start(PROGRAM, 1024, &[("1700000", "1200000")]); // a latency objective of 1.2 s
+    let rig = ProgramUnderTest::start(PROGRAM, 1024, &[("1700000", "1200000")]); // a latency objective of 1.2 s
     let (mut engine, mut edge) = (rig.engine(), rig.edge());
     edge.send(ask(1, "thumbnail", b"", &[]));
     let mut trace = engine.message() + "\n";
@@ -333,7 +335,7 @@
 
 #[test]
 fn a_malformed_reply_fails_only_its_own_call() {
-    let rig = Rig::start(PROGRAM, 1024, &[("\"Cores\": 2", "\"Cores\": 12")]);
+    let rig = ProgramUnderTest::start(PROGRAM, 1024, &[("\"Cores\": 2", "\"Cores\": 12")]);
     let (mut engine, mut edge) = (rig.engine(), rig.edge());
     let mut start_call = |number: u16| {
         edge.send(ask(number, "thumbnail", b"", &[]));
@@ -380,7 +382,7 @@
 
 #[test]
 fn a_reloaded_configuration_moves_calls_in_flight_to_the_new_addresses() {
-    let mut rig = Rig::start(PROGRAM, 1024, &[]);
+    let mut rig = ProgramUnderTest::start(PROGRAM, 1024, &[]);
     let (mut engine, mut edge) = (rig.engine(), rig.edge());
     let mut members = Peer::accept(&rig.members);
     assert_eq!(members.line().as_deref(), Some("PUT /members/n0 HTTP/1.1"));
@@ -445,7 +447,7 @@
 
 #[test]
 fn only_idle_edge_connections_are_closed() {
-    let rig = Rig::start(PROGRAM, 1024, &[("30000000", "600000")]); // connections are closed after a third of that
+    let rig = ProgramUnderTest::start(PROGRAM, 1024, &[("30000000", "600000")]); // connections are closed after a third of that
     let (mut engine, mut idle, mut edge) = (rig.engine(), rig.edge(), rig.edge());
     let start = Instant::now();
     edge.send(ask(1, "transcript-search", b"", &[]));
@@ -471,7 +473,7 @@
 
 #[test]
 fn an_unanswered_membership_report_is_sent_again() {
-    let rig = Rig::start(PROGRAM, 1024, &[]);
+    let rig = ProgramUnderTest::start(PROGRAM, 1024, &[]);
     let (mut first, sent) = (Peer::accept(&rig.members), Instant::now());
     assert_eq!(first.line().as_deref(), Some("PUT /members/n0 HTTP/1.1"));
     let mut second = Peer::accept(&rig.members);
@@ -485,11 +487,11 @@
 
 #[test]
 fn a_slow_reader_does_not_delay_others_and_receives_every_answer() {
-    let rig = Rig::start(PROGRAM, 1024, &[("\"Cores\": 2", "\"Cores\": 40")]);
+    let rig = ProgramUnderTest::start(PROGRAM, 1024, &[("\"Cores\": 2", "\"Cores\": 40")]);
     let (engine, mut slow, mut edge) = (rig.engine(), rig.edge(), rig.edge());
     let result = "r".repeat(4096);
-    let answered = serve_all(engine, &result);
-    let sent = ask_until_stalled(&mut slow, &answered);
+    let answered = complete_all_runs(engine, &result);
+    let sent = send_until_stalled(&mut slow, &answered);
     let asked = Instant::now();
     edge.send(ask(65535, "transcript-search", b"", &[]));
     assert!(edge.answer().ends_with(&result));
@@ -544,7 +546,7 @@
 
 #[test]
 fn after_a_pause_of_the_process_only_late_invocations_fail() {
-    let rig = Rig::start(PROGRAM, 1024, &[]);
+    let rig = ProgramUnderTest::start(PROGRAM, 1024, &[]);
     let (mut engine, mut edge) = (rig.engine(), rig.edge());
     edge.send(ask(
         1,
@@ -581,8 +583,8 @@
 
 #[test]
 fn requests_received_during_a_pause_are_read_before_connections_time_out() {
-    let rig = Rig::start(PROGRAM, 1024, &[]);
-    serve_all(rig.engine(), "fine");
+    let rig = ProgramUnderTest::start(PROGRAM, 1024, &[]);
+    complete_all_runs(rig.engine(), "fine");
     // Before the pause, one connection has sent nothing and the other a partial request. By the end
     // of the pause, both have sent complete requests.
     let (mut fresh, mut half) = (rig.edge(), rig.edge());
@@ -619,8 +621,8 @@
 
 #[test]
 fn a_rejected_request_is_answered_before_it_is_complete() {
-    let rig = Rig::start(PROGRAM, 1024, &[]);
-    serve_all(rig.engine(), "fine");
+    let rig = ProgramUnderTest::start(PROGRAM, 1024, &[]);
+    complete_all_runs(rig.engine(), "fine");
     let (mut edge, sent) = (rig.edge(), Instant::now());
     edge.send([without_body(1), record(5, 1, &[b'x'; 3000], 0)].concat());
     assert!(edge.answer().starts_with("1 413"));
@@ -661,7 +663,7 @@
 
 #[test]
 fn connections_that_never_complete_a_request_are_closed() {
-    let rig = Rig::start(PROGRAM, 1024, &[]);
+    let rig = ProgramUnderTest::start(PROGRAM, 1024, &[]);
     let mut engine = rig.engine();
     let (mut silent, mut half, mut trickle, mut unknown) =
         (rig.edge(), rig.edge(), rig.edge(), rig.edge());
@@ -700,7 +702,8 @@
 
 #[test]
 fn repeated_faults_on_one_connection_do_not_affect_others() {
-    let mut rig = Rig::start(PROGRAM, 1024, &[("\"stop_ms\": 3200", "\"stop_ms\": 400")]);
+    let mut rig =
+        ProgramUnderTest::start(PROGRAM, 1024, &[("\"stop_ms\": 3200", "\"stop_ms\": 400")]);
     let (mut engine, mut faulty, mut edge) = (rig.engine(), rig.edge(), rig.edge());
     // The engine does not know this invocation: the edge node is answered at once, and this counts
     // as a fault too.
@@ -749,8 +752,8 @@
 
 #[test]
 fn a_new_connection_replaces_the_longest_idle_one_when_all_are_in_use() {
-    let rig = Rig::start(PROGRAM, 64, &[("\"sockets\": 1024", "\"sockets\": 64")]);
-    serve_all(rig.engine(), "fine");
+    let rig = ProgramUnderTest::start(PROGRAM, 64, &[("\"sockets\": 1024", "\"sockets\": 64")]);
+    complete_all_runs(rig.engine(), "fine");
     let mut served = rig.edge();
     served.send(ask(1, "transcript-search", b"", &[]));
     assert!(served.answer().ends_with("fine"));
@@ -792,8 +795,9 @@
 
 #[test]
 fn garbled_bytes_affect_only_their_own_connection() {
-    let mut rig = Rig::start(PROGRAM, 1024, &[("\"stop_ms\": 3200", "\"stop_ms\": 400")]);
-    serve_all(rig.engine(), "fine");
+    let mut rig =
+        ProgramUnderTest::start(PROGRAM, 1024, &[("\"stop_ms\": 3200", "\"stop_ms\": 400")]);
+    complete_all_runs(rig.engine(), "fine");
     let mut rng = Pcg32::seed_from_u64(11);
     for tag in 1..=300 {
         let mut bytes = ask(tag, "transcript-search", b"body", &[]);
@@ -822,7 +826,7 @@
 
 #[test]
 fn serving_continues_after_more_connections_than_descriptors() {
-    let rig = Rig::start(PROGRAM, 64, &[("\"sockets\": 1024", "\"sockets\": 64")]);
+    let rig = ProgramUnderTest::start(PROGRAM, 64, &[("\"sockets\": 1024", "\"sockets\": 64")]);
     let mut engine = rig.engine();
     // More connections than the limit allows: silent ones are closed in favour of waiting ones.
     let mut edges: Vec<Peer> = (0..80).map(|_| rig.edge()).collect();
@@ -852,7 +856,7 @@
         ("\"sockets\": 1024", "\"sockets\": 64"),
         ("\"stop_ms\": 3200", "\"stop_ms\": 1200"),
     ];
-    let mut rig = Rig::start(PROGRAM, 64, &changes);
+    let mut rig = ProgramUnderTest::start(PROGRAM, 64, &changes);
     let mut engine = rig.engine();
     // Gauge queries are answered, so that nothing is rejected and all 32 connections have an
     // invocation in flight.
@@ -877,7 +881,7 @@
 
 #[test]
 fn sigterm_reports_the_out_phase_and_answers_all_requests() {
-    let mut rig = Rig::start(
+    let mut rig = ProgramUnderTest::start(
         PROGRAM,
         1024,
         &[
@@ -948,7 +952,7 @@
 
 #[test]
 fn an_unreachable_engine_or_membership_service_does_not_stop_serving() {
-    let mut rig = Rig::start(PROGRAM, 1024, &[]);
+    let mut rig = ProgramUnderTest::start(PROGRAM, 1024, &[]);
     rig.members = TcpListener::bind("127.0.0.1:0").expect("a port"); // the configured address refuses connections from now on
     let mut early = rig.edge();
     early.send(ask(1, "", b"", &[("SCRIPT_NAME", "/status/live")]));
--- a/crates/merlinshelf-cli/tests/shares.rs
+++ b/crates/merlinshelf-cli/tests/shares.rs
@@ -8,14 +8,15 @@
 
 use merlinshelf_protocol::control::ControlMessage;
 use merlinshelf_testbed::budgets::{
-    AGAIN, Door, FIRST, PROBES, aside, each_second, hold, most_within, policy, worst_second,
+    AGAIN, CatalogueTraffic, FIRST, PROBES, aside, each_second, hold, most_within, policy,
+    worst_second,
 };
-use merlinshelf_testbed::fakes::{Manners, Server};
-use merlinshelf_testbed::installation::{Installation, Made, check};
+use merlinshelf_testbed::fakes::{Server, ServerBehavior};
+use merlinshelf_testbed::installation::{Installation, InstallationConfig, check};
 use merlinshelf_testbed::instance::signal;
 use merlinshelf_testbed::link::Fault;
-use merlinshelf_testbed::load::{Load, Playing, Verdict};
-use merlinshelf_testbed::play::play_in_a_lane;
+use merlinshelf_testbed::load::{Load, RunningLoad, Verdict};
+use merlinshelf_testbed::runtime::run_installation_with_timeout;
 use rustix::process::Signal;
 use serde_json::{Value, json};
 use tokio::time::{Instant, sleep};
@@ -26,7 +27,7 @@
 const REMAINING_CALLS_SECONDS: f64 = 1.5;
 
 fn run_test<T>(test: impl Future<Output = io::Result<T>>) -> T {
-    play_in_a_lane(Duration::from_secs(120), test)
+    run_installation_with_timeout(Duration::from_secs(120), test)
 }
 
 fn seconds(count: f64) -> Duration {
@@ -41,11 +42,16 @@
 struct Fleet {
     all: Installation,
     catalogue: Rc<Server>,
-    playing: Vec<(usize, u16, Load, Playing)>,
+    playing: Vec<(usize, u16, Load, RunningLoad)>,
 }
 
 impl Fleet {
-    async fn start(number: u8, made: &Made, rate: f64, policy: &Value) -> io::Result<Fleet> {
+    async fn start(
+        number: u8,
+        made: &InstallationConfig,
+        rate: f64,
+        policy: &Value,
+    ) -> io::Result<Fleet> {
         let all = Installation::start(PROGRAM.as_ref(), number, made).await?;
         let catalogue = all.door.clone().expect("a catalogue");
         hold(&all, policy, "budgets").await?;
@@ -59,8 +65,8 @@
     }
 
     /// The calls that the catalogue has received since this time.
-    fn calls_since(&self, from: Instant) -> Door {
-        Door::of(&self.catalogue, from, Instant::now())
+    fn calls_since(&self, from: Instant) -> CatalogueTraffic {
+        CatalogueTraffic::of(&self.catalogue, from, Instant::now())
     }
 
     /// Waits until all agents know that the catalogue fails everywhere. The agents' reports only
@@ -127,11 +133,11 @@
     }
 }
 
-fn installation_with(instances: u16) -> Made {
-    Made {
+fn installation_with(instances: u16) -> InstallationConfig {
+    InstallationConfig {
         instances,
         budgets: aside(),
-        ..Made::default()
+        ..InstallationConfig::default()
     }
 }
 
@@ -141,11 +147,11 @@
     run_test(async {
         let fleet = Fleet::start(10, &installation_with(8), 12.0, &policy(&[])).await?;
         let before = fleet.calls_since(Instant::now() - seconds(1.0)).calls.len();
-        fleet.catalogue.does(Manners::Errors);
+        fleet.catalogue.does(ServerBehavior::Errors);
         let failing_since = fleet.wait_until_failing().await?;
         pause(7.0).await;
         fleet.check_probes(failing_since);
-        fleet.catalogue.does(Manners::Well);
+        fleet.catalogue.does(ServerBehavior::Well);
         let recovered_at = Instant::now();
         pause(1.0).await;
         let first = fleet.calls_since(recovered_at);
@@ -187,7 +193,7 @@
 fn a_paused_leader_grants_nothing_after_its_term_ends() {
     run_test(async {
         let fleet = Fleet::start(14, &installation_with(4), 12.0, &policy(&[])).await?;
-        fleet.catalogue.does(Manners::Errors);
+        fleet.catalogue.does(ServerBehavior::Errors);
         let failing_since = fleet.wait_until_failing().await?;
         let leader = fleet.all.leader().await.expect("a leader");
         let agent = fleet.all.hosts[leader].agent().expect("an agent");
@@ -207,19 +213,20 @@
 fn after_the_leader_is_killed_another_allocates_after_a_lease() {
     run_test(async {
         let mut fleet = Fleet::start(18, &installation_with(4), 12.0, &policy(&[])).await?;
-        fleet.catalogue.does(Manners::Errors);
+        fleet.catalogue.does(ServerBehavior::Errors);
         let failing_since = fleet.wait_until_failing().await?;
         let leader = fleet.all.leader().await.expect("a leader");
         fleet.all.hosts[leader].kill_agent().await;
         pause(5.0).await;
         fleet.check_probes(failing_since);
-        fleet.catalogue.does(Manners::Well);
+        fleet.catalogue.does(ServerBehavior::Well);
         let recovered_at = Instant::now();
         let recovery_seconds = fleet.wait_until_recovered(recovered_at, 20).await;
         println!("recovered after {recovery_seconds:.2} s");
         assert!(
             worst_second(
-                &Door::of(&fleet.catalogue, recovered_at, recovered_at + seconds(1.0)).calls
+                &CatalogueTraffic::of(&fleet.catalogue, recovered_at, recovered_at + seconds(1.0))
+                    .calls
             ) <= FIRST
         );
         let program = fleet.all.program.clone();
@@ -235,7 +242,7 @@
     run_test(async {
         let fleet = Fleet::start(22, &installation_with(4), 12.0, &policy(&[])).await?;
         let leader = fleet.all.leader().await.expect("a leader");
-        fleet.catalogue.does(Manners::Errors);
+        fleet.catalogue.does(ServerBehavior::Errors);
         let failing_since = fleet.wait_until_failing().await?;
         // The leader is isolated, then reconnected, and another host is cut off while the leader's
         // grants still run.
@@ -260,7 +267,7 @@
 fn hosts_without_agents_recover_the_catalogue_with_their_reserves() {
     run_test(async {
         let mut fleet = Fleet::start(26, &installation_with(4), 12.0, &policy(&[])).await?;
-        fleet.catalogue.does(Manners::Errors);
+        fleet.catalogue.does(ServerBehavior::Errors);
         fleet.wait_until_failing().await?;
         for host in &mut fleet.all.hosts {
             host.kill_agent().await;
@@ -273,10 +280,11 @@
             (1..=3).contains(&most),
             "{most} probes in a second with a reserve of 1 on each of 3 hosts"
         );
-        fleet.catalogue.does(Manners::Well);
+        fleet.catalogue.does(ServerBehavior::Well);
         let recovered_at = Instant::now();
         let recovery_seconds = fleet.wait_until_recovered(recovered_at, 20).await;
-        let first = Door::of(&fleet.catalogue, recovered_at, recovered_at + seconds(3.0));
+        let first =
+            CatalogueTraffic::of(&fleet.catalogue, recovered_at, recovered_at + seconds(3.0));
         println!(
             "recovery by second {:?}, recovered after {recovery_seconds:.2} s",
             each_second(&first.calls, recovered_at, 3)
@@ -294,7 +302,7 @@
         let fleet =
             Fleet::start(30, &installation_with(4), 15.0, &policy(&[("opened", 60)])).await?;
         let from = Instant::now();
-        fleet.catalogue.does(Manners::Slow(3.0));
+        fleet.catalogue.does(ServerBehavior::Slow(3.0));
         for (.., playing) in fleet.playing.iter().step_by(4) {
             playing.seen.borrow_mut().restarts += 1;
         }
@@ -345,7 +353,7 @@
     run_test(async {
         let fleet =
             Fleet::start(34, &installation_with(2), 20.0, &policy(&[("probes", 6)])).await?;
-        fleet.catalogue.does(Manners::Errors);
+        fleet.catalogue.does(ServerBehavior::Errors);
         let failing_since = fleet.wait_until_failing().await?;
         for round in 0..3 {
             let paused: Vec<u32> = (0..3)
@@ -369,7 +377,7 @@
 fn instances_starting_together_without_an_allocator_stay_within_the_budget() {
     run_test(async {
         let mut fleet = Fleet::start(38, &installation_with(8), 8.0, &policy(&[])).await?;
-        fleet.catalogue.does(Manners::Errors);
+        fleet.catalogue.does(ServerBehavior::Errors);
         let failing_since = fleet.wait_until_failing().await?;
         let program = fleet.all.program.clone();
         for host in &mut fleet.all.hosts {
@@ -398,7 +406,7 @@
             .await?;
         pause(4.0).await;
         // Without observations, the catalogue is treated as recovering.
-        let starting = Door::of(&fleet.catalogue, failing_since, Instant::now()).calls;
+        let starting = CatalogueTraffic::of(&fleet.catalogue, failing_since, Instant::now()).calls;
         println!("{:?}", each_second(&starting, failing_since, 9));
         assert!(
             worst_second(&starting) <= FIRST,
@@ -408,12 +416,13 @@
         let failing_since = fleet.wait_until_failing().await?;
         pause(2.0).await;
         fleet.check_probes(failing_since);
-        fleet.catalogue.does(Manners::Well);
+        fleet.catalogue.does(ServerBehavior::Well);
         let recovered_at = Instant::now();
         fleet.wait_until_recovered(recovered_at, 30).await;
         assert!(
             worst_second(
-                &Door::of(&fleet.catalogue, recovered_at, recovered_at + seconds(1.0)).calls
+                &CatalogueTraffic::of(&fleet.catalogue, recovered_at, recovered_at + seconds(1.0))
+                    .calls
             ) <= FIRST
         );
         let verdict = check(&fleet.all, fleet.playing).await;
@@ -435,7 +444,7 @@
         let mut load = Load::of_all(&fleet.all.address(0, 0), 8, 60.0, 77);
         load.operations = vec!["thumbnail".into(), "playback-token".into()];
         let greedy = load.start().await?;
-        fleet.catalogue.does(Manners::HalfErrors);
+        fleet.catalogue.does(ServerBehavior::HalfErrors);
         let from = Instant::now();
         pause(8.0).await;
         let seen = fleet.calls_since(from);
@@ -466,7 +475,7 @@
     run_test(async {
         let fleet = Fleet::start(
             46,
-            &Made {
+            &InstallationConfig {
                 zones: true,
                 ..installation_with(3)
             },
@@ -510,7 +519,7 @@
 fn no_grant_is_spent_twice_across_upgrades() {
     run_test(async {
         let fleet = Fleet::start(50, &installation_with(3), 15.0, &policy(&[])).await?;
-        fleet.catalogue.does(Manners::Errors);
+        fleet.catalogue.does(ServerBehavior::Errors);
         let failing_since = fleet.wait_until_failing().await?;
         let program = fleet.all.hosts[0].folder.join("merlinshelf-2");
         std::fs::copy(PROGRAM, &program)?;
@@ -523,12 +532,13 @@
             assert_eq!(plan["state"], "done", "{plan}");
         }
         fleet.check_probes(failing_since);
-        fleet.catalogue.does(Manners::Well);
+        fleet.catalogue.does(ServerBehavior::Well);
         let recovered_at = Instant::now();
         fleet.wait_until_recovered(recovered_at, 25).await;
         assert!(
             worst_second(
-                &Door::of(&fleet.catalogue, recovered_at, recovered_at + seconds(1.0)).calls
+                &CatalogueTraffic::of(&fleet.catalogue, recovered_at, recovered_at + seconds(1.0))
+                    .calls
             ) <= FIRST
         );
         assert_eq!(fleet.end().await.run_twice, 0);
@@ -580,7 +590,7 @@
                 "{report}"
             );
         }
-        fleet.catalogue.does(Manners::Errors);
+        fleet.catalogue.does(ServerBehavior::Errors);
         let failing_since = fleet.wait_until_failing().await?;
         let (kind, report) = fleet.all.hosts[2]
             .policy(
--- a/crates/merlinshelf-cli/tests/upgrade.rs
+++ b/crates/merlinshelf-cli/tests/upgrade.rs
@@ -8,8 +8,8 @@
 use merlinshelf_protocol::control::{ControlMessage, ControlRequest};
 use merlinshelf_testbed::experiments::upgrade::{self, Plan, request_upgrade};
 use merlinshelf_testbed::instance::{Instance, Setup, signal};
-use merlinshelf_testbed::load::{Load, Playing, Verdict};
-use merlinshelf_testbed::play::play_within;
+use merlinshelf_testbed::load::{Load, RunningLoad, Verdict};
+use merlinshelf_testbed::runtime::run_with_timeout;
 use rustix::process::Signal;
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::{Instant, sleep};
@@ -25,7 +25,7 @@
 
 /// Runs a test on one thread, with a timeout.
 fn run_test<T>(test: impl Future<Output = io::Result<T>>) -> T {
-    play_within(Duration::from_secs(60), test)
+    run_with_timeout(Duration::from_secs(60), test)
 }
 
 fn setup() -> Setup {
@@ -46,7 +46,7 @@
     }
 }
 
-async fn start(setup: &Setup, number: u8) -> io::Result<(Instance, Load, Playing)> {
+async fn start(setup: &Setup, number: u8) -> io::Result<(Instance, Load, RunningLoad)> {
     start_with(setup, number, 12).await
 }
 
@@ -54,7 +54,7 @@
     setup: &Setup,
     number: u8,
     connections: usize,
-) -> io::Result<(Instance, Load, Playing)> {
+) -> io::Result<(Instance, Load, RunningLoad)> {
     let instance = Instance::start(setup, number).await?;
     let load = Load {
         connections,
@@ -69,8 +69,8 @@
 
 /// Waits until 20 more invocations are answered, or 10 s have passed. Stops the load and checks all
 /// answers.
-async fn check(instance: &Instance, load: &Load, playing: Playing) -> Verdict {
-    let answered = |playing: &Playing| {
+async fn check(instance: &Instance, load: &Load, playing: RunningLoad) -> Verdict {
+    let answered = |playing: &RunningLoad| {
         playing
             .seen
             .borrow()
--- a/crates/merlinshelf-cli/tests/uwsgi.rs
+++ b/crates/merlinshelf-cli/tests/uwsgi.rs
@@ -6,9 +6,9 @@
 
 use merlinshelf_testbed::experiments::upgrade::request_upgrade;
 use merlinshelf_testbed::instance::{Instance, Setup};
-use merlinshelf_testbed::load::{Front, Load};
-use merlinshelf_testbed::play::play_within;
-use merlinshelf_testbed::wire::{ask, ask_uwsgi};
+use merlinshelf_testbed::load::{FrontProtocol, Load};
+use merlinshelf_testbed::runtime::run_with_timeout;
+use merlinshelf_testbed::wire::{ask, uwsgi_invocation};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep, timeout};
@@ -17,7 +17,7 @@
 
 /// Runs a test on one thread, with a timeout.
 fn run_test<T>(test: impl Future<Output = io::Result<T>>) -> T {
-    play_within(Duration::from_secs(60), test)
+    run_with_timeout(Duration::from_secs(60), test)
 }
 
 fn setup() -> Setup {
@@ -32,7 +32,7 @@
 
 fn load(instance: &Instance, seed: u64) -> Load {
     Load {
-        front: Front::Both,
+        front: FrontProtocol::Both,
         ..Load::of_all(&instance.address, 8, 150.0, seed)
     }
 }
@@ -145,7 +145,7 @@
         for (operation, body, changes, status) in &cases {
             let requests = [
                 ask(1, operation, body, changes),
-                ask_uwsgi(operation, body, changes),
+                uwsgi_invocation(operation, body, changes),
             ];
             for (protocol, bytes) in ["fastcgi", "uwsgi"].into_iter().zip(requests) {
                 let names = ["bad", "succeeded", "invocations", "checks"];
@@ -176,7 +176,7 @@
         // An incomplete request is answered with 408.
         let whole = [
             ask(1, "thumbnail", b"page", &[]),
-            ask_uwsgi("thumbnail", b"page", &[]),
+            uwsgi_invocation("thumbnail", b"page", &[]),
         ];
         for bytes in whole {
             let (status, text) = exchange(
@@ -223,7 +223,7 @@
         .await?;
         let (status, text) = exchange(
             &without_uwsgi.address,
-            &ask_uwsgi("thumbnail", b"page", &[]),
+            &uwsgi_invocation("thumbnail", b"page", &[]),
             Duration::from_secs(3),
         )
         .await?;
@@ -240,7 +240,7 @@
         let playing = load.start().await?;
         sleep(Duration::from_millis(600)).await;
         // A request that is partially read when the drain starts, and completed within the grace.
-        let whole = ask_uwsgi(
+        let whole = uwsgi_invocation(
             "transcript-search",
             b"words",
             &[("HTTP_X_CALL_ID", "00000000000000aa")],
@@ -292,7 +292,7 @@
         .enumerate()
         {
             let id = format!("{:016x}", 0xb0 + number);
-            let whole = ask_uwsgi("thumbnail", &[b'w'; 200], &[("HTTP_X_CALL_ID", &id)]);
+            let whole = uwsgi_invocation("thumbnail", &[b'w'; 200], &[("HTTP_X_CALL_ID", &id)]);
             // Cut the request within its variables, or within its body.
             let cut = if number == 1 { whole.len() - 100 } else { 60 };
             let mut partial = TcpStream::connect(&instance.address).await?;
--- a/crates/merlinshelf-testbed/src/budgets.rs
+++ b/crates/merlinshelf-testbed/src/budgets.rs
@@ -54,7 +54,7 @@
 
 /// What reached the door, by kind as it shows from outside.
 #[derive(Clone, Debug, Default)]
-pub struct Door {
+pub struct CatalogueTraffic {
     /// Every call.
     pub calls: Vec<Instant>,
     /// Those of an invocation that had called before.
@@ -62,12 +62,12 @@
     pub opened: Vec<Instant>,
 }
 
-impl Door {
+impl CatalogueTraffic {
     /// What came in this time.
-    pub fn of(server: &Server, from: Instant, until: Instant) -> Door {
+    pub fn of(server: &Server, from: Instant, until: Instant) -> CatalogueTraffic {
         let within = |at: &Instant| *at >= from && *at < until;
         let mut known = HashSet::new();
-        let mut door = Door::default();
+        let mut door = CatalogueTraffic::default();
         for (at, id) in server.arrived.borrow().iter() {
             let again = !known.insert(id.clone());
             if within(at) {
--- a/crates/merlinshelf-testbed/src/disk.rs
+++ b/crates/merlinshelf-testbed/src/disk.rs
@@ -17,7 +17,7 @@
 
 /// How the folder fails, other than by a crash.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Trouble {
+pub enum DiskFault {
     ReadOnly,
     /// So many bytes more can be written.
     Full(usize),
@@ -34,7 +34,7 @@
     changes: Vec<Change>,
     /// Operations that go well until the crash; none: it never comes.
     crash_after: Option<u32>,
-    pub trouble: Option<Trouble>,
+    pub trouble: Option<DiskFault>,
     pub operations: u32,
     rng: Pcg64Mcg,
 }
@@ -119,8 +119,8 @@
         }
         self.operations += 1;
         match self.trouble {
-            Some(Trouble::ReadOnly) if writes => Err(io::ErrorKind::ReadOnlyFilesystem.into()),
-            Some(Trouble::Unreadable) if !writes => Err(io::Error::other("input/output error")),
+            Some(DiskFault::ReadOnly) if writes => Err(io::ErrorKind::ReadOnlyFilesystem.into()),
+            Some(DiskFault::Unreadable) if !writes => Err(io::Error::other("input/output error")),
             _ => Ok(true),
         }
     }
@@ -171,7 +171,7 @@
         } else {
             self.rng.random_range(0..=bytes.len())
         };
-        if let Some(Trouble::Full(left)) = &mut self.trouble {
+        if let Some(DiskFault::Full(left)) = &mut self.trouble {
             most = most.min(*left);
             *left -= most;
         }
--- a/crates/merlinshelf-testbed/src/experiments/compatibility.rs
+++ b/crates/merlinshelf-testbed/src/experiments/compatibility.rs
@@ -13,7 +13,7 @@
 use serde_json::{Value, json};
 use tokio::time::{Instant, sleep};
 
-use crate::installation::{Installation, Made, policy_of};
+use crate::installation::{Installation, InstallationConfig, policy_of};
 use crate::instance::{Instance, Setup};
 use crate::load::Load;
 
@@ -61,9 +61,9 @@
 }
 
 async fn run_agents(plan: &Plan) -> io::Result<AgentsOutcome> {
-    let made = Made {
+    let made = InstallationConfig {
         instances: 1,
-        ..Made::default()
+        ..InstallationConfig::default()
     };
     let mut installation = Installation::start(&plan.from, 1, &made).await?;
     let mut agreed_versions = Vec::new();
--- a/crates/merlinshelf-testbed/src/experiments/dependencies/scenario.rs
+++ b/crates/merlinshelf-testbed/src/experiments/dependencies/scenario.rs
@@ -10,15 +10,15 @@
 use tokio::time::{Instant, sleep};
 
 use super::Plan;
-use crate::fakes::{Forward, Manners, Server, Way};
+use crate::fakes::{Forward, ForwardMode, Server, ServerBehavior};
 use crate::instance::{Instance, Setup};
-use crate::load::{Load, Seen, Sent};
+use crate::load::{Load, LoadRecord, SentInvocation};
 
 /// Servers that fail from a moment on: a dependency, which of its servers, and what they do.
 #[derive(Clone, Copy, Debug)]
 pub struct Fault {
     pub name: &'static str,
-    pub parts: &'static [(&'static str, &'static [usize], Manners)],
+    pub parts: &'static [(&'static str, &'static [usize], ServerBehavior)],
     /// A dependency fails as a whole.
     pub whole: bool,
 }
@@ -35,54 +35,58 @@
     Fault {
         name: "1 catalogue 8 times as slow, assets fail",
         parts: &[
-            ("catalogue", ALL, Manners::Slow(8.0)),
-            ("assets", ALL, Manners::Errors),
+            ("catalogue", ALL, ServerBehavior::Slow(8.0)),
+            ("assets", ALL, ServerBehavior::Errors),
         ],
         whole: true,
     },
     Fault {
         name: "2 one of five 40 times as slow",
-        parts: &[("catalogue", &[0], Manners::Slow(40.0))],
+        parts: &[("catalogue", &[0], ServerBehavior::Slow(40.0))],
         whole: false,
     },
     Fault {
         name: "3 one of five answers errors at once",
-        parts: &[("catalogue", &[0], Manners::Errors)],
+        parts: &[("catalogue", &[0], ServerBehavior::Errors)],
         whole: false,
     },
     Fault {
         name: "4 one of five never answers",
-        parts: &[("catalogue", &[0], Manners::Hangs)],
+        parts: &[("catalogue", &[0], ServerBehavior::Hangs)],
         whole: false,
     },
     Fault {
         name: "5 four of five are gone",
-        parts: &[("catalogue", &[0, 1, 2, 3], Manners::Gone)],
+        parts: &[("catalogue", &[0, 1, 2, 3], ServerBehavior::Gone)],
         whole: false,
     },
     Fault {
         name: "6 all slow alike, 8 times",
-        parts: &[("catalogue", ALL, Manners::Slow(8.0))],
+        parts: &[("catalogue", ALL, ServerBehavior::Slow(8.0))],
         whole: false,
     },
     Fault {
         name: "7 assets fail",
-        parts: &[("assets", ALL, Manners::Errors)],
+        parts: &[("assets", ALL, ServerBehavior::Errors)],
         whole: true,
     },
     Fault {
         name: "8 assets never answer",
-        parts: &[("assets", ALL, Manners::Hangs)],
+        parts: &[("assets", ALL, ServerBehavior::Hangs)],
         whole: true,
     },
     Fault {
         name: "9 one of five 60 times as slow for one",
-        parts: &[("catalogue", &[0], Manners::SlowFor("thumbnail", 60.0))],
+        parts: &[(
+            "catalogue",
+            &[0],
+            ServerBehavior::SlowFor("thumbnail", 60.0),
+        )],
         whole: false,
     },
     Fault {
         name: "10 every other call to catalogue breaks",
-        parts: &[("catalogue", ALL, Manners::Breaks)],
+        parts: &[("catalogue", ALL, ServerBehavior::Breaks)],
         whole: false,
     },
 ];
@@ -167,7 +171,7 @@
 }
 
 /// What an answer is worth: all of it in its objective, less what its missing parts cost.
-fn worth(sent: &Sent, poorer_parts: bool) -> (f64, f64) {
+fn worth(sent: &SentInvocation, poorer_parts: bool) -> (f64, f64) {
     let (_, whole, objective) = WORTH
         .iter()
         .find(|(name, ..)| *name == sent.operation)
@@ -230,8 +234,8 @@
             let listener = TcpListener::bind("127.0.0.1:0").await?;
             setup.catalogue = Some(listener.local_addr()?.to_string());
             let way = match how {
-                Routing::Before => Way::First,
-                _ => Way::Round {
+                Routing::Before => ForwardMode::First,
+                _ => ForwardMode::Round {
                     each: Duration::from_millis(250),
                     tries: 3,
                 },
@@ -266,14 +270,14 @@
     );
     all.values()
         .flatten()
-        .for_each(|server| server.does(Manners::Well));
+        .for_each(|server| server.does(ServerBehavior::Well));
     let seen = playing.stop().await;
     let report = instance.status().await?;
     let verdict = seen
         .borrow()
         .check(&instance.records.borrow(), load.patience);
     instance.end().await;
-    let seen: &Seen = &seen.borrow();
+    let seen: &LoadRecord = &seen.borrow();
     let (mut got, mut asked, mut wanted) = (0.0, 0.0, 0_u64);
     for sent in seen
         .sent
--- a/crates/merlinshelf-testbed/src/experiments/fleet.rs
+++ b/crates/merlinshelf-testbed/src/experiments/fleet.rs
@@ -14,9 +14,9 @@
 use tokio::time::{Instant, sleep};
 
 use super::median;
-use crate::fleet::{Rig, sum};
+use crate::fleet::{FleetUnderTest, sum};
 use crate::instance::signal;
-use crate::load::{Load, Playing, Verdict};
+use crate::load::{Load, RunningLoad, Verdict};
 
 #[derive(Clone, Debug)]
 pub struct Plan {
@@ -37,7 +37,7 @@
 }
 
 /// Served and sent invocations, of those that were sent in this time.
-fn served(loads: &[(Load, Playing)], from: Instant, until: Instant) -> (u64, u64) {
+fn served(loads: &[(Load, RunningLoad)], from: Instant, until: Instant) -> (u64, u64) {
     let (mut served, mut sent_count) = (0, 0);
     for (_, load) in loads {
         let seen = load.seen.borrow();
@@ -62,7 +62,7 @@
 }
 
 /// Waits until the plan has ended, also while the agent is restarted.
-async fn plan_ended(rig: &Rig) -> io::Result<Value> {
+async fn plan_ended(rig: &FleetUnderTest) -> io::Result<Value> {
     let deadline = Instant::now() + Duration::from_secs(120);
     loop {
         let replies = rig.ask(&json!({ "op": "plan" })).await;
@@ -96,7 +96,7 @@
 /// Runs one seed.
 async fn run_seed(plan: &Plan, seed: u64, address_number: u8) -> io::Result<Outcome> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
-    let mut rig = Rig::start(
+    let mut rig = FleetUnderTest::start(
         &plan.program,
         address_number,
         plan.instances,
@@ -184,7 +184,11 @@
 }
 
 /// Kills an instance with SIGKILL, in whatever step of the plan it is.
-async fn kill_instance(rig: &Rig, loads: &[(Load, Playing)], index: u16) -> io::Result<()> {
+async fn kill_instance(
+    rig: &FleetUnderTest,
+    loads: &[(Load, RunningLoad)],
+    index: u16,
+) -> io::Result<()> {
     let (instances, _) = rig.status().await?;
     let name = format!("web.{index}");
     let process = instances
@@ -205,7 +209,8 @@
 /// What the agent costs with this many idle instances: share of a core, memory in KB, and the median time of a status
 /// request in ms.
 async fn agent_cost(plan: &Plan, count: u16, address_number: u8) -> io::Result<(f64, u64, f64)> {
-    let rig = Rig::start(&plan.program, address_number, count, &rollout_settings()).await?;
+    let rig =
+        FleetUnderTest::start(&plan.program, address_number, count, &rollout_settings()).await?;
     rig.when("serving", count.into()).await?;
     let agent_pid = rig
         .agent_id()
--- a/crates/merlinshelf-testbed/src/experiments/learning/benefit.rs
+++ b/crates/merlinshelf-testbed/src/experiments/learning/benefit.rs
@@ -15,7 +15,7 @@
 use tokio::time::{Instant, sleep, sleep_until};
 
 use crate::instance::{Instance, Setup, peer_address};
-use crate::load::{Load, Seen};
+use crate::load::{Load, LoadRecord};
 
 /// By what a fresh instance is taught.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -112,7 +112,7 @@
 }
 
 impl ValueSeries {
-    fn of(seen: &Seen, from: Instant) -> ValueSeries {
+    fn of(seen: &LoadRecord, from: Instant) -> ValueSeries {
         let count = (LOOKED.as_millis() / STEP.as_millis()) as usize;
         let mut steps = ValueSeries {
             served: vec![0.0; count],
--- a/crates/merlinshelf-testbed/src/experiments/policy.rs
+++ b/crates/merlinshelf-testbed/src/experiments/policy.rs
@@ -14,11 +14,11 @@
 use tokio::time::{Instant, sleep, timeout};
 
 use crate::installation::{
-    Changed, Installation, Made, check, evidence, out_of_order, policy_of, with_sign,
+    Changed, Installation, InstallationConfig, check, evidence, out_of_order, policy_of, with_sign,
 };
 use crate::instance::signal;
 use crate::link::Fault;
-use crate::load::{Load, Playing};
+use crate::load::{Load, RunningLoad};
 
 #[derive(Clone, Debug)]
 pub struct Plan {
@@ -26,7 +26,7 @@
     pub seeds: u64,
     /// Policy changes in each seed.
     pub rounds: u32,
-    pub made: Made,
+    pub made: InstallationConfig,
     /// Invocations per second to each instance.
     pub rate: f64,
     pub program: PathBuf,
@@ -195,7 +195,7 @@
 /// Prints each invocation that was not answered in time or ran twice, with its instance and round, to help find the cause.
 fn print_violations(
     installation: &Installation,
-    loads: &[(usize, u16, Load, Playing)],
+    loads: &[(usize, u16, Load, RunningLoad)],
     rounds: &[(Instant, RoundFault)],
 ) {
     for (host, instance, load, running_load) in loads {
--- a/crates/merlinshelf-testbed/src/experiments/policy_switch.rs
+++ b/crates/merlinshelf-testbed/src/experiments/policy_switch.rs
@@ -14,7 +14,7 @@
 
 use crate::experiments::policy::Plan;
 use crate::installation::{Installation, SIGNS, check, policy_of};
-use crate::load::{Load, Playing};
+use crate::load::{Load, RunningLoad};
 use crate::wire::ask;
 
 /// How long service is measured before the first change.
@@ -80,7 +80,7 @@
 }
 
 /// Sent and served invocations of these time ranges, only of the operations that every policy treats alike.
-fn served(loads: &[(usize, u16, Load, Playing)], times: &[(Instant, Instant)]) -> (u64, u64) {
+fn served(loads: &[(usize, u16, Load, RunningLoad)], times: &[(Instant, Instant)]) -> (u64, u64) {
     let (mut sent, mut served) = (0, 0);
     for (.., running_load) in loads {
         let seen = running_load.seen.borrow();
--- a/crates/merlinshelf-testbed/src/experiments/shares.rs
+++ b/crates/merlinshelf-testbed/src/experiments/shares.rs
@@ -14,12 +14,12 @@
 use tokio::time::{Instant, sleep};
 
 use super::median;
-use crate::budgets::{Door, OPENED, PROBES, aside, hold, policy, worst_second};
-use crate::fakes::Manners;
-use crate::installation::{Installation, Made, check};
+use crate::budgets::{CatalogueTraffic, OPENED, PROBES, aside, hold, policy, worst_second};
+use crate::fakes::ServerBehavior;
+use crate::installation::{Installation, InstallationConfig, check};
 use crate::instance::signal;
 use crate::link::Fault;
-use crate::load::{Load, Playing};
+use crate::load::{Load, RunningLoad};
 
 #[derive(Clone, Debug)]
 pub struct Plan {
@@ -49,11 +49,11 @@
 const MODES: [BudgetMode; 3] = [BudgetMode::Shares, BudgetMode::Fixed, BudgetMode::Before];
 
 /// The ways in which the catalogue fails.
-const CATALOGUE_FAILURES: [Manners; 4] = [
-    Manners::Errors,
-    Manners::Hangs,
-    Manners::HalfErrors,
-    Manners::Slow(60.0),
+const CATALOGUE_FAILURES: [ServerBehavior; 4] = [
+    ServerBehavior::Errors,
+    ServerBehavior::Hangs,
+    ServerBehavior::HalfErrors,
+    ServerBehavior::Slow(60.0),
 ];
 
 /// The fault that is injected between the processes while the catalogue fails.
@@ -121,7 +121,7 @@
 
 /// The sum of the billed value served within the latency objective, and the number of invocations, of those sent in this time.
 fn served_value(
-    loads: &[(usize, u16, Load, Playing)],
+    loads: &[(usize, u16, Load, RunningLoad)],
     from: Instant,
     until: Instant,
 ) -> (f64, u64) {
@@ -174,12 +174,12 @@
         BudgetMode::Before => json!({}),
     };
     let instances = plan.instances / u16::from(hosts);
-    let made = Made {
+    let made = InstallationConfig {
         hosts,
         instances,
         lease_ms: 2000,
         budgets,
-        ..Made::default()
+        ..InstallationConfig::default()
     };
     let program = plan
         .against
@@ -203,7 +203,7 @@
     pause(4.0).await;
     let baseline_start = Instant::now();
     pause(2.0).await;
-    let calls_per_s_before = Door::of(&catalogue, baseline_start, Instant::now())
+    let calls_per_s_before = CatalogueTraffic::of(&catalogue, baseline_start, Instant::now())
         .calls
         .len() as f64
         / 2.0;
@@ -253,24 +253,24 @@
     }
     pause((FAILURE_S - 2.5 - fault_after_s).max(0.0)).await;
     let recovered_at = Instant::now();
-    catalogue.does(Manners::Well);
+    catalogue.does(ServerBehavior::Well);
     pause(OBSERVED_AFTER_S).await;
     let end = Instant::now();
     let mut outcome = Outcome::default();
     let seconds = Duration::from_secs_f64;
     // A catalogue that fails completely receives only probes; one that is slow or fails partly is still called.
-    let fails = matches!(failure, Manners::Errors | Manners::Hangs);
-    let failing = Door::of(
+    let fails = matches!(failure, ServerBehavior::Errors | ServerBehavior::Hangs);
+    let failing = CatalogueTraffic::of(
         &catalogue,
         failed_at + seconds(DETECTED_AFTER_S),
         recovered_at,
     );
-    let recovering = Door::of(
+    let recovering = CatalogueTraffic::of(
         &catalogue,
         recovered_at,
         recovered_at + seconds(MIN_RECOVERY_S),
     );
-    let throughout = Door::of(&catalogue, baseline_start, end);
+    let throughout = CatalogueTraffic::of(&catalogue, baseline_start, end);
     let mut record_worst = |kind, moments: &[Instant], budget: usize| {
         outcome
             .worst_second
@@ -279,7 +279,7 @@
     if fails {
         record_worst("probes", &failing.calls, PROBES);
         record_worst("first", &recovering.calls, FIRST_CALLS_PER_S);
-        let before_failure = Door::of(&catalogue, baseline_start, failed_at);
+        let before_failure = CatalogueTraffic::of(&catalogue, baseline_start, failed_at);
         record_worst("again", &before_failure.again, RETRIES_PER_S);
     } else {
         record_worst("again", &throughout.again, RETRIES_PER_S);
@@ -287,7 +287,7 @@
     record_worst("opened", &throughout.opened, OPENED);
     outcome.probes_s = failing.calls.len() as f64
         / (recovered_at - failed_at - seconds(DETECTED_AFTER_S)).as_secs_f64();
-    let after_recovery = Door::of(&catalogue, recovered_at, end).calls;
+    let after_recovery = CatalogueTraffic::of(&catalogue, recovered_at, end).calls;
     outcome.first_call_s = after_recovery
         .first()
         .map_or(OBSERVED_AFTER_S, |at| (*at - recovered_at).as_secs_f64());
--- a/crates/merlinshelf-testbed/src/experiments/shares_loop.rs
+++ b/crates/merlinshelf-testbed/src/experiments/shares_loop.rs
@@ -9,9 +9,9 @@
 
 use super::shares::{BudgetMode, Plan};
 use crate::budgets::{hold, policy};
-use crate::fakes::Manners;
-use crate::installation::{Installation, Made, check};
-use crate::load::{Load, Playing};
+use crate::fakes::ServerBehavior;
+use crate::installation::{Installation, InstallationConfig, check};
+use crate::load::{Load, RunningLoad};
 
 /// Duration of a catalogue call and the number of concurrent calls, which give a capacity of 400 calls per second.
 const CATALOGUE_CALLS: (Duration, usize) = (Duration::from_millis(20), 8);
@@ -35,7 +35,7 @@
 }
 
 /// The share of invocations first sent in this time that any attempt got served within the caller's timeout.
-fn served(loads: &[(usize, u16, Load, Playing)], from: Instant, until: Instant) -> f64 {
+fn served(loads: &[(usize, u16, Load, RunningLoad)], from: Instant, until: Instant) -> f64 {
     let (mut sent, mut served) = (0_u32, 0_u32);
     for (.., load) in loads {
         for (sent_at, served_at) in load.seen.borrow().wished.values() {
@@ -65,13 +65,13 @@
         reserve
     };
     let instances = plan.instances / 3;
-    let made = Made {
+    let made = InstallationConfig {
         instances,
         lease_ms: 2000,
         budgets,
         needed: true,
         below: CATALOGUE_CALLS,
-        ..Made::default()
+        ..InstallationConfig::default()
     };
     let program = plan
         .against
@@ -105,10 +105,10 @@
     let baseline_start = Instant::now();
     pause(4.0).await;
     let slowdown_start = Instant::now();
-    catalogue.does(Manners::Slow(3.0));
+    catalogue.does(ServerBehavior::Slow(3.0));
     pause(SLOWDOWN_S).await;
     let slowdown_end = Instant::now();
-    catalogue.does(Manners::Well);
+    catalogue.does(ServerBehavior::Well);
     pause(OBSERVED_AFTER_S).await;
     let before = served(
         &loads,
--- a/crates/merlinshelf-testbed/src/experiments/uwsgi.rs
+++ b/crates/merlinshelf-testbed/src/experiments/uwsgi.rs
@@ -10,7 +10,7 @@
 use tokio::time::sleep;
 
 use crate::instance::{Instance, Setup};
-use crate::load::{Front, Load};
+use crate::load::{FrontProtocol, Load};
 
 #[derive(Clone, Debug)]
 pub struct Plan {
@@ -21,10 +21,10 @@
     pub program: PathBuf,
 }
 
-const FRONTS: [(Front, &str); 3] = [
-    (Front::FastCgi, "fastcgi"),
-    (Front::Uwsgi, "uwsgi"),
-    (Front::Both, "both"),
+const FRONTS: [(FrontProtocol, &str); 3] = [
+    (FrontProtocol::FastCgi, "fastcgi"),
+    (FrontProtocol::Uwsgi, "uwsgi"),
+    (FrontProtocol::Both, "both"),
 ];
 const LOAD_DURATION: Duration = Duration::from_secs(5);
 /// CPU time of one run; two runs fit on the cores at a time.
@@ -41,7 +41,12 @@
     cpu_us: f64,
 }
 
-async fn run_once(plan: &Plan, seed: u64, front: Front, address_number: u8) -> io::Result<Outcome> {
+async fn run_once(
+    plan: &Plan,
+    seed: u64,
+    front: FrontProtocol,
+    address_number: u8,
+) -> io::Result<Outcome> {
     let mut setup = Setup::small(&plan.program);
     (
         setup.uwsgi,
--- a/crates/merlinshelf-testbed/src/fakes/catalogue.rs
+++ b/crates/merlinshelf-testbed/src/fakes/catalogue.rs
@@ -7,17 +7,17 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::sleep;
 
-use super::lines::{Call, Lines};
-use super::{Manner, Shared, reply_to};
+use super::line_reader::{Call, LineReader};
+use super::{FakeBehavior, Shared, reply_to};
 
 pub struct Catalogue {
-    manner: Manner,
+    manner: FakeBehavior,
     records: Shared,
 }
 
 impl Catalogue {
     /// Answers calls for as long as its task lives.
-    pub fn start(listener: TcpListener, manner: Manner, records: Shared) {
+    pub fn start(listener: TcpListener, manner: FakeBehavior, records: Shared) {
         let catalogue = Rc::new(Catalogue { manner, records });
         super::serve(listener, move |stream| {
             let catalogue = catalogue.clone();
@@ -28,7 +28,7 @@
     async fn attend(&self, stream: TcpStream) -> io::Result<()> {
         stream.set_nodelay(true)?;
         let (input, mut output) = stream.into_split();
-        let mut lines = Lines::new(input);
+        let mut lines = LineReader::new(input);
         while let Some(Call { id, wait, body, .. }) = lines.call().await? {
             if self.manner.says {
                 println!("catalogue: {id} waits {wait} ms");
--- a/crates/merlinshelf-testbed/src/fakes/dependency.rs
+++ b/crates/merlinshelf-testbed/src/fakes/dependency.rs
@@ -11,12 +11,12 @@
 use tokio::task::{JoinSet, spawn_local};
 use tokio::time::{Instant, sleep};
 
-use super::lines::{Call, Lines};
+use super::line_reader::{Call, LineReader};
 use super::reply_to;
 
 /// What a server does with calls.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Manners {
+pub enum ServerBehavior {
     Well,
     /// So many times as slow.
     Slow(f64),
@@ -39,7 +39,7 @@
 
 pub struct Server {
     pub address: String,
-    pub manners: Cell<Manners>,
+    pub manners: Cell<ServerBehavior>,
     takes: Duration,
     /// Calls that reached it.
     pub calls: Cell<u64>,
@@ -71,7 +71,7 @@
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let server = Rc::new(Server {
             address: listener.local_addr()?.to_string(),
-            manners: Cell::new(Manners::Well),
+            manners: Cell::new(ServerBehavior::Well),
             takes,
             calls: Cell::default(),
             arrived: RefCell::default(),
@@ -87,7 +87,7 @@
     }
 
     /// From here on it does so. One that is gone breaks all that is open.
-    pub fn does(&self, manners: Manners) {
+    pub fn does(&self, manners: ServerBehavior) {
         self.manners.set(manners);
         self.told.notify_one();
     }
@@ -95,7 +95,7 @@
     async fn serve(self: Rc<Server>) {
         let mut open = JoinSet::new();
         loop {
-            if self.manners.get() == Manners::Gone {
+            if self.manners.get() == ServerBehavior::Gone {
                 self.listener.replace(None);
                 open.shutdown().await;
                 self.told.notified().await;
@@ -130,24 +130,27 @@
     async fn attend(&self, stream: TcpStream) -> io::Result<()> {
         stream.set_nodelay(true)?;
         let (input, mut output) = stream.into_split();
-        let mut lines = Lines::new(input);
+        let mut lines = LineReader::new(input);
         while let Some(Call { id, body, .. }) = lines.call().await? {
             self.calls.set(self.calls.get() + 1);
             self.arrived.borrow_mut().push((Instant::now(), id.clone()));
             let times = match self.manners.get() {
                 manners
-                    if manners == Manners::Errors
-                        || manners == Manners::HalfErrors && self.calls.get().is_multiple_of(2) =>
+                    if manners == ServerBehavior::Errors
+                        || manners == ServerBehavior::HalfErrors
+                            && self.calls.get().is_multiple_of(2) =>
                 {
                     output
                         .write_all(format!("{id} internal\r\n").as_bytes())
                         .await?;
                     continue;
                 }
-                Manners::Hangs => std::future::pending().await,
-                Manners::Breaks if self.calls.get().is_multiple_of(2) => return Ok(()),
-                Manners::Slow(times) => times,
-                Manners::SlowFor(word, times) if String::from_utf8_lossy(&body).contains(word) => {
+                ServerBehavior::Hangs => std::future::pending().await,
+                ServerBehavior::Breaks if self.calls.get().is_multiple_of(2) => return Ok(()),
+                ServerBehavior::Slow(times) => times,
+                ServerBehavior::SlowFor(word, times)
+                    if String::from_utf8_lossy(&body).contains(word) =>
+                {
                     times
                 }
                 _ => 1.0,
--- a/crates/merlinshelf-testbed/src/fakes/engine.rs
+++ b/crates/merlinshelf-testbed/src/fakes/engine.rs
@@ -14,14 +14,14 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-use super::lines::Lines;
-use super::{Manner, Shared, reply_to, result_of};
+use super::line_reader::LineReader;
+use super::{FakeBehavior, Shared, reply_to, result_of};
 
 /// Notices that are kept for the next link.
 const KEPT: usize = 4000;
 
 pub struct Engine {
-    manner: Manner,
+    manner: FakeBehavior,
     records: Shared,
     born: Instant,
     state: RefCell<State>,
@@ -52,7 +52,7 @@
 
 impl Engine {
     /// Serves links for as long as its task lives.
-    pub fn start(listener: TcpListener, manner: Manner, records: Shared) -> Rc<Engine> {
+    pub fn start(listener: TcpListener, manner: FakeBehavior, records: Shared) -> Rc<Engine> {
         let engine = Rc::new(Engine {
             manner,
             records,
@@ -90,7 +90,7 @@
             }
             Ok(())
         };
-        let mut lines = Lines::new(input);
+        let mut lines = LineReader::new(input);
         let reading = async {
             while let Some(line) = lines.line().await? {
                 let words: Vec<&str> = line.split(' ').collect();
--- a/crates/merlinshelf-testbed/src/fakes/forward.rs
+++ b/crates/merlinshelf-testbed/src/fakes/forward.rs
@@ -12,10 +12,10 @@
 use tokio::select;
 use tokio::time::timeout;
 
-use super::lines::{Call, Lines};
+use super::line_reader::{Call, LineReader};
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Way {
+pub enum ForwardMode {
     /// The first server of each, as long as the call may wait.
     First,
     /// One after the other, each so long, so many at the most.
@@ -23,14 +23,14 @@
 }
 
 pub struct Forward {
-    way: Way,
+    way: ForwardMode,
     servers: BTreeMap<String, Vec<String>>,
     next: Cell<usize>,
 }
 
 impl Forward {
     /// Takes calls for as long as its task lives.
-    pub fn start(listener: TcpListener, way: Way, servers: BTreeMap<String, Vec<String>>) {
+    pub fn start(listener: TcpListener, way: ForwardMode, servers: BTreeMap<String, Vec<String>>) {
         let forward = Rc::new(Forward {
             way,
             servers,
@@ -45,7 +45,7 @@
     async fn attend(&self, stream: TcpStream) -> io::Result<()> {
         stream.set_nodelay(true)?;
         let (input, mut output) = stream.into_split();
-        let mut lines = Lines::new(input);
+        let mut lines = LineReader::new(input);
         while let Some(Call {
             id,
             wait,
@@ -70,13 +70,13 @@
         let text = String::from_utf8_lossy(body).into_owned();
         let servers = self.servers.get(text.rsplit(' ').next()?)?;
         let (each, tries) = match self.way {
-            Way::First => (wait, 1),
-            Way::Round { each, tries } => (each, tries),
+            ForwardMode::First => (wait, 1),
+            ForwardMode::Round { each, tries } => (each, tries),
         };
         for _ in 0..tries {
             let place = match self.way {
-                Way::First => 0,
-                Way::Round { .. } => self.next.replace(self.next.get() + 1) % servers.len(),
+                ForwardMode::First => 0,
+                ForwardMode::Round { .. } => self.next.replace(self.next.get() + 1) % servers.len(),
             };
             if let Ok(Ok(answer)) = timeout(each, once(&servers[place], line, body)).await {
                 return Some(answer);
@@ -93,7 +93,7 @@
     stream
         .write_all(&[line.as_bytes(), b"\r\n", body, b"\r\n"].concat())
         .await?;
-    let mut lines = Lines::new(stream);
+    let mut lines = LineReader::new(stream);
     let head = lines.line().await?.ok_or(io::ErrorKind::UnexpectedEof)?;
     let [_, "ok", length] = head.split(' ').collect::<Vec<_>>()[..] else {
         return Err(io::Error::other(head));
--- a/crates/merlinshelf-testbed/src/fakes/lines.rs
+++ b/crates/merlinshelf-testbed/src/fakes/line_reader.rs
@@ -14,11 +14,11 @@
     pub line: String,
 }
 
-pub struct Lines<R>(BufReader<R>);
+pub struct LineReader<R>(BufReader<R>);
 
-impl<R: AsyncRead + Unpin> Lines<R> {
-    pub fn new(stream: R) -> Lines<R> {
-        Lines(BufReader::new(stream))
+impl<R: AsyncRead + Unpin> LineReader<R> {
+    pub fn new(stream: R) -> LineReader<R> {
+        LineReader(BufReader::new(stream))
     }
 
     /// What carries the lines, to look for its end.
--- a/crates/merlinshelf-testbed/src/fakes/mod.rs
+++ b/crates/merlinshelf-testbed/src/fakes/mod.rs
@@ -5,7 +5,7 @@
 mod dependency;
 mod engine;
 mod forward;
-mod lines;
+mod line_reader;
 mod registration;
 
 use std::cell::RefCell;
@@ -17,14 +17,14 @@
 use tokio::task::spawn_local;
 
 pub use catalogue::Catalogue;
-pub use dependency::{Manners, Server};
+pub use dependency::{Server, ServerBehavior};
 pub use engine::Engine;
-pub use forward::{Forward, Way};
-pub use registration::Members;
+pub use forward::{Forward, ForwardMode};
+pub use registration::MembershipService;
 
 /// How the stand-ins behave.
 #[derive(Clone, Debug)]
-pub struct Manner {
+pub struct FakeBehavior {
     /// How long a run takes on the cores.
     pub work: Duration,
     /// Runs at once that the gauges call all of the cores.
--- a/crates/merlinshelf-testbed/src/fakes/registration.rs
+++ b/crates/merlinshelf-testbed/src/fakes/registration.rs
@@ -8,21 +8,21 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpStream};
 
-use super::lines::Lines;
+use super::line_reader::LineReader;
 
 #[derive(Default)]
-pub struct Members {
+pub struct MembershipService {
     /// The last report under each path.
     pub words: RefCell<BTreeMap<String, String>>,
     says: bool,
 }
 
-impl Members {
+impl MembershipService {
     /// Takes reports for as long as its task lives.
-    pub fn start(listener: TcpListener, says: bool) -> Rc<Members> {
-        let members = Rc::new(Members {
+    pub fn start(listener: TcpListener, says: bool) -> Rc<MembershipService> {
+        let members = Rc::new(MembershipService {
             says,
-            ..Members::default()
+            ..MembershipService::default()
         });
         let shared = members.clone();
         super::serve(listener, move |stream| {
@@ -34,7 +34,7 @@
 
     async fn attend(&self, stream: TcpStream) -> io::Result<()> {
         let (input, mut output) = stream.into_split();
-        let mut lines = Lines::new(input);
+        let mut lines = LineReader::new(input);
         while let Some(first) = lines.line().await? {
             let mut length = 0;
             while let Some(header) = lines.line().await?.filter(|header| !header.is_empty()) {
--- a/crates/merlinshelf-testbed/src/fleet.rs
+++ b/crates/merlinshelf-testbed/src/fleet.rs
@@ -16,16 +16,16 @@
 use tokio::process::{Child, Command};
 use tokio::time::{Instant, sleep};
 
-use crate::fakes::{Catalogue, Engine, Members, Records, Shared};
+use crate::fakes::{Catalogue, Engine, MembershipService, Records, Shared};
 use crate::instance::{Setup, own_address_at, processes_where, signal};
-use crate::load::{Load, Playing, Verdict};
+use crate::load::{Load, RunningLoad, Verdict};
 use crate::script::EXAMPLE;
 
 const PATIENCE: Duration = Duration::from_secs(40);
 const LISTEN: u16 = 6600;
 const ENGINE: u16 = 9300;
 
-pub struct Rig {
+pub struct FleetUnderTest {
     pub folder: PathBuf,
     pub program: PathBuf,
     agent: Option<Child>,
@@ -55,7 +55,7 @@
     }
 }
 
-impl Drop for Rig {
+impl Drop for FleetUnderTest {
     fn drop(&mut self) {
         if let Some(agent) = self.agent.as_ref().and_then(Child::id) {
             signal(agent, Signal::KILL);
@@ -67,12 +67,17 @@
     }
 }
 
-impl Rig {
+impl FleetUnderTest {
     /// Stand-ins, files and the agent; `change` is what the fleet's file says of changes.
     ///
     /// # Errors
     /// What can't be started.
-    pub async fn start(program: &Path, number: u8, count: u16, change: &Value) -> io::Result<Rig> {
+    pub async fn start(
+        program: &Path,
+        number: u8,
+        count: u16,
+        change: &Value,
+    ) -> io::Result<FleetUnderTest> {
         let folder =
             std::env::temp_dir().join(format!("merlinshelf-fleet-{}-{number}", std::process::id()));
         let _ = std::fs::remove_dir_all(&folder);
@@ -89,7 +94,7 @@
         std::fs::write(folder.join("config.json"), config.to_string())?;
         let every: Shared = Rc::new(RefCell::new(Records::default()));
         Catalogue::start(catalogue, manner.clone(), every.clone());
-        Members::start(members, false);
+        MembershipService::start(members, false);
         let mut records = Vec::new();
         for place in 0..count {
             let own: Shared = Rc::new(RefCell::new(Records::default()));
@@ -109,7 +114,7 @@
             } },
         });
         std::fs::write(folder.join("fleet.json5"), wanted.to_string())?;
-        let mut rig = Rig {
+        let mut rig = FleetUnderTest {
             folder,
             program: program.into(),
             agent: None,
@@ -250,7 +255,7 @@
     ///
     /// # Errors
     /// One can't be reached.
-    pub async fn load(&self, rate: f64, seed: u64) -> io::Result<Vec<(Load, Playing)>> {
+    pub async fn load(&self, rate: f64, seed: u64) -> io::Result<Vec<(Load, RunningLoad)>> {
         let mut all = Vec::new();
         for place in 0..self.count {
             let load = Load::of_all(
@@ -266,7 +271,7 @@
     }
 
     /// Stops sending, and holds everything against what came back and what ran, by instance.
-    pub async fn check(&self, playing: Vec<(Load, Playing)>) -> Vec<Verdict> {
+    pub async fn check(&self, playing: Vec<(Load, RunningLoad)>) -> Vec<Verdict> {
         // All stop at once, then each is waited for.
         playing
             .iter()
--- a/crates/merlinshelf-testbed/src/installation.rs
+++ b/crates/merlinshelf-testbed/src/installation.rs
@@ -16,11 +16,11 @@
 use tokio::process::{Child, Command};
 use tokio::time::{Instant, sleep};
 
-use crate::fakes::{Catalogue, Engine, Members, Records, Server, Shared};
+use crate::fakes::{Catalogue, Engine, MembershipService, Records, Server, Shared};
 use crate::fleet::{ask_agent, sum};
 use crate::instance::{Setup, own_address_at, processes_where, signal};
 use crate::link::{Fault, Link};
-use crate::load::{Load, Playing, Verdict};
+use crate::load::{Load, RunningLoad, Verdict};
 use crate::script::EXAMPLE;
 
 const PATIENCE: Duration = Duration::from_secs(30);
@@ -59,7 +59,7 @@
 
 /// What an installation is made of.
 #[derive(Clone, Debug)]
-pub struct Made {
+pub struct InstallationConfig {
     pub hosts: u8,
     pub instances: u16,
     pub lease_ms: u64,
@@ -76,10 +76,10 @@
     pub below: (Duration, usize),
 }
 
-impl Default for Made {
-    fn default() -> Made {
+impl Default for InstallationConfig {
+    fn default() -> InstallationConfig {
         let (hosts, instances, lease_ms, watch_ms) = (3, 2, 1000, 0);
-        Made {
+        InstallationConfig {
             hosts,
             instances,
             lease_ms,
@@ -95,7 +95,7 @@
 
 pub struct Installation {
     pub program: PathBuf,
-    pub made: Made,
+    pub made: InstallationConfig,
     pub hosts: Vec<Host>,
     /// From one host to another.
     pub links: BTreeMap<(usize, usize), Link>,
@@ -252,7 +252,11 @@
     ///
     /// # Errors
     /// What can't be started.
-    pub async fn start(program: &Path, number: u8, made: &Made) -> io::Result<Installation> {
+    pub async fn start(
+        program: &Path,
+        number: u8,
+        made: &InstallationConfig,
+    ) -> io::Result<Installation> {
         let manner = Setup::small(program).manner;
         let names: Vec<String> = (0..made.hosts).map(|place| format!("h{place}")).collect();
         let mut hosts = Vec::new();
@@ -299,7 +303,7 @@
             std::fs::write(folder.join("config.json"), config.to_string())?;
             let every: Shared = Rc::new(RefCell::new(Records::default()));
             Catalogue::start(catalogue, manner.clone(), every);
-            Members::start(members, false);
+            MembershipService::start(members, false);
             let mut records = Vec::new();
             for instance in 0..made.instances {
                 let record: Shared = Rc::new(RefCell::new(Records::default()));
@@ -471,7 +475,11 @@
     ///
     /// # Errors
     /// One can't be reached.
-    pub async fn load(&self, rate: f64, seed: u64) -> io::Result<Vec<(usize, u16, Load, Playing)>> {
+    pub async fn load(
+        &self,
+        rate: f64,
+        seed: u64,
+    ) -> io::Result<Vec<(usize, u16, Load, RunningLoad)>> {
         let mut all = Vec::new();
         for host in 0..self.hosts.len() {
             for place in 0..self.made.instances {
@@ -523,7 +531,7 @@
 pub type Evidence = (Instant, Instant, usize);
 
 /// All evidence of a play.
-pub fn evidence(playing: &[(usize, u16, Load, Playing)]) -> Vec<Evidence> {
+pub fn evidence(playing: &[(usize, u16, Load, RunningLoad)]) -> Vec<Evidence> {
     let mut all = Vec::new();
     for (.., playing) in playing {
         for sent in playing.seen.borrow().sent.values() {
@@ -573,7 +581,7 @@
 }
 
 /// Stops sending, and holds everything against what came back and what ran.
-pub async fn check(all: &Installation, playing: Vec<(usize, u16, Load, Playing)>) -> Verdict {
+pub async fn check(all: &Installation, playing: Vec<(usize, u16, Load, RunningLoad)>) -> Verdict {
     playing
         .iter()
         .for_each(|(.., playing)| playing.seen.borrow_mut().stop());
--- a/crates/merlinshelf-testbed/src/instance.rs
+++ b/crates/merlinshelf-testbed/src/instance.rs
@@ -17,7 +17,7 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, timeout};
 
-use crate::fakes::{Catalogue, Engine, Manner, Members, Records, Shared};
+use crate::fakes::{Catalogue, Engine, FakeBehavior, MembershipService, Records, Shared};
 use crate::script::EXAMPLE;
 
 /// How long anything that must happen is waited for.
@@ -39,7 +39,7 @@
     pub both_mb: u64,
     /// What the operations do, in the words of the settings: `read_like` may be run and called again.
     pub effect: String,
-    pub manner: Manner,
+    pub manner: FakeBehavior,
     /// The instance's name where it is not n0, so that peers tell each other apart.
     pub name: String,
     /// What the operators' file says of learning; none: off. The folder is one of the instance's own where it says `true`.
@@ -70,7 +70,7 @@
             descriptors: 4096,
             both_mb: 1024,
             effect: "read_like".into(),
-            manner: Manner {
+            manner: FakeBehavior {
                 work,
                 cores: 8.0,
                 calling,
@@ -212,7 +212,7 @@
         std::fs::write(folder.join("operator.json5"), operator.to_string())?;
         Engine::start(engine, setup.manner.clone(), records.clone());
         Catalogue::start(catalogue, setup.manner.clone(), records.clone());
-        Members::start(members, setup.manner.says);
+        MembershipService::start(members, setup.manner.says);
         let log = Rc::<RefCell<Vec<Value>>>::default();
         let child = launch(&setup.program, &folder, &log)?;
         let setup = setup.clone();
--- a/crates/merlinshelf-testbed/src/link.rs
+++ b/crates/merlinshelf-testbed/src/link.rs
@@ -34,13 +34,13 @@
 pub struct ControlLink {
     path: PathBuf,
     real: PathBuf,
-    manner: watch::Sender<Manner>,
+    manner: watch::Sender<ControlLinkMode>,
     accepting: tokio::task::AbortHandle,
 }
 
 /// What becomes of what is said over a control link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Manner {
+pub enum ControlLinkMode {
     Plain,
     /// It lies, on connections that stay open.
     Held,
@@ -57,7 +57,7 @@
         let (path, real) = (path.to_path_buf(), path.with_extension("real"));
         std::fs::rename(&path, &real)?;
         let listener = UnixListener::bind(&path)?;
-        let (manner, watched) = watch::channel(Manner::Plain);
+        let (manner, watched) = watch::channel(ControlLinkMode::Plain);
         let to = real.clone();
         let accepting = spawn_local(async move {
             while let Ok((from, _)) = listener.accept().await {
@@ -73,7 +73,7 @@
         })
     }
 
-    pub fn set(&self, manner: Manner) {
+    pub fn set(&self, manner: ControlLinkMode) {
         self.manner.send_replace(manner);
     }
 }
@@ -82,15 +82,15 @@
 async fn passed_on(
     mut from: UnixStream,
     to: PathBuf,
-    mut manner: watch::Receiver<Manner>,
+    mut manner: watch::Receiver<ControlLinkMode>,
 ) -> io::Result<()> {
     // Half open: it was let in, and nothing of what it says goes on.
     let now = manner
-        .wait_for(|manner| *manner != Manner::Held)
+        .wait_for(|manner| *manner != ControlLinkMode::Held)
         .await
         .map(|manner| *manner);
     let mut to = UnixStream::connect(to).await?;
-    if now.is_ok_and(|now| now == Manner::Older) {
+    if now.is_ok_and(|now| now == ControlLinkMode::Older) {
         let mut word = [0; ASK.len()];
         from.read_exact(&mut word).await?;
         to.write_all(if word == *ASK {
--- a/crates/merlinshelf-testbed/src/load.rs
+++ b/crates/merlinshelf-testbed/src/load.rs
@@ -19,7 +19,7 @@
 use tokio::time::{Instant, sleep, sleep_until};
 
 use crate::fakes::{Records, result_of};
-use crate::wire::{ask, ask_uwsgi};
+use crate::wire::{ask, uwsgi_invocation};
 
 /// What the edge nodes send.
 #[derive(Clone, Debug)]
@@ -33,14 +33,14 @@
     pub body: usize,
     pub patience: Duration,
     pub seed: u64,
-    pub front: Front,
+    pub front: FrontProtocol,
     /// How often an invocation is sent at the most: what is not served is sent again at once, and heeds nothing.
     pub tries: u32,
 }
 
 /// What callers speak.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Front {
+pub enum FrontProtocol {
     #[default]
     FastCgi,
     /// With a connection for each invocation.
@@ -51,7 +51,7 @@
 
 /// One invocation, as its edge node saw it.
 #[derive(Clone, Debug)]
-pub struct Sent {
+pub struct SentInvocation {
     pub at: Instant,
     pub operation: String,
     /// When each answer came, and its status.
@@ -72,8 +72,8 @@
 
 /// All that was sent and answered.
 #[derive(Debug, Default)]
-pub struct Seen {
-    pub sent: HashMap<String, Sent>,
+pub struct LoadRecord {
+    pub sent: HashMap<String, SentInvocation>,
     /// Connections that ended though nobody wanted it.
     pub broken: u64,
     /// Answers to nothing that was open.
@@ -91,7 +91,7 @@
     closing: bool,
 }
 
-pub type Shared = Rc<RefCell<Seen>>;
+pub type Shared = Rc<RefCell<LoadRecord>>;
 
 /// What the checker says of a play.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -136,13 +136,13 @@
             body: 120,
             patience,
             seed,
-            front: Front::default(),
+            front: FrontProtocol::default(),
             tries: 1,
         }
     }
 
     /// Opens the connections and sends until told to stop; then waits for what is open.
-    pub async fn start(&self) -> io::Result<Playing> {
+    pub async fn start(&self) -> io::Result<RunningLoad> {
         let seen = Shared::default();
         let mut writers = Vec::new();
         for _ in 0..self.connections {
@@ -160,7 +160,7 @@
         }
         let (load, shared) = (self.clone(), seen.clone());
         let sending = spawn_local(async move { load.send(writers, shared).await });
-        Ok(Playing { seen, sending })
+        Ok(RunningLoad { seen, sending })
     }
 
     async fn send(&self, writers: Vec<Writer>, seen: Shared) {
@@ -202,9 +202,9 @@
             }
             let body: Vec<u8> = (0..self.body).map(|_| rng.random()).collect();
             let uwsgi = match self.front {
-                Front::FastCgi => false,
-                Front::Uwsgi => true,
-                Front::Both => rng.random(),
+                FrontProtocol::FastCgi => false,
+                FrontProtocol::Uwsgi => true,
+                FrontProtocol::Both => rng.random(),
             };
             if uwsgi {
                 let patience = self.patience.as_millis().to_string();
@@ -214,10 +214,10 @@
                     ("HTTP_X_PATIENCE_MS", &patience),
                     ("HTTP_X_IMPORTANCE", &rank),
                 ];
-                let bytes = ask_uwsgi(operation, &body, &changes);
+                let bytes = uwsgi_invocation(operation, &body, &changes);
                 seen.borrow_mut()
                     .sent
-                    .insert(id.clone(), Sent::now(operation, body));
+                    .insert(id.clone(), SentInvocation::now(operation, body));
                 asking.set(asking.get() + 1);
                 let (address, seen, asking, most) = (
                     self.address.clone(),
@@ -255,11 +255,11 @@
             );
             open.borrow_mut().insert(tag, id.clone());
             let left = self.tries.saturating_sub(tries + 1);
-            let sent = Sent {
+            let sent = SentInvocation {
                 tries: tries + 1,
                 left,
                 wish,
-                ..Sent::now(operation, body)
+                ..SentInvocation::now(operation, body)
             };
             seen.borrow_mut().sent.insert(id, sent);
             let _ = writer.send((tag, bytes));
@@ -282,12 +282,12 @@
 /// Where one connection's invocations are written, and what is open there.
 type Writer = (UnboundedSender<(u16, Vec<u8>)>, Open);
 
-pub struct Playing {
+pub struct RunningLoad {
     pub seen: Shared,
     sending: tokio::task::JoinHandle<()>,
 }
 
-impl Playing {
+impl RunningLoad {
     /// Stops sending, and lets what is open be.
     pub fn leave(self) {
         self.seen.borrow_mut().closing = true;
@@ -483,9 +483,9 @@
     }
 }
 
-impl Sent {
-    fn now(operation: &str, body: Vec<u8>) -> Sent {
-        Sent {
+impl SentInvocation {
+    fn now(operation: &str, body: Vec<u8>) -> SentInvocation {
+        SentInvocation {
             at: Instant::now(),
             operation: operation.to_owned(),
             answers: Vec::new(),
@@ -525,7 +525,7 @@
         .unwrap_or(0)
 }
 
-impl Seen {
+impl LoadRecord {
     fn by_uwsgi(&mut self, id: &str, came: Came) {
         let Some(sent) = self.sent.get_mut(id) else {
             return;
@@ -574,7 +574,7 @@
     }
 
     /// Whether an instance was killed while it may have held this: sent before that, or crossing it.
-    fn held_by_killed(&self, sent: &Sent, patience: Duration) -> bool {
+    fn held_by_killed(&self, sent: &SentInvocation, patience: Duration) -> bool {
         self.killed
             .iter()
             .any(|at| sent.at <= *at + CROSSED && *at <= sent.at + patience)
@@ -582,7 +582,7 @@
 
     /// Whether its edge node may have sent it again because an instance was killed outright just then: what ran of it before is
     /// known to nobody.
-    fn crossed_a_kill(&self, sent: &Sent) -> bool {
+    fn crossed_a_kill(&self, sent: &SentInvocation) -> bool {
         self.killed
             .iter()
             .any(|at| sent.at <= *at + CROSSED && *at <= sent.at + CROSSED)
--- a/crates/merlinshelf-testbed/src/main.rs
+++ b/crates/merlinshelf-testbed/src/main.rs
@@ -6,9 +6,9 @@
 use std::time::Duration;
 
 use clap::{Parser, Subcommand};
-use merlinshelf_testbed::fakes::Manner;
+use merlinshelf_testbed::fakes::FakeBehavior;
 use merlinshelf_testbed::instance::Setup;
-use merlinshelf_testbed::{demo, experiments, standing};
+use merlinshelf_testbed::{demo, experiments, manual};
 use tokio::runtime::Builder;
 use tokio::task::LocalSet;
 
@@ -305,14 +305,14 @@
         }
         Command::StandIns { config } => {
             let manner = Setup::small("").manner;
-            let manner = Manner {
+            let manner = FakeBehavior {
                 work: Duration::from_millis(60),
                 cores: 2.0,
                 says: true,
                 ..manner
             };
             local
-                .block_on(&runtime, standing::serve(&config, manner))
+                .block_on(&runtime, manual::serve(&config, manner))
                 .map(|()| true)
         }
         Command::Ask {
@@ -320,7 +320,7 @@
             operation,
             body,
             many,
-        } => standing::ask(&config, &operation, &body, many).map(|()| true),
+        } => manual::ask(&config, &operation, &body, many).map(|()| true),
         Command::Experiment {
             experiment:
                 Experiment::Cost {
@@ -437,7 +437,7 @@
             }
             let program = std::fs::canonicalize(found(program)?)?;
             let (hosts, council) = (if by_restart { 1 } else { agents }, !by_restart);
-            let made = merlinshelf_testbed::installation::Made {
+            let made = merlinshelf_testbed::installation::InstallationConfig {
                 hosts,
                 instances,
                 lease_ms,
--- a/crates/merlinshelf-testbed/src/standing.rs
+++ b/crates/merlinshelf-testbed/src/manual.rs
@@ -6,7 +6,7 @@
 use serde_json::Value;
 use tokio::net::TcpListener;
 
-use crate::fakes::{Catalogue, Engine, Manner, Members, Shared};
+use crate::fakes::{Catalogue, Engine, FakeBehavior, MembershipService, Shared};
 use crate::wire::{ask as invocation, unix_ms};
 
 /// As many as may be open on one connection.
@@ -43,7 +43,7 @@
 }
 
 /// Plays engine, catalogue and membership service until it is ended.
-pub async fn serve(path: &Path, mut manner: Manner) -> io::Result<()> {
+pub async fn serve(path: &Path, mut manner: FakeBehavior) -> io::Result<()> {
     let config = read(path)?;
     let bind = async |name: &str| {
         let at = address(&config, name)?;
@@ -62,7 +62,7 @@
     );
     Engine::start(engine, manner.clone(), records.clone());
     Catalogue::start(catalogue, manner, records);
-    Members::start(members, true);
+    MembershipService::start(members, true);
     std::future::pending().await
 }
 
--- a/crates/merlinshelf-testbed/src/play.rs
+++ b/crates/merlinshelf-testbed/src/runtime.rs
@@ -13,7 +13,7 @@
 ///
 /// # Panics
 /// It does not end in time, or can't be played.
-pub fn play_within<T>(time: Duration, what: impl Future<Output = io::Result<T>>) -> T {
+pub fn run_with_timeout<T>(time: Duration, what: impl Future<Output = io::Result<T>>) -> T {
     let runtime = Builder::new_current_thread()
         .enable_all()
         .build()
@@ -33,8 +33,11 @@
 ///
 /// # Panics
 /// As `play_within`.
-pub fn play_in_a_lane<T>(time: Duration, what: impl Future<Output = io::Result<T>>) -> T {
+pub fn run_installation_with_timeout<T>(
+    time: Duration,
+    what: impl Future<Output = io::Result<T>>,
+) -> T {
     let lane = PLAYED.fetch_add(1, Ordering::Relaxed) % LANES.len();
     let _alone = LANES[lane].lock().unwrap_or_else(PoisonError::into_inner);
-    play_within(time, what)
+    run_with_timeout(time, what)
 }
--- a/crates/merlinshelf-testbed/src/script/engine.rs
+++ b/crates/merlinshelf-testbed/src/script/engine.rs
@@ -10,7 +10,7 @@
 use crate::wire::ask;
 
 /// Lets the engine answer every run at once, and counts them.
-pub fn serve_all(mut engine: Peer, result: &str) -> Arc<AtomicUsize> {
+pub fn complete_all_runs(mut engine: Peer, result: &str) -> Arc<AtomicUsize> {
     let answered = Arc::new(AtomicUsize::new(0));
     let (count, result) = (answered.clone(), result.to_owned());
     std::thread::spawn(move || {
@@ -33,7 +33,7 @@
 
 /// Asks on a connection that is never read, 32 at a time, until the program reads no more of it: all between is full
 /// then. How many were asked for.
-pub fn ask_until_stalled(slow: &mut Peer, answered: &AtomicUsize) -> usize {
+pub fn send_until_stalled(slow: &mut Peer, answered: &AtomicUsize) -> usize {
     let mut sent = 0;
     let stalled = |sent: usize| {
         let until = Instant::now() + millis(500);
--- a/crates/merlinshelf-testbed/src/script/mod.rs
+++ b/crates/merlinshelf-testbed/src/script/mod.rs
@@ -2,13 +2,13 @@
 
 mod engine;
 mod peer;
-mod rig;
+mod program;
 
 use std::time::Duration;
 
-pub use engine::{ask_until_stalled, serve_all};
+pub use engine::{complete_all_runs, send_until_stalled};
 pub use peer::Peer;
-pub use rig::{EXAMPLE, Rig, bind, configuration, free_address, program};
+pub use program::{EXAMPLE, ProgramUnderTest, bind, configuration, free_address, program};
 
 /// How long a peer waits for what must come.
 pub const PATIENCE: Duration = Duration::from_secs(5);
--- a/crates/merlinshelf-testbed/src/script/rig.rs
+++ b/crates/merlinshelf-testbed/src/script/program.rs
@@ -19,7 +19,7 @@
 pub const EXAMPLE: &str = include_str!("../../../../examples/config.json");
 
 /// The program and the addresses of its stand-ins.
-pub struct Rig {
+pub struct ProgramUnderTest {
     pub child: Child,
     log: Arc<Mutex<String>>,
     reader: Option<JoinHandle<()>>,
@@ -30,7 +30,7 @@
     pub members: TcpListener,
 }
 
-impl Drop for Rig {
+impl Drop for ProgramUnderTest {
     fn drop(&mut self) {
         // Its successors are in the same group.
         if let Some(group) = i32::try_from(self.child.id()).ok().and_then(Pid::from_raw) {
@@ -99,9 +99,9 @@
     path
 }
 
-impl Rig {
-    pub fn start(path: &str, descriptors: usize, changes: &[(&str, &str)]) -> Rig {
-        Rig::with(path, descriptors, changes, &[])
+impl ProgramUnderTest {
+    pub fn start(path: &str, descriptors: usize, changes: &[(&str, &str)]) -> ProgramUnderTest {
+        ProgramUnderTest::with(path, descriptors, changes, &[])
     }
 
     /// The same with further variables for the program.
@@ -110,7 +110,7 @@
         descriptors: usize,
         changes: &[(&str, &str)],
         variables: &[(&str, &str)],
-    ) -> Rig {
+    ) -> ProgramUnderTest {
         let ((engine, at_engine), (catalogue, at_catalogue)) = (bind(), bind());
         let ((members, at_members), address) = (bind(), free_address());
         let addresses = [
@@ -131,7 +131,7 @@
                 into.lock().expect("a log").extend([line.as_str(), "\n"]);
             }
         }));
-        Rig {
+        ProgramUnderTest {
             child,
             log,
             reader,
--- a/crates/merlinshelf-testbed/src/wire.rs
+++ b/crates/merlinshelf-testbed/src/wire.rs
@@ -42,7 +42,7 @@
 }
 
 /// One invocation as a front end that speaks uwsgi writes it.
-pub fn ask_uwsgi(class: &str, body: &[u8], changes: &[(&str, &str)]) -> Vec<u8> {
+pub fn uwsgi_invocation(class: &str, body: &[u8], changes: &[(&str, &str)]) -> Vec<u8> {
     let length = body.len().to_string();
     let all: Vec<(&str, &str)> = std::iter::once(("CONTENT_LENGTH", length.as_str()))
         .chain(changes.iter().copied())
--- a/crates/merlinshelf-testbed/tests/store.rs
+++ b/crates/merlinshelf-testbed/tests/store.rs
@@ -3,7 +3,7 @@
 use merlinshelf_gossip::store::{MAX_STORE_BYTES, STORE_FILE, STORE_FILE_ASIDE, Store};
 use merlinshelf_gossip::store_format::{FrameError, PersistedObservation};
 use merlinshelf_gossip::{GossipedObservation, Metric, Source, SourceStatus};
-use merlinshelf_testbed::disk::{Disk, Trouble};
+use merlinshelf_testbed::disk::{Disk, DiskFault};
 use merlinshelf_testbed::experiments::learning::crashes;
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -152,7 +152,7 @@
     store
         .save(&mut disk, 1.0, &[told("a", 1)])
         .expect("it is kept");
-    for trouble in [Trouble::Full(10), Trouble::Full(0), Trouble::ReadOnly] {
+    for trouble in [DiskFault::Full(10), DiskFault::Full(0), DiskFault::ReadOnly] {
         disk.trouble = Some(trouble);
         assert!(store.save(&mut disk, 2.0, &[told("a", 2)]).is_err());
         assert!(store.save(&mut disk, 2.5, &[told("a", 3)]).is_err());
@@ -170,6 +170,6 @@
         .save(&mut disk, 3.0, &[told("a", 4)])
         .expect("it is kept again");
     assert_eq!(read(&mut disk), [told("a", 4)]);
-    disk.trouble = Some(Trouble::Unreadable);
+    disk.trouble = Some(DiskFault::Unreadable);
     assert!(Store::open(&mut disk).is_err());
 }
