--- a/crates/merlinshelf-cli/tests/dependencies.rs
+++ b/crates/merlinshelf-cli/tests/dependencies.rs
@@ -40,7 +40,7 @@
     }
     let mut setup = Setup::small(PROGRAM);
     (setup.watched, setup.silent) = (Duration::from_millis(700), Duration::from_millis(2000));
-    (setup.manner.parts, setup.dependencies) = (
+    (setup.manner.called_dependencies, setup.dependencies) = (
         called_dependencies(),
         Some(dependencies_config(&addresses(&servers, 0..3))),
     );
@@ -76,7 +76,7 @@
     fn set_behaviour(&self, name: &str, manners: ServerBehavior) {
         self.servers[name]
             .iter()
-            .for_each(|server| server.does(manners));
+            .for_each(|server| server.set_behavior(manners));
     }
 }
 
@@ -123,9 +123,9 @@
         rig.set_behaviour("catalogue", ServerBehavior::Slow(20.0));
         rig.set_behaviour("assets", ServerBehavior::Errors);
         wait_for_answers(&playing, 150).await;
-        rig.set_behaviour("assets", ServerBehavior::Well);
+        rig.set_behaviour("assets", ServerBehavior::Normal);
         wait_for_answers(&playing, 50).await;
-        rig.set_behaviour("catalogue", ServerBehavior::Well);
+        rig.set_behaviour("catalogue", ServerBehavior::Normal);
         // Within seconds, all answers are complete again.
         let all_complete = |playing: &RunningLoad| {
             let seen = playing.seen.borrow();
@@ -234,8 +234,8 @@
     run_test(async {
         let rig = start_rig().await?;
         let (instance, load, playing) = rig.start_with_load(3).await?;
-        rig.servers["catalogue"][0].does(ServerBehavior::Hangs);
-        rig.servers["assets"][1].does(ServerBehavior::Breaks);
+        rig.servers["catalogue"][0].set_behavior(ServerBehavior::Hangs);
+        rig.servers["assets"][1].set_behavior(ServerBehavior::DropsConnections);
         wait_for_answers(&playing, 20).await;
         instance.leave().await?;
         let seen = playing.stop().await.take();
@@ -260,13 +260,13 @@
         let mut rig = start_rig().await?;
         // This engine knows no extended ATTACH, and its runs make one call each without naming a
         // dependency.
-        rig.setup.manner.parts.clear();
+        rig.setup.manner.called_dependencies.clear();
         let (instance, load, playing) = rig.start_with_load(4).await?;
         wait_for_answers(&playing, 60).await;
         let seen = playing.stop().await.take();
         let verdict = seen.check(&instance.records.borrow(), load.patience);
         assert!(verdict.is_clean() && verdict.served > 50, "{verdict:?}");
-        assert!(instance.records.borrow().links >= 2);
+        assert!(instance.records.borrow().engine_links >= 2);
         let report = instance.status().await?;
         assert!(
             dependency(&report, "catalogue")["succeeded"].as_u64() > Some(20),
@@ -283,8 +283,8 @@
         let mut rig = start_rig().await?;
         rig.setup.effect = "at_most_once".into();
         let (instance, load, playing) = rig.start_with_load(5).await?;
-        rig.set_behaviour("catalogue", ServerBehavior::Breaks);
-        rig.servers["assets"][0].does(ServerBehavior::Hangs);
+        rig.set_behaviour("catalogue", ServerBehavior::DropsConnections);
+        rig.servers["assets"][0].set_behavior(ServerBehavior::Hangs);
         wait_for_answers(&playing, 150).await;
         let seen = playing.stop().await.take();
         let calls: u64 = rig
--- a/crates/merlinshelf-cli/tests/handover.rs
+++ b/crates/merlinshelf-cli/tests/handover.rs
@@ -11,9 +11,9 @@
 use insta::assert_snapshot;
 use merlinshelf_testbed::instance::signal;
 use merlinshelf_testbed::script::{
-    PATIENCE, Peer, ProgramUnderTest, bind, complete_all_runs, send_until_stalled,
+    Peer, ProgramUnderTest, TIMEOUT, bind_loopback, complete_all_runs, send_until_stalled,
 };
-use merlinshelf_testbed::wire::{ask, id};
+use merlinshelf_testbed::wire::{fastcgi_invocation, invocation_id};
 use rustix::process::Signal;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_merlinshelf");
@@ -58,7 +58,7 @@
         ("MERLINSHELF_FAULT", fault),
     ];
     Upgradable {
-        rig: ProgramUnderTest::with(PROGRAM, 1024, changes, &variables),
+        rig: ProgramUnderTest::start_with_env(PROGRAM, 1024, changes, &variables),
         folder,
     }
 }
@@ -78,7 +78,7 @@
     }
 
     fn status(&self) -> serde_json::Value {
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + TIMEOUT;
         loop {
             let output = self.run(&["status", "--json"]);
             match serde_json::from_slice(&output.stdout) {
@@ -115,33 +115,33 @@
             ("\"CallShare\": 6.25", "\"CallShare\": 60"),
         ],
     );
-    let mut engine = instance.rig.engine();
+    let mut engine = instance.rig.accept_engine();
     let (mut half, mut running, mut calling, mut full) = (
-        instance.rig.edge(),
-        instance.rig.edge(),
-        instance.rig.edge(),
-        instance.rig.edge(),
+        instance.rig.connect_edge(),
+        instance.rig.connect_edge(),
+        instance.rig.connect_edge(),
+        instance.rig.connect_edge(),
     );
     let mut trace = String::new();
     // A partial request, a running invocation, one in a downstream call, and 32 on one connection.
-    let bytes = ask(1, "transcript-search", b"first", &[]);
+    let bytes = fastcgi_invocation(1, "transcript-search", b"first", &[]);
     half.send(&bytes[..bytes.len() / 2]);
-    running.send(ask(2, "transcript-search", b"second", &[]));
-    let _ = writeln!(trace, "{}", engine.message());
-    calling.send(ask(3, "thumbnail", b"third", &[]));
-    let _ = writeln!(trace, "{}", engine.message());
-    engine.send(format!("NEED 1 {} 4\r\nmore\r\n", id(3)));
-    let mut catalogue = Peer::accept(&instance.rig.catalogue);
+    running.send(fastcgi_invocation(2, "transcript-search", b"second", &[]));
+    let _ = writeln!(trace, "{}", engine.next_message());
+    calling.send(fastcgi_invocation(3, "thumbnail", b"third", &[]));
+    let _ = writeln!(trace, "{}", engine.next_message());
+    engine.send(format!("NEED 1 {} 4\r\nmore\r\n", invocation_id(3)));
+    let mut catalogue = Peer::accept(&instance.rig.catalogue_listener);
     assert!(
         catalogue
-            .message()
-            .starts_with(&format!("invoke {}", id(3)))
+            .next_message()
+            .starts_with(&format!("invoke {}", invocation_id(3)))
     );
-    catalogue.send(format!("{} ok 5\r\nre", id(3))); // half of the reply
+    catalogue.send(format!("{} ok 5\r\nre", invocation_id(3))); // half of the reply
     for tag in 100..132 {
-        full.send(ask(tag, "transcript-search", b"", &[]));
+        full.send(fastcgi_invocation(tag, "transcript-search", b"", &[]));
     }
-    let runs: Vec<String> = (0..32).map(|_| engine.message()).collect();
+    let runs: Vec<String> = (0..32).map(|_| engine.next_message()).collect();
     assert!(runs.iter().all(|run| run.starts_with("RUN 00000000000000")));
     let before = instance.status()["process"].as_u64();
 
@@ -152,7 +152,7 @@
             .expect("an end")
             .success()
     );
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TIMEOUT;
     while instance.rig.child.try_wait().expect("a child").is_none() {
         assert!(Instant::now() < until, "the old process does not end");
     }
@@ -165,26 +165,29 @@
 
     // Everything continues where it was, on the same connections and the same link.
     half.send(&bytes[bytes.len() / 2..]);
-    let _ = writeln!(trace, "{}", engine.message());
+    let _ = writeln!(trace, "{}", engine.next_message());
     catalogue.send("ply\r\n");
-    let _ = writeln!(trace, "{}", engine.message());
+    let _ = writeln!(trace, "{}", engine.next_message());
     engine.send(format!(
         "DONE 2 {} OK 9 3\r\none\r\nDONE 3 {} OK 9 5\r\nthree\r\n",
-        id(1),
-        id(3)
+        invocation_id(1),
+        invocation_id(3)
     ));
-    engine.send(format!("DONE 4 {} OK 9 3\r\ntwo\r\n", id(2)));
+    engine.send(format!("DONE 4 {} OK 9 3\r\ntwo\r\n", invocation_id(2)));
     let _ = writeln!(
         trace,
         "{}\n{}\n{}",
-        half.answer(),
-        running.answer(),
-        calling.answer()
+        half.next_answer(),
+        running.next_answer(),
+        calling.next_answer()
     );
     for (number, tag) in (5..).zip((100..132).rev()) {
-        engine.send(format!("DONE {number} {} OK 9 4\r\nfine\r\n", id(tag)));
+        engine.send(format!(
+            "DONE {number} {} OK 9 4\r\nfine\r\n",
+            invocation_id(tag)
+        ));
     }
-    let mut answers: Vec<String> = (0..32).map(|_| full.answer()).collect();
+    let mut answers: Vec<String> = (0..32).map(|_| full.next_answer()).collect();
     answers.sort();
     answers.dedup();
     assert!(
@@ -194,7 +197,10 @@
                 .all(|answer| answer.ends_with("200 OK||fine")),
         "{answers:?}"
     );
-    assert!(instance.rig.engine.accept().is_err(), "a new link was made");
+    assert!(
+        instance.rig.engine_listener.accept().is_err(),
+        "a new link was made"
+    );
     let counters = instance.status()["counters"].clone();
     let _ = writeln!(
         trace,
@@ -208,24 +214,24 @@
 fn a_link_replaced_during_probation_is_returned_with_its_sequence_number() {
     let instance = start_upgradable(30_000, &[]);
     let (mut engine, mut first, mut second) = (
-        instance.rig.engine(),
-        instance.rig.edge(),
-        instance.rig.edge(),
+        instance.rig.accept_engine(),
+        instance.rig.connect_edge(),
+        instance.rig.connect_edge(),
     );
-    first.send(ask(1, "transcript-search", b"one", &[]));
-    let mut trace = engine.message() + "\n";
+    first.send(fastcgi_invocation(1, "transcript-search", b"one", &[]));
+    let mut trace = engine.next_message() + "\n";
     let mut command = instance.start_upgrade_until("took_over");
-    engine.send(format!("DONE 1 {} OK 9 3\r\none\r\n", id(1)));
-    let _ = writeln!(trace, "{}", first.answer());
+    engine.send(format!("DONE 1 {} OK 9 3\r\none\r\n", invocation_id(1)));
+    let _ = writeln!(trace, "{}", first.next_answer());
     // The link breaks, and the successor opens a new one.
     engine.send("WHAT\r\n");
-    let mut engine = Peer::accept(&instance.rig.engine);
-    let _ = writeln!(trace, "{}", engine.message());
+    let mut engine = Peer::accept(&instance.rig.engine_listener);
+    let _ = writeln!(trace, "{}", engine.next_message());
     engine.send("HELLO WARM 9000\r\n");
-    engine.questions(2);
-    second.send(ask(2, "transcript-search", b"two", &[]));
-    let _ = writeln!(trace, "{}", engine.message());
-    engine.questions(2);
+    engine.answer_stats(2);
+    second.send(fastcgi_invocation(2, "transcript-search", b"two", &[]));
+    let _ = writeln!(trace, "{}", engine.next_message());
+    engine.answer_stats(2);
     let successor = instance.status()["process"]
         .as_u64()
         .and_then(|id| u32::try_from(id).ok())
@@ -233,50 +239,50 @@
     signal(successor, Signal::KILL);
     assert_eq!(command.wait().expect("an end").code(), Some(1));
     // The predecessor continues on the successor's link and repeats nothing.
-    engine.questions(3);
-    engine.send(format!("DONE 2 {} OK 9 3\r\ntwo\r\n", id(2)));
-    let _ = writeln!(trace, "{}", second.answer());
+    engine.answer_stats(3);
+    engine.send(format!("DONE 2 {} OK 9 3\r\ntwo\r\n", invocation_id(2)));
+    let _ = writeln!(trace, "{}", second.next_answer());
     assert_eq!(
         instance.status()["process"].as_u64(),
         Some(instance.rig.child.id().into())
     );
     // When that link breaks too, the predecessor resumes at the last sequence number that the
     // successor recorded, or a later one.
-    first.send(ask(3, "transcript-search", b"three", &[]));
-    let _ = writeln!(trace, "{}", engine.message());
+    first.send(fastcgi_invocation(3, "transcript-search", b"three", &[]));
+    let _ = writeln!(trace, "{}", engine.next_message());
     engine.send("WHAT\r\n");
-    let mut engine = Peer::accept(&instance.rig.engine);
-    let _ = writeln!(trace, "{}", engine.message());
+    let mut engine = Peer::accept(&instance.rig.engine_listener);
+    let _ = writeln!(trace, "{}", engine.next_message());
     engine.send(format!(
         "HELLO WARM 9100\r\nDONE 3 {} OK 9 5\r\nthree\r\n",
-        id(3)
+        invocation_id(3)
     ));
-    let _ = writeln!(trace, "{}", first.answer());
+    let _ = writeln!(trace, "{}", first.next_answer());
     assert_snapshot!(trace);
 }
 
 #[test]
 fn a_link_that_breaks_during_the_freeze_resumes_at_its_sequence_number() {
     let instance = start_upgradable_with_fault(300, &[], "successor.restored:1:pause");
-    let (mut engine, mut edge) = (instance.rig.engine(), instance.rig.edge());
-    edge.send(ask(1, "transcript-search", b"one", &[]));
-    let mut trace = engine.message() + "\n";
-    engine.send(format!("DONE 1 {} OK 9 3\r\none\r\n", id(1)));
-    let _ = writeln!(trace, "{}", edge.answer());
-    edge.send(ask(2, "transcript-search", b"two", &[]));
-    let _ = writeln!(trace, "{}", engine.message());
-    engine.questions(2);
+    let (mut engine, mut edge) = (instance.rig.accept_engine(), instance.rig.connect_edge());
+    edge.send(fastcgi_invocation(1, "transcript-search", b"one", &[]));
+    let mut trace = engine.next_message() + "\n";
+    engine.send(format!("DONE 1 {} OK 9 3\r\none\r\n", invocation_id(1)));
+    let _ = writeln!(trace, "{}", edge.next_answer());
+    edge.send(fastcgi_invocation(2, "transcript-search", b"two", &[]));
+    let _ = writeln!(trace, "{}", engine.next_message());
+    engine.answer_stats(2);
     let mut command = instance.start_upgrade_until("ready");
     // Neither process reads for half a second.
     engine.send("WHAT\r\n");
-    let mut engine = Peer::accept(&instance.rig.engine);
-    let _ = writeln!(trace, "{}", engine.message());
+    let mut engine = Peer::accept(&instance.rig.engine_listener);
+    let _ = writeln!(trace, "{}", engine.next_message());
     engine.send(format!(
         "HELLO WARM 9000\r\nDONE 2 {} OK 9 3\r\ntwo\r\n",
-        id(2)
+        invocation_id(2)
     ));
-    let _ = writeln!(trace, "{}", edge.answer());
-    engine.questions(3); // gauge queries only, and no second RUN
+    let _ = writeln!(trace, "{}", edge.next_answer());
+    engine.answer_stats(3); // gauge queries only, and no second RUN
     assert!(command.wait().expect("an end").success());
     assert_snapshot!(trace);
 }
@@ -284,53 +290,63 @@
 #[test]
 fn a_handover_at_the_connection_limit_keeps_the_connection_that_waits() {
     let instance = start_upgradable(300, &[("\"sockets\": 1024", "\"sockets\": 64")]);
-    let mut engine = instance.rig.engine();
-    let mut busy: Vec<Peer> = (0..32).map(|_| instance.rig.edge()).collect();
+    let mut engine = instance.rig.accept_engine();
+    let mut busy: Vec<Peer> = (0..32).map(|_| instance.rig.connect_edge()).collect();
     (1..)
         .zip(&mut busy)
-        .for_each(|(tag, edge)| edge.send(ask(tag, "transcript-search", b"", &[])));
-    let mut waiting = instance.rig.edge();
-    waiting.send(ask(99, "", b"", &[("SCRIPT_NAME", "/status/live")]));
-    let run = engine.message();
-    instance.rig.logged("all 32 connections are in use", 1);
+        .for_each(|(tag, edge)| edge.send(fastcgi_invocation(tag, "transcript-search", b"", &[])));
+    let mut waiting = instance.rig.connect_edge();
+    waiting.send(fastcgi_invocation(
+        99,
+        "",
+        b"",
+        &[("SCRIPT_NAME", "/status/live")],
+    ));
+    let run = engine.next_message();
+    instance
+        .rig
+        .wait_for_log("all 32 connections are in use", 1);
     let first = u16::from_str_radix(&run[4..20], 16).expect("an id");
     let answered = &mut busy[usize::from(first) - 1];
     let mut command = instance.start_upgrade_until("took_over");
     assert_eq!(instance.status()["connections"], 32);
     // Once one connection is answered, it can be closed in favour of the waiting one.
-    engine.send(format!("DONE 1 {} OK 9 4\r\nfine\r\n", id(first)));
-    assert!(answered.answer().ends_with("fine"));
-    std::thread::spawn(move || while !engine.message().is_empty() {});
-    assert!(waiting.answer().starts_with("99 200"));
-    assert_eq!(answered.answer(), "closed");
+    engine.send(format!(
+        "DONE 1 {} OK 9 4\r\nfine\r\n",
+        invocation_id(first)
+    ));
+    assert!(answered.next_answer().ends_with("fine"));
+    std::thread::spawn(move || while !engine.next_message().is_empty() {});
+    assert!(waiting.next_answer().starts_with("99 200"));
+    assert_eq!(answered.next_answer(), "closed");
     assert!(command.wait().expect("an end").success());
 }
 
 #[test]
 fn a_configuration_reloaded_during_probation_reaches_the_successor() {
     let instance = start_upgradable(30_000, &[]);
-    let mut engine = instance.rig.engine();
-    let mut edge = instance.rig.edge();
-    edge.send(ask(1, "transcript-search", b"", &[]));
-    assert!(engine.message().starts_with("RUN"));
+    let mut engine = instance.rig.accept_engine();
+    let mut edge = instance.rig.connect_edge();
+    edge.send(fastcgi_invocation(1, "transcript-search", b"", &[]));
+    assert!(engine.next_message().starts_with("RUN"));
     let mut command = instance.start_upgrade_until("took_over");
-    let (new_engine, engine_address) = bind();
+    let (new_engine, engine_address) = bind_loopback();
     let text = std::fs::read_to_string(&instance.rig.config).expect("a file");
     let old = instance
         .rig
-        .engine
+        .engine_listener
         .local_addr()
         .expect("an address")
         .to_string();
     std::fs::write(&instance.rig.config, text.replace(&old, &engine_address)).expect("a file");
     instance.rig.signal("HUP");
     let mut engine = Peer::accept(&new_engine);
-    assert_eq!(engine.message(), "ATTACH 0");
+    assert_eq!(engine.next_message(), "ATTACH 0");
     engine.send(format!(
         "HELLO WARM 9000\r\nDONE 1 {} OK 9 4\r\nfine\r\n",
-        id(1)
+        invocation_id(1)
     ));
-    assert!(edge.answer().ends_with("200 OK||fine"));
+    assert!(edge.next_answer().ends_with("200 OK||fine"));
     command
         .kill()
         .and_then(|()| command.wait())
@@ -340,7 +356,7 @@
 #[test]
 fn a_stalled_reader_receives_every_answer_from_the_successor() {
     let instance = start_upgradable(300, &[("\"Cores\": 2", "\"Cores\": 60")]);
-    let (engine, mut slow) = (instance.rig.engine(), instance.rig.edge());
+    let (engine, mut slow) = (instance.rig.accept_engine(), instance.rig.connect_edge());
     let result = "r".repeat(4000);
     let answered = complete_all_runs(engine, &result);
     let sent = send_until_stalled(&mut slow, &answered);
@@ -353,7 +369,7 @@
     );
     let mut tags = Vec::new();
     for _ in 0..sent {
-        let answer = slow.answer();
+        let answer = slow.next_answer();
         assert!(
             answer.ends_with(&result) || answer.ends_with("ended with status 2"),
             "{answer:.100}"
@@ -413,7 +429,7 @@
     let unreachable = run(&["status", "--control", "/nowhere/control", "--json"]);
     assert!(unreachable.status.code() == Some(1) && text(&unreachable.stdout).contains("failed"));
     let mut instance = start_upgradable(300, &[("\"stop_ms\": 3200", "\"stop_ms\": 600")]);
-    let _engine = instance.rig.engine();
+    let _engine = instance.rig.accept_engine();
     let status = text(&instance.run(&["status"]).stdout);
     assert!(
         status.contains("state: serving\n") && status.contains("  stats: "),
@@ -436,7 +452,7 @@
         drained.status.success() && text(&drained.stdout).ends_with("the instance has stopped\n"),
         "{drained:?}"
     );
-    assert!(instance.rig.end().0.success());
+    assert!(instance.rig.wait_for_exit().0.success());
 }
 
 #[test]
@@ -445,15 +461,15 @@
     let operator = instance.folder.join("operator.json5");
     std::fs::write(&operator, "{ log: { format: 'json' } }").expect("a file");
     let variables = [("MERLINSHELF_OPERATOR", operator.to_str().expect("text"))];
-    let mut rig = ProgramUnderTest::with(
+    let mut rig = ProgramUnderTest::start_with_env(
         PROGRAM,
         1024,
         &[("\"stop_ms\": 3200", "\"stop_ms\": 300")],
         &variables,
     );
-    let _engine = rig.engine();
+    let _engine = rig.accept_engine();
     rig.signal("TERM");
-    let (status, log) = rig.end();
+    let (status, log) = rig.wait_for_exit();
     assert!(status.success());
     for line in log.lines() {
         let line: serde_json::Value =
--- a/crates/merlinshelf-cli/tests/shares.rs
+++ b/crates/merlinshelf-cli/tests/shares.rs
@@ -147,11 +147,11 @@
     run_test(async {
         let fleet = Fleet::start(10, &installation_with(8), 12.0, &policy(&[])).await?;
         let before = fleet.calls_since(Instant::now() - seconds(1.0)).calls.len();
-        fleet.catalogue.does(ServerBehavior::Errors);
+        fleet.catalogue.set_behavior(ServerBehavior::Errors);
         let failing_since = fleet.wait_until_failing().await?;
         pause(7.0).await;
         fleet.check_probes(failing_since);
-        fleet.catalogue.does(ServerBehavior::Well);
+        fleet.catalogue.set_behavior(ServerBehavior::Normal);
         let recovered_at = Instant::now();
         pause(1.0).await;
         let first = fleet.calls_since(recovered_at);
@@ -193,7 +193,7 @@
 fn a_paused_leader_grants_nothing_after_its_term_ends() {
     run_test(async {
         let fleet = Fleet::start(14, &installation_with(4), 12.0, &policy(&[])).await?;
-        fleet.catalogue.does(ServerBehavior::Errors);
+        fleet.catalogue.set_behavior(ServerBehavior::Errors);
         let failing_since = fleet.wait_until_failing().await?;
         let leader = fleet.all.leader().await.expect("a leader");
         let agent = fleet.all.hosts[leader].agent().expect("an agent");
@@ -213,13 +213,13 @@
 fn after_the_leader_is_killed_another_allocates_after_a_lease() {
     run_test(async {
         let mut fleet = Fleet::start(18, &installation_with(4), 12.0, &policy(&[])).await?;
-        fleet.catalogue.does(ServerBehavior::Errors);
+        fleet.catalogue.set_behavior(ServerBehavior::Errors);
         let failing_since = fleet.wait_until_failing().await?;
         let leader = fleet.all.leader().await.expect("a leader");
         fleet.all.hosts[leader].kill_agent().await;
         pause(5.0).await;
         fleet.check_probes(failing_since);
-        fleet.catalogue.does(ServerBehavior::Well);
+        fleet.catalogue.set_behavior(ServerBehavior::Normal);
         let recovered_at = Instant::now();
         let recovery_seconds = fleet.wait_until_recovered(recovered_at, 20).await;
         println!("recovered after {recovery_seconds:.2} s");
@@ -242,7 +242,7 @@
     run_test(async {
         let fleet = Fleet::start(22, &installation_with(4), 12.0, &policy(&[])).await?;
         let leader = fleet.all.leader().await.expect("a leader");
-        fleet.catalogue.does(ServerBehavior::Errors);
+        fleet.catalogue.set_behavior(ServerBehavior::Errors);
         let failing_since = fleet.wait_until_failing().await?;
         // The leader is isolated, then reconnected, and another host is cut off while the leader's
         // grants still run.
@@ -267,7 +267,7 @@
 fn hosts_without_agents_recover_the_catalogue_with_their_reserves() {
     run_test(async {
         let mut fleet = Fleet::start(26, &installation_with(4), 12.0, &policy(&[])).await?;
-        fleet.catalogue.does(ServerBehavior::Errors);
+        fleet.catalogue.set_behavior(ServerBehavior::Errors);
         fleet.wait_until_failing().await?;
         for host in &mut fleet.all.hosts {
             host.kill_agent().await;
@@ -280,7 +280,7 @@
             (1..=3).contains(&most),
             "{most} probes in a second with a reserve of 1 on each of 3 hosts"
         );
-        fleet.catalogue.does(ServerBehavior::Well);
+        fleet.catalogue.set_behavior(ServerBehavior::Normal);
         let recovered_at = Instant::now();
         let recovery_seconds = fleet.wait_until_recovered(recovered_at, 20).await;
         let first =
@@ -302,7 +302,7 @@
         let fleet =
             Fleet::start(30, &installation_with(4), 15.0, &policy(&[("opened", 60)])).await?;
         let from = Instant::now();
-        fleet.catalogue.does(ServerBehavior::Slow(3.0));
+        fleet.catalogue.set_behavior(ServerBehavior::Slow(3.0));
         for (.., playing) in fleet.playing.iter().step_by(4) {
             playing.seen.borrow_mut().restarts += 1;
         }
@@ -333,9 +333,9 @@
             worst_second(&seen.again)
         );
         assert!(
-            fleet.catalogue.most_open.get() <= 16 * 4,
+            fleet.catalogue.max_open_calls.get() <= 16 * 4,
             "{}",
-            fleet.catalogue.most_open.get()
+            fleet.catalogue.max_open_calls.get()
         );
         let verdict = check(&fleet.all, fleet.playing).await;
         assert_eq!(
@@ -353,7 +353,7 @@
     run_test(async {
         let fleet =
             Fleet::start(34, &installation_with(2), 20.0, &policy(&[("probes", 6)])).await?;
-        fleet.catalogue.does(ServerBehavior::Errors);
+        fleet.catalogue.set_behavior(ServerBehavior::Errors);
         let failing_since = fleet.wait_until_failing().await?;
         for round in 0..3 {
             let paused: Vec<u32> = (0..3)
@@ -377,7 +377,7 @@
 fn instances_starting_together_without_an_allocator_stay_within_the_budget() {
     run_test(async {
         let mut fleet = Fleet::start(38, &installation_with(8), 8.0, &policy(&[])).await?;
-        fleet.catalogue.does(ServerBehavior::Errors);
+        fleet.catalogue.set_behavior(ServerBehavior::Errors);
         let failing_since = fleet.wait_until_failing().await?;
         let program = fleet.all.program.clone();
         for host in &mut fleet.all.hosts {
@@ -416,7 +416,7 @@
         let failing_since = fleet.wait_until_failing().await?;
         pause(2.0).await;
         fleet.check_probes(failing_since);
-        fleet.catalogue.does(ServerBehavior::Well);
+        fleet.catalogue.set_behavior(ServerBehavior::Normal);
         let recovered_at = Instant::now();
         fleet.wait_until_recovered(recovered_at, 30).await;
         assert!(
@@ -444,7 +444,7 @@
         let mut load = Load::of_all(&fleet.all.address(0, 0), 8, 60.0, 77);
         load.operations = vec!["thumbnail".into(), "playback-token".into()];
         let greedy = load.start().await?;
-        fleet.catalogue.does(ServerBehavior::HalfErrors);
+        fleet.catalogue.set_behavior(ServerBehavior::HalfErrors);
         let from = Instant::now();
         pause(8.0).await;
         let seen = fleet.calls_since(from);
@@ -519,7 +519,7 @@
 fn no_grant_is_spent_twice_across_upgrades() {
     run_test(async {
         let fleet = Fleet::start(50, &installation_with(3), 15.0, &policy(&[])).await?;
-        fleet.catalogue.does(ServerBehavior::Errors);
+        fleet.catalogue.set_behavior(ServerBehavior::Errors);
         let failing_since = fleet.wait_until_failing().await?;
         let program = fleet.all.hosts[0].folder.join("merlinshelf-2");
         std::fs::copy(PROGRAM, &program)?;
@@ -532,7 +532,7 @@
             assert_eq!(plan["state"], "done", "{plan}");
         }
         fleet.check_probes(failing_since);
-        fleet.catalogue.does(ServerBehavior::Well);
+        fleet.catalogue.set_behavior(ServerBehavior::Normal);
         let recovered_at = Instant::now();
         fleet.wait_until_recovered(recovered_at, 25).await;
         assert!(
@@ -590,7 +590,7 @@
                 "{report}"
             );
         }
-        fleet.catalogue.does(ServerBehavior::Errors);
+        fleet.catalogue.set_behavior(ServerBehavior::Errors);
         let failing_since = fleet.wait_until_failing().await?;
         let (kind, report) = fleet.all.hosts[2]
             .policy(
--- a/crates/merlinshelf-cli/tests/upgrade.rs
+++ b/crates/merlinshelf-cli/tests/upgrade.rs
@@ -113,7 +113,7 @@
         }
         // Every third case has a slow catalogue, so that many calls are in flight.
         if number.is_multiple_of(3) {
-            setup.manner.below = ms(120);
+            setup.manner.call_duration = ms(120);
         }
         // More than one batch of descriptors, so that the fault can interrupt the transfer between
         // two.
--- a/crates/merlinshelf-cli/tests/uwsgi.rs
+++ b/crates/merlinshelf-cli/tests/uwsgi.rs
@@ -8,7 +8,7 @@
 use merlinshelf_testbed::instance::{Instance, Setup};
 use merlinshelf_testbed::load::{FrontProtocol, Load};
 use merlinshelf_testbed::runtime::run_with_timeout;
-use merlinshelf_testbed::wire::{ask, uwsgi_invocation};
+use merlinshelf_testbed::wire::{fastcgi_invocation, uwsgi_invocation};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep, timeout};
@@ -144,17 +144,17 @@
         ];
         for (operation, body, changes, status) in &cases {
             let requests = [
-                ask(1, operation, body, changes),
+                fastcgi_invocation(1, operation, body, changes),
                 uwsgi_invocation(operation, body, changes),
             ];
-            for (protocol, bytes) in ["fastcgi", "uwsgi"].into_iter().zip(requests) {
+            for (protocol, read_bytes) in ["fastcgi", "uwsgi"].into_iter().zip(requests) {
                 let names = ["bad", "succeeded", "invocations", "checks"];
                 let mut before = Vec::new();
                 for name in names {
                     before.push(counter(&instance, name).await?);
                 }
                 let (received, text) =
-                    exchange(&instance.address, &bytes, Duration::from_secs(3)).await?;
+                    exchange(&instance.address, &read_bytes, Duration::from_secs(3)).await?;
                 assert_eq!(
                     received,
                     Some(*status),
@@ -175,7 +175,7 @@
         }
         // An incomplete request is answered with 408.
         let whole = [
-            ask(1, "thumbnail", b"page", &[]),
+            fastcgi_invocation(1, "thumbnail", b"page", &[]),
             uwsgi_invocation("thumbnail", b"page", &[]),
         ];
         for bytes in whole {
--- a/crates/merlinshelf-testbed/src/budgets.rs
+++ b/crates/merlinshelf-testbed/src/budgets.rs
@@ -68,7 +68,7 @@
         let within = |at: &Instant| *at >= from && *at < until;
         let mut known = HashSet::new();
         let mut door = CatalogueTraffic::default();
-        for (at, id) in server.arrived.borrow().iter() {
+        for (at, id) in server.arrivals.borrow().iter() {
             let again = !known.insert(id.clone());
             if within(at) {
                 door.calls.push(*at);
@@ -78,7 +78,7 @@
             }
         }
         door.opened = server
-            .opened
+            .connections_opened
             .borrow()
             .iter()
             .copied()
--- a/crates/merlinshelf-testbed/src/experiments/dependencies/scenario.rs
+++ b/crates/merlinshelf-testbed/src/experiments/dependencies/scenario.rs
@@ -57,7 +57,7 @@
     },
     Fault {
         name: "5 four of five are gone",
-        parts: &[("catalogue", &[0, 1, 2, 3], ServerBehavior::Gone)],
+        parts: &[("catalogue", &[0, 1, 2, 3], ServerBehavior::Unreachable)],
         whole: false,
     },
     Fault {
@@ -86,7 +86,7 @@
     },
     Fault {
         name: "10 every other call to catalogue breaks",
-        parts: &[("catalogue", ALL, ServerBehavior::Breaks)],
+        parts: &[("catalogue", ALL, ServerBehavior::DropsConnections)],
         whole: false,
     },
 ];
@@ -227,15 +227,15 @@
         })
         .collect();
     let mut setup = Setup::small(&plan.program);
-    setup.manner.parts = called_dependencies();
+    setup.manner.called_dependencies = called_dependencies();
     match how {
         Routing::Routed => setup.dependencies = Some(dependencies_config(&addresses)),
         Routing::Before | Routing::Round => {
             let listener = TcpListener::bind("127.0.0.1:0").await?;
             setup.catalogue = Some(listener.local_addr()?.to_string());
             let way = match how {
-                Routing::Before => ForwardMode::First,
-                _ => ForwardMode::Round {
+                Routing::Before => ForwardMode::FirstServer,
+                _ => ForwardMode::RoundRobin {
                     each: Duration::from_millis(250),
                     tries: 3,
                 },
@@ -255,7 +255,9 @@
     };
     let failing: Vec<Rc<Server>> = failing().collect();
     for (name, which, does) in fault.parts {
-        which.iter().for_each(|place| all[name][*place].does(*does));
+        which
+            .iter()
+            .for_each(|place| all[name][*place].set_behavior(*does));
     }
     let began = Instant::now();
     let (at_fault, whole_before) = (
@@ -270,7 +272,7 @@
     );
     all.values()
         .flatten()
-        .for_each(|server| server.does(ServerBehavior::Well));
+        .for_each(|server| server.set_behavior(ServerBehavior::Normal));
     let seen = playing.stop().await;
     let report = instance.status().await?;
     let verdict = seen
--- a/crates/merlinshelf-testbed/src/experiments/learning/benefit.rs
+++ b/crates/merlinshelf-testbed/src/experiments/learning/benefit.rs
@@ -88,7 +88,7 @@
     let mut setup = Setup::small(program);
     setup.cores = CORES;
     setup.manner.cores = f64::from(CORES);
-    setup.manner.below = if outage { HANGS } else { BELOW };
+    setup.manner.call_duration = if outage { HANGS } else { BELOW };
     setup
 }
 
--- a/crates/merlinshelf-testbed/src/experiments/policy_switch.rs
+++ b/crates/merlinshelf-testbed/src/experiments/policy_switch.rs
@@ -15,7 +15,7 @@
 use crate::experiments::policy::Plan;
 use crate::installation::{Installation, SIGNS, check, policy_of};
 use crate::load::{Load, RunningLoad};
-use crate::wire::ask;
+use crate::wire::fastcgi_invocation;
 
 /// How long service is measured before the first change.
 const BASELINE_DURATION: Duration = Duration::from_secs(60);
@@ -31,7 +31,7 @@
 async fn send_health_checks(address: String, checks: Checks) -> io::Result<()> {
     let mut stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
-    let bytes = ask(
+    let bytes = fastcgi_invocation(
         1,
         "",
         b"",
--- a/crates/merlinshelf-testbed/src/experiments/shares.rs
+++ b/crates/merlinshelf-testbed/src/experiments/shares.rs
@@ -209,7 +209,7 @@
         / 2.0;
     let leader = installation.leader().await.unwrap_or(0);
     let failed_at = Instant::now();
-    catalogue.does(failure);
+    catalogue.set_behavior(failure);
     pause(fault_after_s).await;
     let target_processes: Vec<u32> = match fault {
         ProcessFault::StopLeader => installation.hosts[leader].agent().into_iter().collect(),
@@ -253,7 +253,7 @@
     }
     pause((FAILURE_S - 2.5 - fault_after_s).max(0.0)).await;
     let recovered_at = Instant::now();
-    catalogue.does(ServerBehavior::Well);
+    catalogue.set_behavior(ServerBehavior::Normal);
     pause(OBSERVED_AFTER_S).await;
     let end = Instant::now();
     let mut outcome = Outcome::default();
--- a/crates/merlinshelf-testbed/src/experiments/shares_loop.rs
+++ b/crates/merlinshelf-testbed/src/experiments/shares_loop.rs
@@ -105,10 +105,10 @@
     let baseline_start = Instant::now();
     pause(4.0).await;
     let slowdown_start = Instant::now();
-    catalogue.does(ServerBehavior::Slow(3.0));
+    catalogue.set_behavior(ServerBehavior::Slow(3.0));
     pause(SLOWDOWN_S).await;
     let slowdown_end = Instant::now();
-    catalogue.does(ServerBehavior::Well);
+    catalogue.set_behavior(ServerBehavior::Normal);
     pause(OBSERVED_AFTER_S).await;
     let before = served(
         &loads,
--- a/crates/merlinshelf-testbed/src/experiments/uwsgi.rs
+++ b/crates/merlinshelf-testbed/src/experiments/uwsgi.rs
@@ -50,7 +50,7 @@
     let mut setup = Setup::small(&plan.program);
     (
         setup.uwsgi,
-        setup.manner.work,
+        setup.manner.run_duration,
         setup.cores,
         setup.manner.cores,
     ) = (true, RUN_DURATION, 2, 2.0);
--- a/crates/merlinshelf-testbed/src/fakes/dependency.rs
+++ b/crates/merlinshelf-testbed/src/fakes/dependency.rs
@@ -11,13 +11,13 @@
 use tokio::task::{JoinSet, spawn_local};
 use tokio::time::{Instant, sleep};
 
+use super::catalogue_reply;
 use super::line_reader::{Call, LineReader};
-use super::reply_to;
 
 /// What a server does with calls.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ServerBehavior {
-    Well,
+    Normal,
     /// So many times as slow.
     Slow(f64),
     /// The same, for questions that hold this word alone.
@@ -27,9 +27,9 @@
     /// Each call is taken and never answered.
     Hangs,
     /// Nobody listens.
-    Gone,
+    Unreachable,
     /// Every other connection is closed under its call.
-    Breaks,
+    DropsConnections,
     /// Every other call ends in `internal`, at once.
     HalfErrors,
 }
@@ -39,18 +39,18 @@
 
 pub struct Server {
     pub address: String,
-    pub manners: Cell<ServerBehavior>,
-    takes: Duration,
+    pub behavior: Cell<ServerBehavior>,
+    call_duration: Duration,
     /// Calls that reached it.
     pub calls: Cell<u64>,
     /// Each call with its time, and when connections were opened.
-    pub arrived: RefCell<Vec<(Instant, String)>>,
-    pub opened: RefCell<Vec<Instant>>,
+    pub arrivals: RefCell<Vec<(Instant, String)>>,
+    pub connections_opened: RefCell<Vec<Instant>>,
     /// Calls that are here now, and the most that ever were.
-    pub now_open: Cell<usize>,
-    pub most_open: Cell<usize>,
-    room: Semaphore,
-    told: Notify,
+    pub open_calls: Cell<usize>,
+    pub max_open_calls: Cell<usize>,
+    concurrency: Semaphore,
+    behavior_changed: Notify,
     listener: RefCell<Option<TcpListener>>,
 }
 
@@ -60,26 +60,26 @@
     /// # Errors
     /// There is no address.
     pub async fn start(takes: Duration) -> io::Result<Rc<Server>> {
-        Server::with_room(takes, AT_ONCE).await
+        Server::with_concurrency(takes, AT_ONCE).await
     }
 
     /// One that works on so many calls at one time.
     ///
     /// # Errors
     /// There is no address.
-    pub async fn with_room(takes: Duration, at_once: usize) -> io::Result<Rc<Server>> {
+    pub async fn with_concurrency(takes: Duration, at_once: usize) -> io::Result<Rc<Server>> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let server = Rc::new(Server {
             address: listener.local_addr()?.to_string(),
-            manners: Cell::new(ServerBehavior::Well),
-            takes,
+            behavior: Cell::new(ServerBehavior::Normal),
+            call_duration: takes,
             calls: Cell::default(),
-            arrived: RefCell::default(),
-            opened: RefCell::default(),
-            now_open: Cell::default(),
-            most_open: Cell::default(),
-            room: Semaphore::new(at_once),
-            told: Notify::new(),
+            arrivals: RefCell::default(),
+            connections_opened: RefCell::default(),
+            open_calls: Cell::default(),
+            max_open_calls: Cell::default(),
+            concurrency: Semaphore::new(at_once),
+            behavior_changed: Notify::new(),
             listener: RefCell::new(Some(listener)),
         });
         spawn_local(server.clone().serve());
@@ -87,18 +87,18 @@
     }
 
     /// From here on it does so. One that is gone breaks all that is open.
-    pub fn does(&self, manners: ServerBehavior) {
-        self.manners.set(manners);
-        self.told.notify_one();
+    pub fn set_behavior(&self, manners: ServerBehavior) {
+        self.behavior.set(manners);
+        self.behavior_changed.notify_one();
     }
 
     async fn serve(self: Rc<Server>) {
         let mut open = JoinSet::new();
         loop {
-            if self.manners.get() == ServerBehavior::Gone {
+            if self.behavior.get() == ServerBehavior::Unreachable {
                 self.listener.replace(None);
                 open.shutdown().await;
-                self.told.notified().await;
+                self.behavior_changed.notified().await;
                 continue;
             }
             let known = self.listener.take();
@@ -115,12 +115,12 @@
             tokio::select! {
                 stream = listener.accept() => if let Ok((stream, _)) = stream {
                     let server = self.clone();
-                    server.opened.borrow_mut().push(Instant::now());
+                    server.connections_opened.borrow_mut().push(Instant::now());
                     open.spawn_local(async move {
                         let _ = server.attend(stream).await; // an end is how callers give up
                     });
                 },
-                () = self.told.notified() => {}
+                () = self.behavior_changed.notified() => {}
             }
             while open.try_join_next().is_some() {}
             self.listener.replace(Some(listener));
@@ -131,10 +131,12 @@
         stream.set_nodelay(true)?;
         let (input, mut output) = stream.into_split();
         let mut lines = LineReader::new(input);
-        while let Some(Call { id, body, .. }) = lines.call().await? {
+        while let Some(Call { id, body, .. }) = lines.read_call().await? {
             self.calls.set(self.calls.get() + 1);
-            self.arrived.borrow_mut().push((Instant::now(), id.clone()));
-            let times = match self.manners.get() {
+            self.arrivals
+                .borrow_mut()
+                .push((Instant::now(), id.clone()));
+            let times = match self.behavior.get() {
                 manners
                     if manners == ServerBehavior::Errors
                         || manners == ServerBehavior::HalfErrors
@@ -146,7 +148,9 @@
                     continue;
                 }
                 ServerBehavior::Hangs => std::future::pending().await,
-                ServerBehavior::Breaks if self.calls.get().is_multiple_of(2) => return Ok(()),
+                ServerBehavior::DropsConnections if self.calls.get().is_multiple_of(2) => {
+                    return Ok(());
+                }
                 ServerBehavior::Slow(times) => times,
                 ServerBehavior::SlowFor(word, times)
                     if String::from_utf8_lossy(&body).contains(word) =>
@@ -156,10 +160,10 @@
                 _ => 1.0,
             };
             let _here = Here::enter(self);
-            let room = self.room.acquire().await.map_err(io::Error::other)?;
-            sleep(self.takes.mul_f64(times)).await;
+            let room = self.concurrency.acquire().await.map_err(io::Error::other)?;
+            sleep(self.call_duration.mul_f64(times)).await;
             drop(room);
-            let reply = reply_to(&id, &body);
+            let reply = catalogue_reply(&id, &body);
             let head = format!("{id} ok {}\r\n", reply.len());
             output
                 .write_all(&[head.as_bytes(), &reply, b"\r\n"].concat())
@@ -174,16 +178,16 @@
 
 impl Here<'_> {
     fn enter(server: &Server) -> Here<'_> {
-        server.now_open.set(server.now_open.get() + 1);
+        server.open_calls.set(server.open_calls.get() + 1);
         server
-            .most_open
-            .set(server.most_open.get().max(server.now_open.get()));
+            .max_open_calls
+            .set(server.max_open_calls.get().max(server.open_calls.get()));
         Here(server)
     }
 }
 
 impl Drop for Here<'_> {
     fn drop(&mut self) {
-        self.0.now_open.set(self.0.now_open.get() - 1);
+        self.0.open_calls.set(self.0.open_calls.get() - 1);
     }
 }
--- a/crates/merlinshelf-testbed/src/fakes/engine.rs
+++ b/crates/merlinshelf-testbed/src/fakes/engine.rs
@@ -15,14 +15,14 @@
 use tokio::time::sleep;
 
 use super::line_reader::LineReader;
-use super::{FakeBehavior, Shared, reply_to, result_of};
+use super::{FakeBehavior, SharedRecords, catalogue_reply, run_result};
 
 /// Notices that are kept for the next link.
 const KEPT: usize = 4000;
 
 pub struct Engine {
     manner: FakeBehavior,
-    records: Shared,
+    records: SharedRecords,
     born: Instant,
     state: RefCell<State>,
 }
@@ -52,7 +52,11 @@
 
 impl Engine {
     /// Serves links for as long as its task lives.
-    pub fn start(listener: TcpListener, manner: FakeBehavior, records: Shared) -> Rc<Engine> {
+    pub fn start(
+        listener: TcpListener,
+        manner: FakeBehavior,
+        records: SharedRecords,
+    ) -> Rc<Engine> {
         let engine = Rc::new(Engine {
             manner,
             records,
@@ -63,7 +67,7 @@
         spawn_local(async move {
             while let Ok((link, _)) = listener.accept().await {
                 let _ = link.set_nodelay(true);
-                shared.records.borrow_mut().links += 1;
+                shared.records.borrow_mut().engine_links += 1;
                 let shared = shared.clone();
                 spawn_local(async move {
                     if let Err(error) = shared.attend(link).await {
@@ -76,7 +80,7 @@
     }
 
     fn say(&self, text: &str) {
-        if self.manner.says {
+        if self.manner.verbose {
             println!("engine: {text}");
         }
     }
@@ -92,21 +96,21 @@
         };
         let mut lines = LineReader::new(input);
         let reading = async {
-            while let Some(line) = lines.line().await? {
+            while let Some(line) = lines.read_line().await? {
                 let words: Vec<&str> = line.split(' ').collect();
                 match words[..] {
                     ["ATTACH", last] => {
                         self.attach(last.parse().map_err(io::Error::other)?, false, &sender)
                     }
-                    ["ATTACH", last, "NAMES/1"] if !self.manner.parts.is_empty() => {
+                    ["ATTACH", last, "NAMES/1"] if !self.manner.called_dependencies.is_empty() => {
                         self.attach(last.parse().map_err(io::Error::other)?, true, &sender);
                     }
                     ["RUN", id, operation, length] => {
-                        let body = lines.body(length).await?;
+                        let body = lines.read_body(length).await?;
                         self.run(id, operation, body);
                     }
                     ["FEED", id, length] => {
-                        let reply = lines.body(length).await?;
+                        let reply = lines.read_body(length).await?;
                         self.feed(id, &reply);
                     }
                     ["SKIP", id, number] => self.skip(id, number),
@@ -147,14 +151,18 @@
             .runs
             .entry(id.to_owned())
             .or_default() += 1;
-        let parts = self.manner.parts.iter().find(|(of, _)| of == operation);
+        let parts = self
+            .manner
+            .called_dependencies
+            .iter()
+            .find(|(of, _)| of == operation);
         let parts: VecDeque<String> = parts
             .map(|(_, parts)| parts.clone().into())
             .unwrap_or_default();
         let calls = !parts.is_empty()
             || self
                 .manner
-                .calling
+                .calling_operations
                 .iter()
                 .any(|calling| calling == operation);
         let run = Run {
@@ -168,7 +176,7 @@
         state.busy += 1;
         let (engine, id) = (self.clone(), id.to_owned());
         spawn_local(async move {
-            sleep(engine.manner.work).await;
+            sleep(engine.manner.run_duration).await;
             if calls {
                 engine.need(&id)
             } else {
@@ -214,8 +222,8 @@
         if run.call.is_none() {
             state.busy -= 1;
         }
-        let result = [result_of(id, &run.body).as_slice(), more].concat();
-        let took = self.manner.work.as_millis();
+        let result = [run_result(id, &run.body).as_slice(), more].concat();
+        let took = self.manner.run_duration.as_millis();
         state.notice(|number| {
             let head = format!("DONE {number} {id} OK {took} {}\r\n", result.len());
             [head.as_bytes(), &result, b"\r\n"].concat()
@@ -230,9 +238,11 @@
             .get(id)
             .and_then(|run| run.call.clone());
         match awaited {
-            Some((_, body)) if reply == reply_to(id, &body) => self.came(id, b", fed"),
+            Some((_, body)) if reply == catalogue_reply(id, &body) => self.came(id, b", fed"),
             // Lesser answers, of runs with parts alone.
-            Some(_) if reply.starts_with(b"less") && !self.manner.parts.is_empty() => {
+            Some(_)
+                if reply.starts_with(b"less") && !self.manner.called_dependencies.is_empty() =>
+            {
                 self.came(id, b", less")
             }
             _ => self.records.borrow_mut().wrong_feeds += 1,
--- a/crates/merlinshelf-testbed/src/fakes/forward.rs
+++ b/crates/merlinshelf-testbed/src/fakes/forward.rs
@@ -17,24 +17,24 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ForwardMode {
     /// The first server of each, as long as the call may wait.
-    First,
+    FirstServer,
     /// One after the other, each so long, so many at the most.
-    Round { each: Duration, tries: usize },
+    RoundRobin { each: Duration, tries: usize },
 }
 
 pub struct Forward {
-    way: ForwardMode,
+    mode: ForwardMode,
     servers: BTreeMap<String, Vec<String>>,
-    next: Cell<usize>,
+    next_server: Cell<usize>,
 }
 
 impl Forward {
     /// Takes calls for as long as its task lives.
     pub fn start(listener: TcpListener, way: ForwardMode, servers: BTreeMap<String, Vec<String>>) {
         let forward = Rc::new(Forward {
-            way,
+            mode: way,
             servers,
-            next: Cell::default(),
+            next_server: Cell::default(),
         });
         super::serve(listener, move |stream| {
             let forward = forward.clone();
@@ -51,14 +51,14 @@
             wait,
             body,
             line,
-        }) = lines.call().await?
+        }) = lines.read_call().await?
         {
             let wait = Duration::from_millis(wait.parse().map_err(io::Error::other)?);
             let mut gave_up = [0; 1];
             let answer = select! {
                 answer = self.call(&line, &body, wait) => answer,
                 // Whoever gives a call up closes its connection.
-                _ = lines.raw().read(&mut gave_up) => return Ok(()),
+                _ = lines.inner().read(&mut gave_up) => return Ok(()),
             };
             let answer = answer.unwrap_or_else(|| format!("{id} internal\r\n").into_bytes());
             output.write_all(&answer).await?;
@@ -69,14 +69,16 @@
     async fn call(&self, line: &str, body: &[u8], wait: Duration) -> Option<Vec<u8>> {
         let text = String::from_utf8_lossy(body).into_owned();
         let servers = self.servers.get(text.rsplit(' ').next()?)?;
-        let (each, tries) = match self.way {
-            ForwardMode::First => (wait, 1),
-            ForwardMode::Round { each, tries } => (each, tries),
+        let (each, tries) = match self.mode {
+            ForwardMode::FirstServer => (wait, 1),
+            ForwardMode::RoundRobin { each, tries } => (each, tries),
         };
         for _ in 0..tries {
-            let place = match self.way {
-                ForwardMode::First => 0,
-                ForwardMode::Round { .. } => self.next.replace(self.next.get() + 1) % servers.len(),
+            let place = match self.mode {
+                ForwardMode::FirstServer => 0,
+                ForwardMode::RoundRobin { .. } => {
+                    self.next_server.replace(self.next_server.get() + 1) % servers.len()
+                }
             };
             if let Ok(Ok(answer)) = timeout(each, once(&servers[place], line, body)).await {
                 return Some(answer);
@@ -94,10 +96,13 @@
         .write_all(&[line.as_bytes(), b"\r\n", body, b"\r\n"].concat())
         .await?;
     let mut lines = LineReader::new(stream);
-    let head = lines.line().await?.ok_or(io::ErrorKind::UnexpectedEof)?;
+    let head = lines
+        .read_line()
+        .await?
+        .ok_or(io::ErrorKind::UnexpectedEof)?;
     let [_, "ok", length] = head.split(' ').collect::<Vec<_>>()[..] else {
         return Err(io::Error::other(head));
     };
-    let reply = lines.body(length).await?;
+    let reply = lines.read_body(length).await?;
     Ok([head.as_bytes(), b"\r\n", &reply, b"\r\n"].concat())
 }
--- a/crates/merlinshelf-testbed/src/fakes/line_reader.rs
+++ b/crates/merlinshelf-testbed/src/fakes/line_reader.rs
@@ -22,19 +22,19 @@
     }
 
     /// What carries the lines, to look for its end.
-    pub fn raw(&mut self) -> &mut BufReader<R> {
+    pub fn inner(&mut self) -> &mut BufReader<R> {
         &mut self.0
     }
 
     /// The next line without its end; none at the end of the stream.
-    pub async fn line(&mut self) -> io::Result<Option<String>> {
+    pub async fn read_line(&mut self) -> io::Result<Option<String>> {
         let mut text = String::new();
         let count = self.0.read_line(&mut text).await?;
         Ok((count > 0).then(|| text.trim_end().to_owned()))
     }
 
     /// So many bytes, and the line end behind them.
-    pub async fn body(&mut self, length: &str) -> io::Result<Vec<u8>> {
+    pub async fn read_body(&mut self, length: &str) -> io::Result<Vec<u8>> {
         let length: usize = length.parse().map_err(io::Error::other)?;
         let mut bytes = vec![0; length + 2];
         self.0.read_exact(&mut bytes).await?;
@@ -43,14 +43,14 @@
     }
 
     /// The next call with its body; none at the end of the stream.
-    pub async fn call(&mut self) -> io::Result<Option<Call>> {
-        let Some(line) = self.line().await? else {
+    pub async fn read_call(&mut self) -> io::Result<Option<Call>> {
+        let Some(line) = self.read_line().await? else {
             return Ok(None);
         };
         let ["invoke", id, wait, length] = line.split(' ').collect::<Vec<_>>()[..] else {
             return Err(io::Error::other(format!("no call: {line}")));
         };
-        let body = self.body(length).await?;
+        let body = self.read_body(length).await?;
         Ok(Some(Call {
             id: id.to_owned(),
             wait: wait.to_owned(),
@@ -60,7 +60,7 @@
     }
 
     /// So many bytes with nothing behind them.
-    pub async fn bytes(&mut self, length: usize) -> io::Result<Vec<u8>> {
+    pub async fn read_bytes(&mut self, length: usize) -> io::Result<Vec<u8>> {
         let mut bytes = vec![0; length];
         self.0.read_exact(&mut bytes).await?;
         Ok(bytes)
--- a/crates/merlinshelf-testbed/src/fakes/mod.rs
+++ b/crates/merlinshelf-testbed/src/fakes/mod.rs
@@ -26,17 +26,17 @@
 #[derive(Clone, Debug)]
 pub struct FakeBehavior {
     /// How long a run takes on the cores.
-    pub work: Duration,
+    pub run_duration: Duration,
     /// Runs at once that the gauges call all of the cores.
     pub cores: f64,
     /// Operations whose runs make a call below.
-    pub calling: Vec<String>,
+    pub calling_operations: Vec<String>,
     /// Operations whose runs make several calls, one after the other, to these; they name them where that is agreed.
-    pub parts: Vec<(String, Vec<String>)>,
+    pub called_dependencies: Vec<(String, Vec<String>)>,
     /// How long the catalogue takes.
-    pub below: Duration,
+    pub call_duration: Duration,
     /// Say on standard output what is asked.
-    pub says: bool,
+    pub verbose: bool,
 }
 
 /// What was asked of the stand-ins, by invocation.
@@ -49,10 +49,10 @@
     /// Replies that reached a run which waited for none, or for another one.
     pub wrong_feeds: u32,
     /// Links that the engine was offered.
-    pub links: u32,
+    pub engine_links: u32,
 }
 
-pub type Shared = Rc<RefCell<Records>>;
+pub type SharedRecords = Rc<RefCell<Records>>;
 
 /// Takes in connections for as long as its task lives, each with a task of its own.
 fn serve<F: Future<Output = std::io::Result<()>> + 'static>(
@@ -70,11 +70,11 @@
 }
 
 /// What a run of an invocation makes of its body.
-pub fn result_of(id: &str, body: &[u8]) -> Vec<u8> {
+pub fn run_result(id: &str, body: &[u8]) -> Vec<u8> {
     [b"done ", id.as_bytes(), b" ", body].concat()
 }
 
 /// What the catalogue replies to a call.
-pub fn reply_to(id: &str, body: &[u8]) -> Vec<u8> {
+pub fn catalogue_reply(id: &str, body: &[u8]) -> Vec<u8> {
     [b"reply ", id.as_bytes(), b" ", body].concat()
 }
--- a/crates/merlinshelf-testbed/src/fleet.rs
+++ b/crates/merlinshelf-testbed/src/fleet.rs
@@ -16,10 +16,10 @@
 use tokio::process::{Child, Command};
 use tokio::time::{Instant, sleep};
 
-use crate::fakes::{Catalogue, Engine, MembershipService, Records, Shared};
+use crate::fakes::{Catalogue, Engine, MembershipService, Records, SharedRecords};
 use crate::instance::{Setup, own_address_at, processes_where, signal};
 use crate::load::{Load, RunningLoad, Verdict};
-use crate::script::EXAMPLE;
+use crate::script::EXAMPLE_CONFIG;
 
 const PATIENCE: Duration = Duration::from_secs(40);
 const LISTEN: u16 = 6600;
@@ -31,7 +31,7 @@
     agent: Option<Child>,
     number: u8,
     pub count: u16,
-    pub records: Vec<Shared>,
+    pub records: Vec<SharedRecords>,
 }
 
 /// Asks an agent; all that it says, the last word last.
@@ -85,19 +85,19 @@
         let manner = Setup::small(program).manner;
         let bind = || TcpListener::bind("127.0.0.1:0");
         let (catalogue, members) = (bind().await?, bind().await?);
-        let mut config: Value = serde_json::from_str(EXAMPLE)?;
+        let mut config: Value = serde_json::from_str(EXAMPLE_CONFIG)?;
         config["backend"] = json!(catalogue.local_addr()?.to_string());
         config["members"] = json!(members.local_addr()?.to_string());
         config["settings"]["FamilyInfo"]["Cores"] = json!(8);
         config["settings"]["FamilyInfo"]["HeapKb"] = json!(152_880.0);
         config["settings"]["FamilyInfo"]["CallShare"] = json!(32);
         std::fs::write(folder.join("config.json"), config.to_string())?;
-        let every: Shared = Rc::new(RefCell::new(Records::default()));
+        let every: SharedRecords = Rc::new(RefCell::new(Records::default()));
         Catalogue::start(catalogue, manner.clone(), every.clone());
         MembershipService::start(members, false);
         let mut records = Vec::new();
         for place in 0..count {
-            let own: Shared = Rc::new(RefCell::new(Records::default()));
+            let own: SharedRecords = Rc::new(RefCell::new(Records::default()));
             let listener = TcpListener::bind(own_address_at(number, ENGINE + place)).await?;
             Engine::start(listener, manner.clone(), own.clone());
             records.push(own);
--- a/crates/merlinshelf-testbed/src/installation.rs
+++ b/crates/merlinshelf-testbed/src/installation.rs
@@ -16,12 +16,12 @@
 use tokio::process::{Child, Command};
 use tokio::time::{Instant, sleep};
 
-use crate::fakes::{Catalogue, Engine, MembershipService, Records, Server, Shared};
+use crate::fakes::{Catalogue, Engine, MembershipService, Records, Server, SharedRecords};
 use crate::fleet::{ask_agent, sum};
 use crate::instance::{Setup, own_address_at, processes_where, signal};
 use crate::link::{Fault, Link};
 use crate::load::{Load, RunningLoad, Verdict};
-use crate::script::EXAMPLE;
+use crate::script::EXAMPLE_CONFIG;
 
 const PATIENCE: Duration = Duration::from_secs(30);
 const LISTEN: u16 = 6600;
@@ -50,7 +50,7 @@
     pub folder: PathBuf,
     number: u8,
     agent: Option<Child>,
-    pub records: Vec<Shared>,
+    pub records: Vec<SharedRecords>,
     /// Set for clocks that run apart.
     pub clock_rate: Option<f64>,
     /// Where the next agent that is started here fails, as `MERLINSHELF_FAULT` has it; debug builds alone heed it.
@@ -263,7 +263,7 @@
         let mut links = BTreeMap::new();
         let with_budgets = !made.budgets.is_null();
         let door = if with_budgets {
-            Some(Server::with_room(made.below.0, made.below.1).await?)
+            Some(Server::with_concurrency(made.below.0, made.below.1).await?)
         } else {
             None
         };
@@ -276,7 +276,7 @@
             std::fs::create_dir_all(&folder)?;
             let bind = || TcpListener::bind("127.0.0.1:0");
             let (catalogue, members) = (bind().await?, bind().await?);
-            let mut config: Value = serde_json::from_str(EXAMPLE)?;
+            let mut config: Value = serde_json::from_str(EXAMPLE_CONFIG)?;
             config["backend"] = json!(catalogue.local_addr()?.to_string());
             if let Some(door) = &door {
                 let at = own_address_at(own, WAY);
@@ -301,12 +301,12 @@
                 }
             }
             std::fs::write(folder.join("config.json"), config.to_string())?;
-            let every: Shared = Rc::new(RefCell::new(Records::default()));
+            let every: SharedRecords = Rc::new(RefCell::new(Records::default()));
             Catalogue::start(catalogue, manner.clone(), every);
             MembershipService::start(members, false);
             let mut records = Vec::new();
             for instance in 0..made.instances {
-                let record: Shared = Rc::new(RefCell::new(Records::default()));
+                let record: SharedRecords = Rc::new(RefCell::new(Records::default()));
                 let listener = TcpListener::bind(own_address_at(own, ENGINE + instance)).await?;
                 Engine::start(listener, manner.clone(), record.clone());
                 records.push(record);
--- a/crates/merlinshelf-testbed/src/instance.rs
+++ b/crates/merlinshelf-testbed/src/instance.rs
@@ -17,8 +17,8 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, timeout};
 
-use crate::fakes::{Catalogue, Engine, FakeBehavior, MembershipService, Records, Shared};
-use crate::script::EXAMPLE;
+use crate::fakes::{Catalogue, Engine, FakeBehavior, MembershipService, Records, SharedRecords};
+use crate::script::EXAMPLE_CONFIG;
 
 /// How long anything that must happen is waited for.
 const PATIENCE: Duration = Duration::from_secs(20);
@@ -71,12 +71,12 @@
             both_mb: 1024,
             effect: "read_like".into(),
             manner: FakeBehavior {
-                work,
+                run_duration: work,
                 cores: 8.0,
-                calling,
-                parts: Vec::new(),
-                below,
-                says: false,
+                calling_operations: calling,
+                called_dependencies: Vec::new(),
+                call_duration: below,
+                verbose: false,
             },
             name: "n0".into(),
             learning: None,
@@ -91,7 +91,7 @@
 pub struct Instance {
     pub address: String,
     setup: Setup,
-    pub records: Shared,
+    pub records: SharedRecords,
     folder: PathBuf,
     pub control: PathBuf,
     child: Child,
@@ -151,10 +151,10 @@
             std::process::id()
         ));
         std::fs::create_dir_all(&folder)?;
-        let records: Shared = Rc::new(RefCell::new(Records::default()));
+        let records: SharedRecords = Rc::new(RefCell::new(Records::default()));
         let bind = || TcpListener::bind("127.0.0.1:0");
         let (engine, catalogue, members) = (bind().await?, bind().await?, bind().await?);
-        let mut config: Value = serde_json::from_str(EXAMPLE)?;
+        let mut config: Value = serde_json::from_str(EXAMPLE_CONFIG)?;
         let address = own_address(number);
         config["listen"] = json!(address);
         config["engine"] = json!(engine.local_addr()?.to_string());
@@ -212,7 +212,7 @@
         std::fs::write(folder.join("operator.json5"), operator.to_string())?;
         Engine::start(engine, setup.manner.clone(), records.clone());
         Catalogue::start(catalogue, setup.manner.clone(), records.clone());
-        MembershipService::start(members, setup.manner.says);
+        MembershipService::start(members, setup.manner.verbose);
         let log = Rc::<RefCell<Vec<Value>>>::default();
         let child = launch(&setup.program, &folder, &log)?;
         let setup = setup.clone();
--- a/crates/merlinshelf-testbed/src/load.rs
+++ b/crates/merlinshelf-testbed/src/load.rs
@@ -18,8 +18,8 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, sleep_until};
 
-use crate::fakes::{Records, result_of};
-use crate::wire::{ask, uwsgi_invocation};
+use crate::fakes::{Records, run_result};
+use crate::wire::{fastcgi_invocation, uwsgi_invocation};
 
 /// What the edge nodes send.
 #[derive(Clone, Debug)]
@@ -242,7 +242,7 @@
             };
             let patience = self.patience.as_millis().to_string();
             let rank = format!("{:.4}", rng.random::<f64>().min(0.999));
-            let bytes = ask(
+            let bytes = fastcgi_invocation(
                 tag,
                 operation,
                 &body,
@@ -506,7 +506,7 @@
             .windows(4)
             .position(|four| four == b"\r\n\r\n")
             .map(|at| &out[at + 4..]);
-        let made = result_of(id, &sent.body);
+        let made = run_result(id, &sent.body);
         sent.spoilt |= status == 200 && !body.is_some_and(|body| body.starts_with(&made));
         sent.poorer |= body.is_some_and(|body| body.ends_with(b", poorer"));
         let text = String::from_utf8_lossy(&out[..out.len().min(1024)]).into_owned();
--- a/crates/merlinshelf-testbed/src/main.rs
+++ b/crates/merlinshelf-testbed/src/main.rs
@@ -306,9 +306,9 @@
         Command::StandIns { config } => {
             let manner = Setup::small("").manner;
             let manner = FakeBehavior {
-                work: Duration::from_millis(60),
+                run_duration: Duration::from_millis(60),
                 cores: 2.0,
-                says: true,
+                verbose: true,
                 ..manner
             };
             local
--- a/crates/merlinshelf-testbed/src/manual.rs
+++ b/crates/merlinshelf-testbed/src/manual.rs
@@ -6,8 +6,8 @@
 use serde_json::Value;
 use tokio::net::TcpListener;
 
-use crate::fakes::{Catalogue, Engine, FakeBehavior, MembershipService, Shared};
-use crate::wire::{ask as invocation, unix_ms};
+use crate::fakes::{Catalogue, Engine, FakeBehavior, MembershipService, SharedRecords};
+use crate::wire::{fastcgi_invocation, unix_ms};
 
 /// As many as may be open on one connection.
 const OPEN_MOST: u16 = 32;
@@ -53,8 +53,8 @@
         println!("{name} at {at}");
         io::Result::Ok(listener)
     };
-    manner.calling = calling(&config);
-    let records = Shared::default();
+    manner.calling_operations = calling(&config);
+    let records = SharedRecords::default();
     let (engine, catalogue, members) = (
         bind("engine").await?,
         bind("backend").await?,
@@ -77,7 +77,7 @@
                 .wrapping_mul(0x9E37_79B9_7F4A_7C15)
                 .wrapping_add(tag.into())
         );
-        stream.write_all(&invocation(
+        stream.write_all(&fastcgi_invocation(
             tag,
             operation,
             body.as_bytes(),
--- a/crates/merlinshelf-testbed/src/script/engine.rs
+++ b/crates/merlinshelf-testbed/src/script/engine.rs
@@ -7,7 +7,7 @@
 
 use super::millis;
 use super::peer::Peer;
-use crate::wire::ask;
+use crate::wire::fastcgi_invocation;
 
 /// Lets the engine answer every run at once, and counts them.
 pub fn complete_all_runs(mut engine: Peer, result: &str) -> Arc<AtomicUsize> {
@@ -15,7 +15,7 @@
     let (count, result) = (answered.clone(), result.to_owned());
     std::thread::spawn(move || {
         for number in 1.. {
-            let run = engine.message();
+            let run = engine.next_message();
             if run.is_empty() {
                 return;
             }
@@ -45,7 +45,7 @@
     while !stalled(sent) {
         for _ in 0..32 {
             sent += 1;
-            slow.send(ask(
+            slow.send(fastcgi_invocation(
                 sent as u16,
                 "transcript-search",
                 b"",
--- a/crates/merlinshelf-testbed/src/script/mod.rs
+++ b/crates/merlinshelf-testbed/src/script/mod.rs
@@ -8,10 +8,12 @@
 
 pub use engine::{complete_all_runs, send_until_stalled};
 pub use peer::Peer;
-pub use program::{EXAMPLE, ProgramUnderTest, bind, configuration, free_address, program};
+pub use program::{
+    EXAMPLE_CONFIG, ProgramUnderTest, bind_loopback, spawn_program, unique_address, write_config,
+};
 
 /// How long a peer waits for what must come.
-pub const PATIENCE: Duration = Duration::from_secs(5);
+pub const TIMEOUT: Duration = Duration::from_secs(5);
 
 pub fn millis(count: u64) -> Duration {
     Duration::from_millis(count)
--- a/crates/merlinshelf-testbed/src/script/peer.rs
+++ b/crates/merlinshelf-testbed/src/script/peer.rs
@@ -5,12 +5,12 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-use super::{PATIENCE, millis};
+use super::{TIMEOUT, millis};
 
 /// One stream of any of the peers, read by the line or by the byte.
 pub struct Peer {
     pub stream: TcpStream,
-    pub come: Vec<u8>,
+    pub received: Vec<u8>,
 }
 
 impl Peer {
@@ -20,12 +20,12 @@
             .expect("a time-out");
         Peer {
             stream,
-            come: Vec::new(),
+            received: Vec::new(),
         }
     }
 
     pub fn accept(listener: &TcpListener) -> Peer {
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + TIMEOUT;
         listener.set_nonblocking(true).expect("a mode");
         loop {
             match listener.accept() {
@@ -46,13 +46,13 @@
     }
 
     /// More bytes; false at the end of the stream.
-    pub fn fill(&mut self, until: Instant) -> bool {
+    pub fn read_more(&mut self, until: Instant) -> bool {
         let mut gulp = [0; 65536];
         loop {
             match self.stream.read(&mut gulp) {
                 Ok(0) => return false,
                 Ok(count) => {
-                    self.come.extend(&gulp[..count]);
+                    self.received.extend(&gulp[..count]);
                     return true;
                 }
                 Err(error)
@@ -71,27 +71,27 @@
     }
 
     pub fn text(&self) -> String {
-        self.come.escape_ascii().to_string()
+        self.received.escape_ascii().to_string()
     }
 
-    pub fn take(&mut self, count: usize) -> Option<Vec<u8>> {
-        let until = Instant::now() + PATIENCE;
-        while self.come.len() < count {
-            if !self.fill(until) {
+    pub fn read_bytes(&mut self, count: usize) -> Option<Vec<u8>> {
+        let until = Instant::now() + TIMEOUT;
+        while self.received.len() < count {
+            if !self.read_more(until) {
                 return None;
             }
         }
-        Some(self.come.drain(..count).collect())
+        Some(self.received.drain(..count).collect())
     }
 
-    pub fn line(&mut self) -> Option<String> {
-        let until = Instant::now() + PATIENCE;
+    pub fn read_line(&mut self) -> Option<String> {
+        let until = Instant::now() + TIMEOUT;
         loop {
-            if let Some(end) = self.come.windows(2).position(|two| two == b"\r\n") {
-                let line = self.take(end + 2)?;
+            if let Some(end) = self.received.windows(2).position(|two| two == b"\r\n") {
+                let line = self.read_bytes(end + 2)?;
                 return Some(String::from_utf8_lossy(&line[..end]).into_owned());
             }
-            if !self.fill(until) {
+            if !self.read_more(until) {
                 return None;
             }
         }
@@ -99,15 +99,15 @@
 
     /// As engine or catalogue: the next message with its body, questions for gauges answered on the way;
     /// nothing at the end of the link.
-    pub fn message(&mut self) -> String {
+    pub fn next_message(&mut self) -> String {
         loop {
-            let line = self.line().unwrap_or_default();
+            let line = self.read_line().unwrap_or_default();
             let words: Vec<&str> = line.split(' ').collect();
             match words[..] {
                 ["STAT", tag] => self.send(format!("STATS {tag} 0.5 1 0.1 3\r\n")),
                 ["RUN" | "FEED" | "invoke", .., length] => {
                     let length: usize = length.parse().expect("a length");
-                    let body = self.take(length + 2).expect("a body");
+                    let body = self.read_bytes(length + 2).expect("a body");
                     return format!("{line} {}", body[..length].escape_ascii());
                 }
                 _ => return line,
@@ -116,9 +116,9 @@
     }
 
     /// Answers so many questions for gauges: each shows that all that was sent before the one before was read.
-    pub fn questions(&mut self, count: usize) {
+    pub fn answer_stats(&mut self, count: usize) {
         for _ in 0..count {
-            let line = self.line().unwrap_or_default();
+            let line = self.read_line().unwrap_or_default();
             let tag = line
                 .strip_prefix("STAT ")
                 .unwrap_or_else(|| panic!("{line:?} is no question"));
@@ -127,15 +127,17 @@
     }
 
     /// Answers questions for gauges for a while; anything else is handed back.
-    pub fn idle(&mut self, time: Duration) -> Vec<String> {
+    pub fn answer_stats_for(&mut self, time: Duration) -> Vec<String> {
         let (until, mut seen) = (Instant::now() + time, Vec::new());
         while Instant::now() < until {
             self.stream
                 .set_read_timeout(Some(millis(5)))
                 .expect("a time-out");
             let mut peeked = [0; 1];
-            if self.stream.peek(&mut peeked).is_ok_and(|count| count > 0) || !self.come.is_empty() {
-                match self.line() {
+            if self.stream.peek(&mut peeked).is_ok_and(|count| count > 0)
+                || !self.received.is_empty()
+            {
+                match self.read_line() {
                     Some(line) if line.starts_with("STAT ") => {
                         self.send(format!("STATS {} 0.5 1 0.1 3\r\n", &line[5..]));
                     }
@@ -147,15 +149,15 @@
     }
 
     /// As edge node: the next answer, as its tag, its head without what never differs, and its body.
-    pub fn answer(&mut self) -> String {
+    pub fn next_answer(&mut self) -> String {
         let mut out = Vec::new();
         loop {
-            let Some(head) = self.take(8) else {
+            let Some(head) = self.read_bytes(8) else {
                 return "closed".into();
             };
             let (length, padding) = (u16::from_be_bytes([head[4], head[5]]), head[6]);
             let content = self
-                .take(usize::from(length) + usize::from(padding))
+                .read_bytes(usize::from(length) + usize::from(padding))
                 .expect("a whole record");
             let (content, tag) = (
                 &content[..length.into()],
--- a/crates/merlinshelf-testbed/src/script/program.rs
+++ b/crates/merlinshelf-testbed/src/script/program.rs
@@ -13,10 +13,10 @@
 use rustix::process::{Pid, Signal, kill_process_group};
 
 use super::peer::Peer;
-use super::{PATIENCE, millis};
+use super::{TIMEOUT, millis};
 
 /// The configuration that all rigs start from.
-pub const EXAMPLE: &str = include_str!("../../../../examples/config.json");
+pub const EXAMPLE_CONFIG: &str = include_str!("../../../../examples/config.json");
 
 /// The program and the addresses of its stand-ins.
 pub struct ProgramUnderTest {
@@ -25,9 +25,9 @@
     reader: Option<JoinHandle<()>>,
     pub address: String,
     pub config: PathBuf,
-    pub engine: TcpListener,
-    pub catalogue: TcpListener,
-    pub members: TcpListener,
+    pub engine_listener: TcpListener,
+    pub catalogue_listener: TcpListener,
+    pub members_listener: TcpListener,
 }
 
 impl Drop for ProgramUnderTest {
@@ -46,14 +46,14 @@
     }
 }
 
-pub fn bind() -> (TcpListener, String) {
+pub fn bind_loopback() -> (TcpListener, String) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address").to_string();
     (listener, address)
 }
 
 /// An address that nobody else has: a port that was free a moment ago may be anybody's by now.
-pub fn free_address() -> String {
+pub fn unique_address() -> String {
     static TAKEN: AtomicUsize = AtomicUsize::new(1);
     let ([.., high, low], number) = (
         std::process::id().to_be_bytes(),
@@ -63,7 +63,7 @@
 }
 
 /// Starts the program in a process group of its own, with further variables.
-pub fn program(
+pub fn spawn_program(
     path: &str,
     config: &PathBuf,
     descriptors: usize,
@@ -84,10 +84,12 @@
 }
 
 /// Writes the example's configuration with some texts replaced.
-pub fn configuration(changes: &[(&str, &str)]) -> PathBuf {
-    let text = changes.iter().fold(EXAMPLE.to_owned(), |text, (from, to)| {
-        text.replace(from, to)
-    });
+pub fn write_config(changes: &[(&str, &str)]) -> PathBuf {
+    let text = changes
+        .iter()
+        .fold(EXAMPLE_CONFIG.to_owned(), |text, (from, to)| {
+            text.replace(from, to)
+        });
     static WRITTEN: AtomicUsize = AtomicUsize::new(0);
     let unique = format!(
         "{}-{}",
@@ -101,26 +103,26 @@
 
 impl ProgramUnderTest {
     pub fn start(path: &str, descriptors: usize, changes: &[(&str, &str)]) -> ProgramUnderTest {
-        ProgramUnderTest::with(path, descriptors, changes, &[])
+        ProgramUnderTest::start_with_env(path, descriptors, changes, &[])
     }
 
     /// The same with further variables for the program.
-    pub fn with(
+    pub fn start_with_env(
         path: &str,
         descriptors: usize,
         changes: &[(&str, &str)],
         variables: &[(&str, &str)],
     ) -> ProgramUnderTest {
-        let ((engine, at_engine), (catalogue, at_catalogue)) = (bind(), bind());
-        let ((members, at_members), address) = (bind(), free_address());
+        let ((engine, at_engine), (catalogue, at_catalogue)) = (bind_loopback(), bind_loopback());
+        let ((members, at_members), address) = (bind_loopback(), unique_address());
         let addresses = [
             ("127.0.0.1:9300", at_engine.as_str()),
             ("127.0.0.1:5432", &at_catalogue),
             ("127.0.0.1:8761", &at_members),
             ("127.0.0.1:6565", &address),
         ];
-        let config = configuration(&[&addresses, changes].concat());
-        let mut child = program(path, &config, descriptors, variables);
+        let config = write_config(&[&addresses, changes].concat());
+        let mut child = spawn_program(path, &config, descriptors, variables);
         let (log, pipe) = (
             Arc::<Mutex<String>>::default(),
             child.stderr.take().expect("a pipe"),
@@ -137,9 +139,9 @@
             reader,
             address,
             config,
-            engine,
-            catalogue,
-            members,
+            engine_listener: engine,
+            catalogue_listener: catalogue,
+            members_listener: members,
         }
     }
 
@@ -148,8 +150,8 @@
     }
 
     /// Waits until the log says this, so many times.
-    pub fn logged(&self, text: &str, times: usize) {
-        let until = Instant::now() + PATIENCE;
+    pub fn wait_for_log(&self, text: &str, times: usize) {
+        let until = Instant::now() + TIMEOUT;
         while self.log().matches(text).count() < times {
             assert!(
                 Instant::now() < until,
@@ -160,8 +162,8 @@
     }
 
     /// Waits until a counter has come to a figure.
-    pub fn counted(&self, name: &str, figure: u64) {
-        let until = Instant::now() + PATIENCE;
+    pub fn wait_for_counter(&self, name: &str, figure: u64) {
+        let until = Instant::now() + TIMEOUT;
         let wanted = format!(" {name}={figure} ");
         while !self
             .log()
@@ -172,21 +174,21 @@
             assert!(Instant::now() < until, "{name} does not come to {figure}");
             let before = self.log().matches("counters: ").count();
             self.signal("USR1");
-            self.logged("counters: ", before + 1);
+            self.wait_for_log("counters: ", before + 1);
         }
     }
 
     /// Takes the engine's link and says how it is.
-    pub fn engine(&self) -> Peer {
-        let mut engine = Peer::accept(&self.engine);
-        assert_eq!(engine.message(), "ATTACH 0");
+    pub fn accept_engine(&self) -> Peer {
+        let mut engine = Peer::accept(&self.engine_listener);
+        assert_eq!(engine.next_message(), "ATTACH 0");
         engine.send("HELLO WARM 5000\r\n");
-        engine.questions(5);
+        engine.answer_stats(5);
         engine
     }
 
-    pub fn edge(&self) -> Peer {
-        let until = Instant::now() + PATIENCE;
+    pub fn connect_edge(&self) -> Peer {
+        let until = Instant::now() + TIMEOUT;
         loop {
             match TcpStream::connect(&self.address) {
                 Ok(stream) => return Peer::new(stream),
@@ -205,8 +207,8 @@
     }
 
     /// Waits for the program's own end and hands out what it logged.
-    pub fn end(&mut self) -> (ExitStatus, String) {
-        let until = Instant::now() + PATIENCE;
+    pub fn wait_for_exit(&mut self) -> (ExitStatus, String) {
+        let until = Instant::now() + TIMEOUT;
         while self.child.try_wait().expect("a child").is_none() {
             assert!(Instant::now() < until, "the program does not end");
             sleep(millis(5));
--- a/crates/merlinshelf-testbed/src/wire.rs
+++ b/crates/merlinshelf-testbed/src/wire.rs
@@ -2,7 +2,7 @@
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
-pub fn record(kind: u8, tag: u16, content: &[u8], padding: u8) -> Vec<u8> {
+pub fn fastcgi_record(kind: u8, tag: u16, content: &[u8], padding: u8) -> Vec<u8> {
     let ([high, low], length) = (tag.to_be_bytes(), (content.len() as u16).to_be_bytes());
     [
         &[1, kind, high, low, length[0], length[1], padding, 0],
@@ -47,7 +47,7 @@
     let all: Vec<(&str, &str)> = std::iter::once(("CONTENT_LENGTH", length.as_str()))
         .chain(changes.iter().copied())
         .collect();
-    let fields = fields(&id(1), class, &all);
+    let fields = fields(&invocation_id(1), class, &all);
     let fields: Vec<(&str, &str)> = fields
         .iter()
         .map(|(name, value)| (name.as_str(), value.as_str()))
@@ -59,26 +59,26 @@
 }
 
 /// One invocation as an edge node writes it, with some fields changed; an empty one is left out.
-pub fn ask(tag: u16, class: &str, body: &[u8], changes: &[(&str, &str)]) -> Vec<u8> {
+pub fn fastcgi_invocation(tag: u16, class: &str, body: &[u8], changes: &[(&str, &str)]) -> Vec<u8> {
     let mut params = Vec::new();
-    for (name, value) in fields(&id(tag), class, changes) {
+    for (name, value) in fields(&invocation_id(tag), class, changes) {
         params.push(name.len() as u8);
         params.extend((value.len() as u32 | 0x8000_0000).to_be_bytes());
         params.extend(name.as_bytes());
         params.extend(value.as_bytes());
     }
     let (first, second) = params.split_at(params.len() / 3);
-    let mut bytes = record(1, tag, &[0, 1, 1, 0, 0, 0, 0, 0], 0);
+    let mut bytes = fastcgi_record(1, tag, &[0, 1, 1, 0, 0, 0, 0, 0], 0);
     for part in [first, second, b""] {
-        bytes.extend(record(4, tag, part, 3));
+        bytes.extend(fastcgi_record(4, tag, part, 3));
     }
     for part in body.chunks(600).filter(|part| !part.is_empty()) {
-        bytes.extend(record(5, tag, part, 1));
+        bytes.extend(fastcgi_record(5, tag, part, 1));
     }
-    bytes.extend(record(5, tag, b"", 0));
+    bytes.extend(fastcgi_record(5, tag, b"", 0));
     bytes
 }
 
-pub fn id(tag: u16) -> String {
+pub fn invocation_id(tag: u16) -> String {
     format!("{tag:016x}")
 }
