--- a/crates/merlinshelf-cli/tests/dependencies.rs
+++ b/crates/merlinshelf-cli/tests/dependencies.rs
@@ -39,8 +39,9 @@
             .push(Server::start(Duration::from_millis(3)).await?);
     }
     let mut setup = Setup::small(PROGRAM);
-    (setup.watched, setup.silent) = (Duration::from_millis(700), Duration::from_millis(2000));
-    (setup.manner.called_dependencies, setup.dependencies) = (
+    (setup.probation, setup.heartbeat_timeout) =
+        (Duration::from_millis(700), Duration::from_millis(2000));
+    (setup.fakes.called_dependencies, setup.dependencies) = (
         called_dependencies(),
         Some(dependencies_config(&addresses(&servers, 0..3))),
     );
@@ -67,7 +68,7 @@
     /// Starts an instance under load and waits until it has answered a few invocations.
     async fn start_with_load(&self, number: u8) -> io::Result<(Instance, Load, RunningLoad)> {
         let instance = Instance::start(&self.setup, number).await?;
-        let load = Load::of_all(&instance.address, 8, 150.0, number.into());
+        let load = Load::with_example_operations(&instance.address, 8, 150.0, number.into());
         let playing = load.start().await?;
         wait_for_answers(&playing, 30).await;
         Ok((instance, load, playing))
@@ -132,7 +133,7 @@
             let recent = seen
                 .sent
                 .values()
-                .filter(|sent| sent.at.elapsed() < Duration::from_millis(500));
+                .filter(|sent| sent.sent_at.elapsed() < Duration::from_millis(500));
             let complete: Vec<bool> = recent
                 .filter(|sent| !sent.answers.is_empty())
                 .map(|sent| sent.partial.is_none())
@@ -189,21 +190,21 @@
         let rig = start_rig().await?;
         let (instance, load, playing) = rig.start_with_load(2).await?;
         // The third server of each is added; the first is removed and gets no further calls.
-        instance.depends_on(&dependencies_config(&addresses(&rig.servers, 1..3)))?;
-        instance.logged("dependencies reloaded: 2", 1).await?;
+        instance.set_dependencies(&dependencies_config(&addresses(&rig.servers, 1..3)))?;
+        instance.wait_for_log("dependencies reloaded: 2", 1).await?;
         wait_for_answers(&playing, 30).await;
         let before = rig.servers["catalogue"][0].calls.get();
         wait_for_answers(&playing, 60).await;
         assert_eq!(rig.servers["catalogue"][0].calls.get(), before);
         // An invalid file changes nothing.
-        instance.depends_on(
+        instance.set_dependencies(
             &serde_json::json!({ "operations": { "thumbnail": { "calls": [{ "to": "nobody" }] } } }),
         )?;
         instance
-            .logged("the old dependencies stay in force", 1)
+            .wait_for_log("the old dependencies stay in force", 1)
             .await?;
-        instance.depends_on(&dependencies_config(&addresses(&rig.servers, 0..3)))?;
-        instance.logged("dependencies reloaded: 2", 2).await?;
+        instance.set_dependencies(&dependencies_config(&addresses(&rig.servers, 0..3)))?;
+        instance.wait_for_log("dependencies reloaded: 2", 2).await?;
         rig.set_behaviour("catalogue", ServerBehavior::Slow(10.0));
         wait_for_answers(&playing, 30).await;
         assert_eq!(
@@ -225,7 +226,7 @@
                 .map(Vec::len),
             Some(3)
         );
-        instance.leave().await
+        instance.drain().await
     });
 }
 
@@ -237,7 +238,7 @@
         rig.servers["catalogue"][0].set_behavior(ServerBehavior::Hangs);
         rig.servers["assets"][1].set_behavior(ServerBehavior::DropsConnections);
         wait_for_answers(&playing, 20).await;
-        instance.leave().await?;
+        instance.drain().await?;
         let seen = playing.stop().await.take();
         let verdict = seen.check(&instance.records.borrow(), load.patience);
         assert_eq!(
@@ -260,7 +261,7 @@
         let mut rig = start_rig().await?;
         // This engine knows no extended ATTACH, and its runs make one call each without naming a
         // dependency.
-        rig.setup.manner.called_dependencies.clear();
+        rig.setup.fakes.called_dependencies.clear();
         let (instance, load, playing) = rig.start_with_load(4).await?;
         wait_for_answers(&playing, 60).await;
         let seen = playing.stop().await.take();
--- a/crates/merlinshelf-cli/tests/fleet.rs
+++ b/crates/merlinshelf-cli/tests/fleet.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use merlinshelf_protocol::control::ControlMessage;
-use merlinshelf_testbed::fleet::{FleetUnderTest, sum};
+use merlinshelf_testbed::fleet::{FleetUnderTest, combined_verdict};
 use merlinshelf_testbed::instance::signal;
 use merlinshelf_testbed::runtime::run_with_timeout;
 use rustix::process::Signal;
@@ -55,8 +55,8 @@
 fn a_rolling_upgrade_and_a_drain_under_load_lose_no_invocation() {
     run_test(async {
         let rig = FleetUnderTest::start(PROGRAM.as_ref(), 210, 4, &change_section()).await?;
-        rig.when("serving", 4).await?;
-        let playing = rig.load(60.0, 3).await?;
+        rig.wait_for_state("serving", 4).await?;
+        let playing = rig.start_load(60.0, 3).await?;
         sleep(Duration::from_millis(500)).await;
         let program = copy_of_program(&rig)?;
         let (kind, plan) = request(
@@ -88,8 +88,8 @@
             rig.history().await?
         );
         assert_eq!(rig.processes(), Vec::<u32>::new());
-        let verdicts = rig.check(playing).await;
-        let all = sum(&verdicts);
+        let verdicts = rig.stop_and_check(playing).await;
+        let all = combined_verdict(&verdicts);
         assert!(
             all.lost + all.doubled + all.spoilt + all.run_twice + all.wrong_feeds == 0,
             "{all:?}"
@@ -103,7 +103,7 @@
 /// of the predecessor and the successor.
 async fn upgrade_in_probation(number: u8) -> io::Result<(FleetUnderTest, u32, u32)> {
     let rig = FleetUnderTest::start(PROGRAM.as_ref(), number, 2, &change_section()).await?;
-    rig.when("serving", 2).await?;
+    rig.wait_for_state("serving", 2).await?;
     let (all, _) = rig.status().await?;
     let pid = |status: &Value| {
         status["process"]
@@ -151,7 +151,7 @@
         signal(old, Signal::KILL);
         let plan = plan_over(&rig).await?;
         assert_eq!(plan["state"], "done", "{plan}\n{}", rig.history().await?);
-        rig.when("serving", 2).await?;
+        rig.wait_for_state("serving", 2).await?;
         let history = rig.history().await?;
         assert!(
             history.contains("web.0") && !history.contains("ended by itself"),
@@ -180,7 +180,7 @@
                 .is_some_and(|state| state.contains("taken back")),
             "{plan}"
         );
-        rig.when("serving", 2).await?;
+        rig.wait_for_state("serving", 2).await?;
         assert_eq!(
             names_where(&rig, |instance| instance["process"] == old).await?,
             ["web.0"]
@@ -198,8 +198,8 @@
 fn a_restarted_agent_adopts_the_instances_and_continues_the_plan() {
     run_test(async {
         let mut rig = FleetUnderTest::start(PROGRAM.as_ref(), 211, 4, &change_section()).await?;
-        rig.when("serving", 4).await?;
-        let playing = rig.load(40.0, 4).await?;
+        rig.wait_for_state("serving", 4).await?;
+        let playing = rig.start_load(40.0, 4).await?;
         let program = copy_of_program(&rig)?;
         request(&rig, json!({ "op": "upgrade", "program": program })).await?;
         // Kill the agent while the first instances are upgraded, and once more later.
@@ -210,9 +210,9 @@
                 rig.processes().len() >= 4,
                 "the instances do not outlive the agent"
             );
-            rig.agent()?;
+            rig.start_agent()?;
         }
-        rig.when("serving", 4).await?;
+        rig.wait_for_state("serving", 4).await?;
         let plan = plan_over(&rig).await?;
         assert_eq!(plan["state"], "done", "{plan}\n{}", rig.history().await?);
         assert_eq!(
@@ -224,7 +224,7 @@
         assert_eq!(rig.processes().len(), 4);
         let history = rig.history().await?;
         assert!(history.contains("adopted"), "{history}");
-        let all = sum(&rig.check(playing).await);
+        let all = combined_verdict(&rig.stop_and_check(playing).await);
         assert!(
             all.lost + all.doubled + all.run_twice == 0,
             "{all:?}\n{history}"
@@ -240,7 +240,7 @@
             second.status.code() == Some(1) && reason.contains("another process holds the folder"),
             "{reason}"
         );
-        assert_eq!(rig.end_agent().await?, Some(0));
+        assert_eq!(rig.terminate_agent().await?, Some(0));
         assert_eq!(rig.processes().len(), 4);
         Ok(())
     });
@@ -250,7 +250,7 @@
 fn killed_hung_and_manually_drained_instances_are_restarted() {
     run_test(async {
         let rig = FleetUnderTest::start(PROGRAM.as_ref(), 212, 4, &change_section()).await?;
-        rig.when("serving", 4).await?;
+        rig.wait_for_state("serving", 4).await?;
         let (all, _) = rig.status().await?;
         let pid = |index: usize| {
             all[index]["process"]
@@ -278,7 +278,7 @@
             }
             sleep(Duration::from_millis(50)).await;
         }
-        rig.when("serving", 4).await?;
+        rig.wait_for_state("serving", 4).await?;
         let (now, _) = rig.status().await?;
         for index in 0..3 {
             assert_ne!(now[index]["process"], all[index]["process"]);
@@ -295,7 +295,7 @@
 fn a_foreign_process_on_a_control_socket_is_reported_and_left_alone() {
     run_test(async {
         let rig = FleetUnderTest::start(PROGRAM.as_ref(), 215, 2, &change_section()).await?;
-        rig.when("serving", 2).await?;
+        rig.wait_for_state("serving", 2).await?;
         request(
             &rig,
             json!({ "op": "drain", "names": ["web.0"], "wait": true }),
@@ -316,7 +316,7 @@
         // Once the foreign process is gone, the instance is started after the restart delay.
         drop(foreign);
         std::fs::remove_file(&control)?;
-        rig.when("serving", 2).await
+        rig.wait_for_state("serving", 2).await
     });
 }
 
@@ -324,7 +324,7 @@
 fn a_fleet_file_with_an_invalid_group_is_rejected_as_a_whole() {
     run_test(async {
         let rig = FleetUnderTest::start(PROGRAM.as_ref(), 216, 2, &change_section()).await?;
-        rig.when("serving", 2).await?;
+        rig.wait_for_state("serving", 2).await?;
         let (before, _) = rig.status().await?;
         let file = rig.folder.join("fleet.json5");
         let text = std::fs::read_to_string(&file)?;
@@ -362,7 +362,7 @@
 fn a_program_that_does_not_start_ends_the_plan_and_the_old_one_serves_on() {
     run_test(async {
         let rig = FleetUnderTest::start(PROGRAM.as_ref(), 213, 3, &change_section()).await?;
-        rig.when("serving", 3).await?;
+        rig.wait_for_state("serving", 3).await?;
         let (before, _) = rig.status().await?;
         let bad = rig.folder.join("bad");
         std::fs::write(&bad, "#!/bin/sh\nexit 9\n")?;
@@ -378,7 +378,7 @@
             state.contains("was not upgraded") && state.contains("status 9"),
             "{state}"
         );
-        rig.when("serving", 3).await?;
+        rig.wait_for_state("serving", 3).await?;
         let (after, _) = rig.status().await?;
         for (before, after) in before.iter().zip(&after) {
             assert_eq!(
@@ -394,7 +394,7 @@
 fn fleet_commands_report_results_and_errors() {
     run_test(async {
         let rig = FleetUnderTest::start(PROGRAM.as_ref(), 214, 3, &change_section()).await?;
-        rig.when("serving", 3).await?;
+        rig.wait_for_state("serving", 3).await?;
         let socket = rig.socket().to_string_lossy().into_owned();
         let run = |arguments: &[&str]| {
             let mut command = tokio::process::Command::new(PROGRAM);
@@ -441,7 +441,7 @@
         assert_eq!(code, 0);
         let (code, ..) = run(&["scale", "web", "2"]).await;
         assert_eq!(code, 0);
-        rig.when("serving", 2).await?;
+        rig.wait_for_state("serving", 2).await?;
         let (code, shown, _) = run(&["logs", "web.0", "--lines", "50"]).await;
         assert!(code == 0 && shown.contains("the engine is up"), "{shown}");
         let (code, shown, _) = run(&["stop", "--all", "--within", "10", "--wait"]).await;
--- a/crates/merlinshelf-cli/tests/learning.rs
+++ b/crates/merlinshelf-cli/tests/learning.rs
@@ -33,14 +33,15 @@
         "peers": { "listen": peer_address(number), "seeds": seeds },
     });
     let mut setup = Setup::small(PROGRAM);
-    (setup.watched, setup.silent) = (Duration::from_millis(700), Duration::from_millis(2000));
+    (setup.probation, setup.heartbeat_timeout) =
+        (Duration::from_millis(700), Duration::from_millis(2000));
     (setup.name, setup.learning) = (format!("n{number}"), Some(learning));
     setup
 }
 
 /// Starts a load whose invocation ids depend on the seed.
 async fn load(instance: &Instance, seed: u64) -> io::Result<(Load, RunningLoad)> {
-    let load = Load::of_all(&instance.address, 8, 120.0, seed);
+    let load = Load::with_example_operations(&instance.address, 8, 120.0, seed);
     let playing = load.start().await?;
     Ok((load, playing))
 }
@@ -84,7 +85,7 @@
     let instance = Instance::start(&setup(number, &[]), number).await?;
     let (load, playing) = load(&instance, number.into()).await?;
     instance
-        .says("steady", |status| {
+        .wait_for_report("steady", |status| {
             status["learning"]["standing"] == "steady"
         })
         .await?;
@@ -110,9 +111,9 @@
         let (peer, peer_load, peer_playing) = start_steady(10).await?;
         let learner = Instance::start(&setup(11, &[10]), 11).await?;
         learner
-            .says("taught", |status| learned_from(status, "n10"))
+            .wait_for_report("taught", |status| learned_from(status, "n10"))
             .await?;
-        let observations = learner.figures().await?;
+        let observations = learner.known_figures().await?;
         let count = |kind: &str| {
             observations
                 .iter()
@@ -182,7 +183,7 @@
     run_test(async {
         let (mut instance, _, playing) = start_steady(20).await?;
         instance
-            .says("saved", |status| {
+            .wait_for_report("saved", |status| {
                 status["learning"]["saved"]["ago_s"].is_number()
             })
             .await?;
@@ -192,16 +193,18 @@
                 .as_f64()
                 .is_some_and(|ago| ago < 0.1)
         };
-        instance.says("saved again", saved_recently).await?;
-        playing.leave();
-        instance.crash().await?;
-        instance.logged("of earlier incarnations", 1).await?;
         instance
-            .says("taught by its past", |status| {
+            .wait_for_report("saved again", saved_recently)
+            .await?;
+        playing.abandon();
+        instance.kill_and_restart().await?;
+        instance.wait_for_log("of earlier incarnations", 1).await?;
+        instance
+            .wait_for_report("taught by its past", |status| {
                 learned_from(status, "n20 (its own past)")
             })
             .await?;
-        let observations = instance.figures().await?;
+        let observations = instance.known_figures().await?;
         assert!(
             observations
                 .iter()
@@ -209,12 +212,12 @@
                     && observation["own"] == false),
             "{observations:?}"
         );
-        let folder = instance.kept();
+        let folder = instance.store_folder();
         let (code, shown, _) = run(&["knowledge", "show", "--folder", &folder.to_string_lossy()]);
         assert!(code == 0 && shown.contains("run-recent"), "{shown}");
         // A store with a garbled byte, a file of another format, and a file in place of the folder.
         for (times, fault) in [(1, "garbled"), (2, "foreign"), (3, "no folder")] {
-            instance.end().await;
+            instance.kill_all().await;
             let file = folder.join("knowledge");
             match fault {
                 "garbled" => {
@@ -229,15 +232,15 @@
                     std::fs::write(&folder, b"a file, not a folder")?;
                 }
             }
-            instance.crash().await?;
-            instance.logged("the engine is up", 2 + times).await?;
+            instance.kill_and_restart().await?;
+            instance.wait_for_log("the engine is up", 2 + times).await?;
             if fault == "no folder" {
-                instance.logged("gossip store not written", 1).await?;
+                instance.wait_for_log("gossip store not written", 1).await?;
             } else {
                 instance
-                    .logged("gossip store not read completely", times)
+                    .wait_for_log("gossip store not read completely", times)
                     .await?;
-                instance.logged("moved aside", times).await?;
+                instance.wait_for_log("moved aside", times).await?;
                 assert!(folder.join("knowledge.aside").exists());
             }
             let (load, playing) = load(&instance, 100 + times as u64).await?;
@@ -372,13 +375,13 @@
         ));
         let instance = Instance::start(&setup(40, &[41]), 40).await?;
         instance
-            .says("taught", |status| learned_from(status, "bad"))
+            .wait_for_report("taught", |status| learned_from(status, "bad"))
             .await?;
         instance
-            .logged("rejected 2 observations of bad: values that can't be", 1)
+            .wait_for_log("rejected 2 observations of bad: values that can't be", 1)
             .await?;
         instance
-            .logged("rejected 1 observations of bad: ages that can't be", 1)
+            .wait_for_log("rejected 1 observations of bad: ages that can't be", 1)
             .await?;
         let (load, playing) = load(&instance, 7).await?;
         let verdict = check(&instance, &load, playing).await;
@@ -440,11 +443,11 @@
         spawn_local(faulty_peer("silent", listener));
         let mut learner = Instance::start(&setup(61, &[60, 62]), 61).await?;
         learner
-            .says("taught", |status| learned_from(status, "n60"))
+            .wait_for_report("taught", |status| learned_from(status, "n60"))
             .await?;
         let (load, playing) = load(&learner, 7).await?;
         learner
-            .says("steady", |status| {
+            .wait_for_report("steady", |status| {
                 status["learning"]["standing"] == "steady"
             })
             .await?;
@@ -460,7 +463,7 @@
         }
         // The successor has the observations with their origins, and attributes the predecessor's
         // samples to an earlier incarnation.
-        let observations = learner.figures().await?;
+        let observations = learner.known_figures().await?;
         assert!(
             observations
                 .iter()
@@ -473,22 +476,22 @@
                 .any(|observation| observation["origin"] == "n61" && observation["own"] == false),
             "{observations:?}"
         );
-        learner.logged("gossip listening at", 2).await?;
+        learner.wait_for_log("gossip listening at", 2).await?;
         // The successor has taken over the folder.
         learner
-            .says("saved", |status| {
+            .wait_for_report("saved", |status| {
                 status["learning"]["saved"]["ago_s"].is_number()
             })
             .await?;
         let successor = learner.processes().pop().expect("a process");
         signal(successor, Signal::TERM);
-        learner.logged("drain started", 1).await?;
+        learner.wait_for_log("drain started", 1).await?;
         let verdict = check(&learner, &load, playing).await;
         assert!(verdict.is_clean(), "{verdict:?}\n{}", learner.log());
-        assert_eq!(learner.first_ended().await?, Some(0));
-        peer_playing.leave();
+        assert_eq!(learner.wait_for_first_exit().await?, Some(0));
+        peer_playing.abandon();
         // An instance that stops says so to its peers, or no longer answers their queries.
-        peer.says("alone", |status| status["learning"]["peers"] == 0)
+        peer.wait_for_report("alone", |status| status["learning"]["peers"] == 0)
             .await?;
         Ok(())
     });
--- a/crates/merlinshelf-cli/tests/policy.rs
+++ b/crates/merlinshelf-cli/tests/policy.rs
@@ -10,7 +10,8 @@
 use merlinshelf_agent::control_client::ControlClient;
 use merlinshelf_protocol::control::{ControlMessage, ControlRequest};
 use merlinshelf_testbed::installation::{
-    Changed, Installation, InstallationConfig, check, evidence, out_of_order, policy_of,
+    Changed, Installation, InstallationConfig, check_load, collect_evidence, count_violations,
+    policy_admitting,
 };
 use merlinshelf_testbed::instance::signal;
 use merlinshelf_testbed::link::{ControlLink, ControlLinkMode, Fault};
@@ -25,11 +26,11 @@
     instances: 2,
     lease_ms: 1000,
     watch_ms: 0,
-    council: true,
+    with_consensus: true,
     budgets: Value::Null,
-    zones: false,
-    needed: false,
-    below: (Duration::from_millis(8), 16),
+    zone_per_host: false,
+    calls_required: false,
+    catalogue_capacity: (Duration::from_millis(8), 16),
 };
 /// A lease and 2 s, and an allowance for a busy machine: a repeated election, a stalled disk.
 const MAX_CHANGE_TIME: Duration = Duration::from_secs(10);
@@ -47,9 +48,9 @@
     id: &str,
 ) -> io::Result<(ControlMessage, Value)> {
     all.hosts[host]
-        .policy(
+        .policy_request(
             "propose",
-            json!({ "id": id, "policy": policy_of(sign), "wait": true }),
+            json!({ "id": id, "policy": policy_admitting(sign), "wait": true }),
         )
         .await
 }
@@ -70,9 +71,9 @@
             && report["number"].is_u64()
         {
             return Ok(Changed {
-                proposed,
-                sign,
-                held: *kind == ControlMessage::Done,
+                proposed_at: proposed,
+                marker: sign,
+                committed: *kind == ControlMessage::Done,
             });
         }
         assert!(proposed.elapsed() < Duration::from_secs(20), "{reply:?}");
@@ -93,18 +94,18 @@
     changes: &[Changed],
 ) {
     sleep(Duration::from_millis(500)).await;
-    let evidence = evidence(&playing);
-    assert_eq!(out_of_order(changes, &evidence), (0, 0), "{changes:?}");
+    let evidence = collect_evidence(&playing);
+    assert_eq!(count_violations(changes, &evidence), (0, 0), "{changes:?}");
     let last = changes
         .iter()
         .rev()
-        .find(|change| change.held)
+        .find(|change| change.committed)
         .expect("a committed change");
     assert!(
-        evidence.iter().any(|(_, _, sign)| *sign == last.sign),
+        evidence.iter().any(|(_, _, sign)| *sign == last.marker),
         "no answer shows the last policy"
     );
-    let verdict = check(all, playing).await;
+    let verdict = check_load(all, playing).await;
     assert_eq!(
         verdict.lost + verdict.doubled + verdict.spoilt + verdict.run_twice,
         0,
@@ -124,9 +125,9 @@
 
 /// Waits until every instance of every host uses this policy.
 async fn wait_until_all_use(all: &Installation, number: u64) -> io::Result<()> {
-    let expected = vec![Some(number); all.made.instances.into()];
+    let expected = vec![Some(number); all.config.instances.into()];
     let what = format!("all use policy {number}");
-    all.when(&what, |shows| {
+    all.wait_until(&what, |shows| {
         shows.iter().all(|show| versions_in_use(show) == expected)
     })
     .await
@@ -143,7 +144,7 @@
         host.fault = None;
     }
     let has_lease = |show: &Value| show["leader"].is_string() && show["lease"].is_object();
-    all.when("all agents have a leader and a lease", |shows| {
+    all.wait_until("all agents have a leader and a lease", |shows| {
         shows.iter().all(has_lease)
     })
     .await
@@ -156,7 +157,7 @@
     for host in all
         .hosts
         .iter_mut()
-        .filter_map(|host| host.agent_ended().then_some(host))
+        .filter_map(|host| host.agent_exited().then_some(host))
     {
         host.start_agent(PROGRAM.as_ref())?;
         died += 1;
@@ -168,7 +169,7 @@
 fn an_instance_paused_during_a_change_resumes_with_the_new_or_the_base_policy() {
     run_test(async {
         let all = Installation::start(PROGRAM.as_ref(), 10, &THREE_HOSTS).await?;
-        let playing = all.load(60.0, 1).await?;
+        let playing = all.start_load(60.0, 1).await?;
         let mut changes = vec![complete_change(&all, 0, 0, "one").await?];
         sleep(Duration::from_millis(500)).await;
         let paused = all.hosts[1].processes_of(0);
@@ -179,7 +180,7 @@
         let start = Instant::now();
         changes.push(complete_change(&all, 2, 1, "two").await?);
         assert!(
-            changes[1].held && start.elapsed() < MAX_CHANGE_TIME,
+            changes[1].committed && start.elapsed() < MAX_CHANGE_TIME,
             "{:?}",
             start.elapsed()
         );
@@ -214,7 +215,7 @@
             .await?;
         // Callers connect before the instances listen again: even their first invocations are
         // decided by the new policy.
-        let playing = all.load(40.0, 2).await?;
+        let playing = all.start_load(40.0, 2).await?;
         wait_until_all_use(&all, 2).await?;
         stop_and_check(&all, playing, &changes).await;
         Ok(())
@@ -225,20 +226,20 @@
 fn changes_succeed_after_agents_are_killed_and_lose_or_roll_back_their_logs() {
     run_test(async {
         let mut all = Installation::start(PROGRAM.as_ref(), 16, &THREE_HOSTS).await?;
-        let playing = all.load(40.0, 3).await?;
+        let playing = all.start_load(40.0, 3).await?;
         let mut changes = vec![complete_change(&all, 0, 0, "one").await?];
-        let old_log = std::fs::read(all.hosts[2].council())?;
+        let old_log = std::fs::read(all.hosts[2].consensus_folder())?;
         let leader = all.leader().await.expect("a leader");
         all.hosts[leader].kill_agent().await;
         let start = Instant::now();
         changes.push(complete_change(&all, (leader + 1) % 3, 1, "two").await?);
         assert!(
-            changes[1].held && start.elapsed() < MAX_CHANGE_TIME,
+            changes[1].committed && start.elapsed() < MAX_CHANGE_TIME,
             "{:?}",
             start.elapsed()
         );
         all.hosts[leader].start_agent(PROGRAM.as_ref())?;
-        all.when("the restarted agent has the change and a lease", |shows| {
+        all.wait_until("the restarted agent has the change and a lease", |shows| {
             shows
                 .iter()
                 .all(|show| show["current"] == 2 && show["lease"].is_object())
@@ -249,13 +250,13 @@
         for (host, sign, log) in [(1, 2, None), (2, 0, Some(old_log))] {
             all.hosts[host].kill_agent().await;
             match log {
-                None => std::fs::remove_file(all.hosts[host].council())?,
-                Some(bytes) => std::fs::write(all.hosts[host].council(), bytes)?,
+                None => std::fs::remove_file(all.hosts[host].consensus_folder())?,
+                Some(bytes) => std::fs::write(all.hosts[host].consensus_folder(), bytes)?,
             }
             all.hosts[host].start_agent(PROGRAM.as_ref())?;
             changes.push(complete_change(&all, 0, sign, &format!("after {host}")).await?);
             let name = all.hosts[host].name.clone();
-            all.when("the agent has a new voter slot", |shows| {
+            all.wait_until("the agent has a new voter slot", |shows| {
                 let slot = shows[0]["members"][&name].as_u64();
                 slot.is_some_and(|slot| slot > 3)
                     && shows[host]["council"] == "sits"
@@ -273,7 +274,7 @@
             host.start_agent(PROGRAM.as_ref())?;
         }
         changes.push(complete_change(&all, 1, 1, "after all").await?);
-        assert!(changes.iter().all(|change| change.held), "{changes:?}");
+        assert!(changes.iter().all(|change| change.committed), "{changes:?}");
         stop_and_check(&all, playing, &changes).await;
         Ok(())
     });
@@ -283,12 +284,12 @@
 fn without_a_majority_no_change_commits_and_its_outcome_is_known_later() {
     run_test(async {
         let all = Installation::start(PROGRAM.as_ref(), 19, &THREE_HOSTS).await?;
-        let playing = all.load(40.0, 4).await?;
+        let playing = all.start_load(40.0, 4).await?;
         let mut changes = vec![complete_change(&all, 0, 0, "one").await?];
         // The leader is isolated in the minority. Both it and the majority receive a proposal.
         let leader = all.leader().await.expect("a leader");
         let other = (leader + 1) % 3;
-        all.set_links(leader, true, true, Fault::Held);
+        all.set_link_fault(leader, true, true, Fault::Stalled);
         let reply = propose(&all, leader, 1, "alone").await?;
         assert_eq!(reply.0, ControlMessage::Failed);
         assert!(
@@ -299,24 +300,24 @@
         );
         changes.push(complete_change(&all, other, 1, "by two").await?);
         // Then all links are cut.
-        all.heal();
-        all.when("all agents have the change", |shows| {
+        all.clear_link_faults();
+        all.wait_until("all agents have the change", |shows| {
             shows.iter().all(|show| show["current"] == 2)
         })
         .await?;
-        (0..3).for_each(|host| all.set_links(host, true, true, Fault::Cut));
+        (0..3).for_each(|host| all.set_link_fault(host, true, true, Fault::Cut));
         let reply = propose(&all, 0, 2, "nobody").await?;
         assert_eq!(
             (reply.0, &reply.1["state"]),
             (ControlMessage::Failed, &json!("unknown")),
             "{reply:?}"
         );
-        all.heal();
+        all.clear_link_faults();
         // Proposed again with the same id it is the same change, whichever agent receives it.
         changes.push(complete_change(&all, 1, 2, "nobody").await?);
         assert!(!propose(&all, 2, 2, "nobody").await?.1["number"].is_null());
         let (_, outcome) = all.hosts[0]
-            .policy("outcome", json!({ "id": "nobody", "wait": true }))
+            .policy_request("outcome", json!({ "id": "nobody", "wait": true }))
             .await?;
         assert_eq!(outcome["state"], "held", "{outcome}");
         let history = all.hosts[2]
@@ -340,12 +341,12 @@
 fn a_change_that_one_instance_rejects_fails_everywhere_and_concurrent_changes_are_serialized() {
     run_test(async {
         let all = Installation::start(PROGRAM.as_ref(), 22, &THREE_HOSTS).await?;
-        let playing = all.load(40.0, 5).await?;
+        let playing = all.start_load(40.0, 5).await?;
         let mut changes = vec![complete_change(&all, 0, 0, "one").await?];
-        let mut document = policy_of(1);
+        let mut document = policy_admitting(1);
         document["operations"]["unheard-of"] = json!({ "worth": 2.0 });
         let reply = all.hosts[1]
-            .policy(
+            .policy_request(
                 "propose",
                 json!({ "id": "bad", "policy": document, "wait": true }),
             )
@@ -369,12 +370,12 @@
             let reason = reply.1["why"].as_str().unwrap_or_default();
             assert!(held || reason.contains("is under way"), "{reply:?}");
             changes.push(Changed {
-                proposed,
-                sign: 2,
-                held,
+                proposed_at: proposed,
+                marker: 2,
+                committed: held,
             });
         }
-        assert!(changes.iter().skip(1).any(|change| change.held));
+        assert!(changes.iter().skip(1).any(|change| change.committed));
         // Each agent reports the instances of all.
         let socket = all.hosts[0].socket();
         let socket = socket.to_str().unwrap_or_default();
@@ -396,7 +397,7 @@
         // Undo restores the previous policy by a further change.
         let undone_at = Instant::now();
         let (kind, report) = all.hosts[1]
-            .policy("undo", json!({ "id": "back", "wait": true }))
+            .policy_request("undo", json!({ "id": "back", "wait": true }))
             .await?;
         assert_eq!(
             (kind, &report["state"]),
@@ -405,13 +406,13 @@
         );
         let both_committed = changes
             .iter()
-            .filter(|change| change.held && change.sign == 2)
+            .filter(|change| change.committed && change.marker == 2)
             .count()
             == 2;
         changes.push(Changed {
-            proposed: undone_at,
-            sign: if both_committed { 2 } else { 0 },
-            held: true,
+            proposed_at: undone_at,
+            marker: if both_committed { 2 } else { 0 },
+            committed: true,
         });
         stop_and_check(&all, playing, &changes).await;
         Ok(())
@@ -422,7 +423,7 @@
 fn changes_during_a_fleet_upgrade_commit_and_lose_no_invocation() {
     run_test(async {
         let all = Installation::start(PROGRAM.as_ref(), 25, &THREE_HOSTS).await?;
-        let playing = all.load(40.0, 6).await?;
+        let playing = all.start_load(40.0, 6).await?;
         let mut changes = vec![complete_change(&all, 0, 0, "one").await?];
         let program = all.hosts[0].folder.join("merlinshelf-2");
         std::fs::copy(PROGRAM, &program)?;
@@ -434,9 +435,9 @@
             sleep(Duration::from_millis(350)).await;
             changes.push(complete_change(&all, index % 3, sign, &format!("in {index}")).await?);
         }
-        assert!(changes.iter().all(|change| change.held), "{changes:?}");
+        assert!(changes.iter().all(|change| change.committed), "{changes:?}");
         for host in &all.hosts {
-            let plan = host.plan_over().await?;
+            let plan = host.wait_for_plan_end().await?;
             assert_eq!(plan["state"], "done", "{plan}");
         }
         stop_and_check(&all, playing, &changes).await;
@@ -452,13 +453,13 @@
             ..THREE_HOSTS
         };
         let mut all = Installation::start(PROGRAM.as_ref(), 34, &made).await?;
-        let playing = all.load(40.0, 9).await?;
+        let playing = all.start_load(40.0, 9).await?;
         let changes = vec![complete_change(&all, 0, 0, "one").await?];
         sleep(Duration::from_millis(500)).await;
         for host in [1, 2] {
             all.hosts[host].kill_agent().await;
         }
-        all.when("host 0 has no lease", |shows| {
+        all.wait_until("host 0 has no lease", |shows| {
             shows[0]["leader"].is_null() && shows[0]["lease"].is_null()
         })
         .await?;
@@ -467,7 +468,7 @@
             .processes_of(0)
             .iter()
             .for_each(|pid| signal(*pid, Signal::KILL));
-        playing[0].3.seen.borrow_mut().killed.push(killed);
+        playing[0].3.seen.borrow_mut().killed_at.push(killed);
         sleep(Duration::from_millis(4500)).await; // the instance waits for two leases, then serves by the base policy
         for host in [1, 2] {
             all.hosts[host].start_agent(PROGRAM.as_ref())?;
@@ -479,9 +480,9 @@
         let sent_after_kill = seen
             .sent
             .values()
-            .filter(|sent| sent.at > killed + Duration::from_millis(50));
+            .filter(|sent| sent.sent_at > killed + Duration::from_millis(50));
         let (sent_at, answers): (Vec<Instant>, Vec<_>) = sent_after_kill
-            .filter_map(|sent| Some((sent.at, sent.answers.first().copied()?)))
+            .filter_map(|sent| Some((sent.sent_at, sent.answers.first().copied()?)))
             .unzip();
         let longest = sent_at
             .iter()
@@ -524,21 +525,21 @@
     loop {
         died += restart_dead_agents(all)?;
         for host in 0..all.hosts.len() {
-            let body = json!({ "id": id, "policy": policy_of(sign), "wait": false });
+            let body = json!({ "id": id, "policy": policy_admitting(sign), "wait": false });
             let _ = timeout(
                 Duration::from_millis(100),
-                all.hosts[host].policy("propose", body),
+                all.hosts[host].policy_request("propose", body),
             )
             .await;
-            let outcome = all.hosts[host].policy("outcome", json!({ "id": id }));
+            let outcome = all.hosts[host].policy_request("outcome", json!({ "id": id }));
             if let Ok(Ok((kind, report))) = timeout(Duration::from_millis(100), outcome).await
                 && matches!(report["state"].as_str(), Some("held" | "refused"))
             {
                 return Ok((
                     Changed {
-                        proposed,
-                        sign,
-                        held: kind == ControlMessage::Done,
+                        proposed_at: proposed,
+                        marker: sign,
+                        committed: kind == ControlMessage::Done,
                     },
                     died,
                 ));
@@ -556,7 +557,7 @@
 fn a_change_completes_when_agents_die_in_any_of_its_states() {
     run_test(async {
         let mut all = Installation::start(PROGRAM.as_ref(), 37, &THREE_HOSTS).await?;
-        let playing = all.load(30.0, 10).await?;
+        let playing = all.start_load(30.0, 10).await?;
         let mut changes = vec![complete_change(&all, 0, 0, "one").await?];
         // Faults in the leader before it takes a step, and in every agent when it learns of a step.
         let leader_faults = [("decides", 1..=3), ("opens", 1..=3), ("grants", 1..=3)];
@@ -567,8 +568,8 @@
             let (change, died) = change_with_fault(&mut all, (index + 1) % 3, &fault).await?;
             println!(
                 "{fault}: committed {} after {:.2?}, {died} died",
-                change.held,
-                change.proposed.elapsed()
+                change.committed,
+                change.proposed_at.elapsed()
             );
             changes.push(change);
             // An agent that learns of the step late dies late.
@@ -580,7 +581,7 @@
             }
             assert!(deaths.contains(&died), "{fault}: {died} died");
         }
-        assert!(changes.iter().all(|change| change.held), "{changes:?}");
+        assert!(changes.iter().all(|change| change.committed), "{changes:?}");
         wait_until_all_use(&all, 7).await?;
         stop_and_check(&all, playing, &changes).await;
         Ok(())
@@ -591,10 +592,10 @@
 fn an_instance_without_support_for_policies_causes_rejection_and_is_named() {
     run_test(async {
         let all = Installation::start(PROGRAM.as_ref(), 40, &THREE_HOSTS).await?;
-        let playing = all.load(40.0, 11).await?;
+        let playing = all.start_load(40.0, 11).await?;
         let mut changes = vec![complete_change(&all, 0, 0, "one").await?];
-        let link = ControlLink::take(&all.hosts[2].control(1))?;
-        link.set(ControlLinkMode::Older);
+        let link = ControlLink::replace_socket(&all.hosts[2].control_socket(1))?;
+        link.set(ControlLinkMode::WithoutPolicies);
         let (proposed, reply) = (Instant::now(), propose(&all, 1, 1, "too new").await?);
         assert_eq!(
             (reply.0, &reply.1["state"]),
@@ -607,15 +608,15 @@
             "{reason}"
         );
         changes.push(Changed {
-            proposed,
-            sign: 1,
-            held: false,
+            proposed_at: proposed,
+            marker: 1,
+            committed: false,
         });
         sleep(Duration::from_millis(1500)).await; // longer than a lease: this instance now uses the base policy, and all others the previous one
-        link.set(ControlLinkMode::Plain);
+        link.set(ControlLinkMode::Forwarding);
         sleep(Duration::from_millis(300)).await; // time for a heartbeat
         changes.push(complete_change(&all, 1, 2, "now").await?);
-        assert!(changes[2].held);
+        assert!(changes[2].committed);
         drop(link);
         wait_until_all_use(&all, 3).await?;
         stop_and_check(&all, playing, &changes).await;
@@ -626,7 +627,7 @@
 /// A counter of an instance.
 async fn counter(all: &Installation, host: usize, instance: u16, name: &str) -> io::Result<u64> {
     let reply = ControlClient::request_once(
-        &all.hosts[host].control(instance),
+        &all.hosts[host].control_socket(instance),
         ControlRequest::Status,
         Duration::from_secs(2),
     )
@@ -638,7 +639,7 @@
 fn changes_during_rolled_back_upgrades_keep_the_order_of_policies() {
     run_test(async {
         let all = Installation::start(PROGRAM.as_ref(), 43, &THREE_HOSTS).await?;
-        let playing = all.load(40.0, 12).await?;
+        let playing = all.start_load(40.0, 12).await?;
         let mut changes = vec![complete_change(&all, 0, 0, "one").await?];
         let program = all.hosts[0].folder.join("fails");
         // The successor takes over and dies during probation: the predecessor that takes back may
@@ -661,7 +662,7 @@
             sleep(Duration::from_millis(250)).await;
             changes.push(complete_change(&all, index % 3, sign, &format!("in {index}")).await?);
         }
-        assert!(changes.iter().all(|change| change.held), "{changes:?}");
+        assert!(changes.iter().all(|change| change.committed), "{changes:?}");
         let mut taken_back = 0;
         for host in 0..3 {
             for instance in 0..2 {
@@ -679,10 +680,10 @@
 fn changes_during_a_drain_and_with_an_unwritable_log_lose_no_invocation() {
     run_test(async {
         let all = Installation::start(PROGRAM.as_ref(), 46, &THREE_HOSTS).await?;
-        let playing = all.load(40.0, 13).await?;
+        let playing = all.start_load(40.0, 13).await?;
         let mut changes = vec![complete_change(&all, 0, 0, "one").await?];
         // From its next start on, this instance cannot write its log.
-        let log = all.hosts[1].control(0).with_file_name("log");
+        let log = all.hosts[1].control_socket(0).with_file_name("log");
         std::fs::remove_file(&log)?;
         std::os::unix::fs::symlink("/dev/full", &log)?;
         // The drain starts as the change is proposed, with invocations in flight, shortly before
@@ -707,12 +708,12 @@
                 .ask(&json!({ "op": "start", "names": ["web.0"] }))
                 .await?;
             let version = Some(index as u64 + 2);
-            all.when("the instance uses the new policy", |shows| {
+            all.wait_until("the instance uses the new policy", |shows| {
                 versions_in_use(&shows[1]) == [version, version]
             })
             .await?;
         }
-        assert!(changes.iter().all(|change| change.held), "{changes:?}");
+        assert!(changes.iter().all(|change| change.committed), "{changes:?}");
         assert!(
             std::fs::symlink_metadata(&log)?.is_symlink(),
             "the log is no longer the full device"
@@ -730,16 +731,16 @@
             ..THREE_HOSTS
         };
         let all = Installation::start(PROGRAM.as_ref(), 49, &made).await?;
-        let playing = all.load(60.0, 14).await?;
+        let playing = all.start_load(60.0, 14).await?;
         let mut changes = vec![complete_change(&all, 0, 0, "good").await?];
         sleep(Duration::from_secs(4)).await;
-        let mut document = policy_of(1);
+        let mut document = policy_admitting(1);
         for operation in ["thumbnail", "transcript-search"] {
             document["operations"][operation] = json!({ "admit": false });
         }
         let proposed = Instant::now();
         let reply = all.hosts[1]
-            .policy(
+            .policy_request(
                 "propose",
                 json!({ "id": "worse", "policy": document, "wait": true }),
             )
@@ -750,9 +751,9 @@
             "{reply:?}"
         );
         changes.push(Changed {
-            proposed,
-            sign: 1,
-            held: true,
+            proposed_at: proposed,
+            marker: 1,
+            committed: true,
         });
         let committed = Instant::now();
         wait_until_all_use(&all, 3).await?;
@@ -762,7 +763,7 @@
             committed.elapsed()
         );
         let (_, outcome) = all.hosts[2]
-            .policy("outcome", json!({ "id": "back-from-2" }))
+            .policy_request("outcome", json!({ "id": "back-from-2" }))
             .await?;
         assert_eq!(
             (&outcome["state"], &outcome["by"]),
@@ -774,9 +775,9 @@
             "{note}"
         );
         changes.push(Changed {
-            proposed: committed,
-            sign: 0,
-            held: true,
+            proposed_at: committed,
+            marker: 0,
+            committed: true,
         });
         stop_and_check(&all, playing, &changes).await;
         Ok(())
@@ -807,7 +808,7 @@
             ..THREE_HOSTS
         };
         let mut all = Installation::start(PROGRAM.as_ref(), 52, &made).await?;
-        let playing = all.load(40.0, 15).await?;
+        let playing = all.start_load(40.0, 15).await?;
         let mut changes = vec![complete_change(&all, 0, 0, "four").await?];
         let socket = all.hosts[1].socket().to_string_lossy().into_owned();
         let remove = || run(&["fleet", "--agent", &socket, "policy", "remove", "h3"]);
@@ -822,7 +823,7 @@
             configure_agents(&all, host, &[0, 1, 2])?;
             all.hosts[host].kill_agent().await;
             all.hosts[host].start_agent(PROGRAM.as_ref())?;
-            all.when("the agents have a lease", |shows| {
+            all.wait_until("the agents have a lease", |shows| {
                 shows[..3].iter().all(|show| show["lease"].is_object())
             })
             .await?;
@@ -830,7 +831,7 @@
         // Not through the command line: this thread forwards the links between the agents and must
         // not wait for a process.
         let (kind, removed) = all.hosts[1]
-            .policy("remove", json!({ "name": "h3" }))
+            .policy_request("remove", json!({ "name": "h3" }))
             .await?;
         assert_eq!(
             (kind, &removed["removed"]),
@@ -838,7 +839,7 @@
             "{removed}"
         );
         let members = |show: &Value| show["members"].as_object().map_or(0, serde_json::Map::len);
-        all.when("there are three members", |shows| {
+        all.wait_until("there are three members", |shows| {
             shows[..3].iter().all(|show| members(show) == 3)
         })
         .await?;
@@ -852,13 +853,13 @@
             configure_agents(&all, host, &[0, 1, 2, 3])?;
             all.hosts[host].kill_agent().await;
             all.hosts[host].start_agent(PROGRAM.as_ref())?;
-            all.when("the agents have a lease", |shows| {
+            all.wait_until("the agents have a lease", |shows| {
                 shows[..3].iter().all(|show| show["lease"].is_object())
             })
             .await?;
         }
         all.hosts[3].start_agent(PROGRAM.as_ref())?;
-        all.when("there are four members", |shows| {
+        all.wait_until("there are four members", |shows| {
             shows
                 .iter()
                 .all(|show| members(show) == 4 && show["lease"].is_object())
@@ -866,7 +867,7 @@
         })
         .await?;
         changes.push(complete_change(&all, 3, 2, "four again").await?);
-        assert!(changes.iter().all(|change| change.held), "{changes:?}");
+        assert!(changes.iter().all(|change| change.committed), "{changes:?}");
         wait_until_all_use(&all, 3).await?;
         stop_and_check(&all, playing, &changes).await;
         Ok(())
@@ -877,7 +878,7 @@
 fn an_instance_starting_in_any_state_of_a_change_uses_the_new_or_the_base_policy() {
     run_test(async {
         let mut all = Installation::start(PROGRAM.as_ref(), 56, &THREE_HOSTS).await?;
-        let playing = all.load(40.0, 16).await?;
+        let playing = all.start_load(40.0, 16).await?;
         let mut changes = vec![complete_change(&all, 0, 0, "one").await?];
         for (index, state) in ["proposed", "decides", "opens", "grants", "held"]
             .into_iter()
@@ -896,12 +897,12 @@
                 .iter()
                 .find(|(load_host, instance, ..)| (*load_host, *instance) == (host, 1))
                 .expect("the load of the instance");
-            load.3.seen.borrow_mut().killed.push(Instant::now());
+            load.3.seen.borrow_mut().killed_at.push(Instant::now());
             sleep(Duration::from_millis(120)).await; // it is restarted 0.2 s after its death
             changes.push(complete_change(&all, index % 3, (index + 1) % 3, state).await?);
             wait_until_all_use(&all, version).await?;
         }
-        assert!(changes.iter().all(|change| change.held), "{changes:?}");
+        assert!(changes.iter().all(|change| change.committed), "{changes:?}");
         stop_and_check(&all, playing, &changes).await;
         Ok(())
     });
@@ -911,7 +912,7 @@
 fn changes_commit_with_agents_in_a_chain_and_with_flapping_links() {
     run_test(async {
         let all = Installation::start(PROGRAM.as_ref(), 59, &THREE_HOSTS).await?;
-        let playing = all.load(40.0, 17).await?;
+        let playing = all.start_load(40.0, 17).await?;
         let mut changes = vec![complete_change(&all, 0, 0, "one").await?];
         let set_fault = |one: usize, other: usize, fault: Fault| {
             for direction in [(one, other), (other, one)] {
@@ -925,7 +926,11 @@
             set_fault(
                 one,
                 other,
-                if index == 1 { Fault::Held } else { Fault::Cut },
+                if index == 1 {
+                    Fault::Stalled
+                } else {
+                    Fault::Cut
+                },
             );
             changes.push(
                 complete_change(&all, middle, (index + 1) % 3, &format!("chain {middle}")).await?,
@@ -944,7 +949,7 @@
                     if round % 2 == 0 {
                         Fault::Cut
                     } else {
-                        Fault::Held
+                        Fault::Stalled
                     },
                 );
                 sleep(Duration::from_millis(300)).await;
@@ -972,9 +977,9 @@
         };
         let ((), more) = tokio::try_join!(flapping, changing)?;
         changes.extend(more);
-        all.heal();
+        all.clear_link_faults();
         assert!(
-            changes.len() > 5 && changes.iter().all(|change| change.held),
+            changes.len() > 5 && changes.iter().all(|change| change.committed),
             "{changes:?}"
         );
         wait_until_all_use(&all, changes.len() as u64).await?;
@@ -987,20 +992,20 @@
 fn a_half_open_control_link_ends_the_lease_on_both_sides_in_order() {
     run_test(async {
         let all = Installation::start(PROGRAM.as_ref(), 31, &THREE_HOSTS).await?;
-        let playing = all.load(60.0, 8).await?;
+        let playing = all.start_load(60.0, 8).await?;
         let mut changes = vec![complete_change(&all, 0, 0, "one").await?];
-        let link = ControlLink::take(&all.hosts[1].control(0))?;
+        let link = ControlLink::replace_socket(&all.hosts[1].control_socket(0))?;
         sleep(Duration::from_millis(400)).await; // heartbeats pass through the link
-        link.set(ControlLinkMode::Held);
+        link.set(ControlLinkMode::Stalled);
         let start = Instant::now();
         changes.push(complete_change(&all, 0, 1, "two").await?);
         assert!(
-            changes[1].held && start.elapsed() < MAX_CHANGE_TIME,
+            changes[1].committed && start.elapsed() < MAX_CHANGE_TIME,
             "{:?}",
             start.elapsed()
         );
         // Held data now arrives all at once, including grants of the previous policy.
-        link.set(ControlLinkMode::Plain);
+        link.set(ControlLinkMode::Forwarding);
         changes.push(complete_change(&all, 2, 2, "three").await?);
         drop(link);
         wait_until_all_use(&all, 3).await?;
@@ -1013,37 +1018,37 @@
 fn clock_drift_and_an_unwritable_disk_keep_the_order_of_policies() {
     run_test(async {
         let mut all = Installation::start(PROGRAM.as_ref(), 28, &THREE_HOSTS).await?;
-        let playing = all.load(40.0, 7).await?;
+        let playing = all.start_load(40.0, 7).await?;
         let mut changes = vec![complete_change(&all, 0, 0, "one").await?];
         for (host, rate) in [(0, 1.01), (1, 0.99)] {
             all.hosts[host].kill_agent().await;
             all.hosts[host].clock_rate = Some(rate);
             all.hosts[host].start_agent(PROGRAM.as_ref())?;
-            all.when("the agents have a lease", |shows| {
+            all.wait_until("the agents have a lease", |shows| {
                 shows.iter().all(|show| show["lease"].is_object())
             })
             .await?;
         }
         // A host is cut off as the change is made: its lease ends on both sides in the right order.
-        all.set_links(0, true, true, Fault::Held);
+        all.set_link_fault(0, true, true, Fault::Stalled);
         changes.push(complete_change(&all, 1, 1, "apart").await?);
-        all.heal();
+        all.clear_link_faults();
         wait_until_all_use(&all, 2).await?;
         // One agent can no longer write its log: it leaves the consensus group, and the others
         // decide.
-        let file = all.hosts[2].council();
+        let file = all.hosts[2].consensus_folder();
         let moved = file.with_extension("kept");
         std::fs::rename(&file, &moved)?;
         std::fs::create_dir(&file)?; // a folder in place of the file cannot be written or read
         changes.push(complete_change(&all, 1, 2, "full").await?);
-        all.when("the agent reports its disk", |shows| {
+        all.wait_until("the agent reports its disk", |shows| {
             shows[2]["council"] == "without its disk"
         })
         .await?;
         std::fs::remove_dir(&file)?;
         std::fs::rename(&moved, &file)?;
         wait_until_all_use(&all, 3).await?;
-        assert!(changes.iter().all(|change| change.held), "{changes:?}");
+        assert!(changes.iter().all(|change| change.committed), "{changes:?}");
         stop_and_check(&all, playing, &changes).await;
         Ok(())
     });
@@ -1119,9 +1124,9 @@
     let start = Instant::now();
     let at = |ms: u64| start + Duration::from_millis(ms);
     let changed = |ms, sign, held| Changed {
-        proposed: at(ms),
-        sign,
-        held,
+        proposed_at: at(ms),
+        marker: sign,
+        committed: held,
     };
     let changes = [
         changed(0, 0, true),
@@ -1135,10 +1140,10 @@
         (at(120), at(140), 1),
         (at(310), at(320), 0),
     ];
-    assert_eq!(out_of_order(&changes, &in_order), (0, 0));
+    assert_eq!(count_violations(&changes, &in_order), (0, 0));
     // Sent after an answer at 140 ms had shown the next policy.
     assert_eq!(
-        out_of_order(
+        count_violations(
             &changes,
             &[&in_order[..], &[(at(141), at(160), 0)]].concat()
         ),
@@ -1146,7 +1151,7 @@
     );
     // Admitted by a policy that was rejected.
     assert_eq!(
-        out_of_order(
+        count_violations(
             &changes,
             &[&in_order[..], &[(at(210), at(220), 2)]].concat()
         ),
--- a/crates/merlinshelf-cli/tests/shares.rs
+++ b/crates/merlinshelf-cli/tests/shares.rs
@@ -8,11 +8,11 @@
 
 use merlinshelf_protocol::control::ControlMessage;
 use merlinshelf_testbed::budgets::{
-    AGAIN, CatalogueTraffic, FIRST, PROBES, aside, each_second, hold, most_within, policy,
-    worst_second,
+    CatalogueTraffic, FIRST_CALL_BUDGET, PROBE_BUDGET, RETRY_BUDGET, base_budgets, budget_policy,
+    counts_by_second, max_in_a_second, max_within, propose_until_committed,
 };
 use merlinshelf_testbed::fakes::{Server, ServerBehavior};
-use merlinshelf_testbed::installation::{Installation, InstallationConfig, check};
+use merlinshelf_testbed::installation::{Installation, InstallationConfig, check_load};
 use merlinshelf_testbed::instance::signal;
 use merlinshelf_testbed::link::Fault;
 use merlinshelf_testbed::load::{Load, RunningLoad, Verdict};
@@ -53,9 +53,9 @@
         policy: &Value,
     ) -> io::Result<Fleet> {
         let all = Installation::start(PROGRAM.as_ref(), number, made).await?;
-        let catalogue = all.door.clone().expect("a catalogue");
-        hold(&all, policy, "budgets").await?;
-        let playing = all.load(rate, number.into()).await?;
+        let catalogue = all.shared_catalogue.clone().expect("a catalogue");
+        propose_until_committed(&all, policy, "budgets").await?;
+        let playing = all.start_load(rate, number.into()).await?;
         pause(2.0).await;
         Ok(Fleet {
             all,
@@ -66,7 +66,7 @@
 
     /// The calls that the catalogue has received since this time.
     fn calls_since(&self, from: Instant) -> CatalogueTraffic {
-        CatalogueTraffic::of(&self.catalogue, from, Instant::now())
+        CatalogueTraffic::between(&self.catalogue, from, Instant::now())
     }
 
     /// Waits until all agents know that the catalogue fails everywhere. The agents' reports only
@@ -77,7 +77,7 @@
             let mut informed = 0;
             for host in &self.all.hosts {
                 let report = host
-                    .policy("budgets", json!({}))
+                    .policy_request("budgets", json!({}))
                     .await
                     .map(|(_, report)| report)
                     .unwrap_or_default();
@@ -98,13 +98,16 @@
     /// Checks that there were probes since this time, in no second more than the budget.
     fn check_probes(&self, from: Instant) {
         let calls = self.calls_since(from).calls;
-        let most = worst_second(&calls);
+        let most = max_in_a_second(&calls);
         println!(
             "probes by second {:?}, at once {}",
-            each_second(&calls, from, 20),
-            most_within(&calls, seconds(0.05))
+            counts_by_second(&calls, from, 20),
+            max_within(&calls, seconds(0.05))
+        );
+        assert!(
+            most <= PROBE_BUDGET,
+            "{most} probes in a second exceed {PROBE_BUDGET}"
         );
-        assert!(most <= PROBES, "{most} probes in a second exceed {PROBES}");
         assert!(!calls.is_empty(), "no probe was made");
     }
 
@@ -114,7 +117,7 @@
             assert!(
                 from.elapsed() < seconds(15.0),
                 "{:?}",
-                each_second(&self.calls_since(from).calls, from, 15)
+                counts_by_second(&self.calls_since(from).calls, from, 15)
             );
             pause(0.05).await;
         }
@@ -122,7 +125,7 @@
     }
 
     async fn end(self) -> Verdict {
-        let verdict = check(&self.all, self.playing).await;
+        let verdict = check_load(&self.all, self.playing).await;
         println!("{verdict:?}");
         assert_eq!(
             verdict.lost + verdict.doubled + verdict.spoilt + verdict.wrong_feeds,
@@ -136,7 +139,7 @@
 fn installation_with(instances: u16) -> InstallationConfig {
     InstallationConfig {
         instances,
-        budgets: aside(),
+        budgets: base_budgets(),
         ..InstallationConfig::default()
     }
 }
@@ -145,7 +148,7 @@
 #[test]
 fn the_fleet_probes_a_failed_catalogue_within_its_budget_and_recovers_it_in_steps() {
     run_test(async {
-        let fleet = Fleet::start(10, &installation_with(8), 12.0, &policy(&[])).await?;
+        let fleet = Fleet::start(10, &installation_with(8), 12.0, &budget_policy(&[])).await?;
         let before = fleet.calls_since(Instant::now() - seconds(1.0)).calls.len();
         fleet.catalogue.set_behavior(ServerBehavior::Errors);
         let failing_since = fleet.wait_until_failing().await?;
@@ -157,12 +160,12 @@
         let first = fleet.calls_since(recovered_at);
         println!(
             "recovery by second {:?}, before the failure {before}",
-            each_second(&first.calls, recovered_at, 2)
+            counts_by_second(&first.calls, recovered_at, 2)
         );
         assert!(
-            worst_second(&first.calls) <= FIRST,
+            max_in_a_second(&first.calls) <= FIRST_CALL_BUDGET,
             "{}",
-            worst_second(&first.calls)
+            max_in_a_second(&first.calls)
         );
         let recovery_seconds = fleet
             .wait_until_recovered(recovered_at, before * 8 / 10)
@@ -192,11 +195,11 @@
 #[test]
 fn a_paused_leader_grants_nothing_after_its_term_ends() {
     run_test(async {
-        let fleet = Fleet::start(14, &installation_with(4), 12.0, &policy(&[])).await?;
+        let fleet = Fleet::start(14, &installation_with(4), 12.0, &budget_policy(&[])).await?;
         fleet.catalogue.set_behavior(ServerBehavior::Errors);
         let failing_since = fleet.wait_until_failing().await?;
         let leader = fleet.all.leader().await.expect("a leader");
-        let agent = fleet.all.hosts[leader].agent().expect("an agent");
+        let agent = fleet.all.hosts[leader].agent_pid().expect("an agent");
         signal(agent, Signal::STOP);
         pause(4.0).await;
         signal(agent, Signal::CONT);
@@ -212,7 +215,7 @@
 #[test]
 fn after_the_leader_is_killed_another_allocates_after_a_lease() {
     run_test(async {
-        let mut fleet = Fleet::start(18, &installation_with(4), 12.0, &policy(&[])).await?;
+        let mut fleet = Fleet::start(18, &installation_with(4), 12.0, &budget_policy(&[])).await?;
         fleet.catalogue.set_behavior(ServerBehavior::Errors);
         let failing_since = fleet.wait_until_failing().await?;
         let leader = fleet.all.leader().await.expect("a leader");
@@ -224,10 +227,14 @@
         let recovery_seconds = fleet.wait_until_recovered(recovered_at, 20).await;
         println!("recovered after {recovery_seconds:.2} s");
         assert!(
-            worst_second(
-                &CatalogueTraffic::of(&fleet.catalogue, recovered_at, recovered_at + seconds(1.0))
-                    .calls
-            ) <= FIRST
+            max_in_a_second(
+                &CatalogueTraffic::between(
+                    &fleet.catalogue,
+                    recovered_at,
+                    recovered_at + seconds(1.0)
+                )
+                .calls
+            ) <= FIRST_CALL_BUDGET
         );
         let program = fleet.all.program.clone();
         fleet.all.hosts[leader].start_agent(&program)?;
@@ -240,21 +247,21 @@
 #[test]
 fn a_partitioned_host_spends_its_reserve_and_rejoins_with_old_grants_running() {
     run_test(async {
-        let fleet = Fleet::start(22, &installation_with(4), 12.0, &policy(&[])).await?;
+        let fleet = Fleet::start(22, &installation_with(4), 12.0, &budget_policy(&[])).await?;
         let leader = fleet.all.leader().await.expect("a leader");
         fleet.catalogue.set_behavior(ServerBehavior::Errors);
         let failing_since = fleet.wait_until_failing().await?;
         // The leader is isolated, then reconnected, and another host is cut off while the leader's
         // grants still run.
-        fleet.all.set_links(leader, true, true, Fault::Held);
+        fleet.all.set_link_fault(leader, true, true, Fault::Stalled);
         pause(3.5).await;
-        fleet.all.heal();
+        fleet.all.clear_link_faults();
         pause(0.4).await;
         fleet
             .all
-            .set_links((leader + 1) % 3, true, true, Fault::Cut);
+            .set_link_fault((leader + 1) % 3, true, true, Fault::Cut);
         pause(3.0).await;
-        fleet.all.heal();
+        fleet.all.clear_link_faults();
         pause(1.0).await;
         fleet.check_probes(failing_since);
         fleet.end().await;
@@ -266,7 +273,7 @@
 #[test]
 fn hosts_without_agents_recover_the_catalogue_with_their_reserves() {
     run_test(async {
-        let mut fleet = Fleet::start(26, &installation_with(4), 12.0, &policy(&[])).await?;
+        let mut fleet = Fleet::start(26, &installation_with(4), 12.0, &budget_policy(&[])).await?;
         fleet.catalogue.set_behavior(ServerBehavior::Errors);
         fleet.wait_until_failing().await?;
         for host in &mut fleet.all.hosts {
@@ -275,7 +282,7 @@
         pause(4.0).await;
         let without_agents = Instant::now();
         pause(3.0).await;
-        let most = worst_second(&fleet.calls_since(without_agents).calls);
+        let most = max_in_a_second(&fleet.calls_since(without_agents).calls);
         assert!(
             (1..=3).contains(&most),
             "{most} probes in a second with a reserve of 1 on each of 3 hosts"
@@ -284,12 +291,12 @@
         let recovered_at = Instant::now();
         let recovery_seconds = fleet.wait_until_recovered(recovered_at, 20).await;
         let first =
-            CatalogueTraffic::of(&fleet.catalogue, recovered_at, recovered_at + seconds(3.0));
+            CatalogueTraffic::between(&fleet.catalogue, recovered_at, recovered_at + seconds(3.0));
         println!(
             "recovery by second {:?}, recovered after {recovery_seconds:.2} s",
-            each_second(&first.calls, recovered_at, 3)
+            counts_by_second(&first.calls, recovered_at, 3)
         );
-        assert!(worst_second(&first.calls) <= FIRST);
+        assert!(max_in_a_second(&first.calls) <= FIRST_CALL_BUDGET);
         fleet.end().await;
         Ok(())
     });
@@ -299,8 +306,13 @@
 #[test]
 fn edge_node_restarts_while_the_fleet_shrinks_do_not_exceed_the_catalogues_limit() {
     run_test(async {
-        let fleet =
-            Fleet::start(30, &installation_with(4), 15.0, &policy(&[("opened", 60)])).await?;
+        let fleet = Fleet::start(
+            30,
+            &installation_with(4),
+            15.0,
+            &budget_policy(&[("opened", 60)]),
+        )
+        .await?;
         let from = Instant::now();
         fleet.catalogue.set_behavior(ServerBehavior::Slow(3.0));
         for (.., playing) in fleet.playing.iter().step_by(4) {
@@ -319,25 +331,25 @@
         let seen = fleet.calls_since(from);
         println!(
             "opened {:?} calls {:?}",
-            each_second(&seen.opened, from, 9),
-            each_second(&seen.calls, from, 9)
+            counts_by_second(&seen.connections, from, 9),
+            counts_by_second(&seen.calls, from, 9)
         );
         assert!(
-            worst_second(&seen.opened) <= 60,
+            max_in_a_second(&seen.connections) <= 60,
             "{}",
-            worst_second(&seen.opened)
+            max_in_a_second(&seen.connections)
         );
         assert!(
-            worst_second(&seen.again) <= AGAIN,
+            max_in_a_second(&seen.retries) <= RETRY_BUDGET,
             "{}",
-            worst_second(&seen.again)
+            max_in_a_second(&seen.retries)
         );
         assert!(
             fleet.catalogue.max_open_calls.get() <= 16 * 4,
             "{}",
             fleet.catalogue.max_open_calls.get()
         );
-        let verdict = check(&fleet.all, fleet.playing).await;
+        let verdict = check_load(&fleet.all, fleet.playing).await;
         assert_eq!(
             verdict.lost + verdict.doubled + verdict.spoilt + verdict.run_twice,
             0,
@@ -351,8 +363,13 @@
 #[test]
 fn a_paused_instance_spends_no_grant_after_its_lease() {
     run_test(async {
-        let fleet =
-            Fleet::start(34, &installation_with(2), 20.0, &policy(&[("probes", 6)])).await?;
+        let fleet = Fleet::start(
+            34,
+            &installation_with(2),
+            20.0,
+            &budget_policy(&[("probes", 6)]),
+        )
+        .await?;
         fleet.catalogue.set_behavior(ServerBehavior::Errors);
         let failing_since = fleet.wait_until_failing().await?;
         for round in 0..3 {
@@ -365,8 +382,8 @@
             pause(0.6).await;
         }
         let calls = fleet.calls_since(failing_since).calls;
-        println!("{:?}", each_second(&calls, failing_since, 8));
-        assert!(worst_second(&calls) <= 6, "{}", worst_second(&calls));
+        println!("{:?}", counts_by_second(&calls, failing_since, 8));
+        assert!(max_in_a_second(&calls) <= 6, "{}", max_in_a_second(&calls));
         fleet.end().await;
         Ok(())
     });
@@ -376,7 +393,7 @@
 #[test]
 fn instances_starting_together_without_an_allocator_stay_within_the_budget() {
     run_test(async {
-        let mut fleet = Fleet::start(38, &installation_with(8), 8.0, &policy(&[])).await?;
+        let mut fleet = Fleet::start(38, &installation_with(8), 8.0, &budget_policy(&[])).await?;
         fleet.catalogue.set_behavior(ServerBehavior::Errors);
         let failing_since = fleet.wait_until_failing().await?;
         let program = fleet.all.program.clone();
@@ -393,25 +410,26 @@
         fleet
             .playing
             .iter()
-            .for_each(|(.., playing)| playing.seen.borrow_mut().killed.push(killed));
+            .for_each(|(.., playing)| playing.seen.borrow_mut().killed_at.push(killed));
         for host in &mut fleet.all.hosts {
             host.start_agent(&program)?;
         }
         let has_lease = |show: &Value| show["leader"].is_string() && show["lease"].is_object();
         fleet
             .all
-            .when("all agents have a leader and a lease", |shows| {
+            .wait_until("all agents have a leader and a lease", |shows| {
                 shows.iter().all(has_lease)
             })
             .await?;
         pause(4.0).await;
         // Without observations, the catalogue is treated as recovering.
-        let starting = CatalogueTraffic::of(&fleet.catalogue, failing_since, Instant::now()).calls;
-        println!("{:?}", each_second(&starting, failing_since, 9));
+        let starting =
+            CatalogueTraffic::between(&fleet.catalogue, failing_since, Instant::now()).calls;
+        println!("{:?}", counts_by_second(&starting, failing_since, 9));
         assert!(
-            worst_second(&starting) <= FIRST,
+            max_in_a_second(&starting) <= FIRST_CALL_BUDGET,
             "{}",
-            worst_second(&starting)
+            max_in_a_second(&starting)
         );
         let failing_since = fleet.wait_until_failing().await?;
         pause(2.0).await;
@@ -420,12 +438,16 @@
         let recovered_at = Instant::now();
         fleet.wait_until_recovered(recovered_at, 30).await;
         assert!(
-            worst_second(
-                &CatalogueTraffic::of(&fleet.catalogue, recovered_at, recovered_at + seconds(1.0))
-                    .calls
-            ) <= FIRST
+            max_in_a_second(
+                &CatalogueTraffic::between(
+                    &fleet.catalogue,
+                    recovered_at,
+                    recovered_at + seconds(1.0)
+                )
+                .calls
+            ) <= FIRST_CALL_BUDGET
         );
-        let verdict = check(&fleet.all, fleet.playing).await;
+        let verdict = check_load(&fleet.all, fleet.playing).await;
         assert_eq!(
             verdict.doubled + verdict.spoilt + verdict.run_twice,
             0,
@@ -439,9 +461,14 @@
 #[test]
 fn retries_stay_within_their_budget_when_half_of_the_calls_fail() {
     run_test(async {
-        let fleet =
-            Fleet::start(42, &installation_with(4), 10.0, &policy(&[("again", 12)])).await?;
-        let mut load = Load::of_all(&fleet.all.address(0, 0), 8, 60.0, 77);
+        let fleet = Fleet::start(
+            42,
+            &installation_with(4),
+            10.0,
+            &budget_policy(&[("again", 12)]),
+        )
+        .await?;
+        let mut load = Load::with_example_operations(&fleet.all.address(0, 0), 8, 60.0, 77);
         load.operations = vec!["thumbnail".into(), "playback-token".into()];
         let greedy = load.start().await?;
         fleet.catalogue.set_behavior(ServerBehavior::HalfErrors);
@@ -450,18 +477,18 @@
         let seen = fleet.calls_since(from);
         println!(
             "retries by second {:?}, calls {:?}",
-            each_second(&seen.again, from, 8),
-            each_second(&seen.calls, from, 8)
+            counts_by_second(&seen.retries, from, 8),
+            counts_by_second(&seen.calls, from, 8)
         );
         assert!(
-            worst_second(&seen.again) <= 12,
+            max_in_a_second(&seen.retries) <= 12,
             "{}",
-            worst_second(&seen.again)
+            max_in_a_second(&seen.retries)
         );
         assert!(
-            seen.again.len() >= 8 * 3,
+            seen.retries.len() >= 8 * 3,
             "only {} retries were made",
-            seen.again.len()
+            seen.retries.len()
         );
         greedy.stop().await;
         fleet.end().await;
@@ -476,14 +503,14 @@
         let fleet = Fleet::start(
             46,
             &InstallationConfig {
-                zones: true,
+                zone_per_host: true,
                 ..installation_with(3)
             },
             15.0,
-            &policy(&[]),
+            &budget_policy(&[]),
         )
         .await?;
-        fleet.all.ways[1].set(Fault::Cut);
+        fleet.all.catalogue_links[1].set(Fault::Cut);
         let health_by_zone = |report: &Value| {
             let mut budgets = report["budgets"].as_array().into_iter().flatten();
             budgets
@@ -494,7 +521,10 @@
         let wait_for_health = async |expected: Value| -> io::Result<()> {
             let until = Instant::now() + seconds(20.0);
             loop {
-                let report = fleet.all.hosts[0].policy("budgets", json!({})).await?.1;
+                let report = fleet.all.hosts[0]
+                    .policy_request("budgets", json!({}))
+                    .await?
+                    .1;
                 if health_by_zone(&report) == expected {
                     return Ok(());
                 }
@@ -507,7 +537,7 @@
         pause(2.0).await;
         let rate = fleet.calls_since(from).calls.len() as f64 / 2.0;
         assert!(rate > 15.0, "the other zones call too little: {rate}");
-        fleet.all.ways[1].set(Fault::None);
+        fleet.all.catalogue_links[1].set(Fault::None);
         wait_for_health(json!({ "z0": "well", "z1": "well", "z2": "well" })).await?;
         fleet.end().await;
         Ok(())
@@ -518,7 +548,7 @@
 #[test]
 fn no_grant_is_spent_twice_across_upgrades() {
     run_test(async {
-        let fleet = Fleet::start(50, &installation_with(3), 15.0, &policy(&[])).await?;
+        let fleet = Fleet::start(50, &installation_with(3), 15.0, &budget_policy(&[])).await?;
         fleet.catalogue.set_behavior(ServerBehavior::Errors);
         let failing_since = fleet.wait_until_failing().await?;
         let program = fleet.all.hosts[0].folder.join("merlinshelf-2");
@@ -528,7 +558,7 @@
                 .await?;
         }
         for host in &fleet.all.hosts {
-            let plan = host.plan_over().await?;
+            let plan = host.wait_for_plan_end().await?;
             assert_eq!(plan["state"], "done", "{plan}");
         }
         fleet.check_probes(failing_since);
@@ -536,10 +566,14 @@
         let recovered_at = Instant::now();
         fleet.wait_until_recovered(recovered_at, 25).await;
         assert!(
-            worst_second(
-                &CatalogueTraffic::of(&fleet.catalogue, recovered_at, recovered_at + seconds(1.0))
-                    .calls
-            ) <= FIRST
+            max_in_a_second(
+                &CatalogueTraffic::between(
+                    &fleet.catalogue,
+                    recovered_at,
+                    recovered_at + seconds(1.0)
+                )
+                .calls
+            ) <= FIRST_CALL_BUDGET
         );
         assert_eq!(fleet.end().await.run_twice, 0);
         Ok(())
@@ -551,8 +585,13 @@
 #[test]
 fn a_smaller_budget_applies_after_a_lease_and_an_invalid_one_is_rejected() {
     run_test(async {
-        let fleet =
-            Fleet::start(54, &installation_with(3), 15.0, &policy(&[("probes", 12)])).await?;
+        let fleet = Fleet::start(
+            54,
+            &installation_with(3),
+            15.0,
+            &budget_policy(&[("probes", 12)]),
+        )
+        .await?;
         for (budgets, reason) in [
             (
                 json!({ "catalogue": { "probes": 0 } }),
@@ -581,7 +620,7 @@
             ),
         ] {
             let ask = json!({ "policy": { "budgets": budgets }, "id": reason, "wait": true });
-            let (kind, report) = fleet.all.hosts[1].policy("propose", ask).await?;
+            let (kind, report) = fleet.all.hosts[1].policy_request("propose", ask).await?;
             assert!(
                 kind == ControlMessage::Refused
                     && report["text"]
@@ -593,9 +632,9 @@
         fleet.catalogue.set_behavior(ServerBehavior::Errors);
         let failing_since = fleet.wait_until_failing().await?;
         let (kind, report) = fleet.all.hosts[2]
-            .policy(
+            .policy_request(
                 "propose",
-                json!({ "policy": policy(&[("probes", 4)]), "id": "fewer", "wait": true }),
+                json!({ "policy": budget_policy(&[("probes", 4)]), "id": "fewer", "wait": true }),
             )
             .await?;
         assert_eq!(
@@ -607,9 +646,9 @@
         pause(5.0).await;
         let all = fleet.calls_since(failing_since).calls;
         let after = fleet.calls_since(committed + seconds(2.2)).calls;
-        println!("{:?}", each_second(&all, failing_since, 8));
-        assert!(worst_second(&all) <= 12, "{}", worst_second(&all));
-        assert!(worst_second(&after) <= 4, "{}", worst_second(&after));
+        println!("{:?}", counts_by_second(&all, failing_since, 8));
+        assert!(max_in_a_second(&all) <= 12, "{}", max_in_a_second(&all));
+        assert!(max_in_a_second(&after) <= 4, "{}", max_in_a_second(&after));
         fleet.end().await;
         Ok(())
     });
@@ -621,7 +660,7 @@
     run_test(async {
         let mut made = installation_with(2);
         made.budgets["callers"] = json!({ "opened": 2 });
-        let mut limited = policy(&[]);
+        let mut limited = budget_policy(&[]);
         limited["budgets"]["callers"] = json!({ "opened": 16 });
         let fleet = Fleet::start(60, &made, 30.0, &limited).await?;
         pause(2.0).await;
@@ -637,7 +676,10 @@
             .filter(|at| *at >= from)
             .collect();
         accepted.sort_unstable();
-        println!("accepted by second {:?}", each_second(&accepted, from, 6));
+        println!(
+            "accepted by second {:?}",
+            counts_by_second(&accepted, from, 6)
+        );
         assert!(
             accepted.len() >= 24,
             "only {} were accepted",
@@ -646,9 +688,9 @@
         // An answer arrives shortly after its connection is accepted, so a second may show a few
         // more.
         assert!(
-            worst_second(&accepted) <= 16 + 2,
+            max_in_a_second(&accepted) <= 16 + 2,
             "{}",
-            worst_second(&accepted)
+            max_in_a_second(&accepted)
         );
         fleet.end().await;
         Ok(())
--- a/crates/merlinshelf-cli/tests/upgrade.rs
+++ b/crates/merlinshelf-cli/tests/upgrade.rs
@@ -30,7 +30,11 @@
 
 fn setup() -> Setup {
     let mut setup = Setup::small(PROGRAM);
-    (setup.watched, setup.silent, setup.stop) = (ms(700), ms(2000), ms(1500));
+    (
+        setup.probation,
+        setup.heartbeat_timeout,
+        setup.stop_deadline,
+    ) = (ms(700), ms(2000), ms(1500));
     setup
 }
 
@@ -41,8 +45,8 @@
 
 fn load(instance: &Instance, seed: u64) -> Load {
     Load {
-        body: 90,
-        ..Load::of_all(&instance.address, 12, 120.0, seed)
+        body_bytes: 90,
+        ..Load::with_example_operations(&instance.address, 12, 120.0, seed)
     }
 }
 
@@ -109,11 +113,11 @@
             ..setup()
         };
         if program.contains(":hang'") {
-            setup.silent = ms(600);
+            setup.heartbeat_timeout = ms(600);
         }
         // Every third case has a slow catalogue, so that many calls are in flight.
         if number.is_multiple_of(3) {
-            setup.manner.call_duration = ms(120);
+            setup.fakes.call_duration = ms(120);
         }
         // More than one batch of descriptors, so that the fault can interrupt the transfer between
         // two.
@@ -212,7 +216,7 @@
 #[test]
 fn ten_upgrades_in_a_row_leak_no_descriptors_or_memory() {
     let setup = Setup {
-        watched: ms(150),
+        probation: ms(150),
         ..setup()
     };
     let plan = Plan {
@@ -257,7 +261,7 @@
         assert!(check(&instance, &load, playing).await.is_clean());
 
         let setup = Setup {
-            both_mb: 16,
+            combined_memory_mb: 16,
             ..self::setup()
         };
         let (instance, ..) = start(&setup, 32).await?;
@@ -281,11 +285,11 @@
         // Probation is long enough for the second request to arrive during it, even on a busy
         // machine.
         let setup = Setup {
-            watched: ms(3000),
+            probation: ms(3000),
             ..self::setup()
         };
         let (instance, load, playing) = start(&setup, 33).await?;
-        instance.successor_is(&working_program())?;
+        instance.set_successor_script(&working_program())?;
         let mut first = instance.ask(ControlRequest::Upgrade).await?;
         while first.next_reply().await?.1["stage"] != "took_over" {}
         // The successor has taken over the control socket.
@@ -306,7 +310,7 @@
 
         // While the successor starts, the predecessor rejects the request.
         let (instance, load, playing) = start(&self::setup(), 34).await?;
-        instance.successor_is(&format!("sleep 0.4\n{}", working_program()))?;
+        instance.set_successor_script(&format!("sleep 0.4\n{}", working_program()))?;
         let mut first = instance.ask(ControlRequest::Upgrade).await?;
         assert_eq!(first.next_reply().await?.1["stage"], "starting");
         let (kind, report) = instance
@@ -337,11 +341,11 @@
     kill_successor: bool,
 ) -> io::Result<()> {
     let (mut instance, load, playing) = start(&setup(), number).await?;
-    instance.successor_is(program)?;
+    instance.set_successor_script(program)?;
     let mut client = instance.ask(ControlRequest::Upgrade).await?;
     while client.next_reply().await?.1["stage"] != stage {}
     if stage == "starting" {
-        instance.logged("the successor", 1).await?;
+        instance.wait_for_log("the successor", 1).await?;
     }
     let processes = instance.processes();
     let receiver = if to_successor {
@@ -352,7 +356,7 @@
     signal(*receiver.expect("a process"), Signal::TERM);
     let signalled = Instant::now();
     if kill_successor {
-        instance.logged("drain started", 1).await?;
+        instance.wait_for_log("drain started", 1).await?;
         signal(*processes.last().expect("a process"), Signal::KILL);
     }
     let seen = playing.stop().await;
@@ -364,7 +368,7 @@
         "{stage}: {verdict:?}\n{}",
         instance.log()
     );
-    let status = match instance.first_ended().await {
+    let status = match instance.wait_for_first_exit().await {
         Ok(status) => status,
         Err(error) => panic!(
             "{number} {stage}: the first process does not end: {error}\n{}",
@@ -421,7 +425,7 @@
 fn the_successor_serves_on_when_the_predecessor_is_killed_during_probation() {
     run_test(async {
         let (instance, load, playing) = start(&setup(), 50).await?;
-        instance.successor_is(&working_program())?;
+        instance.set_successor_script(&working_program())?;
         let mut client = instance.ask(ControlRequest::Upgrade).await?;
         while client.next_reply().await?.1["stage"] != "took_over" {}
         signal(instance.processes()[0], Signal::KILL);
@@ -435,7 +439,7 @@
         assert_eq!(status["state"], "serving");
         assert_eq!(
             status["process"].as_u64(),
-            instance.values("successor").last().copied()
+            instance.log_values("successor").last().copied()
         );
         Ok(())
     });
@@ -446,13 +450,13 @@
     run_test(async {
         // The successor has received everything and is about to report it.
         let (instance, load, playing) = start(&setup(), 52).await?;
-        instance.successor_is(&format!(
+        instance.set_successor_script(&format!(
             "export MERLINSHELF_FAULT=successor.restored:1:pause\n{}",
             working_program()
         ))?;
         let mut client = instance.ask(ControlRequest::Upgrade).await?;
         while client.next_reply().await?.1["stage"] != "ready" {}
-        instance.logged("fault successor.restored", 1).await?;
+        instance.wait_for_log("fault successor.restored", 1).await?;
         signal(instance.processes()[0], Signal::KILL);
         let verdict = check(&instance, &load, playing).await;
         assert!(
@@ -462,19 +466,19 @@
         );
         assert_eq!(
             instance.status().await?["process"].as_u64(),
-            instance.values("successor").last().copied()
+            instance.log_values("successor").last().copied()
         );
         // A successor that has received nothing has nothing to serve and ends.
         let (instance, ..) = start(&setup(), 53).await?;
-        instance.successor_is(&format!(
+        instance.set_successor_script(&format!(
             "export MERLINSHELF_FAULT=successor.ready:1:pause\n{}",
             working_program()
         ))?;
         let mut client = instance.ask(ControlRequest::Upgrade).await?;
         assert_eq!(client.next_reply().await?.1["stage"], "starting");
-        instance.logged("fault successor.ready", 1).await?;
+        instance.wait_for_log("fault successor.ready", 1).await?;
         signal(instance.processes()[0], Signal::KILL);
-        instance.logged("the old process is gone", 1).await
+        instance.wait_for_log("the old process is gone", 1).await
     });
 }
 
--- a/crates/merlinshelf-cli/tests/uwsgi.rs
+++ b/crates/merlinshelf-cli/tests/uwsgi.rs
@@ -22,7 +22,7 @@
 
 fn setup() -> Setup {
     let mut setup = Setup::small(PROGRAM);
-    (setup.watched, setup.silent, setup.uwsgi) = (
+    (setup.probation, setup.heartbeat_timeout, setup.uwsgi) = (
         Duration::from_millis(700),
         Duration::from_millis(2000),
         true,
@@ -32,8 +32,8 @@
 
 fn load(instance: &Instance, seed: u64) -> Load {
     Load {
-        front: FrontProtocol::Both,
-        ..Load::of_all(&instance.address, 8, 150.0, seed)
+        front_protocol: FrontProtocol::Both,
+        ..Load::with_example_operations(&instance.address, 8, 150.0, seed)
     }
 }
 
@@ -212,7 +212,7 @@
                 "the connection is not closed"
             );
         }
-        instance.logged("a connection ends: ", 4).await?;
+        instance.wait_for_log("a connection ends: ", 4).await?;
         let without_uwsgi = Instance::start(
             &Setup {
                 uwsgi: false,
@@ -248,7 +248,7 @@
         let mut partial = TcpStream::connect(&instance.address).await?;
         partial.write_all(&whole[..40]).await?;
         sleep(Duration::from_millis(50)).await;
-        let draining = instance.leave();
+        let draining = instance.drain();
         let rest = send_rest(partial, &whole[40..], 100);
         let (drained, answer) = tokio::join!(draining, rest);
         drained?;
--- a/crates/merlinshelf-testbed/src/budgets.rs
+++ b/crates/merlinshelf-testbed/src/budgets.rs
@@ -13,19 +13,19 @@
 use crate::installation::Installation;
 
 /// Budgets of the trials, calls a second of the whole fleet.
-pub const PROBES: usize = 8;
-pub const FIRST: usize = 64;
-pub const AGAIN: usize = 24;
-pub const OPENED: usize = 200;
+pub const PROBE_BUDGET: usize = 8;
+pub const FIRST_CALL_BUDGET: usize = 64;
+pub const RETRY_BUDGET: usize = 24;
+pub const CONNECTION_BUDGET: usize = 200;
 
 /// The base policy's: what each host has set aside.
-pub fn aside() -> Value {
+pub fn base_budgets() -> Value {
     json!({ "catalogue": { "again": 2, "probes": 1, "first": 4, "opened": 20 } })
 }
 
 /// A policy with the budgets of the trials, and figures of some other ones in their place.
-pub fn policy(other: &[(&str, usize)]) -> Value {
-    let mut budgets = json!({ "again": AGAIN, "probes": PROBES, "first": FIRST, "opened": OPENED });
+pub fn budget_policy(other: &[(&str, usize)]) -> Value {
+    let mut budgets = json!({ "again": RETRY_BUDGET, "probes": PROBE_BUDGET, "first": FIRST_CALL_BUDGET, "opened": CONNECTION_BUDGET });
     other
         .iter()
         .for_each(|(kind, calls)| budgets[*kind] = json!(calls));
@@ -36,10 +36,14 @@
 ///
 /// # Errors
 /// It does not come to hold.
-pub async fn hold(all: &Installation, policy: &Value, id: &str) -> io::Result<u64> {
+pub async fn propose_until_committed(
+    all: &Installation,
+    policy: &Value,
+    id: &str,
+) -> io::Result<u64> {
     let ask = json!({ "policy": policy, "id": id, "wait": true });
     for _ in 0..20 {
-        let (word, said) = all.hosts[0].policy("propose", ask.clone()).await?;
+        let (word, said) = all.hosts[0].policy_request("propose", ask.clone()).await?;
         match (word, said["number"].as_u64()) {
             (ControlMessage::Done, Some(number)) => return Ok(number),
             (_, Some(_)) => return Err(io::Error::other(said.to_string())),
@@ -58,13 +62,13 @@
     /// Every call.
     pub calls: Vec<Instant>,
     /// Those of an invocation that had called before.
-    pub again: Vec<Instant>,
-    pub opened: Vec<Instant>,
+    pub retries: Vec<Instant>,
+    pub connections: Vec<Instant>,
 }
 
 impl CatalogueTraffic {
     /// What came in this time.
-    pub fn of(server: &Server, from: Instant, until: Instant) -> CatalogueTraffic {
+    pub fn between(server: &Server, from: Instant, until: Instant) -> CatalogueTraffic {
         let within = |at: &Instant| *at >= from && *at < until;
         let mut known = HashSet::new();
         let mut door = CatalogueTraffic::default();
@@ -73,11 +77,11 @@
             if within(at) {
                 door.calls.push(*at);
                 if again {
-                    door.again.push(*at);
+                    door.retries.push(*at);
                 }
             }
         }
-        door.opened = server
+        door.connections = server
             .connections_opened
             .borrow()
             .iter()
@@ -89,12 +93,12 @@
 }
 
 /// The most in any second, wherever it begins.
-pub fn worst_second(moments: &[Instant]) -> usize {
-    most_within(moments, Duration::from_secs(1))
+pub fn max_in_a_second(moments: &[Instant]) -> usize {
+    max_within(moments, Duration::from_secs(1))
 }
 
 /// The most in any time so long.
-pub fn most_within(moments: &[Instant], span: Duration) -> usize {
+pub fn max_within(moments: &[Instant], span: Duration) -> usize {
     let (mut first, mut most) = (0, 0);
     for last in 0..moments.len() {
         while moments[last] - moments[first] >= span {
@@ -106,7 +110,7 @@
 }
 
 /// How many came in each second from a moment on.
-pub fn each_second(moments: &[Instant], from: Instant, seconds: usize) -> Vec<usize> {
+pub fn counts_by_second(moments: &[Instant], from: Instant, seconds: usize) -> Vec<usize> {
     let mut counts = vec![0; seconds];
     for at in moments.iter().filter(|at| **at >= from) {
         if let Some(count) = counts.get_mut((*at - from).as_secs() as usize) {
--- a/crates/merlinshelf-testbed/src/demo.rs
+++ b/crates/merlinshelf-testbed/src/demo.rs
@@ -18,8 +18,8 @@
         instance.status().await?["process"]
     );
     let load = Load {
-        body: 60,
-        ..Load::of_all(&instance.address, 20, 300.0, 1)
+        body_bytes: 60,
+        ..Load::with_example_operations(&instance.address, 20, 300.0, 1)
     };
     let playing = load.start().await?;
     println!("20 connections send {} invocations a second", load.rate);
@@ -43,8 +43,8 @@
     let verdict = seen
         .borrow()
         .check(&instance.records.borrow(), load.patience);
-    instance.leave().await?;
-    let _ = instance.first_ended().await;
+    instance.drain().await?;
+    let _ = instance.wait_for_first_exit().await;
     println!(
         "\nof {} invocations {} were served, {} refused and told when to come back, {} failed",
         verdict.sent, verdict.served, verdict.refused, verdict.failed
--- a/crates/merlinshelf-testbed/src/disk.rs
+++ b/crates/merlinshelf-testbed/src/disk.rs
@@ -30,11 +30,11 @@
     contents: Vec<Content>,
     names: BTreeMap<String, usize>,
     /// Names as they were at the folder's last sync, and each change since, in order.
-    kept_names: BTreeMap<String, usize>,
+    synced_names: BTreeMap<String, usize>,
     changes: Vec<Change>,
     /// Operations that go well until the crash; none: it never comes.
     crash_after: Option<u32>,
-    pub trouble: Option<DiskFault>,
+    pub fault: Option<DiskFault>,
     pub operations: u32,
     rng: Pcg64Mcg,
 }
@@ -54,10 +54,10 @@
         Disk {
             contents: Vec::new(),
             names: BTreeMap::new(),
-            kept_names: BTreeMap::new(),
+            synced_names: BTreeMap::new(),
             changes: Vec::new(),
             crash_after: None,
-            trouble: None,
+            fault: None,
             operations: 0,
             rng,
         }
@@ -73,7 +73,7 @@
         self.crash_after = None;
         // Of the changes of names some first ones are kept.
         let count = self.rng.random_range(0..=self.changes.len());
-        let mut names = std::mem::take(&mut self.kept_names);
+        let mut names = std::mem::take(&mut self.synced_names);
         for change in self.changes.drain(..).take(count) {
             apply(&mut names, &change);
         }
@@ -89,25 +89,26 @@
             }
             (content.kept, content.now) = (bytes.clone(), bytes);
         }
-        (self.names, self.kept_names) = (names.clone(), names);
+        (self.names, self.synced_names) = (names.clone(), names);
     }
 
     /// Puts a file there as if it had always been.
-    pub fn put(&mut self, name: &str, bytes: &[u8]) {
+    pub fn insert_file(&mut self, name: &str, bytes: &[u8]) {
         self.contents.push(Content {
             kept: bytes.to_vec(),
             now: bytes.to_vec(),
         });
         self.names.insert(name.into(), self.contents.len() - 1);
-        self.kept_names.insert(name.into(), self.contents.len() - 1);
+        self.synced_names
+            .insert(name.into(), self.contents.len() - 1);
     }
 
-    pub fn has(&self, name: &str) -> bool {
+    pub fn contains(&self, name: &str) -> bool {
         self.names.contains_key(name)
     }
 
     /// Whether an operation is to go well, be cut short, or do nothing.
-    fn step(&mut self, writes: bool) -> io::Result<bool> {
+    fn next_operation(&mut self, writes: bool) -> io::Result<bool> {
         if let Some(after) = self.crash_after {
             if self.operations > after {
                 return Err(crashed());
@@ -118,7 +119,7 @@
             }
         }
         self.operations += 1;
-        match self.trouble {
+        match self.fault {
             Some(DiskFault::ReadOnly) if writes => Err(io::ErrorKind::ReadOnlyFilesystem.into()),
             Some(DiskFault::Unreadable) if !writes => Err(io::Error::other("input/output error")),
             _ => Ok(true),
@@ -144,7 +145,7 @@
 
 impl Files for Disk {
     fn read(&mut self, name: &str) -> io::Result<Option<Vec<u8>>> {
-        if !self.step(false)? {
+        if !self.next_operation(false)? {
             return Err(crashed());
         }
         Ok(self
@@ -154,7 +155,7 @@
     }
 
     fn create(&mut self, name: &str) -> io::Result<()> {
-        let whole = self.step(true)?;
+        let whole = self.next_operation(true)?;
         if whole || self.rng.random() {
             self.contents.push(Content::default());
             let change = Change::Created(name.into(), self.contents.len() - 1);
@@ -165,13 +166,13 @@
     }
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
-        let whole = self.step(true)?;
+        let whole = self.next_operation(true)?;
         let mut most = if whole {
             bytes.len()
         } else {
             self.rng.random_range(0..=bytes.len())
         };
-        if let Some(DiskFault::Full(left)) = &mut self.trouble {
+        if let Some(DiskFault::Full(left)) = &mut self.fault {
             most = most.min(*left);
             *left -= most;
         }
@@ -184,7 +185,7 @@
     }
 
     fn sync(&mut self, name: &str) -> io::Result<()> {
-        let whole = self.step(true)?;
+        let whole = self.next_operation(true)?;
         let content = self.content(name)?;
         if whole {
             content.kept = content.now.clone();
@@ -193,7 +194,7 @@
     }
 
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
-        let whole = self.step(true)?;
+        let whole = self.next_operation(true)?;
         if !self.names.contains_key(from) {
             return Err(io::ErrorKind::NotFound.into());
         }
@@ -206,11 +207,11 @@
     }
 
     fn sync_folder(&mut self) -> io::Result<()> {
-        if !self.step(true)? {
+        if !self.next_operation(true)? {
             return Err(crashed());
         }
         self.changes.clear();
-        self.kept_names = self.names.clone();
+        self.synced_names = self.names.clone();
         Ok(())
     }
 }
--- a/crates/merlinshelf-testbed/src/experiments/compatibility.rs
+++ b/crates/merlinshelf-testbed/src/experiments/compatibility.rs
@@ -13,7 +13,7 @@
 use serde_json::{Value, json};
 use tokio::time::{Instant, sleep};
 
-use crate::installation::{Installation, InstallationConfig, policy_of};
+use crate::installation::{Installation, InstallationConfig, policy_admitting};
 use crate::instance::{Instance, Setup};
 use crate::load::Load;
 
@@ -73,7 +73,7 @@
         restart_agent(&mut installation, host, &plan.to).await?;
     }
     let statuses = installation
-        .when("all agents are back", |statuses| {
+        .wait_until("all agents are back", |statuses| {
             statuses.iter().all(has_lease)
         })
         .await?;
@@ -115,11 +115,11 @@
     sign: usize,
     id: &str,
 ) -> io::Result<Option<u64>> {
-    let body = json!({ "id": id, "policy": policy_of(sign), "wait": true });
+    let body = json!({ "id": id, "policy": policy_admitting(sign), "wait": true });
     let deadline = Instant::now() + TIMEOUT;
     let version = loop {
         let answer = installation.hosts[sign % 3]
-            .policy("propose", body.clone())
+            .policy_request("propose", body.clone())
             .await;
         if let Ok((ControlMessage::Done, report)) = &answer
             && let Some(version) = report["number"].as_u64()
@@ -135,7 +135,7 @@
         sleep(Duration::from_millis(100)).await;
     };
     let statuses = installation
-        .when(id, |statuses| {
+        .wait_until(id, |statuses| {
             statuses
                 .iter()
                 .all(|status| has_lease(status) && current_version(status) == Some(version))
@@ -162,14 +162,14 @@
     let mut setup = Setup::small(&plan.from);
     setup.learning = Some(json!({ "engine": "compatibility", "folder": true }));
     let mut instance = Instance::start(&setup, 40).await?;
-    let load = Load::of_all(&instance.address, 20, 400.0, plan.seed);
+    let load = Load::with_example_operations(&instance.address, 20, 400.0, plan.seed);
     let running_load = load.start().await?;
     sleep(OBSERVED_FOR).await;
     running_load.stop().await;
     let mut outcome = GossipOutcome { stored: 0, lost: 0 };
     for program in [&plan.to, &plan.from] {
         let before = observed_metrics(&instance).await?;
-        instance.restart(program).await?;
+        instance.terminate_and_restart(program).await?;
         let after = observed_metrics(&instance).await?;
         outcome.stored += before.len();
         outcome.lost += before.difference(&after).count();
@@ -179,7 +179,7 @@
             after.len()
         );
     }
-    instance.end().await;
+    instance.kill_all().await;
     Ok(outcome)
 }
 
@@ -187,7 +187,7 @@
 async fn observed_metrics(instance: &Instance) -> io::Result<BTreeSet<String>> {
     let deadline = Instant::now() + TIMEOUT;
     loop {
-        match instance.figures().await {
+        match instance.known_figures().await {
             Ok(observations) => return Ok(observations.iter().map(metric).collect()),
             Err(error) if Instant::now() >= deadline => return Err(error),
             Err(_) => sleep(Duration::from_millis(20)).await, // the instance is still starting
--- a/crates/merlinshelf-testbed/src/experiments/cost.rs
+++ b/crates/merlinshelf-testbed/src/experiments/cost.rs
@@ -103,19 +103,19 @@
     };
     let mut instance = Instance::start(&setup, 3).await?;
     let renewing = policy.then(|| spawn_local(renew_leases(instance.control.clone())));
-    let load = Load::of_all(&instance.address, 100, plan.rate, seed);
+    let load = Load::with_example_operations(&instance.address, 100, plan.rate, seed);
     let running_load = load.start().await?;
     // A new leader grants no shares before one lease has passed.
     sleep(Duration::from_millis(if policy { 5000 } else { 700 })).await;
-    let (cpu_before, sent_before) = (instance.cpu()?, running_load.seen.borrow().sent.len());
+    let (cpu_before, sent_before) = (instance.cpu_time()?, running_load.seen.borrow().sent.len());
     sleep(plan.measured_for).await;
-    let (cpu_after, sent_after) = (instance.cpu()?, running_load.seen.borrow().sent.len());
-    let memory = instance.memory_most_kb().unwrap_or(0);
+    let (cpu_after, sent_after) = (instance.cpu_time()?, running_load.seen.borrow().sent.len());
+    let memory = instance.peak_memory_kb().unwrap_or(0);
     running_load.stop().await;
     if let Some(renewing) = renewing {
         renewing.abort();
     }
-    instance.end().await;
+    instance.kill_all().await;
     Ok((
         (cpu_after - cpu_before).as_secs_f64() * 1e6 / (sent_after - sent_before).max(1) as f64,
         memory,
--- a/crates/merlinshelf-testbed/src/experiments/dependencies/scenario.rs
+++ b/crates/merlinshelf-testbed/src/experiments/dependencies/scenario.rs
@@ -177,10 +177,9 @@
         .find(|(name, ..)| *name == sent.operation)
         .copied()
         .unwrap_or(("", 0.0, 0.0));
-    let served = sent
-        .answers
-        .first()
-        .is_some_and(|(at, status)| *status == 200 && (*at - sent.at).as_secs_f64() <= objective);
+    let served = sent.answers.first().is_some_and(|(at, status)| {
+        *status == 200 && (*at - sent.sent_at).as_secs_f64() <= objective
+    });
     let mut got = if served { whole } else { 0.0 };
     for (_, part, cost) in COSTS
         .iter()
@@ -191,7 +190,7 @@
             .as_ref()
             .is_some_and(|parts| parts.split(", ").any(|one| one == *part));
         // Without names one does not know which is missing: the cheaper one is taken, in favour of the plain ways.
-        let unnamed = poorer_parts && sent.poorer && *part == "assets";
+        let unnamed = poorer_parts && sent.answered_without_call && *part == "assets";
         if named || unnamed {
             got *= 1.0 - cost;
         }
@@ -227,7 +226,7 @@
         })
         .collect();
     let mut setup = Setup::small(&plan.program);
-    setup.manner.called_dependencies = called_dependencies();
+    setup.fakes.called_dependencies = called_dependencies();
     match how {
         Routing::Routed => setup.dependencies = Some(dependencies_config(&addresses)),
         Routing::Before | Routing::Round => {
@@ -244,7 +243,7 @@
         }
     }
     let mut instance = Instance::start(&setup, number).await?;
-    let load = Load::of_all(&instance.address, 20, plan.rate, plan.seed);
+    let load = Load::with_example_operations(&instance.address, 20, plan.rate, plan.seed);
     let playing = load.start().await?;
     sleep(BEFORE).await;
     let failing = || {
@@ -278,13 +277,13 @@
     let verdict = seen
         .borrow()
         .check(&instance.records.borrow(), load.patience);
-    instance.end().await;
+    instance.kill_all().await;
     let seen: &LoadRecord = &seen.borrow();
     let (mut got, mut asked, mut wanted) = (0.0, 0.0, 0_u64);
     for sent in seen
         .sent
         .values()
-        .filter(|sent| sent.at >= began && sent.at < until)
+        .filter(|sent| sent.sent_at >= began && sent.sent_at < until)
     {
         let (value, whole) = worth(sent, how != Routing::Routed);
         (got, asked) = (got + value, asked + whole);
--- a/crates/merlinshelf-testbed/src/experiments/fleet.rs
+++ b/crates/merlinshelf-testbed/src/experiments/fleet.rs
@@ -14,7 +14,7 @@
 use tokio::time::{Instant, sleep};
 
 use super::median;
-use crate::fleet::{FleetUnderTest, sum};
+use crate::fleet::{FleetUnderTest, combined_verdict};
 use crate::instance::signal;
 use crate::load::{Load, RunningLoad, Verdict};
 
@@ -44,7 +44,7 @@
         for sent in seen
             .sent
             .values()
-            .filter(|sent| sent.at >= from && sent.at < until)
+            .filter(|sent| sent.sent_at >= from && sent.sent_at < until)
         {
             sent_count += 1;
             served += u64::from(
@@ -103,8 +103,8 @@
         &rollout_settings(),
     )
     .await?;
-    rig.when("serving", plan.instances.into()).await?;
-    let loads = rig.load(plan.rate, seed).await?;
+    rig.wait_for_state("serving", plan.instances.into()).await?;
+    let loads = rig.start_load(plan.rate, seed).await?;
     sleep(Duration::from_secs(1)).await;
     let baseline_start = Instant::now();
     sleep(Duration::from_secs(3)).await;
@@ -117,7 +117,7 @@
         sleep(Duration::from_millis(rng.random_range(200..1800))).await;
         rig.kill_agent().await;
         sleep(Duration::from_millis(rng.random_range(0..600))).await;
-        rig.agent()?;
+        rig.start_agent()?;
     }
     for _ in 0..plan.kill_instances {
         sleep(Duration::from_millis(rng.random_range(200..1800))).await;
@@ -132,7 +132,7 @@
             "seed {seed}: the plan ended as {}; starting it again",
             ended_plan["state"]
         );
-        rig.when("serving", plan.instances.into()).await?;
+        rig.wait_for_state("serving", plan.instances.into()).await?;
         rig.ask(&json!({ "op": "upgrade", "program": copy }))
             .await?;
         ended_plan = plan_ended(&rig).await?;
@@ -172,7 +172,7 @@
         served(&loads, upgrade_start, upgrade_end),
     );
     let by_restart = served(&loads, upgrade_end, restart_end);
-    let verdict = sum(&rig.check(loads).await);
+    let verdict = combined_verdict(&rig.stop_and_check(loads).await);
     Ok(Outcome {
         verdict,
         before: share(before),
@@ -200,7 +200,11 @@
     };
     let address = rig.address(index);
     if let Some((_, running_load)) = loads.iter().find(|(load, _)| load.address == address) {
-        running_load.seen.borrow_mut().killed.push(Instant::now());
+        running_load
+            .seen
+            .borrow_mut()
+            .killed_at
+            .push(Instant::now());
     }
     signal(process, Signal::KILL);
     Ok(())
@@ -211,9 +215,9 @@
 async fn agent_cost(plan: &Plan, count: u16, address_number: u8) -> io::Result<(f64, u64, f64)> {
     let rig =
         FleetUnderTest::start(&plan.program, address_number, count, &rollout_settings()).await?;
-    rig.when("serving", count.into()).await?;
+    rig.wait_for_state("serving", count.into()).await?;
     let agent_pid = rig
-        .agent_id()
+        .agent_pid()
         .ok_or_else(|| io::Error::other("the agent has ended"))?;
     let cpu = || -> io::Result<f64> {
         let text = std::fs::read_to_string(format!("/proc/{agent_pid}/schedstat"))?;
@@ -274,7 +278,7 @@
         );
         upgrade_ratios.push(during / before.max(1e-9));
         restart_ratios.push(by_restart / before.max(1e-9));
-        total = sum(&[total, verdict]);
+        total = combined_verdict(&[total, verdict]);
     }
     let [upgrade_ratio, restart_ratio] =
         [&mut upgrade_ratios, &mut restart_ratios].map(|values| median(values).unwrap_or(f64::NAN));
--- a/crates/merlinshelf-testbed/src/experiments/learning/benefit.rs
+++ b/crates/merlinshelf-testbed/src/experiments/learning/benefit.rs
@@ -87,8 +87,8 @@
 fn setup(program: &std::path::Path, outage: bool) -> Setup {
     let mut setup = Setup::small(program);
     setup.cores = CORES;
-    setup.manner.cores = f64::from(CORES);
-    setup.manner.call_duration = if outage { HANGS } else { BELOW };
+    setup.fakes.cores = f64::from(CORES);
+    setup.fakes.call_duration = if outage { HANGS } else { BELOW };
     setup
 }
 
@@ -119,7 +119,7 @@
             offered: vec![0.0; count],
         };
         for sent in seen.sent.values() {
-            let Some(since) = sent.at.checked_duration_since(from) else {
+            let Some(since) = sent.sent_at.checked_duration_since(from) else {
                 continue;
             };
             let place = (since.as_millis() / STEP.as_millis()) as usize;
@@ -129,9 +129,13 @@
             };
             steps.offered[place] += worth;
             if let Some((at, 200)) = sent.answers.first()
-                && *at <= sent.at + Duration::from_millis(*aim)
+                && *at <= sent.sent_at + Duration::from_millis(*aim)
             {
-                steps.served[place] += if sent.poorer { worth * without } else { *worth };
+                steps.served[place] += if sent.answered_without_call {
+                    worth * without
+                } else {
+                    *worth
+                };
             }
         }
         steps
@@ -184,11 +188,11 @@
 
 /// A while under the load, after which an instance knows what there is to know; it is left in the midst of it.
 async fn past(instance: &Instance, seed: u64, time: Duration) -> io::Result<()> {
-    let playing = Load::of_all(&instance.address, 32, RATE, seed + 1000)
+    let playing = Load::with_example_operations(&instance.address, 32, RATE, seed + 1000)
         .start()
         .await?;
     sleep(time).await;
-    playing.leave();
+    playing.abandon();
     Ok(())
 }
 
@@ -247,8 +251,8 @@
     let mut instance = match own_past {
         Some(mut instance) => {
             // Without a word, as by a crash; what was saved is what there is.
-            instance.crash().await?;
-            instance.logged("the engine is up", 2).await?;
+            instance.kill_and_restart().await?;
+            instance.wait_for_log("the engine is up", 2).await?;
             instance
         }
         None => {
@@ -265,13 +269,13 @@
     };
     if teacher != PriorSource::Nobody {
         instance
-            .says("taught", |status| {
+            .wait_for_report("taught", |status| {
                 status["learning"]["taught_by"] != json!([])
             })
             .await?;
     }
     let from = Instant::now();
-    let playing = Load::of_all(&instance.address, 32, RATE, seed)
+    let playing = Load::with_example_operations(&instance.address, 32, RATE, seed)
         .start()
         .await?;
     sleep_until(from + LOOKED).await;
@@ -279,9 +283,9 @@
         println!("{} {}", teacher.name(), instance.status().await?);
     }
     let seen = playing.stop().await.take();
-    instance.end().await;
+    instance.kill_all().await;
     if let Some(mut before) = before {
-        before.end().await;
+        before.kill_all().await;
     }
     if let Some(liar) = liar {
         liar.abort();
--- a/crates/merlinshelf-testbed/src/experiments/learning/cost.rs
+++ b/crates/merlinshelf-testbed/src/experiments/learning/cost.rs
@@ -45,7 +45,7 @@
 /// What can't be played.
 pub async fn run(program: &Path, case: Case, seed: u64) -> io::Result<Cost> {
     let mut setup = Setup::small(program);
-    (setup.cores, setup.manner.cores) = (64, 64.0);
+    (setup.cores, setup.fakes.cores) = (64, 64.0);
     if case != Case::Off {
         setup.learning = Some(json!({
             "engine": "lab", "folder": true,
@@ -53,27 +53,27 @@
         }));
     }
     let mut instance = Instance::start(&setup, NUMBER).await?;
-    let load = Load::of_all(&instance.address, 100, RATE, seed);
+    let load = Load::with_example_operations(&instance.address, 100, RATE, seed);
     let playing = load.start().await?;
     sleep(Duration::from_millis(700)).await;
     let answered: Rc<Cell<u32>> = Rc::default();
     let asking = (case == Case::Asked).then(|| spawn_local(ask(answered.clone())));
     let (from, before, sent) = (
         Instant::now(),
-        instance.cpu()?,
+        instance.cpu_time()?,
         playing.seen.borrow().sent.len(),
     );
     sleep(TIME).await;
     let (until, after, now) = (
         Instant::now(),
-        instance.cpu()?,
+        instance.cpu_time()?,
         playing.seen.borrow().sent.len(),
     );
     if let Some(asking) = asking {
         asking.abort();
     }
     let seen = playing.stop().await.take();
-    instance.end().await;
+    instance.kill_all().await;
     Ok(Cost {
         us: (after - before).as_secs_f64() * 1e6 / (now - sent).max(1) as f64,
         p99_ms: seen.latencies(from, until).value_at_quantile(0.99) as f64 / 1e3,
--- a/crates/merlinshelf-testbed/src/experiments/learning/crashes.rs
+++ b/crates/merlinshelf-testbed/src/experiments/learning/crashes.rs
@@ -139,7 +139,7 @@
                     disk.restart();
                 }
             }
-            crashes.wrong += u64::from(!disk.has(STORE_FILE));
+            crashes.wrong += u64::from(!disk.contains(STORE_FILE));
         }
     }
     crashes
--- a/crates/merlinshelf-testbed/src/experiments/policy.rs
+++ b/crates/merlinshelf-testbed/src/experiments/policy.rs
@@ -14,7 +14,8 @@
 use tokio::time::{Instant, sleep, timeout};
 
 use crate::installation::{
-    Changed, Installation, InstallationConfig, check, evidence, out_of_order, policy_of, with_sign,
+    Changed, Installation, InstallationConfig, check_load, collect_evidence, config_admitting,
+    count_violations, policy_admitting,
 };
 use crate::instance::signal;
 use crate::link::Fault;
@@ -98,7 +99,7 @@
     let deadline = Instant::now() + max_wait;
     while Instant::now() < deadline {
         for host in &installation.hosts {
-            let request = host.policy("outcome", json!({ "id": id }));
+            let request = host.policy_request("outcome", json!({ "id": id }));
             if let Ok(Ok((ControlMessage::Done | ControlMessage::Failed, reply))) =
                 timeout(Duration::from_millis(400), request).await
                 && reply["number"].is_u64()
@@ -126,7 +127,7 @@
     async fn before_proposal(&mut self) -> Vec<(usize, u16)> {
         let hosts = self.installation.hosts.len();
         let host = self.rng.random_range(0..hosts);
-        let instance = self.rng.random_range(0..self.installation.made.instances);
+        let instance = self.rng.random_range(0..self.installation.config.instances);
         let leader = self.installation.leader().await.unwrap_or(0);
         let other = (leader + 1 + self.rng.random_range(0..hosts.max(2) - 1)) % hosts;
         match self.fault {
@@ -151,13 +152,21 @@
             RoundFault::KillAllAgents => self.agents_down = (0..hosts).collect(),
             RoundFault::StopLeader => {
                 self.stopped_processes = self.installation.hosts[leader]
-                    .agent()
+                    .agent_pid()
                     .into_iter()
                     .collect();
             }
-            RoundFault::CutHost => self.installation.set_links(host, true, true, Fault::Cut),
-            RoundFault::HoldHost => self.installation.set_links(host, true, true, Fault::Held),
-            RoundFault::DeafHost => self.installation.set_links(host, true, false, Fault::Held),
+            RoundFault::CutHost => self
+                .installation
+                .set_link_fault(host, true, true, Fault::Cut),
+            RoundFault::HoldHost => {
+                self.installation
+                    .set_link_fault(host, true, true, Fault::Stalled)
+            }
+            RoundFault::DeafHost => {
+                self.installation
+                    .set_link_fault(host, true, false, Fault::Stalled)
+            }
             RoundFault::Nothing | RoundFault::BadDocument | RoundFault::TwoAtOnce => {}
         }
         Vec::new()
@@ -173,7 +182,7 @@
         for host in self.agents_down.clone() {
             self.installation.hosts[host].kill_agent().await;
             if self.delete_log {
-                let _ = std::fs::remove_file(self.installation.hosts[host].council());
+                let _ = std::fs::remove_file(self.installation.hosts[host].consensus_folder());
             }
         }
     }
@@ -183,7 +192,7 @@
         self.stopped_processes
             .drain(..)
             .for_each(|pid| signal(pid, Signal::CONT));
-        self.installation.heal();
+        self.installation.clear_link_faults();
         let program = self.installation.program.clone();
         for host in std::mem::take(&mut self.agents_down) {
             self.installation.hosts[host].start_agent(&program)?;
@@ -203,13 +212,15 @@
         let records = installation.hosts[*host].records[usize::from(*instance)].borrow();
         let violations = seen.sent.iter().filter(|(id, sent)| {
             let limit = load.patience + Duration::from_millis(50);
-            let answered = sent.answers.first().map(|(at, _)| *at - sent.at);
+            let answered = sent.answers.first().map(|(at, _)| *at - sent.sent_at);
             let ran_twice = records.runs.get(*id).is_some_and(|runs| *runs > 1);
-            ran_twice || sent.at.elapsed() > limit && answered.is_none_or(|took| took > limit)
+            ran_twice || sent.sent_at.elapsed() > limit && answered.is_none_or(|took| took > limit)
         });
         for (id, sent) in violations.take(20) {
-            let round = rounds.iter().rposition(|(started, _)| *started <= sent.at);
-            let since = round.map(|index| (sent.at - rounds[index].0).as_secs_f64());
+            let round = rounds
+                .iter()
+                .rposition(|(started, _)| *started <= sent.sent_at);
+            let since = round.map(|index| (sent.sent_at - rounds[index].0).as_secs_f64());
             println!(
                 "h{host}/web.{instance}: {id} {} ran {} times, sent {since:.2?} s into round {round:?} {:?}, answered {:?}, killed {:?}",
                 sent.operation,
@@ -217,10 +228,10 @@
                 round.map(|index| rounds[index].1),
                 sent.answers
                     .first()
-                    .map(|(at, status)| (*at - sent.at, *status)),
-                seen.killed
+                    .map(|(at, status)| (*at - sent.sent_at, *status)),
+                seen.killed_at
                     .iter()
-                    .map(|at| at.saturating_duration_since(sent.at))
+                    .map(|at| at.saturating_duration_since(sent.sent_at))
                     .collect::<Vec<_>>(),
             );
         }
@@ -235,7 +246,7 @@
 ) -> io::Result<()> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut installation = Installation::start(&plan.program, address_number, &plan.made).await?;
-    let loads = installation.load(plan.rate, seed).await?;
+    let loads = installation.start_load(plan.rate, seed).await?;
     let lease = Duration::from_millis(plan.made.lease_ms);
     let mut changes: Vec<Changed> = Vec::new();
     let mut remaining_faults: Vec<RoundFault> = Vec::new();
@@ -269,11 +280,15 @@
                 .iter()
                 .find(|(of_host, of_instance, ..)| (*of_host, *of_instance) == (host, instance));
             own.into_iter().for_each(|(.., running_load)| {
-                running_load.seen.borrow_mut().killed.push(Instant::now())
+                running_load
+                    .seen
+                    .borrow_mut()
+                    .killed_at
+                    .push(Instant::now())
             });
         }
         let id = format!("{seed}-{round}");
-        let mut document = policy_of(sign);
+        let mut document = policy_admitting(sign);
         if fault == RoundFault::BadDocument {
             document["operations"]["unheard-of"] = json!({ "worth": 1.0 });
         }
@@ -285,7 +300,7 @@
         let body = json!({ "id": id, "policy": document, "wait": true });
         let pause = Duration::from_millis(injection.rng.random_range(0..40));
         {
-            let request = injection.installation.hosts[proposer].policy("propose", body);
+            let request = injection.installation.hosts[proposer].policy_request("propose", body);
             // The request is cut off after the pause and its reply ignored. The loop below proposes again.
             let _ = timeout(pause, request).await;
         }
@@ -294,7 +309,7 @@
             let body = json!({ "id": format!("{id}-other"), "policy": document, "wait": false });
             let _ = timeout(
                 Duration::from_millis(300),
-                injection.installation.hosts[other].policy("propose", body),
+                injection.installation.hosts[other].policy_request("propose", body),
             )
             .await;
         }
@@ -317,7 +332,7 @@
                 .rng
                 .random_range(0..injection.installation.hosts.len());
             let body = json!({ "id": id, "policy": document, "wait": false });
-            let request = injection.installation.hosts[agent].policy("propose", body);
+            let request = injection.installation.hosts[agent].policy_request("propose", body);
             let _ = timeout(Duration::from_millis(300), request).await;
             result = outcome(injection.installation, &id, Duration::from_millis(300)).await;
         }
@@ -357,21 +372,21 @@
             && result["state"] == "held"
         {
             changes.push(Changed {
-                proposed,
-                sign,
-                held: true,
+                proposed_at: proposed,
+                marker: sign,
+                committed: true,
             });
         }
         changes.push(Changed {
-            proposed,
-            sign,
-            held,
+            proposed_at: proposed,
+            marker: sign,
+            committed: held,
         });
         if held {
             held_sign = Some(sign);
         }
         installation
-            .when(
+            .wait_until(
                 "all agents are back and all hosts have a lease",
                 |statuses| {
                     statuses.iter().all(|status| {
@@ -384,10 +399,10 @@
             .await?;
         sleep(Duration::from_millis(300)).await;
     }
-    let shown = evidence(&loads);
-    let (changes_out_of_order, halves) = out_of_order(&changes, &shown);
+    let shown = collect_evidence(&loads);
+    let (changes_out_of_order, halves) = count_violations(&changes, &shown);
     print_violations(&installation, &loads, &rounds);
-    let verdict = check(&installation, loads).await;
+    let verdict = check_load(&installation, loads).await;
     totals.out_of_order += changes_out_of_order;
     totals.halves += halves;
     totals.evidence += shown.len() as u64;
@@ -404,29 +419,32 @@
 /// Fails if the installation can't be started, its file can't be changed, or a restart fails.
 pub async fn by_restart(plan: &Plan) -> io::Result<Value> {
     let installation = Installation::start(&plan.program, 10, &plan.made).await?;
-    let loads = installation.load(plan.rate, plan.seed).await?;
+    let loads = installation.start_load(plan.rate, plan.seed).await?;
     let mut changes = vec![Changed {
-        proposed: Instant::now(),
-        sign: 0,
-        held: true,
+        proposed_at: Instant::now(),
+        marker: 0,
+        committed: true,
     }];
     sleep(Duration::from_secs(1)).await;
     let file = installation.hosts[0].folder.join("config.json");
     let mut mixed = Vec::new();
     for round in 1..=plan.rounds {
         let sign = round as usize % 3;
-        std::fs::write(&file, with_sign(&std::fs::read_to_string(&file)?, sign)?)?;
+        std::fs::write(
+            &file,
+            config_admitting(&std::fs::read_to_string(&file)?, sign)?,
+        )?;
         let proposed = Instant::now();
         installation.hosts[0]
             .ask(&json!({ "op": "restart", "wait": true }))
             .await?;
         changes.push(Changed {
-            proposed,
-            sign,
-            held: true,
+            proposed_at: proposed,
+            marker: sign,
+            committed: true,
         });
         sleep(Duration::from_millis(500)).await;
-        let shown = evidence(&loads);
+        let shown = collect_evidence(&loads);
         let first = shown
             .iter()
             .find(|(sent, _, shown_sign)| *shown_sign == sign && *sent >= proposed)
@@ -441,8 +459,8 @@
             mixed.push(last.saturating_duration_since(first).as_secs_f64());
         }
     }
-    let (changes_out_of_order, _) = out_of_order(&changes, &evidence(&loads));
-    let verdict = check(&installation, loads).await;
+    let (changes_out_of_order, _) = count_violations(&changes, &collect_evidence(&loads));
+    let verdict = check_load(&installation, loads).await;
     let line = json!({
         "trial": "policy", "by": "restart", "instances": plan.made.instances, "rounds": plan.rounds, "out_of_order": changes_out_of_order,
         "mixed_s": mixed, "sent": verdict.sent, "lost": verdict.lost,
--- a/crates/merlinshelf-testbed/src/experiments/policy_switch.rs
+++ b/crates/merlinshelf-testbed/src/experiments/policy_switch.rs
@@ -13,7 +13,7 @@
 use tokio::time::{Instant, MissedTickBehavior, interval, sleep};
 
 use crate::experiments::policy::Plan;
-use crate::installation::{Installation, SIGNS, check, policy_of};
+use crate::installation::{Installation, MARKER_OPERATIONS, check_load, policy_admitting};
 use crate::load::{Load, RunningLoad};
 use crate::wire::fastcgi_invocation;
 
@@ -85,10 +85,10 @@
     for (.., running_load) in loads {
         let seen = running_load.seen.borrow();
         let counted = seen.sent.values().filter(|invocation| {
-            !SIGNS.contains(&invocation.operation.as_str())
+            !MARKER_OPERATIONS.contains(&invocation.operation.as_str())
                 && times
                     .iter()
-                    .any(|(from, until)| invocation.at >= *from && invocation.at < *until)
+                    .any(|(from, until)| invocation.sent_at >= *from && invocation.sent_at < *until)
         });
         for invocation in counted {
             sent += 1;
@@ -109,7 +109,7 @@
 /// Fails if the installation can't be started, or an agent does not respond to a proposal.
 pub async fn run(plan: &Plan) -> io::Result<(Value, bool)> {
     let installation = Installation::start(&plan.program, 10, &plan.made).await?;
-    let loads = installation.load(plan.rate, plan.seed).await?;
+    let loads = installation.start_load(plan.rate, plan.seed).await?;
     let mut checks: Vec<Checks> = Vec::new();
     for host in 0..installation.hosts.len() {
         for instance in 0..plan.made.instances {
@@ -128,9 +128,9 @@
     let (mut changes, mut held) = (Vec::new(), 0);
     for round in 0..plan.rounds {
         let proposed = Instant::now();
-        let body = json!({ "id": format!("switch-{round}"), "policy": policy_of(round as usize % 3), "wait": true });
+        let body = json!({ "id": format!("switch-{round}"), "policy": policy_admitting(round as usize % 3), "wait": true });
         let (_, reply) = installation.hosts[round as usize % installation.hosts.len()]
-            .policy("propose", body)
+            .policy_request("propose", body)
             .await?;
         held += u64::from(reply["state"] == "held");
         changes.push(proposed);
@@ -152,7 +152,7 @@
         .collect();
     let (sent, served_around) = served(&loads, &around);
     let share_around = served_around as f64 / sent.max(1) as f64;
-    let verdict = check(&installation, loads).await;
+    let verdict = check_load(&installation, loads).await;
     let doubled = verdict.doubled + verdict.run_twice + verdict.spoilt;
     let median = |sorted: &[f64]| sorted.get(sorted.len() / 2).copied().unwrap_or(f64::NAN);
     let max = |sorted: &[f64]| sorted.last().copied().unwrap_or(f64::NAN);
--- a/crates/merlinshelf-testbed/src/experiments/restart.rs
+++ b/crates/merlinshelf-testbed/src/experiments/restart.rs
@@ -34,7 +34,7 @@
         ..plan.setup.clone()
     };
     let mut instance = Instance::start(&setup, 4).await?;
-    let load = Load::of_all(&instance.address, 100, plan.rate, plan.seed);
+    let load = Load::with_example_operations(&instance.address, 100, plan.rate, plan.seed);
     let running_load = load.start().await?;
     sleep(Duration::from_secs(2)).await;
     let from = Instant::now();
@@ -47,16 +47,16 @@
             )));
         }
     } else {
-        instance.restart(program).await?;
+        instance.terminate_and_restart(program).await?;
     }
     tokio::time::sleep_until(from + plan.observed_for).await;
     let until = Instant::now();
     let seen = running_load.stop().await.take();
-    instance.end().await;
+    instance.kill_all().await;
     let sent = seen
         .sent
         .values()
-        .filter(|sent| sent.at >= from && sent.at <= until);
+        .filter(|sent| sent.sent_at >= from && sent.sent_at <= until);
     let (mut total, mut served) = (0_u64, 0_u64);
     for invocation in sent {
         total += 1;
--- a/crates/merlinshelf-testbed/src/experiments/shares.rs
+++ b/crates/merlinshelf-testbed/src/experiments/shares.rs
@@ -14,9 +14,12 @@
 use tokio::time::{Instant, sleep};
 
 use super::median;
-use crate::budgets::{CatalogueTraffic, OPENED, PROBES, aside, hold, policy, worst_second};
+use crate::budgets::{
+    CONNECTION_BUDGET, CatalogueTraffic, PROBE_BUDGET, base_budgets, budget_policy,
+    max_in_a_second, propose_until_committed,
+};
 use crate::fakes::ServerBehavior;
-use crate::installation::{Installation, InstallationConfig, check};
+use crate::installation::{Installation, InstallationConfig, check_load};
 use crate::instance::signal;
 use crate::link::Fault;
 use crate::load::{Load, RunningLoad};
@@ -132,7 +135,7 @@
             .borrow()
             .sent
             .values()
-            .filter(|sent| sent.at >= from && sent.at < until)
+            .filter(|sent| sent.sent_at >= from && sent.sent_at < until)
         {
             let (full, objective_s, degraded_part) = value_of(&sent.operation);
             if full == 0.0 {
@@ -140,9 +143,14 @@
             }
             count += 1;
             if let Some((at, 200)) = sent.answers.first()
-                && (*at - sent.at).as_secs_f64() <= objective_s
+                && (*at - sent.sent_at).as_secs_f64() <= objective_s
             {
-                sum += full * if sent.poorer { degraded_part } else { 1.0 };
+                sum += full
+                    * if sent.answered_without_call {
+                        degraded_part
+                    } else {
+                        1.0
+                    };
             }
         }
     }
@@ -167,9 +175,9 @@
     let hosts = 3;
     let part = |budget: usize| json!((budget / usize::from(hosts)).max(1));
     let budgets = match mode {
-        BudgetMode::Shares => aside(),
+        BudgetMode::Shares => base_budgets(),
         BudgetMode::Fixed => json!({ "catalogue": {
-            "again": part(RETRIES_PER_S), "probes": part(PROBES), "first": part(FIRST_CALLS_PER_S), "opened": part(OPENED),
+            "again": part(RETRIES_PER_S), "probes": part(PROBE_BUDGET), "first": part(FIRST_CALLS_PER_S), "opened": part(CONNECTION_BUDGET),
         } }),
         BudgetMode::Before => json!({}),
     };
@@ -187,23 +195,26 @@
         .filter(|_| mode == BudgetMode::Before)
         .unwrap_or(&plan.program);
     let mut installation = Installation::start(program, first_address, &made).await?;
-    let catalogue = installation.door.clone().ok_or(io::ErrorKind::NotFound)?;
+    let catalogue = installation
+        .shared_catalogue
+        .clone()
+        .ok_or(io::ErrorKind::NotFound)?;
     match mode {
         BudgetMode::Shares => {
-            _ = hold(
+            _ = propose_until_committed(
                 &installation,
-                &policy(&[("first", FIRST_CALLS_PER_S), ("again", RETRIES_PER_S)]),
+                &budget_policy(&[("first", FIRST_CALLS_PER_S), ("again", RETRIES_PER_S)]),
                 "budgets",
             )
             .await?
         }
         BudgetMode::Fixed | BudgetMode::Before => {}
     }
-    let loads = installation.load(plan.rate, seed).await?;
+    let loads = installation.start_load(plan.rate, seed).await?;
     pause(4.0).await;
     let baseline_start = Instant::now();
     pause(2.0).await;
-    let calls_per_s_before = CatalogueTraffic::of(&catalogue, baseline_start, Instant::now())
+    let calls_per_s_before = CatalogueTraffic::between(&catalogue, baseline_start, Instant::now())
         .calls
         .len() as f64
         / 2.0;
@@ -212,7 +223,7 @@
     catalogue.set_behavior(failure);
     pause(fault_after_s).await;
     let target_processes: Vec<u32> = match fault {
-        ProcessFault::StopLeader => installation.hosts[leader].agent().into_iter().collect(),
+        ProcessFault::StopLeader => installation.hosts[leader].agent_pid().into_iter().collect(),
         ProcessFault::StopInstances | ProcessFault::KillInstances => (0..usize::from(hosts))
             .flat_map(|host| installation.hosts[host].processes_of(0))
             .collect(),
@@ -224,17 +235,21 @@
         ProcessFault::StopLeader | ProcessFault::StopInstances => target_processes
             .iter()
             .for_each(|pid| signal(*pid, Signal::STOP)),
-        ProcessFault::CutLeader => installation.set_links(leader, true, true, Fault::Cut),
-        ProcessFault::HoldHost => {
-            installation.set_links((leader + 1) % usize::from(hosts), true, true, Fault::Held)
-        }
+        ProcessFault::CutLeader => installation.set_link_fault(leader, true, true, Fault::Cut),
+        ProcessFault::HoldHost => installation.set_link_fault(
+            (leader + 1) % usize::from(hosts),
+            true,
+            true,
+            Fault::Stalled,
+        ),
         ProcessFault::KillInstances => {
             let now = Instant::now();
             target_processes
                 .iter()
                 .for_each(|pid| signal(*pid, Signal::KILL));
             let killed = loads.iter().filter(|(_, place, ..)| *place == 0);
-            killed.for_each(|(.., running_load)| running_load.seen.borrow_mut().killed.push(now));
+            killed
+                .for_each(|(.., running_load)| running_load.seen.borrow_mut().killed_at.push(now));
         }
         ProcessFault::Restarts => {
             loads
@@ -249,7 +264,7 @@
             .iter()
             .for_each(|pid| signal(*pid, Signal::CONT)),
         ProcessFault::KillLeader => installation.hosts[leader].start_agent(program)?,
-        _ => installation.heal(),
+        _ => installation.clear_link_faults(),
     }
     pause((FAILURE_S - 2.5 - fault_after_s).max(0.0)).await;
     let recovered_at = Instant::now();
@@ -260,34 +275,34 @@
     let seconds = Duration::from_secs_f64;
     // A catalogue that fails completely receives only probes; one that is slow or fails partly is still called.
     let fails = matches!(failure, ServerBehavior::Errors | ServerBehavior::Hangs);
-    let failing = CatalogueTraffic::of(
+    let failing = CatalogueTraffic::between(
         &catalogue,
         failed_at + seconds(DETECTED_AFTER_S),
         recovered_at,
     );
-    let recovering = CatalogueTraffic::of(
+    let recovering = CatalogueTraffic::between(
         &catalogue,
         recovered_at,
         recovered_at + seconds(MIN_RECOVERY_S),
     );
-    let throughout = CatalogueTraffic::of(&catalogue, baseline_start, end);
+    let throughout = CatalogueTraffic::between(&catalogue, baseline_start, end);
     let mut record_worst = |kind, moments: &[Instant], budget: usize| {
         outcome
             .worst_second
-            .insert(kind, worst_second(moments) as f64 / budget as f64);
+            .insert(kind, max_in_a_second(moments) as f64 / budget as f64);
     };
     if fails {
-        record_worst("probes", &failing.calls, PROBES);
+        record_worst("probes", &failing.calls, PROBE_BUDGET);
         record_worst("first", &recovering.calls, FIRST_CALLS_PER_S);
-        let before_failure = CatalogueTraffic::of(&catalogue, baseline_start, failed_at);
-        record_worst("again", &before_failure.again, RETRIES_PER_S);
+        let before_failure = CatalogueTraffic::between(&catalogue, baseline_start, failed_at);
+        record_worst("again", &before_failure.retries, RETRIES_PER_S);
     } else {
-        record_worst("again", &throughout.again, RETRIES_PER_S);
+        record_worst("again", &throughout.retries, RETRIES_PER_S);
     }
-    record_worst("opened", &throughout.opened, OPENED);
+    record_worst("opened", &throughout.connections, CONNECTION_BUDGET);
     outcome.probes_s = failing.calls.len() as f64
         / (recovered_at - failed_at - seconds(DETECTED_AFTER_S)).as_secs_f64();
-    let after_recovery = CatalogueTraffic::of(&catalogue, recovered_at, end).calls;
+    let after_recovery = CatalogueTraffic::between(&catalogue, recovered_at, end).calls;
     outcome.first_call_s = after_recovery
         .first()
         .map_or(OBSERVED_AFTER_S, |at| (*at - recovered_at).as_secs_f64());
@@ -301,10 +316,10 @@
             after_recovery.iter().filter(within).count() as f64 >= 0.8 * calls_per_s_before
         });
     outcome.attempts_per_call = throughout.calls.len() as f64
-        / (throughout.calls.len() - throughout.again.len()).max(1) as f64;
+        / (throughout.calls.len() - throughout.retries.len()).max(1) as f64;
     let (sum, count) = served_value(&loads, failed_at, end);
     outcome.value = sum / count.max(1) as f64;
-    let verdict = check(&installation, loads).await;
+    let verdict = check_load(&installation, loads).await;
     (outcome.sent, outcome.lost, outcome.doubled) = (
         verdict.sent,
         verdict.lost,
--- a/crates/merlinshelf-testbed/src/experiments/shares_loop.rs
+++ b/crates/merlinshelf-testbed/src/experiments/shares_loop.rs
@@ -8,9 +8,9 @@
 use tokio::time::{Instant, sleep};
 
 use super::shares::{BudgetMode, Plan};
-use crate::budgets::{hold, policy};
+use crate::budgets::{budget_policy, propose_until_committed};
 use crate::fakes::ServerBehavior;
-use crate::installation::{Installation, InstallationConfig, check};
+use crate::installation::{Installation, InstallationConfig, check_load};
 use crate::load::{Load, RunningLoad};
 
 /// Duration of a catalogue call and the number of concurrent calls, which give a capacity of 400 calls per second.
@@ -38,7 +38,7 @@
 fn served(loads: &[(usize, u16, Load, RunningLoad)], from: Instant, until: Instant) -> f64 {
     let (mut sent, mut served) = (0_u32, 0_u32);
     for (.., load) in loads {
-        for (sent_at, served_at) in load.seen.borrow().wished.values() {
+        for (sent_at, served_at) in load.seen.borrow().first_attempts.values() {
             if *sent_at >= from && *sent_at < until {
                 sent += 1;
                 served += u32::from(served_at.is_some_and(|served_at| {
@@ -69,8 +69,8 @@
         instances,
         lease_ms: 2000,
         budgets,
-        needed: true,
-        below: CATALOGUE_CALLS,
+        calls_required: true,
+        catalogue_capacity: CATALOGUE_CALLS,
         ..InstallationConfig::default()
     };
     let program = plan
@@ -79,11 +79,14 @@
         .filter(|_| mode == BudgetMode::Before)
         .unwrap_or(&plan.program);
     let installation = Installation::start(program, address_number, &made).await?;
-    let catalogue = installation.door.clone().ok_or(io::ErrorKind::NotFound)?;
+    let catalogue = installation
+        .shared_catalogue
+        .clone()
+        .ok_or(io::ErrorKind::NotFound)?;
     if mode != BudgetMode::Before {
-        hold(
+        propose_until_committed(
             &installation,
-            &policy(&[("first", 300), ("again", 40), ("opened", 400)]),
+            &budget_policy(&[("first", 300), ("again", 40), ("opened", 400)]),
             "budgets",
         )
         .await?;
@@ -94,8 +97,9 @@
     for host in 0..3 {
         for instance in 0..instances {
             let seed = seed * 1000 + host as u64 * 50 + u64::from(instance);
-            let mut load = Load::of_all(&installation.address(host, instance), 4, rate, seed);
-            (load.tries, load.patience) = (tries, Duration::from_secs_f64(CALLER_TIMEOUT_S));
+            let mut load =
+                Load::with_example_operations(&installation.address(host, instance), 4, rate, seed);
+            (load.max_attempts, load.patience) = (tries, Duration::from_secs_f64(CALLER_TIMEOUT_S));
             let running_load = load.start().await?;
             loads.push((host, instance, load, running_load));
         }
@@ -127,9 +131,9 @@
     let (mut attempts, mut invocations) = (0, 0);
     for (.., load) in &loads {
         attempts += load.seen.borrow().sent.len();
-        invocations += load.seen.borrow().wished.len();
+        invocations += load.seen.borrow().first_attempts.len();
     }
-    let verdict = check(&installation, loads).await;
+    let verdict = check_load(&installation, loads).await;
     let (lost, doubled) = (verdict.lost, verdict.doubled + verdict.run_twice);
     Ok(Outcome {
         before,
--- a/crates/merlinshelf-testbed/src/experiments/upgrade.rs
+++ b/crates/merlinshelf-testbed/src/experiments/upgrade.rs
@@ -102,7 +102,8 @@
 pub async fn run(plan: &Plan) -> io::Result<(Value, bool)> {
     let mut rng = Pcg64Mcg::seed_from_u64(plan.seed);
     let mut instance = Instance::start(&plan.setup, 1).await?;
-    let load = Load::of_all(&instance.address, plan.connections, plan.rate, plan.seed);
+    let load =
+        Load::with_example_operations(&instance.address, plan.connections, plan.rate, plan.seed);
     let running_load = load.start().await?;
     sleep(Duration::from_millis(1500)).await;
     let status_before = instance.status().await?;
@@ -114,7 +115,7 @@
             &mut rng,
             plan.fail,
             plan.hangs,
-            plan.setup.watched.as_millis() as u64,
+            plan.setup.probation.as_millis() as u64,
         );
         let round = run_round(&instance, successor, behavior).await?;
         if round.final_stage == "done" {
@@ -153,8 +154,8 @@
             .max();
         round.stall = Duration::from_micros(worst.saturating_sub(ordinary.value_at_quantile(0.5)));
     }
-    instance.leave().await?;
-    let _ = instance.first_ended().await;
+    instance.drain().await?;
+    let _ = instance.wait_for_first_exit().await;
     Ok(report(
         plan,
         &rounds,
@@ -167,7 +168,7 @@
 
 /// Requests an upgrade to a successor that runs this shell script, and returns the final stage of the upgrade.
 pub async fn request_upgrade(instance: &Instance, script: &str) -> io::Result<String> {
-    instance.successor_is(script)?;
+    instance.set_successor_script(script)?;
     let mut client = instance.ask(ControlRequest::Upgrade).await?;
     loop {
         let (message, report) = client.next_reply().await?;
@@ -183,15 +184,15 @@
     successor: &Path,
     behavior: SuccessorBehavior,
 ) -> io::Result<Round> {
-    instance.successor_is(&behavior.script(successor))?;
-    let successors_before = instance.values("successor").len();
+    instance.set_successor_script(&behavior.script(successor))?;
+    let successors_before = instance.log_values("successor").len();
     let started = Instant::now();
     let mut client = instance.ask(ControlRequest::Upgrade).await?;
     let mut final_stage = String::new();
     let mut peak_usage = (0, 0);
     loop {
         let (message, report) = client.next_reply().await?;
-        let usage = instance.together();
+        let usage = instance.memory_and_descriptors();
         peak_usage = (usage.0.max(peak_usage.0), usage.1.max(peak_usage.1));
         match (message, report["stage"].as_str().unwrap_or(""), behavior) {
             (ControlMessage::More, "starting", SuccessorBehavior::KilledAfterStart(after)) => {
@@ -227,7 +228,7 @@
 impl Instance {
     async fn wait_for_successor(&self, successors_before: usize) -> io::Result<()> {
         let deadline = Instant::now() + Duration::from_secs(5);
-        while self.values("successor").len() <= successors_before {
+        while self.log_values("successor").len() <= successors_before {
             if Instant::now() >= deadline {
                 return Err(io::Error::other(
                     "no successor was started within 5 s of the upgrade request",
--- a/crates/merlinshelf-testbed/src/experiments/uwsgi.rs
+++ b/crates/merlinshelf-testbed/src/experiments/uwsgi.rs
@@ -50,24 +50,24 @@
     let mut setup = Setup::small(&plan.program);
     (
         setup.uwsgi,
-        setup.manner.run_duration,
+        setup.fakes.run_duration,
         setup.cores,
-        setup.manner.cores,
+        setup.fakes.cores,
     ) = (true, RUN_DURATION, 2, 2.0);
     let mut instance = Instance::start(&setup, address_number).await?;
     let load = Load {
-        front,
-        ..Load::of_all(&instance.address, 24, plan.rate, seed)
+        front_protocol: front,
+        ..Load::with_example_operations(&instance.address, 24, plan.rate, seed)
     };
-    let cpu_before = instance.cpu()?;
+    let cpu_before = instance.cpu_time()?;
     let running_load = load.start().await?;
     sleep(LOAD_DURATION).await;
-    let cpu = instance.cpu()? - cpu_before;
+    let cpu = instance.cpu_time()? - cpu_before;
     let sent_count = running_load.seen.borrow().sent.len();
-    instance.leave().await?;
+    instance.drain().await?;
     let seen = running_load.stop().await.take();
     let verdict = seen.check(&instance.records.borrow(), load.patience);
-    instance.end().await;
+    instance.kill_all().await;
     let mut counts = OperationCounts::new();
     for sent in seen.sent.values() {
         let count = counts.entry(sent.operation.clone()).or_default();
--- a/crates/merlinshelf-testbed/src/fleet.rs
+++ b/crates/merlinshelf-testbed/src/fleet.rs
@@ -17,7 +17,7 @@
 use tokio::time::{Instant, sleep};
 
 use crate::fakes::{Catalogue, Engine, MembershipService, Records, SharedRecords};
-use crate::instance::{Setup, own_address_at, processes_where, signal};
+use crate::instance::{Setup, process_address_at, processes_with_argument, signal};
 use crate::load::{Load, RunningLoad, Verdict};
 use crate::script::EXAMPLE_CONFIG;
 
@@ -82,7 +82,7 @@
             std::env::temp_dir().join(format!("merlinshelf-fleet-{}-{number}", std::process::id()));
         let _ = std::fs::remove_dir_all(&folder);
         std::fs::create_dir_all(&folder)?;
-        let manner = Setup::small(program).manner;
+        let manner = Setup::small(program).fakes;
         let bind = || TcpListener::bind("127.0.0.1:0");
         let (catalogue, members) = (bind().await?, bind().await?);
         let mut config: Value = serde_json::from_str(EXAMPLE_CONFIG)?;
@@ -98,7 +98,7 @@
         let mut records = Vec::new();
         for place in 0..count {
             let own: SharedRecords = Rc::new(RefCell::new(Records::default()));
-            let listener = TcpListener::bind(own_address_at(number, ENGINE + place)).await?;
+            let listener = TcpListener::bind(process_address_at(number, ENGINE + place)).await?;
             Engine::start(listener, manner.clone(), own.clone());
             records.push(own);
         }
@@ -109,7 +109,7 @@
             "restarts": { "pause_ms": 200, "at_once": 8, "hangs_ms": 2500 },
             "groups": { "web": {
                 "count": count, "program": program, "config": "config.json",
-                "listen": own_address_at(number, LISTEN), "engine": own_address_at(number, ENGINE),
+                "listen": process_address_at(number, LISTEN), "engine": process_address_at(number, ENGINE),
                 "learning": true, "descriptors": 2048,
             } },
         });
@@ -122,7 +122,7 @@
             count,
             records,
         };
-        rig.agent()?;
+        rig.start_agent()?;
         Ok(rig)
     }
 
@@ -130,7 +130,7 @@
     ///
     /// # Errors
     /// The program can't be started.
-    pub fn agent(&mut self) -> io::Result<()> {
+    pub fn start_agent(&mut self) -> io::Result<()> {
         let log = std::fs::OpenOptions::new()
             .create(true)
             .append(true)
@@ -152,7 +152,7 @@
         }
     }
 
-    pub fn agent_id(&self) -> Option<u32> {
+    pub fn agent_pid(&self) -> Option<u32> {
         self.agent.as_ref().and_then(Child::id)
     }
 
@@ -160,7 +160,7 @@
     ///
     /// # Errors
     /// It does not end.
-    pub async fn end_agent(&mut self) -> io::Result<Option<i32>> {
+    pub async fn terminate_agent(&mut self) -> io::Result<Option<i32>> {
         let Some(mut agent) = self.agent.take() else {
             return Ok(None);
         };
@@ -203,7 +203,7 @@
     ///
     /// # Errors
     /// They never are.
-    pub async fn when(&self, state: &str, count: usize) -> io::Result<()> {
+    pub async fn wait_for_state(&self, state: &str, count: usize) -> io::Result<()> {
         let until = Instant::now() + PATIENCE;
         loop {
             let found = self.status().await;
@@ -244,21 +244,21 @@
     /// Processes of the instances, whoever was started with this folder's files.
     pub fn processes(&self) -> Vec<u32> {
         let own = self.folder.join("run").to_string_lossy().into_owned();
-        processes_where(|word| word.starts_with(&own))
+        processes_with_argument(|word| word.starts_with(&own))
     }
 
     pub fn address(&self, place: u16) -> String {
-        own_address_at(self.number, LISTEN + place)
+        process_address_at(self.number, LISTEN + place)
     }
 
     /// Sends to every instance, each with ids of its own.
     ///
     /// # Errors
     /// One can't be reached.
-    pub async fn load(&self, rate: f64, seed: u64) -> io::Result<Vec<(Load, RunningLoad)>> {
+    pub async fn start_load(&self, rate: f64, seed: u64) -> io::Result<Vec<(Load, RunningLoad)>> {
         let mut all = Vec::new();
         for place in 0..self.count {
-            let load = Load::of_all(
+            let load = Load::with_example_operations(
                 &self.address(place),
                 6,
                 rate,
@@ -271,7 +271,7 @@
     }
 
     /// Stops sending, and holds everything against what came back and what ran, by instance.
-    pub async fn check(&self, playing: Vec<(Load, RunningLoad)>) -> Vec<Verdict> {
+    pub async fn stop_and_check(&self, playing: Vec<(Load, RunningLoad)>) -> Vec<Verdict> {
         // All stop at once, then each is waited for.
         playing
             .iter()
@@ -286,7 +286,7 @@
 }
 
 /// All verdicts as one.
-pub fn sum(verdicts: &[Verdict]) -> Verdict {
+pub fn combined_verdict(verdicts: &[Verdict]) -> Verdict {
     let mut sum = Verdict::default();
     for one in verdicts {
         sum.sent += one.sent;
--- a/crates/merlinshelf-testbed/src/installation.rs
+++ b/crates/merlinshelf-testbed/src/installation.rs
@@ -17,8 +17,8 @@
 use tokio::time::{Instant, sleep};
 
 use crate::fakes::{Catalogue, Engine, MembershipService, Records, Server, SharedRecords};
-use crate::fleet::{ask_agent, sum};
-use crate::instance::{Setup, own_address_at, processes_where, signal};
+use crate::fleet::{ask_agent, combined_verdict};
+use crate::instance::{Setup, process_address_at, processes_with_argument, signal};
 use crate::link::{Fault, Link};
 use crate::load::{Load, RunningLoad, Verdict};
 use crate::script::EXAMPLE_CONFIG;
@@ -34,15 +34,15 @@
 
 /// Operations of which each policy of the trial lets one in: an answer to it shows by which policy it was admitted, whatever
 /// anybody says. The base policy lets in none.
-pub const SIGNS: [&str; 3] = ["sign-0", "sign-1", "sign-2"];
+pub const MARKER_OPERATIONS: [&str; 3] = ["sign-0", "sign-1", "sign-2"];
 
 /// A policy that lets this sign in and no other.
-pub fn policy_of(sign: usize) -> Value {
-    let closed = (0..SIGNS.len()).filter(|other| *other != sign);
+pub fn policy_admitting(sign: usize) -> Value {
+    let closed = (0..MARKER_OPERATIONS.len()).filter(|other| *other != sign);
     let operations: BTreeMap<&str, Value> = closed
-        .map(|other| (SIGNS[other], json!({ "admit": false })))
+        .map(|other| (MARKER_OPERATIONS[other], json!({ "admit": false })))
         .collect();
-    json!({ "note": SIGNS[sign], "operations": operations })
+    json!({ "note": MARKER_OPERATIONS[sign], "operations": operations })
 }
 
 pub struct Host {
@@ -65,15 +65,15 @@
     pub lease_ms: u64,
     pub watch_ms: u64,
     /// Without one there is no policy for all: files and restarts, as before there was.
-    pub council: bool,
+    pub with_consensus: bool,
     /// Budgets of the base policy, with one catalogue for all hosts; null: none, and a catalogue for each host.
     pub budgets: Value,
     /// Each host stands in a zone of its own.
-    pub zones: bool,
+    pub zone_per_host: bool,
     /// No operation can do without its call.
-    pub needed: bool,
+    pub calls_required: bool,
     /// How long the catalogue of all takes for a call, and on how many it works at one time.
-    pub below: (Duration, usize),
+    pub catalogue_capacity: (Duration, usize),
 }
 
 impl Default for InstallationConfig {
@@ -84,24 +84,24 @@
             instances,
             lease_ms,
             watch_ms,
-            council: true,
+            with_consensus: true,
             budgets: Value::Null,
-            zones: false,
-            needed: false,
-            below: BELOW,
+            zone_per_host: false,
+            calls_required: false,
+            catalogue_capacity: BELOW,
         }
     }
 }
 
 pub struct Installation {
     pub program: PathBuf,
-    pub made: InstallationConfig,
+    pub config: InstallationConfig,
     pub hosts: Vec<Host>,
     /// From one host to another.
     pub links: BTreeMap<(usize, usize), Link>,
     /// The catalogue of all, and each host's way to it, where there are budgets.
-    pub door: Option<Rc<Server>>,
-    pub ways: Vec<Link>,
+    pub shared_catalogue: Option<Rc<Server>>,
+    pub catalogue_links: Vec<Link>,
 }
 
 impl Drop for Installation {
@@ -131,7 +131,7 @@
     }
 
     /// The control socket of one instance.
-    pub fn control(&self, place: u16) -> PathBuf {
+    pub fn control_socket(&self, place: u16) -> PathBuf {
         self.folder
             .join("run")
             .join(format!("web.{place}"))
@@ -139,11 +139,11 @@
     }
 
     /// Where the agent keeps its part of the log.
-    pub fn council(&self) -> PathBuf {
+    pub fn consensus_folder(&self) -> PathBuf {
         self.folder.join("run").join("council").join("council")
     }
 
-    pub fn agent(&self) -> Option<u32> {
+    pub fn agent_pid(&self) -> Option<u32> {
         self.agent.as_ref().and_then(Child::id)
     }
 
@@ -175,7 +175,7 @@
     }
 
     /// Whether the agent that was started here is no more.
-    pub fn agent_ended(&mut self) -> bool {
+    pub fn agent_exited(&mut self) -> bool {
         self.agent
             .as_mut()
             .is_none_or(|agent| !matches!(agent.try_wait(), Ok(None)))
@@ -191,7 +191,7 @@
     /// Processes of the instances: whoever was started with this host's files.
     pub fn processes(&self) -> Vec<u32> {
         let own = self.folder.join("run").to_string_lossy().into_owned();
-        processes_where(|word| word.starts_with(&own))
+        processes_with_argument(|word| word.starts_with(&own))
     }
 
     /// Processes of one instance.
@@ -201,7 +201,7 @@
             .join("run")
             .join(format!("web.{place}"))
             .join("config.json");
-        processes_where(|word| Path::new(word) == own)
+        processes_with_argument(|word| Path::new(word) == own)
     }
 
     /// Asks the agent; all that it says, the last word last.
@@ -216,7 +216,7 @@
     ///
     /// # Errors
     /// It does not answer.
-    pub async fn plan_over(&self) -> io::Result<Value> {
+    pub async fn wait_for_plan_end(&self) -> io::Result<Value> {
         loop {
             let plan = self
                 .ask(&json!({ "op": "plan" }))
@@ -235,7 +235,11 @@
     ///
     /// # Errors
     /// It does not answer.
-    pub async fn policy(&self, what: &str, more: Value) -> io::Result<(ControlMessage, Value)> {
+    pub async fn policy_request(
+        &self,
+        what: &str,
+        more: Value,
+    ) -> io::Result<(ControlMessage, Value)> {
         let mut body = json!({ "op": "policy", "what": what });
         for (name, value) in more.as_object().into_iter().flatten() {
             body[name] = value.clone();
@@ -257,13 +261,16 @@
         number: u8,
         made: &InstallationConfig,
     ) -> io::Result<Installation> {
-        let manner = Setup::small(program).manner;
+        let manner = Setup::small(program).fakes;
         let names: Vec<String> = (0..made.hosts).map(|place| format!("h{place}")).collect();
         let mut hosts = Vec::new();
         let mut links = BTreeMap::new();
         let with_budgets = !made.budgets.is_null();
         let door = if with_budgets {
-            Some(Server::with_concurrency(made.below.0, made.below.1).await?)
+            Some(
+                Server::with_concurrency(made.catalogue_capacity.0, made.catalogue_capacity.1)
+                    .await?,
+            )
         } else {
             None
         };
@@ -279,7 +286,7 @@
             let mut config: Value = serde_json::from_str(EXAMPLE_CONFIG)?;
             config["backend"] = json!(catalogue.local_addr()?.to_string());
             if let Some(door) = &door {
-                let at = own_address_at(own, WAY);
+                let at = process_address_at(own, WAY);
                 ways.push(Link::start(&at, door.address.clone()).await?);
                 config["backend"] = json!(at);
             }
@@ -289,10 +296,10 @@
                 (json!(8), json!(152_880.0), json!(32));
             info["ClassCalls"] = json!([true, false, true, false, false, false]);
             info["ClassSkipWorth"] = json!([0.3, 0.0, 0.5, 0.0, 0.0, 0.0]);
-            if made.needed {
+            if made.calls_required {
                 info["ClassSkipWorth"] = json!([0.0, 0.0, 0.0, 0.0, 0.0, 0.0]);
             }
-            for sign in SIGNS {
+            for sign in MARKER_OPERATIONS {
                 if let Some(classes) = config["settings"]["Classes"].as_array_mut() {
                     classes.push(json!({
                         "Name": sign, "AimUs": 2_000_000, "DeadlineUs": 4_000_000, "Effect": "read_like",
@@ -307,22 +314,23 @@
             let mut records = Vec::new();
             for instance in 0..made.instances {
                 let record: SharedRecords = Rc::new(RefCell::new(Records::default()));
-                let listener = TcpListener::bind(own_address_at(own, ENGINE + instance)).await?;
+                let listener =
+                    TcpListener::bind(process_address_at(own, ENGINE + instance)).await?;
                 Engine::start(listener, manner.clone(), record.clone());
                 records.push(record);
             }
             let mut agents: BTreeMap<&String, String> = BTreeMap::new();
             for (other, to) in names.iter().enumerate() {
-                let address = own_address_at(number + other as u8, COUNCIL);
+                let address = process_address_at(number + other as u8, COUNCIL);
                 if other == place {
                     agents.insert(to, address);
                 } else {
-                    let at = own_address_at(own, LINK + other as u16);
+                    let at = process_address_at(own, LINK + other as u16);
                     links.insert((place, other), Link::start(&at, address).await?);
                     agents.insert(to, at);
                 }
             }
-            let closed: BTreeMap<&str, Value> = SIGNS
+            let closed: BTreeMap<&str, Value> = MARKER_OPERATIONS
                 .iter()
                 .map(|sign| (*sign, json!({ "admit": false })))
                 .collect();
@@ -332,26 +340,29 @@
                 "change": { "out_at_once": 1, "floor": 0.5, "warm_ms": 200, "looked_ms": 300, "worse": 0.5 },
                 "restarts": { "pause_ms": 200, "at_once": 8, "hangs_ms": 60000 },
                 "council": {
-                    "name": name, "listen": own_address_at(own, COUNCIL), "agents": agents, "lease_ms": made.lease_ms,
+                    "name": name, "listen": process_address_at(own, COUNCIL), "agents": agents, "lease_ms": made.lease_ms,
                     "base": { "note": "lets no sign in", "operations": closed }, "watch_ms": made.watch_ms,
                 },
                 "groups": { "web": {
                     "count": made.instances, "program": program, "config": "config.json",
-                    "listen": own_address_at(own, LISTEN), "engine": own_address_at(own, ENGINE), "descriptors": 2048,
+                    "listen": process_address_at(own, LISTEN), "engine": process_address_at(own, ENGINE), "descriptors": 2048,
                 } },
             });
             if with_budgets {
                 wanted["council"]["base"]["budgets"] = made.budgets.clone();
             }
-            if made.zones {
+            if made.zone_per_host {
                 wanted["council"]["zone"] = json!(format!("z{place}"));
             }
-            if !made.council {
+            if !made.with_consensus {
                 wanted
                     .as_object_mut()
                     .map(|wanted| wanted.remove("council"));
                 let path = folder.join("config.json");
-                std::fs::write(&path, with_sign(&std::fs::read_to_string(&path)?, 0)?)?;
+                std::fs::write(
+                    &path,
+                    config_admitting(&std::fs::read_to_string(&path)?, 0)?,
+                )?;
             }
             std::fs::write(folder.join("fleet.json5"), wanted.to_string())?;
             hosts.push(Host {
@@ -366,16 +377,16 @@
         }
         let mut all = Installation {
             program: program.into(),
-            made: made.clone(),
+            config: made.clone(),
             hosts,
             links,
-            door,
-            ways,
+            shared_catalogue: door,
+            catalogue_links: ways,
         };
         for host in &mut all.hosts {
             host.start_agent(program)?;
         }
-        if !made.council {
+        if !made.with_consensus {
             let serving = |said: &[(ControlMessage, Value)]| {
                 said.last()
                     .and_then(|(_, sum)| sum["states"]["serving"].as_u64())
@@ -392,7 +403,7 @@
             }
             return Ok(all);
         }
-        all.when("all sit and serve", |shows| {
+        all.wait_until("all sit and serve", |shows| {
             shows.iter().all(|show| {
                 let instances = show["instances"].as_array().map_or(0, Vec::len);
                 show["leader"].is_string()
@@ -405,11 +416,14 @@
     }
 
     /// What each agent shows of policies; an empty one of whoever does not answer.
-    pub async fn shows(&self) -> Vec<Value> {
+    pub async fn policy_reports(&self) -> Vec<Value> {
         let mut shows = Vec::new();
         for host in &self.hosts {
-            let said =
-                tokio::time::timeout(Duration::from_secs(2), host.policy("show", json!({}))).await;
+            let said = tokio::time::timeout(
+                Duration::from_secs(2),
+                host.policy_request("show", json!({})),
+            )
+            .await;
             shows.push(
                 said.ok()
                     .and_then(Result::ok)
@@ -424,16 +438,20 @@
     ///
     /// # Errors
     /// It never is.
-    pub async fn when(&self, what: &str, is: impl Fn(&[Value]) -> bool) -> io::Result<Vec<Value>> {
+    pub async fn wait_until(
+        &self,
+        what: &str,
+        is: impl Fn(&[Value]) -> bool,
+    ) -> io::Result<Vec<Value>> {
         let until = Instant::now() + PATIENCE;
         loop {
-            let shows = self.shows().await;
-            if is(&shows) {
-                return Ok(shows);
+            let policy_reports = self.policy_reports().await;
+            if is(&policy_reports) {
+                return Ok(policy_reports);
             }
             if Instant::now() >= until {
                 let logs: Vec<String> = self.hosts.iter().map(Host::log).collect();
-                let shows: Vec<String> = shows.iter().map(Value::to_string).collect();
+                let shows: Vec<String> = policy_reports.iter().map(Value::to_string).collect();
                 return Err(io::Error::other(format!(
                     "never: {what}\n{}\n{}",
                     shows.join("\n"),
@@ -446,7 +464,7 @@
 
     /// The host that leads, as most see it.
     pub async fn leader(&self) -> Option<usize> {
-        let shows = self.shows().await;
+        let shows = self.policy_reports().await;
         let named = shows.iter().filter_map(|show| show["leader"].as_str());
         let mut votes: BTreeMap<&str, usize> = BTreeMap::new();
         named.for_each(|name| *votes.entry(name).or_default() += 1);
@@ -455,7 +473,7 @@
     }
 
     /// A fault on all links between one host and the others, to it, from it, or both.
-    pub fn set_links(&self, host: usize, to: bool, from: bool, fault: Fault) {
+    pub fn set_link_fault(&self, host: usize, to: bool, from: bool, fault: Fault) {
         for ((one, other), link) in &self.links {
             if from && *one == host || to && *other == host {
                 link.set(fault);
@@ -463,29 +481,30 @@
         }
     }
 
-    pub fn heal(&self) {
+    pub fn clear_link_faults(&self) {
         self.links.values().for_each(|link| link.set(Fault::None));
     }
 
     pub fn address(&self, host: usize, place: u16) -> String {
-        own_address_at(self.hosts[host].number, LISTEN + place)
+        process_address_at(self.hosts[host].number, LISTEN + place)
     }
 
     /// Sends to every instance of every host, signs and other work.
     ///
     /// # Errors
     /// One can't be reached.
-    pub async fn load(
+    pub async fn start_load(
         &self,
         rate: f64,
         seed: u64,
     ) -> io::Result<Vec<(usize, u16, Load, RunningLoad)>> {
         let mut all = Vec::new();
         for host in 0..self.hosts.len() {
-            for place in 0..self.made.instances {
+            for place in 0..self.config.instances {
                 let seed = seed * 1000 + host as u64 * 50 + u64::from(place);
-                let mut load = Load::of_all(&self.address(host, place), 4, rate, seed);
-                load.operations.extend(SIGNS.map(str::to_owned));
+                let mut load =
+                    Load::with_example_operations(&self.address(host, place), 4, rate, seed);
+                load.operations.extend(MARKER_OPERATIONS.map(str::to_owned));
                 // One that is being started does not listen yet.
                 let until = Instant::now() + Duration::from_secs(5);
                 let playing = loop {
@@ -505,14 +524,17 @@
 ///
 /// # Errors
 /// It is no configuration.
-pub fn with_sign(config: &str, sign: usize) -> io::Result<String> {
+pub fn config_admitting(config: &str, sign: usize) -> io::Result<String> {
     let mut config: Value = serde_json::from_str(config)?;
     for class in config["settings"]["Classes"]
         .as_array_mut()
         .into_iter()
         .flatten()
     {
-        if let Some(of) = SIGNS.iter().position(|name| class["Name"] == *name) {
+        if let Some(of) = MARKER_OPERATIONS
+            .iter()
+            .position(|name| class["Name"] == *name)
+        {
             class["AimUs"] = json!(if of == sign { 2_000_000 } else { 0 });
         }
     }
@@ -522,22 +544,24 @@
 /// A change as whoever proposed it saw it: when, which sign it lets in, and whether it holds in the end.
 #[derive(Clone, Debug)]
 pub struct Changed {
-    pub proposed: Instant,
-    pub sign: usize,
-    pub held: bool,
+    pub proposed_at: Instant,
+    pub marker: usize,
+    pub committed: bool,
 }
 
 /// An answer that shows by which policy it was admitted: sent, answered, sign.
 pub type Evidence = (Instant, Instant, usize);
 
 /// All evidence of a play.
-pub fn evidence(playing: &[(usize, u16, Load, RunningLoad)]) -> Vec<Evidence> {
+pub fn collect_evidence(playing: &[(usize, u16, Load, RunningLoad)]) -> Vec<Evidence> {
     let mut all = Vec::new();
     for (.., playing) in playing {
         for sent in playing.seen.borrow().sent.values() {
-            let sign = SIGNS.iter().position(|sign| *sign == sent.operation);
+            let sign = MARKER_OPERATIONS
+                .iter()
+                .position(|sign| *sign == sent.operation);
             if let (Some(sign), Some((at, 200))) = (sign, sent.answers.first()) {
-                all.push((sent.at, *at, sign));
+                all.push((sent.sent_at, *at, sign));
             }
         }
     }
@@ -547,12 +571,12 @@
 
 /// What breaks the promises: served after a later policy had shown itself, or by a policy that was refused or not yet
 /// proposed. Neighbouring changes let in different signs, also one that is refused and the next one.
-pub fn out_of_order(changes: &[Changed], evidence: &[Evidence]) -> (u64, u64) {
-    let held: Vec<&Changed> = changes.iter().filter(|change| change.held).collect();
+pub fn count_violations(changes: &[Changed], evidence: &[Evidence]) -> (u64, u64) {
+    let held: Vec<&Changed> = changes.iter().filter(|change| change.committed).collect();
     // From its proposal until the first answer that shows the next one.
     let first = |place: usize| {
-        let (from, sign) = (held[place].proposed, held[place].sign);
-        let until = held.get(place + 3).map(|later| later.proposed);
+        let (from, sign) = (held[place].proposed_at, held[place].marker);
+        let until = held.get(place + 3).map(|later| later.proposed_at);
         evidence.iter().find(|(sent, at, of)| {
             *of == sign && *at >= from && until.is_none_or(|until| *sent < until)
         })
@@ -565,7 +589,7 @@
         // The change by which this may have been admitted: the last one with its sign that was proposed by then.
         let by = (0..held.len())
             .rev()
-            .find(|place| held[*place].sign == *sign && held[*place].proposed <= *at);
+            .find(|place| held[*place].marker == *sign && held[*place].proposed_at <= *at);
         match by {
             None => halves += 1,
             Some(place) => {
@@ -581,7 +605,10 @@
 }
 
 /// Stops sending, and holds everything against what came back and what ran.
-pub async fn check(all: &Installation, playing: Vec<(usize, u16, Load, RunningLoad)>) -> Verdict {
+pub async fn check_load(
+    all: &Installation,
+    playing: Vec<(usize, u16, Load, RunningLoad)>,
+) -> Verdict {
     playing
         .iter()
         .for_each(|(.., playing)| playing.seen.borrow_mut().stop());
@@ -591,5 +618,5 @@
         let records = &all.hosts[host].records[usize::from(place)];
         verdicts.push(seen.borrow().check(&records.borrow(), load.patience));
     }
-    sum(&verdicts)
+    combined_verdict(&verdicts)
 }
--- a/crates/merlinshelf-testbed/src/instance.rs
+++ b/crates/merlinshelf-testbed/src/instance.rs
@@ -30,16 +30,16 @@
     pub cores: u32,
     pub memory_mb: u64,
     pub sockets: u64,
-    pub watched: Duration,
-    pub silent: Duration,
+    pub probation: Duration,
+    pub heartbeat_timeout: Duration,
     /// From the notice to leave until the process must be gone.
-    pub stop: Duration,
+    pub stop_deadline: Duration,
     /// What two processes together may hold and use.
     pub descriptors: u64,
-    pub both_mb: u64,
+    pub combined_memory_mb: u64,
     /// What the operations do, in the words of the settings: `read_like` may be run and called again.
     pub effect: String,
-    pub manner: FakeBehavior,
+    pub fakes: FakeBehavior,
     /// The instance's name where it is not n0, so that peers tell each other apart.
     pub name: String,
     /// What the operators' file says of learning; none: off. The folder is one of the instance's own where it says `true`.
@@ -64,13 +64,13 @@
             cores: 8,
             memory_mb: 192,
             sockets: 1024,
-            watched: Duration::from_millis(800),
-            silent: Duration::from_millis(250),
-            stop: Duration::from_millis(3200),
+            probation: Duration::from_millis(800),
+            heartbeat_timeout: Duration::from_millis(250),
+            stop_deadline: Duration::from_millis(3200),
             descriptors: 4096,
-            both_mb: 1024,
+            combined_memory_mb: 1024,
             effect: "read_like".into(),
-            manner: FakeBehavior {
+            fakes: FakeBehavior {
                 run_duration: work,
                 cores: 8.0,
                 calling_operations: calling,
@@ -111,17 +111,17 @@
 }
 
 /// An address that no other process of this machine uses: a port that was free a moment ago may be anybody's by now.
-pub fn own_address(number: u8) -> String {
-    own_address_at(number, 6565)
+pub fn process_address(number: u8) -> String {
+    process_address_at(number, 6565)
 }
 
 /// Where an instance is asked by its peers.
 pub fn peer_address(number: u8) -> String {
-    own_address_at(number, 7400)
+    process_address_at(number, 7400)
 }
 
 /// The same, with a port of one's own choice.
-pub fn own_address_at(number: u8, port: u16) -> String {
+pub fn process_address_at(number: u8, port: u16) -> String {
     let [.., high, low] = std::process::id().to_be_bytes();
     format!("127.{}.{low}.{number}:{port}", 1 + high % 250)
 }
@@ -133,7 +133,7 @@
 }
 
 /// Processes one of whose words on the command line is as it should be, by the pages that they have under `/proc`.
-pub fn processes_where(is: impl Fn(&str) -> bool) -> Vec<u32> {
+pub fn processes_with_argument(is: impl Fn(&str) -> bool) -> Vec<u32> {
     let all = std::fs::read_dir("/proc").into_iter().flatten().flatten();
     let pids = all.filter_map(|one| one.file_name().to_str()?.parse::<u32>().ok());
     let started = |pid: &u32| {
@@ -155,7 +155,7 @@
         let bind = || TcpListener::bind("127.0.0.1:0");
         let (engine, catalogue, members) = (bind().await?, bind().await?, bind().await?);
         let mut config: Value = serde_json::from_str(EXAMPLE_CONFIG)?;
-        let address = own_address(number);
+        let address = process_address(number);
         config["listen"] = json!(address);
         config["engine"] = json!(engine.local_addr()?.to_string());
         config["backend"] = json!(catalogue.local_addr()?.to_string());
@@ -176,18 +176,18 @@
         {
             class["Effect"] = json!(setup.effect);
         }
-        config["stop_ms"] = json!(setup.stop.as_millis() as u64);
+        config["stop_ms"] = json!(setup.stop_deadline.as_millis() as u64);
         let control = folder.join("control");
         let mut operator = json!({
             "control": { "socket": control },
             "log": { "format": "json" },
             "upgrade": {
                 "program": folder.join("successor"),
-                "watched_ms": setup.watched.as_millis() as u64,
-                "silent_ms": setup.silent.as_millis() as u64,
+                "watched_ms": setup.probation.as_millis() as u64,
+                "silent_ms": setup.heartbeat_timeout.as_millis() as u64,
                 "ready_ms": 3000,
                 "descriptors": setup.descriptors,
-                "memory_mb": setup.both_mb,
+                "memory_mb": setup.combined_memory_mb,
             },
         });
         if let Some(learning) = &setup.learning {
@@ -210,9 +210,9 @@
         }
         std::fs::write(folder.join("config.json"), config.to_string())?;
         std::fs::write(folder.join("operator.json5"), operator.to_string())?;
-        Engine::start(engine, setup.manner.clone(), records.clone());
-        Catalogue::start(catalogue, setup.manner.clone(), records.clone());
-        MembershipService::start(members, setup.manner.verbose);
+        Engine::start(engine, setup.fakes.clone(), records.clone());
+        Catalogue::start(catalogue, setup.fakes.clone(), records.clone());
+        MembershipService::start(members, setup.fakes.verbose);
         let log = Rc::<RefCell<Vec<Value>>>::default();
         let child = launch(&setup.program, &folder, &log)?;
         let setup = setup.clone();
@@ -225,16 +225,16 @@
             child,
             log,
         };
-        instance.successor_is(&format!(
+        instance.set_successor_script(&format!(
             "exec '{}' \"$@\"",
             instance.setup.program.display()
         ))?;
-        instance.logged("the engine is up", 1).await?;
+        instance.wait_for_log("the engine is up", 1).await?;
         Ok(instance)
     }
 
     /// What the successor's program is from here on, as lines of a shell.
-    pub fn successor_is(&self, lines: &str) -> io::Result<()> {
+    pub fn set_successor_script(&self, lines: &str) -> io::Result<()> {
         use std::os::unix::fs::PermissionsExt;
         let (path, beside) = (
             self.folder.join("successor"),
@@ -250,9 +250,9 @@
     }
 
     /// Waits until the log holds so many lines with this text.
-    pub async fn logged(&self, text: &str, times: usize) -> io::Result<()> {
+    pub async fn wait_for_log(&self, text: &str, times: usize) -> io::Result<()> {
         let until = Instant::now() + PATIENCE;
-        while self.lines_with(text) < times {
+        while self.count_log_lines(text) < times {
             if Instant::now() >= until {
                 let log: Vec<String> = self.log.borrow().iter().map(Value::to_string).collect();
                 return Err(io::Error::other(format!(
@@ -265,7 +265,7 @@
         Ok(())
     }
 
-    pub fn lines_with(&self, text: &str) -> usize {
+    pub fn count_log_lines(&self, text: &str) -> usize {
         let log = self.log.borrow();
         log.iter()
             .filter(|line| {
@@ -277,7 +277,7 @@
     }
 
     /// The values of a key in the log's lines, in order.
-    pub fn values(&self, key: &str) -> Vec<u64> {
+    pub fn log_values(&self, key: &str) -> Vec<u64> {
         self.log
             .borrow()
             .iter()
@@ -298,7 +298,7 @@
     ///
     /// # Errors
     /// The file can't be written.
-    pub fn depends_on(&self, dependencies: &Value) -> io::Result<()> {
+    pub fn set_dependencies(&self, dependencies: &Value) -> io::Result<()> {
         let path = self.folder.join("operator.json5");
         let mut operator: Value = serde_json::from_str(&std::fs::read_to_string(&path)?)?;
         operator["dependencies"] = dependencies.clone();
@@ -312,7 +312,7 @@
     /// All processes that were ever started here, the last one last.
     pub fn processes(&self) -> Vec<u32> {
         let successors = self
-            .values("successor")
+            .log_values("successor")
             .into_iter()
             .filter_map(|id| u32::try_from(id).ok());
         self.child.id().into_iter().chain(successors).collect()
@@ -336,7 +336,7 @@
     }
 
     /// Time on the cores of the process that was started first, of all its threads.
-    pub fn cpu(&self) -> io::Result<Duration> {
+    pub fn cpu_time(&self) -> io::Result<Duration> {
         let id = self
             .child
             .id()
@@ -354,7 +354,7 @@
     }
 
     /// Memory in KB and descriptors of all processes that live now, together.
-    pub fn together(&self) -> (u64, u64) {
+    pub fn memory_and_descriptors(&self) -> (u64, u64) {
         let mut sums = (0, 0);
         for id in self.processes() {
             let status = std::fs::read_to_string(format!("/proc/{id}/status")).unwrap_or_default();
@@ -375,7 +375,7 @@
     }
 
     /// Most memory of the process that was started first, in KB.
-    pub fn memory_most_kb(&self) -> Option<u64> {
+    pub fn peak_memory_kb(&self) -> Option<u64> {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()?)).ok()?;
         let line = status
             .lines()
@@ -384,7 +384,7 @@
     }
 
     /// Ends all processes, without asking.
-    pub async fn end(&mut self) {
+    pub async fn kill_all(&mut self) {
         self.processes()
             .into_iter()
             .for_each(|process| signal(process, Signal::KILL));
@@ -393,7 +393,7 @@
 
     /// Tells the first process to leave by signal, waits for its end and starts the program anew between the same
     /// stand-ins: the way without upgrades.
-    pub async fn restart(&mut self, program: &Path) -> io::Result<()> {
+    pub async fn terminate_and_restart(&mut self, program: &Path) -> io::Result<()> {
         if let Some(id) = self.child.id() {
             signal(id, Signal::TERM);
         }
@@ -403,14 +403,14 @@
     }
 
     /// Kills the process, without a word, and starts it anew between the same stand-ins.
-    pub async fn crash(&mut self) -> io::Result<()> {
-        self.end().await;
+    pub async fn kill_and_restart(&mut self) -> io::Result<()> {
+        self.kill_all().await;
         self.child = launch(&self.setup.program, &self.folder, &self.log)?;
         Ok(())
     }
 
     /// The folder in which it keeps what it knows.
-    pub fn kept(&self) -> PathBuf {
+    pub fn store_folder(&self) -> PathBuf {
         self.folder.join("kept")
     }
 
@@ -419,7 +419,11 @@
     }
 
     /// Waits until its report says so.
-    pub async fn says(&self, what: &str, when: impl Fn(&Value) -> bool) -> io::Result<Value> {
+    pub async fn wait_for_report(
+        &self,
+        what: &str,
+        when: impl Fn(&Value) -> bool,
+    ) -> io::Result<Value> {
         let until = Instant::now() + PATIENCE;
         loop {
             let report = self.status().await?;
@@ -437,7 +441,7 @@
     }
 
     /// All figures that it knows.
-    pub async fn figures(&self) -> io::Result<Vec<Value>> {
+    pub async fn known_figures(&self) -> io::Result<Vec<Value>> {
         let mut talk = self.ask(ControlRequest::Knowledge).await?;
         let mut all = Vec::new();
         while let (ControlMessage::More, mut page) = talk.next_reply().await? {
@@ -449,13 +453,13 @@
     }
 
     /// Waits for the end of the process that was started first; its status.
-    pub async fn first_ended(&mut self) -> io::Result<Option<i32>> {
+    pub async fn wait_for_first_exit(&mut self) -> io::Result<Option<i32>> {
         let status = timeout(PATIENCE, self.child.wait()).await??;
         Ok(status.code())
     }
 
     /// Tells it to leave, and waits until nobody answers at its control socket.
-    pub async fn leave(&self) -> io::Result<()> {
+    pub async fn drain(&self) -> io::Result<()> {
         self.ask(ControlRequest::Drain).await?.next_reply().await?;
         let until = Instant::now() + PATIENCE;
         while UnixStream::connect(&self.control).await.is_ok() {
--- a/crates/merlinshelf-testbed/src/link.rs
+++ b/crates/merlinshelf-testbed/src/link.rs
@@ -21,31 +21,31 @@
     #[default]
     None,
     /// Connections stay open, and what is sent lies until the link heals: it then arrives, however old.
-    Held,
+    Stalled,
     /// All connections end, and new ones are closed at once.
     Cut,
     /// Each piece comes so much later.
-    Late(Duration),
+    Delayed(Duration),
     /// Byte by byte, with a pause after each.
-    Trickles(Duration),
+    ByteByByte(Duration),
 }
 
 /// Stands between an agent and the control socket of an instance, which it gives back when it is dropped.
 pub struct ControlLink {
     path: PathBuf,
-    real: PathBuf,
-    manner: watch::Sender<ControlLinkMode>,
+    moved_path: PathBuf,
+    mode: watch::Sender<ControlLinkMode>,
     accepting: tokio::task::AbortHandle,
 }
 
 /// What becomes of what is said over a control link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ControlLinkMode {
-    Plain,
+    Forwarding,
     /// It lies, on connections that stay open.
-    Held,
+    Stalled,
     /// Questions about policies come as a word that nobody knows: the answer is that of a program from before there were any.
-    Older,
+    WithoutPolicies,
 }
 
 impl ControlLink {
@@ -53,44 +53,44 @@
     ///
     /// # Errors
     /// The file system's.
-    pub fn take(path: &Path) -> io::Result<ControlLink> {
+    pub fn replace_socket(path: &Path) -> io::Result<ControlLink> {
         let (path, real) = (path.to_path_buf(), path.with_extension("real"));
         std::fs::rename(&path, &real)?;
         let listener = UnixListener::bind(&path)?;
-        let (manner, watched) = watch::channel(ControlLinkMode::Plain);
+        let (manner, watched) = watch::channel(ControlLinkMode::Forwarding);
         let to = real.clone();
         let accepting = spawn_local(async move {
             while let Ok((from, _)) = listener.accept().await {
                 // What became of one is seen by who asked.
-                spawn_local(passed_on(from, to.clone(), watched.clone()));
+                spawn_local(forward_control(from, to.clone(), watched.clone()));
             }
         });
         Ok(ControlLink {
             path,
-            real,
-            manner,
+            moved_path: real,
+            mode: manner,
             accepting: accepting.abort_handle(),
         })
     }
 
     pub fn set(&self, manner: ControlLinkMode) {
-        self.manner.send_replace(manner);
+        self.mode.send_replace(manner);
     }
 }
 
 /// One connection of a control link.
-async fn passed_on(
+async fn forward_control(
     mut from: UnixStream,
     to: PathBuf,
     mut manner: watch::Receiver<ControlLinkMode>,
 ) -> io::Result<()> {
     // Half open: it was let in, and nothing of what it says goes on.
     let now = manner
-        .wait_for(|manner| *manner != ControlLinkMode::Held)
+        .wait_for(|manner| *manner != ControlLinkMode::Stalled)
         .await
         .map(|manner| *manner);
     let mut to = UnixStream::connect(to).await?;
-    if now.is_ok_and(|now| now == ControlLinkMode::Older) {
+    if now.is_ok_and(|now| now == ControlLinkMode::WithoutPolicies) {
         let mut word = [0; ASK.len()];
         from.read_exact(&mut word).await?;
         to.write_all(if word == *ASK {
@@ -111,7 +111,7 @@
 impl Drop for ControlLink {
     fn drop(&mut self) {
         self.accepting.abort();
-        let _ = std::fs::rename(&self.real, &self.path);
+        let _ = std::fs::rename(&self.moved_path, &self.path);
     }
 }
 
@@ -119,7 +119,7 @@
 pub struct Link {
     fault: watch::Sender<Fault>,
     /// Connections that were made over it.
-    pub made: Rc<RefCell<u64>>,
+    pub connections_made: Rc<RefCell<u64>>,
 }
 
 impl Link {
@@ -141,10 +141,13 @@
                     continue;
                 }
                 *count.borrow_mut() += 1;
-                spawn_local(pass(from, to.clone(), watched.clone()));
+                spawn_local(forward(from, to.clone(), watched.clone()));
             }
         });
-        Ok(Link { fault, made })
+        Ok(Link {
+            fault,
+            connections_made: made,
+        })
     }
 
     pub fn set(&self, fault: Fault) {
@@ -156,7 +159,7 @@
     }
 }
 
-async fn pass(from: TcpStream, to: String, mut fault: watch::Receiver<Fault>) {
+async fn forward(from: TcpStream, to: String, mut fault: watch::Receiver<Fault>) {
     let Ok(to) = TcpStream::connect(to).await else {
         return;
     };
@@ -186,16 +189,16 @@
         }
         let now = *fault.borrow_and_update();
         match now {
-            Fault::Late(by) => sleep(by).await,
-            Fault::Trickles(pause) => {
+            Fault::Delayed(by) => sleep(by).await,
+            Fault::ByteByByte(pause) => {
                 for byte in &piece[..count] {
                     to.write_all(std::slice::from_ref(byte)).await?;
                     sleep(pause).await;
                 }
                 continue;
             }
-            Fault::Held => {
-                let _ = fault.wait_for(|fault| *fault != Fault::Held).await;
+            Fault::Stalled => {
+                let _ = fault.wait_for(|fault| *fault != Fault::Stalled).await;
             }
             Fault::None | Fault::Cut => {}
         }
