--- a/crates/merlinshelf-testbed/src/load.rs
+++ b/crates/merlinshelf-testbed/src/load.rs
@@ -30,12 +30,12 @@
     pub rate: f64,
     /// Operations, in equal shares.
     pub operations: Vec<String>,
-    pub body: usize,
+    pub body_bytes: usize,
     pub patience: Duration,
     pub seed: u64,
-    pub front: FrontProtocol,
+    pub front_protocol: FrontProtocol,
     /// How often an invocation is sent at the most: what is not served is sent again at once, and heeds nothing.
-    pub tries: u32,
+    pub max_attempts: u32,
 }
 
 /// What callers speak.
@@ -52,18 +52,18 @@
 /// One invocation, as its edge node saw it.
 #[derive(Clone, Debug)]
 pub struct SentInvocation {
-    pub at: Instant,
+    pub sent_at: Instant,
     pub operation: String,
     /// When each answer came, and its status.
     pub answers: Vec<(Instant, u16)>,
     body: Vec<u8>,
     /// How often it was sent with this, and the id of its first try.
-    tries: u32,
+    attempt: u32,
     /// And how often it may be still.
-    left: u32,
-    wish: String,
+    attempts_left: u32,
+    first_attempt_id: String,
     /// Served without the call that its run wanted to make.
-    pub poorer: bool,
+    pub answered_without_call: bool,
     /// The parts that a served answer says it is without.
     pub partial: Option<String>,
     /// A served answer that is none that the run of this invocation made.
@@ -77,21 +77,21 @@
     /// Connections that ended though nobody wanted it.
     pub broken: u64,
     /// Answers to nothing that was open.
-    pub astray: u64,
+    pub unmatched_answers: u64,
     /// When the instance was killed outright.
-    pub killed: Vec<Instant>,
+    pub killed_at: Vec<Instant>,
     /// How often the edge node was started anew: it forgets what it waits for, and connects again at once.
     pub restarts: u64,
     /// When the first answer came on each connection.
     pub first_answers: Vec<Instant>,
     /// By the id of its first try: when an invocation was first sent, and when it was served.
-    pub wished: HashMap<String, (Instant, Option<Instant>)>,
+    pub first_attempts: HashMap<String, (Instant, Option<Instant>)>,
     /// Further tries to be sent: the operation, how often it was sent, and the id of the first one.
-    again: VecDeque<(String, u32, String)>,
+    pending_retries: VecDeque<(String, u32, String)>,
     closing: bool,
 }
 
-pub type Shared = Rc<RefCell<LoadRecord>>;
+pub type SharedLoadRecord = Rc<RefCell<LoadRecord>>;
 
 /// What the checker says of a play.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -123,7 +123,12 @@
 
 impl Load {
     /// The load of the trials: all operations of the example alike, two thirds of which call below.
-    pub fn of_all(address: &str, connections: usize, rate: f64, seed: u64) -> Load {
+    pub fn with_example_operations(
+        address: &str,
+        connections: usize,
+        rate: f64,
+        seed: u64,
+    ) -> Load {
         let operations = ["thumbnail", "transcript-search", "playback-token"]
             .map(str::to_owned)
             .to_vec();
@@ -133,23 +138,23 @@
             connections,
             rate,
             operations,
-            body: 120,
+            body_bytes: 120,
             patience,
             seed,
-            front: FrontProtocol::default(),
-            tries: 1,
+            front_protocol: FrontProtocol::default(),
+            max_attempts: 1,
         }
     }
 
     /// Opens the connections and sends until told to stop; then waits for what is open.
     pub async fn start(&self) -> io::Result<RunningLoad> {
-        let seen = Shared::default();
+        let seen = SharedLoadRecord::default();
         let mut writers = Vec::new();
         for _ in 0..self.connections {
             let stream = TcpStream::connect(&self.address).await?;
             let (sender, going) = unbounded_channel();
-            let open: Open = Rc::default();
-            spawn_local(keep(
+            let open: OpenInvocations = Rc::default();
+            spawn_local(maintain_connection(
                 stream,
                 self.address.clone(),
                 going,
@@ -163,7 +168,7 @@
         Ok(RunningLoad { seen, sending })
     }
 
-    async fn send(&self, writers: Vec<Writer>, seen: Shared) {
+    async fn send(&self, writers: Vec<ConnectionWriter>, seen: SharedLoadRecord) {
         let mut rng = Pcg64Mcg::seed_from_u64(self.seed);
         let (mut at, mut number) = (Instant::now(), 0_u64);
         let (asking, mut drawn_at) = (Rc::new(Cell::new(0_usize)), false);
@@ -172,12 +177,12 @@
                 at += Duration::from_secs_f64(-rng.random::<f64>().max(1e-9).ln() / self.rate);
             }
             let again = loop {
-                let again = seen.borrow_mut().again.pop_front();
+                let again = seen.borrow_mut().pending_retries.pop_front();
                 if again.is_some() || Instant::now() >= at || seen.borrow().closing {
                     break again;
                 }
                 // Further tries come whenever answers do.
-                let soon = if self.tries > 1 {
+                let soon = if self.max_attempts > 1 {
                     at.min(Instant::now() + Duration::from_millis(5))
                 } else {
                     at
@@ -195,13 +200,13 @@
             drawn_at = again.is_some(); // a further try puts off no new one
             let (operation, tries, wish) = again.unwrap_or_else(|| (drawn.clone(), 0, id.clone()));
             let operation = &operation;
-            if self.tries > 1 && tries == 0 {
+            if self.max_attempts > 1 && tries == 0 {
                 seen.borrow_mut()
-                    .wished
+                    .first_attempts
                     .insert(id.clone(), (Instant::now(), None));
             }
-            let body: Vec<u8> = (0..self.body).map(|_| rng.random()).collect();
-            let uwsgi = match self.front {
+            let body: Vec<u8> = (0..self.body_bytes).map(|_| rng.random()).collect();
+            let uwsgi = match self.front_protocol {
                 FrontProtocol::FastCgi => false,
                 FrontProtocol::Uwsgi => true,
                 FrontProtocol::Both => rng.random(),
@@ -217,7 +222,7 @@
                 let bytes = uwsgi_invocation(operation, &body, &changes);
                 seen.borrow_mut()
                     .sent
-                    .insert(id.clone(), SentInvocation::now(operation, body));
+                    .insert(id.clone(), SentInvocation::new(operation, body));
                 asking.set(asking.get() + 1);
                 let (address, seen, asking, most) = (
                     self.address.clone(),
@@ -254,12 +259,12 @@
                 ],
             );
             open.borrow_mut().insert(tag, id.clone());
-            let left = self.tries.saturating_sub(tries + 1);
+            let left = self.max_attempts.saturating_sub(tries + 1);
             let sent = SentInvocation {
-                tries: tries + 1,
-                left,
-                wish,
-                ..SentInvocation::now(operation, body)
+                attempt: tries + 1,
+                attempts_left: left,
+                first_attempt_id: wish,
+                ..SentInvocation::new(operation, body)
             };
             seen.borrow_mut().sent.insert(id, sent);
             let _ = writer.send((tag, bytes));
@@ -276,25 +281,25 @@
 }
 
 /// Invocations that wait for an answer on one connection: tag and id.
-type Open = Rc<RefCell<HashMap<u16, String>>>;
+type OpenInvocations = Rc<RefCell<HashMap<u16, String>>>;
 /// Invocations to be written: tag and bytes.
-type Going = UnboundedReceiver<(u16, Vec<u8>)>;
+type PendingWrites = UnboundedReceiver<(u16, Vec<u8>)>;
 /// Where one connection's invocations are written, and what is open there.
-type Writer = (UnboundedSender<(u16, Vec<u8>)>, Open);
+type ConnectionWriter = (UnboundedSender<(u16, Vec<u8>)>, OpenInvocations);
 
 pub struct RunningLoad {
-    pub seen: Shared,
+    pub seen: SharedLoadRecord,
     sending: tokio::task::JoinHandle<()>,
 }
 
 impl RunningLoad {
     /// Stops sending, and lets what is open be.
-    pub fn leave(self) {
+    pub fn abandon(self) {
         self.seen.borrow_mut().closing = true;
     }
 
     /// Stops sending and waits for the answers to what is open.
-    pub async fn stop(self) -> Shared {
+    pub async fn stop(self) -> SharedLoadRecord {
         self.seen.borrow_mut().closing = true;
         let _ = self.sending.await;
         self.seen
@@ -302,14 +307,20 @@
 }
 
 /// What was sent within this before a backend closed the connection may be sent once more, on a new one.
-const CROSSED: Duration = Duration::from_millis(50);
+const RESEND_WINDOW: Duration = Duration::from_millis(50);
 
 /// Between two looks whether the edge node is to be started anew.
-const LOOK_EVERY: Duration = Duration::from_millis(20);
+const RESTART_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Keeps one connection, as an edge node does: closed with nothing open on it, it is opened anew; what crossed the close
 /// is sent once more. Closed with anything else open, it was broken.
-async fn keep(mut stream: TcpStream, address: String, mut going: Going, seen: Shared, open: Open) {
+async fn maintain_connection(
+    mut stream: TcpStream,
+    address: String,
+    mut going: PendingWrites,
+    seen: SharedLoadRecord,
+    open: OpenInvocations,
+) {
     let mut kept: HashMap<u16, (Instant, Vec<u8>)> = HashMap::new();
     let mut restarts = 0;
     loop {
@@ -321,11 +332,11 @@
             kept.insert(tag, (Instant::now(), bytes.clone()));
             let _ = output.write_all(&bytes).await; // its end is seen below
         }
-        let mut reading = pin!(read(input, seen.clone(), open.clone()));
+        let mut reading = pin!(read_answers(input, seen.clone(), open.clone()));
         loop {
             select! {
                 () = &mut reading => break,
-                () = sleep(LOOK_EVERY) => {
+                () = sleep(RESTART_CHECK_INTERVAL) => {
                     let now = seen.borrow().restarts;
                     if std::mem::replace(&mut restarts, now) != now {
                         kept.clear();
@@ -350,7 +361,7 @@
             return;
         }
         kept.retain(|tag, _| open.borrow().contains_key(tag));
-        if kept.values().any(|(at, _)| at.elapsed() > CROSSED) {
+        if kept.values().any(|(at, _)| at.elapsed() > RESEND_WINDOW) {
             seen.borrow_mut().broken += 1;
             kept.clear();
         }
@@ -368,7 +379,7 @@
                 let id = open.borrow_mut().remove(&tag);
                 let mut seen = seen.borrow_mut();
                 if let Some(sent) = id.and_then(|id| seen.sent.get_mut(&id)) {
-                    sent.answers.push((Instant::now(), NOBODY));
+                    sent.answers.push((Instant::now(), STATUS_UNREACHABLE));
                 }
             };
             while let Ok((tag, _)) = going.try_recv() {
@@ -386,10 +397,10 @@
 }
 
 /// The status of what found nobody to ask.
-const NOBODY: u16 = 599;
+const STATUS_UNREACHABLE: u16 = 599;
 
 /// Reads answers until the connection ends.
-async fn read(mut input: OwnedReadHalf, seen: Shared, open: Open) {
+async fn read_answers(mut input: OwnedReadHalf, seen: SharedLoadRecord, open: OpenInvocations) {
     let mut outs: HashMap<u16, Vec<u8>> = HashMap::new();
     let mut answered = false;
     loop {
@@ -419,24 +430,28 @@
                 };
                 let mut seen = seen.borrow_mut();
                 let Some(id) = open.borrow_mut().remove(&tag) else {
-                    seen.astray += 1;
+                    seen.unmatched_answers += 1;
                     continue;
                 };
                 if !std::mem::replace(&mut answered, true) {
                     seen.first_answers.push(Instant::now());
                 }
                 if let Some(sent) = seen.sent.get_mut(&id) {
-                    sent.answered(&id, status, &out);
+                    sent.record_answer(&id, status, &out);
                     let (wish, again) = (
-                        sent.wish.clone(),
-                        (sent.operation.clone(), sent.tries, sent.wish.clone()),
+                        sent.first_attempt_id.clone(),
+                        (
+                            sent.operation.clone(),
+                            sent.attempt,
+                            sent.first_attempt_id.clone(),
+                        ),
                     );
                     if status == 200 {
-                        seen.wished
+                        seen.first_attempts
                             .entry(wish)
                             .and_modify(|(_, served)| *served = Some(Instant::now()));
-                    } else if sent.left > 0 {
-                        seen.again.push_back(again);
+                    } else if sent.attempts_left > 0 {
+                        seen.pending_retries.push_back(again);
                     }
                 }
             }
@@ -484,23 +499,23 @@
 }
 
 impl SentInvocation {
-    fn now(operation: &str, body: Vec<u8>) -> SentInvocation {
+    fn new(operation: &str, body: Vec<u8>) -> SentInvocation {
         SentInvocation {
-            at: Instant::now(),
+            sent_at: Instant::now(),
             operation: operation.to_owned(),
             answers: Vec::new(),
             body,
-            tries: 1,
-            left: 0,
-            wish: String::new(),
-            poorer: false,
+            attempt: 1,
+            attempts_left: 0,
+            first_attempt_id: String::new(),
+            answered_without_call: false,
             partial: None,
             spoilt: false,
         }
     }
 
     /// An answer has come: head and body.
-    fn answered(&mut self, id: &str, status: u16, out: &[u8]) {
+    fn record_answer(&mut self, id: &str, status: u16, out: &[u8]) {
         let sent = self;
         let body = out
             .windows(4)
@@ -508,7 +523,7 @@
             .map(|at| &out[at + 4..]);
         let made = run_result(id, &sent.body);
         sent.spoilt |= status == 200 && !body.is_some_and(|body| body.starts_with(&made));
-        sent.poorer |= body.is_some_and(|body| body.ends_with(b", poorer"));
+        sent.answered_without_call |= body.is_some_and(|body| body.ends_with(b", poorer"));
         let text = String::from_utf8_lossy(&out[..out.len().min(1024)]).into_owned();
         sent.partial = text
             .lines()
@@ -531,9 +546,9 @@
             return;
         };
         match came {
-            Came::Nobody => sent.answers.push((Instant::now(), NOBODY)),
+            Came::Nobody => sent.answers.push((Instant::now(), STATUS_UNREACHABLE)),
             Came::Nothing => {}
-            Came::Answer(status, out) => sent.answered(id, status, &out),
+            Came::Answer(status, out) => sent.record_answer(id, status, &out),
         }
     }
 
@@ -549,7 +564,7 @@
             ..Verdict::default()
         };
         verdict.wrong_feeds = records.wrong_feeds.into();
-        verdict.doubled += self.astray;
+        verdict.doubled += self.unmatched_answers;
         for (id, sent) in &self.sent {
             verdict.sent += 1;
             verdict.doubled += (sent.answers.len() as u64).saturating_sub(1);
@@ -560,7 +575,7 @@
                 u64::from(records.calls.get(id).is_some_and(|calls| *calls > 1));
             match sent.answers.first() {
                 // The rules on sockets give 50 ms more.
-                Some((at, _)) if *at > sent.at + patience + Duration::from_millis(50) => {
+                Some((at, _)) if *at > sent.sent_at + patience + Duration::from_millis(50) => {
                     verdict.lost += 1
                 }
                 None if self.held_by_killed(sent, patience) => verdict.held_by_killed += 1,
@@ -575,17 +590,17 @@
 
     /// Whether an instance was killed while it may have held this: sent before that, or crossing it.
     fn held_by_killed(&self, sent: &SentInvocation, patience: Duration) -> bool {
-        self.killed
+        self.killed_at
             .iter()
-            .any(|at| sent.at <= *at + CROSSED && *at <= sent.at + patience)
+            .any(|at| sent.sent_at <= *at + RESEND_WINDOW && *at <= sent.sent_at + patience)
     }
 
     /// Whether its edge node may have sent it again because an instance was killed outright just then: what ran of it before is
     /// known to nobody.
     fn crossed_a_kill(&self, sent: &SentInvocation) -> bool {
-        self.killed
+        self.killed_at
             .iter()
-            .any(|at| sent.at <= *at + CROSSED && *at <= sent.at + CROSSED)
+            .any(|at| sent.sent_at <= *at + RESEND_WINDOW && *at <= sent.sent_at + RESEND_WINDOW)
     }
 
     /// How long served answers took that were asked for or came in this time, in microseconds.
@@ -594,10 +609,10 @@
             Histogram::new_with_bounds(1, 60_000_000, 3).unwrap_or_else(|_| unreachable!("bounds"));
         for sent in self.sent.values() {
             if let Some((at, 200)) = sent.answers.first()
-                && sent.at <= until
+                && sent.sent_at <= until
                 && *at >= from
             {
-                histogram.saturating_record((*at - sent.at).as_micros() as u64);
+                histogram.saturating_record((*at - sent.sent_at).as_micros() as u64);
             }
         }
         histogram
--- a/crates/merlinshelf-testbed/src/main.rs
+++ b/crates/merlinshelf-testbed/src/main.rs
@@ -304,7 +304,7 @@
             local.block_on(&runtime, demo::run(&setup))
         }
         Command::StandIns { config } => {
-            let manner = Setup::small("").manner;
+            let manner = Setup::small("").fakes;
             let manner = FakeBehavior {
                 run_duration: Duration::from_millis(60),
                 cores: 2.0,
@@ -441,7 +441,7 @@
                 hosts,
                 instances,
                 lease_ms,
-                council,
+                with_consensus: council,
                 ..Default::default()
             };
             let plan = experiments::policy::Plan {
@@ -606,7 +606,7 @@
 
 fn setup(program: PathBuf, cores: u32, watched: Duration) -> Setup {
     let mut setup = Setup::small(program);
-    (setup.cores, setup.manner.cores, setup.watched) = (cores, f64::from(cores), watched);
+    (setup.cores, setup.fakes.cores, setup.probation) = (cores, f64::from(cores), watched);
     setup
 }
 
--- a/crates/merlinshelf-testbed/tests/store.rs
+++ b/crates/merlinshelf-testbed/tests/store.rs
@@ -90,13 +90,13 @@
         vec![7; MAX_STORE_BYTES + 1],
     ] {
         let mut disk = disk();
-        disk.put(STORE_FILE, &bytes);
+        disk.insert_file(STORE_FILE, &bytes);
         let (mut store, found) = Store::open(&mut disk).expect("it can be read");
         assert_eq!(
             (found.error, found.was_set_aside, found.observations.len()),
             (Some(FrameError::Foreign), true, 0)
         );
-        assert!(disk.has(STORE_FILE_ASIDE) && !disk.has(STORE_FILE));
+        assert!(disk.contains(STORE_FILE_ASIDE) && !disk.contains(STORE_FILE));
         store
             .save(&mut disk, 1.0, &[told("a", 1)])
             .expect("a new one is made");
@@ -116,7 +116,7 @@
     file.extend(crc32fast::hash(&bytes).to_le_bytes());
     file.extend(&bytes);
     let mut disk = disk();
-    disk.put(STORE_FILE, &file);
+    disk.insert_file(STORE_FILE, &file);
     assert_eq!(read(&mut disk), [told("a", 4)]);
     // Written by this version, it is of this form.
     let (mut store, _) = Store::open(&mut disk).expect("it can be read");
@@ -133,14 +133,14 @@
         .expect("it is there");
     let last = whole.len() - 3;
     whole[last] ^= 1;
-    disk.put(STORE_FILE, &whole);
+    disk.insert_file(STORE_FILE, &whole);
     let (_, found) = Store::open(&mut disk).expect("it can be read");
     assert_eq!(
         (found.error, found.observations.len(), found.was_set_aside),
         (Some(FrameError::Garbled), 1, true)
     );
     assert!(
-        disk.has(STORE_FILE),
+        disk.contains(STORE_FILE),
         "what can be read stays until it is replaced"
     );
 }
@@ -153,10 +153,10 @@
         .save(&mut disk, 1.0, &[told("a", 1)])
         .expect("it is kept");
     for trouble in [DiskFault::Full(10), DiskFault::Full(0), DiskFault::ReadOnly] {
-        disk.trouble = Some(trouble);
+        disk.fault = Some(trouble);
         assert!(store.save(&mut disk, 2.0, &[told("a", 2)]).is_err());
         assert!(store.save(&mut disk, 2.5, &[told("a", 3)]).is_err());
-        disk.trouble = None;
+        disk.fault = None;
         let found = Store::open(&mut disk).expect("it can be read").1;
         assert!(
             found
@@ -170,6 +170,6 @@
         .save(&mut disk, 3.0, &[told("a", 4)])
         .expect("it is kept again");
     assert_eq!(read(&mut disk), [told("a", 4)]);
-    disk.trouble = Some(DiskFault::Unreadable);
+    disk.fault = Some(DiskFault::Unreadable);
     assert!(Store::open(&mut disk).is_err());
 }
