--- a/crates/merlinshelf-testbed/src/experiments/dependencies/scenario.rs
+++ b/crates/merlinshelf-testbed/src/experiments/dependencies/scenario.rs
@@ -235,8 +235,8 @@
             let way = match how {
                 Routing::Before => ForwardMode::FirstServer,
                 _ => ForwardMode::RoundRobin {
-                    each: Duration::from_millis(250),
-                    tries: 3,
+                    attempt_timeout: Duration::from_millis(250),
+                    max_attempts: 3,
                 },
             };
             Forward::start(listener, way, addresses);
--- a/crates/merlinshelf-testbed/src/experiments/shares_size.rs
+++ b/crates/merlinshelf-testbed/src/experiments/shares_size.rs
@@ -105,7 +105,7 @@
     Said(usize, QuotaRequestBatch),
     Wants(usize),
     Ended(usize, u64, bool, bool),
-    DiskFault,
+    Trouble,
 }
 
 struct One {
@@ -215,7 +215,7 @@
         }
         for _ in 0..size.faults {
             let at = world.rng.random_range(1.0..size.seconds - 2.0);
-            world.after(at, Event::DiskFault);
+            world.after(at, Event::Trouble);
         }
         world
     }
@@ -353,7 +353,7 @@
                 self.call(place);
             }
             Event::Ended(place, life, probe, well) => self.ended(place, life, probe, well),
-            Event::DiskFault => self.trouble(),
+            Event::Trouble => self.trouble(),
         }
     }
 
--- a/crates/merlinshelf-testbed/src/fakes/catalogue.rs
+++ b/crates/merlinshelf-testbed/src/fakes/catalogue.rs
@@ -1,4 +1,4 @@
-//! The catalogue: every call goes well after a moment.
+//! Fake catalogue: answers every call successfully after a fixed delay.
 
 use std::io;
 use std::rc::Rc;
@@ -11,27 +11,33 @@
 use super::{FakeBehavior, SharedRecords, catalogue_reply};
 
 pub struct Catalogue {
-    manner: FakeBehavior,
+    behavior: FakeBehavior,
     records: SharedRecords,
 }
 
 impl Catalogue {
-    /// Answers calls for as long as its task lives.
-    pub fn start(listener: TcpListener, manner: FakeBehavior, records: SharedRecords) {
-        let catalogue = Rc::new(Catalogue { manner, records });
+    /// Accepts connections and answers calls until its task is dropped.
+    pub fn start(listener: TcpListener, behavior: FakeBehavior, records: SharedRecords) {
+        let catalogue = Rc::new(Catalogue { behavior, records });
         super::serve(listener, move |stream| {
             let catalogue = catalogue.clone();
-            async move { catalogue.attend(stream).await }
+            async move { catalogue.handle_connection(stream).await }
         });
     }
 
-    async fn attend(&self, stream: TcpStream) -> io::Result<()> {
+    async fn handle_connection(&self, stream: TcpStream) -> io::Result<()> {
         stream.set_nodelay(true)?;
         let (input, mut output) = stream.into_split();
         let mut lines = LineReader::new(input);
-        while let Some(Call { id, wait, body, .. }) = lines.read_call().await? {
-            if self.manner.verbose {
-                println!("catalogue: {id} waits {wait} ms");
+        while let Some(Call {
+            id,
+            timeout_ms,
+            body,
+            ..
+        }) = lines.read_call().await?
+        {
+            if self.behavior.verbose {
+                println!("catalogue: call for {id}, timeout {timeout_ms} ms");
             }
             *self
                 .records
@@ -39,7 +45,7 @@
                 .calls
                 .entry(id.clone())
                 .or_default() += 1;
-            sleep(self.manner.call_duration).await;
+            sleep(self.behavior.call_duration).await;
             let reply = catalogue_reply(&id, &body);
             let head = format!("{id} ok {}\r\n", reply.len());
             output
--- a/crates/merlinshelf-testbed/src/fakes/dependency.rs
+++ b/crates/merlinshelf-testbed/src/fakes/dependency.rs
@@ -1,4 +1,4 @@
-//! One server of a dependency: it takes the catalogue's words, a few calls at one time, and fails as it is told.
+//! Fake server of a dependency: speaks the catalogue's protocol with limited concurrency, and fails on request.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -14,39 +14,40 @@
 use super::catalogue_reply;
 use super::line_reader::{Call, LineReader};
 
-/// What a server does with calls.
+/// How a server answers calls.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ServerBehavior {
     Normal,
-    /// So many times as slow.
+    /// Calls take longer by this factor.
     Slow(f64),
-    /// The same, for questions that hold this word alone.
+    /// Calls whose body contains this text take longer by this factor.
     SlowFor(&'static str, f64),
-    /// `internal`, at once.
+    /// Every call fails with `internal` immediately.
     Errors,
-    /// Each call is taken and never answered.
+    /// Calls are accepted and never answered.
     Hangs,
-    /// Nobody listens.
+    /// The listener is closed, and all connections are dropped.
     Unreachable,
-    /// Every other connection is closed under its call.
+    /// Every second call ends in a closed connection.
     DropsConnections,
-    /// Every other call ends in `internal`, at once.
+    /// Every second call fails with `internal` immediately.
     HalfErrors,
 }
 
-/// Calls that a server works on at one time; others wait.
-const AT_ONCE: usize = 16;
+/// Calls that a server processes concurrently; further calls wait.
+const DEFAULT_CONCURRENCY: usize = 16;
 
 pub struct Server {
     pub address: String,
     pub behavior: Cell<ServerBehavior>,
     call_duration: Duration,
-    /// Calls that reached it.
+    /// Number of calls received.
     pub calls: Cell<u64>,
-    /// Each call with its time, and when connections were opened.
+    /// The time and the invocation of each call received.
     pub arrivals: RefCell<Vec<(Instant, String)>>,
+    /// When each connection was accepted.
     pub connections_opened: RefCell<Vec<Instant>>,
-    /// Calls that are here now, and the most that ever were.
+    /// Calls waiting or in progress, and the maximum ever reached.
     pub open_calls: Cell<usize>,
     pub max_open_calls: Cell<usize>,
     concurrency: Semaphore,
@@ -55,30 +56,33 @@
 }
 
 impl Server {
-    /// Serves for as long as its task lives; a call takes so long.
+    /// Starts a server that takes `call_duration` for each call, and serves until its task is dropped.
     ///
     /// # Errors
-    /// There is no address.
-    pub async fn start(takes: Duration) -> io::Result<Rc<Server>> {
-        Server::with_concurrency(takes, AT_ONCE).await
+    /// Returns an error if no listener can be bound.
+    pub async fn start(call_duration: Duration) -> io::Result<Rc<Server>> {
+        Server::with_concurrency(call_duration, DEFAULT_CONCURRENCY).await
     }
 
-    /// One that works on so many calls at one time.
+    /// Like [`Server::start`], with at most `concurrency` calls processed at the same time.
     ///
     /// # Errors
-    /// There is no address.
-    pub async fn with_concurrency(takes: Duration, at_once: usize) -> io::Result<Rc<Server>> {
+    /// Returns an error if no listener can be bound.
+    pub async fn with_concurrency(
+        call_duration: Duration,
+        concurrency: usize,
+    ) -> io::Result<Rc<Server>> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let server = Rc::new(Server {
             address: listener.local_addr()?.to_string(),
             behavior: Cell::new(ServerBehavior::Normal),
-            call_duration: takes,
+            call_duration,
             calls: Cell::default(),
             arrivals: RefCell::default(),
             connections_opened: RefCell::default(),
             open_calls: Cell::default(),
             max_open_calls: Cell::default(),
-            concurrency: Semaphore::new(at_once),
+            concurrency: Semaphore::new(concurrency),
             behavior_changed: Notify::new(),
             listener: RefCell::new(Some(listener)),
         });
@@ -86,9 +90,9 @@
         Ok(server)
     }
 
-    /// From here on it does so. One that is gone breaks all that is open.
-    pub fn set_behavior(&self, manners: ServerBehavior) {
-        self.behavior.set(manners);
+    /// Changes the behavior for calls that arrive from now on. `Unreachable` also drops all open connections.
+    pub fn set_behavior(&self, behavior: ServerBehavior) {
+        self.behavior.set(behavior);
         self.behavior_changed.notify_one();
     }
 
@@ -101,8 +105,8 @@
                 self.behavior_changed.notified().await;
                 continue;
             }
-            let known = self.listener.take();
-            let listener = match known {
+            let existing = self.listener.take();
+            let listener = match existing {
                 Some(listener) => listener,
                 None => match TcpListener::bind(&self.address).await {
                     Ok(listener) => listener,
@@ -117,7 +121,7 @@
                     let server = self.clone();
                     server.connections_opened.borrow_mut().push(Instant::now());
                     open.spawn_local(async move {
-                        let _ = server.attend(stream).await; // an end is how callers give up
+                        let _ = server.handle_connection(stream).await; // callers disconnect to cancel a call
                     });
                 },
                 () = self.behavior_changed.notified() => {}
@@ -127,7 +131,7 @@
         }
     }
 
-    async fn attend(&self, stream: TcpStream) -> io::Result<()> {
+    async fn handle_connection(&self, stream: TcpStream) -> io::Result<()> {
         stream.set_nodelay(true)?;
         let (input, mut output) = stream.into_split();
         let mut lines = LineReader::new(input);
@@ -136,10 +140,10 @@
             self.arrivals
                 .borrow_mut()
                 .push((Instant::now(), id.clone()));
-            let times = match self.behavior.get() {
-                manners
-                    if manners == ServerBehavior::Errors
-                        || manners == ServerBehavior::HalfErrors
+            let slowdown = match self.behavior.get() {
+                behavior
+                    if behavior == ServerBehavior::Errors
+                        || behavior == ServerBehavior::HalfErrors
                             && self.calls.get().is_multiple_of(2) =>
                 {
                     output
@@ -151,18 +155,18 @@
                 ServerBehavior::DropsConnections if self.calls.get().is_multiple_of(2) => {
                     return Ok(());
                 }
-                ServerBehavior::Slow(times) => times,
-                ServerBehavior::SlowFor(word, times)
-                    if String::from_utf8_lossy(&body).contains(word) =>
+                ServerBehavior::Slow(factor) => factor,
+                ServerBehavior::SlowFor(text, factor)
+                    if String::from_utf8_lossy(&body).contains(text) =>
                 {
-                    times
+                    factor
                 }
                 _ => 1.0,
             };
-            let _here = Here::enter(self);
-            let room = self.concurrency.acquire().await.map_err(io::Error::other)?;
-            sleep(self.call_duration.mul_f64(times)).await;
-            drop(room);
+            let _open = OpenCall::begin(self);
+            let permit = self.concurrency.acquire().await.map_err(io::Error::other)?;
+            sleep(self.call_duration.mul_f64(slowdown)).await;
+            drop(permit);
             let reply = catalogue_reply(&id, &body);
             let head = format!("{id} ok {}\r\n", reply.len());
             output
@@ -173,20 +177,20 @@
     }
 }
 
-/// One call that is here.
-struct Here<'a>(&'a Server);
+/// Counts a call as open until it is dropped.
+struct OpenCall<'a>(&'a Server);
 
-impl Here<'_> {
-    fn enter(server: &Server) -> Here<'_> {
+impl OpenCall<'_> {
+    fn begin(server: &Server) -> OpenCall<'_> {
         server.open_calls.set(server.open_calls.get() + 1);
         server
             .max_open_calls
             .set(server.max_open_calls.get().max(server.open_calls.get()));
-        Here(server)
+        OpenCall(server)
     }
 }
 
-impl Drop for Here<'_> {
+impl Drop for OpenCall<'_> {
     fn drop(&mut self) {
         self.0.open_calls.set(self.0.open_calls.get() - 1);
     }
--- a/crates/merlinshelf-testbed/src/fakes/engine.rs
+++ b/crates/merlinshelf-testbed/src/fakes/engine.rs
@@ -1,5 +1,5 @@
-//! The engine: runs take their time, some wait for a call, every notice is numbered and kept, and a new link gets what
-//! the last one missed.
+//! Fake engine: executes runs, some of which make downstream calls. Notifications are numbered and kept, so that a new link
+//! receives those that the previous one missed.
 
 use std::cell::RefCell;
 use std::collections::{HashMap, VecDeque};
@@ -17,50 +17,53 @@
 use super::line_reader::LineReader;
 use super::{FakeBehavior, SharedRecords, catalogue_reply, run_result};
 
-/// Notices that are kept for the next link.
-const KEPT: usize = 4000;
+/// Notifications kept for replay on the next link.
+const MAX_KEPT_NOTIFICATIONS: usize = 4000;
 
 pub struct Engine {
-    manner: FakeBehavior,
+    behavior: FakeBehavior,
     records: SharedRecords,
-    born: Instant,
+    started_at: Instant,
     state: RefCell<State>,
 }
 
 #[derive(Default)]
 struct State {
-    /// The number of the last notice, and the last ones.
-    number: usize,
-    notices: VecDeque<(usize, Vec<u8>)>,
+    /// The number of the last notification.
+    last_number: usize,
+    /// The most recent notifications, for replay.
+    notifications: VecDeque<(usize, Vec<u8>)>,
     link: Option<UnboundedSender<Vec<u8>>>,
     runs: HashMap<String, Run>,
-    /// Runs on the cores.
+    /// Runs that occupy a core.
     busy: usize,
-    /// Calls name their dependency on this link.
-    names: bool,
+    /// Whether calls name their dependency on this link.
+    names_dependencies: bool,
 }
 
-/// A run that is not over: what it waits for, if it waits.
+/// A run in progress.
 struct Run {
     body: Vec<u8>,
+    /// The number and the body of the call it waits for.
     call: Option<(usize, Vec<u8>)>,
     operation: String,
-    /// The dependencies that it has still to call, and what came of those before.
-    parts: VecDeque<String>,
-    came: Vec<u8>,
+    /// The dependencies still to be called.
+    remaining: VecDeque<String>,
+    /// The outcomes of the calls made so far, as a suffix of the result.
+    outcomes: Vec<u8>,
 }
 
 impl Engine {
-    /// Serves links for as long as its task lives.
+    /// Accepts links and serves them until its task is dropped.
     pub fn start(
         listener: TcpListener,
-        manner: FakeBehavior,
+        behavior: FakeBehavior,
         records: SharedRecords,
     ) -> Rc<Engine> {
         let engine = Rc::new(Engine {
-            manner,
+            behavior,
             records,
-            born: Instant::now(),
+            started_at: Instant::now(),
             state: RefCell::default(),
         });
         let shared = engine.clone();
@@ -70,8 +73,8 @@
                 shared.records.borrow_mut().engine_links += 1;
                 let shared = shared.clone();
                 spawn_local(async move {
-                    if let Err(error) = shared.attend(link).await {
-                        shared.say(&format!("the link ended: {error}"));
+                    if let Err(error) = shared.serve_link(link).await {
+                        shared.print(&format!("link closed: {error}"));
                     }
                 });
             }
@@ -79,17 +82,17 @@
         engine
     }
 
-    fn say(&self, text: &str) {
-        if self.manner.verbose {
+    fn print(&self, text: &str) {
+        if self.behavior.verbose {
             println!("engine: {text}");
         }
     }
 
-    async fn attend(self: &Rc<Engine>, link: TcpStream) -> io::Result<()> {
+    async fn serve_link(self: &Rc<Engine>, link: TcpStream) -> io::Result<()> {
         let (input, mut output) = link.into_split();
-        let (sender, mut going): (_, UnboundedReceiver<Vec<u8>>) = unbounded_channel();
+        let (sender, mut outgoing): (_, UnboundedReceiver<Vec<u8>>) = unbounded_channel();
         let writing = async move {
-            while let Some(bytes) = going.recv().await {
+            while let Some(bytes) = outgoing.recv().await {
                 output.write_all(&bytes).await?;
             }
             Ok(())
@@ -102,7 +105,9 @@
                     ["ATTACH", last] => {
                         self.attach(last.parse().map_err(io::Error::other)?, false, &sender)
                     }
-                    ["ATTACH", last, "NAMES/1"] if !self.manner.called_dependencies.is_empty() => {
+                    ["ATTACH", last, "NAMES/1"]
+                        if !self.behavior.called_dependencies.is_empty() =>
+                    {
                         self.attach(last.parse().map_err(io::Error::other)?, true, &sender);
                     }
                     ["RUN", id, operation, length] => {
@@ -115,7 +120,7 @@
                     }
                     ["SKIP", id, number] => self.skip(id, number),
                     ["STAT", tag] => self.stat(tag, &sender),
-                    _ => return Err(io::Error::other(format!("no command: {line}"))),
+                    _ => return Err(io::Error::other(format!("unknown command: {line:?}"))),
                 }
             }
             Ok(())
@@ -127,14 +132,18 @@
     }
 
     fn attach(&self, last: usize, names: bool, sender: &UnboundedSender<Vec<u8>>) {
-        self.say(&format!("a link, after notice {last}"));
+        self.print(&format!("link attached after notification {last}"));
         let mut state = self.state.borrow_mut();
-        state.names = names;
-        let agreed = if names { " NAMES/1" } else { "" };
-        let up = self.born.elapsed().as_millis();
-        let _ = sender.send(format!("HELLO WARM {up}{agreed}\r\n").into_bytes());
-        for (_, notice) in state.notices.iter().filter(|(number, _)| *number > last) {
-            let _ = sender.send(notice.clone());
+        state.names_dependencies = names;
+        let extension = if names { " NAMES/1" } else { "" };
+        let uptime_ms = self.started_at.elapsed().as_millis();
+        let _ = sender.send(format!("HELLO WARM {uptime_ms}{extension}\r\n").into_bytes());
+        for (_, notification) in state
+            .notifications
+            .iter()
+            .filter(|(number, _)| *number > last)
+        {
+            let _ = sender.send(notification.clone());
         }
         state.link = Some(sender.clone());
     }
@@ -144,24 +153,24 @@
         if state.runs.contains_key(id) {
             return;
         }
-        self.say(&format!("run {operation} {id}"));
+        self.print(&format!("started run of {operation} for {id}"));
         *self
             .records
             .borrow_mut()
             .runs
             .entry(id.to_owned())
             .or_default() += 1;
-        let parts = self
-            .manner
+        let dependencies = self
+            .behavior
             .called_dependencies
             .iter()
             .find(|(of, _)| of == operation);
-        let parts: VecDeque<String> = parts
-            .map(|(_, parts)| parts.clone().into())
+        let remaining: VecDeque<String> = dependencies
+            .map(|(_, dependencies)| dependencies.clone().into())
             .unwrap_or_default();
-        let calls = !parts.is_empty()
+        let calls = !remaining.is_empty()
             || self
-                .manner
+                .behavior
                 .calling_operations
                 .iter()
                 .any(|calling| calling == operation);
@@ -169,42 +178,42 @@
             body,
             call: None,
             operation: operation.to_owned(),
-            parts,
-            came: Vec::new(),
+            remaining,
+            outcomes: Vec::new(),
         };
         state.runs.insert(id.to_owned(), run);
         state.busy += 1;
         let (engine, id) = (self.clone(), id.to_owned());
         spawn_local(async move {
-            sleep(engine.manner.run_duration).await;
+            sleep(engine.behavior.run_duration).await;
             if calls {
-                engine.need(&id)
+                engine.make_call(&id)
             } else {
-                engine.done(&id, b"")
+                engine.finish(&id, b"")
             }
         });
     }
 
-    fn need(&self, id: &str) {
+    fn make_call(&self, id: &str) {
         let mut state = self.state.borrow_mut();
-        let (number, names) = (state.number + 1, state.names);
+        let (number, names) = (state.last_number + 1, state.names_dependencies);
         let Some(run) = state.runs.get_mut(id) else {
             return;
         };
         let first = run.call.is_none();
-        let part = run.parts.pop_front();
-        let body = match &part {
-            Some(part) => format!("of {id} {} {part}", run.operation),
+        let dependency = run.remaining.pop_front();
+        let body = match &dependency {
+            Some(dependency) => format!("of {id} {} {dependency}", run.operation),
             None => format!("of {id}"),
         };
         let body = body.into_bytes();
         run.call = Some((number, body.clone()));
         state.busy -= usize::from(first);
-        let name = part
+        let name = dependency
             .filter(|_| names)
-            .map(|part| format!("{part} "))
+            .map(|dependency| format!("{dependency} "))
             .unwrap_or_default();
-        state.notice(|number| {
+        state.notify(|number| {
             [
                 format!("NEED {number} {id} {name}{}\r\n", body.len()).as_bytes(),
                 &body,
@@ -214,7 +223,7 @@
         });
     }
 
-    fn done(&self, id: &str, more: &[u8]) {
+    fn finish(&self, id: &str, suffix: &[u8]) {
         let mut state = self.state.borrow_mut();
         let Some(run) = state.runs.remove(id) else {
             return;
@@ -222,9 +231,9 @@
         if run.call.is_none() {
             state.busy -= 1;
         }
-        let result = [run_result(id, &run.body).as_slice(), more].concat();
-        let took = self.manner.run_duration.as_millis();
-        state.notice(|number| {
+        let result = [run_result(id, &run.body).as_slice(), suffix].concat();
+        let took = self.behavior.run_duration.as_millis();
+        state.notify(|number| {
             let head = format!("DONE {number} {id} OK {took} {}\r\n", result.len());
             [head.as_bytes(), &result, b"\r\n"].concat()
         });
@@ -238,12 +247,14 @@
             .get(id)
             .and_then(|run| run.call.clone());
         match awaited {
-            Some((_, body)) if reply == catalogue_reply(id, &body) => self.came(id, b", fed"),
-            // Lesser answers, of runs with parts alone.
+            Some((_, body)) if reply == catalogue_reply(id, &body) => {
+                self.complete_call(id, b", fed")
+            }
+            // Degraded results occur only in runs that call several dependencies.
             Some(_)
-                if reply.starts_with(b"less") && !self.manner.called_dependencies.is_empty() =>
+                if reply.starts_with(b"less") && !self.behavior.called_dependencies.is_empty() =>
             {
-                self.came(id, b", less")
+                self.complete_call(id, b", less")
             }
             _ => self.records.borrow_mut().wrong_feeds += 1,
         }
@@ -257,46 +268,47 @@
             .get(id)
             .and_then(|run| run.call.as_ref().map(|(of, _)| *of));
         if awaited.is_some_and(|awaited| awaited.to_string() == number) {
-            self.came(id, b", poorer");
+            self.complete_call(id, b", poorer");
         }
     }
 
-    /// What a run gets for its call: it makes its next one, or is done.
-    fn came(&self, id: &str, word: &[u8]) {
-        let more = match self.state.borrow_mut().runs.get_mut(id) {
+    /// Records the outcome of a run's call. The run then makes its next call, or finishes.
+    fn complete_call(&self, id: &str, outcome: &[u8]) {
+        let suffix = match self.state.borrow_mut().runs.get_mut(id) {
             Some(run) => {
-                run.came.extend(word);
-                if run.parts.is_empty() {
-                    Some(std::mem::take(&mut run.came))
+                run.outcomes.extend(outcome);
+                if run.remaining.is_empty() {
+                    Some(std::mem::take(&mut run.outcomes))
                 } else {
                     None
                 }
             }
             None => return,
         };
-        match more {
-            Some(more) => self.done(id, &more),
-            None => self.need(id),
+        match suffix {
+            Some(suffix) => self.finish(id, &suffix),
+            None => self.make_call(id),
         }
     }
 
     fn stat(&self, tag: &str, sender: &UnboundedSender<Vec<u8>>) {
         let busy = self.state.borrow().busy;
-        let share = (busy as f64 / self.manner.cores).min(1.0);
-        let _ = sender.send(format!("STATS {tag} {share} {busy} 0.1 1\r\n").into_bytes());
+        let utilization = (busy as f64 / self.behavior.cores).min(1.0);
+        let _ = sender.send(format!("STATS {tag} {utilization} {busy} 0.1 1\r\n").into_bytes());
     }
 }
 
 impl State {
-    fn notice(&mut self, write: impl FnOnce(usize) -> Vec<u8>) {
-        self.number += 1;
-        let notice = write(self.number);
+    fn notify(&mut self, write: impl FnOnce(usize) -> Vec<u8>) {
+        self.last_number += 1;
+        let notification = write(self.last_number);
         if let Some(link) = &self.link {
-            let _ = link.send(notice.clone());
+            let _ = link.send(notification.clone());
         }
-        self.notices.push_back((self.number, notice));
-        if self.notices.len() > KEPT {
-            self.notices.pop_front();
+        self.notifications
+            .push_back((self.last_number, notification));
+        if self.notifications.len() > MAX_KEPT_NOTIFICATIONS {
+            self.notifications.pop_front();
         }
     }
 }
--- a/crates/merlinshelf-testbed/src/fakes/forward.rs
+++ b/crates/merlinshelf-testbed/src/fakes/forward.rs
@@ -1,5 +1,6 @@
-//! The plain ways to several servers, to hold the program against: one fixed server each, or round-robin with a fixed time-out and
-//! a few tries. It stands where the one catalogue stands, and knows the dependency by the last word of the question.
+//! Simple routing strategies for several dependency servers, as a baseline for comparison: always the first server, or
+//! round-robin with a fixed timeout and a limited number of attempts. The forwarder takes the catalogue's place, and finds the
+//! dependency in the last word of the call's body.
 
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -16,10 +17,13 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ForwardMode {
-    /// The first server of each, as long as the call may wait.
+    /// The first server of each dependency, with the call's own timeout.
     FirstServer,
-    /// One after the other, each so long, so many at the most.
-    RoundRobin { each: Duration, tries: usize },
+    /// Each attempt goes to the next server, with this timeout and at most this many attempts.
+    RoundRobin {
+        attempt_timeout: Duration,
+        max_attempts: usize,
+    },
 }
 
 pub struct Forward {
@@ -29,36 +33,36 @@
 }
 
 impl Forward {
-    /// Takes calls for as long as its task lives.
-    pub fn start(listener: TcpListener, way: ForwardMode, servers: BTreeMap<String, Vec<String>>) {
+    /// Accepts and forwards calls until its task is dropped.
+    pub fn start(listener: TcpListener, mode: ForwardMode, servers: BTreeMap<String, Vec<String>>) {
         let forward = Rc::new(Forward {
-            mode: way,
+            mode,
             servers,
             next_server: Cell::default(),
         });
         super::serve(listener, move |stream| {
             let forward = forward.clone();
-            async move { forward.attend(stream).await }
+            async move { forward.handle_connection(stream).await }
         });
     }
 
-    async fn attend(&self, stream: TcpStream) -> io::Result<()> {
+    async fn handle_connection(&self, stream: TcpStream) -> io::Result<()> {
         stream.set_nodelay(true)?;
         let (input, mut output) = stream.into_split();
         let mut lines = LineReader::new(input);
         while let Some(Call {
             id,
-            wait,
+            timeout_ms,
             body,
-            line,
+            head,
         }) = lines.read_call().await?
         {
-            let wait = Duration::from_millis(wait.parse().map_err(io::Error::other)?);
-            let mut gave_up = [0; 1];
+            let call_timeout = Duration::from_millis(timeout_ms.parse().map_err(io::Error::other)?);
+            let mut probe = [0; 1];
             let answer = select! {
-                answer = self.call(&line, &body, wait) => answer,
-                // Whoever gives a call up closes its connection.
-                _ = lines.inner().read(&mut gave_up) => return Ok(()),
+                answer = self.call(&head, &body, call_timeout) => answer,
+                // The caller closes its connection to cancel the call.
+                _ = lines.inner().read(&mut probe) => return Ok(()),
             };
             let answer = answer.unwrap_or_else(|| format!("{id} internal\r\n").into_bytes());
             output.write_all(&answer).await?;
@@ -66,21 +70,26 @@
         Ok(())
     }
 
-    async fn call(&self, line: &str, body: &[u8], wait: Duration) -> Option<Vec<u8>> {
+    async fn call(&self, head: &str, body: &[u8], call_timeout: Duration) -> Option<Vec<u8>> {
         let text = String::from_utf8_lossy(body).into_owned();
         let servers = self.servers.get(text.rsplit(' ').next()?)?;
-        let (each, tries) = match self.mode {
-            ForwardMode::FirstServer => (wait, 1),
-            ForwardMode::RoundRobin { each, tries } => (each, tries),
+        let (attempt_timeout, max_attempts) = match self.mode {
+            ForwardMode::FirstServer => (call_timeout, 1),
+            ForwardMode::RoundRobin {
+                attempt_timeout,
+                max_attempts,
+            } => (attempt_timeout, max_attempts),
         };
-        for _ in 0..tries {
-            let place = match self.mode {
+        for _ in 0..max_attempts {
+            let index = match self.mode {
                 ForwardMode::FirstServer => 0,
                 ForwardMode::RoundRobin { .. } => {
                     self.next_server.replace(self.next_server.get() + 1) % servers.len()
                 }
             };
-            if let Ok(Ok(answer)) = timeout(each, once(&servers[place], line, body)).await {
+            if let Ok(Ok(answer)) =
+                timeout(attempt_timeout, attempt(&servers[index], head, body)).await
+            {
                 return Some(answer);
             }
         }
@@ -88,21 +97,21 @@
     }
 }
 
-/// One try on a connection of its own; a word other than `ok` is an error.
-async fn once(server: &str, line: &str, body: &[u8]) -> io::Result<Vec<u8>> {
+/// Makes one attempt on a new connection. Any status other than `ok` is an error.
+async fn attempt(server: &str, head: &str, body: &[u8]) -> io::Result<Vec<u8>> {
     let mut stream = TcpStream::connect(server).await?;
     stream.set_nodelay(true)?;
     stream
-        .write_all(&[line.as_bytes(), b"\r\n", body, b"\r\n"].concat())
+        .write_all(&[head.as_bytes(), b"\r\n", body, b"\r\n"].concat())
         .await?;
     let mut lines = LineReader::new(stream);
-    let head = lines
+    let reply_head = lines
         .read_line()
         .await?
         .ok_or(io::ErrorKind::UnexpectedEof)?;
-    let [_, "ok", length] = head.split(' ').collect::<Vec<_>>()[..] else {
-        return Err(io::Error::other(head));
+    let [_, "ok", length] = reply_head.split(' ').collect::<Vec<_>>()[..] else {
+        return Err(io::Error::other(reply_head));
     };
     let reply = lines.read_body(length).await?;
-    Ok([head.as_bytes(), b"\r\n", &reply, b"\r\n"].concat())
+    Ok([reply_head.as_bytes(), b"\r\n", &reply, b"\r\n"].concat())
 }
--- a/crates/merlinshelf-testbed/src/fakes/line_reader.rs
+++ b/crates/merlinshelf-testbed/src/fakes/line_reader.rs
@@ -1,17 +1,17 @@
-//! Lines of words on a stream, with a body where the last word is a length.
+//! Reads the text protocol of the engine and the catalogue: lines of words, followed by a body if the last word is a length.
 
 use std::io;
 
 use tokio::io::{AsyncBufReadExt, AsyncRead, AsyncReadExt, BufReader};
 
-/// What somebody asks of a server below.
+/// A downstream call, as a server receives it.
 pub struct Call {
     pub id: String,
-    /// How long it is waited for, milliseconds, as it was written.
-    pub wait: String,
+    /// The caller's timeout in milliseconds, as text.
+    pub timeout_ms: String,
     pub body: Vec<u8>,
-    /// Its whole first line.
-    pub line: String,
+    /// The whole first line.
+    pub head: String,
 }
 
 pub struct LineReader<R>(BufReader<R>);
@@ -21,19 +21,19 @@
         LineReader(BufReader::new(stream))
     }
 
-    /// What carries the lines, to look for its end.
+    /// The underlying reader, to detect the end of the stream.
     pub fn inner(&mut self) -> &mut BufReader<R> {
         &mut self.0
     }
 
-    /// The next line without its end; none at the end of the stream.
+    /// Reads the next line without its line ending; `None` at the end of the stream.
     pub async fn read_line(&mut self) -> io::Result<Option<String>> {
         let mut text = String::new();
         let count = self.0.read_line(&mut text).await?;
         Ok((count > 0).then(|| text.trim_end().to_owned()))
     }
 
-    /// So many bytes, and the line end behind them.
+    /// Reads a body of `length` bytes and the line ending that follows it.
     pub async fn read_body(&mut self, length: &str) -> io::Result<Vec<u8>> {
         let length: usize = length.parse().map_err(io::Error::other)?;
         let mut bytes = vec![0; length + 2];
@@ -42,24 +42,24 @@
         Ok(bytes)
     }
 
-    /// The next call with its body; none at the end of the stream.
+    /// Reads the next call with its body; `None` at the end of the stream.
     pub async fn read_call(&mut self) -> io::Result<Option<Call>> {
         let Some(line) = self.read_line().await? else {
             return Ok(None);
         };
-        let ["invoke", id, wait, length] = line.split(' ').collect::<Vec<_>>()[..] else {
-            return Err(io::Error::other(format!("no call: {line}")));
+        let ["invoke", id, timeout_ms, length] = line.split(' ').collect::<Vec<_>>()[..] else {
+            return Err(io::Error::other(format!("not a call: {line:?}")));
         };
         let body = self.read_body(length).await?;
         Ok(Some(Call {
             id: id.to_owned(),
-            wait: wait.to_owned(),
+            timeout_ms: timeout_ms.to_owned(),
             body,
-            line,
+            head: line,
         }))
     }
 
-    /// So many bytes with nothing behind them.
+    /// Reads exactly `length` bytes, without a line ending.
     pub async fn read_bytes(&mut self, length: usize) -> io::Result<Vec<u8>> {
         let mut bytes = vec![0; length];
         self.0.read_exact(&mut bytes).await?;
--- a/crates/merlinshelf-testbed/src/fakes/mod.rs
+++ b/crates/merlinshelf-testbed/src/fakes/mod.rs
@@ -1,5 +1,5 @@
-//! Stand-ins that play by themselves, from the platform's protocol: an engine, a catalogue and a membership service. They
-//! keep a record of all that was asked of them, for the checker.
+//! Fakes of the services a backend talks to: an engine, a catalogue, dependency servers and a membership service. They
+//! speak the platform's protocol and record every request they receive, so that a load can be checked afterwards.
 
 mod catalogue;
 mod dependency;
@@ -22,59 +22,60 @@
 pub use forward::{Forward, ForwardMode};
 pub use registration::MembershipService;
 
-/// How the stand-ins behave.
+/// Settings of the fakes.
 #[derive(Clone, Debug)]
 pub struct FakeBehavior {
-    /// How long a run takes on the cores.
+    /// How long a run occupies a core.
     pub run_duration: Duration,
-    /// Runs at once that the gauges call all of the cores.
+    /// Number of concurrent runs at which the gauges report full utilization of the cores.
     pub cores: f64,
-    /// Operations whose runs make a call below.
+    /// Operations whose runs make a downstream call.
     pub calling_operations: Vec<String>,
-    /// Operations whose runs make several calls, one after the other, to these; they name them where that is agreed.
+    /// Operations whose runs call several dependencies in sequence, with those dependencies. The calls name their dependency
+    /// if this was agreed on the link.
     pub called_dependencies: Vec<(String, Vec<String>)>,
-    /// How long the catalogue takes.
+    /// How long the catalogue takes to answer a call.
     pub call_duration: Duration,
-    /// Say on standard output what is asked.
+    /// Print each request to standard output.
     pub verbose: bool,
 }
 
-/// What was asked of the stand-ins, by invocation.
+/// Requests that the fakes received, by invocation.
 #[derive(Debug, Default)]
 pub struct Records {
-    /// Runs that were begun; a command to run what runs already begins nothing.
+    /// Runs that were started. A `RUN` command for an invocation that is already running starts nothing.
     pub runs: HashMap<String, u32>,
     /// Calls that reached the catalogue.
     pub calls: HashMap<String, u32>,
-    /// Replies that reached a run which waited for none, or for another one.
+    /// Replies that were passed to a run that was not waiting for one, or was waiting for a different one.
     pub wrong_feeds: u32,
-    /// Links that the engine was offered.
+    /// Links that were opened to the engine.
     pub engine_links: u32,
 }
 
 pub type SharedRecords = Rc<RefCell<Records>>;
 
-/// Takes in connections for as long as its task lives, each with a task of its own.
+/// Accepts connections until its task is dropped, and serves each in its own task.
 fn serve<F: Future<Output = std::io::Result<()>> + 'static>(
     listener: TcpListener,
-    attend: impl Fn(TcpStream) -> F + 'static,
+    handle: impl Fn(TcpStream) -> F + 'static,
 ) {
     spawn_local(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            let attending = attend(stream);
+            let handling = handle(stream);
             spawn_local(async move {
-                let _ = attending.await; // an end is how callers give up, and reporters come and go
+                let _ = handling.await; // peers may disconnect at any time: callers do so to cancel a call
             });
         }
     });
 }
 
-/// What a run of an invocation makes of its body.
+/// The result of a run, computed from the body of its invocation.
 pub fn run_result(id: &str, body: &[u8]) -> Vec<u8> {
     [b"done ", id.as_bytes(), b" ", body].concat()
 }
 
-/// What the catalogue replies to a call.
+/// The catalogue's reply to a call.
 pub fn catalogue_reply(id: &str, body: &[u8]) -> Vec<u8> {
     [b"reply ", id.as_bytes(), b" ", body].concat()
 }
--- a/crates/merlinshelf-testbed/src/fakes/registration.rs
+++ b/crates/merlinshelf-testbed/src/fakes/registration.rs
@@ -1,4 +1,4 @@
-//! The membership service: takes every report, and keeps the last word of each name.
+//! Fake membership service: accepts every report and keeps the last one for each path.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -18,21 +18,21 @@
 }
 
 impl MembershipService {
-    /// Takes reports for as long as its task lives.
+    /// Accepts reports until its task is dropped.
     pub fn start(listener: TcpListener, says: bool) -> Rc<MembershipService> {
-        let members = Rc::new(MembershipService {
+        let service = Rc::new(MembershipService {
             verbose: says,
             ..MembershipService::default()
         });
-        let shared = members.clone();
+        let shared = service.clone();
         super::serve(listener, move |stream| {
-            let members = shared.clone();
-            async move { members.attend(stream).await }
+            let service = shared.clone();
+            async move { service.handle_connection(stream).await }
         });
-        members
+        service
     }
 
-    async fn attend(&self, stream: TcpStream) -> io::Result<()> {
+    async fn handle_connection(&self, stream: TcpStream) -> io::Result<()> {
         let (input, mut output) = stream.into_split();
         let mut lines = LineReader::new(input);
         while let Some(first) = lines.read_line().await? {
@@ -42,14 +42,14 @@
                     length = value.parse().map_err(io::Error::other)?;
                 }
             }
-            let word = String::from_utf8_lossy(&lines.read_bytes(length).await?).into_owned();
+            let report = String::from_utf8_lossy(&lines.read_bytes(length).await?).into_owned();
             let path = first.split(' ').nth(1).unwrap_or("").to_owned();
-            let before = self
+            let previous = self
                 .last_reports
                 .borrow_mut()
-                .insert(path.clone(), word.clone());
-            if self.verbose && before.as_ref() != Some(&word) {
-                println!("members: {path} {word}");
+                .insert(path.clone(), report.clone());
+            if self.verbose && previous.as_ref() != Some(&report) {
+                println!("members: {path} {report}");
             }
             output.write_all(b"HTTP/1.1 204 No Content\r\n\r\n").await?;
         }
