--- a/crates/merlinshelf-testbed/src/main.rs
+++ b/crates/merlinshelf-testbed/src/main.rs
@@ -304,15 +304,15 @@
             local.block_on(&runtime, demo::run(&setup))
         }
         Command::StandIns { config } => {
-            let manner = Setup::small("").fakes;
-            let manner = FakeBehavior {
+            let behavior = Setup::small("").fakes;
+            let behavior = FakeBehavior {
                 run_duration: Duration::from_millis(60),
                 cores: 2.0,
                 verbose: true,
-                ..manner
+                ..behavior
             };
             local
-                .block_on(&runtime, manual::serve(&config, manner))
+                .block_on(&runtime, manual::serve_fakes(&config, behavior))
                 .map(|()| true)
         }
         Command::Ask {
@@ -320,7 +320,7 @@
             operation,
             body,
             many,
-        } => manual::ask(&config, &operation, &body, many).map(|()| true),
+        } => manual::send_invocations(&config, &operation, &body, many).map(|()| true),
         Command::Experiment {
             experiment:
                 Experiment::Cost {
--- a/crates/merlinshelf-testbed/src/manual.rs
+++ b/crates/merlinshelf-testbed/src/manual.rs
@@ -1,4 +1,4 @@
-//! `stand-ins` and `ask`: the stand-ins at the addresses of a configuration, and an edge node that asks for something.
+//! The subcommands `stand-ins` and `ask`: fakes at the addresses of a configuration, and an edge node that sends invocations.
 
 use std::io::{self, Read, Write};
 use std::path::Path;
@@ -9,14 +9,14 @@
 use crate::fakes::{Catalogue, Engine, FakeBehavior, MembershipService, SharedRecords};
 use crate::wire::{fastcgi_invocation, unix_ms};
 
-/// As many as may be open on one connection.
-const OPEN_MOST: u16 = 32;
+/// Maximum number of open invocations on one connection.
+const MAX_OPEN: u16 = 32;
 
-fn read(path: &Path) -> io::Result<Value> {
-    let named =
+fn read_config(path: &Path) -> io::Result<Value> {
+    let with_path =
         |error: io::Error| io::Error::new(error.kind(), format!("{}: {error}", path.display()));
-    let text = std::fs::read_to_string(path).map_err(named)?;
-    serde_json::from_str(&text).map_err(|error| named(error.into()))
+    let text = std::fs::read_to_string(path).map_err(with_path)?;
+    serde_json::from_str(&text).map_err(|error| with_path(error.into()))
 }
 
 fn address(config: &Value, name: &str) -> io::Result<String> {
@@ -24,8 +24,8 @@
     text.ok_or_else(|| io::Error::other(format!("the configuration has no address {name:?}")))
 }
 
-/// The operations that make calls, by the settings.
-pub fn calling(config: &Value) -> Vec<String> {
+/// The operations that make calls, according to the configuration.
+pub fn calling_operations(config: &Value) -> Vec<String> {
     let calls = config["settings"]["FamilyInfo"]["ClassCalls"]
         .as_array()
         .into_iter()
@@ -42,35 +42,36 @@
         .collect()
 }
 
-/// Plays engine, catalogue and membership service until it is ended.
-pub async fn serve(path: &Path, mut manner: FakeBehavior) -> io::Result<()> {
-    let config = read(path)?;
+/// Runs the fake engine, catalogue and membership service until the process is terminated.
+pub async fn serve_fakes(path: &Path, mut behavior: FakeBehavior) -> io::Result<()> {
+    let config = read_config(path)?;
     let bind = async |name: &str| {
-        let at = address(&config, name)?;
-        let listener = TcpListener::bind(&at).await;
-        let listener = listener
-            .map_err(|error| io::Error::new(error.kind(), format!("{name} at {at}: {error}")))?;
-        println!("{name} at {at}");
+        let address = address(&config, name)?;
+        let listener = TcpListener::bind(&address).await;
+        let listener = listener.map_err(|error| {
+            io::Error::new(error.kind(), format!("{name} at {address}: {error}"))
+        })?;
+        println!("{name} at {address}");
         io::Result::Ok(listener)
     };
-    manner.calling_operations = calling(&config);
+    behavior.calling_operations = calling_operations(&config);
     let records = SharedRecords::default();
     let (engine, catalogue, members) = (
         bind("engine").await?,
         bind("backend").await?,
         bind("members").await?,
     );
-    Engine::start(engine, manner.clone(), records.clone());
-    Catalogue::start(catalogue, manner, records);
+    Engine::start(engine, behavior.clone(), records.clone());
+    Catalogue::start(catalogue, behavior, records);
     MembershipService::start(members, true);
     std::future::pending().await
 }
 
-/// Sends invocations on one connection and prints their answers as they come.
-pub fn ask(path: &Path, operation: &str, body: &str, many: u16) -> io::Result<()> {
-    let mut stream = std::net::TcpStream::connect(address(&read(path)?, "listen")?)?;
-    let many = many.clamp(1, OPEN_MOST);
-    for tag in 1..=many {
+/// Sends `count` invocations on one connection and prints the answers as they arrive.
+pub fn send_invocations(path: &Path, operation: &str, body: &str, count: u16) -> io::Result<()> {
+    let mut stream = std::net::TcpStream::connect(address(&read_config(path)?, "listen")?)?;
+    let count = count.clamp(1, MAX_OPEN);
+    for tag in 1..=count {
         let id = format!(
             "{:016x}",
             (unix_ms() as u64)
@@ -84,7 +85,7 @@
             &[("HTTP_X_CALL_ID", &id)],
         ))?;
     }
-    let mut open = many;
+    let mut open = count;
     while open > 0 {
         let mut head = [0; 8];
         stream.read_exact(&mut head)?;
@@ -103,7 +104,7 @@
             }
             3 => {
                 if content.get(4) == Some(&2) {
-                    println!("answer {tag}: turned away\n");
+                    println!("answer {tag}: refused (overloaded)\n");
                 }
                 open -= 1;
             }
--- a/crates/merlinshelf-testbed/src/runtime.rs
+++ b/crates/merlinshelf-testbed/src/runtime.rs
@@ -1,4 +1,4 @@
-//! What a test plays: processes, stand-ins and load, on one thread.
+//! Runs a test's processes, fakes and load on a single-threaded runtime, within a time limit.
 
 use std::io;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -9,35 +9,36 @@
 use tokio::task::LocalSet;
 use tokio::time::timeout;
 
-/// Plays to the end of it.
+/// Runs `what` to completion.
 ///
 /// # Panics
-/// It does not end in time, or can't be played.
+/// Panics if it fails, or does not finish within `time`.
 pub fn run_with_timeout<T>(time: Duration, what: impl Future<Output = io::Result<T>>) -> T {
     let runtime = Builder::new_current_thread()
         .enable_all()
         .build()
-        .expect("a runtime");
+        .expect("building the runtime");
     let bounded = async { timeout(time, what).await };
     LocalSet::new()
         .block_on(&runtime, bounded)
-        .expect("it ends in time")
-        .expect("it can be played")
+        .expect("the scenario did not finish in time")
+        .expect("the scenario failed")
 }
 
-/// Two installations at a time: each is a dozen processes and more that mostly wait, and what is timed is theirs.
-static LANES: [Mutex<()>; 2] = [Mutex::new(()), Mutex::new(())];
-static PLAYED: AtomicUsize = AtomicUsize::new(0);
+/// At most two installations run at a time: each consists of a dozen or more processes, which mostly wait, and
+/// more of them would distort the times that the tests measure.
+static SLOTS: [Mutex<()>; 2] = [Mutex::new(()), Mutex::new(())];
+static STARTED: AtomicUsize = AtomicUsize::new(0);
 
-/// The same for an installation, beside one other one of this process at the most.
+/// Like [`run_with_timeout`], for an installation: at most two run concurrently in this process.
 ///
 /// # Panics
-/// As `play_within`.
+/// As [`run_with_timeout`].
 pub fn run_installation_with_timeout<T>(
     time: Duration,
     what: impl Future<Output = io::Result<T>>,
 ) -> T {
-    let lane = PLAYED.fetch_add(1, Ordering::Relaxed) % LANES.len();
-    let _alone = LANES[lane].lock().unwrap_or_else(PoisonError::into_inner);
+    let slot = STARTED.fetch_add(1, Ordering::Relaxed) % SLOTS.len();
+    let _guard = SLOTS[slot].lock().unwrap_or_else(PoisonError::into_inner);
     run_with_timeout(time, what)
 }
--- a/crates/merlinshelf-testbed/src/script/engine.rs
+++ b/crates/merlinshelf-testbed/src/script/engine.rs
@@ -1,4 +1,4 @@
-//! An engine's link that answers by itself.
+//! Scripted engine links that answer without further help of the test.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -9,7 +9,7 @@
 use super::peer::Peer;
 use crate::wire::fastcgi_invocation;
 
-/// Lets the engine answer every run at once, and counts them.
+/// Completes every run immediately with `result`, on a thread of its own, and counts the completed runs.
 pub fn complete_all_runs(mut engine: Peer, result: &str) -> Arc<AtomicUsize> {
     let answered = Arc::new(AtomicUsize::new(0));
     let (count, result) = (answered.clone(), result.to_owned());
@@ -31,8 +31,8 @@
     answered
 }
 
-/// Asks on a connection that is never read, 32 at a time, until the program reads no more of it: all between is full
-/// then. How many were asked for.
+/// Sends invocations in batches of 32 on a connection whose answers are never read, until the program stops reading from it
+/// because all buffers in between are full. Returns the number of invocations sent.
 pub fn send_until_stalled(slow: &mut Peer, answered: &AtomicUsize) -> usize {
     let mut sent = 0;
     let stalled = |sent: usize| {
@@ -52,7 +52,7 @@
                 &[("HTTP_X_PATIENCE_MS", "60000")],
             ));
         }
-        assert!(sent < 32 * 200, "it reads on and on");
+        assert!(sent < 32 * 200, "the program never stops reading");
     }
     sent
 }
--- a/crates/merlinshelf-testbed/src/script/mod.rs
+++ b/crates/merlinshelf-testbed/src/script/mod.rs
@@ -1,4 +1,4 @@
-//! The real program between peers that a test plays by hand, message by message.
+//! The real program between peers that a test scripts message by message.
 
 mod engine;
 mod peer;
@@ -12,7 +12,7 @@
     EXAMPLE_CONFIG, ProgramUnderTest, bind_loopback, spawn_program, unique_address, write_config,
 };
 
-/// How long a peer waits for what must come.
+/// How long to wait for an expected message or event.
 pub const TIMEOUT: Duration = Duration::from_secs(5);
 
 pub fn millis(count: u64) -> Duration {
--- a/crates/merlinshelf-testbed/src/script/peer.rs
+++ b/crates/merlinshelf-testbed/src/script/peer.rs
@@ -1,4 +1,4 @@
-//! One stream of any peer, played by hand: read by the line, by the byte or by the message.
+//! A connection of a scripted peer, read by line, by byte or by message.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -7,9 +7,10 @@
 
 use super::{TIMEOUT, millis};
 
-/// One stream of any of the peers, read by the line or by the byte.
+/// A connection of a scripted engine, catalogue, membership service or edge node.
 pub struct Peer {
     pub stream: TcpStream,
+    /// Bytes received and not consumed yet.
     pub received: Vec<u8>,
 }
 
@@ -17,7 +18,7 @@
     pub fn new(stream: TcpStream) -> Peer {
         stream
             .set_read_timeout(Some(millis(20)))
-            .expect("a time-out");
+            .expect("setting the read timeout");
         Peer {
             stream,
             received: Vec::new(),
@@ -26,15 +27,19 @@
 
     pub fn accept(listener: &TcpListener) -> Peer {
         let until = Instant::now() + TIMEOUT;
-        listener.set_nonblocking(true).expect("a mode");
+        listener
+            .set_nonblocking(true)
+            .expect("setting the blocking mode");
         loop {
             match listener.accept() {
                 Ok((stream, _)) => {
-                    stream.set_nonblocking(false).expect("a mode");
+                    stream
+                        .set_nonblocking(false)
+                        .expect("setting the blocking mode");
                     return Peer::new(stream);
                 }
                 Err(_) if Instant::now() < until => sleep(millis(2)),
-                Err(error) => panic!("nobody came: {error}"),
+                Err(error) => panic!("no connection was made: {error}"),
             }
         }
     }
@@ -42,17 +47,17 @@
     pub fn send(&mut self, bytes: impl AsRef<[u8]>) {
         self.stream
             .write_all(bytes.as_ref())
-            .expect("a far end that reads");
+            .expect("the peer does not read");
     }
 
-    /// More bytes; false at the end of the stream.
+    /// Reads more bytes; false at the end of the stream. Panics if none arrive before `until`.
     pub fn read_more(&mut self, until: Instant) -> bool {
-        let mut gulp = [0; 65536];
+        let mut buffer = [0; 65536];
         loop {
-            match self.stream.read(&mut gulp) {
+            match self.stream.read(&mut buffer) {
                 Ok(0) => return false,
                 Ok(count) => {
-                    self.received.extend(&gulp[..count]);
+                    self.received.extend(&buffer[..count]);
                     return true;
                 }
                 Err(error)
@@ -60,7 +65,7 @@
                 {
                     assert!(
                         Instant::now() < until,
-                        "nothing more came after {:?}",
+                        "no more bytes arrived after {:?}",
                         self.text()
                     );
                 }
@@ -70,10 +75,12 @@
         }
     }
 
+    /// The unconsumed bytes, escaped.
     pub fn text(&self) -> String {
         self.received.escape_ascii().to_string()
     }
 
+    /// Reads `count` bytes; `None` if the stream ends before.
     pub fn read_bytes(&mut self, count: usize) -> Option<Vec<u8>> {
         let until = Instant::now() + TIMEOUT;
         while self.received.len() < count {
@@ -84,6 +91,7 @@
         Some(self.received.drain(..count).collect())
     }
 
+    /// Reads a line without its line ending; `None` at the end of the stream.
     pub fn read_line(&mut self) -> Option<String> {
         let until = Instant::now() + TIMEOUT;
         loop {
@@ -97,8 +105,8 @@
         }
     }
 
-    /// As engine or catalogue: the next message with its body, questions for gauges answered on the way;
-    /// nothing at the end of the link.
+    /// As engine or catalogue: reads the next message with its body, and answers gauge requests (`STAT`) before it.
+    /// Returns an empty string at the end of the stream.
     pub fn next_message(&mut self) -> String {
         loop {
             let line = self.read_line().unwrap_or_default();
@@ -106,8 +114,8 @@
             match words[..] {
                 ["STAT", tag] => self.send(format!("STATS {tag} 0.5 1 0.1 3\r\n")),
                 ["RUN" | "FEED" | "invoke", .., length] => {
-                    let length: usize = length.parse().expect("a length");
-                    let body = self.read_bytes(length + 2).expect("a body");
+                    let length: usize = length.parse().expect("a valid length");
+                    let body = self.read_bytes(length + 2).expect("a complete body");
                     return format!("{line} {}", body[..length].escape_ascii());
                 }
                 _ => return line,
@@ -115,24 +123,25 @@
         }
     }
 
-    /// Answers so many questions for gauges: each shows that all that was sent before the one before was read.
+    /// Answers `count` gauge requests (`STAT`). Each request shows that the program has read everything that was sent before the
+    /// previous answer.
     pub fn answer_stats(&mut self, count: usize) {
         for _ in 0..count {
             let line = self.read_line().unwrap_or_default();
             let tag = line
                 .strip_prefix("STAT ")
-                .unwrap_or_else(|| panic!("{line:?} is no question"));
+                .unwrap_or_else(|| panic!("{line:?} is not a gauge request"));
             self.send(format!("STATS {tag} 0.5 1 0.1 3\r\n"));
         }
     }
 
-    /// Answers questions for gauges for a while; anything else is handed back.
+    /// Answers gauge requests for `time`, and returns all other lines received.
     pub fn answer_stats_for(&mut self, time: Duration) -> Vec<String> {
         let (until, mut seen) = (Instant::now() + time, Vec::new());
         while Instant::now() < until {
             self.stream
                 .set_read_timeout(Some(millis(5)))
-                .expect("a time-out");
+                .expect("setting the read timeout");
             let mut peeked = [0; 1];
             if self.stream.peek(&mut peeked).is_ok_and(|count| count > 0)
                 || !self.received.is_empty()
@@ -148,7 +157,7 @@
         seen
     }
 
-    /// As edge node: the next answer, as its tag, its head without what never differs, and its body.
+    /// As edge node: reads the next answer. Returns its tag, its head without the fixed parts, and its body.
     pub fn next_answer(&mut self) -> String {
         let mut out = Vec::new();
         loop {
@@ -158,7 +167,7 @@
             let (length, padding) = (u16::from_be_bytes([head[4], head[5]]), head[6]);
             let content = self
                 .read_bytes(usize::from(length) + usize::from(padding))
-                .expect("a whole record");
+                .expect("a complete record");
             let (content, tag) = (
                 &content[..length.into()],
                 u16::from_be_bytes([head[2], head[3]]),
--- a/crates/merlinshelf-testbed/src/script/program.rs
+++ b/crates/merlinshelf-testbed/src/script/program.rs
@@ -1,4 +1,4 @@
-//! The real program with listeners in the place of all that it talks to, for peers played by hand.
+//! The real program with listeners in place of the services it talks to, for scripted peers.
 
 use std::io::{BufRead, BufReader};
 use std::net::{TcpListener, TcpStream};
@@ -15,10 +15,10 @@
 use super::peer::Peer;
 use super::{TIMEOUT, millis};
 
-/// The configuration that all rigs start from.
+/// The configuration that all tests start from.
 pub const EXAMPLE_CONFIG: &str = include_str!("../../../../examples/config.json");
 
-/// The program and the addresses of its stand-ins.
+/// The program as a child process, with the listeners of its scripted peers.
 pub struct ProgramUnderTest {
     pub child: Child,
     log: Arc<Mutex<String>>,
@@ -32,7 +32,7 @@
 
 impl Drop for ProgramUnderTest {
     fn drop(&mut self) {
-        // Its successors are in the same group.
+        // Its successors are in the same process group.
         if let Some(group) = i32::try_from(self.child.id()).ok().and_then(Pid::from_raw) {
             let _ = kill_process_group(group, Signal::KILL);
         }
@@ -47,22 +47,26 @@
 }
 
 pub fn bind_loopback() -> (TcpListener, String) {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("an address").to_string();
+    let listener = TcpListener::bind("127.0.0.1:0").expect("binding a loopback port");
+    let address = listener
+        .local_addr()
+        .expect("the local address")
+        .to_string();
     (listener, address)
 }
 
-/// An address that nobody else has: a port that was free a moment ago may be anybody's by now.
+/// An address that no other process uses. A port found free by binding to 0 could be taken by another process before the
+/// program binds it, so the address is derived from the process id.
 pub fn unique_address() -> String {
-    static TAKEN: AtomicUsize = AtomicUsize::new(1);
+    static NEXT_NUMBER: AtomicUsize = AtomicUsize::new(1);
     let ([.., high, low], number) = (
         std::process::id().to_be_bytes(),
-        TAKEN.fetch_add(1, Ordering::SeqCst),
+        NEXT_NUMBER.fetch_add(1, Ordering::SeqCst),
     );
     format!("127.{}.{low}.{number}:6565", 1 + high % 250)
 }
 
-/// Starts the program in a process group of its own, with further variables.
+/// Starts the program in its own process group, with a limit on file descriptors and additional environment variables.
 pub fn spawn_program(
     path: &str,
     config: &PathBuf,
@@ -80,57 +84,62 @@
         .stdin(Stdio::null())
         .stdout(Stdio::null())
         .stderr(Stdio::piped());
-    command.spawn().expect("a shell")
+    command.spawn().expect("starting a shell")
 }
 
-/// Writes the example's configuration with some texts replaced.
+/// Writes the example configuration to a temporary file, with some texts replaced.
 pub fn write_config(changes: &[(&str, &str)]) -> PathBuf {
     let text = changes
         .iter()
         .fold(EXAMPLE_CONFIG.to_owned(), |text, (from, to)| {
             text.replace(from, to)
         });
-    static WRITTEN: AtomicUsize = AtomicUsize::new(0);
+    static FILES_WRITTEN: AtomicUsize = AtomicUsize::new(0);
     let unique = format!(
         "{}-{}",
         std::process::id(),
-        WRITTEN.fetch_add(1, Ordering::SeqCst)
+        FILES_WRITTEN.fetch_add(1, Ordering::SeqCst)
     );
     let path = std::env::temp_dir().join(format!("merlinshelf-{unique}.json"));
-    std::fs::write(&path, text).expect("a file");
+    std::fs::write(&path, text).expect("writing the configuration");
     path
 }
 
 impl ProgramUnderTest {
+    /// Starts the program with the example configuration, with the texts in `changes` replaced.
     pub fn start(path: &str, descriptors: usize, changes: &[(&str, &str)]) -> ProgramUnderTest {
         ProgramUnderTest::start_with_env(path, descriptors, changes, &[])
     }
 
-    /// The same with further variables for the program.
+    /// Like [`ProgramUnderTest::start`], with additional environment variables.
     pub fn start_with_env(
         path: &str,
         descriptors: usize,
         changes: &[(&str, &str)],
         variables: &[(&str, &str)],
     ) -> ProgramUnderTest {
-        let ((engine, at_engine), (catalogue, at_catalogue)) = (bind_loopback(), bind_loopback());
-        let ((members, at_members), address) = (bind_loopback(), unique_address());
+        let ((engine_listener, engine_address), (catalogue_listener, catalogue_address)) =
+            (bind_loopback(), bind_loopback());
+        let ((members_listener, members_address), address) = (bind_loopback(), unique_address());
         let addresses = [
-            ("127.0.0.1:9300", at_engine.as_str()),
-            ("127.0.0.1:5432", &at_catalogue),
-            ("127.0.0.1:8761", &at_members),
+            ("127.0.0.1:9300", engine_address.as_str()),
+            ("127.0.0.1:5432", &catalogue_address),
+            ("127.0.0.1:8761", &members_address),
             ("127.0.0.1:6565", &address),
         ];
         let config = write_config(&[&addresses, changes].concat());
         let mut child = spawn_program(path, &config, descriptors, variables);
         let (log, pipe) = (
             Arc::<Mutex<String>>::default(),
-            child.stderr.take().expect("a pipe"),
+            child.stderr.take().expect("the piped standard error"),
         );
-        let into = log.clone();
+        let lines = log.clone();
         let reader = Some(std::thread::spawn(move || {
             for line in BufReader::new(pipe).lines().map_while(Result::ok) {
-                into.lock().expect("a log").extend([line.as_str(), "\n"]);
+                lines
+                    .lock()
+                    .expect("the log's lock")
+                    .extend([line.as_str(), "\n"]);
             }
         }));
         ProgramUnderTest {
@@ -139,46 +148,50 @@
             reader,
             address,
             config,
-            engine_listener: engine,
-            catalogue_listener: catalogue,
-            members_listener: members,
+            engine_listener,
+            catalogue_listener,
+            members_listener,
         }
     }
 
+    /// What the program has logged so far.
     pub fn log(&self) -> String {
-        self.log.lock().expect("a log").clone()
+        self.log.lock().expect("the log's lock").clone()
     }
 
-    /// Waits until the log says this, so many times.
+    /// Waits until the log contains `text` at least `times` times.
     pub fn wait_for_log(&self, text: &str, times: usize) {
         let until = Instant::now() + TIMEOUT;
         while self.log().matches(text).count() < times {
             assert!(
                 Instant::now() < until,
-                "the log does not say {text:?} {times} times"
+                "the log does not contain {text:?} {times} times"
             );
             sleep(millis(2));
         }
     }
 
-    /// Waits until a counter has come to a figure.
-    pub fn wait_for_counter(&self, name: &str, figure: u64) {
+    /// Waits until a counter has reached this value, as logged on `SIGUSR1`.
+    pub fn wait_for_counter(&self, name: &str, value: u64) {
         let until = Instant::now() + TIMEOUT;
-        let wanted = format!(" {name}={figure} ");
+        let expected = format!(" {name}={value} ");
         while !self
             .log()
             .lines()
             .last()
-            .is_some_and(|line| line.contains(&wanted))
+            .is_some_and(|line| line.contains(&expected))
         {
-            assert!(Instant::now() < until, "{name} does not come to {figure}");
+            assert!(
+                Instant::now() < until,
+                "counter {name} does not reach {value}"
+            );
             let before = self.log().matches("counters: ").count();
             self.signal("USR1");
             self.wait_for_log("counters: ", before + 1);
         }
     }
 
-    /// Takes the engine's link and says how it is.
+    /// Accepts the program's engine link, attaches as a warm engine and answers the first five gauge requests.
     pub fn accept_engine(&self) -> Peer {
         let mut engine = Peer::accept(&self.engine_listener);
         assert_eq!(engine.next_message(), "ATTACH 0");
@@ -187,6 +200,7 @@
         engine
     }
 
+    /// Connects to the program as an edge node, as soon as it listens.
     pub fn connect_edge(&self) -> Peer {
         let until = Instant::now() + TIMEOUT;
         loop {
@@ -206,14 +220,22 @@
         assert!(sent.is_ok_and(|status| status.success()));
     }
 
-    /// Waits for the program's own end and hands out what it logged.
+    /// Waits until the program exits by itself; returns its status and its log.
     pub fn wait_for_exit(&mut self) -> (ExitStatus, String) {
         let until = Instant::now() + TIMEOUT;
-        while self.child.try_wait().expect("a child").is_none() {
-            assert!(Instant::now() < until, "the program does not end");
+        while self
+            .child
+            .try_wait()
+            .expect("waiting for the child")
+            .is_none()
+        {
+            assert!(Instant::now() < until, "the program does not exit");
             sleep(millis(5));
         }
         let _ = self.reader.take().map(JoinHandle::join);
-        (self.child.wait().expect("a child"), self.log())
+        (
+            self.child.wait().expect("waiting for the child"),
+            self.log(),
+        )
     }
 }
--- a/crates/merlinshelf-testbed/src/wire.rs
+++ b/crates/merlinshelf-testbed/src/wire.rs
@@ -1,4 +1,4 @@
-//! What an edge node writes: records and whole invocations.
+//! Encodes what front ends send: FastCGI records, and whole invocations by FastCGI or uwsgi.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
@@ -15,13 +15,13 @@
 pub fn unix_ms() -> u128 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
-        .expect("a clock")
+        .expect("a clock after 1970")
         .as_millis()
 }
 
-/// The fields of an invocation, with some of them changed; an empty one is left out.
-fn fields(id: &str, class: &str, changes: &[(&str, &str)]) -> Vec<(String, String)> {
-    let (path, now) = (format!("/svc/{class}"), unix_ms().to_string());
+/// The fields of an invocation, with some of them changed. A field changed to an empty value is omitted.
+fn fields(id: &str, operation: &str, changes: &[(&str, &str)]) -> Vec<(String, String)> {
+    let (path, now) = (format!("/svc/{operation}"), unix_ms().to_string());
     let mut fields = vec![
         ("REQUEST_METHOD", "POST"),
         ("SCRIPT_NAME", path.as_str()),
@@ -41,13 +41,13 @@
         .collect()
 }
 
-/// One invocation as a front end that speaks uwsgi writes it.
-pub fn uwsgi_invocation(class: &str, body: &[u8], changes: &[(&str, &str)]) -> Vec<u8> {
+/// An invocation as a uwsgi front end sends it.
+pub fn uwsgi_invocation(operation: &str, body: &[u8], changes: &[(&str, &str)]) -> Vec<u8> {
     let length = body.len().to_string();
     let all: Vec<(&str, &str)> = std::iter::once(("CONTENT_LENGTH", length.as_str()))
         .chain(changes.iter().copied())
         .collect();
-    let fields = fields(&invocation_id(1), class, &all);
+    let fields = fields(&invocation_id(1), operation, &all);
     let fields: Vec<(&str, &str)> = fields
         .iter()
         .map(|(name, value)| (name.as_str(), value.as_str()))
@@ -58,10 +58,15 @@
     bytes
 }
 
-/// One invocation as an edge node writes it, with some fields changed; an empty one is left out.
-pub fn fastcgi_invocation(tag: u16, class: &str, body: &[u8], changes: &[(&str, &str)]) -> Vec<u8> {
+/// An invocation as a FastCGI edge node sends it, with some fields changed. A field changed to an empty value is omitted.
+pub fn fastcgi_invocation(
+    tag: u16,
+    operation: &str,
+    body: &[u8],
+    changes: &[(&str, &str)],
+) -> Vec<u8> {
     let mut params = Vec::new();
-    for (name, value) in fields(&invocation_id(tag), class, changes) {
+    for (name, value) in fields(&invocation_id(tag), operation, changes) {
         params.push(name.len() as u8);
         params.extend((value.len() as u32 | 0x8000_0000).to_be_bytes());
         params.extend(name.as_bytes());
