--- a/crates/merlinshelf-testbed/src/budgets.rs
+++ b/crates/merlinshelf-testbed/src/budgets.rs
@@ -1,5 +1,5 @@
-//! The checker of the fleet's budgets: it reads the records at the door of the catalogue alone, and never the word of a process
-//! under trial.
+//! Checks the call budgets of a fleet. Only the calls that arrive at the catalogue count as evidence, never what a process under
+//! test reports.
 
 use std::collections::HashSet;
 use std::io;
@@ -12,104 +12,106 @@
 use crate::fakes::Server;
 use crate::installation::Installation;
 
-/// Budgets of the trials, calls a second of the whole fleet.
+/// Budgets of the experiments, in calls per second for the whole fleet.
 pub const PROBE_BUDGET: usize = 8;
 pub const FIRST_CALL_BUDGET: usize = 64;
 pub const RETRY_BUDGET: usize = 24;
 pub const CONNECTION_BUDGET: usize = 200;
 
-/// The base policy's: what each host has set aside.
+/// The budgets of the base policy: each host's reserve.
 pub fn base_budgets() -> Value {
     json!({ "catalogue": { "again": 2, "probes": 1, "first": 4, "opened": 20 } })
 }
 
-/// A policy with the budgets of the trials, and figures of some other ones in their place.
-pub fn budget_policy(other: &[(&str, usize)]) -> Value {
+/// A policy with the budgets of the experiments, some of them overridden.
+pub fn budget_policy(overrides: &[(&str, usize)]) -> Value {
     let mut budgets = json!({ "again": RETRY_BUDGET, "probes": PROBE_BUDGET, "first": FIRST_CALL_BUDGET, "opened": CONNECTION_BUDGET });
-    other
+    overrides
         .iter()
         .for_each(|(kind, calls)| budgets[*kind] = json!(calls));
     json!({ "note": "budgets", "budgets": { "catalogue": budgets } })
 }
 
-/// Has the policy hold for all.
+/// Proposes a policy for all instances and waits until it is committed; returns its number.
 ///
 /// # Errors
-/// It does not come to hold.
+/// Returns an error if the proposal is refused, or is not decided after 20 requests.
 pub async fn propose_until_committed(
     all: &Installation,
     policy: &Value,
     id: &str,
 ) -> io::Result<u64> {
-    let ask = json!({ "policy": policy, "id": id, "wait": true });
+    let request = json!({ "policy": policy, "id": id, "wait": true });
     for _ in 0..20 {
-        let (word, said) = all.hosts[0].policy_request("propose", ask.clone()).await?;
-        match (word, said["number"].as_u64()) {
+        let (status, reply) = all.hosts[0]
+            .policy_request("propose", request.clone())
+            .await?;
+        match (status, reply["number"].as_u64()) {
             (ControlMessage::Done, Some(number)) => return Ok(number),
-            (_, Some(_)) => return Err(io::Error::other(said.to_string())),
+            (_, Some(_)) => return Err(io::Error::other(reply.to_string())),
             _ => {}
         }
-        if word == ControlMessage::Refused {
-            return Err(io::Error::other(said.to_string()));
+        if status == ControlMessage::Refused {
+            return Err(io::Error::other(reply.to_string()));
         }
     }
-    Err(io::Error::other("the change does not end"))
+    Err(io::Error::other("the proposal is still undecided"))
 }
 
-/// What reached the door, by kind as it shows from outside.
+/// Calls and connections that reached the catalogue, classified by what is visible there.
 #[derive(Clone, Debug, Default)]
 pub struct CatalogueTraffic {
-    /// Every call.
+    /// All calls.
     pub calls: Vec<Instant>,
-    /// Those of an invocation that had called before.
+    /// Calls of an invocation that had made a call before.
     pub retries: Vec<Instant>,
     pub connections: Vec<Instant>,
 }
 
 impl CatalogueTraffic {
-    /// What came in this time.
+    /// What arrived from `from` until before `until`.
     pub fn between(server: &Server, from: Instant, until: Instant) -> CatalogueTraffic {
-        let within = |at: &Instant| *at >= from && *at < until;
-        let mut known = HashSet::new();
-        let mut door = CatalogueTraffic::default();
+        let in_range = |at: &Instant| *at >= from && *at < until;
+        let mut seen_ids = HashSet::new();
+        let mut traffic = CatalogueTraffic::default();
         for (at, id) in server.arrivals.borrow().iter() {
-            let again = !known.insert(id.clone());
-            if within(at) {
-                door.calls.push(*at);
-                if again {
-                    door.retries.push(*at);
+            let is_retry = !seen_ids.insert(id.clone());
+            if in_range(at) {
+                traffic.calls.push(*at);
+                if is_retry {
+                    traffic.retries.push(*at);
                 }
             }
         }
-        door.connections = server
+        traffic.connections = server
             .connections_opened
             .borrow()
             .iter()
             .copied()
-            .filter(within)
+            .filter(in_range)
             .collect();
-        door
+        traffic
     }
 }
 
-/// The most in any second, wherever it begins.
+/// The maximum number of events within any second, wherever it begins.
 pub fn max_in_a_second(moments: &[Instant]) -> usize {
     max_within(moments, Duration::from_secs(1))
 }
 
-/// The most in any time so long.
+/// The maximum number of events within any interval of length `span`.
 pub fn max_within(moments: &[Instant], span: Duration) -> usize {
-    let (mut first, mut most) = (0, 0);
+    let (mut first, mut max) = (0, 0);
     for last in 0..moments.len() {
         while moments[last] - moments[first] >= span {
             first += 1;
         }
-        most = most.max(last - first + 1);
+        max = max.max(last - first + 1);
     }
-    most
+    max
 }
 
-/// How many came in each second from a moment on.
+/// The number of events in each second, counted from `from`.
 pub fn counts_by_second(moments: &[Instant], from: Instant, seconds: usize) -> Vec<usize> {
     let mut counts = vec![0; seconds];
     for at in moments.iter().filter(|at| **at >= from) {
--- a/crates/merlinshelf-testbed/src/disk.rs
+++ b/crates/merlinshelf-testbed/src/disk.rs
@@ -1,5 +1,5 @@
-//! A folder that fails: between the store and files that are nowhere but in memory. It crashes at a chosen operation, loses
-//! what was not synced as chance has it, and refuses when it is full or may only be read.
+//! A simulated folder with fault injection, kept in memory. It can crash at a given operation, after which a random part of the
+//! data not yet synced is lost, and it can be full, read-only or unreadable.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -10,37 +10,37 @@
 
 #[derive(Clone, Debug, Default)]
 struct Content {
-    /// What a crash leaves for certain.
-    kept: Vec<u8>,
-    now: Vec<u8>,
+    /// What is guaranteed to survive a crash.
+    synced: Vec<u8>,
+    current: Vec<u8>,
 }
 
-/// How the folder fails, other than by a crash.
+/// Faults of the folder other than a crash.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiskFault {
     ReadOnly,
-    /// So many bytes more can be written.
+    /// This many more bytes can be written.
     Full(usize),
     Unreadable,
 }
 
 #[derive(Clone, Debug)]
 pub struct Disk {
-    /// Contents by number; names point at them.
+    /// File contents; `names` holds indices into this.
     contents: Vec<Content>,
     names: BTreeMap<String, usize>,
-    /// Names as they were at the folder's last sync, and each change since, in order.
+    /// The names at the folder's last sync, and the changes since then in order.
     synced_names: BTreeMap<String, usize>,
-    changes: Vec<Change>,
-    /// Operations that go well until the crash; none: it never comes.
-    crash_after: Option<u32>,
+    unsynced_changes: Vec<NameChange>,
+    /// The number of the operation at which the folder crashes, if any.
+    crash_at: Option<u32>,
     pub fault: Option<DiskFault>,
     pub operations: u32,
     rng: Pcg64Mcg,
 }
 
 #[derive(Clone, Debug)]
-enum Change {
+enum NameChange {
     Created(String, usize),
     Renamed(String, String),
 }
@@ -55,48 +55,49 @@
             contents: Vec::new(),
             names: BTreeMap::new(),
             synced_names: BTreeMap::new(),
-            changes: Vec::new(),
-            crash_after: None,
+            unsynced_changes: Vec::new(),
+            crash_at: None,
             fault: None,
             operations: 0,
             rng,
         }
     }
 
-    /// The operation after so many is cut short by a crash, and none after it does anything.
+    /// Schedules a crash: the next `operations` operations succeed, the one after them is interrupted, and all later ones fail.
     pub fn crash_after(&mut self, operations: u32) {
-        self.crash_after = Some(self.operations + operations);
+        self.crash_at = Some(self.operations + operations);
     }
 
-    /// The machine is up again: what was synced is there, of the rest as much as chance has it.
+    /// Restarts the machine after a crash. Everything synced is there, and a random part of the rest.
     pub fn restart(&mut self) {
-        self.crash_after = None;
-        // Of the changes of names some first ones are kept.
-        let count = self.rng.random_range(0..=self.changes.len());
+        self.crash_at = None;
+        // A random prefix of the unsynced name changes survives.
+        let count = self.rng.random_range(0..=self.unsynced_changes.len());
         let mut names = std::mem::take(&mut self.synced_names);
-        for change in self.changes.drain(..).take(count) {
+        for change in self.unsynced_changes.drain(..).take(count) {
             apply(&mut names, &change);
         }
         for content in &mut self.contents {
-            // What is behind the synced part is there up to some byte; of that a byte may be another.
-            let more = content.now.len().saturating_sub(content.kept.len());
-            let more = self.rng.random_range(0..=more);
-            let mut bytes =
-                content.now[..content.kept.len().min(content.now.len()) + more].to_vec();
-            if more > 0 && self.rng.random_bool(0.3) {
-                let place = bytes.len() - 1 - self.rng.random_range(0..more);
-                bytes[place] ^= 1 << self.rng.random_range(0..8);
+            // A random prefix of the unsynced bytes survives, and one bit of it may be flipped.
+            let unsynced = content.current.len().saturating_sub(content.synced.len());
+            let survived = self.rng.random_range(0..=unsynced);
+            let mut bytes = content.current
+                [..content.synced.len().min(content.current.len()) + survived]
+                .to_vec();
+            if survived > 0 && self.rng.random_bool(0.3) {
+                let index = bytes.len() - 1 - self.rng.random_range(0..survived);
+                bytes[index] ^= 1 << self.rng.random_range(0..8);
             }
-            (content.kept, content.now) = (bytes.clone(), bytes);
+            (content.synced, content.current) = (bytes.clone(), bytes);
         }
         (self.names, self.synced_names) = (names.clone(), names);
     }
 
-    /// Puts a file there as if it had always been.
+    /// Adds a file that is already synced.
     pub fn insert_file(&mut self, name: &str, bytes: &[u8]) {
         self.contents.push(Content {
-            kept: bytes.to_vec(),
-            now: bytes.to_vec(),
+            synced: bytes.to_vec(),
+            current: bytes.to_vec(),
         });
         self.names.insert(name.into(), self.contents.len() - 1);
         self.synced_names
@@ -107,13 +108,13 @@
         self.names.contains_key(name)
     }
 
-    /// Whether an operation is to go well, be cut short, or do nothing.
+    /// Counts an operation. Returns true if it succeeds, false if the crash interrupts it, and an error if it has no effect.
     fn next_operation(&mut self, writes: bool) -> io::Result<bool> {
-        if let Some(after) = self.crash_after {
-            if self.operations > after {
+        if let Some(crash_at) = self.crash_at {
+            if self.operations > crash_at {
                 return Err(crashed());
             }
-            if self.operations == after {
+            if self.operations == crash_at {
                 self.operations += 1;
                 return Ok(false);
             }
@@ -132,10 +133,10 @@
     }
 }
 
-fn apply(names: &mut BTreeMap<String, usize>, change: &Change) {
+fn apply(names: &mut BTreeMap<String, usize>, change: &NameChange) {
     match change {
-        Change::Created(name, number) => _ = names.insert(name.clone(), *number),
-        Change::Renamed(from, to) => {
+        NameChange::Created(name, number) => _ = names.insert(name.clone(), *number),
+        NameChange::Renamed(from, to) => {
             if let Some(number) = names.remove(from) {
                 names.insert(to.clone(), number);
             }
@@ -151,33 +152,33 @@
         Ok(self
             .names
             .get(name)
-            .map(|number| self.contents[*number].now.clone()))
+            .map(|number| self.contents[*number].current.clone()))
     }
 
     fn create(&mut self, name: &str) -> io::Result<()> {
-        let whole = self.next_operation(true)?;
-        if whole || self.rng.random() {
+        let complete = self.next_operation(true)?;
+        if complete || self.rng.random() {
             self.contents.push(Content::default());
-            let change = Change::Created(name.into(), self.contents.len() - 1);
+            let change = NameChange::Created(name.into(), self.contents.len() - 1);
             apply(&mut self.names, &change);
-            self.changes.push(change);
+            self.unsynced_changes.push(change);
         }
-        if whole { Ok(()) } else { Err(crashed()) }
+        if complete { Ok(()) } else { Err(crashed()) }
     }
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
-        let whole = self.next_operation(true)?;
-        let mut most = if whole {
+        let complete = self.next_operation(true)?;
+        let mut written = if complete {
             bytes.len()
         } else {
             self.rng.random_range(0..=bytes.len())
         };
-        if let Some(DiskFault::Full(left)) = &mut self.fault {
-            most = most.min(*left);
-            *left -= most;
+        if let Some(DiskFault::Full(bytes_left)) = &mut self.fault {
+            written = written.min(*bytes_left);
+            *bytes_left -= written;
         }
-        self.content(name)?.now.extend(&bytes[..most]);
-        match (whole, most == bytes.len()) {
+        self.content(name)?.current.extend(&bytes[..written]);
+        match (complete, written == bytes.len()) {
             (true, true) => Ok(()),
             (true, false) => Err(io::ErrorKind::StorageFull.into()),
             (false, _) => Err(crashed()),
@@ -185,32 +186,32 @@
     }
 
     fn sync(&mut self, name: &str) -> io::Result<()> {
-        let whole = self.next_operation(true)?;
+        let complete = self.next_operation(true)?;
         let content = self.content(name)?;
-        if whole {
-            content.kept = content.now.clone();
+        if complete {
+            content.synced = content.current.clone();
         }
-        if whole { Ok(()) } else { Err(crashed()) }
+        if complete { Ok(()) } else { Err(crashed()) }
     }
 
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
-        let whole = self.next_operation(true)?;
+        let complete = self.next_operation(true)?;
         if !self.names.contains_key(from) {
             return Err(io::ErrorKind::NotFound.into());
         }
-        if whole || self.rng.random() {
-            let change = Change::Renamed(from.into(), to.into());
+        if complete || self.rng.random() {
+            let change = NameChange::Renamed(from.into(), to.into());
             apply(&mut self.names, &change);
-            self.changes.push(change);
+            self.unsynced_changes.push(change);
         }
-        if whole { Ok(()) } else { Err(crashed()) }
+        if complete { Ok(()) } else { Err(crashed()) }
     }
 
     fn sync_folder(&mut self) -> io::Result<()> {
         if !self.next_operation(true)? {
             return Err(crashed());
         }
-        self.changes.clear();
+        self.unsynced_changes.clear();
         self.synced_names = self.names.clone();
         Ok(())
     }
--- a/crates/merlinshelf-testbed/src/lib.rs
+++ b/crates/merlinshelf-testbed/src/lib.rs
@@ -1,5 +1,5 @@
-//! The project's own laboratory: stand-ins of all that a backend talks to, played by hand or by themselves, load, the
-//! checker of the rules, and trials. Everything binds to loopback addresses and ends by itself.
+//! The project's testbed: fakes and scripted peers of all services that a backend talks to, load generators, checks of the
+//! guarantees, and experiments. Everything binds to loopback addresses and ends by itself.
 
 pub mod budgets;
 pub mod demo;
--- a/crates/merlinshelf-testbed/src/link.rs
+++ b/crates/merlinshelf-testbed/src/link.rs
@@ -1,5 +1,4 @@
-//! Links between processes under trial, each through a forwarder that does to it what a schedule says: both ways alike or one way
-//! alone, and heals.
+//! Forwarders for the connections between processes under test, which inject faults on demand and can be healed.
 
 use std::cell::RefCell;
 use std::io;
@@ -15,22 +14,22 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// What happens to what is sent over a link.
+/// Faults of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Fault {
     #[default]
     None,
-    /// Connections stay open, and what is sent lies until the link heals: it then arrives, however old.
+    /// Connections stay open, and data is held back until the link heals; it is then delivered, however old.
     Stalled,
-    /// All connections end, and new ones are closed at once.
+    /// All connections are closed, and new ones are closed immediately.
     Cut,
-    /// Each piece comes so much later.
+    /// Each piece of data is delayed by this.
     Delayed(Duration),
-    /// Byte by byte, with a pause after each.
+    /// Data is delivered byte by byte, with this pause after each byte.
     ByteByByte(Duration),
 }
 
-/// Stands between an agent and the control socket of an instance, which it gives back when it is dropped.
+/// A proxy between an agent and an instance's control socket. Dropping it restores the socket.
 pub struct ControlLink {
     path: PathBuf,
     moved_path: PathBuf,
@@ -38,65 +37,65 @@
     accepting: tokio::task::AbortHandle,
 }
 
-/// What becomes of what is said over a control link.
+/// How a control link treats its traffic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ControlLinkMode {
     Forwarding,
-    /// It lies, on connections that stay open.
+    /// Connections are accepted, and no data is forwarded.
     Stalled,
-    /// Questions about policies come as a word that nobody knows: the answer is that of a program from before there were any.
+    /// Policy requests are rewritten to an unknown command, so that the answer is that of a program without policy support.
     WithoutPolicies,
 }
 
 impl ControlLink {
-    /// Takes the socket's place.
+    /// Replaces the control socket at `path` by a proxy.
     ///
     /// # Errors
-    /// The file system's.
+    /// Returns the file system's error if the socket can't be moved or bound.
     pub fn replace_socket(path: &Path) -> io::Result<ControlLink> {
-        let (path, real) = (path.to_path_buf(), path.with_extension("real"));
-        std::fs::rename(&path, &real)?;
+        let (path, moved_path) = (path.to_path_buf(), path.with_extension("real"));
+        std::fs::rename(&path, &moved_path)?;
         let listener = UnixListener::bind(&path)?;
-        let (manner, watched) = watch::channel(ControlLinkMode::Forwarding);
-        let to = real.clone();
+        let (mode, watched) = watch::channel(ControlLinkMode::Forwarding);
+        let to = moved_path.clone();
         let accepting = spawn_local(async move {
             while let Ok((from, _)) = listener.accept().await {
-                // What became of one is seen by who asked.
+                // The client notices a failed connection itself.
                 spawn_local(forward_control(from, to.clone(), watched.clone()));
             }
         });
         Ok(ControlLink {
             path,
-            moved_path: real,
-            mode: manner,
+            moved_path,
+            mode,
             accepting: accepting.abort_handle(),
         })
     }
 
-    pub fn set(&self, manner: ControlLinkMode) {
-        self.mode.send_replace(manner);
+    pub fn set(&self, mode: ControlLinkMode) {
+        self.mode.send_replace(mode);
     }
 }
 
-/// One connection of a control link.
+/// Forwards one connection of a control link.
 async fn forward_control(
     mut from: UnixStream,
     to: PathBuf,
-    mut manner: watch::Receiver<ControlLinkMode>,
+    mut mode: watch::Receiver<ControlLinkMode>,
 ) -> io::Result<()> {
-    // Half open: it was let in, and nothing of what it says goes on.
-    let now = manner
-        .wait_for(|manner| *manner != ControlLinkMode::Stalled)
+    // While stalled, the connection stays accepted and nothing is forwarded.
+    let current = mode
+        .wait_for(|mode| *mode != ControlLinkMode::Stalled)
         .await
-        .map(|manner| *manner);
+        .map(|mode| *mode);
     let mut to = UnixStream::connect(to).await?;
-    if now.is_ok_and(|now| now == ControlLinkMode::WithoutPolicies) {
-        let mut word = [0; ASK.len()];
-        from.read_exact(&mut word).await?;
-        to.write_all(if word == *ASK {
+    if current.is_ok_and(|current| current == ControlLinkMode::WithoutPolicies) {
+        let mut prefix = [0; POLICY_REQUEST_PREFIX.len()];
+        from.read_exact(&mut prefix).await?;
+        to.write_all(if prefix == *POLICY_REQUEST_PREFIX {
             b"ask 1 policies "
         } else {
-            &word
+            &prefix
         })
         .await?;
     }
@@ -105,8 +104,8 @@
         .map(|_| ())
 }
 
-/// How a question about policies begins.
-const ASK: &[u8; 13] = b"ask 1 policy ";
+/// How a policy request begins on the control socket.
+const POLICY_REQUEST_PREFIX: &[u8; 13] = b"ask 1 policy ";
 
 impl Drop for ControlLink {
     fn drop(&mut self) {
@@ -115,27 +114,27 @@
     }
 }
 
-/// A link from one process to another; it ends with its owner.
+/// A TCP forwarder from one process to another; it stops when it is dropped.
 pub struct Link {
     fault: watch::Sender<Fault>,
-    /// Connections that were made over it.
+    /// Number of connections accepted.
     pub connections_made: Rc<RefCell<u64>>,
 }
 
 impl Link {
-    /// Takes connections at one address and passes them on to another.
+    /// Accepts connections at `listen` and forwards them to `to`.
     ///
     /// # Errors
-    /// The address can't be had.
+    /// Returns an error if the address can't be bound.
     pub async fn start(listen: &str, to: String) -> io::Result<Link> {
         let listener = TcpListener::bind(listen).await?;
         let (fault, watched) = watch::channel(Fault::None);
-        let made: Rc<RefCell<u64>> = Rc::default();
-        let count = made.clone();
+        let connections_made: Rc<RefCell<u64>> = Rc::default();
+        let count = connections_made.clone();
         spawn_local(async move {
             while let Ok((from, _)) = listener.accept().await {
                 if watched.has_changed().is_err() {
-                    return; // its owner is gone
+                    return; // the link was dropped
                 }
                 if *watched.borrow() == Fault::Cut {
                     continue;
@@ -146,7 +145,7 @@
         });
         Ok(Link {
             fault,
-            connections_made: made,
+            connections_made,
         })
     }
 
@@ -165,13 +164,13 @@
     };
     let _ = (from.set_nodelay(true), to.set_nodelay(true));
     let ((from_in, from_out), (to_in, to_out)) = (from.into_split(), to.into_split());
-    let (one, other) = (
+    let (forth, back) = (
         copy(from_in, to_out, fault.clone()),
         copy(to_in, from_out, fault.clone()),
     );
     select! {
-        _ = one => {}
-        _ = other => {}
+        _ = forth => {}
+        _ = back => {}
         _ = fault.wait_for(|fault| *fault == Fault::Cut) => {}
     }
 }
@@ -187,9 +186,9 @@
         if count == 0 {
             return Ok(());
         }
-        let now = *fault.borrow_and_update();
-        match now {
-            Fault::Delayed(by) => sleep(by).await,
+        let current = *fault.borrow_and_update();
+        match current {
+            Fault::Delayed(delay) => sleep(delay).await,
             Fault::ByteByByte(pause) => {
                 for byte in &piece[..count] {
                     to.write_all(std::slice::from_ref(byte)).await?;
