--- a/crates/merlinshelf-cli/tests/dependencies.rs
+++ b/crates/merlinshelf-cli/tests/dependencies.rs
@@ -85,7 +85,7 @@
 async fn wait_for_answers(playing: &RunningLoad, count: usize) {
     let answered = || {
         playing
-            .seen
+            .record
             .borrow()
             .sent
             .values()
@@ -115,7 +115,7 @@
         let (instance, load, playing) = rig.start_with_load(1).await?;
         assert!(
             playing
-                .seen
+                .record
                 .borrow()
                 .sent
                 .values()
@@ -129,7 +129,7 @@
         rig.set_behaviour("catalogue", ServerBehavior::Normal);
         // Within seconds, all answers are complete again.
         let all_complete = |playing: &RunningLoad| {
-            let seen = playing.seen.borrow();
+            let seen = playing.record.borrow();
             let recent = seen
                 .sent
                 .values()
--- a/crates/merlinshelf-cli/tests/learning.rs
+++ b/crates/merlinshelf-cli/tests/learning.rs
@@ -51,7 +51,7 @@
 async fn check(instance: &Instance, load: &Load, playing: RunningLoad) -> Verdict {
     let answered = |playing: &RunningLoad| {
         playing
-            .seen
+            .record
             .borrow()
             .sent
             .values()
--- a/crates/merlinshelf-cli/tests/policy.rs
+++ b/crates/merlinshelf-cli/tests/policy.rs
@@ -468,13 +468,13 @@
             .processes_of(0)
             .iter()
             .for_each(|pid| signal(*pid, Signal::KILL));
-        playing[0].3.seen.borrow_mut().killed_at.push(killed);
+        playing[0].3.record.borrow_mut().killed_at.push(killed);
         sleep(Duration::from_millis(4500)).await; // the instance waits for two leases, then serves by the base policy
         for host in [1, 2] {
             all.hosts[host].start_agent(PROGRAM.as_ref())?;
         }
         wait_until_all_use(&all, 1).await?;
-        let seen = playing[0].3.seen.clone();
+        let seen = playing[0].3.record.clone();
         stop_and_check(&all, playing, &changes).await;
         let seen = seen.borrow();
         let sent_after_kill = seen
@@ -897,7 +897,7 @@
                 .iter()
                 .find(|(load_host, instance, ..)| (*load_host, *instance) == (host, 1))
                 .expect("the load of the instance");
-            load.3.seen.borrow_mut().killed_at.push(Instant::now());
+            load.3.record.borrow_mut().killed_at.push(Instant::now());
             sleep(Duration::from_millis(120)).await; // it is restarted 0.2 s after its death
             changes.push(complete_change(&all, index % 3, (index + 1) % 3, state).await?);
             wait_until_all_use(&all, version).await?;
--- a/crates/merlinshelf-cli/tests/shares.rs
+++ b/crates/merlinshelf-cli/tests/shares.rs
@@ -316,7 +316,7 @@
         let from = Instant::now();
         fleet.catalogue.set_behavior(ServerBehavior::Slow(3.0));
         for (.., playing) in fleet.playing.iter().step_by(4) {
-            playing.seen.borrow_mut().restarts += 1;
+            playing.record.borrow_mut().restarts += 1;
         }
         for host in 0..3 {
             for instance in [2, 3] {
@@ -410,7 +410,7 @@
         fleet
             .playing
             .iter()
-            .for_each(|(.., playing)| playing.seen.borrow_mut().killed_at.push(killed));
+            .for_each(|(.., playing)| playing.record.borrow_mut().killed_at.push(killed));
         for host in &mut fleet.all.hosts {
             host.start_agent(&program)?;
         }
@@ -666,13 +666,13 @@
         pause(2.0).await;
         let from = Instant::now();
         for (.., playing) in &fleet.playing {
-            playing.seen.borrow_mut().restarts += 1;
+            playing.record.borrow_mut().restarts += 1;
         }
         pause(6.0).await;
         let mut accepted: Vec<Instant> = fleet
             .playing
             .iter()
-            .flat_map(|(.., playing)| playing.seen.borrow().first_answers.clone())
+            .flat_map(|(.., playing)| playing.record.borrow().first_answers.clone())
             .filter(|at| *at >= from)
             .collect();
         accepted.sort_unstable();
--- a/crates/merlinshelf-cli/tests/upgrade.rs
+++ b/crates/merlinshelf-cli/tests/upgrade.rs
@@ -65,7 +65,7 @@
         ..load(&instance, number.into())
     };
     let playing = load.start().await?;
-    while playing.seen.borrow().sent.len() < 20 {
+    while playing.record.borrow().sent.len() < 20 {
         sleep(ms(5)).await;
     }
     Ok((instance, load, playing))
@@ -76,7 +76,7 @@
 async fn check(instance: &Instance, load: &Load, playing: RunningLoad) -> Verdict {
     let answered = |playing: &RunningLoad| {
         playing
-            .seen
+            .record
             .borrow()
             .sent
             .values()
--- a/crates/merlinshelf-testbed/src/experiments/cost.rs
+++ b/crates/merlinshelf-testbed/src/experiments/cost.rs
@@ -107,9 +107,15 @@
     let running_load = load.start().await?;
     // A new leader grants no shares before one lease has passed.
     sleep(Duration::from_millis(if policy { 5000 } else { 700 })).await;
-    let (cpu_before, sent_before) = (instance.cpu_time()?, running_load.seen.borrow().sent.len());
+    let (cpu_before, sent_before) = (
+        instance.cpu_time()?,
+        running_load.record.borrow().sent.len(),
+    );
     sleep(plan.measured_for).await;
-    let (cpu_after, sent_after) = (instance.cpu_time()?, running_load.seen.borrow().sent.len());
+    let (cpu_after, sent_after) = (
+        instance.cpu_time()?,
+        running_load.record.borrow().sent.len(),
+    );
     let memory = instance.peak_memory_kb().unwrap_or(0);
     running_load.stop().await;
     if let Some(renewing) = renewing {
--- a/crates/merlinshelf-testbed/src/experiments/fleet.rs
+++ b/crates/merlinshelf-testbed/src/experiments/fleet.rs
@@ -40,7 +40,7 @@
 fn served(loads: &[(Load, RunningLoad)], from: Instant, until: Instant) -> (u64, u64) {
     let (mut served, mut sent_count) = (0, 0);
     for (_, load) in loads {
-        let seen = load.seen.borrow();
+        let seen = load.record.borrow();
         for sent in seen
             .sent
             .values()
@@ -201,7 +201,7 @@
     let address = rig.address(index);
     if let Some((_, running_load)) = loads.iter().find(|(load, _)| load.address == address) {
         running_load
-            .seen
+            .record
             .borrow_mut()
             .killed_at
             .push(Instant::now());
--- a/crates/merlinshelf-testbed/src/experiments/learning/cost.rs
+++ b/crates/merlinshelf-testbed/src/experiments/learning/cost.rs
@@ -61,13 +61,13 @@
     let (from, before, sent) = (
         Instant::now(),
         instance.cpu_time()?,
-        playing.seen.borrow().sent.len(),
+        playing.record.borrow().sent.len(),
     );
     sleep(TIME).await;
     let (until, after, now) = (
         Instant::now(),
         instance.cpu_time()?,
-        playing.seen.borrow().sent.len(),
+        playing.record.borrow().sent.len(),
     );
     if let Some(asking) = asking {
         asking.abort();
--- a/crates/merlinshelf-testbed/src/experiments/policy.rs
+++ b/crates/merlinshelf-testbed/src/experiments/policy.rs
@@ -208,7 +208,7 @@
     rounds: &[(Instant, RoundFault)],
 ) {
     for (host, instance, load, running_load) in loads {
-        let seen = running_load.seen.borrow();
+        let seen = running_load.record.borrow();
         let records = installation.hosts[*host].records[usize::from(*instance)].borrow();
         let violations = seen.sent.iter().filter(|(id, sent)| {
             let limit = load.patience + Duration::from_millis(50);
@@ -281,7 +281,7 @@
                 .find(|(of_host, of_instance, ..)| (*of_host, *of_instance) == (host, instance));
             own.into_iter().for_each(|(.., running_load)| {
                 running_load
-                    .seen
+                    .record
                     .borrow_mut()
                     .killed_at
                     .push(Instant::now())
--- a/crates/merlinshelf-testbed/src/experiments/policy_switch.rs
+++ b/crates/merlinshelf-testbed/src/experiments/policy_switch.rs
@@ -83,7 +83,7 @@
 fn served(loads: &[(usize, u16, Load, RunningLoad)], times: &[(Instant, Instant)]) -> (u64, u64) {
     let (mut sent, mut served) = (0, 0);
     for (.., running_load) in loads {
-        let seen = running_load.seen.borrow();
+        let seen = running_load.record.borrow();
         let counted = seen.sent.values().filter(|invocation| {
             !MARKER_OPERATIONS.contains(&invocation.operation.as_str())
                 && times
--- a/crates/merlinshelf-testbed/src/experiments/shares.rs
+++ b/crates/merlinshelf-testbed/src/experiments/shares.rs
@@ -131,7 +131,7 @@
     let (mut sum, mut count) = (0.0, 0);
     for (.., load) in loads {
         for sent in load
-            .seen
+            .record
             .borrow()
             .sent
             .values()
@@ -248,14 +248,15 @@
                 .iter()
                 .for_each(|pid| signal(*pid, Signal::KILL));
             let killed = loads.iter().filter(|(_, place, ..)| *place == 0);
-            killed
-                .for_each(|(.., running_load)| running_load.seen.borrow_mut().killed_at.push(now));
+            killed.for_each(|(.., running_load)| {
+                running_load.record.borrow_mut().killed_at.push(now)
+            });
         }
         ProcessFault::Restarts => {
             loads
                 .iter()
                 .step_by(4)
-                .for_each(|(.., running_load)| running_load.seen.borrow_mut().restarts += 1);
+                .for_each(|(.., running_load)| running_load.record.borrow_mut().restarts += 1);
         }
     }
     pause(2.5).await;
--- a/crates/merlinshelf-testbed/src/experiments/shares_loop.rs
+++ b/crates/merlinshelf-testbed/src/experiments/shares_loop.rs
@@ -38,7 +38,7 @@
 fn served(loads: &[(usize, u16, Load, RunningLoad)], from: Instant, until: Instant) -> f64 {
     let (mut sent, mut served) = (0_u32, 0_u32);
     for (.., load) in loads {
-        for (sent_at, served_at) in load.seen.borrow().first_attempts.values() {
+        for (sent_at, served_at) in load.record.borrow().first_attempts.values() {
             if *sent_at >= from && *sent_at < until {
                 sent += 1;
                 served += u32::from(served_at.is_some_and(|served_at| {
@@ -130,8 +130,8 @@
         .find(|after| is_recovered(slowdown_end + Duration::from_secs_f64(*after)));
     let (mut attempts, mut invocations) = (0, 0);
     for (.., load) in &loads {
-        attempts += load.seen.borrow().sent.len();
-        invocations += load.seen.borrow().first_attempts.len();
+        attempts += load.record.borrow().sent.len();
+        invocations += load.record.borrow().first_attempts.len();
     }
     let verdict = check_load(&installation, loads).await;
     let (lost, doubled) = (verdict.lost, verdict.doubled + verdict.run_twice);
--- a/crates/merlinshelf-testbed/src/experiments/uwsgi.rs
+++ b/crates/merlinshelf-testbed/src/experiments/uwsgi.rs
@@ -63,7 +63,7 @@
     let running_load = load.start().await?;
     sleep(LOAD_DURATION).await;
     let cpu = instance.cpu_time()? - cpu_before;
-    let sent_count = running_load.seen.borrow().sent.len();
+    let sent_count = running_load.record.borrow().sent.len();
     instance.drain().await?;
     let seen = running_load.stop().await.take();
     let verdict = seen.check(&instance.records.borrow(), load.patience);
--- a/crates/merlinshelf-testbed/src/fleet.rs
+++ b/crates/merlinshelf-testbed/src/fleet.rs
@@ -1,5 +1,5 @@
-//! A fleet under trial: the real agent and the real instances, each between an engine of its own and shared other stand-ins,
-//! and edge nodes that send to all.
+//! A fleet under test on one host: the real agent and its real instances, each with its own fake engine and all with shared other
+//! fakes, and load for every instance.
 
 use std::cell::RefCell;
 use std::io;
@@ -21,9 +21,10 @@
 use crate::load::{Load, RunningLoad, Verdict};
 use crate::script::EXAMPLE_CONFIG;
 
-const PATIENCE: Duration = Duration::from_secs(40);
-const LISTEN: u16 = 6600;
-const ENGINE: u16 = 9300;
+/// How long to wait for an expected event.
+const TIMEOUT: Duration = Duration::from_secs(40);
+const LISTEN_PORT: u16 = 6600;
+const ENGINE_PORT: u16 = 9300;
 
 pub struct FleetUnderTest {
     pub folder: PathBuf,
@@ -34,21 +35,21 @@
     pub records: Vec<SharedRecords>,
 }
 
-/// Asks an agent; all that it says, the last word last.
+/// Sends a request to an agent and returns all its replies, the final one last.
 ///
 /// # Errors
-/// It does not answer.
+/// Returns an error if it does not answer.
 pub async fn ask_agent(
     socket: &Path,
     body: &Value,
     patience: Duration,
 ) -> io::Result<Vec<(ControlMessage, Value)>> {
-    let mut talk = ControlClient::request(socket, ControlRequest::Fleet, body, patience).await?;
+    let mut client = ControlClient::request(socket, ControlRequest::Fleet, body, patience).await?;
     let mut all = Vec::new();
     loop {
-        let said = talk.next_reply().await?;
-        let last = said.0 != ControlMessage::More;
-        all.push(said);
+        let reply = client.next_reply().await?;
+        let last = reply.0 != ControlMessage::More;
+        all.push(reply);
         if last {
             return Ok(all);
         }
@@ -68,10 +69,10 @@
 }
 
 impl FleetUnderTest {
-    /// Stand-ins, files and the agent; `change` is what the fleet's file says of changes.
+    /// Starts the fakes and the agent in a new folder; `change` is the section `change` of the fleet file.
     ///
     /// # Errors
-    /// What can't be started.
+    /// Returns an error if a part of it can't be started.
     pub async fn start(
         program: &Path,
         number: u8,
@@ -82,7 +83,7 @@
             std::env::temp_dir().join(format!("merlinshelf-fleet-{}-{number}", std::process::id()));
         let _ = std::fs::remove_dir_all(&folder);
         std::fs::create_dir_all(&folder)?;
-        let manner = Setup::small(program).fakes;
+        let behavior = Setup::small(program).fakes;
         let bind = || TcpListener::bind("127.0.0.1:0");
         let (catalogue, members) = (bind().await?, bind().await?);
         let mut config: Value = serde_json::from_str(EXAMPLE_CONFIG)?;
@@ -92,29 +93,30 @@
         config["settings"]["FamilyInfo"]["HeapKb"] = json!(152_880.0);
         config["settings"]["FamilyInfo"]["CallShare"] = json!(32);
         std::fs::write(folder.join("config.json"), config.to_string())?;
-        let every: SharedRecords = Rc::new(RefCell::new(Records::default()));
-        Catalogue::start(catalogue, manner.clone(), every.clone());
+        let shared_records: SharedRecords = Rc::new(RefCell::new(Records::default()));
+        Catalogue::start(catalogue, behavior.clone(), shared_records.clone());
         MembershipService::start(members, false);
         let mut records = Vec::new();
-        for place in 0..count {
-            let own: SharedRecords = Rc::new(RefCell::new(Records::default()));
-            let listener = TcpListener::bind(process_address_at(number, ENGINE + place)).await?;
-            Engine::start(listener, manner.clone(), own.clone());
-            records.push(own);
+        for index in 0..count {
+            let engine_records: SharedRecords = Rc::new(RefCell::new(Records::default()));
+            let listener =
+                TcpListener::bind(process_address_at(number, ENGINE_PORT + index)).await?;
+            Engine::start(listener, behavior.clone(), engine_records.clone());
+            records.push(engine_records);
         }
-        let wanted = json!({
+        let fleet_file = json!({
             "folder": "run",
             "host": { "memory_mb": 1 << 20, "cores": 1000, "descriptors": 1 << 20 },
             "change": change,
             "restarts": { "pause_ms": 200, "at_once": 8, "hangs_ms": 2500 },
             "groups": { "web": {
                 "count": count, "program": program, "config": "config.json",
-                "listen": process_address_at(number, LISTEN), "engine": process_address_at(number, ENGINE),
+                "listen": process_address_at(number, LISTEN_PORT), "engine": process_address_at(number, ENGINE_PORT),
                 "learning": true, "descriptors": 2048,
             } },
         });
-        std::fs::write(folder.join("fleet.json5"), wanted.to_string())?;
-        let mut rig = FleetUnderTest {
+        std::fs::write(folder.join("fleet.json5"), fleet_file.to_string())?;
+        let mut fleet = FleetUnderTest {
             folder,
             program: program.into(),
             agent: None,
@@ -122,14 +124,14 @@
             count,
             records,
         };
-        rig.start_agent()?;
-        Ok(rig)
+        fleet.start_agent()?;
+        Ok(fleet)
     }
 
-    /// Starts an agent.
+    /// Starts the agent.
     ///
     /// # Errors
-    /// The program can't be started.
+    /// Returns an error if the program can't be started.
     pub fn start_agent(&mut self) -> io::Result<()> {
         let log = std::fs::OpenOptions::new()
             .create(true)
@@ -145,7 +147,7 @@
         Ok(())
     }
 
-    /// Kills the agent, without a word.
+    /// Kills the agent with `SIGKILL`.
     pub async fn kill_agent(&mut self) {
         if let Some(mut agent) = self.agent.take() {
             let _ = agent.kill().await;
@@ -156,10 +158,10 @@
         self.agent.as_ref().and_then(Child::id)
     }
 
-    /// Tells the agent to end, as operators do, and waits for it.
+    /// Terminates the agent with `SIGTERM`, as an operator would, and waits for its exit code.
     ///
     /// # Errors
-    /// It does not end.
+    /// Returns an error if it does not exit in time.
     pub async fn terminate_agent(&mut self) -> io::Result<Option<i32>> {
         let Some(mut agent) = self.agent.take() else {
             return Ok(None);
@@ -167,7 +169,7 @@
         if let Some(id) = agent.id() {
             signal(id, Signal::TERM);
         }
-        Ok(tokio::time::timeout(PATIENCE, agent.wait()).await??.code())
+        Ok(tokio::time::timeout(TIMEOUT, agent.wait()).await??.code())
     }
 
     pub fn socket(&self) -> PathBuf {
@@ -178,57 +180,64 @@
         std::fs::read_to_string(self.folder.join("agent.log")).unwrap_or_default()
     }
 
-    /// Asks the agent; all that it says, the last word last.
+    /// Sends a request to the agent and returns all its replies, the final one last.
     ///
     /// # Errors
-    /// It does not answer.
+    /// Returns an error if it does not answer.
     pub async fn ask(&self, body: &Value) -> io::Result<Vec<(ControlMessage, Value)>> {
-        ask_agent(&self.socket(), body, PATIENCE * 4).await
+        ask_agent(&self.socket(), body, TIMEOUT * 4).await
     }
 
-    /// The instances, and the sum.
+    /// The status of each instance, and the summary of the fleet.
     ///
     /// # Errors
-    /// The agent does not answer.
+    /// Returns an error if the agent does not answer.
     pub async fn status(&self) -> io::Result<(Vec<Value>, Value)> {
-        let said = self.ask(&json!({ "op": "status" })).await?;
-        let (sum, pages) = said.split_last().ok_or(io::ErrorKind::UnexpectedEof)?;
-        let of = |page: &(ControlMessage, Value)| {
+        let replies = self.ask(&json!({ "op": "status" })).await?;
+        let (summary, pages) = replies.split_last().ok_or(io::ErrorKind::UnexpectedEof)?;
+        let instances = |page: &(ControlMessage, Value)| {
             page.1["instances"].as_array().cloned().unwrap_or_default()
         };
-        Ok((pages.iter().flat_map(of).collect(), sum.1.clone()))
+        Ok((
+            pages.iter().flat_map(instances).collect(),
+            summary.1.clone(),
+        ))
     }
 
-    /// Waits until so many are in a state, the agent's answers included.
+    /// Waits until exactly `count` instances are in a state. An agent that does not answer is asked again.
     ///
     /// # Errors
-    /// They never are.
+    /// Returns an error if that does not happen in time.
     pub async fn wait_for_state(&self, state: &str, count: usize) -> io::Result<()> {
-        let until = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + TIMEOUT;
         loop {
             let found = self.status().await;
             if let Ok((all, _)) = &found
-                && all.iter().filter(|one| one["state"] == state).count() == count
+                && all
+                    .iter()
+                    .filter(|instance| instance["state"] == state)
+                    .count()
+                    == count
             {
                 return Ok(());
             }
-            if Instant::now() >= until {
+            if Instant::now() >= deadline {
                 let log = self.log();
                 return Err(io::Error::other(format!(
-                    "never {count} {state}: {found:?}\n{log}"
+                    "not {count} instances in state {state:?} in time: {found:?}\n{log}"
                 )));
             }
             sleep(Duration::from_millis(20)).await;
         }
     }
 
-    /// What happened, as texts.
+    /// The agent's history of events, one line each.
     ///
     /// # Errors
-    /// The agent does not answer.
+    /// Returns an error if the agent does not answer.
     pub async fn history(&self) -> io::Result<String> {
-        let said = self.ask(&json!({ "op": "history", "lines": 1000 })).await?;
-        let events = said
+        let replies = self.ask(&json!({ "op": "history", "lines": 1000 })).await?;
+        let events = replies
             .iter()
             .flat_map(|(_, page)| page["events"].as_array().cloned().unwrap_or_default());
         let line = |event: Value| {
@@ -241,65 +250,65 @@
         Ok(events.map(line).collect::<Vec<_>>().join("\n"))
     }
 
-    /// Processes of the instances, whoever was started with this folder's files.
+    /// All processes of the instances, found by the folder's path on their command line.
     pub fn processes(&self) -> Vec<u32> {
-        let own = self.folder.join("run").to_string_lossy().into_owned();
-        processes_with_argument(|word| word.starts_with(&own))
+        let run_folder = self.folder.join("run").to_string_lossy().into_owned();
+        processes_with_argument(|argument| argument.starts_with(&run_folder))
     }
 
-    pub fn address(&self, place: u16) -> String {
-        process_address_at(self.number, LISTEN + place)
+    pub fn address(&self, index: u16) -> String {
+        process_address_at(self.number, LISTEN_PORT + index)
     }
 
-    /// Sends to every instance, each with ids of its own.
+    /// Starts load on every instance, each with its own invocation ids.
     ///
     /// # Errors
-    /// One can't be reached.
+    /// Returns an error if an instance can't be reached.
     pub async fn start_load(&self, rate: f64, seed: u64) -> io::Result<Vec<(Load, RunningLoad)>> {
         let mut all = Vec::new();
-        for place in 0..self.count {
+        for index in 0..self.count {
             let load = Load::with_example_operations(
-                &self.address(place),
+                &self.address(index),
                 6,
                 rate,
-                seed * 1000 + u64::from(place),
+                seed * 1000 + u64::from(index),
             );
-            let playing = load.start().await?;
-            all.push((load, playing));
+            let running_load = load.start().await?;
+            all.push((load, running_load));
         }
         Ok(all)
     }
 
-    /// Stops sending, and holds everything against what came back and what ran, by instance.
-    pub async fn stop_and_check(&self, playing: Vec<(Load, RunningLoad)>) -> Vec<Verdict> {
-        // All stop at once, then each is waited for.
-        playing
+    /// Stops the load, and compares what was sent with the answers and the runs, for each instance.
+    pub async fn stop_and_check(&self, loads: Vec<(Load, RunningLoad)>) -> Vec<Verdict> {
+        // All loads stop sending before the first one is waited for.
+        loads
             .iter()
-            .for_each(|(_, playing)| playing.seen.borrow_mut().stop());
+            .for_each(|(_, running_load)| running_load.record.borrow_mut().stop());
         let mut verdicts = Vec::new();
-        for ((load, playing), records) in playing.into_iter().zip(&self.records) {
-            let seen = playing.stop().await;
-            verdicts.push(seen.borrow().check(&records.borrow(), load.patience));
+        for ((load, running_load), records) in loads.into_iter().zip(&self.records) {
+            let record = running_load.stop().await;
+            verdicts.push(record.borrow().check(&records.borrow(), load.patience));
         }
         verdicts
     }
 }
 
-/// All verdicts as one.
+/// The sum of all verdicts.
 pub fn combined_verdict(verdicts: &[Verdict]) -> Verdict {
     let mut sum = Verdict::default();
-    for one in verdicts {
-        sum.sent += one.sent;
-        sum.served += one.served;
-        sum.refused += one.refused;
-        sum.failed += one.failed;
-        sum.lost += one.lost;
-        sum.held_by_killed += one.held_by_killed;
-        sum.doubled += one.doubled;
-        sum.spoilt += one.spoilt;
-        sum.run_twice += one.run_twice;
-        sum.wrong_feeds += one.wrong_feeds;
-        sum.broken += one.broken;
+    for verdict in verdicts {
+        sum.sent += verdict.sent;
+        sum.served += verdict.served;
+        sum.refused += verdict.refused;
+        sum.failed += verdict.failed;
+        sum.lost += verdict.lost;
+        sum.held_by_killed += verdict.held_by_killed;
+        sum.doubled += verdict.doubled;
+        sum.spoilt += verdict.spoilt;
+        sum.run_twice += verdict.run_twice;
+        sum.wrong_feeds += verdict.wrong_feeds;
+        sum.broken += verdict.broken;
     }
     sum
 }
--- a/crates/merlinshelf-testbed/src/installation.rs
+++ b/crates/merlinshelf-testbed/src/installation.rs
@@ -556,7 +556,7 @@
 pub fn collect_evidence(playing: &[(usize, u16, Load, RunningLoad)]) -> Vec<Evidence> {
     let mut all = Vec::new();
     for (.., playing) in playing {
-        for sent in playing.seen.borrow().sent.values() {
+        for sent in playing.record.borrow().sent.values() {
             let sign = MARKER_OPERATIONS
                 .iter()
                 .position(|sign| *sign == sent.operation);
@@ -611,7 +611,7 @@
 ) -> Verdict {
     playing
         .iter()
-        .for_each(|(.., playing)| playing.seen.borrow_mut().stop());
+        .for_each(|(.., playing)| playing.record.borrow_mut().stop());
     let mut verdicts = Vec::new();
     for (host, place, load, playing) in playing {
         let seen = playing.stop().await;
--- a/crates/merlinshelf-testbed/src/load.rs
+++ b/crates/merlinshelf-testbed/src/load.rs
@@ -165,7 +165,10 @@
         }
         let (load, shared) = (self.clone(), seen.clone());
         let sending = spawn_local(async move { load.send(writers, shared).await });
-        Ok(RunningLoad { seen, sending })
+        Ok(RunningLoad {
+            record: seen,
+            sending,
+        })
     }
 
     async fn send(&self, writers: Vec<ConnectionWriter>, seen: SharedLoadRecord) {
@@ -288,21 +291,21 @@
 type ConnectionWriter = (UnboundedSender<(u16, Vec<u8>)>, OpenInvocations);
 
 pub struct RunningLoad {
-    pub seen: SharedLoadRecord,
+    pub record: SharedLoadRecord,
     sending: tokio::task::JoinHandle<()>,
 }
 
 impl RunningLoad {
     /// Stops sending, and lets what is open be.
     pub fn abandon(self) {
-        self.seen.borrow_mut().closing = true;
+        self.record.borrow_mut().closing = true;
     }
 
     /// Stops sending and waits for the answers to what is open.
     pub async fn stop(self) -> SharedLoadRecord {
-        self.seen.borrow_mut().closing = true;
+        self.record.borrow_mut().closing = true;
         let _ = self.sending.await;
-        self.seen
+        self.record
     }
 }
 
