--- a/crates/merlinshelf-testbed/src/fleet.rs
+++ b/crates/merlinshelf-testbed/src/fleet.rs
@@ -284,7 +284,7 @@
         // All loads stop sending before the first one is waited for.
         loads
             .iter()
-            .for_each(|(_, running_load)| running_load.record.borrow_mut().stop());
+            .for_each(|(_, running_load)| running_load.record.borrow_mut().stop_sending());
         let mut verdicts = Vec::new();
         for ((load, running_load), records) in loads.into_iter().zip(&self.records) {
             let record = running_load.stop().await;
--- a/crates/merlinshelf-testbed/src/installation.rs
+++ b/crates/merlinshelf-testbed/src/installation.rs
@@ -611,7 +611,7 @@
 ) -> Verdict {
     playing
         .iter()
-        .for_each(|(.., playing)| playing.record.borrow_mut().stop());
+        .for_each(|(.., playing)| playing.record.borrow_mut().stop_sending());
     let mut verdicts = Vec::new();
     for (host, place, load, playing) in playing {
         let seen = playing.stop().await;
--- a/crates/merlinshelf-testbed/src/load.rs
+++ b/crates/merlinshelf-testbed/src/load.rs
@@ -1,4 +1,4 @@
-//! Edge nodes under load: kept connections that send invocations at a rate, and the checker of what comes back.
+//! Load generator: edge nodes that send invocations at a rate over persistent connections, and the check of their answers.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
@@ -21,94 +21,96 @@
 use crate::fakes::{Records, run_result};
 use crate::wire::{fastcgi_invocation, uwsgi_invocation};
 
-/// What the edge nodes send.
+/// The load that the edge nodes send.
 #[derive(Clone, Debug)]
 pub struct Load {
     pub address: String,
     pub connections: usize,
-    /// Invocations a second on all connections together.
+    /// Invocations per second over all connections together.
     pub rate: f64,
-    /// Operations, in equal shares.
+    /// Operations, drawn with equal probability.
     pub operations: Vec<String>,
     pub body_bytes: usize,
     pub patience: Duration,
     pub seed: u64,
     pub front_protocol: FrontProtocol,
-    /// How often an invocation is sent at the most: what is not served is sent again at once, and heeds nothing.
+    /// Maximum number of times an invocation is sent. One that is not served is sent again immediately, whatever retry delay the
+    /// answer asks for.
     pub max_attempts: u32,
 }
 
-/// What callers speak.
+/// The protocol that callers use.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum FrontProtocol {
     #[default]
     FastCgi,
-    /// With a connection for each invocation.
+    /// uwsgi, with a new connection for each invocation.
     Uwsgi,
-    /// The one or the other, by chance.
+    /// Either protocol, drawn at random for each invocation.
     Both,
 }
 
-/// One invocation, as its edge node saw it.
+/// An invocation, as observed by its edge node.
 #[derive(Clone, Debug)]
 pub struct SentInvocation {
     pub sent_at: Instant,
     pub operation: String,
-    /// When each answer came, and its status.
+    /// When each answer arrived, and its status.
     pub answers: Vec<(Instant, u16)>,
     body: Vec<u8>,
-    /// How often it was sent with this, and the id of its first try.
+    /// Which attempt this is, counted from 1.
     attempt: u32,
-    /// And how often it may be still.
+    /// How many further attempts are allowed.
     attempts_left: u32,
+    /// The id of the first attempt.
     first_attempt_id: String,
-    /// Served without the call that its run wanted to make.
+    /// Served although the call that its run made was skipped.
     pub answered_without_call: bool,
-    /// The parts that a served answer says it is without.
+    /// The parts that a served answer lacks, as its `X-Partial` header lists them.
     pub partial: Option<String>,
-    /// A served answer that is none that the run of this invocation made.
+    /// A served answer is not the result of this invocation's run.
     spoilt: bool,
 }
 
-/// All that was sent and answered.
+/// Everything that was sent and answered.
 #[derive(Debug, Default)]
 pub struct LoadRecord {
     pub sent: HashMap<String, SentInvocation>,
-    /// Connections that ended though nobody wanted it.
+    /// Connections that were closed unexpectedly.
     pub broken: u64,
-    /// Answers to nothing that was open.
+    /// Answers that matched no open invocation.
     pub unmatched_answers: u64,
-    /// When the instance was killed outright.
+    /// When the instance was killed with `SIGKILL`.
     pub killed_at: Vec<Instant>,
-    /// How often the edge node was started anew: it forgets what it waits for, and connects again at once.
+    /// How often the edge node was restarted. A restart forgets all open invocations and reconnects immediately.
     pub restarts: u64,
-    /// When the first answer came on each connection.
+    /// When the first answer arrived on each connection.
     pub first_answers: Vec<Instant>,
-    /// By the id of its first try: when an invocation was first sent, and when it was served.
+    /// By the id of the first attempt: when an invocation was first sent, and when it was served.
     pub first_attempts: HashMap<String, (Instant, Option<Instant>)>,
-    /// Further tries to be sent: the operation, how often it was sent, and the id of the first one.
+    /// Retries to be sent: the operation, the number of attempts so far, and the id of the first attempt.
     pending_retries: VecDeque<(String, u32, String)>,
     closing: bool,
 }
 
 pub type SharedLoadRecord = Rc<RefCell<LoadRecord>>;
 
-/// What the checker says of a play.
+/// The result of checking a load.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Verdict {
     pub sent: u64,
     pub served: u64,
     pub refused: u64,
     pub failed: u64,
-    /// No answer, or none in time.
+    /// Not answered, or answered too late.
     pub lost: u64,
-    /// No answer, held by an instance when it was killed outright: no longer its duty.
+    /// Not answered because the instance that held it was killed; not counted as lost.
     pub held_by_killed: u64,
     pub doubled: u64,
-    /// Served with what no run made of it.
+    /// Served with something other than the result of its run.
     pub spoilt: u64,
     pub run_twice: u64,
-    /// Invocations for which more than one call reached the catalogue; no rule for those that may be repeated.
+    /// Invocations for which more than one call reached the catalogue. This is allowed for operations that may be repeated.
     pub called_twice: u64,
     pub wrong_feeds: u64,
     pub broken: u64,
@@ -122,7 +124,7 @@
 }
 
 impl Load {
-    /// The load of the trials: all operations of the example alike, two thirds of which call below.
+    /// The load of the experiments: equal shares of three operations of the example configuration, two of which make a call.
     pub fn with_example_operations(
         address: &str,
         connections: usize,
@@ -146,65 +148,64 @@
         }
     }
 
-    /// Opens the connections and sends until told to stop; then waits for what is open.
+    /// Opens the connections and starts sending, until the load is stopped or abandoned.
     pub async fn start(&self) -> io::Result<RunningLoad> {
-        let seen = SharedLoadRecord::default();
+        let record = SharedLoadRecord::default();
         let mut writers = Vec::new();
         for _ in 0..self.connections {
             let stream = TcpStream::connect(&self.address).await?;
-            let (sender, going) = unbounded_channel();
+            let (sender, pending_writes) = unbounded_channel();
             let open: OpenInvocations = Rc::default();
             spawn_local(maintain_connection(
                 stream,
                 self.address.clone(),
-                going,
-                seen.clone(),
+                pending_writes,
+                record.clone(),
                 open.clone(),
             ));
             writers.push((sender, open));
         }
-        let (load, shared) = (self.clone(), seen.clone());
+        let (load, shared) = (self.clone(), record.clone());
         let sending = spawn_local(async move { load.send(writers, shared).await });
-        Ok(RunningLoad {
-            record: seen,
-            sending,
-        })
+        Ok(RunningLoad { record, sending })
     }
 
-    async fn send(&self, writers: Vec<ConnectionWriter>, seen: SharedLoadRecord) {
+    async fn send(&self, writers: Vec<ConnectionWriter>, record: SharedLoadRecord) {
         let mut rng = Pcg64Mcg::seed_from_u64(self.seed);
-        let (mut at, mut number) = (Instant::now(), 0_u64);
-        let (asking, mut drawn_at) = (Rc::new(Cell::new(0_usize)), false);
-        while !seen.borrow().closing {
-            if !std::mem::replace(&mut drawn_at, true) {
-                at += Duration::from_secs_f64(-rng.random::<f64>().max(1e-9).ln() / self.rate);
+        let (mut next_at, mut number) = (Instant::now(), 0_u64);
+        let (open_uwsgi, mut next_at_drawn) = (Rc::new(Cell::new(0_usize)), false);
+        while !record.borrow().closing {
+            if !std::mem::replace(&mut next_at_drawn, true) {
+                next_at += Duration::from_secs_f64(-rng.random::<f64>().max(1e-9).ln() / self.rate);
             }
-            let again = loop {
-                let again = seen.borrow_mut().pending_retries.pop_front();
-                if again.is_some() || Instant::now() >= at || seen.borrow().closing {
-                    break again;
+            let retry = loop {
+                let retry = record.borrow_mut().pending_retries.pop_front();
+                if retry.is_some() || Instant::now() >= next_at || record.borrow().closing {
+                    break retry;
                 }
-                // Further tries come whenever answers do.
-                let soon = if self.max_attempts > 1 {
-                    at.min(Instant::now() + Duration::from_millis(5))
+                // Answers may add retries at any time.
+                let wake_at = if self.max_attempts > 1 {
+                    next_at.min(Instant::now() + Duration::from_millis(5))
                 } else {
-                    at
+                    next_at
                 };
-                sleep_until(soon).await;
+                sleep_until(wake_at).await;
             };
-            if seen.borrow().closing {
+            if record.borrow().closing {
                 break;
             }
             number += 1;
             let id = format!("{:016x}", number ^ self.seed.rotate_left(32));
-            let place = rng.random_range(0..writers.len());
-            let (writer, open) = &writers[place];
+            let index = rng.random_range(0..writers.len());
+            let (writer, open) = &writers[index];
             let drawn = &self.operations[rng.random_range(0..self.operations.len())];
-            drawn_at = again.is_some(); // a further try puts off no new one
-            let (operation, tries, wish) = again.unwrap_or_else(|| (drawn.clone(), 0, id.clone()));
+            next_at_drawn = retry.is_some(); // a retry does not delay the next new invocation
+            let (operation, previous_attempts, first_attempt_id) =
+                retry.unwrap_or_else(|| (drawn.clone(), 0, id.clone()));
             let operation = &operation;
-            if self.max_attempts > 1 && tries == 0 {
-                seen.borrow_mut()
+            if self.max_attempts > 1 && previous_attempts == 0 {
+                record
+                    .borrow_mut()
                     .first_attempts
                     .insert(id.clone(), (Instant::now(), None));
             }
@@ -216,32 +217,34 @@
             };
             if uwsgi {
                 let patience = self.patience.as_millis().to_string();
-                let rank = format!("{:.4}", rng.random::<f64>().min(0.999));
+                let importance = format!("{:.4}", rng.random::<f64>().min(0.999));
                 let changes = [
                     ("HTTP_X_CALL_ID", id.as_str()),
                     ("HTTP_X_PATIENCE_MS", &patience),
-                    ("HTTP_X_IMPORTANCE", &rank),
+                    ("HTTP_X_IMPORTANCE", &importance),
                 ];
                 let bytes = uwsgi_invocation(operation, &body, &changes);
-                seen.borrow_mut()
+                record
+                    .borrow_mut()
                     .sent
                     .insert(id.clone(), SentInvocation::new(operation, body));
-                asking.set(asking.get() + 1);
-                let (address, seen, asking, most) = (
+                open_uwsgi.set(open_uwsgi.get() + 1);
+                let (address, record, open_uwsgi, patience) = (
                     self.address.clone(),
-                    seen.clone(),
-                    asking.clone(),
+                    record.clone(),
+                    open_uwsgi.clone(),
                     self.patience,
                 );
                 spawn_local(async move {
-                    let asked = tokio::time::timeout(
-                        most + Duration::from_millis(500),
-                        by_uwsgi(&address, &bytes),
+                    let outcome = tokio::time::timeout(
+                        patience + Duration::from_millis(500),
+                        send_by_uwsgi(&address, &bytes),
                     )
                     .await;
-                    seen.borrow_mut()
-                        .by_uwsgi(&id, asked.unwrap_or(Came::Nothing));
-                    asking.set(asking.get() - 1);
+                    record
+                        .borrow_mut()
+                        .record_uwsgi_outcome(&id, outcome.unwrap_or(UwsgiOutcome::NoAnswer));
+                    open_uwsgi.set(open_uwsgi.get() - 1);
                 });
                 continue;
             }
@@ -249,7 +252,7 @@
                 continue;
             };
             let patience = self.patience.as_millis().to_string();
-            let rank = format!("{:.4}", rng.random::<f64>().min(0.999));
+            let importance = format!("{:.4}", rng.random::<f64>().min(0.999));
             let bytes = fastcgi_invocation(
                 tag,
                 operation,
@@ -257,51 +260,55 @@
                 &[
                     ("HTTP_X_CALL_ID", &id),
                     ("HTTP_X_PATIENCE_MS", &patience),
-                    ("HTTP_X_IMPORTANCE", &rank),
-                    ("HTTP_X_REPEAT", if tries > 0 { "1" } else { "0" }),
+                    ("HTTP_X_IMPORTANCE", &importance),
+                    (
+                        "HTTP_X_REPEAT",
+                        if previous_attempts > 0 { "1" } else { "0" },
+                    ),
                 ],
             );
             open.borrow_mut().insert(tag, id.clone());
-            let left = self.max_attempts.saturating_sub(tries + 1);
+            let attempts_left = self.max_attempts.saturating_sub(previous_attempts + 1);
             let sent = SentInvocation {
-                attempt: tries + 1,
-                attempts_left: left,
-                first_attempt_id: wish,
+                attempt: previous_attempts + 1,
+                attempts_left,
+                first_attempt_id,
                 ..SentInvocation::new(operation, body)
             };
-            seen.borrow_mut().sent.insert(id, sent);
+            record.borrow_mut().sent.insert(id, sent);
             let _ = writer.send((tag, bytes));
         }
-        // Whatever is open must be answered by its patience.
-        let until = Instant::now() + self.patience + Duration::from_secs(1);
-        let waits =
-            || asking.get() > 0 || writers.iter().any(|(_, open)| !open.borrow().is_empty());
-        while Instant::now() < until && waits() {
+        // Open invocations must be answered within their patience.
+        let deadline = Instant::now() + self.patience + Duration::from_secs(1);
+        let any_open =
+            || open_uwsgi.get() > 0 || writers.iter().any(|(_, open)| !open.borrow().is_empty());
+        while Instant::now() < deadline && any_open() {
             sleep_until(Instant::now() + Duration::from_millis(5)).await;
         }
-        seen.borrow_mut().closing = true;
+        record.borrow_mut().closing = true;
     }
 }
 
-/// Invocations that wait for an answer on one connection: tag and id.
+/// Invocations waiting for an answer on one connection: tag and id.
 type OpenInvocations = Rc<RefCell<HashMap<u16, String>>>;
-/// Invocations to be written: tag and bytes.
+/// Invocations to be written to a connection: tag and bytes.
 type PendingWrites = UnboundedReceiver<(u16, Vec<u8>)>;
-/// Where one connection's invocations are written, and what is open there.
+/// The sending side of one connection, and its open invocations.
 type ConnectionWriter = (UnboundedSender<(u16, Vec<u8>)>, OpenInvocations);
 
+/// A load that has been started.
 pub struct RunningLoad {
     pub record: SharedLoadRecord,
     sending: tokio::task::JoinHandle<()>,
 }
 
 impl RunningLoad {
-    /// Stops sending, and lets what is open be.
+    /// Stops sending, without waiting for open invocations.
     pub fn abandon(self) {
         self.record.borrow_mut().closing = true;
     }
 
-    /// Stops sending and waits for the answers to what is open.
+    /// Stops sending, and waits for the answers to open invocations.
     pub async fn stop(self) -> SharedLoadRecord {
         self.record.borrow_mut().closing = true;
         let _ = self.sending.await;
@@ -309,89 +316,96 @@
     }
 }
 
-/// What was sent within this before a backend closed the connection may be sent once more, on a new one.
+/// An invocation sent within this time before the backend closed the connection may be sent once more on a new connection.
 const RESEND_WINDOW: Duration = Duration::from_millis(50);
 
-/// Between two looks whether the edge node is to be started anew.
+/// Interval between checks for a requested restart of the edge node.
 const RESTART_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Keeps one connection, as an edge node does: closed with nothing open on it, it is opened anew; what crossed the close
-/// is sent once more. Closed with anything else open, it was broken.
+/// Maintains one connection as an edge node does. After a close it reconnects, and resends invocations sent shortly before the
+/// close ([`RESEND_WINDOW`]). If any other invocation was open, the connection counts as broken.
 async fn maintain_connection(
     mut stream: TcpStream,
     address: String,
-    mut going: PendingWrites,
-    seen: SharedLoadRecord,
+    mut pending_writes: PendingWrites,
+    record: SharedLoadRecord,
     open: OpenInvocations,
 ) {
-    let mut kept: HashMap<u16, (Instant, Vec<u8>)> = HashMap::new();
+    let mut unanswered: HashMap<u16, (Instant, Vec<u8>)> = HashMap::new();
     let mut restarts = 0;
     loop {
         let _ = stream.set_nodelay(true);
         let (input, mut output) = stream.into_split();
-        let again: Vec<(u16, Vec<u8>)> =
-            kept.drain().map(|(tag, (_, bytes))| (tag, bytes)).collect();
-        for (tag, bytes) in again {
-            kept.insert(tag, (Instant::now(), bytes.clone()));
-            let _ = output.write_all(&bytes).await; // its end is seen below
+        let resent: Vec<(u16, Vec<u8>)> = unanswered
+            .drain()
+            .map(|(tag, (_, bytes))| (tag, bytes))
+            .collect();
+        for (tag, bytes) in resent {
+            unanswered.insert(tag, (Instant::now(), bytes.clone()));
+            let _ = output.write_all(&bytes).await; // a closed connection is detected below
         }
-        let mut reading = pin!(read_answers(input, seen.clone(), open.clone()));
+        let mut reading = pin!(read_answers(input, record.clone(), open.clone()));
         loop {
             select! {
                 () = &mut reading => break,
                 () = sleep(RESTART_CHECK_INTERVAL) => {
-                    let now = seen.borrow().restarts;
+                    let now = record.borrow().restarts;
                     if std::mem::replace(&mut restarts, now) != now {
-                        kept.clear();
-                        while going.try_recv().is_ok() {} // what it was about to send is forgotten as well
+                        unanswered.clear();
+                        while pending_writes.try_recv().is_ok() {} // invocations not written yet are forgotten as well
                         for (_, id) in open.borrow_mut().drain() {
-                            seen.borrow_mut().sent.remove(&id);
+                            record.borrow_mut().sent.remove(&id);
                         }
                         break;
                     }
                 }
-                bytes = going.recv() => {
+                bytes = pending_writes.recv() => {
                     let Some((tag, bytes)) = bytes else { return reading.await };
-                    let _ = output.write_all(&bytes).await; // its end is seen below
-                    kept.insert(tag, (Instant::now(), bytes));
-                    if kept.len() > 32 {
-                        kept.retain(|tag, _| open.borrow().contains_key(tag));
+                    let _ = output.write_all(&bytes).await; // a closed connection is detected below
+                    unanswered.insert(tag, (Instant::now(), bytes));
+                    if unanswered.len() > 32 {
+                        unanswered.retain(|tag, _| open.borrow().contains_key(tag));
                     }
                 }
             }
         }
-        if seen.borrow().closing && open.borrow().is_empty() {
+        if record.borrow().closing && open.borrow().is_empty() {
             return;
         }
-        kept.retain(|tag, _| open.borrow().contains_key(tag));
-        if kept.values().any(|(at, _)| at.elapsed() > RESEND_WINDOW) {
-            seen.borrow_mut().broken += 1;
-            kept.clear();
+        unanswered.retain(|tag, _| open.borrow().contains_key(tag));
+        if unanswered
+            .values()
+            .any(|(at, _)| at.elapsed() > RESEND_WINDOW)
+        {
+            record.borrow_mut().broken += 1;
+            unanswered.clear();
         }
-        // Where nobody listens for a while, what is asked for meanwhile fails at once.
+        // While no process listens, new invocations fail immediately.
         let mut refused = false;
         stream = loop {
             if let Ok(stream) = TcpStream::connect(&address).await {
                 break stream;
             }
-            let closing = seen.borrow().closing;
+            let closing = record.borrow().closing;
             if !std::mem::replace(&mut refused, true) {
-                seen.borrow_mut().broken += 1;
+                record.borrow_mut().broken += 1;
             }
-            let nobody = |tag: u16| {
+            let mark_unreachable = |tag: u16| {
                 let id = open.borrow_mut().remove(&tag);
-                let mut seen = seen.borrow_mut();
-                if let Some(sent) = id.and_then(|id| seen.sent.get_mut(&id)) {
+                let mut record = record.borrow_mut();
+                if let Some(sent) = id.and_then(|id| record.sent.get_mut(&id)) {
                     sent.answers.push((Instant::now(), STATUS_UNREACHABLE));
                 }
             };
-            while let Ok((tag, _)) = going.try_recv() {
-                kept.remove(&tag);
-                nobody(tag);
+            while let Ok((tag, _)) = pending_writes.try_recv() {
+                unanswered.remove(&tag);
+                mark_unreachable(tag);
             }
             if closing {
-                // What crossed the close finds nobody any more.
-                kept.drain().for_each(|(tag, _)| nobody(tag));
+                // No process is left to resend the remaining invocations to.
+                unanswered
+                    .drain()
+                    .for_each(|(tag, _)| mark_unreachable(tag));
                 return;
             }
             sleep(Duration::from_millis(20)).await;
@@ -399,11 +413,11 @@
     }
 }
 
-/// The status of what found nobody to ask.
+/// The status recorded for an invocation that could not be sent because no process was listening.
 const STATUS_UNREACHABLE: u16 = 599;
 
 /// Reads answers until the connection ends.
-async fn read_answers(mut input: OwnedReadHalf, seen: SharedLoadRecord, open: OpenInvocations) {
+async fn read_answers(mut input: OwnedReadHalf, record: SharedLoadRecord, open: OpenInvocations) {
     let mut outs: HashMap<u16, Vec<u8>> = HashMap::new();
     let mut answered = false;
     loop {
@@ -431,17 +445,17 @@
                 } else {
                     503
                 };
-                let mut seen = seen.borrow_mut();
+                let mut record = record.borrow_mut();
                 let Some(id) = open.borrow_mut().remove(&tag) else {
-                    seen.unmatched_answers += 1;
+                    record.unmatched_answers += 1;
                     continue;
                 };
                 if !std::mem::replace(&mut answered, true) {
-                    seen.first_answers.push(Instant::now());
+                    record.first_answers.push(Instant::now());
                 }
-                if let Some(sent) = seen.sent.get_mut(&id) {
+                if let Some(sent) = record.sent.get_mut(&id) {
                     sent.record_answer(&id, status, &out);
-                    let (wish, again) = (
+                    let (first_attempt_id, retry) = (
                         sent.first_attempt_id.clone(),
                         (
                             sent.operation.clone(),
@@ -450,11 +464,12 @@
                         ),
                     );
                     if status == 200 {
-                        seen.first_attempts
-                            .entry(wish)
+                        record
+                            .first_attempts
+                            .entry(first_attempt_id)
                             .and_modify(|(_, served)| *served = Some(Instant::now()));
                     } else if sent.attempts_left > 0 {
-                        seen.pending_retries.push_back(again);
+                        record.pending_retries.push_back(retry);
                     }
                 }
             }
@@ -463,27 +478,27 @@
     }
 }
 
-/// What came of an invocation by uwsgi.
-enum Came {
-    /// Nobody was there: nothing of it was read.
-    Nobody,
-    /// The connection ended or stood still without a whole answer.
-    Nothing,
+/// The outcome of an invocation by uwsgi.
+enum UwsgiOutcome {
+    /// No connection could be made, so nothing was received.
+    Unreachable,
+    /// The connection was closed or timed out before a complete answer.
+    NoAnswer,
     Answer(u16, Vec<u8>),
 }
 
-/// One invocation on a connection of its own, to its end.
-async fn by_uwsgi(address: &str, bytes: &[u8]) -> Came {
+/// Sends one invocation on a new connection and reads until the connection is closed.
+async fn send_by_uwsgi(address: &str, bytes: &[u8]) -> UwsgiOutcome {
     let Ok(mut stream) = TcpStream::connect(address).await else {
-        return Came::Nobody;
+        return UwsgiOutcome::Unreachable;
     };
     let _ = stream.set_nodelay(true);
     if stream.write_all(bytes).await.is_err() {
-        return Came::Nothing;
+        return UwsgiOutcome::NoAnswer;
     }
     let mut out = Vec::new();
     if stream.read_to_end(&mut out).await.is_err() {
-        return Came::Nothing;
+        return UwsgiOutcome::NoAnswer;
     }
     let text = String::from_utf8_lossy(&out[..out.len().min(1024)]).into_owned();
     let field = |name: &str| text.lines().find_map(|line| line.strip_prefix(name));
@@ -496,8 +511,8 @@
         .position(|four| four == b"\r\n\r\n")
         .map(|at| out.len() - at - 4);
     match status {
-        Some(status) if body.is_some() && body == length => Came::Answer(status, out),
-        _ => Came::Nothing,
+        Some(status) if body.is_some() && body == length => UwsgiOutcome::Answer(status, out),
+        _ => UwsgiOutcome::NoAnswer,
     }
 }
 
@@ -517,15 +532,15 @@
         }
     }
 
-    /// An answer has come: head and body.
+    /// Records an answer, given as head and body.
     fn record_answer(&mut self, id: &str, status: u16, out: &[u8]) {
         let sent = self;
         let body = out
             .windows(4)
             .position(|four| four == b"\r\n\r\n")
             .map(|at| &out[at + 4..]);
-        let made = run_result(id, &sent.body);
-        sent.spoilt |= status == 200 && !body.is_some_and(|body| body.starts_with(&made));
+        let expected = run_result(id, &sent.body);
+        sent.spoilt |= status == 200 && !body.is_some_and(|body| body.starts_with(&expected));
         sent.answered_without_call |= body.is_some_and(|body| body.ends_with(b", poorer"));
         let text = String::from_utf8_lossy(&out[..out.len().min(1024)]).into_owned();
         sent.partial = text
@@ -544,23 +559,23 @@
 }
 
 impl LoadRecord {
-    fn by_uwsgi(&mut self, id: &str, came: Came) {
+    fn record_uwsgi_outcome(&mut self, id: &str, outcome: UwsgiOutcome) {
         let Some(sent) = self.sent.get_mut(id) else {
             return;
         };
-        match came {
-            Came::Nobody => sent.answers.push((Instant::now(), STATUS_UNREACHABLE)),
-            Came::Nothing => {}
-            Came::Answer(status, out) => sent.record_answer(id, status, &out),
+        match outcome {
+            UwsgiOutcome::Unreachable => sent.answers.push((Instant::now(), STATUS_UNREACHABLE)),
+            UwsgiOutcome::NoAnswer => {}
+            UwsgiOutcome::Answer(status, out) => sent.record_answer(id, status, &out),
         }
     }
 
-    /// Nothing further is sent.
-    pub fn stop(&mut self) {
+    /// Stops sending further invocations.
+    pub fn stop_sending(&mut self) {
         self.closing = true;
     }
 
-    /// Holds all that was sent against what came back and what ran.
+    /// Compares everything that was sent with the answers and with the runs and calls that the fakes recorded.
     pub fn check(&self, records: &Records, patience: Duration) -> Verdict {
         let mut verdict = Verdict {
             broken: self.broken,
@@ -572,12 +587,12 @@
             verdict.sent += 1;
             verdict.doubled += (sent.answers.len() as u64).saturating_sub(1);
             verdict.spoilt += u64::from(sent.spoilt);
-            let twice = records.runs.get(id).is_some_and(|runs| *runs > 1);
-            verdict.run_twice += u64::from(twice && !self.crossed_a_kill(sent));
+            let ran_twice = records.runs.get(id).is_some_and(|runs| *runs > 1);
+            verdict.run_twice += u64::from(ran_twice && !self.resent_after_kill(sent));
             verdict.called_twice +=
                 u64::from(records.calls.get(id).is_some_and(|calls| *calls > 1));
             match sent.answers.first() {
-                // The rules on sockets give 50 ms more.
+                // Answers may take 50 ms longer on the socket.
                 Some((at, _)) if *at > sent.sent_at + patience + Duration::from_millis(50) => {
                     verdict.lost += 1
                 }
@@ -591,22 +606,22 @@
         verdict
     }
 
-    /// Whether an instance was killed while it may have held this: sent before that, or crossing it.
+    /// Whether an instance was killed while it may have held this invocation: after it was sent, or shortly before.
     fn held_by_killed(&self, sent: &SentInvocation, patience: Duration) -> bool {
         self.killed_at
             .iter()
             .any(|at| sent.sent_at <= *at + RESEND_WINDOW && *at <= sent.sent_at + patience)
     }
 
-    /// Whether its edge node may have sent it again because an instance was killed outright just then: what ran of it before is
-    /// known to nobody.
-    fn crossed_a_kill(&self, sent: &SentInvocation) -> bool {
+    /// Whether its edge node may have resent it because an instance was killed at that time, in which case no process knows
+    /// whether it ran before.
+    fn resent_after_kill(&self, sent: &SentInvocation) -> bool {
         self.killed_at
             .iter()
             .any(|at| sent.sent_at <= *at + RESEND_WINDOW && *at <= sent.sent_at + RESEND_WINDOW)
     }
 
-    /// How long served answers took that were asked for or came in this time, in microseconds.
+    /// Latencies of served answers in microseconds, of invocations in flight at any time between `from` and `until`.
     pub fn latencies(&self, from: Instant, until: Instant) -> Histogram<u64> {
         let mut histogram =
             Histogram::new_with_bounds(1, 60_000_000, 3).unwrap_or_else(|_| unreachable!("bounds"));
