--- a/crates/merlinshelf-cli/tests/policy.rs
+++ b/crates/merlinshelf-cli/tests/policy.rs
@@ -10,8 +10,8 @@
 use merlinshelf_agent::control_client::ControlClient;
 use merlinshelf_protocol::control::{ControlMessage, ControlRequest};
 use merlinshelf_testbed::installation::{
-    Changed, Installation, InstallationConfig, check_load, collect_evidence, count_violations,
-    policy_admitting,
+    Installation, InstallationConfig, ProposedChange, check_load, collect_evidence,
+    count_violations, policy_admitting,
 };
 use merlinshelf_testbed::instance::signal;
 use merlinshelf_testbed::link::{ControlLink, ControlLinkMode, Fault};
@@ -62,7 +62,7 @@
     host: usize,
     sign: usize,
     id: &str,
-) -> io::Result<Changed> {
+) -> io::Result<ProposedChange> {
     let proposed = Instant::now();
     loop {
         // An agent that has just been started may not listen yet.
@@ -70,7 +70,7 @@
         if let Ok((kind, report)) = &reply
             && report["number"].is_u64()
         {
-            return Ok(Changed {
+            return Ok(ProposedChange {
                 proposed_at: proposed,
                 marker: sign,
                 committed: *kind == ControlMessage::Done,
@@ -91,7 +91,7 @@
         merlinshelf_testbed::load::Load,
         merlinshelf_testbed::load::RunningLoad,
     )>,
-    changes: &[Changed],
+    changes: &[ProposedChange],
 ) {
     sleep(Duration::from_millis(500)).await;
     let evidence = collect_evidence(&playing);
@@ -369,7 +369,7 @@
             let held = reply.0 == ControlMessage::Done;
             let reason = reply.1["why"].as_str().unwrap_or_default();
             assert!(held || reason.contains("is under way"), "{reply:?}");
-            changes.push(Changed {
+            changes.push(ProposedChange {
                 proposed_at: proposed,
                 marker: 2,
                 committed: held,
@@ -409,7 +409,7 @@
             .filter(|change| change.committed && change.marker == 2)
             .count()
             == 2;
-        changes.push(Changed {
+        changes.push(ProposedChange {
             proposed_at: undone_at,
             marker: if both_committed { 2 } else { 0 },
             committed: true,
@@ -518,7 +518,7 @@
     all: &mut Installation,
     sign: usize,
     fault: &str,
-) -> io::Result<(Changed, u32)> {
+) -> io::Result<(ProposedChange, u32)> {
     restart_agents_with_fault(all, &format!("{fault}:1:abort")).await?;
     let (proposed, id) = (Instant::now(), fault.to_owned());
     let mut died = 0;
@@ -536,7 +536,7 @@
                 && matches!(report["state"].as_str(), Some("held" | "refused"))
             {
                 return Ok((
-                    Changed {
+                    ProposedChange {
                         proposed_at: proposed,
                         marker: sign,
                         committed: kind == ControlMessage::Done,
@@ -607,7 +607,7 @@
             reason.contains("web.1") && reason.contains("knows no policies"),
             "{reason}"
         );
-        changes.push(Changed {
+        changes.push(ProposedChange {
             proposed_at: proposed,
             marker: 1,
             committed: false,
@@ -750,7 +750,7 @@
             (ControlMessage::Done, &json!("held")),
             "{reply:?}"
         );
-        changes.push(Changed {
+        changes.push(ProposedChange {
             proposed_at: proposed,
             marker: 1,
             committed: true,
@@ -774,7 +774,7 @@
             note.starts_with("back from 2: served 0.") && note.contains(", before it 0."),
             "{note}"
         );
-        changes.push(Changed {
+        changes.push(ProposedChange {
             proposed_at: committed,
             marker: 0,
             committed: true,
@@ -1123,7 +1123,7 @@
 fn the_checker_detects_stale_and_rejected_policies() {
     let start = Instant::now();
     let at = |ms: u64| start + Duration::from_millis(ms);
-    let changed = |ms, sign, held| Changed {
+    let changed = |ms, sign, held| ProposedChange {
         proposed_at: at(ms),
         marker: sign,
         committed: held,
--- a/crates/merlinshelf-testbed/src/experiments/policy.rs
+++ b/crates/merlinshelf-testbed/src/experiments/policy.rs
@@ -14,8 +14,8 @@
 use tokio::time::{Instant, sleep, timeout};
 
 use crate::installation::{
-    Changed, Installation, InstallationConfig, check_load, collect_evidence, config_admitting,
-    count_violations, policy_admitting,
+    Installation, InstallationConfig, ProposedChange, check_load, collect_evidence,
+    config_admitting, count_violations, policy_admitting,
 };
 use crate::instance::signal;
 use crate::link::Fault;
@@ -248,7 +248,7 @@
     let mut installation = Installation::start(&plan.program, address_number, &plan.made).await?;
     let loads = installation.start_load(plan.rate, seed).await?;
     let lease = Duration::from_millis(plan.made.lease_ms);
-    let mut changes: Vec<Changed> = Vec::new();
+    let mut changes: Vec<ProposedChange> = Vec::new();
     let mut remaining_faults: Vec<RoundFault> = Vec::new();
     // The sign of each proposal differs from the last one that held and from the last one that was proposed.
     let (mut held_sign, mut last_proposed_sign) = (None, None);
@@ -371,13 +371,13 @@
             && let Some(result) = outcome(&installation, &other, Duration::from_secs(6)).await
             && result["state"] == "held"
         {
-            changes.push(Changed {
+            changes.push(ProposedChange {
                 proposed_at: proposed,
                 marker: sign,
                 committed: true,
             });
         }
-        changes.push(Changed {
+        changes.push(ProposedChange {
             proposed_at: proposed,
             marker: sign,
             committed: held,
@@ -420,7 +420,7 @@
 pub async fn by_restart(plan: &Plan) -> io::Result<Value> {
     let installation = Installation::start(&plan.program, 10, &plan.made).await?;
     let loads = installation.start_load(plan.rate, plan.seed).await?;
-    let mut changes = vec![Changed {
+    let mut changes = vec![ProposedChange {
         proposed_at: Instant::now(),
         marker: 0,
         committed: true,
@@ -438,7 +438,7 @@
         installation.hosts[0]
             .ask(&json!({ "op": "restart", "wait": true }))
             .await?;
-        changes.push(Changed {
+        changes.push(ProposedChange {
             proposed_at: proposed,
             marker: sign,
             committed: true,
--- a/crates/merlinshelf-testbed/src/installation.rs
+++ b/crates/merlinshelf-testbed/src/installation.rs
@@ -1,5 +1,5 @@
-//! An installation under trial: several hosts, each with the real agent and its real instances between stand-ins, the agents' links
-//! through forwarders, edge nodes that send to all, and the checker of one order of policies.
+//! An installation under test: several hosts, each with the real agent and its real instances between fakes, forwarders for the
+//! agents' connections, load for every instance, and the check that all instances apply policies in one order.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -23,56 +23,60 @@
 use crate::load::{Load, RunningLoad, Verdict};
 use crate::script::EXAMPLE_CONFIG;
 
-const PATIENCE: Duration = Duration::from_secs(30);
-const LISTEN: u16 = 6600;
-const ENGINE: u16 = 9300;
-const COUNCIL: u16 = 7700;
-const LINK: u16 = 7800;
-const WAY: u16 = 8700;
-/// 2,000 calls a second.
-const BELOW: (Duration, usize) = (Duration::from_millis(8), 16);
-
-/// Operations of which each policy of the trial lets one in: an answer to it shows by which policy it was admitted, whatever
-/// anybody says. The base policy lets in none.
+/// How long to wait for an expected event.
+const TIMEOUT: Duration = Duration::from_secs(30);
+const LISTEN_PORT: u16 = 6600;
+const ENGINE_PORT: u16 = 9300;
+const CONSENSUS_PORT: u16 = 7700;
+const AGENT_LINK_PORT: u16 = 7800;
+const CATALOGUE_LINK_PORT: u16 = 8700;
+/// Duration of a call and concurrency: 2,000 calls per second.
+const DEFAULT_CATALOGUE_CAPACITY: (Duration, usize) = (Duration::from_millis(8), 16);
+
+/// Marker operations. Each policy of the experiments admits exactly one of them, so that a served answer proves by which policy it
+/// was admitted, independently of what any process reports. The base policy admits none.
 pub const MARKER_OPERATIONS: [&str; 3] = ["sign-0", "sign-1", "sign-2"];
 
-/// A policy that lets this sign in and no other.
-pub fn policy_admitting(sign: usize) -> Value {
-    let closed = (0..MARKER_OPERATIONS.len()).filter(|other| *other != sign);
+/// A policy that admits this marker operation and no other.
+pub fn policy_admitting(marker: usize) -> Value {
+    let closed = (0..MARKER_OPERATIONS.len()).filter(|other| *other != marker);
     let operations: BTreeMap<&str, Value> = closed
         .map(|other| (MARKER_OPERATIONS[other], json!({ "admit": false })))
         .collect();
-    json!({ "note": MARKER_OPERATIONS[sign], "operations": operations })
+    json!({ "note": MARKER_OPERATIONS[marker], "operations": operations })
 }
 
+/// One host of the installation.
 pub struct Host {
     pub name: String,
     pub folder: PathBuf,
     number: u8,
     agent: Option<Child>,
     pub records: Vec<SharedRecords>,
-    /// Set for clocks that run apart.
+    /// The rate of the agent's clock, to make clocks drift apart.
     pub clock_rate: Option<f64>,
-    /// Where the next agent that is started here fails, as `MERLINSHELF_FAULT` has it; debug builds alone heed it.
+    /// The fault to inject into the next agent started here, in the format of `MERLINSHELF_FAULT`. Only debug builds apply it.
     pub fault: Option<String>,
 }
 
-/// What an installation is made of.
+/// The configuration of an installation.
 #[derive(Clone, Debug)]
 pub struct InstallationConfig {
     pub hosts: u8,
     pub instances: u16,
     pub lease_ms: u64,
     pub watch_ms: u64,
-    /// Without one there is no policy for all: files and restarts, as before there was.
+    /// Whether the agents form a consensus group. Without one there is no installation-wide policy, and changes need new files and
+    /// restarts.
     pub with_consensus: bool,
-    /// Budgets of the base policy, with one catalogue for all hosts; null: none, and a catalogue for each host.
+    /// Budgets of the base policy, with one catalogue shared by all hosts. If null, there are no budgets, and each host has its own
+    /// catalogue.
     pub budgets: Value,
-    /// Each host stands in a zone of its own.
+    /// Whether each host is in its own zone.
     pub zone_per_host: bool,
-    /// No operation can do without its call.
+    /// Whether every operation requires its call, so that none can be served with a skipped call.
     pub calls_required: bool,
-    /// How long the catalogue of all takes for a call, and on how many it works at one time.
+    /// How long the shared catalogue takes for a call, and how many calls it processes concurrently.
     pub catalogue_capacity: (Duration, usize),
 }
 
@@ -88,19 +92,21 @@
             budgets: Value::Null,
             zone_per_host: false,
             calls_required: false,
-            catalogue_capacity: BELOW,
+            catalogue_capacity: DEFAULT_CATALOGUE_CAPACITY,
         }
     }
 }
 
+/// A running installation; dropping it kills all its processes and removes its files.
 pub struct Installation {
     pub program: PathBuf,
     pub config: InstallationConfig,
     pub hosts: Vec<Host>,
-    /// From one host to another.
+    /// The agents' connections, from one host to another.
     pub links: BTreeMap<(usize, usize), Link>,
-    /// The catalogue of all, and each host's way to it, where there are budgets.
+    /// The catalogue shared by all hosts, if there are budgets.
     pub shared_catalogue: Option<Rc<Server>>,
+    /// Each host's connections to the shared catalogue.
     pub catalogue_links: Vec<Link>,
 }
 
@@ -131,14 +137,14 @@
     }
 
     /// The control socket of one instance.
-    pub fn control_socket(&self, place: u16) -> PathBuf {
+    pub fn control_socket(&self, index: u16) -> PathBuf {
         self.folder
             .join("run")
-            .join(format!("web.{place}"))
+            .join(format!("web.{index}"))
             .join("control")
     }
 
-    /// Where the agent keeps its part of the log.
+    /// The folder of the agent's consensus log.
     pub fn consensus_folder(&self) -> PathBuf {
         self.folder.join("run").join("council").join("council")
     }
@@ -147,10 +153,10 @@
         self.agent.as_ref().and_then(Child::id)
     }
 
-    /// Starts an agent.
+    /// Starts the agent.
     ///
     /// # Errors
-    /// The program can't be started.
+    /// Returns an error if the program can't be started.
     pub fn start_agent(&mut self, program: &Path) -> io::Result<()> {
         let log = std::fs::OpenOptions::new()
             .create(true)
@@ -174,48 +180,48 @@
         Ok(())
     }
 
-    /// Whether the agent that was started here is no more.
+    /// Whether the agent has exited, or was never started.
     pub fn agent_exited(&mut self) -> bool {
         self.agent
             .as_mut()
             .is_none_or(|agent| !matches!(agent.try_wait(), Ok(None)))
     }
 
-    /// Kills the agent, without a word.
+    /// Kills the agent with `SIGKILL`.
     pub async fn kill_agent(&mut self) {
         if let Some(mut agent) = self.agent.take() {
             let _ = agent.kill().await;
         }
     }
 
-    /// Processes of the instances: whoever was started with this host's files.
+    /// All processes of the instances, found by this host's files on their command line.
     pub fn processes(&self) -> Vec<u32> {
-        let own = self.folder.join("run").to_string_lossy().into_owned();
-        processes_with_argument(|word| word.starts_with(&own))
+        let run_folder = self.folder.join("run").to_string_lossy().into_owned();
+        processes_with_argument(|argument| argument.starts_with(&run_folder))
     }
 
-    /// Processes of one instance.
-    pub fn processes_of(&self, place: u16) -> Vec<u32> {
-        let own = self
+    /// The processes of one instance.
+    pub fn processes_of(&self, index: u16) -> Vec<u32> {
+        let config = self
             .folder
             .join("run")
-            .join(format!("web.{place}"))
+            .join(format!("web.{index}"))
             .join("config.json");
-        processes_with_argument(|word| Path::new(word) == own)
+        processes_with_argument(|argument| Path::new(argument) == config)
     }
 
-    /// Asks the agent; all that it says, the last word last.
+    /// Sends a request to the agent and returns all its replies, the final one last.
     ///
     /// # Errors
-    /// It does not answer.
+    /// Returns an error if it does not answer.
     pub async fn ask(&self, body: &Value) -> io::Result<Vec<(ControlMessage, Value)>> {
-        ask_agent(&self.socket(), body, PATIENCE).await
+        ask_agent(&self.socket(), body, TIMEOUT).await
     }
 
-    /// Waits for the end of its plan, and says how that stands.
+    /// Waits until the agent's plan has ended, and returns the plan's report.
     ///
     /// # Errors
-    /// It does not answer.
+    /// Returns an error if it does not answer.
     pub async fn wait_for_plan_end(&self) -> io::Result<Value> {
         loop {
             let plan = self
@@ -231,17 +237,17 @@
         }
     }
 
-    /// One question about policies, and its last word.
+    /// Sends one policy request and returns the final reply.
     ///
     /// # Errors
-    /// It does not answer.
+    /// Returns an error if it does not answer.
     pub async fn policy_request(
         &self,
         what: &str,
-        more: Value,
+        fields: Value,
     ) -> io::Result<(ControlMessage, Value)> {
         let mut body = json!({ "op": "policy", "what": what });
-        for (name, value) in more.as_object().into_iter().flatten() {
+        for (name, value) in fields.as_object().into_iter().flatten() {
             body[name] = value.clone();
         }
         self.ask(&body)
@@ -252,31 +258,37 @@
 }
 
 impl Installation {
-    /// Stand-ins, files, links and agents, once all of them sit and all instances serve by a lease.
+    /// Starts fakes, links and agents, and waits until all agents are members of the consensus group and all instances serve under a
+    /// lease.
     ///
     /// # Errors
-    /// What can't be started.
+    /// Returns an error if a part of it can't be started.
     pub async fn start(
         program: &Path,
         number: u8,
-        made: &InstallationConfig,
+        options: &InstallationConfig,
     ) -> io::Result<Installation> {
-        let manner = Setup::small(program).fakes;
-        let names: Vec<String> = (0..made.hosts).map(|place| format!("h{place}")).collect();
+        let behavior = Setup::small(program).fakes;
+        let names: Vec<String> = (0..options.hosts)
+            .map(|index| format!("h{index}"))
+            .collect();
         let mut hosts = Vec::new();
         let mut links = BTreeMap::new();
-        let with_budgets = !made.budgets.is_null();
-        let door = if with_budgets {
+        let with_budgets = !options.budgets.is_null();
+        let shared_catalogue = if with_budgets {
             Some(
-                Server::with_concurrency(made.catalogue_capacity.0, made.catalogue_capacity.1)
-                    .await?,
+                Server::with_concurrency(
+                    options.catalogue_capacity.0,
+                    options.catalogue_capacity.1,
+                )
+                .await?,
             )
         } else {
             None
         };
-        let mut ways = Vec::new();
-        for (place, name) in names.iter().enumerate() {
-            let own = number + place as u8;
+        let mut catalogue_links = Vec::new();
+        for (index, name) in names.iter().enumerate() {
+            let own = number + index as u8;
             let folder = std::env::temp_dir()
                 .join(format!("merlinshelf-hosts-{}-{own}", std::process::id()));
             let _ = std::fs::remove_dir_all(&folder);
@@ -285,10 +297,10 @@
             let (catalogue, members) = (bind().await?, bind().await?);
             let mut config: Value = serde_json::from_str(EXAMPLE_CONFIG)?;
             config["backend"] = json!(catalogue.local_addr()?.to_string());
-            if let Some(door) = &door {
-                let at = process_address_at(own, WAY);
-                ways.push(Link::start(&at, door.address.clone()).await?);
-                config["backend"] = json!(at);
+            if let Some(shared) = &shared_catalogue {
+                let address = process_address_at(own, CATALOGUE_LINK_PORT);
+                catalogue_links.push(Link::start(&address, shared.address.clone()).await?);
+                config["backend"] = json!(address);
             }
             config["members"] = json!(members.local_addr()?.to_string());
             let info = &mut config["settings"]["FamilyInfo"];
@@ -296,75 +308,75 @@
                 (json!(8), json!(152_880.0), json!(32));
             info["ClassCalls"] = json!([true, false, true, false, false, false]);
             info["ClassSkipWorth"] = json!([0.3, 0.0, 0.5, 0.0, 0.0, 0.0]);
-            if made.calls_required {
+            if options.calls_required {
                 info["ClassSkipWorth"] = json!([0.0, 0.0, 0.0, 0.0, 0.0, 0.0]);
             }
-            for sign in MARKER_OPERATIONS {
+            for marker in MARKER_OPERATIONS {
                 if let Some(classes) = config["settings"]["Classes"].as_array_mut() {
                     classes.push(json!({
-                        "Name": sign, "AimUs": 2_000_000, "DeadlineUs": 4_000_000, "Effect": "read_like",
+                        "Name": marker, "AimUs": 2_000_000, "DeadlineUs": 4_000_000, "Effect": "read_like",
                         "LateWorth": 0.2, "Worth": 1.0,
                     }));
                 }
             }
             std::fs::write(folder.join("config.json"), config.to_string())?;
-            let every: SharedRecords = Rc::new(RefCell::new(Records::default()));
-            Catalogue::start(catalogue, manner.clone(), every);
+            let shared_records: SharedRecords = Rc::new(RefCell::new(Records::default()));
+            Catalogue::start(catalogue, behavior.clone(), shared_records);
             MembershipService::start(members, false);
             let mut records = Vec::new();
-            for instance in 0..made.instances {
+            for instance in 0..options.instances {
                 let record: SharedRecords = Rc::new(RefCell::new(Records::default()));
                 let listener =
-                    TcpListener::bind(process_address_at(own, ENGINE + instance)).await?;
-                Engine::start(listener, manner.clone(), record.clone());
+                    TcpListener::bind(process_address_at(own, ENGINE_PORT + instance)).await?;
+                Engine::start(listener, behavior.clone(), record.clone());
                 records.push(record);
             }
             let mut agents: BTreeMap<&String, String> = BTreeMap::new();
             for (other, to) in names.iter().enumerate() {
-                let address = process_address_at(number + other as u8, COUNCIL);
-                if other == place {
+                let address = process_address_at(number + other as u8, CONSENSUS_PORT);
+                if other == index {
                     agents.insert(to, address);
                 } else {
-                    let at = process_address_at(own, LINK + other as u16);
-                    links.insert((place, other), Link::start(&at, address).await?);
+                    let at = process_address_at(own, AGENT_LINK_PORT + other as u16);
+                    links.insert((index, other), Link::start(&at, address).await?);
                     agents.insert(to, at);
                 }
             }
             let closed: BTreeMap<&str, Value> = MARKER_OPERATIONS
                 .iter()
-                .map(|sign| (*sign, json!({ "admit": false })))
+                .map(|marker| (*marker, json!({ "admit": false })))
                 .collect();
-            let mut wanted = json!({
+            let mut fleet_file = json!({
                 "folder": "run",
                 "host": { "memory_mb": 1 << 20, "cores": 1000, "descriptors": 1 << 20 },
                 "change": { "out_at_once": 1, "floor": 0.5, "warm_ms": 200, "looked_ms": 300, "worse": 0.5 },
                 "restarts": { "pause_ms": 200, "at_once": 8, "hangs_ms": 60000 },
                 "council": {
-                    "name": name, "listen": process_address_at(own, COUNCIL), "agents": agents, "lease_ms": made.lease_ms,
-                    "base": { "note": "lets no sign in", "operations": closed }, "watch_ms": made.watch_ms,
+                    "name": name, "listen": process_address_at(own, CONSENSUS_PORT), "agents": agents, "lease_ms": options.lease_ms,
+                    "base": { "note": "lets no sign in", "operations": closed }, "watch_ms": options.watch_ms,
                 },
                 "groups": { "web": {
-                    "count": made.instances, "program": program, "config": "config.json",
-                    "listen": process_address_at(own, LISTEN), "engine": process_address_at(own, ENGINE), "descriptors": 2048,
+                    "count": options.instances, "program": program, "config": "config.json",
+                    "listen": process_address_at(own, LISTEN_PORT), "engine": process_address_at(own, ENGINE_PORT), "descriptors": 2048,
                 } },
             });
             if with_budgets {
-                wanted["council"]["base"]["budgets"] = made.budgets.clone();
+                fleet_file["council"]["base"]["budgets"] = options.budgets.clone();
             }
-            if made.zone_per_host {
-                wanted["council"]["zone"] = json!(format!("z{place}"));
+            if options.zone_per_host {
+                fleet_file["council"]["zone"] = json!(format!("z{index}"));
             }
-            if !made.with_consensus {
-                wanted
+            if !options.with_consensus {
+                fleet_file
                     .as_object_mut()
-                    .map(|wanted| wanted.remove("council"));
+                    .map(|fields| fields.remove("council"));
                 let path = folder.join("config.json");
                 std::fs::write(
                     &path,
                     config_admitting(&std::fs::read_to_string(&path)?, 0)?,
                 )?;
             }
-            std::fs::write(folder.join("fleet.json5"), wanted.to_string())?;
+            std::fs::write(folder.join("fleet.json5"), fleet_file.to_string())?;
             hosts.push(Host {
                 name: name.clone(),
                 folder,
@@ -375,85 +387,91 @@
                 fault: None,
             });
         }
-        let mut all = Installation {
+        let mut installation = Installation {
             program: program.into(),
-            config: made.clone(),
+            config: options.clone(),
             hosts,
             links,
-            shared_catalogue: door,
-            catalogue_links: ways,
+            shared_catalogue,
+            catalogue_links,
         };
-        for host in &mut all.hosts {
+        for host in &mut installation.hosts {
             host.start_agent(program)?;
         }
-        if !made.with_consensus {
-            let serving = |said: &[(ControlMessage, Value)]| {
-                said.last()
+        if !options.with_consensus {
+            let all_serving = |replies: &[(ControlMessage, Value)]| {
+                replies
+                    .last()
                     .and_then(|(_, sum)| sum["states"]["serving"].as_u64())
-                    == Some(made.instances.into())
+                    == Some(options.instances.into())
             };
-            for host in &all.hosts {
+            for host in &installation.hosts {
                 while !host
                     .ask(&json!({ "op": "status" }))
                     .await
-                    .is_ok_and(|said| serving(&said))
+                    .is_ok_and(|replies| all_serving(&replies))
                 {
                     sleep(Duration::from_millis(50)).await;
                 }
             }
-            return Ok(all);
+            return Ok(installation);
         }
-        all.wait_until("all sit and serve", |shows| {
-            shows.iter().all(|show| {
-                let instances = show["instances"].as_array().map_or(0, Vec::len);
-                show["leader"].is_string()
-                    && show["lease"].is_object()
-                    && instances == usize::from(made.instances)
-            })
-        })
-        .await?;
-        Ok(all)
+        installation
+            .wait_until(
+                "all agents are members and all instances serve",
+                |reports| {
+                    reports.iter().all(|report| {
+                        let instances = report["instances"].as_array().map_or(0, Vec::len);
+                        report["leader"].is_string()
+                            && report["lease"].is_object()
+                            && instances == usize::from(options.instances)
+                    })
+                },
+            )
+            .await?;
+        Ok(installation)
     }
 
-    /// What each agent shows of policies; an empty one of whoever does not answer.
+    /// The policy status reported by each agent; null for an agent that does not answer.
     pub async fn policy_reports(&self) -> Vec<Value> {
-        let mut shows = Vec::new();
+        let mut reports = Vec::new();
         for host in &self.hosts {
-            let said = tokio::time::timeout(
+            let reply = tokio::time::timeout(
                 Duration::from_secs(2),
                 host.policy_request("show", json!({})),
             )
             .await;
-            shows.push(
-                said.ok()
+            reports.push(
+                reply
+                    .ok()
                     .and_then(Result::ok)
-                    .map(|(_, show)| show)
+                    .map(|(_, report)| report)
                     .unwrap_or_default(),
             );
         }
-        shows
+        reports
     }
 
-    /// Waits until what the agents show is as it should be.
+    /// Waits until the agents' policy status fulfils a condition, which `what` describes in the error.
     ///
     /// # Errors
-    /// It never is.
+    /// Returns an error if that does not happen in time.
     pub async fn wait_until(
         &self,
         what: &str,
         is: impl Fn(&[Value]) -> bool,
     ) -> io::Result<Vec<Value>> {
-        let until = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + TIMEOUT;
         loop {
             let policy_reports = self.policy_reports().await;
             if is(&policy_reports) {
                 return Ok(policy_reports);
             }
-            if Instant::now() >= until {
+            if Instant::now() >= deadline {
                 let logs: Vec<String> = self.hosts.iter().map(Host::log).collect();
                 let shows: Vec<String> = policy_reports.iter().map(Value::to_string).collect();
                 return Err(io::Error::other(format!(
-                    "never: {what}\n{}\n{}",
+                    "timed out waiting until {what}\n{}\n{}",
                     shows.join("\n"),
                     logs.join("\n")
                 )));
@@ -462,7 +480,7 @@
         }
     }
 
-    /// The host that leads, as most see it.
+    /// The leader's host, according to the majority of the agents that answer.
     pub async fn leader(&self) -> Option<usize> {
         let shows = self.policy_reports().await;
         let named = shows.iter().filter_map(|show| show["leader"].as_str());
@@ -472,7 +490,7 @@
         self.hosts.iter().position(|host| host.name == name)
     }
 
-    /// A fault on all links between one host and the others, to it, from it, or both.
+    /// Sets a fault on all links between one host and the others: to it, from it, or both.
     pub fn set_link_fault(&self, host: usize, to: bool, from: bool, fault: Fault) {
         for ((one, other), link) in &self.links {
             if from && *one == host || to && *other == host {
@@ -481,18 +499,19 @@
         }
     }
 
+    /// Removes the faults from all links between agents.
     pub fn clear_link_faults(&self) {
         self.links.values().for_each(|link| link.set(Fault::None));
     }
 
-    pub fn address(&self, host: usize, place: u16) -> String {
-        process_address_at(self.hosts[host].number, LISTEN + place)
+    pub fn address(&self, host: usize, index: u16) -> String {
+        process_address_at(self.hosts[host].number, LISTEN_PORT + index)
     }
 
-    /// Sends to every instance of every host, signs and other work.
+    /// Starts load on every instance of every host, with the marker operations and others.
     ///
     /// # Errors
-    /// One can't be reached.
+    /// Returns an error if an instance can't be reached.
     pub async fn start_load(
         &self,
         rate: f64,
@@ -500,68 +519,71 @@
     ) -> io::Result<Vec<(usize, u16, Load, RunningLoad)>> {
         let mut all = Vec::new();
         for host in 0..self.hosts.len() {
-            for place in 0..self.config.instances {
-                let seed = seed * 1000 + host as u64 * 50 + u64::from(place);
+            for index in 0..self.config.instances {
+                let seed = seed * 1000 + host as u64 * 50 + u64::from(index);
                 let mut load =
-                    Load::with_example_operations(&self.address(host, place), 4, rate, seed);
+                    Load::with_example_operations(&self.address(host, index), 4, rate, seed);
                 load.operations.extend(MARKER_OPERATIONS.map(str::to_owned));
-                // One that is being started does not listen yet.
-                let until = Instant::now() + Duration::from_secs(5);
-                let playing = loop {
+                // An instance that is still starting does not listen yet.
+                let deadline = Instant::now() + Duration::from_secs(5);
+                let running_load = loop {
                     match load.start().await {
-                        Err(_) if Instant::now() < until => sleep(Duration::from_millis(20)).await,
+                        Err(_) if Instant::now() < deadline => {
+                            sleep(Duration::from_millis(20)).await
+                        }
                         started => break started?,
                     }
                 };
-                all.push((host, place, load, playing));
+                all.push((host, index, load, running_load));
             }
         }
         Ok(all)
     }
 }
 
-/// A configuration that lets this sign in and no other, for an installation without a council.
+/// Changes a configuration so that it admits this marker operation and no other, for an installation without a consensus group.
 ///
 /// # Errors
-/// It is no configuration.
-pub fn config_admitting(config: &str, sign: usize) -> io::Result<String> {
+/// Returns an error if `config` is not valid JSON.
+pub fn config_admitting(config: &str, marker: usize) -> io::Result<String> {
     let mut config: Value = serde_json::from_str(config)?;
     for class in config["settings"]["Classes"]
         .as_array_mut()
         .into_iter()
         .flatten()
     {
-        if let Some(of) = MARKER_OPERATIONS
+        if let Some(index) = MARKER_OPERATIONS
             .iter()
             .position(|name| class["Name"] == *name)
         {
-            class["AimUs"] = json!(if of == sign { 2_000_000 } else { 0 });
+            class["AimUs"] = json!(if index == marker { 2_000_000 } else { 0 });
         }
     }
     Ok(config.to_string())
 }
 
-/// A change as whoever proposed it saw it: when, which sign it lets in, and whether it holds in the end.
+/// A policy change as its proposer observed it: when it was proposed, which marker operation it admits, and whether it was
+/// committed.
 #[derive(Clone, Debug)]
-pub struct Changed {
+pub struct ProposedChange {
     pub proposed_at: Instant,
     pub marker: usize,
     pub committed: bool,
 }
 
-/// An answer that shows by which policy it was admitted: sent, answered, sign.
+/// A served marker operation: when it was sent, when it was answered, and which one it is.
 pub type Evidence = (Instant, Instant, usize);
 
-/// All evidence of a play.
-pub fn collect_evidence(playing: &[(usize, u16, Load, RunningLoad)]) -> Vec<Evidence> {
+/// All evidence in a load, by the time of the answer.
+pub fn collect_evidence(loads: &[(usize, u16, Load, RunningLoad)]) -> Vec<Evidence> {
     let mut all = Vec::new();
-    for (.., playing) in playing {
-        for sent in playing.record.borrow().sent.values() {
-            let sign = MARKER_OPERATIONS
+    for (.., running_load) in loads {
+        for sent in running_load.record.borrow().sent.values() {
+            let marker = MARKER_OPERATIONS
                 .iter()
-                .position(|sign| *sign == sent.operation);
-            if let (Some(sign), Some((at, 200))) = (sign, sent.answers.first()) {
-                all.push((sent.sent_at, *at, sign));
+                .position(|marker| *marker == sent.operation);
+            if let (Some(marker), Some((at, 200))) = (marker, sent.answers.first()) {
+                all.push((sent.sent_at, *at, marker));
             }
         }
     }
@@ -569,54 +591,57 @@
     all
 }
 
-/// What breaks the promises: served after a later policy had shown itself, or by a policy that was refused or not yet
-/// proposed. Neighbouring changes let in different signs, also one that is refused and the next one.
-pub fn count_violations(changes: &[Changed], evidence: &[Evidence]) -> (u64, u64) {
-    let held: Vec<&Changed> = changes.iter().filter(|change| change.committed).collect();
-    // From its proposal until the first answer that shows the next one.
-    let first = |place: usize| {
-        let (from, sign) = (held[place].proposed_at, held[place].marker);
-        let until = held.get(place + 3).map(|later| later.proposed_at);
+/// Counts violations: invocations admitted by an old policy although a later one had already been observed, and invocations
+/// admitted by a policy that was refused or not yet proposed. Consecutive changes must admit different marker operations, even if
+/// one of them is refused.
+pub fn count_violations(changes: &[ProposedChange], evidence: &[Evidence]) -> (u64, u64) {
+    let committed: Vec<&ProposedChange> =
+        changes.iter().filter(|change| change.committed).collect();
+    // The first evidence of a change: from its proposal until the proposal of the third change after it, which may admit the same
+    // marker operation again.
+    let first = |index: usize| {
+        let (from, marker) = (committed[index].proposed_at, committed[index].marker);
+        let until = committed.get(index + 3).map(|later| later.proposed_at);
         evidence.iter().find(|(sent, at, of)| {
-            *of == sign && *at >= from && until.is_none_or(|until| *sent < until)
+            *of == marker && *at >= from && until.is_none_or(|until| *sent < until)
         })
     };
-    let firsts: Vec<Option<Instant>> = (0..held.len())
-        .map(|place| first(place).map(|(_, at, _)| *at))
+    let firsts: Vec<Option<Instant>> = (0..committed.len())
+        .map(|index| first(index).map(|(_, at, _)| *at))
         .collect();
-    let (mut order, mut halves) = (0, 0);
-    for (sent, at, sign) in evidence {
-        // The change by which this may have been admitted: the last one with its sign that was proposed by then.
-        let by = (0..held.len())
-            .rev()
-            .find(|place| held[*place].marker == *sign && held[*place].proposed_at <= *at);
-        match by {
-            None => halves += 1,
-            Some(place) => {
-                let over = firsts[place + 1..]
+    let (mut outdated, mut invalid) = (0, 0);
+    for (sent, at, marker) in evidence {
+        // The change that admitted this: the last one with its marker operation that was proposed before the answer.
+        let admitted_by = (0..committed.len()).rev().find(|index| {
+            committed[*index].marker == *marker && committed[*index].proposed_at <= *at
+        });
+        match admitted_by {
+            None => invalid += 1,
+            Some(index) => {
+                let superseded = firsts[index + 1..]
                     .iter()
                     .flatten()
-                    .any(|shown| sent > shown);
-                order += u64::from(over);
+                    .any(|observed| sent > observed);
+                outdated += u64::from(superseded);
             }
         }
     }
-    (order, halves)
+    (outdated, invalid)
 }
 
-/// Stops sending, and holds everything against what came back and what ran.
+/// Stops the load, and compares what was sent with the answers and the runs.
 pub async fn check_load(
-    all: &Installation,
-    playing: Vec<(usize, u16, Load, RunningLoad)>,
+    installation: &Installation,
+    loads: Vec<(usize, u16, Load, RunningLoad)>,
 ) -> Verdict {
-    playing
+    loads
         .iter()
-        .for_each(|(.., playing)| playing.record.borrow_mut().stop_sending());
+        .for_each(|(.., running_load)| running_load.record.borrow_mut().stop_sending());
     let mut verdicts = Vec::new();
-    for (host, place, load, playing) in playing {
-        let seen = playing.stop().await;
-        let records = &all.hosts[host].records[usize::from(place)];
-        verdicts.push(seen.borrow().check(&records.borrow(), load.patience));
+    for (host, index, load, running_load) in loads {
+        let record = running_load.stop().await;
+        let records = &installation.hosts[host].records[usize::from(index)];
+        verdicts.push(record.borrow().check(&records.borrow(), load.patience));
     }
     combined_verdict(&verdicts)
 }
