--- a/crates/merlinshelf-cli/tests/learning.rs
+++ b/crates/merlinshelf-cli/tests/learning.rs
@@ -113,7 +113,7 @@
         learner
             .wait_for_report("taught", |status| learned_from(status, "n10"))
             .await?;
-        let observations = learner.known_figures().await?;
+        let observations = learner.known_observations().await?;
         let count = |kind: &str| {
             observations
                 .iter()
@@ -204,7 +204,7 @@
                 learned_from(status, "n20 (its own past)")
             })
             .await?;
-        let observations = instance.known_figures().await?;
+        let observations = instance.known_observations().await?;
         assert!(
             observations
                 .iter()
@@ -463,7 +463,7 @@
         }
         // The successor has the observations with their origins, and attributes the predecessor's
         // samples to an earlier incarnation.
-        let observations = learner.known_figures().await?;
+        let observations = learner.known_observations().await?;
         assert!(
             observations
                 .iter()
--- a/crates/merlinshelf-testbed/src/experiments/compatibility.rs
+++ b/crates/merlinshelf-testbed/src/experiments/compatibility.rs
@@ -187,7 +187,7 @@
 async fn observed_metrics(instance: &Instance) -> io::Result<BTreeSet<String>> {
     let deadline = Instant::now() + TIMEOUT;
     loop {
-        match instance.known_figures().await {
+        match instance.known_observations().await {
             Ok(observations) => return Ok(observations.iter().map(metric).collect()),
             Err(error) if Instant::now() >= deadline => return Err(error),
             Err(_) => sleep(Duration::from_millis(20)).await, // the instance is still starting
--- a/crates/merlinshelf-testbed/src/instance.rs
+++ b/crates/merlinshelf-testbed/src/instance.rs
@@ -1,4 +1,4 @@
-//! The real program as an instance under trial: its files, its processes one after the other, and its control socket.
+//! The real program as an instance under test: its files, its successive processes and its control socket.
 
 use std::cell::RefCell;
 use std::io;
@@ -20,42 +20,45 @@
 use crate::fakes::{Catalogue, Engine, FakeBehavior, MembershipService, Records, SharedRecords};
 use crate::script::EXAMPLE_CONFIG;
 
-/// How long anything that must happen is waited for.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// How long to wait for an expected event.
+const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// What an instance is given.
+/// The configuration of an instance and of its fakes.
 #[derive(Clone, Debug)]
 pub struct Setup {
     pub program: PathBuf,
     pub cores: u32,
     pub memory_mb: u64,
     pub sockets: u64,
+    /// How long a successor is on probation after an upgrade.
     pub probation: Duration,
+    /// How long a successor may send no heartbeat.
     pub heartbeat_timeout: Duration,
-    /// From the notice to leave until the process must be gone.
+    /// Time limit of a graceful shutdown, until the process must have exited.
     pub stop_deadline: Duration,
-    /// What two processes together may hold and use.
+    /// Limits for both processes together during an upgrade: file descriptors, and memory.
     pub descriptors: u64,
     pub combined_memory_mb: u64,
-    /// What the operations do, in the words of the settings: `read_like` may be run and called again.
+    /// The effect of the operations, as in the settings. Invocations of a `read_like` operation may be run and called again.
     pub effect: String,
     pub fakes: FakeBehavior,
-    /// The instance's name where it is not n0, so that peers tell each other apart.
+    /// The instance's name, by which peers distinguish instances.
     pub name: String,
-    /// What the operators' file says of learning; none: off. The folder is one of the instance's own where it says `true`.
+    /// The section `learning` of the operator's file; `None` turns it off. If its folder is `true`, the instance uses a folder of its
+    /// own.
     pub learning: Option<Value>,
-    /// What the operators' file says of dependencies; none: there is but the catalogue.
+    /// The section `dependencies` of the operator's file; `None` if the catalogue is the only dependency.
     pub dependencies: Option<Value>,
-    /// Where calls go that go to no dependency; none: to a catalogue of its own.
+    /// The address of the catalogue; `None` starts a fake catalogue for the instance.
     pub catalogue: Option<String>,
-    /// Callers may speak uwsgi.
+    /// Whether callers may use uwsgi.
     pub uwsgi: bool,
-    /// It takes part in a policy for all.
+    /// Whether the instance applies policies.
     pub policy: bool,
 }
 
 impl Setup {
-    /// A small one with all that a trial needs.
+    /// A small instance with short timeouts.
     pub fn small(program: impl Into<PathBuf>) -> Setup {
         let calling = vec!["thumbnail".into(), "playback-token".into()];
         let (work, below) = (Duration::from_millis(5), Duration::from_millis(3));
@@ -88,6 +91,7 @@
     }
 }
 
+/// A running instance; dropping it kills all its processes and removes its files.
 pub struct Instance {
     pub address: String,
     setup: Setup,
@@ -110,41 +114,43 @@
     }
 }
 
-/// An address that no other process of this machine uses: a port that was free a moment ago may be anybody's by now.
+/// An address that no other process on this machine uses. A port found free by binding to 0 could be taken by another process
+/// before the instance binds it, so the address is derived from the process id.
 pub fn process_address(number: u8) -> String {
     process_address_at(number, 6565)
 }
 
-/// Where an instance is asked by its peers.
+/// The address at which an instance answers its peers.
 pub fn peer_address(number: u8) -> String {
     process_address_at(number, 7400)
 }
 
-/// The same, with a port of one's own choice.
+/// Like [`process_address`], with a given port.
 pub fn process_address_at(number: u8, port: u16) -> String {
     let [.., high, low] = std::process::id().to_be_bytes();
     format!("127.{}.{low}.{number}:{port}", 1 + high % 250)
 }
 
+/// Sends a signal to a process; an error is ignored.
 pub fn signal(process: u32, signal: Signal) {
     if let Some(process) = i32::try_from(process).ok().and_then(Pid::from_raw) {
-        let _ = kill_process(process, signal); // it may be gone by now
+        let _ = kill_process(process, signal); // the process may have exited already
     }
 }
 
-/// Processes one of whose words on the command line is as it should be, by the pages that they have under `/proc`.
-pub fn processes_with_argument(is: impl Fn(&str) -> bool) -> Vec<u32> {
+/// All processes with a command line argument that matches, found under `/proc`.
+pub fn processes_with_argument(matches: impl Fn(&str) -> bool) -> Vec<u32> {
     let all = std::fs::read_dir("/proc").into_iter().flatten().flatten();
-    let pids = all.filter_map(|one| one.file_name().to_str()?.parse::<u32>().ok());
-    let started = |pid: &u32| {
+    let pids = all.filter_map(|entry| entry.file_name().to_str()?.parse::<u32>().ok());
+    let has_argument = |pid: &u32| {
         let line = std::fs::read(format!("/proc/{pid}/cmdline")).unwrap_or_default();
-        String::from_utf8_lossy(&line).split('\0').any(&is)
+        String::from_utf8_lossy(&line).split('\0').any(&matches)
     };
-    pids.filter(started).collect()
+    pids.filter(has_argument).collect()
 }
 
 impl Instance {
-    /// Starts stand-ins and the program between them, and waits until it serves.
+    /// Starts the fakes and the program, and waits until the program has its engine link.
     pub async fn start(setup: &Setup, number: u8) -> io::Result<Instance> {
         let folder = std::env::temp_dir().join(format!(
             "merlinshelf-testbed-{}-{number}",
@@ -198,9 +204,9 @@
             operator["learning"] = learning;
         }
         if setup.policy {
-            let figures = json!({ "again": 1, "probes": 1, "first": 1, "opened": 1 });
+            let budgets = json!({ "again": 1, "probes": 1, "first": 1, "opened": 1 });
             operator["policy"] =
-                json!({ "wait_ms": 0, "base": { "budgets": { "catalogue": figures } } });
+                json!({ "wait_ms": 0, "base": { "budgets": { "catalogue": budgets } } });
         }
         if setup.uwsgi {
             operator["uwsgi"] = json!(true);
@@ -233,30 +239,30 @@
         Ok(instance)
     }
 
-    /// What the successor's program is from here on, as lines of a shell.
+    /// Replaces the successor's program by a shell script with these lines.
     pub fn set_successor_script(&self, lines: &str) -> io::Result<()> {
         use std::os::unix::fs::PermissionsExt;
-        let (path, beside) = (
+        let (path, new_path) = (
             self.folder.join("successor"),
             self.folder.join("successor.new"),
         );
-        std::fs::write(&beside, format!("#!/bin/sh\n{lines}\n"))?;
-        std::fs::set_permissions(&beside, std::fs::Permissions::from_mode(0o755))?;
-        std::fs::rename(beside, path)
+        std::fs::write(&new_path, format!("#!/bin/sh\n{lines}\n"))?;
+        std::fs::set_permissions(&new_path, std::fs::Permissions::from_mode(0o755))?;
+        std::fs::rename(new_path, path)
     }
 
     pub fn config(&self) -> PathBuf {
         self.folder.join("config.json")
     }
 
-    /// Waits until the log holds so many lines with this text.
+    /// Waits until the log has at least `times` lines with this text.
     pub async fn wait_for_log(&self, text: &str, times: usize) -> io::Result<()> {
-        let until = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + TIMEOUT;
         while self.count_log_lines(text) < times {
-            if Instant::now() >= until {
+            if Instant::now() >= deadline {
                 let log: Vec<String> = self.log.borrow().iter().map(Value::to_string).collect();
                 return Err(io::Error::other(format!(
-                    "the log does not say {text:?}:\n{}",
+                    "the log does not contain {text:?}:\n{}",
                     log.join("\n")
                 )));
             }
@@ -265,6 +271,7 @@
         Ok(())
     }
 
+    /// The number of log lines with this text.
     pub fn count_log_lines(&self, text: &str) -> usize {
         let log = self.log.borrow();
         log.iter()
@@ -276,7 +283,7 @@
             .count()
     }
 
-    /// The values of a key in the log's lines, in order.
+    /// All values of a key in the log, in order.
     pub fn log_values(&self, key: &str) -> Vec<u64> {
         self.log
             .borrow()
@@ -285,7 +292,7 @@
             .collect()
     }
 
-    /// The whole log, a line each.
+    /// The whole log as text.
     pub fn log(&self) -> String {
         self.log
             .borrow()
@@ -294,10 +301,10 @@
             .collect()
     }
 
-    /// Names other dependencies in the operators' file, and tells the one that serves by SIGHUP.
+    /// Replaces the dependencies in the operator's file, and reloads it with `SIGHUP` to the current process.
     ///
     /// # Errors
-    /// The file can't be written.
+    /// Returns an error if the file can't be read or written.
     pub fn set_dependencies(&self, dependencies: &Value) -> io::Result<()> {
         let path = self.folder.join("operator.json5");
         let mut operator: Value = serde_json::from_str(&std::fs::read_to_string(&path)?)?;
@@ -309,7 +316,7 @@
         Ok(())
     }
 
-    /// All processes that were ever started here, the last one last.
+    /// All processes ever started for this instance, the latest one last.
     pub fn processes(&self) -> Vec<u32> {
         let successors = self
             .log_values("successor")
@@ -318,29 +325,30 @@
         self.child.id().into_iter().chain(successors).collect()
     }
 
-    pub async fn ask(&self, question: ControlRequest) -> io::Result<ControlClient> {
-        ControlClient::request(&self.control, question, &json!({}), PATIENCE).await
+    /// Sends a request to the control socket.
+    pub async fn ask(&self, request: ControlRequest) -> io::Result<ControlClient> {
+        ControlClient::request(&self.control, request, &json!({}), TIMEOUT).await
     }
 
-    /// The report of the one who serves.
+    /// The status of the serving process.
     pub async fn status(&self) -> io::Result<Value> {
-        let until = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + TIMEOUT;
         loop {
             let answer = async { self.ask(ControlRequest::Status).await?.next_reply().await };
             match answer.await {
                 Ok((_, report)) => return Ok(report),
-                Err(error) if Instant::now() >= until => return Err(error),
-                Err(_) => sleep(Duration::from_millis(5)).await, // between two processes
+                Err(error) if Instant::now() >= deadline => return Err(error),
+                Err(_) => sleep(Duration::from_millis(5)).await, // no process answers during a handover
             }
         }
     }
 
-    /// Time on the cores of the process that was started first, of all its threads.
+    /// CPU time of the first process, over all its threads.
     pub fn cpu_time(&self) -> io::Result<Duration> {
         let id = self
             .child
             .id()
-            .ok_or_else(|| io::Error::other("it has ended"))?;
+            .ok_or_else(|| io::Error::other("the process has exited"))?;
         let mut sum = 0;
         for thread in std::fs::read_dir(format!("/proc/{id}/task"))? {
             let text = std::fs::read_to_string(thread?.path().join("schedstat"))?;
@@ -353,7 +361,7 @@
         Ok(Duration::from_nanos(sum))
     }
 
-    /// Memory in KB and descriptors of all processes that live now, together.
+    /// Memory in KB and open file descriptors, summed over all running processes.
     pub fn memory_and_descriptors(&self) -> (u64, u64) {
         let mut sums = (0, 0);
         for id in self.processes() {
@@ -374,7 +382,7 @@
         sums
     }
 
-    /// Most memory of the process that was started first, in KB.
+    /// Peak memory of the first process, in KB.
     pub fn peak_memory_kb(&self) -> Option<u64> {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()?)).ok()?;
         let line = status
@@ -383,7 +391,7 @@
         line.trim().split(' ').next()?.parse().ok()
     }
 
-    /// Ends all processes, without asking.
+    /// Kills all processes with `SIGKILL`.
     pub async fn kill_all(&mut self) {
         self.processes()
             .into_iter()
@@ -391,8 +399,8 @@
         let _ = self.child.wait().await;
     }
 
-    /// Tells the first process to leave by signal, waits for its end and starts the program anew between the same
-    /// stand-ins: the way without upgrades.
+    /// Restarts the program without an upgrade: terminates the first process with `SIGTERM`, waits for its exit and starts `program`
+    /// with the same fakes.
     pub async fn terminate_and_restart(&mut self, program: &Path) -> io::Result<()> {
         if let Some(id) = self.child.id() {
             signal(id, Signal::TERM);
@@ -402,14 +410,14 @@
         Ok(())
     }
 
-    /// Kills the process, without a word, and starts it anew between the same stand-ins.
+    /// Kills all processes with `SIGKILL`, and starts the program again with the same fakes.
     pub async fn kill_and_restart(&mut self) -> io::Result<()> {
         self.kill_all().await;
         self.child = launch(&self.setup.program, &self.folder, &self.log)?;
         Ok(())
     }
 
-    /// The folder in which it keeps what it knows.
+    /// The folder of the gossip store.
     pub fn store_folder(&self) -> PathBuf {
         self.folder.join("kept")
     }
@@ -418,21 +426,21 @@
         &self.control
     }
 
-    /// Waits until its report says so.
+    /// Waits until its status fulfils a condition, which `what` describes in the error.
     pub async fn wait_for_report(
         &self,
         what: &str,
-        when: impl Fn(&Value) -> bool,
+        condition: impl Fn(&Value) -> bool,
     ) -> io::Result<Value> {
-        let until = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + TIMEOUT;
         loop {
             let report = self.status().await?;
-            if when(&report) {
+            if condition(&report) {
                 return Ok(report);
             }
-            if Instant::now() >= until {
+            if Instant::now() >= deadline {
                 return Err(io::Error::other(format!(
-                    "never {what}: {report}\n{}",
+                    "timed out waiting for {what:?}: {report}\n{}",
                     self.log()
                 )));
             }
@@ -440,11 +448,11 @@
         }
     }
 
-    /// All figures that it knows.
-    pub async fn known_figures(&self) -> io::Result<Vec<Value>> {
-        let mut talk = self.ask(ControlRequest::Knowledge).await?;
+    /// All observations that it knows.
+    pub async fn known_observations(&self) -> io::Result<Vec<Value>> {
+        let mut client = self.ask(ControlRequest::Knowledge).await?;
         let mut all = Vec::new();
-        while let (ControlMessage::More, mut page) = talk.next_reply().await? {
+        while let (ControlMessage::More, mut page) = client.next_reply().await? {
             if let Some(page) = page["figures"].as_array_mut() {
                 all.append(page);
             }
@@ -452,19 +460,19 @@
         Ok(all)
     }
 
-    /// Waits for the end of the process that was started first; its status.
+    /// Waits until the first process exits; returns its exit code.
     pub async fn wait_for_first_exit(&mut self) -> io::Result<Option<i32>> {
-        let status = timeout(PATIENCE, self.child.wait()).await??;
+        let status = timeout(TIMEOUT, self.child.wait()).await??;
         Ok(status.code())
     }
 
-    /// Tells it to leave, and waits until nobody answers at its control socket.
+    /// Requests a graceful shutdown, and waits until no process answers at the control socket.
     pub async fn drain(&self) -> io::Result<()> {
         self.ask(ControlRequest::Drain).await?.next_reply().await?;
-        let until = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + TIMEOUT;
         while UnixStream::connect(&self.control).await.is_ok() {
-            if Instant::now() >= until {
-                return Err(io::Error::other("it does not leave"));
+            if Instant::now() >= deadline {
+                return Err(io::Error::other("the instance does not shut down"));
             }
             sleep(Duration::from_millis(5)).await;
         }
@@ -472,7 +480,7 @@
     }
 }
 
-/// Starts the program with an instance's files and keeps its log.
+/// Starts the program with an instance's files and collects its log.
 fn launch(program: &Path, folder: &Path, log: &Rc<RefCell<Vec<Value>>>) -> io::Result<Child> {
     let (config, operator) = (folder.join("config.json"), folder.join("operator.json5"));
     let mut command = Command::new(program);
@@ -482,7 +490,7 @@
         .arg(&config)
         .arg("--operator")
         .arg(&operator);
-    // Versions before the command line know this variable only.
+    // Versions without the command line read only this variable.
     command.env("PROXY_CONFIG", &config);
     command
         .stdin(Stdio::null())
