--- a/crates/merlinshelf-testbed/src/main.rs
+++ b/crates/merlinshelf-testbed/src/main.rs
@@ -1,4 +1,4 @@
-//! The testbed's command line: fakes to try the program with, a demonstration, and experiments with figures.
+//! The testbed's command line: fakes for trying out the program, a demonstration, and experiments that print measurements.
 
 use std::io;
 use std::path::PathBuf;
@@ -16,8 +16,8 @@
 #[command(
     name = "merlinshelf-testbed",
     version,
-    about = "Fakes, load and experiments for merlinshelf; everything on loopback, and it ends by itself",
-    after_help = "Exit codes: 0 done, 1 a rule broke or something failed, 2 wrong usage.\n\nExamples:\n  \
+    about = "Fakes, load and experiments for merlinshelf; everything runs on loopback addresses and ends by itself",
+    after_help = "Exit codes: 0 success, 1 a guarantee was violated or an error occurred, 2 wrong usage.\n\nExamples:\n  \
                   merlinshelf-testbed demo\n  merlinshelf-testbed experiment upgrade --seed 7 --rounds 20 --fail 0.5"
 )]
 struct Cli {
@@ -27,13 +27,13 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Start the program between stand-ins, send it work, upgrade it meanwhile, and show what was answered
+    /// Run the program between fakes, upgrade it under load, and print how its invocations were answered
     Demo {
-        /// The program; built first where cargo runs this
+        /// Path of the merlinshelf program; under cargo it is built first if no path is given
         #[arg(long)]
         program: Option<PathBuf>,
     },
-    /// Play engine, catalogue and membership service at the addresses of a configuration
+    /// Run a fake engine, catalogue and membership service at the addresses of a configuration
     #[command(after_help = "Example:\n  merlinshelf-testbed stand-ins examples/config.json")]
     StandIns { config: PathBuf },
     /// Send invocations to the address of a configuration and print the answers
@@ -48,7 +48,7 @@
         #[arg(default_value_t = 1)]
         many: u16,
     },
-    /// Play a subsystem by seed and print figures; the last line is one JSON object
+    /// Run an experiment with a given seed and print measurements; the last line is one JSON object
     #[command(alias = "trial")]
     Experiment {
         #[command(subcommand)]
@@ -58,9 +58,9 @@
 
 #[derive(Subcommand)]
 enum Experiment {
-    /// Time on the cores an invocation, against another program, played in turn
+    /// CPU time per invocation, compared with another program; the two run alternately
     Cost {
-        /// The other program, for instance the version before
+        /// The program to compare with, for example the previous version
         #[arg(long)]
         against: PathBuf,
         #[arg(long, default_value_t = 1)]
@@ -69,10 +69,10 @@
         pairs: u32,
         #[arg(long, default_value_t = 1000.0)]
         rate: f64,
-        /// How long each play is counted
+        /// How long each run is measured, in seconds
         #[arg(long, default_value_t = 3)]
         seconds: u64,
-        /// With a policy for all on, held on a lease of 2 s; the other program has it off
+        /// Run with policies enabled, under a lease of 2 s; the other program runs without
         #[arg(long)]
         policy: bool,
         #[arg(long)]
@@ -85,197 +85,197 @@
     Fleet {
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// How many seeds are played, from this one on
+        /// Number of consecutive seeds to run, from this one on
         #[arg(long, default_value_t = 20)]
         seeds: u64,
         #[arg(long, default_value_t = 20)]
         instances: u16,
-        /// Invocations a second to each instance
+        /// Invocations per second to each instance
         #[arg(long, default_value_t = 30.0)]
         rate: f64,
-        /// Kills of the agent in each rolling upgrade
+        /// Number of times the agent is killed in each rolling upgrade
         #[arg(long, default_value_t = 2)]
         kills: u32,
-        /// Kills of instances in each rolling upgrade, after these
+        /// Number of instances killed in each rolling upgrade, after the agent's kills
         #[arg(long, default_value_t = 1)]
         kill_instances: u32,
         #[arg(long)]
         program: Option<PathBuf>,
     },
-    /// One change of policy a round for all instances of several agents, with faults between the processes by seed
+    /// One policy change per round for all instances of several agents, with faults between the processes chosen by seed
     #[command(
         after_help = "Example:\n  merlinshelf-testbed experiment policy --seed 28 --rounds 20"
     )]
     Policy {
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// How many seeds are played, from this one on
+        /// Number of consecutive seeds to run, from this one on
         #[arg(long, default_value_t = 1)]
         seeds: u64,
-        /// Changes in each seed
+        /// Number of policy changes for each seed
         #[arg(long, default_value_t = 13)]
         rounds: u32,
         #[arg(long, default_value_t = 3)]
         agents: u8,
-        /// Instances of each agent
+        /// Number of instances of each agent
         #[arg(long, default_value_t = 4)]
         instances: u16,
         #[arg(long, default_value_t = 1000)]
         lease_ms: u64,
-        /// Invocations a second to each instance
+        /// Invocations per second to each instance
         #[arg(long, default_value_t = 30.0)]
         rate: f64,
-        /// This fault in every round, instead of by seed
+        /// Inject this fault in every round, instead of one chosen by seed
         #[arg(long, value_enum)]
         only: Option<experiments::policy::RoundFault>,
-        /// The way before there was a policy for all: a new file and a restart of one after the other, on one host
+        /// Instead, change the policy without consensus: a new file and a rolling restart, on one host
         #[arg(long)]
         by_restart: bool,
-        /// Instead, service around changes without faults against a minute before them, and the longest stall
+        /// Instead, compare service around changes without faults to the minute before them, and measure the longest stall
         #[arg(long)]
         switch: bool,
-        /// Instead, what it costs by size, in virtual time
+        /// Instead, measure the cost by fleet size, in virtual time
         #[arg(long)]
         sizes: bool,
         #[arg(long)]
         program: Option<PathBuf>,
     },
-    /// Two dependencies of five servers each that fail by script, against plain ways to call them; many instances in virtual time
+    /// Two dependencies of five servers each with scripted failures, compared with simple routing; many instances in virtual time
     #[command(after_help = "Example:\n  merlinshelf-testbed experiment dependencies --seed 19")]
     Dependencies {
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Invocations a second
+        /// Invocations per second
         #[arg(long, default_value_t = 300.0)]
         rate: f64,
-        /// Plays at one time
+        /// Number of concurrent runs
         #[arg(long, default_value_t = 3)]
         at_once: u8,
-        /// Faults that are played, by their number; absent: all
+        /// Numbers of the faults to run, separated by commas; all if omitted
         #[arg(long, value_delimiter = ',')]
         faults: Vec<usize>,
         #[arg(long)]
         program: Option<PathBuf>,
     },
-    /// The same mix in overload by FastCGI, by uwsgi and by both: served, throttled and errored by operation, and what it costs
+    /// The same overload by FastCGI, by uwsgi and by both: served, throttled and failed invocations by operation, and the cost
     #[command(after_help = "Example:\n  merlinshelf-testbed experiment uwsgi --seed 20 --seeds 5")]
     Uwsgi {
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// How many seeds are played, from this one on
+        /// Number of consecutive seeds to run, from this one on
         #[arg(long, default_value_t = 5)]
         seeds: u64,
-        /// Invocations a second; about half of 300 is taken in
+        /// Invocations per second; about half of the default is admitted
         #[arg(long, default_value_t = 300.0)]
         rate: f64,
         #[arg(long)]
         program: Option<PathBuf>,
     },
-    /// What being taught is worth, what bad teachers cost, what it costs a fleet, and what crashes leave
+    /// Benefit of gossiped observations, harm done by bad peers, cost for a fleet, and what is lost in crashes
     #[command(
         after_help = "Example:\n  merlinshelf-testbed experiment learning --seed 17 --seeds 20 --at-once 4"
     )]
     Learning {
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// How many seeds are played, from this one on
+        /// Number of consecutive seeds to run, from this one on
         #[arg(long, default_value_t = 20)]
         seeds: u64,
-        /// Plays at one time; each takes about a core
+        /// Number of concurrent runs; each takes about one core
         #[arg(long, default_value_t = 3)]
         at_once: u8,
-        /// Sizes of fleets that are played in virtual time
+        /// Fleet sizes to simulate in virtual time, separated by commas
         #[arg(long, value_delimiter = ',', default_values_t = [16, 300, 3000])]
         fleets: Vec<usize>,
-        /// How often each case of what teaching costs the teacher is played
+        /// Number of repetitions of each case that measures the cost of answering peers
         #[arg(long, default_value_t = 5)]
         costs: u64,
-        /// Operations on files at each of which a life ends, and the next one, too
+        /// Number of file operations at each of which the process crashes, and at each of which its successor crashes too
         #[arg(long, default_value_t = 40)]
         crashes: u32,
         #[arg(long)]
         program: Option<PathBuf>,
     },
-    /// Service after an upgrade under load, against a drain and a cold start of another program
+    /// Service after an upgrade under load, compared with a drain and a cold start of another program
     Restart {
-        /// The other program, for instance the version before
+        /// The program to compare with, for example the previous version
         #[arg(long)]
         against: PathBuf,
         #[arg(long, default_value_t = 1)]
         seed: u64,
         #[arg(long, default_value_t = 500.0)]
         rate: f64,
-        /// How long the service is looked at, in seconds
+        /// How long the service is measured, in seconds
         #[arg(long, default_value_t = 20)]
         seconds: u64,
         #[arg(long)]
         program: Option<PathBuf>,
     },
-    /// One budget for the fleet, against a fixed part for each host and against the version before
+    /// One call budget for the fleet, compared with a fixed share for each host and with the previous version
     Shares {
         #[arg(long, default_value_t = 29)]
         seed: u64,
         #[arg(long, default_value_t = 4)]
         seeds: u64,
-        /// Instances of all three agents together
+        /// Total number of instances of all three agents
         #[arg(long, default_value_t = 24)]
         instances: u16,
-        /// Invocations a second to each instance
+        /// Invocations per second to each instance
         #[arg(long, default_value_t = 15.0)]
         rate: f64,
-        /// The program of the version before
+        /// The program of the previous version
         #[arg(long)]
         against: Option<PathBuf>,
-        /// Only this way
+        /// Run only this mode
         #[arg(long)]
         only: Option<experiments::shares::BudgetMode>,
-        /// Messages, bytes, time and the worst second by size, in virtual time
+        /// Instead, measure messages, bytes, time and the busiest second by fleet size, in virtual time
         #[arg(long)]
         sizes: bool,
-        /// Whether an overload outlives its cause, where callers send again what is not served
+        /// Instead, measure whether an overload persists after its cause has ended, when callers retry what is not served
         #[arg(long)]
         loops: bool,
         #[arg(long)]
         program: Option<PathBuf>,
     },
-    /// Upgrades under full load, some of which fail
+    /// Upgrades under load, some of which fail
     Upgrade {
         #[arg(long, default_value_t = 1)]
         seed: u64,
         #[arg(long, default_value_t = 10)]
         rounds: u32,
-        /// The share of rounds whose successor fails
+        /// Fraction of the rounds in which the successor fails
         #[arg(long, default_value_t = 0.5)]
         fail: f64,
-        /// Let none of them hang
+        /// Let no successor hang
         #[arg(long)]
         no_hangs: bool,
-        /// Invocations a second
+        /// Invocations per second
         #[arg(long, default_value_t = 2000.0)]
         rate: f64,
         #[arg(long, default_value_t = 200)]
         connections: usize,
-        /// How long a successor is watched, in milliseconds
+        /// Length of a successor's probation, in milliseconds
         #[arg(long, default_value_t = 800)]
         watched_ms: u64,
-        /// Write the JSON object to a file too
+        /// Also write the JSON object to this file
         #[arg(long)]
         json: Option<PathBuf>,
         /// The program that serves first
         #[arg(long, visible_alias = "program")]
         from: Option<PathBuf>,
-        /// The program of the first successor, where it is another one; after each upgrade they change places
+        /// The program of the first successor, if it is a different one; the two alternate after each upgrade
         #[arg(long)]
         to: Option<PathBuf>,
     },
-    /// Two versions over the same stored data and beside each other: agents' log, gossip store, one change by both
+    /// Two versions on the same stored data and side by side: the agents' log, the gossip store, and a policy change by both
     Compatibility {
         #[arg(long, default_value_t = 1)]
         seed: u64,
         /// The version that writes first
         #[arg(long)]
         from: PathBuf,
-        /// The version that goes on with it; this one where none is named
+        /// The version that continues with the data; the current one if omitted
         #[arg(long)]
         to: Option<PathBuf>,
     },
@@ -285,7 +285,7 @@
     match run(Cli::parse().command) {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => {
-            eprintln!("merlinshelf-testbed: a rule broke, see above");
+            eprintln!("merlinshelf-testbed: a guarantee was violated, see above");
             ExitCode::FAILURE
         }
         Err(error) => {
@@ -300,7 +300,7 @@
     let local = LocalSet::new();
     match command {
         Command::Demo { program } => {
-            let setup = setup(found(program)?, 8, Duration::from_millis(1000));
+            let setup = setup(program_path(program)?, 8, Duration::from_millis(1000));
             local.block_on(&runtime, demo::run(&setup))
         }
         Command::StandIns { config } => {
@@ -333,7 +333,7 @@
                     program,
                 },
         } => {
-            let setup = setup(found(program)?, 64, Duration::from_millis(800));
+            let setup = setup(program_path(program)?, 64, Duration::from_millis(800));
             let measured_for = Duration::from_secs(seconds);
             let plan = experiments::cost::Plan {
                 seed,
@@ -357,7 +357,7 @@
                     program,
                 },
         } => {
-            let program = std::fs::canonicalize(found(program)?)?;
+            let program = std::fs::canonicalize(program_path(program)?)?;
             let plan = experiments::uwsgi::Plan {
                 seed,
                 seeds,
@@ -378,7 +378,7 @@
                     program,
                 },
         } => {
-            let program = std::fs::canonicalize(found(program)?)?;
+            let program = std::fs::canonicalize(program_path(program)?)?;
             let plan = experiments::dependencies::Plan {
                 seed,
                 rate,
@@ -400,7 +400,7 @@
                     program,
                 },
         } => {
-            let program = std::fs::canonicalize(found(program)?)?;
+            let program = std::fs::canonicalize(program_path(program)?)?;
             let plan = experiments::fleet::Plan {
                 seed,
                 seeds,
@@ -432,12 +432,12 @@
                 },
         } => {
             if sizes {
-                let (_, held) = experiments::policy_size::run();
-                return Ok(held);
+                let (_, within_bounds) = experiments::policy_size::run();
+                return Ok(within_bounds);
             }
-            let program = std::fs::canonicalize(found(program)?)?;
+            let program = std::fs::canonicalize(program_path(program)?)?;
             let (hosts, council) = (if by_restart { 1 } else { agents }, !by_restart);
-            let made = merlinshelf_testbed::installation::InstallationConfig {
+            let config = merlinshelf_testbed::installation::InstallationConfig {
                 hosts,
                 instances,
                 lease_ms,
@@ -448,7 +448,7 @@
                 seed,
                 seeds,
                 rounds,
-                made,
+                made: config,
                 rate,
                 program,
                 only,
@@ -484,7 +484,7 @@
             if sizes {
                 return Ok(experiments::shares_size::run(seed).1);
             }
-            let program = std::fs::canonicalize(found(program)?)?;
+            let program = std::fs::canonicalize(program_path(program)?)?;
             let plan = experiments::shares::Plan {
                 seed,
                 seeds,
@@ -515,7 +515,7 @@
                     program,
                 },
         } => {
-            let program = found(program)?;
+            let program = program_path(program)?;
             let plan = experiments::learning::Plan {
                 seed,
                 seeds,
@@ -538,7 +538,7 @@
                 },
         } => {
             let (setup, observed_for) = (
-                setup(found(program)?, 64, Duration::from_millis(800)),
+                setup(program_path(program)?, 64, Duration::from_millis(800)),
                 Duration::from_secs(seconds),
             );
             let plan = experiments::restart::Plan {
@@ -567,7 +567,7 @@
                     to,
                 },
         } => {
-            let from = found(from)?;
+            let from = program_path(from)?;
             let successor = std::fs::canonicalize(to.as_ref().unwrap_or(&from))?;
             let setup = setup(from, 64, Duration::from_millis(watched_ms));
             let plan = experiments::upgrade::Plan {
@@ -581,7 +581,7 @@
                 successor,
             };
             println!(
-                "{rounds} upgrades by seed {seed}, {fail} of them failing, at {rate} invocations a second\n"
+                "{rounds} upgrades with seed {seed}, fraction {fail} failing, at {rate} invocations per second\n"
             );
             let (line, clean) = local.block_on(&runtime, experiments::upgrade::run(&plan))?;
             if let Some(path) = json {
@@ -594,7 +594,7 @@
         } => {
             let plan = experiments::compatibility::Plan {
                 from: std::fs::canonicalize(from)?,
-                to: std::fs::canonicalize(found(to)?)?,
+                to: std::fs::canonicalize(program_path(to)?)?,
                 seed,
             };
             local
@@ -604,19 +604,19 @@
     }
 }
 
-fn setup(program: PathBuf, cores: u32, watched: Duration) -> Setup {
+fn setup(program: PathBuf, cores: u32, probation: Duration) -> Setup {
     let mut setup = Setup::small(program);
-    (setup.cores, setup.fakes.cores, setup.probation) = (cores, f64::from(cores), watched);
+    (setup.cores, setup.fakes.cores, setup.probation) = (cores, f64::from(cores), probation);
     setup
 }
 
-/// The program beside this one. Where cargo runs this, it is built first.
-fn found(program: Option<PathBuf>) -> io::Result<PathBuf> {
+/// The given program, or else the one next to this executable. Under cargo it is built first.
+fn program_path(program: Option<PathBuf>) -> io::Result<PathBuf> {
     if let Some(program) = program {
         return Ok(program);
     }
-    let own = std::env::current_exe()?;
-    let program = own.with_file_name("merlinshelf");
+    let executable = std::env::current_exe()?;
+    let program = executable.with_file_name("merlinshelf");
     if let Some(cargo) = std::env::var_os("CARGO") {
         let mut build = Process::new(cargo);
         build.args([
@@ -626,19 +626,19 @@
             "--package",
             "merlinshelf-cli",
         ]);
-        if own
+        if executable
             .parent()
             .is_some_and(|folder| folder.ends_with("release"))
         {
             build.arg("--release");
         }
         if !build.status()?.success() {
-            return Err(io::Error::other("the program can't be built"));
+            return Err(io::Error::other("building the program failed"));
         }
     }
     if !program.exists() {
         return Err(io::Error::other(format!(
-            "{} is not there: build it, or name --program",
+            "{} does not exist: build it, or give its path with --program",
             program.display()
         )));
     }
--- a/crates/merlinshelf-testbed/tests/store.rs
+++ b/crates/merlinshelf-testbed/tests/store.rs
@@ -1,4 +1,4 @@
-//! The store of what is known, on a folder that crashes, fills up, may only be read or holds something else.
+//! The gossip store on a folder that crashes, is full, is read-only or contains foreign files.
 
 use merlinshelf_gossip::store::{MAX_STORE_BYTES, STORE_FILE, STORE_FILE_ASIDE, Store};
 use merlinshelf_gossip::store_format::{FrameError, PersistedObservation};
@@ -12,7 +12,7 @@
     Disk::new(Pcg64Mcg::seed_from_u64(3))
 }
 
-fn told(operation: &str, number: u64) -> GossipedObservation {
+fn observation(operation: &str, sequence: u64) -> GossipedObservation {
     GossipedObservation {
         metric: Metric::RunRecent {
             engine: "e".into(),
@@ -25,34 +25,34 @@
         value: 0.01,
         sample_count: 24,
         age_seconds: 1.0,
-        sequence: number,
+        sequence,
         hops: 1,
         status: SourceStatus::Steady,
     }
 }
 
-fn read(disk: &mut Disk) -> Vec<GossipedObservation> {
-    let found = Store::open(disk).expect("it can be read").1;
+fn stored_observations(disk: &mut Disk) -> Vec<GossipedObservation> {
+    let found = Store::open(disk).expect("opening the store").1;
     assert_eq!(found.error, None);
     found
         .observations
         .into_iter()
-        .map(|kept| kept.observation)
+        .map(|stored| stored.observation)
         .collect()
 }
 
 #[test]
-fn a_crash_at_every_operation_twice_in_a_row_loses_nothing_that_was_kept() {
-    let came = crashes::run(17, 22);
-    assert_eq!(came.wrong, 0, "{came:?}");
-    assert_eq!(came.crashes, 2 * 22 * 22);
-    assert!(came.read_back > came.crashes, "{came:?}");
+fn two_crashes_in_a_row_at_any_operation_lose_no_saved_observation() {
+    let outcome = crashes::run(17, 22);
+    assert_eq!(outcome.wrong, 0, "{outcome:?}");
+    assert_eq!(outcome.crashes, 2 * 22 * 22);
+    assert!(outcome.read_back > outcome.crashes, "{outcome:?}");
 }
 
 #[test]
-fn what_changes_is_written_behind_and_all_anew_once_the_log_is_long() {
+fn changes_are_appended_and_a_long_log_is_rewritten() {
     let mut disk = disk();
-    let (mut store, _) = Store::open(&mut disk).expect("it is empty");
+    let (mut store, _) = Store::open(&mut disk).expect("opening an empty folder");
     store.begin_incarnation(5);
     let mut longest = 0;
     for number in 0..3000 {
@@ -60,30 +60,34 @@
             .save(
                 &mut disk,
                 100.0 + number as f64,
-                &[told("a", 1), told("b", number)],
+                &[observation("a", 1), observation("b", number)],
             )
-            .expect("it is kept");
+            .expect("saving");
         let before = disk.operations;
         store
-            .save(&mut disk, 100.0, &[told("a", 1), told("b", number)])
-            .expect("nothing is new");
+            .save(
+                &mut disk,
+                100.0,
+                &[observation("a", 1), observation("b", number)],
+            )
+            .expect("saving without changes");
         assert_eq!(
             disk.operations, before,
-            "what is kept already is not written again"
+            "observations already saved are not written again"
         );
         longest = longest.max(
             merlinshelf_gossip::Files::read(&mut disk, STORE_FILE)
-                .expect("it reads")
-                .map_or(0, |of| of.len()),
+                .expect("reading the file")
+                .map_or(0, |bytes| bytes.len()),
         );
     }
     assert!(longest < 80 * 1024, "{longest}");
-    let last = read(&mut disk);
-    assert!(last.contains(&told("a", 1)) && last.last() == Some(&told("b", 2999)));
+    let last = stored_observations(&mut disk);
+    assert!(last.contains(&observation("a", 1)) && last.last() == Some(&observation("b", 2999)));
 }
 
 #[test]
-fn a_foreign_a_later_and_an_endless_file_are_set_aside_and_told() {
+fn foreign_newer_and_oversized_files_are_set_aside_and_reported() {
     for bytes in [
         b"SQLite format 3\0".to_vec(),
         b"MSK1\x03\0\0\0later".to_vec(),
@@ -91,85 +95,88 @@
     ] {
         let mut disk = disk();
         disk.insert_file(STORE_FILE, &bytes);
-        let (mut store, found) = Store::open(&mut disk).expect("it can be read");
+        let (mut store, found) = Store::open(&mut disk).expect("opening the store");
         assert_eq!(
             (found.error, found.was_set_aside, found.observations.len()),
             (Some(FrameError::Foreign), true, 0)
         );
         assert!(disk.contains(STORE_FILE_ASIDE) && !disk.contains(STORE_FILE));
         store
-            .save(&mut disk, 1.0, &[told("a", 1)])
-            .expect("a new one is made");
-        assert_eq!(read(&mut disk), [told("a", 1)]);
+            .save(&mut disk, 1.0, &[observation("a", 1)])
+            .expect("saving to a new file");
+        assert_eq!(stored_observations(&mut disk), [observation("a", 1)]);
     }
 }
 
 #[test]
-fn the_form_before_is_read_and_a_garbled_record_costs_what_follows_it() {
+fn the_previous_format_is_read_and_a_corrupt_record_drops_the_rest() {
     let bytes = rmp_serde::to_vec_named(&PersistedObservation {
         saved_at: 9.0,
-        observation: told("a", 4),
+        observation: observation("a", 4),
     })
-    .expect("a record");
+    .expect("encoding a record");
     let mut file = b"MSK1\x01\0\0\0".to_vec();
     file.extend((bytes.len() as u32).to_le_bytes());
     file.extend(crc32fast::hash(&bytes).to_le_bytes());
     file.extend(&bytes);
     let mut disk = disk();
     disk.insert_file(STORE_FILE, &file);
-    assert_eq!(read(&mut disk), [told("a", 4)]);
-    // Written by this version, it is of this form.
-    let (mut store, _) = Store::open(&mut disk).expect("it can be read");
-    let life = store.begin_incarnation(12);
+    assert_eq!(stored_observations(&mut disk), [observation("a", 4)]);
+    // This version writes the current format.
+    let (mut store, _) = Store::open(&mut disk).expect("opening the store");
+    let incarnation = store.begin_incarnation(12);
     store
-        .save(&mut disk, 10.0, &[told("a", 4), told("b", 5)])
-        .expect("it is kept");
-    let (mut again, found) = Store::open(&mut disk).expect("it can be read");
-    assert_eq!((found.incarnation, found.observations.len()), (life, 2));
-    // The clock went back: the next life is a later one all the same.
-    assert_eq!(again.begin_incarnation(3), life + 1);
-    let mut whole = merlinshelf_gossip::Files::read(&mut disk, STORE_FILE)
-        .expect("it reads")
-        .expect("it is there");
-    let last = whole.len() - 3;
-    whole[last] ^= 1;
-    disk.insert_file(STORE_FILE, &whole);
-    let (_, found) = Store::open(&mut disk).expect("it can be read");
+        .save(&mut disk, 10.0, &[observation("a", 4), observation("b", 5)])
+        .expect("saving");
+    let (mut reopened, found) = Store::open(&mut disk).expect("opening the store");
+    assert_eq!(
+        (found.incarnation, found.observations.len()),
+        (incarnation, 2)
+    );
+    // The next incarnation is greater even if the clock went back.
+    assert_eq!(reopened.begin_incarnation(3), incarnation + 1);
+    let mut file = merlinshelf_gossip::Files::read(&mut disk, STORE_FILE)
+        .expect("reading the file")
+        .expect("the file exists");
+    let last = file.len() - 3;
+    file[last] ^= 1;
+    disk.insert_file(STORE_FILE, &file);
+    let (_, found) = Store::open(&mut disk).expect("opening the store");
     assert_eq!(
         (found.error, found.observations.len(), found.was_set_aside),
         (Some(FrameError::Garbled), 1, true)
     );
     assert!(
         disk.contains(STORE_FILE),
-        "what can be read stays until it is replaced"
+        "a readable file stays until it is replaced"
     );
 }
 
 #[test]
-fn a_full_or_read_only_folder_costs_the_saving_and_nothing_that_was_kept() {
+fn a_full_or_read_only_folder_fails_the_save_and_keeps_saved_data() {
     let mut disk = disk();
-    let (mut store, _) = Store::open(&mut disk).expect("it is empty");
+    let (mut store, _) = Store::open(&mut disk).expect("opening an empty folder");
     store
-        .save(&mut disk, 1.0, &[told("a", 1)])
-        .expect("it is kept");
-    for trouble in [DiskFault::Full(10), DiskFault::Full(0), DiskFault::ReadOnly] {
-        disk.fault = Some(trouble);
-        assert!(store.save(&mut disk, 2.0, &[told("a", 2)]).is_err());
-        assert!(store.save(&mut disk, 2.5, &[told("a", 3)]).is_err());
+        .save(&mut disk, 1.0, &[observation("a", 1)])
+        .expect("saving");
+    for fault in [DiskFault::Full(10), DiskFault::Full(0), DiskFault::ReadOnly] {
+        disk.fault = Some(fault);
+        assert!(store.save(&mut disk, 2.0, &[observation("a", 2)]).is_err());
+        assert!(store.save(&mut disk, 2.5, &[observation("a", 3)]).is_err());
         disk.fault = None;
-        let found = Store::open(&mut disk).expect("it can be read").1;
+        let found = Store::open(&mut disk).expect("opening the store").1;
         assert!(
             found
                 .observations
                 .iter()
-                .any(|kept| kept.observation == told("a", 1)),
-            "{trouble:?}: {found:?}"
+                .any(|stored| stored.observation == observation("a", 1)),
+            "{fault:?}: {found:?}"
         );
     }
     store
-        .save(&mut disk, 3.0, &[told("a", 4)])
-        .expect("it is kept again");
-    assert_eq!(read(&mut disk), [told("a", 4)]);
+        .save(&mut disk, 3.0, &[observation("a", 4)])
+        .expect("saving again");
+    assert_eq!(stored_observations(&mut disk), [observation("a", 4)]);
     disk.fault = Some(DiskFault::Unreadable);
     assert!(Store::open(&mut disk).is_err());
 }
