--- a/crates/merlinshelf-cli/tests/fleet.rs
+++ b/crates/merlinshelf-cli/tests/fleet.rs
@@ -6,9 +6,9 @@
 use std::time::Duration;
 
 use merlinshelf_protocol::control::ControlMessage;
-use merlinshelf_testbed::fleet::{Rig, sum};
+use merlinshelf_testbed::fleet::{FleetUnderTest, combined_verdict};
 use merlinshelf_testbed::instance::signal;
-use merlinshelf_testbed::play::play_within;
+use merlinshelf_testbed::runtime::run_with_timeout;
 use rustix::process::Signal;
 use serde_json::{Value, json};
 use tokio::time::sleep;
@@ -17,7 +17,7 @@
 
 /// Runs a test on one thread, with a timeout.
 fn run_test<T>(test: impl Future<Output = io::Result<T>>) -> T {
-    play_within(Duration::from_secs(100), test)
+    run_with_timeout(Duration::from_secs(100), test)
 }
 
 fn change_section() -> Value {
@@ -25,21 +25,24 @@
 }
 
 /// Another program file with the same content.
-fn copy_of_program(rig: &Rig) -> io::Result<String> {
+fn copy_of_program(rig: &FleetUnderTest) -> io::Result<String> {
     let copy = rig.folder.join("merlinshelf-2");
     std::fs::copy(PROGRAM, &copy)?;
     Ok(std::fs::canonicalize(copy)?.to_string_lossy().into_owned())
 }
 
 /// Sends a request and returns the last reply.
-async fn request(rig: &Rig, body: Value) -> io::Result<(ControlMessage, Value)> {
+async fn request(rig: &FleetUnderTest, body: Value) -> io::Result<(ControlMessage, Value)> {
     rig.ask(&body)
         .await?
         .pop()
         .ok_or_else(|| io::ErrorKind::UnexpectedEof.into())
 }
 
-async fn names_where(rig: &Rig, predicate: impl Fn(&Value) -> bool) -> io::Result<Vec<String>> {
+async fn names_where(
+    rig: &FleetUnderTest,
+    predicate: impl Fn(&Value) -> bool,
+) -> io::Result<Vec<String>> {
     let (all, _) = rig.status().await?;
     Ok(all
         .iter()
@@ -51,9 +54,9 @@
 #[test]
 fn a_rolling_upgrade_and_a_drain_under_load_lose_no_invocation() {
     run_test(async {
-        let rig = Rig::start(PROGRAM.as_ref(), 210, 4, &change_section()).await?;
-        rig.when("serving", 4).await?;
-        let playing = rig.load(60.0, 3).await?;
+        let rig = FleetUnderTest::start(PROGRAM.as_ref(), 210, 4, &change_section()).await?;
+        rig.wait_for_state("serving", 4).await?;
+        let playing = rig.start_load(60.0, 3).await?;
         sleep(Duration::from_millis(500)).await;
         let program = copy_of_program(&rig)?;
         let (kind, plan) = request(
@@ -85,8 +88,8 @@
             rig.history().await?
         );
         assert_eq!(rig.processes(), Vec::<u32>::new());
-        let verdicts = rig.check(playing).await;
-        let all = sum(&verdicts);
+        let verdicts = rig.stop_and_check(playing).await;
+        let all = combined_verdict(&verdicts);
         assert!(
             all.lost + all.doubled + all.spoilt + all.run_twice + all.wrong_feeds == 0,
             "{all:?}"
@@ -98,9 +101,9 @@
 
 /// Starts the upgrade of one of two instances and waits for its probation. Returns the process ids
 /// of the predecessor and the successor.
-async fn upgrade_in_probation(number: u8) -> io::Result<(Rig, u32, u32)> {
-    let rig = Rig::start(PROGRAM.as_ref(), number, 2, &change_section()).await?;
-    rig.when("serving", 2).await?;
+async fn upgrade_in_probation(number: u8) -> io::Result<(FleetUnderTest, u32, u32)> {
+    let rig = FleetUnderTest::start(PROGRAM.as_ref(), number, 2, &change_section()).await?;
+    rig.wait_for_state("serving", 2).await?;
     let (all, _) = rig.status().await?;
     let pid = |status: &Value| {
         status["process"]
@@ -131,7 +134,7 @@
 }
 
 /// Waits until the plan has ended and returns it.
-async fn plan_over(rig: &Rig) -> io::Result<Value> {
+async fn plan_over(rig: &FleetUnderTest) -> io::Result<Value> {
     loop {
         let (_, plan) = request(rig, json!({ "op": "plan" })).await?;
         if plan["over"] == true {
@@ -148,7 +151,7 @@
         signal(old, Signal::KILL);
         let plan = plan_over(&rig).await?;
         assert_eq!(plan["state"], "done", "{plan}\n{}", rig.history().await?);
-        rig.when("serving", 2).await?;
+        rig.wait_for_state("serving", 2).await?;
         let history = rig.history().await?;
         assert!(
             history.contains("web.0") && !history.contains("ended by itself"),
@@ -177,7 +180,7 @@
                 .is_some_and(|state| state.contains("taken back")),
             "{plan}"
         );
-        rig.when("serving", 2).await?;
+        rig.wait_for_state("serving", 2).await?;
         assert_eq!(
             names_where(&rig, |instance| instance["process"] == old).await?,
             ["web.0"]
@@ -194,9 +197,9 @@
 #[test]
 fn a_restarted_agent_adopts_the_instances_and_continues_the_plan() {
     run_test(async {
-        let mut rig = Rig::start(PROGRAM.as_ref(), 211, 4, &change_section()).await?;
-        rig.when("serving", 4).await?;
-        let playing = rig.load(40.0, 4).await?;
+        let mut rig = FleetUnderTest::start(PROGRAM.as_ref(), 211, 4, &change_section()).await?;
+        rig.wait_for_state("serving", 4).await?;
+        let playing = rig.start_load(40.0, 4).await?;
         let program = copy_of_program(&rig)?;
         request(&rig, json!({ "op": "upgrade", "program": program })).await?;
         // Kill the agent while the first instances are upgraded, and once more later.
@@ -207,9 +210,9 @@
                 rig.processes().len() >= 4,
                 "the instances do not outlive the agent"
             );
-            rig.agent()?;
+            rig.start_agent()?;
         }
-        rig.when("serving", 4).await?;
+        rig.wait_for_state("serving", 4).await?;
         let plan = plan_over(&rig).await?;
         assert_eq!(plan["state"], "done", "{plan}\n{}", rig.history().await?);
         assert_eq!(
@@ -221,7 +224,7 @@
         assert_eq!(rig.processes().len(), 4);
         let history = rig.history().await?;
         assert!(history.contains("adopted"), "{history}");
-        let all = sum(&rig.check(playing).await);
+        let all = combined_verdict(&rig.stop_and_check(playing).await);
         assert!(
             all.lost + all.doubled + all.run_twice == 0,
             "{all:?}\n{history}"
@@ -237,7 +240,7 @@
             second.status.code() == Some(1) && reason.contains("another process holds the folder"),
             "{reason}"
         );
-        assert_eq!(rig.end_agent().await?, Some(0));
+        assert_eq!(rig.terminate_agent().await?, Some(0));
         assert_eq!(rig.processes().len(), 4);
         Ok(())
     });
@@ -246,8 +249,8 @@
 #[test]
 fn killed_hung_and_manually_drained_instances_are_restarted() {
     run_test(async {
-        let rig = Rig::start(PROGRAM.as_ref(), 212, 4, &change_section()).await?;
-        rig.when("serving", 4).await?;
+        let rig = FleetUnderTest::start(PROGRAM.as_ref(), 212, 4, &change_section()).await?;
+        rig.wait_for_state("serving", 4).await?;
         let (all, _) = rig.status().await?;
         let pid = |index: usize| {
             all[index]["process"]
@@ -275,7 +278,7 @@
             }
             sleep(Duration::from_millis(50)).await;
         }
-        rig.when("serving", 4).await?;
+        rig.wait_for_state("serving", 4).await?;
         let (now, _) = rig.status().await?;
         for index in 0..3 {
             assert_ne!(now[index]["process"], all[index]["process"]);
@@ -291,8 +294,8 @@
 #[test]
 fn a_foreign_process_on_a_control_socket_is_reported_and_left_alone() {
     run_test(async {
-        let rig = Rig::start(PROGRAM.as_ref(), 215, 2, &change_section()).await?;
-        rig.when("serving", 2).await?;
+        let rig = FleetUnderTest::start(PROGRAM.as_ref(), 215, 2, &change_section()).await?;
+        rig.wait_for_state("serving", 2).await?;
         request(
             &rig,
             json!({ "op": "drain", "names": ["web.0"], "wait": true }),
@@ -313,15 +316,15 @@
         // Once the foreign process is gone, the instance is started after the restart delay.
         drop(foreign);
         std::fs::remove_file(&control)?;
-        rig.when("serving", 2).await
+        rig.wait_for_state("serving", 2).await
     });
 }
 
 #[test]
 fn a_fleet_file_with_an_invalid_group_is_rejected_as_a_whole() {
     run_test(async {
-        let rig = Rig::start(PROGRAM.as_ref(), 216, 2, &change_section()).await?;
-        rig.when("serving", 2).await?;
+        let rig = FleetUnderTest::start(PROGRAM.as_ref(), 216, 2, &change_section()).await?;
+        rig.wait_for_state("serving", 2).await?;
         let (before, _) = rig.status().await?;
         let file = rig.folder.join("fleet.json5");
         let text = std::fs::read_to_string(&file)?;
@@ -358,8 +361,8 @@
 #[test]
 fn a_program_that_does_not_start_ends_the_plan_and_the_old_one_serves_on() {
     run_test(async {
-        let rig = Rig::start(PROGRAM.as_ref(), 213, 3, &change_section()).await?;
-        rig.when("serving", 3).await?;
+        let rig = FleetUnderTest::start(PROGRAM.as_ref(), 213, 3, &change_section()).await?;
+        rig.wait_for_state("serving", 3).await?;
         let (before, _) = rig.status().await?;
         let bad = rig.folder.join("bad");
         std::fs::write(&bad, "#!/bin/sh\nexit 9\n")?;
@@ -375,7 +378,7 @@
             state.contains("was not upgraded") && state.contains("status 9"),
             "{state}"
         );
-        rig.when("serving", 3).await?;
+        rig.wait_for_state("serving", 3).await?;
         let (after, _) = rig.status().await?;
         for (before, after) in before.iter().zip(&after) {
             assert_eq!(
@@ -390,8 +393,8 @@
 #[test]
 fn fleet_commands_report_results_and_errors() {
     run_test(async {
-        let rig = Rig::start(PROGRAM.as_ref(), 214, 3, &change_section()).await?;
-        rig.when("serving", 3).await?;
+        let rig = FleetUnderTest::start(PROGRAM.as_ref(), 214, 3, &change_section()).await?;
+        rig.wait_for_state("serving", 3).await?;
         let socket = rig.socket().to_string_lossy().into_owned();
         let run = |arguments: &[&str]| {
             let mut command = tokio::process::Command::new(PROGRAM);
@@ -438,7 +441,7 @@
         assert_eq!(code, 0);
         let (code, ..) = run(&["scale", "web", "2"]).await;
         assert_eq!(code, 0);
-        rig.when("serving", 2).await?;
+        rig.wait_for_state("serving", 2).await?;
         let (code, shown, _) = run(&["logs", "web.0", "--lines", "50"]).await;
         assert!(code == 0 && shown.contains("the engine is up"), "{shown}");
         let (code, shown, _) = run(&["stop", "--all", "--within", "10", "--wait"]).await;
--- a/crates/merlinshelf-testbed/src/experiments/dependencies/scenario.rs
+++ b/crates/merlinshelf-testbed/src/experiments/dependencies/scenario.rs
@@ -11,16 +11,16 @@
 use tokio::time::{Instant, sleep};
 
 use super::Plan;
-use crate::fakes::{Forward, Manners, Server, Way};
+use crate::fakes::{Forward, ForwardMode, Server, ServerBehavior};
 use crate::instance::{Instance, Setup};
-use crate::load::{Load, Seen, Sent};
+use crate::load::{Load, LoadRecord, SentInvocation};
 
 /// A scripted fault: the servers that fail, and how they fail.
 #[derive(Clone, Copy, Debug)]
 pub struct Fault {
     pub name: &'static str,
     /// Dependency, indexes of its servers, and how they fail.
-    pub parts: &'static [(&'static str, &'static [usize], Manners)],
+    pub parts: &'static [(&'static str, &'static [usize], ServerBehavior)],
     /// Whether a dependency fails completely, so that retries on another server can't help.
     pub fails_whole_dependency: bool,
 }
@@ -38,54 +38,58 @@
     Fault {
         name: "1 catalogue 8 times as slow, assets fail",
         parts: &[
-            ("catalogue", ALL, Manners::Slow(8.0)),
-            ("assets", ALL, Manners::Errors),
+            ("catalogue", ALL, ServerBehavior::Slow(8.0)),
+            ("assets", ALL, ServerBehavior::Errors),
         ],
         fails_whole_dependency: true,
     },
     Fault {
         name: "2 one of five 40 times as slow",
-        parts: &[("catalogue", &[0], Manners::Slow(40.0))],
+        parts: &[("catalogue", &[0], ServerBehavior::Slow(40.0))],
         fails_whole_dependency: false,
     },
     Fault {
         name: "3 one of five answers errors at once",
-        parts: &[("catalogue", &[0], Manners::Errors)],
+        parts: &[("catalogue", &[0], ServerBehavior::Errors)],
         fails_whole_dependency: false,
     },
     Fault {
         name: "4 one of five never answers",
-        parts: &[("catalogue", &[0], Manners::Hangs)],
+        parts: &[("catalogue", &[0], ServerBehavior::Hangs)],
         fails_whole_dependency: false,
     },
     Fault {
         name: "5 four of five are gone",
-        parts: &[("catalogue", &[0, 1, 2, 3], Manners::Gone)],
+        parts: &[("catalogue", &[0, 1, 2, 3], ServerBehavior::Unreachable)],
         fails_whole_dependency: false,
     },
     Fault {
         name: "6 all slow alike, 8 times",
-        parts: &[("catalogue", ALL, Manners::Slow(8.0))],
+        parts: &[("catalogue", ALL, ServerBehavior::Slow(8.0))],
         fails_whole_dependency: false,
     },
     Fault {
         name: "7 assets fail",
-        parts: &[("assets", ALL, Manners::Errors)],
+        parts: &[("assets", ALL, ServerBehavior::Errors)],
         fails_whole_dependency: true,
     },
     Fault {
         name: "8 assets never answer",
-        parts: &[("assets", ALL, Manners::Hangs)],
+        parts: &[("assets", ALL, ServerBehavior::Hangs)],
         fails_whole_dependency: true,
     },
     Fault {
         name: "9 one of five 60 times as slow for one",
-        parts: &[("catalogue", &[0], Manners::SlowFor("thumbnail", 60.0))],
+        parts: &[(
+            "catalogue",
+            &[0],
+            ServerBehavior::SlowFor("thumbnail", 60.0),
+        )],
         fails_whole_dependency: false,
     },
     Fault {
         name: "10 every other call to catalogue breaks",
-        parts: &[("catalogue", ALL, Manners::Breaks)],
+        parts: &[("catalogue", ALL, ServerBehavior::DropsConnections)],
         fails_whole_dependency: false,
     },
 ];
@@ -174,16 +178,15 @@
 
 /// The served and the full billed value of an invocation. An answer within the objective has the full value, less the costs of
 /// its missing parts.
-fn value(sent: &Sent, infers_missing_parts: bool) -> (f64, f64) {
+fn value(sent: &SentInvocation, infers_missing_parts: bool) -> (f64, f64) {
     let (_, full_value, objective_s) = VALUES
         .iter()
         .find(|(name, ..)| *name == sent.operation)
         .copied()
         .unwrap_or(("", 0.0, 0.0));
-    let served = sent
-        .answers
-        .first()
-        .is_some_and(|(at, status)| *status == 200 && (*at - sent.at).as_secs_f64() <= objective_s);
+    let served = sent.answers.first().is_some_and(|(at, status)| {
+        *status == 200 && (*at - sent.sent_at).as_secs_f64() <= objective_s
+    });
     let mut served_value = if served { full_value } else { 0.0 };
     for (_, dependency, cost) in COSTS
         .iter()
@@ -194,7 +197,8 @@
             .as_ref()
             .is_some_and(|parts| parts.split(", ").any(|part| part == *dependency));
         // The two baselines do not name the missing parts. Assuming the cheaper one favours the baselines.
-        let is_inferred = infers_missing_parts && sent.poorer && *dependency == "assets";
+        let is_inferred =
+            infers_missing_parts && sent.answered_without_call && *dependency == "assets";
         if is_named || is_inferred {
             served_value *= 1.0 - cost;
         }
@@ -238,24 +242,24 @@
         })
         .collect();
     let mut setup = Setup::small(&plan.program);
-    setup.manner.parts = called_dependencies();
+    setup.fakes.called_dependencies = called_dependencies();
     match routing {
         Routing::Routed => setup.dependencies = Some(dependencies_config(&addresses)),
         Routing::Before | Routing::Round => {
             let listener = TcpListener::bind("127.0.0.1:0").await?;
             setup.catalogue = Some(listener.local_addr()?.to_string());
             let way = match routing {
-                Routing::Before => Way::First,
-                _ => Way::Round {
-                    each: Duration::from_millis(250),
-                    tries: 3,
+                Routing::Before => ForwardMode::FirstServer,
+                _ => ForwardMode::RoundRobin {
+                    attempt_timeout: Duration::from_millis(250),
+                    max_attempts: 3,
                 },
             };
             Forward::start(listener, way, addresses);
         }
     }
     let mut instance = Instance::start(&setup, address_number).await?;
-    let load = Load::of_all(&instance.address, 20, plan.rate, plan.seed);
+    let load = Load::with_example_operations(&instance.address, 20, plan.rate, plan.seed);
     let running_load = load.start().await?;
     sleep(BEFORE_FAULT).await;
     let failing_servers = || {
@@ -269,7 +273,7 @@
     for (name, indexes, failure) in fault.parts {
         indexes
             .iter()
-            .for_each(|index| servers_by_dependency[name][*index].does(*failure));
+            .for_each(|index| servers_by_dependency[name][*index].set_behavior(*failure));
     }
     let fault_start = Instant::now();
     let (calls_before, total_before) = (
@@ -297,19 +301,19 @@
     servers_by_dependency
         .values()
         .flatten()
-        .for_each(|server| server.does(Manners::Well));
+        .for_each(|server| server.set_behavior(ServerBehavior::Normal));
     let seen = running_load.stop().await;
     let report = instance.status().await?;
     let verdict = seen
         .borrow()
         .check(&instance.records.borrow(), load.patience);
-    instance.end().await;
-    let seen: &Seen = &seen.borrow();
+    instance.kill_all().await;
+    let seen: &LoadRecord = &seen.borrow();
     let (mut served_value, mut requested_value, mut needed_calls) = (0.0, 0.0, 0_u64);
     for sent in seen
         .sent
         .values()
-        .filter(|sent| sent.at >= fault_start && sent.at < fault_end)
+        .filter(|sent| sent.sent_at >= fault_start && sent.sent_at < fault_end)
     {
         let (served, requested) = value(sent, routing != Routing::Routed);
         (served_value, requested_value) = (served_value + served, requested_value + requested);
--- a/crates/merlinshelf-testbed/src/experiments/learning/benefit.rs
+++ b/crates/merlinshelf-testbed/src/experiments/learning/benefit.rs
@@ -15,7 +15,7 @@
 use tokio::time::{Instant, sleep, sleep_until};
 
 use crate::instance::{Instance, Setup, peer_address};
-use crate::load::{Load, Seen};
+use crate::load::{Load, LoadRecord};
 
 /// The source of the observations that a new instance starts with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -90,8 +90,8 @@
 fn setup(program: &std::path::Path, outage: bool) -> Setup {
     let mut setup = Setup::small(program);
     setup.cores = CORES;
-    setup.manner.cores = f64::from(CORES);
-    setup.manner.below = if outage {
+    setup.fakes.cores = f64::from(CORES);
+    setup.fakes.call_duration = if outage {
         HANGING_CALL_DURATION
     } else {
         CALL_DURATION
@@ -119,14 +119,14 @@
 }
 
 impl ValueSeries {
-    fn of(seen: &Seen, from: Instant) -> ValueSeries {
+    fn of(seen: &LoadRecord, from: Instant) -> ValueSeries {
         let count = (OBSERVED_FOR.as_millis() / STEP.as_millis()) as usize;
         let mut series = ValueSeries {
             served: vec![0.0; count],
             offered: vec![0.0; count],
         };
         for sent in seen.sent.values() {
-            let Some(since) = sent.at.checked_duration_since(from) else {
+            let Some(since) = sent.sent_at.checked_duration_since(from) else {
                 continue;
             };
             let step = (since.as_millis() / STEP.as_millis()) as usize;
@@ -137,9 +137,9 @@
             };
             series.offered[step] += value;
             if let Some((at, 200)) = sent.answers.first()
-                && *at <= sent.at + Duration::from_millis(*objective_ms)
+                && *at <= sent.sent_at + Duration::from_millis(*objective_ms)
             {
-                series.served[step] += if sent.poorer {
+                series.served[step] += if sent.answered_without_call {
                     value * degraded_part
                 } else {
                     *value
@@ -197,11 +197,12 @@
 
 /// Applies load for this time, so that the instance collects observations, and abandons the load without stopping it.
 async fn warm_up(instance: &Instance, seed: u64, time: Duration) -> io::Result<()> {
-    let running_load = Load::of_all(&instance.address, 32, INVOCATIONS_PER_S, seed + 1000)
-        .start()
-        .await?;
+    let running_load =
+        Load::with_example_operations(&instance.address, 32, INVOCATIONS_PER_S, seed + 1000)
+            .start()
+            .await?;
     sleep(time).await;
-    running_load.leave();
+    running_load.abandon();
     Ok(())
 }
 
@@ -263,8 +264,8 @@
     let mut instance = match previous_incarnation {
         Some(mut instance) => {
             // Crashes, so that only what was saved is available.
-            instance.crash().await?;
-            instance.logged("the engine is up", 2).await?;
+            instance.kill_and_restart().await?;
+            instance.wait_for_log("the engine is up", 2).await?;
             instance
         }
         None => {
@@ -281,23 +282,24 @@
     };
     if source != PriorSource::Cold {
         instance
-            .says("observations were received", |status| {
+            .wait_for_report("observations were received", |status| {
                 status["learning"]["taught_by"] != json!([])
             })
             .await?;
     }
     let from = Instant::now();
-    let running_load = Load::of_all(&instance.address, 32, INVOCATIONS_PER_S, seed)
-        .start()
-        .await?;
+    let running_load =
+        Load::with_example_operations(&instance.address, 32, INVOCATIONS_PER_S, seed)
+            .start()
+            .await?;
     sleep_until(from + OBSERVED_FOR).await;
     if std::env::var_os("MERLINSHELF_LAB_STEPS").is_some() {
         println!("{} {}", source.name(), instance.status().await?);
     }
     let seen = running_load.stop().await.take();
-    instance.end().await;
+    instance.kill_all().await;
     if let Some(mut peer) = peer {
-        peer.end().await;
+        peer.kill_all().await;
     }
     if let Some(bad_peer) = bad_peer {
         bad_peer.abort();
--- a/crates/merlinshelf-testbed/src/fakes/catalogue.rs
+++ b/crates/merlinshelf-testbed/src/fakes/catalogue.rs
@@ -1,4 +1,4 @@
-//! The catalogue: every call goes well after a moment.
+//! Fake catalogue: answers every call successfully after a fixed delay.
 
 use std::io;
 use std::rc::Rc;
@@ -7,31 +7,37 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::sleep;
 
-use super::lines::{Call, Lines};
-use super::{Manner, Shared, reply_to};
+use super::line_reader::{Call, LineReader};
+use super::{FakeBehavior, SharedRecords, catalogue_reply};
 
 pub struct Catalogue {
-    manner: Manner,
-    records: Shared,
+    behavior: FakeBehavior,
+    records: SharedRecords,
 }
 
 impl Catalogue {
-    /// Answers calls for as long as its task lives.
-    pub fn start(listener: TcpListener, manner: Manner, records: Shared) {
-        let catalogue = Rc::new(Catalogue { manner, records });
+    /// Accepts connections and answers calls until its task is dropped.
+    pub fn start(listener: TcpListener, behavior: FakeBehavior, records: SharedRecords) {
+        let catalogue = Rc::new(Catalogue { behavior, records });
         super::serve(listener, move |stream| {
             let catalogue = catalogue.clone();
-            async move { catalogue.attend(stream).await }
+            async move { catalogue.handle_connection(stream).await }
         });
     }
 
-    async fn attend(&self, stream: TcpStream) -> io::Result<()> {
+    async fn handle_connection(&self, stream: TcpStream) -> io::Result<()> {
         stream.set_nodelay(true)?;
         let (input, mut output) = stream.into_split();
-        let mut lines = Lines::new(input);
-        while let Some(Call { id, wait, body, .. }) = lines.call().await? {
-            if self.manner.says {
-                println!("catalogue: {id} waits {wait} ms");
+        let mut lines = LineReader::new(input);
+        while let Some(Call {
+            id,
+            timeout_ms,
+            body,
+            ..
+        }) = lines.read_call().await?
+        {
+            if self.behavior.verbose {
+                println!("catalogue: call for {id}, timeout {timeout_ms} ms");
             }
             *self
                 .records
@@ -39,8 +45,8 @@
                 .calls
                 .entry(id.clone())
                 .or_default() += 1;
-            sleep(self.manner.below).await;
-            let reply = reply_to(&id, &body);
+            sleep(self.behavior.call_duration).await;
+            let reply = catalogue_reply(&id, &body);
             let head = format!("{id} ok {}\r\n", reply.len());
             output
                 .write_all(&[head.as_bytes(), &reply, b"\r\n"].concat())
