--- a/crates/merlinshelf-gossip/src/membership.rs
+++ b/crates/merlinshelf-gossip/src/membership.rs
@@ -36,7 +36,8 @@
     /// The peer announced that it is leaving.
     Left,
     /// The suspicion timed out without a refutation.
-    Gone,
+    #[serde(rename = "Gone")]
+    Dead,
 }
 
 /// The state of one peer. Within an incarnation the later state in the order of [`State`] wins,
@@ -66,9 +67,9 @@
     pub poll_interval_seconds: f64,
     /// A peer that has not answered a poll within this time is suspected.
     pub answer_timeout_seconds: f64,
-    /// How long a peer is suspected before it is declared gone.
+    /// How long a peer is suspected before it is declared dead.
     pub suspicion_timeout_seconds: f64,
-    /// How long a peer that has left or is gone stays in the table.
+    /// How long a peer that has left or is dead stays in the table.
     pub forget_after_seconds: f64,
     /// Maximum number of peers in the table; further ones are ignored.
     pub max_peers: usize,
@@ -256,12 +257,12 @@
         }
     }
 
-    /// Declares peers gone whose suspicion has timed out, and removes peers that have left or are
-    /// gone for long enough.
+    /// Declares peers dead whose suspicion has timed out, and removes peers that have left or are
+    /// dead for long enough.
     fn end_due_states(&mut self, now: f64) {
         while let Some((name, peer)) = self.peers.next_due(now) {
             if peer.state == State::Suspect {
-                self.peers.insert(&name, peer.with_state(now, State::Gone));
+                self.peers.insert(&name, peer.with_state(now, State::Dead));
             } else {
                 self.peers.remove(&name);
             }
@@ -379,7 +380,7 @@
         let known = self.peers.get_key_value(&update.name);
         let is_newer = match known {
             Some((_, known)) => known.is_older_than(update),
-            // An unknown peer that has left or is gone need not be added.
+            // An unknown peer that has left or is dead need not be added.
             None => update.state <= State::Suspect && self.peers.len() < self.settings.max_peers,
         };
         if is_newer {
--- a/crates/merlinshelf-gossip/src/peer_table.rs
+++ b/crates/merlinshelf-gossip/src/peer_table.rs
@@ -95,12 +95,12 @@
         }
     }
 
-    /// When a suspected peer is declared gone, or a peer that has left or is gone is removed.
+    /// When a suspected peer is declared dead, or a peer that has left or is dead is removed.
     fn deadline(&self, peer: &Peer) -> Option<u64> {
         match peer.state {
             State::Alive => None,
             State::Suspect => Some(sortable(peer.state_since + self.suspicion_timeout_seconds)),
-            State::Left | State::Gone => {
+            State::Left | State::Dead => {
                 Some(sortable(peer.state_since + self.forget_after_seconds))
             }
         }
--- a/crates/merlinshelf-gossip/tests/golden.rs
+++ b/crates/merlinshelf-gossip/tests/golden.rs
@@ -283,7 +283,7 @@
 
 #[test]
 fn membership_updates() {
-    let states = [State::Alive, State::Suspect, State::Left, State::Gone];
+    let states = [State::Alive, State::Suspect, State::Left, State::Dead];
     let updates: Vec<MembershipUpdate> = states
         .into_iter()
         .zip(1..)
--- a/crates/merlinshelf-gossip/tests/gossip_node.rs
+++ b/crates/merlinshelf-gossip/tests/gossip_node.rs
@@ -184,9 +184,9 @@
         gossiped(0.01, 0.0, "receiver", 1),
         gossiped(0.01, 0.0, "y", 9),
     ];
-    let mut liar = node(300.0, "x", &[]);
-    liar.record_own_samples(300.0, 300.0, &learned(24, 300.0, 1.0, 0));
-    let from = liar.members().own().clone();
+    let mut false_source = node(300.0, "x", &[]);
+    false_source.record_own_samples(300.0, 300.0, &learned(24, 300.0, 1.0, 0));
+    let from = false_source.members().own().clone();
     let answer = Message {
         from,
         status: SourceStatus::Steady,
--- a/crates/merlinshelf-gossip/tests/membership.rs
+++ b/crates/merlinshelf-gossip/tests/membership.rs
@@ -211,14 +211,14 @@
             .run_until_all(60.0, knows_left)
             .expect("all know that it left")
             - changed_at;
-        let knows_gone = has_seen(format!("n{}", count / 2), State::Gone);
+        let knows_dead = has_seen(format!("n{}", count / 2), State::Dead);
         simulation
-            .run_until_all(60.0, knows_gone)
-            .expect("all know that it is gone");
-        let gone_after = simulation.now - changed_at;
+            .run_until_all(60.0, knows_dead)
+            .expect("all know that it is dead");
+        let dead_after = simulation.now - changed_at;
         assert!(
-            met_at < 60.0 && left_after < 20.0 && gone_after < 40.0,
-            "{count}: met at {met_at}, left after {left_after}, gone after {gone_after}"
+            met_at < 60.0 && left_after < 20.0 && dead_after < 40.0,
+            "{count}: met at {met_at}, left after {left_after}, dead after {dead_after}"
         );
         // No other instance was removed.
         assert!(simulation.all(|member| member.alive().count() >= count - 3));
@@ -253,7 +253,7 @@
 }
 
 #[test]
-fn a_short_outage_is_refuted_and_a_long_one_makes_a_peer_gone() {
+fn a_short_outage_is_refuted_and_a_long_one_makes_a_peer_dead() {
     let count = 30;
     let mut simulation = Simulation::new(count, 13);
     simulation
@@ -269,14 +269,14 @@
         "it is alive for all again"
     );
     simulation.partitions[9] = 1;
-    let knows_gone = |member: &Members| {
+    let knows_dead = |member: &Members| {
         let state = member.state_of("n9");
-        member.own().name == "n9" || state.is_none_or(|state| state == State::Gone)
+        member.own().name == "n9" || state.is_none_or(|state| state == State::Dead)
     };
     simulation
-        .run_until_all(60.0, knows_gone)
-        .expect("it is gone for all");
-    // A later incarnation of the same name overrides the gone state.
+        .run_until_all(60.0, knows_dead)
+        .expect("it is dead for all");
+    // A later incarnation of the same name overrides the dead state.
     simulation.partitions[9] = 0;
     let seeds = ["0".to_owned()];
     simulation.members[9] = Some(start_member(simulation.now, 9, 2, &seeds));
--- a/crates/merlinshelf-gossip/tests/observation_store.rs
+++ b/crates/merlinshelf-gossip/tests/observation_store.rs
@@ -155,12 +155,12 @@
 
 #[test]
 fn one_false_source_of_three_moves_no_estimate_beyond_the_correct_values() {
-    for lie in [1e-5, 0.001, 0.5, 599.0] {
+    for false_value in [1e-5, 0.001, 0.5, 599.0] {
         let mut store = ObservationStore::new(source("me"));
         for observation in [
             gossiped("a", 0.010, 2.0),
             gossiped("b", 0.012, 4.0),
-            gossiped("liar", lie, 0.0),
+            gossiped("liar", false_value, 0.0),
         ] {
             store
                 .accept(50.0, observation)
@@ -169,7 +169,7 @@
         let estimate = store.estimate(50.0, &calls()).expect("three sources");
         assert!(
             (0.010..=0.012).contains(&estimate.value),
-            "{lie}: {estimate:?}"
+            "{false_value}: {estimate:?}"
         );
     }
     // A single false source determines the estimate, but own samples soon outweigh it.
--- a/crates/merlinshelf-protocol/src/gossip.rs
+++ b/crates/merlinshelf-protocol/src/gossip.rs
@@ -43,7 +43,7 @@
 const ABSENT: &str = "-";
 const ESCAPED_HYPHEN: &str = "%2D";
 
-const STATES: [State; 4] = [State::Alive, State::Suspect, State::Left, State::Gone];
+const STATES: [State; 4] = [State::Alive, State::Suspect, State::Left, State::Dead];
 
 /// The name of a state on the wire.
 fn state_name(state: State) -> &'static str {
@@ -51,7 +51,7 @@
         State::Alive => "alive",
         State::Suspect => "suspect",
         State::Left => "left",
-        State::Gone => "gone",
+        State::Dead => "gone",
     }
 }
 
--- a/crates/merlinshelf-protocol/tests/golden.rs
+++ b/crates/merlinshelf-protocol/tests/golden.rs
@@ -23,7 +23,7 @@
     SourceStatus::RecentlySynced,
     SourceStatus::Leaving,
 ];
-const STATES: [State; 4] = [State::Alive, State::Suspect, State::Left, State::Gone];
+const STATES: [State; 4] = [State::Alive, State::Suspect, State::Left, State::Dead];
 
 /// Every metric, each with names of its own: some have bytes that are escaped.
 fn metrics() -> Vec<Metric> {
@@ -82,7 +82,7 @@
     let peer = |(state, place): (State, u32)| MembershipUpdate {
         name: format!("peer {place}"),
         address: match state {
-            State::Gone => String::new(),
+            State::Dead => String::new(),
             _ => format!("127.0.0.1:74{place:02}"),
         },
         incarnation: INCARNATION + 100 + u64::from(place),
--- a/crates/merlinshelf-protocol/tests/gossip.rs
+++ b/crates/merlinshelf-protocol/tests/gossip.rs
@@ -80,7 +80,7 @@
 fn message() -> Message {
     let unreachable = MembershipUpdate {
         address: String::new(),
-        state: State::Gone,
+        state: State::Dead,
         ..peer("n3")
     };
     Message {
