--- a/crates/merlinshelf-handover/tests/flow.rs
+++ b/crates/merlinshelf-handover/tests/flow.rs
@@ -1,4 +1,4 @@
-//! Reconciliation of what a process recorded with what the kernel counted, for any counts.
+//! Reconciliation of recorded byte counts with the kernel's, for random counts.
 
 use merlinshelf_handover::{ByteCountMismatch, Flow, KernelByteCounts};
 use proptest::prelude::*;
@@ -7,8 +7,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 2000, failure_persistence: None, rng_seed: RngSeed::Fixed(18), ..ProptestConfig::default() })]
 
-    /// However much a process had recorded, read and written when it died, record and kernel agree
-    /// to the byte.
+    /// The record matches the kernel's counts to the byte after reconciliation, wherever the process
+    /// died between recording, reading and writing.
     #[test]
     fn records_are_reconciled_with_the_kernels_counts(
         received in 0u64..5000, read in 0u64..5000, recorded_ahead in 0u64..3000, is_closed_by_peer: bool,
@@ -20,7 +20,7 @@
         let written_ahead = written_ahead.min(buffered);
         let written = recorded_written + written_ahead as u64;
         let acknowledged = acknowledged.min(written);
-        let bytes: Vec<u8> = (0..buffered).map(|at| at as u8).collect();
+        let bytes: Vec<u8> = (0..buffered).map(|index| index as u8).collect();
         let mut flow = Flow { read_bytes: read + read_ahead, written_bytes: recorded_written, read_buffer: Vec::new(), write_buffer: bytes.clone() };
         let kernel = KernelByteCounts {
             received_bytes: received + u64::from(is_closed_by_peer),
--- a/crates/merlinshelf-handover/tests/golden.rs
+++ b/crates/merlinshelf-handover/tests/golden.rs
@@ -1,10 +1,9 @@
-//! What is transferred between an instance and its successor, compared with golden files: the
-//! transactions of an image with every kind of record, and the datagrams of the channel between the
-//! two processes.
+//! Compares the data transferred from an instance to its successor with golden files: transactions of
+//! an image with every kind of record, and the datagrams between the two processes.
 //!
-//! Every field of a sample has a value of its own that is not its default, so that a field that is
-//! lost, swapped or renamed on the wire shows. The files hold bytes as programs in the field wrote
-//! them: where a test fails, the code is to be mended, not the file.
+//! Every field of a sample has a distinct value that is not its default, so that a field that is
+//! lost, swapped or renamed is detected. The files contain the bytes of released versions: if a test
+//! fails, fix the code, not the file.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -135,7 +134,7 @@
     }
 }
 
-/// With every kind of response.
+/// A response queue with every kind of response.
 fn response_queue() -> ResponseQueueRecord {
     ResponseQueueRecord {
         answers: vec![
@@ -222,7 +221,7 @@
     }
 }
 
-/// A transaction that puts these records under these keys.
+/// Encodes a transaction that puts these records.
 fn transaction<T: Serialize>(records: &[(Key, T)]) -> Vec<u8> {
     let mut transaction = Transaction::default();
     for (key, record) in records {
@@ -231,14 +230,14 @@
     transaction.take()
 }
 
-/// An image of exactly these bytes.
+/// Decodes an image, which must consist of complete transactions.
 fn image(bytes: &[u8]) -> Image {
     let mut image = Image::default();
     assert_eq!(image.apply(bytes), Ok(bytes.len()));
     image
 }
 
-/// All records of an image that contains one kind of them.
+/// Decodes all records of an image, which must be of the same type.
 fn records<T: DeserializeOwned>(bytes: &[u8]) -> Vec<(Key, T)> {
     let image = image(bytes);
     let record = |key| image.get(key).expect("a record that can be decoded");
@@ -298,7 +297,7 @@
     assert_records("invocation", vec![(key, invocation())]);
 }
 
-/// Every command that may wait for the engine, and every stage.
+/// Covers every command to the engine and every stage.
 #[test]
 fn records_of_invocations_by_command_and_stage() {
     let cases = [
@@ -337,7 +336,7 @@
     assert_records("invocations_by_command", records.into());
 }
 
-/// Default values are encoded to the same bytes as ever, too.
+/// The encoding of default values must not change either.
 #[test]
 fn records_with_default_values() {
     let mut written = Transaction::default();
@@ -376,8 +375,7 @@
     );
 }
 
-/// An image and the journal behind it: two transactions, the second of which removes a record of
-/// each kind.
+/// An image followed by a journal that removes a record of each kind.
 #[test]
 fn transactions_with_removals() {
     let keys = [
@@ -476,8 +474,7 @@
     );
 }
 
-/// The golden files are of this format version; one that supports another needs files of its own
-/// beside them.
+/// The golden files contain this format version. Another supported version needs its own files.
 #[test]
 fn format_of_the_golden_files_is_supported() {
     assert_eq!(SUPPORTED_FORMATS, [1]);
@@ -527,9 +524,9 @@
             .collect()
     }
 
-    /// The bytes of a golden file, which must be there. With `GOLDEN_WRITE=1` in the environment a
-    /// file that is missing is written from `encoded`; one that is there is never changed, since
-    /// bytes in the field don't change either.
+    /// Reads the bytes of a golden file, which must exist. With `GOLDEN_WRITE=1` in the environment a
+    /// missing file is written from `encoded`; an existing one is never changed, since released
+    /// versions exchange these bytes.
     pub fn read(name: &str, encoded: &[u8]) -> Vec<u8> {
         let path = golden_path(name);
         if std::env::var_os("GOLDEN_WRITE").is_some_and(|value| value == "1") && !path.exists() {
@@ -553,8 +550,8 @@
         );
     }
 
-    /// Asserts that the golden bytes are decoded to exactly this value, and the value encoded to
-    /// the golden bytes.
+    /// Asserts that the golden bytes are decoded to the value and that the value is encoded to the
+    /// golden bytes.
     pub fn assert_golden<T: std::fmt::Debug + PartialEq>(
         name: &str,
         value: &T,
--- a/crates/merlinshelf-handover/tests/handover.rs
+++ b/crates/merlinshelf-handover/tests/handover.rs
@@ -1,5 +1,5 @@
-//! The two state machines, as scripts with their traces: the events of one side, and the actions
-//! that it returns.
+//! Scripted events for the predecessor's and the successor's state machine, with snapshots of the
+//! actions that they return.
 
 use std::fmt::Write as _;
 use std::time::Duration;
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn an_upgrade_that_succeeds() {
+fn successful_upgrade() {
     let mut predecessor = Predecessor::new(TIMEOUTS);
     let mut trace = String::new();
     predecessor.start_upgrade(
@@ -75,37 +75,37 @@
     trace += &trace_actions(&mut predecessor);
     predecessor.handle_message(ms(560), Message::ProbationCompleted);
     trace += &trace_actions(&mut predecessor);
-    predecessor.successor_exited(Some(1)); // no concern of this process any more
+    predecessor.successor_exited(Some(1)); // ignored after completion
     trace += &trace_actions(&mut predecessor);
     assert_snapshot!(trace);
 }
 
 #[test]
-fn a_successor_that_fails_before_it_takes_over_changes_nothing() {
+fn predecessor_keeps_serving_if_the_successor_fails_before_its_activation() {
     let mut trace = String::new();
-    let mut play = |what: &str, events: &dyn Fn(&mut Predecessor)| {
+    let mut run_case = |name: &str, events: &dyn Fn(&mut Predecessor)| {
         let mut predecessor = Predecessor::new(TIMEOUTS);
         predecessor.start_upgrade(ms(0), None);
         trace_actions(&mut predecessor);
         events(&mut predecessor);
-        let _ = write!(trace, "{what}: {}", trace_actions(&mut predecessor));
+        let _ = write!(trace, "{name}: {}", trace_actions(&mut predecessor));
         predecessor.successor_exited(Some(3));
         let _ = write!(trace, "  then {}", trace_actions(&mut predecessor));
         assert!(
             predecessor.is_serving()
                 && predecessor.is_owner()
                 && !predecessor.has_upgrade_in_progress(),
-            "{what}"
+            "{name}"
         );
     };
-    play("can't be executed", &|predecessor| {
+    run_case("can't be executed", &|predecessor| {
         predecessor.start_failed("no such file");
     });
-    play("ends at once", &|_| {});
-    play("supports no format of ours", &|predecessor| {
+    run_case("ends at once", &|_| {});
+    run_case("supports no format of ours", &|predecessor| {
         predecessor.handle_message(ms(5), hello(&[2, 3]));
     });
-    play("rejects its configuration", &|predecessor| {
+    run_case("rejects its configuration", &|predecessor| {
         predecessor.handle_message(ms(5), hello(&[1]));
         predecessor.handle_message(
             ms(6),
@@ -114,11 +114,11 @@
             },
         );
     });
-    play("hangs while it gets ready", &|predecessor| {
+    run_case("hangs while it gets ready", &|predecessor| {
         predecessor.handle_timeout(ms(999));
         predecessor.handle_timeout(ms(1000));
     });
-    play("hangs while it takes over", &|predecessor| {
+    run_case("hangs while it takes over", &|predecessor| {
         predecessor.handle_message(ms(5), hello(&[1]));
         predecessor.handle_message(ms(6), Message::Ready);
         predecessor.freeze_completed(ms(7));
@@ -126,14 +126,14 @@
         trace_actions(predecessor);
         predecessor.handle_timeout(ms(206));
     });
-    play("can't be sent everything", &|predecessor| {
+    run_case("can't be sent everything", &|predecessor| {
         predecessor.handle_message(ms(5), hello(&[1]));
         predecessor.handle_message(ms(6), Message::Ready);
         predecessor.freeze_completed(ms(7));
         trace_actions(predecessor);
         predecessor.transfer_failed("too many open files");
     });
-    play(
+    run_case(
         "claims it has restored what was never sent",
         &|predecessor| predecessor.handle_message(ms(5), Message::Restored),
     );
@@ -141,37 +141,37 @@
 }
 
 #[test]
-fn a_successor_that_fails_after_it_took_over_is_recovered_from() {
+fn predecessor_recovers_if_the_successor_fails_during_probation() {
     let mut trace = String::new();
-    let mut play = |what: &str, status: Option<i32>, events: &dyn Fn(&mut Predecessor)| {
+    let mut run_case = |name: &str, status: Option<i32>, events: &dyn Fn(&mut Predecessor)| {
         let mut predecessor = on_probation();
         events(&mut predecessor);
         assert!(
             !predecessor.is_owner(),
-            "{what}: nothing is touched before its exit is observed"
+            "{name}: not the owner before the successor's exit is observed"
         );
-        let _ = write!(trace, "{what}: {}", trace_actions(&mut predecessor));
+        let _ = write!(trace, "{name}: {}", trace_actions(&mut predecessor));
         predecessor.successor_exited(status);
         let _ = write!(trace, "  then {}", trace_actions(&mut predecessor));
-        assert!(predecessor.is_serving(), "{what}");
+        assert!(predecessor.is_serving(), "{name}");
     };
-    play("dies", None, &|_| {});
-    play("exits with 0 unexpectedly", Some(0), &|_| {});
-    play("hangs", None, &|predecessor| {
+    run_case("dies", None, &|_| {});
+    run_case("exits with 0 unexpectedly", Some(0), &|_| {});
+    run_case("hangs", None, &|predecessor| {
         predecessor.handle_message(ms(100), Message::Heartbeat);
         predecessor.handle_timeout(ms(399));
         predecessor.handle_timeout(ms(400));
     });
-    play("never completes probation", None, &|predecessor| {
-        for at in (50..=1400).step_by(50) {
-            predecessor.handle_message(ms(at), Message::Heartbeat);
-            predecessor.handle_timeout(ms(at));
+    run_case("never completes probation", None, &|predecessor| {
+        for elapsed_ms in (50..=1400).step_by(50) {
+            predecessor.handle_message(ms(elapsed_ms), Message::Heartbeat);
+            predecessor.handle_timeout(ms(elapsed_ms));
         }
     });
-    play("closes the channel", None, &|predecessor| {
+    run_case("closes the channel", None, &|predecessor| {
         predecessor.channel_failed("it closed the channel");
     });
-    play(
+    run_case(
         "is killed, and the drain signal then comes",
         None,
         &|predecessor| {
@@ -185,10 +185,10 @@
 }
 
 #[test]
-fn the_owner_drains_by_the_deadline_of_the_first_notification() {
+fn owner_drains_by_the_deadline_of_the_first_notification() {
     let mut trace = String::new();
-    let mut record = |what: &str, predecessor: &mut Predecessor| {
-        let _ = write!(trace, "{what}: {}", trace_actions(predecessor));
+    let mut record = |name: &str, predecessor: &mut Predecessor| {
+        let _ = write!(trace, "{name}: {}", trace_actions(predecessor));
     };
     let mut predecessor = Predecessor::new(TIMEOUTS);
     predecessor.drain(70.0);
@@ -225,7 +225,7 @@
 }
 
 #[test]
-fn a_successor_continues_alone_only_with_everything_received() {
+fn successor_continues_without_its_predecessor_only_after_a_complete_transfer() {
     let trace_actions = |successor: &mut Successor| {
         let mut line = String::new();
         while let Some(action) = successor.poll_action() {
@@ -253,14 +253,14 @@
         events
             .iter()
             .take(event_count)
-            .for_each(|events| events(&mut successor));
+            .for_each(|event| event(&mut successor));
         successor.predecessor_exited(ms(6));
         let _ = write!(
             trace,
             "alone after {event_count}{}",
             trace_actions(&mut successor)
         );
-        successor.restore_completed(ms(7)); // counts only while it restores
+        successor.restore_completed(ms(7)); // ignored unless it is restoring
         let _ = write!(
             trace,
             "  owner {}, recording {}{}",
@@ -281,24 +281,24 @@
 }
 
 #[test]
-fn a_predecessor_that_sleeps_is_detached_from_and_recovers_nothing() {
+fn successor_detaches_from_a_suspended_predecessor_which_recovers_nothing() {
     let mut successor = Successor::new(ms(500), "next");
     successor.handle_message(ms(1), Message::FormatSelected { version: 1 });
     successor.handle_message(ms(2), Message::TransferCompleted { count: 0 });
     successor.restore_completed(ms(3));
     successor.handle_message(ms(4), Message::Activate);
     let mut trace = Vec::new();
-    for at in (0..11_000).step_by(50) {
-        successor.handle_timeout(ms(at));
+    for elapsed_ms in (0..11_000).step_by(50) {
+        successor.handle_timeout(ms(elapsed_ms));
         while let Some(action) = successor.poll_action() {
             match action {
                 successor::Action::Send(Message::Heartbeat) => {}
-                action => trace.push(format!("{at} {action:?}")),
+                action => trace.push(format!("{elapsed_ms} {action:?}")),
             }
         }
     }
     assert!(successor.is_owner() && !successor.is_recording());
-    // The predecessor wakes up and receives everything at once, the exit of the successor last.
+    // The predecessor resumes and receives all events at once, the exit of the successor last.
     let mut predecessor = on_probation();
     predecessor.handle_message(ms(11_000), Message::Heartbeat);
     predecessor.handle_message(ms(11_000), Message::Detached);
--- a/crates/merlinshelf-handover/tests/image.rs
+++ b/crates/merlinshelf-handover/tests/image.rs
@@ -1,4 +1,4 @@
-//! Images and journals that are torn, corrupt or of a later version.
+//! Decoding of truncated and corrupt images and journals, and of those of later versions.
 
 use merlinshelf_handover::image::DecodeError;
 use merlinshelf_handover::records::{
@@ -11,11 +11,12 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 2000, failure_persistence: None, rng_seed: RngSeed::Fixed(18), ..ProptestConfig::default() })]
 
-    /// Torn at any byte, a journal is as if its last transaction had never begun.
+    /// A journal truncated at any byte is decoded up to its last complete transaction, and continues
+    /// with the rest.
     #[test]
-    fn a_torn_journal_is_read_up_to_its_last_complete_transaction(
+    fn truncated_journal_is_applied_up_to_its_last_complete_transaction(
         changes in proptest::collection::vec((0u64..5, proptest::option::of(0usize..200)), 1..20),
-        torn_at in 0usize..4000,
+        truncated_at in 0usize..4000,
     ) {
         let mut bytes = Vec::new();
         let mut states = vec![(0, Image::default())];
@@ -35,18 +36,18 @@
             bytes.extend(written);
             states.push((bytes.len(), image));
         }
-        let torn_at = torn_at.min(bytes.len());
+        let truncated_at = truncated_at.min(bytes.len());
         let mut image = Image::default();
-        let applied_bytes = image.apply(&bytes[..torn_at]).expect("a torn end is ignored");
-        let complete = states.iter().rev().find(|(end, _)| *end <= torn_at).expect("the first is empty");
+        let applied_bytes = image.apply(&bytes[..truncated_at]).expect("an incomplete transaction is ignored");
+        let complete = states.iter().rev().find(|(end, _)| *end <= truncated_at).expect("the first is empty");
         prop_assert_eq!((applied_bytes, &image), (complete.0, &complete.1));
         image.apply(&bytes[applied_bytes..]).expect("the rest");
         prop_assert_eq!(Some(&image), states.last().map(|(_, image)| image));
     }
 
-    /// Arbitrary bytes cause no panic and are no image.
+    /// Arbitrary bytes without the magic are rejected without a panic, and change nothing.
     #[test]
-    fn bytes_that_are_no_journal_are_rejected(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
+    fn bytes_without_a_transaction_are_rejected(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
         let mut image = Image::default();
         if !bytes.starts_with(b"MSH1") {
             prop_assert!(image.apply(&bytes).is_err() || bytes.len() < 8);
@@ -56,7 +57,7 @@
 }
 
 #[test]
-fn a_record_of_a_later_version_is_decoded_as_far_as_it_is_known() {
+fn unknown_fields_and_entries_of_a_later_version_are_skipped() {
     #[derive(serde::Serialize)]
     struct LaterInvocation {
         operation: usize,
@@ -74,7 +75,7 @@
         },
     );
     let mut bytes = transaction.take();
-    // And an entry of a kind that this version does not know.
+    // An entry of a kind that this version does not know.
     bytes.extend([99; 17]);
     bytes.extend(3u32.to_be_bytes());
     bytes.extend(b"new");
@@ -95,7 +96,7 @@
 }
 
 #[test]
-fn a_corrupt_record_is_distinguished_from_missing_and_removed_ones() {
+fn corrupt_record_is_distinguished_from_missing_and_removed_records() {
     let corrupt = Key::ClientConnection(1);
     let removed = Key::ClientConnection(2);
     let missing = Key::ClientConnection(3);
--- a/crates/merlinshelf-handover/tests/random_walks.rs
+++ b/crates/merlinshelf-handover/tests/random_walks.rs
@@ -1,4 +1,4 @@
-//! Random walks over all events of both processes, with the invariants by name.
+//! Random sequences of events of both processes, with checks of the handover's invariants.
 
 use std::collections::VecDeque;
 use std::fmt::Write as _;
@@ -22,7 +22,7 @@
 
 #[derive(Clone, Debug)]
 enum Event {
-    /// So many milliseconds pass.
+    /// Time passes, in milliseconds.
     Elapse(u64),
     Upgrade,
     SuccessorDies,
@@ -57,7 +57,7 @@
     predecessor: Option<Predecessor>,
     successor: Option<Successor>,
     is_successor_hanging: bool,
-    /// The exit status of the successor's process, not observed by the predecessor yet.
+    /// The exit status of the successor's process, until the predecessor observes it.
     successor_exit: Option<Option<i32>>,
     to_successor: VecDeque<Message>,
     to_predecessor: VecDeque<Message>,
@@ -140,12 +140,12 @@
     fn recover(&mut self) {
         assert!(
             self.successor.is_none(),
-            "recovered before its end was seen\n{}",
+            "recovered before the end of the successor\n{}",
             self.trace
         );
         assert!(
             !self.is_predecessor_serving,
-            "recovered twice\n{}",
+            "recovered while serving\n{}",
             self.trace
         );
         self.is_predecessor_serving = true;
@@ -159,7 +159,7 @@
         );
         assert!(
             self.successor.is_some() || self.is_draining,
-            "exits with nobody there\n{}",
+            "exits without a successor\n{}",
             self.trace
         );
         self.predecessor = None;
@@ -196,8 +196,8 @@
         }
     }
 
-    /// Lets both processes carry out and exchange everything until they are quiet.
-    fn settle(&mut self) {
+    /// Carries out actions and delivers messages until neither process has any left.
+    fn run_until_idle(&mut self) {
         for _ in 0..100 {
             let now = self.now;
             self.carry_out_predecessor_actions();
@@ -243,16 +243,16 @@
             self.trace
         );
         let is_alive = self.predecessor.is_some() || self.successor.is_some();
-        // A successor that hangs is detected by its heartbeat timeout, which is a limit of its own.
+        // A hanging successor is detected by the heartbeat timeout, which has its own limit.
         if self.is_predecessor_serving || self.is_successor_serving || !is_alive || self.is_draining
         {
             self.unserved_since = None;
         } else {
             let since = *self.unserved_since.get_or_insert(self.now);
-            let limit = TIMEOUTS.takeover + ms(240); // two of the walk's longest steps
+            let limit = TIMEOUTS.takeover + ms(240); // two of the longest `Event::Elapse`
             assert!(
                 self.now - since <= limit,
-                "nobody serves since {since:?}\n{}",
+                "no process has served since {since:?}\n{}",
                 self.trace
             );
         }
@@ -266,8 +266,8 @@
             (Event::Upgrade, Some(predecessor), _) => predecessor.start_upgrade(now, None),
             (Event::SuccessorDies, ..) => self.end_successor(None),
             (Event::SuccessorHangs, _, Some(_)) => self.is_successor_hanging = true,
-            // Only where the successor can continue: else its end is the end of the service, with
-            // or without upgrades.
+            // Only if the successor can continue: otherwise the death of the predecessor ends the
+            // service, with or without an upgrade.
             (Event::PredecessorDies, _, Some(successor))
                 if successor.is_owner() && !self.is_successor_hanging =>
             {
@@ -285,17 +285,17 @@
             (Event::RestoreFails, ..) => self.fails_restore = true,
             _ => {}
         }
-        self.settle();
+        self.run_until_idle();
     }
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 2000, failure_persistence: None, rng_seed: RngSeed::Fixed(18), ..ProptestConfig::default() })]
 
-    /// There is one owner at any time; nobody serves for no longer than a takeover may take; every
-    /// path ends with a process that serves.
+    /// At most one process serves at any time, service is interrupted for at most the duration of a
+    /// takeover, and in the end a process serves.
     #[test]
-    fn there_is_one_owner_after_any_events(script in proptest::collection::vec(event(), 1..60)) {
+    fn one_process_serves_after_random_events(script in proptest::collection::vec(event(), 1..60)) {
         let mut world = World::new();
         script.iter().for_each(|event| world.handle_event(event));
         for _ in 0..60 {
@@ -303,8 +303,8 @@
         }
         let is_alive = world.predecessor.is_some() || world.successor.is_some();
         let is_served = world.is_predecessor_serving || world.is_successor_serving;
-        prop_assert!(!is_alive || world.is_draining || is_served, "nobody serves\n{}", world.trace);
+        prop_assert!(!is_alive || world.is_draining || is_served, "no process serves\n{}", world.trace);
         let is_upgrading = world.predecessor.as_ref().is_some_and(Predecessor::has_upgrade_in_progress);
-        prop_assert!(!is_upgrading || world.is_draining, "an upgrade without an end\n{}", world.trace);
+        prop_assert!(!is_upgrading || world.is_draining, "the upgrade does not end\n{}", world.trace);
     }
 }
