--- a/crates/merlinshelf-fleet/tests/fleet/commands.rs
+++ b/crates/merlinshelf-fleet/tests/fleet/commands.rs
@@ -1,4 +1,4 @@
-//! Commands of operators: draining, stopping, scaling, selecting, and control of the plan.
+//! Operators' commands: draining, stopping, scaling, selection, and control of the plan.
 
 use std::collections::BTreeMap;
 
@@ -7,17 +7,17 @@
 use crate::simulation::{Simulation, all, group, serving_fleet, spec, upgrade};
 
 #[test]
-fn shutdown_is_requested_once_though_half_the_instances_are_draining() {
+fn draining_instances_receive_no_second_shutdown_request() {
     let mut simulation = serving_fleet(20);
     simulation.drain_seconds = 2.5;
-    // Some by an operator: they report it themselves.
+    // An operator drains some instances directly: they report it themselves.
     for number in 0..7 {
         let name = format!("web.{number}");
         let process = simulation.processes.get_mut(&name).expect("it runs");
         process.shutdown_requests = 1;
         process.exit_at = Some(simulation.now + 2.0);
     }
-    // Some by the agent, by an earlier command.
+    // The agent drains others because of an earlier command.
     let selector = Selector {
         names: (7..10).map(|number| format!("web.{number}")).collect(),
         ..all()
@@ -81,14 +81,14 @@
 }
 
 #[test]
-fn stop_with_a_short_timeout_names_killed_instances_and_their_invocations_in_flight() {
+fn stop_with_a_short_timeout_reports_killed_instances_and_their_invocations_in_flight() {
     let mut simulation = serving_fleet(3);
     simulation.drain_seconds = 30.0;
     simulation.begin_plan(&Command::Stop {
         timeout_seconds: 0.5,
     });
-    let took = simulation.run_until(10.0, Simulation::is_plan_over);
-    assert!((0.4..1.5).contains(&took), "{took}");
+    let elapsed_seconds = simulation.run_until(10.0, Simulation::is_plan_over);
+    assert!((0.4..1.5).contains(&elapsed_seconds), "{elapsed_seconds}");
     assert_eq!(
         simulation
             .events()
@@ -101,18 +101,18 @@
 }
 
 #[test]
-fn plan_is_paused_resumed_and_abandoned_and_only_one_is_under_way() {
+fn plan_can_be_paused_resumed_and_abandoned_and_excludes_a_second_plan() {
     let mut simulation = serving_fleet(10);
     simulation.begin_plan(&upgrade());
-    let second = simulation
+    let error = simulation
         .fleet
         .begin_plan(simulation.now, &all(), &Command::Restart)
-        .expect_err("one at a time");
+        .expect_err("a plan is in progress");
     assert!(
-        second
+        error
             .to_string()
             .contains("plan 1 (upgrade, 0 of 10) is under way"),
-        "{second}"
+        "{error}"
     );
     simulation.run_for(1.0);
     simulation.fleet.pause().expect("it runs");
@@ -121,7 +121,7 @@
     assert_eq!(
         (upgraded, simulation.plan_state()),
         (2, &PlanState::Paused),
-        "what was under way came to its end"
+        "changes in progress are completed"
     );
     simulation
         .fleet
@@ -132,14 +132,14 @@
     let changed = simulation.program_count("/v2");
     simulation.run_for(20.0);
     assert!((3..10).contains(&changed) && simulation.serving_count() == 10);
-    // It can be begun again; instances that run the program are skipped.
+    // The upgrade can be started again; instances that run the program already are skipped.
     simulation.begin_plan(&upgrade());
     simulation.run_until(120.0, Simulation::is_plan_over);
     assert_eq!(simulation.plan_state(), &PlanState::Done);
 }
 
 #[test]
-fn scaling_drains_and_starts_instances_and_rejects_what_does_not_fit() {
+fn scaling_drains_and_starts_instances_and_rejects_counts_that_exceed_the_host() {
     let mut simulation = serving_fleet(6);
     simulation
         .fleet
@@ -167,22 +167,22 @@
     conflicting.groups.insert("api".into(), group(3, 7005));
     insta::assert_snapshot!(
         capacity::check(&conflicting)
-            .expect_err("two on one address")
+            .expect_err("an address conflict")
             .to_string()
     );
 }
 
 #[test]
 fn selectors_match_names_groups_and_labels() {
-    let mut spec_of_two = spec(2);
-    spec_of_two.groups.insert(
+    let mut two_groups = spec(2);
+    two_groups.groups.insert(
         "api".into(),
         Group {
             labels: BTreeMap::new(),
             ..group(2, 7100)
         },
     );
-    let fleet = Fleet::new(0.0, 0.0, spec_of_two, Record::default(), 3.0);
+    let fleet = Fleet::new(0.0, 0.0, two_groups, Record::default(), 3.0);
     let select = |selector: Selector| fleet.select(&selector);
     assert_eq!(select(all()).map(|names| names.len()), Ok(4));
     assert_eq!(
--- a/crates/merlinshelf-fleet/tests/fleet/main.rs
+++ b/crates/merlinshelf-fleet/tests/fleet/main.rs
@@ -1,5 +1,5 @@
-//! Fleets in virtual time: instances that obey, fail, hang and are shut down by others, and what a
-//! plan makes of it.
+//! Tests of the fleet in virtual time, with simulated processes that crash, hang and are shut down by
+//! operators.
 
 mod commands;
 mod processes;
--- a/crates/merlinshelf-fleet/tests/fleet/processes.rs
+++ b/crates/merlinshelf-fleet/tests/fleet/processes.rs
@@ -1,20 +1,20 @@
-//! Starts, crashes and hangs of single processes.
+//! Starts, crashes and hangs of individual processes.
 
 use merlinshelf_fleet::{Identity, Report, State};
 
 use crate::simulation::{Simulation, serving_fleet, spec};
 
 #[test]
-fn specified_instances_start_some_at_a_time_and_get_warm() {
+fn specified_instances_start_within_the_concurrency_limit_and_get_warm() {
     let mut simulation = Simulation::new(spec(20));
     simulation.tick();
     assert_eq!(
         simulation.processes.len(),
         4,
-        "as many starts at once as may be"
+        "the limit of concurrent starts is used"
     );
     simulation.run_until(60.0, |simulation| simulation.serving_count() == 20);
-    // Warm, not just up.
+    // All are warm, not only running.
     assert!(simulation.fleet.instances().all(|instance| {
         instance
             .healthy_since
@@ -97,7 +97,8 @@
         .iter()
         .filter(|line| line.contains("Start"))
         .count();
-    // Doubling pauses from half a second: six or seven tries in half a minute each, not a hundred.
+    // With a backoff that doubles from 0.5 s, each instance starts six or seven times in 30 s instead
+    // of about a hundred times.
     assert!((12 * 4..=12 * 8).contains(&starts), "{starts}");
     simulation.crash_after.clear();
     simulation.run_until(90.0, |simulation| simulation.serving_count() == 12);
--- a/crates/merlinshelf-fleet/tests/fleet/random_events.rs
+++ b/crates/merlinshelf-fleet/tests/fleet/random_events.rs
@@ -1,4 +1,4 @@
-//! Random sequences of events; the invariants of plans hold throughout.
+//! Checks the invariants of plans under random sequences of events.
 
 use merlinshelf_fleet::plan::PlanKind;
 use merlinshelf_fleet::{Command, PlanState, State};
@@ -7,10 +7,10 @@
 
 use crate::simulation::{Simulation, all, serving_fleet};
 
-/// How many instances there are in the beginning.
+/// Initial number of instances.
 const INSTANCE_COUNT: u8 = 8;
 
-/// What may happen to a fleet. Instances are given by any number.
+/// An event in a fleet. Instances are selected by a number, modulo the number of instances.
 #[derive(Clone, Debug)]
 enum Event {
     TimePasses(f64),
@@ -44,7 +44,7 @@
 /// A fleet under random events.
 struct RandomRun {
     simulation: Simulation,
-    /// The fleet was scaled: surplus instances drain whatever the minimum capacity.
+    /// The fleet was scaled: surplus instances drain regardless of the minimum capacity.
     is_scaled: bool,
 }
 
@@ -74,7 +74,7 @@
                 let _ = simulation
                     .fleet
                     .begin_plan(simulation.now, &all(), &command(number));
-                // Decisions are carried out before anything else is observed.
+                // Actions are carried out before the next event.
                 simulation.carry_out_actions();
             }
             Event::Pause => _ = simulation.fleet.pause(),
@@ -93,7 +93,7 @@
         Ok(())
     }
 
-    /// A rolling restart preserves the minimum capacity.
+    /// Checks that a rolling restart preserves the minimum capacity.
     fn run_for(&mut self, seconds: f64) -> Result<(), TestCaseError> {
         let simulation = &mut self.simulation;
         let end = simulation.now + seconds;
@@ -106,7 +106,8 @@
             let mut actions = simulation.trace[actions_before..].iter();
             let has_drained = actions.any(|action| action.contains("Drain"));
             if is_restart && has_drained && !self.is_scaled {
-                // An instance that is down counts as much as others of its group, not as itself.
+                // The tolerance is needed because an instance that is down has the mean weight of
+                // its group, not its own.
                 prop_assert!(
                     capacity.serving >= 0.74 * capacity.total,
                     "{} of {}",
@@ -118,8 +119,8 @@
         Ok(())
     }
 
-    /// The agent requests a shutdown once; an operator and a signal to a hanging process may add to
-    /// it.
+    /// The agent requests a shutdown only once; a second request may come from an operator or be the
+    /// signal to a hanging process.
     fn check_invariants(&self) -> Result<(), TestCaseError> {
         let simulation = &self.simulation;
         prop_assert!(
@@ -134,7 +135,7 @@
         Ok(())
     }
 
-    /// Without further events every plan ends or is paused, and all instances serve.
+    /// Without further events the plan ends and all enabled instances serve.
     fn check_end(&mut self) -> Result<(), TestCaseError> {
         let simulation = &mut self.simulation;
         let _ = simulation.fleet.resume(simulation.now);
@@ -185,8 +186,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// No change takes the fleet under the minimum capacity, the agent requests no shutdown twice,
-    /// and every plan ends, pauses or names what it waits for.
+    /// A rolling restart preserves the minimum capacity, the agent requests no shutdown twice, and
+    /// every plan ends or states what it waits for.
     #[test]
     fn random_events_preserve_the_invariants_of_plans(events in event_sequences()) {
         let mut run = RandomRun {
--- a/crates/merlinshelf-fleet/tests/fleet/rollouts.rs
+++ b/crates/merlinshelf-fleet/tests/fleet/rollouts.rs
@@ -1,4 +1,4 @@
-//! Rolling upgrades and restarts, and what makes them wait, roll back or end.
+//! Rolling upgrades and restarts, and the conditions under which they wait, roll back or end.
 
 use merlinshelf_fleet::{Command, Host, PlanState, State};
 
@@ -45,10 +45,13 @@
         simulation.tick();
         max_upgraded = max_upgraded.max(simulation.program_count("/v2"));
     }
-    let PlanState::Stopped(why) = simulation.plan_state() else {
+    let PlanState::Stopped(reason) = simulation.plan_state() else {
         panic!("{:?}", simulation.plan_state())
     };
-    assert!(why.contains("serves 0.9") && why.contains("0.99"), "{why}");
+    assert!(
+        reason.contains("serves 0.9") && reason.contains("0.99"),
+        "{reason}"
+    );
     assert!(
         simulation
             .programs()
@@ -59,15 +62,16 @@
     );
     assert!(
         max_upgraded <= 4,
-        "few were upgraded before it was observed: {max_upgraded}"
+        "too many upgrades before the rollback: {max_upgraded}"
     );
 }
 
-/// The plan ends since a process has crashed, and all run the program before again.
+/// Checks that the plan ends because a process has crashed, and that all instances run the former
+/// program again.
 fn check_crash_is_rolled_back(simulation: &mut Simulation, count: usize) {
     simulation.run_until(60.0, Simulation::is_plan_over);
     assert!(
-        matches!(simulation.plan_state(), PlanState::Stopped(why) if why.contains("ended by itself")),
+        matches!(simulation.plan_state(), PlanState::Stopped(reason) if reason.contains("ended by itself")),
         "{:?}",
         simulation.plan_state()
     );
@@ -83,7 +87,7 @@
     );
 }
 
-/// It crashes after a second.
+/// The new program crashes soon after each handover.
 #[test]
 fn program_that_crashes_is_rolled_back() {
     let mut simulation = serving_fleet(8);
@@ -92,9 +96,9 @@
     check_crash_is_rolled_back(&mut simulation, 8);
 }
 
-/// It hangs about, is observed, and the former program is restored.
+/// The new program runs without becoming healthy.
 #[test]
-fn program_that_never_gets_warm_is_rolled_back() {
+fn program_that_does_not_get_warm_is_rolled_back() {
     let mut simulation = serving_fleet(8);
     simulation.success_ratios.remove("/v2");
     simulation.begin_plan(&upgrade());
@@ -105,10 +109,10 @@
     });
     assert!(
         min_serving.get() >= 6,
-        "the others serve on: {min_serving:?}"
+        "the other instances do not keep serving: {min_serving:?}"
     );
     assert!(
-        matches!(simulation.plan_state(), PlanState::Stopped(why) if why.contains("does not get warm within 10.0 s")),
+        matches!(simulation.plan_state(), PlanState::Stopped(reason) if reason.contains("does not get warm within 10.0 s")),
         "{:?}",
         simulation.plan_state()
     );
@@ -123,7 +127,7 @@
     );
 }
 
-/// It crashes while other instances are being upgraded.
+/// The new program crashes while other instances are being upgraded.
 #[test]
 fn program_that_crashes_later_is_rolled_back() {
     let mut simulation = serving_fleet(12);
@@ -132,15 +136,15 @@
     check_crash_is_rolled_back(&mut simulation, 12);
 }
 
-/// The handover itself fails.
+/// The handover fails, and the instances keep the former program.
 #[test]
-fn program_that_does_not_take_over_ends_the_plan() {
+fn failed_handover_ends_the_plan() {
     let mut simulation = serving_fleet(8);
     simulation.upgrades_fail = true;
     simulation.begin_plan(&upgrade());
     simulation.run_until(60.0, Simulation::is_plan_over);
     assert!(
-        matches!(simulation.plan_state(), PlanState::Stopped(why) if why.contains("taken back")),
+        matches!(simulation.plan_state(), PlanState::Stopped(reason) if reason.contains("taken back")),
         "{:?}",
         simulation.plan_state()
     );
@@ -154,17 +158,17 @@
 }
 
 #[test]
-fn rolling_upgrade_survives_the_agents_death_at_any_time() {
-    for death in 0..24 {
+fn rolling_upgrade_continues_after_a_restart_of_the_agent() {
+    for case in 0..24 {
         let mut simulation = serving_fleet(12);
         simulation.begin_plan(&upgrade());
-        simulation.run_for(0.05 + 0.37 * f64::from(death));
-        simulation.restart_agent(if death % 2 == 0 { 0.2 } else { 1.4 });
+        simulation.run_for(0.05 + 0.37 * f64::from(case));
+        simulation.restart_agent(if case % 2 == 0 { 0.2 } else { 1.4 });
         simulation.run_until(120.0, Simulation::is_plan_over);
         assert_eq!(
             simulation.plan_state(),
             &PlanState::Done,
-            "{death}: {}",
+            "{case}: {}",
             simulation.events()
         );
         assert!(
@@ -172,19 +176,19 @@
                 .programs()
                 .iter()
                 .all(|program| *program == "/v2"),
-            "{death}: {:?}",
+            "{case}: {:?}",
             simulation.programs()
         );
         assert_eq!(
             simulation.max_shutdown_requests, 0,
-            "{death}: no shutdown was requested"
+            "{case}: a shutdown was requested"
         );
         assert_eq!(simulation.serving_count(), 12);
     }
 }
 
 #[test]
-fn plan_waits_for_the_minimum_capacity_and_names_what_is_down() {
+fn plan_waits_for_the_minimum_capacity_and_names_instances_that_are_down() {
     let mut simulation = serving_fleet(8);
     simulation.crash_after.insert("/v1".into(), 0.1);
     for name in ["web.3", "web.6"] {
@@ -193,12 +197,14 @@
     simulation.run_for(1.0);
     simulation.begin_plan(&Command::Restart);
     simulation.run_for(2.0);
-    let PlanState::Waiting(what) = simulation.plan_state() else {
+    let PlanState::Waiting(condition) = simulation.plan_state() else {
         panic!("{:?}", simulation.plan_state())
     };
     assert!(
-        what.contains("under the floor of 75%") && what.contains("web.3") && what.contains("web.6"),
-        "{what}"
+        condition.contains("under the floor of 75%")
+            && condition.contains("web.3")
+            && condition.contains("web.6"),
+        "{condition}"
     );
     assert!(!simulation.trace.iter().any(|line| line.contains("Drain")));
     simulation.crash_after.clear();
@@ -212,18 +218,22 @@
 }
 
 #[test]
-fn five_thousand_instances_are_upgraded() {
-    let mut big = spec(5000);
-    big.host = Host {
+fn rolling_upgrade_of_five_thousand_instances_is_completed() {
+    let mut large_spec = spec(5000);
+    large_spec.host = Host {
         memory_mb: 1 << 30,
         cores: 1e6,
         descriptors: 1 << 40,
     };
-    big.groups.get_mut("web").expect("it is there").listen = "127.0.0.1:1000".into();
-    big.restarts.at_once = 500;
-    big.change.out_at_once = 500;
-    big.change.looked_ms = 500;
-    let mut simulation = Simulation::new(big);
+    large_spec
+        .groups
+        .get_mut("web")
+        .expect("it is there")
+        .listen = "127.0.0.1:1000".into();
+    large_spec.restarts.at_once = 500;
+    large_spec.change.out_at_once = 500;
+    large_spec.change.looked_ms = 500;
+    let mut simulation = Simulation::new(large_spec);
     simulation.run_until(60.0, |simulation| simulation.serving_count() == 5000);
     simulation.begin_plan(&upgrade());
     simulation.run_until(90.0, Simulation::is_plan_over);
--- a/crates/merlinshelf-fleet/tests/fleet/simulation.rs
+++ b/crates/merlinshelf-fleet/tests/fleet/simulation.rs
@@ -1,5 +1,5 @@
-//! A host and its instances in virtual time: processes that obey, fail, hang, and are shut down by
-//! others.
+//! Simulates a host and its instances in virtual time, with processes that crash, hang and are shut
+//! down by others.
 
 use std::collections::BTreeMap;
 
@@ -9,7 +9,7 @@
     Action, Command, Fleet, FleetSpec, Group, Host, Identity, PlanState, Record, Report, Selector,
 };
 
-/// Virtual time between two rounds, in seconds.
+/// Virtual time between two ticks, in seconds.
 const TICK_SECONDS: f64 = 0.05;
 const HEALTH_CHECK_SECONDS: f64 = 0.25;
 const HANDOVER_SECONDS: f64 = 0.5;
@@ -20,7 +20,7 @@
 const UNIX_SECONDS: f64 = 1e9;
 const BACKOFF_JITTER: f64 = 0.5;
 
-/// A handover that is under way.
+/// A handover in progress.
 #[derive(Clone, Debug)]
 pub struct Handover {
     ends_at: f64,
@@ -34,9 +34,9 @@
     predecessor: Option<u32>,
     pub program: String,
     started_at: f64,
-    /// When it will have exited.
+    /// Time at which it exits, if it is to exit.
     pub exit_at: Option<f64>,
-    /// How often a shutdown was requested.
+    /// Number of shutdown requests received.
     pub shutdown_requests: u32,
     pub is_hanging: bool,
     invocations: f64,
@@ -65,10 +65,10 @@
     /// By instance.
     pub processes: BTreeMap<String, Process>,
     last_pid: u32,
-    /// By program, the share of invocations that succeed; a program that is not here never gets
+    /// Fraction of invocations that succeed, by program. Programs without an entry never become
     /// healthy.
     pub success_ratios: BTreeMap<String, f64>,
-    /// By program, the uptime after which it crashes.
+    /// Uptime after which a process crashes, in seconds, by program.
     pub crash_after: BTreeMap<String, f64>,
     pub drain_seconds: f64,
     pub upgrades_fail: bool,
@@ -123,7 +123,7 @@
     }
 }
 
-/// A fleet whose instances all serve.
+/// Creates a fleet and runs it until all its instances serve.
 pub fn serving_fleet(count: u32) -> Simulation {
     let mut simulation = Simulation::new(spec(count));
     simulation.run_until(60.0, |simulation| {
@@ -322,7 +322,7 @@
         }
     }
 
-    /// Runs until a condition holds; returns how long that took, in seconds.
+    /// Runs until a condition holds; returns the elapsed time in seconds.
     pub fn run_until(
         &mut self,
         timeout_seconds: f64,
@@ -332,7 +332,7 @@
         while !condition(self) {
             assert!(
                 self.now < started_at + timeout_seconds,
-                "never: {:?}\n{}",
+                "the condition was not reached in time: {:?}\n{}",
                 self.fleet.plan(),
                 self.events()
             );
@@ -370,13 +370,13 @@
             .collect()
     }
 
-    /// How many processes run a program.
+    /// Number of processes that run a program.
     pub fn program_count(&self, program: &str) -> usize {
         let programs = self.programs();
         programs.iter().filter(|other| **other == program).count()
     }
 
-    /// The history, a line an event.
+    /// The history, with one event per line.
     pub fn events(&self) -> String {
         let line = |event: &Event| {
             let instance = event.instance.as_deref().unwrap_or("-");
@@ -386,7 +386,7 @@
         lines.join("\n")
     }
 
-    /// The agent dies, and after some time another one starts from its record and finds the
+    /// The agent exits, and after some time another one starts from its record and finds the
     /// processes that still exist.
     pub fn restart_agent(&mut self, downtime_seconds: f64) {
         let record = self.fleet.take_record().expect("something has changed");
@@ -401,7 +401,7 @@
             SHUTDOWN_TIMEOUT_SECONDS,
         );
         for (name, instance) in record.instances {
-            // Its process, or the successor that answers on its socket.
+            // The recorded process, or the successor that answers on its socket.
             let process = self.processes.get(&name).filter(|process| {
                 let known = instance.identity.as_ref();
                 known.is_some_and(|known| process.is_identified_by(known))
@@ -413,7 +413,8 @@
         self.fleet = fleet;
     }
 
-    /// Another agent starts at once and finds all processes.
+    /// Another agent starts at once and finds all processes; returns whether there was a record to
+    /// start from.
     pub fn replace_agent(&mut self) -> bool {
         let Some(record) = self.fleet.take_record() else {
             return false;
--- a/crates/merlinshelf-fleet/tests/golden/fleet_spec.rs
+++ b/crates/merlinshelf-fleet/tests/golden/fleet_spec.rs
@@ -1,4 +1,4 @@
-//! The operators' `fleet.json5`.
+//! Decoding and validation of the operators' `fleet.json5`.
 
 use std::collections::BTreeMap;
 
@@ -11,7 +11,7 @@
 
 use crate::golden_file::read_golden;
 
-/// Reads a golden `fleet.json5` as the agent does.
+/// Reads and validates a golden `fleet.json5` like the agent does.
 fn read_spec(file: &str) -> FleetSpec {
     let spec: FleetSpec =
         json5::from_str(&read_golden(file)).unwrap_or_else(|error| panic!("{file}: {error}"));
@@ -24,7 +24,7 @@
     BTreeMap::from(entries)
 }
 
-/// The base policy of the golden file with every key.
+/// The base policy in the golden file with every key.
 fn base_policy() -> Policy {
     let thumbnail = OperationPolicy {
         admit: Some(false),
@@ -58,7 +58,7 @@
     }
 }
 
-/// The consensus group of that file.
+/// The consensus group in the golden file with every key.
 fn consensus_config() -> ConsensusConfig {
     ConsensusConfig {
         name: "b".into(),
@@ -179,8 +179,8 @@
     assert_eq!(read_spec("fleet_spec_minimal.json5"), expected);
 }
 
-/// A key that nothing reads, as a renamed one would be to an operator's old file, is an error and
-/// no default.
+/// An unknown key is an error. If a key were renamed, the value in an operator's existing file would
+/// otherwise be replaced by the default silently.
 #[test]
 fn fleet_spec_with_an_unknown_key_is_rejected() {
     let text = read_golden("fleet_spec.json5");
@@ -206,7 +206,7 @@
     }
 }
 
-/// Operators look for a rejected value by its path, so that it must consist of the file's keys.
+/// Operators find a rejected value by the path in the error, which must consist of the file's keys.
 #[test]
 fn validation_errors_name_the_keys_of_the_file() {
     let text = read_golden("fleet_spec.json5");
--- a/crates/merlinshelf-fleet/tests/golden/golden_file.rs
+++ b/crates/merlinshelf-fleet/tests/golden/golden_file.rs
@@ -20,7 +20,7 @@
     }
 }
 
-/// Bytes as lines of sixteen, in hexadecimal and as text.
+/// Formats bytes as lines of sixteen, in hexadecimal and as text.
 fn hex_dump(bytes: &[u8]) -> String {
     let mut text = String::new();
     for line in bytes.chunks(16) {
@@ -38,7 +38,7 @@
     text
 }
 
-/// The bytes of a dump.
+/// Parses the bytes of a dump.
 fn parse_hex_dump(text: &str) -> Vec<u8> {
     let columns = text.lines().filter_map(|line| line.split("  |").next());
     let words = columns.flat_map(str::split_whitespace);
@@ -47,8 +47,8 @@
         .collect()
 }
 
-/// Compares labelled values of a binary form with its golden file, both ways.
-pub fn check_form<T: Debug + PartialEq>(
+/// Checks that labelled values are encoded to the bytes of a golden file and decoded from them.
+pub fn check_encoding<T: Debug + PartialEq>(
     file: &str,
     samples: &[(&str, T)],
     encode: impl Fn(&T) -> Vec<u8>,
--- a/crates/merlinshelf-fleet/tests/golden/main.rs
+++ b/crates/merlinshelf-fleet/tests/golden/main.rs
@@ -1,11 +1,11 @@
-//! Golden files of what this package's types are stored and read as: the record that outlives the
-//! agent, the operators' `fleet.json5` and the names of states in the agent's replies. Where
-//! the code encodes a form, its values encode to the golden bytes; each golden file that is decoded
-//! decodes to the expected values.
+//! Golden files for the stored and external formats of this package: the agent's stored record, the
+//! operators' `fleet.json5`, and the names of states in the agent's replies. Values must be encoded
+//! to the golden bytes where the code encodes the format, and golden files must be decoded to the
+//! expected values.
 //!
-//! The files lie beside this one. `GOLDEN_WRITE=1 cargo test -p merlinshelf-fleet --test golden`
-//! writes those that the code encodes as it stands: for a new form alone, since a changed file is a
-//! broken upgrade. Operators write `fleet.json5`, so that its golden files are edited by hand.
+//! The files are in this directory. `GOLDEN_WRITE=1 cargo test -p merlinshelf-fleet --test golden`
+//! writes those that the code encodes. Use it for new formats only: a changed file means that
+//! upgrades break. The golden files of `fleet.json5` are edited by hand, like operators do.
 
 mod fleet_spec;
 mod golden_file;
--- a/crates/merlinshelf-fleet/tests/golden/record.rs
+++ b/crates/merlinshelf-fleet/tests/golden/record.rs
@@ -1,4 +1,4 @@
-//! The record that outlives the agent.
+//! The record that the agent stores across restarts.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +7,7 @@
 use merlinshelf_fleet::record::InstanceRecord;
 use merlinshelf_fleet::{Identity, Plan, PlanState, Record};
 
-use crate::golden_file::check_form;
+use crate::golden_file::check_encoding;
 
 fn target(name: &str, stage: Stage, success_ratio_before: Option<f64>) -> Target {
     Target {
@@ -158,11 +158,11 @@
 }
 
 #[test]
-fn record_that_outlives_the_agent() {
-    // As `merlinshelf-agent` stores it, inside its own frame.
+fn stored_record_of_the_agent() {
+    // `merlinshelf-agent` stores these bytes inside its own frame.
     let encode =
         |record: &Record| rmp_serde::to_vec_named(record).expect("a record can be encoded");
-    check_form("record.hex", &labelled_records(), encode, |bytes| {
+    check_encoding("record.hex", &labelled_records(), encode, |bytes| {
         rmp_serde::from_slice(bytes).expect("a record")
     });
 }
--- a/crates/merlinshelf-fleet/tests/golden/state_names.rs
+++ b/crates/merlinshelf-fleet/tests/golden/state_names.rs
@@ -6,7 +6,7 @@
 
 use crate::golden_file::{read_golden, write_golden_on_request};
 
-/// The agent's replies on its control socket spell states like this, and tools compare them.
+/// Operators' tools compare the names of states in replies on the agent's control socket.
 #[test]
 fn state_names_in_replies() {
     let states = [
@@ -52,7 +52,7 @@
     write_golden_on_request(file, &format!("{names:#}\n"));
     let golden: Value = serde_json::from_str(&read_golden(file)).expect("JSON");
     assert_eq!(names, golden);
-    // As serialized, a state of an instance has the same name.
+    // The serialized name of an instance's state is the same.
     let serialized = serde_json::to_value(states).expect("states can be encoded");
     assert_eq!(serialized, golden["instance states"]);
     let read: Vec<State> = serde_json::from_value(serialized).expect("states");
