--- a/crates/merlinshelf-testbed/src/experiments/learning/crashes.rs
+++ b/crates/merlinshelf-testbed/src/experiments/learning/crashes.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use merlinshelf_gossip::store::{Found, STORE_FILE, Store};
+use merlinshelf_gossip::store::{STORE_FILE, Store, StoreContents};
 use merlinshelf_gossip::store_format::PersistedObservation;
 use merlinshelf_gossip::{GossipedObservation, Metric, Source, SourceStatus};
 use rand::{RngExt, SeedableRng};
@@ -16,7 +16,7 @@
 pub struct CrashCounts {
     pub crashes: u64,
     pub read_back: u64,
-    /// Stores that returned observations that were never written, or lost some that were saved.
+    /// Stores that returned observations that were never written, lost saved ones, or began an incarnation with a used number.
     pub wrong: u64,
 }
 
@@ -108,7 +108,7 @@
 
 /// Whether the store returned what was written: every observation was once passed to it unchanged, and none is older than in the
 /// last successful save.
-fn is_correct(found: &Found, history: &History) -> bool {
+fn is_correct(found: &StoreContents, history: &History) -> bool {
     let mut last: BTreeMap<&Metric, &PersistedObservation> = BTreeMap::new();
     for persisted in &found.observations {
         let written = history.written.get(&(
