--- a/crates/merlinshelf-testbed/src/experiments/learning/cost.rs
+++ b/crates/merlinshelf-testbed/src/experiments/learning/cost.rs
@@ -48,7 +48,7 @@
 /// Fails if the instance or its load can't be started.
 pub async fn run(program: &Path, case: Case, seed: u64) -> io::Result<Cost> {
     let mut setup = Setup::small(program);
-    (setup.cores, setup.manner.cores) = (64, 64.0);
+    (setup.cores, setup.fakes.cores) = (64, 64.0);
     if case != Case::Off {
         setup.learning = Some(json!({
             "engine": "lab", "folder": true,
@@ -56,27 +56,27 @@
         }));
     }
     let mut instance = Instance::start(&setup, ADDRESS_NUMBER).await?;
-    let load = Load::of_all(&instance.address, 100, INVOCATIONS_PER_S, seed);
+    let load = Load::with_example_operations(&instance.address, 100, INVOCATIONS_PER_S, seed);
     let running_load = load.start().await?;
     sleep(Duration::from_millis(700)).await;
     let answered: Rc<Cell<u32>> = Rc::default();
     let polling = (case == Case::Polled).then(|| spawn_local(send_polls(answered.clone())));
     let (from, cpu_before, sent_before) = (
         Instant::now(),
-        instance.cpu()?,
-        running_load.seen.borrow().sent.len(),
+        instance.cpu_time()?,
+        running_load.record.borrow().sent.len(),
     );
     sleep(MEASURED_FOR).await;
     let (until, cpu_after, sent_after) = (
         Instant::now(),
-        instance.cpu()?,
-        running_load.seen.borrow().sent.len(),
+        instance.cpu_time()?,
+        running_load.record.borrow().sent.len(),
     );
     if let Some(polling) = polling {
         polling.abort();
     }
     let seen = running_load.stop().await.take();
-    instance.end().await;
+    instance.kill_all().await;
     Ok(Cost {
         cpu_us: (cpu_after - cpu_before).as_secs_f64() * 1e6
             / (sent_after - sent_before).max(1) as f64,
--- a/crates/merlinshelf-testbed/src/script/mod.rs
+++ b/crates/merlinshelf-testbed/src/script/mod.rs
@@ -1,17 +1,19 @@
-//! The real program between peers that a test plays by hand, message by message.
+//! The real program between peers that a test scripts message by message.
 
 mod engine;
 mod peer;
-mod rig;
+mod program;
 
 use std::time::Duration;
 
-pub use engine::{ask_until_stalled, serve_all};
+pub use engine::{complete_all_runs, send_until_stalled};
 pub use peer::Peer;
-pub use rig::{EXAMPLE, Rig, bind, configuration, free_address, program};
+pub use program::{
+    EXAMPLE_CONFIG, ProgramUnderTest, bind_loopback, spawn_program, unique_address, write_config,
+};
 
-/// How long a peer waits for what must come.
-pub const PATIENCE: Duration = Duration::from_secs(5);
+/// How long to wait for an expected message or event.
+pub const TIMEOUT: Duration = Duration::from_secs(5);
 
 pub fn millis(count: u64) -> Duration {
     Duration::from_millis(count)
