--- a/crates/merlinshelf-protocol/src/gossip.rs
+++ b/crates/merlinshelf-protocol/src/gossip.rs
@@ -279,7 +279,7 @@
 }
 
 fn metric(input: &mut &[u8]) -> ModalResult<Metric> {
-    (word, " ", optional_name, " ", optional_name)
+    (token, " ", optional_name, " ", optional_name)
         .verify_map(|(kind, _, server, _, operation)| {
             let kind = std::str::from_utf8(kind).ok()?;
             Metric::parse(kind, server.as_deref(), operation.as_deref())
@@ -307,19 +307,21 @@
 }
 
 fn state(input: &mut &[u8]) -> ModalResult<State> {
-    word.verify_map(|text: &[u8]| {
-        let mut states = STATES.into_iter();
-        states.find(|state| state_name(*state).as_bytes() == text)
-    })
-    .parse_next(input)
+    token
+        .verify_map(|text: &[u8]| {
+            let mut states = STATES.into_iter();
+            states.find(|state| state_name(*state).as_bytes() == text)
+        })
+        .parse_next(input)
 }
 
 fn status(input: &mut &[u8]) -> ModalResult<SourceStatus> {
-    word.verify_map(|text: &[u8]| SourceStatus::parse(std::str::from_utf8(text).ok()?))
+    token
+        .verify_map(|text: &[u8]| SourceStatus::parse(std::str::from_utf8(text).ok()?))
         .parse_next(input)
 }
 
-fn word<'i>(input: &mut &'i [u8]) -> ModalResult<&'i [u8]> {
+fn token<'i>(input: &mut &'i [u8]) -> ModalResult<&'i [u8]> {
     take_while(1.., b'!'..=b'~').parse_next(input)
 }
 
@@ -329,12 +331,13 @@
 
 /// Parses a name, or `None` for [`ABSENT`].
 fn optional_name(input: &mut &[u8]) -> ModalResult<Option<String>> {
-    word.verify_map(|text: &[u8]| {
-        if text == ABSENT.as_bytes() {
-            return Some(None);
-        }
-        let name = percent_decode(text).decode_utf8().ok()?;
-        Some(Some(name.into_owned()))
-    })
-    .parse_next(input)
+    token
+        .verify_map(|text: &[u8]| {
+            if text == ABSENT.as_bytes() {
+                return Some(None);
+            }
+            let name = percent_decode(text).decode_utf8().ok()?;
+            Some(Some(name.into_owned()))
+        })
+        .parse_next(input)
 }
