--- a/crates/merlinshelf-testbed/tests/store.rs
+++ b/crates/merlinshelf-testbed/tests/store.rs
@@ -1,6 +1,6 @@
 //! The gossip store on a folder that crashes, is full, is read-only or contains foreign files.
 
-use merlinshelf_gossip::store::{MAX_STORE_BYTES, STORE_FILE, STORE_FILE_ASIDE, Store};
+use merlinshelf_gossip::store::{MAX_STORE_BYTES, STORE_FILE, Store, UNREADABLE_STORE_FILE};
 use merlinshelf_gossip::store_format::{FrameError, PersistedObservation};
 use merlinshelf_gossip::{GossipedObservation, Metric, Source, SourceStatus};
 use merlinshelf_testbed::disk::{Disk, DiskFault};
@@ -97,10 +97,10 @@
         disk.insert_file(STORE_FILE, &bytes);
         let (mut store, found) = Store::open(&mut disk).expect("opening the store");
         assert_eq!(
-            (found.error, found.was_set_aside, found.observations.len()),
-            (Some(FrameError::Foreign), true, 0)
+            (found.error, found.was_moved_aside, found.observations.len()),
+            (Some(FrameError::UnknownFormat), true, 0)
         );
-        assert!(disk.contains(STORE_FILE_ASIDE) && !disk.contains(STORE_FILE));
+        assert!(disk.contains(UNREADABLE_STORE_FILE) && !disk.contains(STORE_FILE));
         store
             .save(&mut disk, 1.0, &[observation("a", 1)])
             .expect("saving to a new file");
@@ -143,8 +143,8 @@
     disk.insert_file(STORE_FILE, &file);
     let (_, found) = Store::open(&mut disk).expect("opening the store");
     assert_eq!(
-        (found.error, found.observations.len(), found.was_set_aside),
-        (Some(FrameError::Garbled), 1, true)
+        (found.error, found.observations.len(), found.was_moved_aside),
+        (Some(FrameError::Corrupt), 1, true)
     );
     assert!(
         disk.contains(STORE_FILE),
