--- a/crates/merlinshelf-handover/tests/handover.rs
+++ b/crates/merlinshelf-handover/tests/handover.rs
@@ -102,7 +102,7 @@
         predecessor.start_failed("no such file");
     });
     run_case("ends at once", &|_| {});
-    run_case("supports no format of ours", &|predecessor| {
+    run_case("supports no common format", &|predecessor| {
         predecessor.handle_message(ms(5), hello(&[2, 3]));
     });
     run_case("rejects its configuration", &|predecessor| {
@@ -126,17 +126,16 @@
         trace_actions(predecessor);
         predecessor.handle_timeout(ms(206));
     });
-    run_case("can't be sent everything", &|predecessor| {
+    run_case("does not receive the whole transfer", &|predecessor| {
         predecessor.handle_message(ms(5), hello(&[1]));
         predecessor.handle_message(ms(6), Message::Ready);
         predecessor.freeze_completed(ms(7));
         trace_actions(predecessor);
         predecessor.transfer_failed("too many open files");
     });
-    run_case(
-        "claims it has restored what was never sent",
-        &|predecessor| predecessor.handle_message(ms(5), Message::Restored),
-    );
+    run_case("reports a restore before the transfer", &|predecessor| {
+        predecessor.handle_message(ms(5), Message::Restored);
+    });
     assert_snapshot!(trace);
 }
 
@@ -172,7 +171,7 @@
         predecessor.channel_failed("it closed the channel");
     });
     run_case(
-        "is killed, and the drain signal then comes",
+        "is killed, then a drain is requested",
         None,
         &|predecessor| {
             predecessor.channel_failed("it closed the channel");
@@ -198,9 +197,9 @@
     let mut predecessor = Predecessor::new(TIMEOUTS);
     predecessor.start_upgrade(ms(0), None);
     predecessor.drain(70.0);
-    record("while it starts", &mut predecessor);
+    record("while the successor starts", &mut predecessor);
     predecessor.successor_exited(None);
-    record("  and it is dead", &mut predecessor);
+    record("  after the successor's exit", &mut predecessor);
     let mut predecessor = Predecessor::new(TIMEOUTS);
     predecessor.start_upgrade(ms(0), None);
     predecessor.handle_message(ms(5), hello(&[1]));
@@ -209,18 +208,21 @@
     predecessor.drain(70.0);
     record("while frozen", &mut predecessor);
     predecessor.successor_exited(None);
-    record("  and it is dead", &mut predecessor);
+    record("  after the successor's exit", &mut predecessor);
     let mut predecessor = on_probation();
     predecessor.drain(70.0);
     predecessor.drain(71.0);
     record("during probation", &mut predecessor);
     predecessor.handle_message(ms(560), Message::ProbationCompleted);
     predecessor.successor_exited(Some(0));
-    record("  and it exited", &mut predecessor);
+    record("  after the successor's exit", &mut predecessor);
     let mut predecessor = on_probation();
     predecessor.handle_message(ms(40), Message::Draining { deadline: 70.0 });
     predecessor.successor_exited(Some(101));
-    record("notified itself, and died while draining", &mut predecessor);
+    record(
+        "the successor was notified, and died while draining",
+        &mut predecessor,
+    );
     assert_snapshot!(trace);
 }
 
@@ -274,7 +276,7 @@
     successor.handle_message(ms(2), Message::TransferCompleted { count: 1 });
     let _ = write!(
         trace,
-        "a transfer that lacks one{}",
+        "incomplete transfer{}",
         trace_actions(&mut successor)
     );
     assert_snapshot!(trace);
