--- a/crates/merlinshelf-testbed/src/script/engine.rs
+++ b/crates/merlinshelf-testbed/src/script/engine.rs
@@ -1,4 +1,4 @@
-//! An engine's link that answers by itself.
+//! Scripted engine links that answer without further help of the test.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -7,15 +7,15 @@
 
 use super::millis;
 use super::peer::Peer;
-use crate::wire::ask;
+use crate::wire::fastcgi_invocation;
 
-/// Lets the engine answer every run at once, and counts them.
-pub fn serve_all(mut engine: Peer, result: &str) -> Arc<AtomicUsize> {
+/// Completes every run immediately with `result`, on a thread of its own, and counts the completed runs.
+pub fn complete_all_runs(mut engine: Peer, result: &str) -> Arc<AtomicUsize> {
     let answered = Arc::new(AtomicUsize::new(0));
     let (count, result) = (answered.clone(), result.to_owned());
     std::thread::spawn(move || {
         for number in 1.. {
-            let run = engine.message();
+            let run = engine.next_message();
             if run.is_empty() {
                 return;
             }
@@ -31,9 +31,9 @@
     answered
 }
 
-/// Asks on a connection that is never read, 32 at a time, until the program reads no more of it: all between is full
-/// then. How many were asked for.
-pub fn ask_until_stalled(slow: &mut Peer, answered: &AtomicUsize) -> usize {
+/// Sends invocations in batches of 32 on a connection whose answers are never read, until the program stops reading from it
+/// because all buffers in between are full. Returns the number of invocations sent.
+pub fn send_until_stalled(slow: &mut Peer, answered: &AtomicUsize) -> usize {
     let mut sent = 0;
     let stalled = |sent: usize| {
         let until = Instant::now() + millis(500);
@@ -45,14 +45,14 @@
     while !stalled(sent) {
         for _ in 0..32 {
             sent += 1;
-            slow.send(ask(
+            slow.send(fastcgi_invocation(
                 sent as u16,
                 "transcript-search",
                 b"",
                 &[("HTTP_X_PATIENCE_MS", "60000")],
             ));
         }
-        assert!(sent < 32 * 200, "it reads on and on");
+        assert!(sent < 32 * 200, "the program never stops reading");
     }
     sent
 }
