--- a/crates/merlinshelf-testbed/src/budgets.rs
+++ b/crates/merlinshelf-testbed/src/budgets.rs
@@ -37,13 +37,13 @@
 /// # Errors
 /// Returns an error if the proposal is refused, or is not decided after 20 requests.
 pub async fn propose_until_committed(
-    all: &Installation,
+    installation: &Installation,
     policy: &Value,
     id: &str,
 ) -> io::Result<u64> {
     let request = json!({ "policy": policy, "id": id, "wait": true });
     for _ in 0..20 {
-        let (status, reply) = all.hosts[0]
+        let (status, reply) = installation.hosts[0]
             .policy_request("propose", request.clone())
             .await?;
         match (status, reply["number"].as_u64()) {
--- a/crates/merlinshelf-testbed/src/installation.rs
+++ b/crates/merlinshelf-testbed/src/installation.rs
@@ -288,9 +288,11 @@
         };
         let mut catalogue_links = Vec::new();
         for (index, name) in names.iter().enumerate() {
-            let own = number + index as u8;
-            let folder = std::env::temp_dir()
-                .join(format!("merlinshelf-hosts-{}-{own}", std::process::id()));
+            let host_number = number + index as u8;
+            let folder = std::env::temp_dir().join(format!(
+                "merlinshelf-hosts-{}-{host_number}",
+                std::process::id()
+            ));
             let _ = std::fs::remove_dir_all(&folder);
             std::fs::create_dir_all(&folder)?;
             let bind = || TcpListener::bind("127.0.0.1:0");
@@ -298,7 +300,7 @@
             let mut config: Value = serde_json::from_str(EXAMPLE_CONFIG)?;
             config["backend"] = json!(catalogue.local_addr()?.to_string());
             if let Some(shared) = &shared_catalogue {
-                let address = process_address_at(own, CATALOGUE_LINK_PORT);
+                let address = process_address_at(host_number, CATALOGUE_LINK_PORT);
                 catalogue_links.push(Link::start(&address, shared.address.clone()).await?);
                 config["backend"] = json!(address);
             }
@@ -327,7 +329,8 @@
             for instance in 0..options.instances {
                 let record: SharedRecords = Rc::new(RefCell::new(Records::default()));
                 let listener =
-                    TcpListener::bind(process_address_at(own, ENGINE_PORT + instance)).await?;
+                    TcpListener::bind(process_address_at(host_number, ENGINE_PORT + instance))
+                        .await?;
                 Engine::start(listener, behavior.clone(), record.clone());
                 records.push(record);
             }
@@ -337,7 +340,7 @@
                 if other == index {
                     agents.insert(to, address);
                 } else {
-                    let at = process_address_at(own, AGENT_LINK_PORT + other as u16);
+                    let at = process_address_at(host_number, AGENT_LINK_PORT + other as u16);
                     links.insert((index, other), Link::start(&at, address).await?);
                     agents.insert(to, at);
                 }
@@ -352,12 +355,12 @@
                 "change": { "out_at_once": 1, "floor": 0.5, "warm_ms": 200, "looked_ms": 300, "worse": 0.5 },
                 "restarts": { "pause_ms": 200, "at_once": 8, "hangs_ms": 60000 },
                 "council": {
-                    "name": name, "listen": process_address_at(own, CONSENSUS_PORT), "agents": agents, "lease_ms": options.lease_ms,
+                    "name": name, "listen": process_address_at(host_number, CONSENSUS_PORT), "agents": agents, "lease_ms": options.lease_ms,
                     "base": { "note": "lets no sign in", "operations": closed }, "watch_ms": options.watch_ms,
                 },
                 "groups": { "web": {
                     "count": options.instances, "program": program, "config": "config.json",
-                    "listen": process_address_at(own, LISTEN_PORT), "engine": process_address_at(own, ENGINE_PORT), "descriptors": 2048,
+                    "listen": process_address_at(host_number, LISTEN_PORT), "engine": process_address_at(host_number, ENGINE_PORT), "descriptors": 2048,
                 } },
             });
             if with_budgets {
@@ -380,7 +383,7 @@
             hosts.push(Host {
                 name: name.clone(),
                 folder,
-                number: own,
+                number: host_number,
                 agent: None,
                 records,
                 clock_rate: None,
