--- a/crates/merlinshelf-cli/tests/dependencies.rs
+++ b/crates/merlinshelf-cli/tests/dependencies.rs
@@ -11,10 +11,10 @@
     called_dependencies, dependencies_config,
 };
 use merlinshelf_testbed::experiments::upgrade::request_upgrade;
-use merlinshelf_testbed::fakes::{Manners, Server};
+use merlinshelf_testbed::fakes::{Server, ServerBehavior};
 use merlinshelf_testbed::instance::{Instance, Setup};
-use merlinshelf_testbed::load::{Load, Playing};
-use merlinshelf_testbed::play::play_within;
+use merlinshelf_testbed::load::{Load, RunningLoad};
+use merlinshelf_testbed::runtime::run_with_timeout;
 use serde_json::Value;
 use tokio::time::{Instant, sleep};
 
@@ -22,7 +22,7 @@
 
 /// Runs a test on one thread, with a timeout.
 fn run_test<T>(test: impl Future<Output = io::Result<T>>) -> T {
-    play_within(Duration::from_secs(60), test)
+    run_with_timeout(Duration::from_secs(60), test)
 }
 
 struct Rig {
@@ -39,8 +39,9 @@
             .push(Server::start(Duration::from_millis(3)).await?);
     }
     let mut setup = Setup::small(PROGRAM);
-    (setup.watched, setup.silent) = (Duration::from_millis(700), Duration::from_millis(2000));
-    (setup.manner.parts, setup.dependencies) = (
+    (setup.probation, setup.heartbeat_timeout) =
+        (Duration::from_millis(700), Duration::from_millis(2000));
+    (setup.fakes.called_dependencies, setup.dependencies) = (
         called_dependencies(),
         Some(dependencies_config(&addresses(&servers, 0..3))),
     );
@@ -65,26 +66,26 @@
 
 impl Rig {
     /// Starts an instance under load and waits until it has answered a few invocations.
-    async fn start_with_load(&self, number: u8) -> io::Result<(Instance, Load, Playing)> {
+    async fn start_with_load(&self, number: u8) -> io::Result<(Instance, Load, RunningLoad)> {
         let instance = Instance::start(&self.setup, number).await?;
-        let load = Load::of_all(&instance.address, 8, 150.0, number.into());
+        let load = Load::with_example_operations(&instance.address, 8, 150.0, number.into());
         let playing = load.start().await?;
         wait_for_answers(&playing, 30).await;
         Ok((instance, load, playing))
     }
 
-    fn set_behaviour(&self, name: &str, manners: Manners) {
+    fn set_behaviour(&self, name: &str, manners: ServerBehavior) {
         self.servers[name]
             .iter()
-            .for_each(|server| server.does(manners));
+            .for_each(|server| server.set_behavior(manners));
     }
 }
 
 /// Waits until `count` more invocations are answered, or 15 s have passed.
-async fn wait_for_answers(playing: &Playing, count: usize) {
+async fn wait_for_answers(playing: &RunningLoad, count: usize) {
     let answered = || {
         playing
-            .seen
+            .record
             .borrow()
             .sent
             .values()
@@ -114,25 +115,25 @@
         let (instance, load, playing) = rig.start_with_load(1).await?;
         assert!(
             playing
-                .seen
+                .record
                 .borrow()
                 .sent
                 .values()
                 .all(|sent| sent.partial.is_none())
         );
-        rig.set_behaviour("catalogue", Manners::Slow(20.0));
-        rig.set_behaviour("assets", Manners::Errors);
+        rig.set_behaviour("catalogue", ServerBehavior::Slow(20.0));
+        rig.set_behaviour("assets", ServerBehavior::Errors);
         wait_for_answers(&playing, 150).await;
-        rig.set_behaviour("assets", Manners::Well);
+        rig.set_behaviour("assets", ServerBehavior::Normal);
         wait_for_answers(&playing, 50).await;
-        rig.set_behaviour("catalogue", Manners::Well);
+        rig.set_behaviour("catalogue", ServerBehavior::Normal);
         // Within seconds, all answers are complete again.
-        let all_complete = |playing: &Playing| {
-            let seen = playing.seen.borrow();
+        let all_complete = |playing: &RunningLoad| {
+            let seen = playing.record.borrow();
             let recent = seen
                 .sent
                 .values()
-                .filter(|sent| sent.at.elapsed() < Duration::from_millis(500));
+                .filter(|sent| sent.sent_at.elapsed() < Duration::from_millis(500));
             let complete: Vec<bool> = recent
                 .filter(|sent| !sent.answers.is_empty())
                 .map(|sent| sent.partial.is_none())
@@ -189,22 +190,22 @@
         let rig = start_rig().await?;
         let (instance, load, playing) = rig.start_with_load(2).await?;
         // The third server of each is added; the first is removed and gets no further calls.
-        instance.depends_on(&dependencies_config(&addresses(&rig.servers, 1..3)))?;
-        instance.logged("dependencies reloaded: 2", 1).await?;
+        instance.set_dependencies(&dependencies_config(&addresses(&rig.servers, 1..3)))?;
+        instance.wait_for_log("dependencies reloaded: 2", 1).await?;
         wait_for_answers(&playing, 30).await;
         let before = rig.servers["catalogue"][0].calls.get();
         wait_for_answers(&playing, 60).await;
         assert_eq!(rig.servers["catalogue"][0].calls.get(), before);
         // An invalid file changes nothing.
-        instance.depends_on(
+        instance.set_dependencies(
             &serde_json::json!({ "operations": { "thumbnail": { "calls": [{ "to": "nobody" }] } } }),
         )?;
         instance
-            .logged("the old dependencies stay in force", 1)
+            .wait_for_log("the old dependencies stay in force", 1)
             .await?;
-        instance.depends_on(&dependencies_config(&addresses(&rig.servers, 0..3)))?;
-        instance.logged("dependencies reloaded: 2", 2).await?;
-        rig.set_behaviour("catalogue", Manners::Slow(10.0));
+        instance.set_dependencies(&dependencies_config(&addresses(&rig.servers, 0..3)))?;
+        instance.wait_for_log("dependencies reloaded: 2", 2).await?;
+        rig.set_behaviour("catalogue", ServerBehavior::Slow(10.0));
         wait_for_answers(&playing, 30).await;
         assert_eq!(
             request_upgrade(&instance, &format!("exec '{PROGRAM}' \"$@\"")).await?,
@@ -225,7 +226,7 @@
                 .map(Vec::len),
             Some(3)
         );
-        instance.leave().await
+        instance.drain().await
     });
 }
 
@@ -234,10 +235,10 @@
     run_test(async {
         let rig = start_rig().await?;
         let (instance, load, playing) = rig.start_with_load(3).await?;
-        rig.servers["catalogue"][0].does(Manners::Hangs);
-        rig.servers["assets"][1].does(Manners::Breaks);
+        rig.servers["catalogue"][0].set_behavior(ServerBehavior::Hangs);
+        rig.servers["assets"][1].set_behavior(ServerBehavior::DropsConnections);
         wait_for_answers(&playing, 20).await;
-        instance.leave().await?;
+        instance.drain().await?;
         let seen = playing.stop().await.take();
         let verdict = seen.check(&instance.records.borrow(), load.patience);
         assert_eq!(
@@ -260,13 +261,13 @@
         let mut rig = start_rig().await?;
         // This engine knows no extended ATTACH, and its runs make one call each without naming a
         // dependency.
-        rig.setup.manner.parts.clear();
+        rig.setup.fakes.called_dependencies.clear();
         let (instance, load, playing) = rig.start_with_load(4).await?;
         wait_for_answers(&playing, 60).await;
         let seen = playing.stop().await.take();
         let verdict = seen.check(&instance.records.borrow(), load.patience);
         assert!(verdict.is_clean() && verdict.served > 50, "{verdict:?}");
-        assert!(instance.records.borrow().links >= 2);
+        assert!(instance.records.borrow().engine_links >= 2);
         let report = instance.status().await?;
         assert!(
             dependency(&report, "catalogue")["succeeded"].as_u64() > Some(20),
@@ -283,8 +284,8 @@
         let mut rig = start_rig().await?;
         rig.setup.effect = "at_most_once".into();
         let (instance, load, playing) = rig.start_with_load(5).await?;
-        rig.set_behaviour("catalogue", Manners::Breaks);
-        rig.servers["assets"][0].does(Manners::Hangs);
+        rig.set_behaviour("catalogue", ServerBehavior::DropsConnections);
+        rig.servers["assets"][0].set_behavior(ServerBehavior::Hangs);
         wait_for_answers(&playing, 150).await;
         let seen = playing.stop().await.take();
         let calls: u64 = rig
--- a/crates/merlinshelf-testbed/src/experiments/uwsgi.rs
+++ b/crates/merlinshelf-testbed/src/experiments/uwsgi.rs
@@ -10,7 +10,7 @@
 use tokio::time::sleep;
 
 use crate::instance::{Instance, Setup};
-use crate::load::{Front, Load};
+use crate::load::{FrontProtocol, Load};
 
 #[derive(Clone, Debug)]
 pub struct Plan {
@@ -21,10 +21,10 @@
     pub program: PathBuf,
 }
 
-const FRONTS: [(Front, &str); 3] = [
-    (Front::FastCgi, "fastcgi"),
-    (Front::Uwsgi, "uwsgi"),
-    (Front::Both, "both"),
+const FRONTS: [(FrontProtocol, &str); 3] = [
+    (FrontProtocol::FastCgi, "fastcgi"),
+    (FrontProtocol::Uwsgi, "uwsgi"),
+    (FrontProtocol::Both, "both"),
 ];
 const LOAD_DURATION: Duration = Duration::from_secs(5);
 /// CPU time of one run; two runs fit on the cores at a time.
@@ -41,28 +41,33 @@
     cpu_us: f64,
 }
 
-async fn run_once(plan: &Plan, seed: u64, front: Front, address_number: u8) -> io::Result<Outcome> {
+async fn run_once(
+    plan: &Plan,
+    seed: u64,
+    front: FrontProtocol,
+    address_number: u8,
+) -> io::Result<Outcome> {
     let mut setup = Setup::small(&plan.program);
     (
         setup.uwsgi,
-        setup.manner.work,
+        setup.fakes.run_duration,
         setup.cores,
-        setup.manner.cores,
+        setup.fakes.cores,
     ) = (true, RUN_DURATION, 2, 2.0);
     let mut instance = Instance::start(&setup, address_number).await?;
     let load = Load {
-        front,
-        ..Load::of_all(&instance.address, 24, plan.rate, seed)
+        front_protocol: front,
+        ..Load::with_example_operations(&instance.address, 24, plan.rate, seed)
     };
-    let cpu_before = instance.cpu()?;
+    let cpu_before = instance.cpu_time()?;
     let running_load = load.start().await?;
     sleep(LOAD_DURATION).await;
-    let cpu = instance.cpu()? - cpu_before;
-    let sent_count = running_load.seen.borrow().sent.len();
-    instance.leave().await?;
+    let cpu = instance.cpu_time()? - cpu_before;
+    let sent_count = running_load.record.borrow().sent.len();
+    instance.drain().await?;
     let seen = running_load.stop().await.take();
     let verdict = seen.check(&instance.records.borrow(), load.patience);
-    instance.end().await;
+    instance.kill_all().await;
     let mut counts = OperationCounts::new();
     for sent in seen.sent.values() {
         let count = counts.entry(sent.operation.clone()).or_default();
--- a/crates/merlinshelf-testbed/src/link.rs
+++ b/crates/merlinshelf-testbed/src/link.rs
@@ -1,5 +1,4 @@
-//! Links between processes under trial, each through a forwarder that does to it what a schedule says: both ways alike or one way
-//! alone, and heals.
+//! Forwarders for the connections between processes under test, which inject faults on demand and can be healed.
 
 use std::cell::RefCell;
 use std::io;
@@ -15,88 +14,88 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// What happens to what is sent over a link.
+/// Faults of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Fault {
     #[default]
     None,
-    /// Connections stay open, and what is sent lies until the link heals: it then arrives, however old.
-    Held,
-    /// All connections end, and new ones are closed at once.
+    /// Connections stay open, and data is held back until the link heals; it is then delivered, however old.
+    Stalled,
+    /// All connections are closed, and new ones are closed immediately.
     Cut,
-    /// Each piece comes so much later.
-    Late(Duration),
-    /// Byte by byte, with a pause after each.
-    Trickles(Duration),
+    /// Each piece of data is delayed by this.
+    Delayed(Duration),
+    /// Data is delivered byte by byte, with this pause after each byte.
+    ByteByByte(Duration),
 }
 
-/// Stands between an agent and the control socket of an instance, which it gives back when it is dropped.
+/// A proxy between an agent and an instance's control socket. Dropping it restores the socket.
 pub struct ControlLink {
     path: PathBuf,
-    real: PathBuf,
-    manner: watch::Sender<Manner>,
+    moved_path: PathBuf,
+    mode: watch::Sender<ControlLinkMode>,
     accepting: tokio::task::AbortHandle,
 }
 
-/// What becomes of what is said over a control link.
+/// How a control link treats its traffic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Manner {
-    Plain,
-    /// It lies, on connections that stay open.
-    Held,
-    /// Questions about policies come as a word that nobody knows: the answer is that of a program from before there were any.
-    Older,
+pub enum ControlLinkMode {
+    Forwarding,
+    /// Connections are accepted, and no data is forwarded.
+    Stalled,
+    /// Policy requests are rewritten to an unknown command, so that the answer is that of a program without policy support.
+    WithoutPolicies,
 }
 
 impl ControlLink {
-    /// Takes the socket's place.
+    /// Replaces the control socket at `path` by a proxy.
     ///
     /// # Errors
-    /// The file system's.
-    pub fn take(path: &Path) -> io::Result<ControlLink> {
-        let (path, real) = (path.to_path_buf(), path.with_extension("real"));
-        std::fs::rename(&path, &real)?;
+    /// Returns the file system's error if the socket can't be moved or bound.
+    pub fn replace_socket(path: &Path) -> io::Result<ControlLink> {
+        let (path, moved_path) = (path.to_path_buf(), path.with_extension("real"));
+        std::fs::rename(&path, &moved_path)?;
         let listener = UnixListener::bind(&path)?;
-        let (manner, watched) = watch::channel(Manner::Plain);
-        let to = real.clone();
+        let (mode, watched) = watch::channel(ControlLinkMode::Forwarding);
+        let to = moved_path.clone();
         let accepting = spawn_local(async move {
             while let Ok((from, _)) = listener.accept().await {
-                // What became of one is seen by who asked.
-                spawn_local(passed_on(from, to.clone(), watched.clone()));
+                // The client notices a failed connection itself.
+                spawn_local(forward_control(from, to.clone(), watched.clone()));
             }
         });
         Ok(ControlLink {
             path,
-            real,
-            manner,
+            moved_path,
+            mode,
             accepting: accepting.abort_handle(),
         })
     }
 
-    pub fn set(&self, manner: Manner) {
-        self.manner.send_replace(manner);
+    pub fn set(&self, mode: ControlLinkMode) {
+        self.mode.send_replace(mode);
     }
 }
 
-/// One connection of a control link.
-async fn passed_on(
+/// Forwards one connection of a control link.
+async fn forward_control(
     mut from: UnixStream,
     to: PathBuf,
-    mut manner: watch::Receiver<Manner>,
+    mut mode: watch::Receiver<ControlLinkMode>,
 ) -> io::Result<()> {
-    // Half open: it was let in, and nothing of what it says goes on.
-    let now = manner
-        .wait_for(|manner| *manner != Manner::Held)
+    // While stalled, the connection stays accepted and nothing is forwarded.
+    let current = mode
+        .wait_for(|mode| *mode != ControlLinkMode::Stalled)
         .await
-        .map(|manner| *manner);
+        .map(|mode| *mode);
     let mut to = UnixStream::connect(to).await?;
-    if now.is_ok_and(|now| now == Manner::Older) {
-        let mut word = [0; ASK.len()];
-        from.read_exact(&mut word).await?;
-        to.write_all(if word == *ASK {
+    if current.is_ok_and(|current| current == ControlLinkMode::WithoutPolicies) {
+        let mut prefix = [0; POLICY_REQUEST_PREFIX.len()];
+        from.read_exact(&mut prefix).await?;
+        to.write_all(if prefix == *POLICY_REQUEST_PREFIX {
             b"ask 1 policies "
         } else {
-            &word
+            &prefix
         })
         .await?;
     }
@@ -105,46 +104,49 @@
         .map(|_| ())
 }
 
-/// How a question about policies begins.
-const ASK: &[u8; 13] = b"ask 1 policy ";
+/// How a policy request begins on the control socket.
+const POLICY_REQUEST_PREFIX: &[u8; 13] = b"ask 1 policy ";
 
 impl Drop for ControlLink {
     fn drop(&mut self) {
         self.accepting.abort();
-        let _ = std::fs::rename(&self.real, &self.path);
+        let _ = std::fs::rename(&self.moved_path, &self.path);
     }
 }
 
-/// A link from one process to another; it ends with its owner.
+/// A TCP forwarder from one process to another; it stops when it is dropped.
 pub struct Link {
     fault: watch::Sender<Fault>,
-    /// Connections that were made over it.
-    pub made: Rc<RefCell<u64>>,
+    /// Number of connections accepted.
+    pub connections_made: Rc<RefCell<u64>>,
 }
 
 impl Link {
-    /// Takes connections at one address and passes them on to another.
+    /// Accepts connections at `listen` and forwards them to `to`.
     ///
     /// # Errors
-    /// The address can't be had.
+    /// Returns an error if the address can't be bound.
     pub async fn start(listen: &str, to: String) -> io::Result<Link> {
         let listener = TcpListener::bind(listen).await?;
         let (fault, watched) = watch::channel(Fault::None);
-        let made: Rc<RefCell<u64>> = Rc::default();
-        let count = made.clone();
+        let connections_made: Rc<RefCell<u64>> = Rc::default();
+        let count = connections_made.clone();
         spawn_local(async move {
             while let Ok((from, _)) = listener.accept().await {
                 if watched.has_changed().is_err() {
-                    return; // its owner is gone
+                    return; // the link was dropped
                 }
                 if *watched.borrow() == Fault::Cut {
                     continue;
                 }
                 *count.borrow_mut() += 1;
-                spawn_local(pass(from, to.clone(), watched.clone()));
+                spawn_local(forward(from, to.clone(), watched.clone()));
             }
         });
-        Ok(Link { fault, made })
+        Ok(Link {
+            fault,
+            connections_made,
+        })
     }
 
     pub fn set(&self, fault: Fault) {
@@ -156,19 +158,19 @@
     }
 }
 
-async fn pass(from: TcpStream, to: String, mut fault: watch::Receiver<Fault>) {
+async fn forward(from: TcpStream, to: String, mut fault: watch::Receiver<Fault>) {
     let Ok(to) = TcpStream::connect(to).await else {
         return;
     };
     let _ = (from.set_nodelay(true), to.set_nodelay(true));
     let ((from_in, from_out), (to_in, to_out)) = (from.into_split(), to.into_split());
-    let (one, other) = (
+    let (forth, back) = (
         copy(from_in, to_out, fault.clone()),
         copy(to_in, from_out, fault.clone()),
     );
     select! {
-        _ = one => {}
-        _ = other => {}
+        _ = forth => {}
+        _ = back => {}
         _ = fault.wait_for(|fault| *fault == Fault::Cut) => {}
     }
 }
@@ -184,18 +186,18 @@
         if count == 0 {
             return Ok(());
         }
-        let now = *fault.borrow_and_update();
-        match now {
-            Fault::Late(by) => sleep(by).await,
-            Fault::Trickles(pause) => {
+        let current = *fault.borrow_and_update();
+        match current {
+            Fault::Delayed(delay) => sleep(delay).await,
+            Fault::ByteByByte(pause) => {
                 for byte in &piece[..count] {
                     to.write_all(std::slice::from_ref(byte)).await?;
                     sleep(pause).await;
                 }
                 continue;
             }
-            Fault::Held => {
-                let _ = fault.wait_for(|fault| *fault != Fault::Held).await;
+            Fault::Stalled => {
+                let _ = fault.wait_for(|fault| *fault != Fault::Stalled).await;
             }
             Fault::None | Fault::Cut => {}
         }
