--- a/crates/merlinshelf-agent/src/control_client.rs
+++ b/crates/merlinshelf-agent/src/control_client.rs
@@ -60,7 +60,7 @@
             }
             let read = self.stream.read_buf(&mut self.buffer);
             if timeout(self.reply_timeout, read).await?? == 0 {
-                let text = "connection closed before the last reply";
+                let text = "it closed the connection without its last word";
                 return Err(io::Error::new(io::ErrorKind::UnexpectedEof, text));
             }
         }
@@ -75,9 +75,7 @@
         };
         let version = frame.version;
         if version != PROTOCOL_VERSION {
-            let text = format!(
-                "protocol version {version} is not supported, only version {PROTOCOL_VERSION}"
-            );
+            let text = format!("it speaks form {version}, this program form {PROTOCOL_VERSION}");
             return Err(io::Error::other(text));
         }
         let body = serde_json::from_slice(frame.body)?;
--- a/crates/merlinshelf-agent/src/fleet_file.rs
+++ b/crates/merlinshelf-agent/src/fleet_file.rs
@@ -21,7 +21,7 @@
     /// The file can't be read.
     #[error("{}: {source}", file.display())]
     Read {
-        /// The fleet's file.
+        /// Path of the fleet file.
         file: PathBuf,
         /// What the system reports.
         source: io::Error,
@@ -29,7 +29,7 @@
     /// The text is no valid fleet specification.
     #[error("{}:{error}", file.display())]
     Invalid {
-        /// The fleet's file.
+        /// Path of the fleet file.
         file: PathBuf,
         /// What is wrong, with its line and field.
         error: Json5Error,
@@ -37,7 +37,7 @@
     /// The agent's folder has no absolute path.
     #[error("{}: folder: {source}", file.display())]
     Folder {
-        /// The fleet's file.
+        /// Path of the fleet file.
         file: PathBuf,
         /// What the system reports.
         source: io::Error,
@@ -45,7 +45,7 @@
     /// A file that a group names does not exist.
     #[error("{}: groups.{group}.{field}: {}: {source}", file.display(), path.display())]
     GroupPath {
-        /// The fleet's file.
+        /// Path of the fleet file.
         file: PathBuf,
         /// Name of the group.
         group: String,
@@ -59,7 +59,7 @@
     /// A group's configuration can't be used by instances.
     #[error("{}: groups.{group}.config: {error}", file.display())]
     GroupConfig {
-        /// The fleet's file.
+        /// Path of the fleet file.
         file: PathBuf,
         /// Name of the group.
         group: String,
@@ -69,7 +69,7 @@
     /// The instances do not fit the host.
     #[error("{}: {error}", file.display())]
     Capacity {
-        /// The fleet's file.
+        /// Path of the fleet file.
         file: PathBuf,
         /// Which limit of the host is exceeded.
         error: CapacityError,
--- a/crates/merlinshelf-agent/src/instance_files.rs
+++ b/crates/merlinshelf-agent/src/instance_files.rs
@@ -65,7 +65,7 @@
     let group = spec
         .groups
         .get(&instance.group)
-        .ok_or_else(|| io::Error::other("its group is no longer in the fleet file"))?;
+        .ok_or_else(|| io::Error::other("its group is gone from the file"))?;
     let paths = InstancePaths::new(spec, &instance.name);
     std::fs::create_dir_all(&paths.folder)?;
     let listen =
