--- a/crates/merlinshelf-consensus/src/message.rs
+++ b/crates/merlinshelf-consensus/src/message.rs
@@ -62,7 +62,7 @@
 /// What one agent knows about the replica in another agent's slot.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerProgress {
-    /// The known incarnation of the replica, if it differs from the requesting process.
+    /// The known incarnation of the replica, if it is not that of the requesting process.
     #[serde(rename = "life")]
     pub incarnation: Option<u64>,
     /// The highest term that the replica has acknowledged, as far as the responder remembers.
--- a/crates/merlinshelf-consensus/src/replica/verification.rs
+++ b/crates/merlinshelf-consensus/src/replica/verification.rs
@@ -2,8 +2,8 @@
 //!
 //! Raft requires that a voter never forgets what it acknowledged. A disk that was lost, copied or
 //! reset to an older state breaks this: the replica could vote twice in a term, or help to elect a
-//! leader that lacks a committed entry. A restarted replica therefore asks the others first. Any two
-//! majorities overlap, so a majority that includes this replica also includes one that knows what
+//! leader that lacks a committed entry. A restarted replica therefore asks the others first. Any
+//! two majorities overlap, so a majority that includes this replica also includes one that knows what
 //! this replica acknowledged. The leader, if there is one, knows most and must have answered.
 
 use super::handshake::Welcome;
@@ -44,8 +44,8 @@
         self.try_finish_verification();
     }
 
-    /// Whether the replica acknowledged more than its disk holds, or its slot was removed or used by
-    /// another process.
+    /// Whether the replica acknowledged more than its disk holds, or its slot was removed or is
+    /// used by another process.
     fn has_forgotten(&self, progress: PeerProgress) -> bool {
         let is_older_incarnation = progress
             .incarnation
--- a/crates/merlinshelf-consensus/tests/golden.rs
+++ b/crates/merlinshelf-consensus/tests/golden.rs
@@ -1,7 +1,7 @@
 //! Golden files of the data that this package stores and sends: the log file, the payload of a
 //! snapshot, the context of a membership change and the messages between agents. Each golden file
-//! must decode to the expected values, and these must encode to the same bytes, so that two versions
-//! of the program can read each other's files and messages.
+//! must decode to the expected values, and these must encode to the same bytes, so that two
+//! versions of the program can read each other's files and messages.
 //!
 //! The files are in `tests/golden`. `GOLDEN_WRITE=1 cargo test -p merlinshelf-consensus --test
 //! golden` writes them from the current code. Use it for a new format only: a changed file means
--- a/crates/merlinshelf-consensus/tests/replica.rs
+++ b/crates/merlinshelf-consensus/tests/replica.rs
@@ -1,6 +1,6 @@
-//! Simulates replicas with disks in virtual time. Replicas crash at any moment, also during a write,
-//! are disconnected, restart without their disk or with an older one, and are replaced. All replicas
-//! must apply the same entries in the same order.
+//! Simulates replicas with disks in virtual time. Replicas crash at any moment, also during a
+//! write, are disconnected, restart without their disk or with an older one, and are replaced. All
+//! replicas must apply the same entries in the same order.
 
 use std::collections::{BTreeMap, BTreeSet};
 
