--- a/crates/merlinshelf-backend/src/operator/mod.rs
+++ b/crates/merlinshelf-backend/src/operator/mod.rs
@@ -1,9 +1,9 @@
 //! The operators' file: optional features in addition to the platform's configuration. Without the
 //! file all of them are off.
 //!
-//! The names of fields are keys of the file and appear in errors, so they must not change, and doc
-//! comments of its types are part of the published schema. `#[schemars(rename = "...")]` keeps the
-//! names of definitions in the schema.
+//! Field names are keys of the file and appear in errors, so they must not change. The doc comments
+//! of the types are the descriptions in the published schema. `#[schemars(rename = "...")]` keeps
+//! the names of definitions in the schema.
 
 mod error;
 mod json5;
@@ -28,67 +28,69 @@
 pub use json5::{InvalidField, Json5Error, Position, parse_json5};
 use validation::{validate_dependencies, validate_loopback, validate_socket_path};
 
-/// The maximum size that is read. The file has about a page; a far larger one is not an operators'
-/// file.
+/// The maximum number of bytes read. An operators' file is about a page long, so a far larger file
+/// is a wrong path.
 const MAX_FILE_BYTES: u64 = 1024 * 1024;
 
-/// The complete file, in JSON5.
+/// The operators' file, in JSON5.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields, default)]
 #[schemars(title = "The operators' file of merlinshelf")]
 pub struct Operator {
-    /// Where `merlinshelf status`, `drain` and `upgrade` reach the instance; absent: nowhere.
+    /// The control socket that `merlinshelf status`, `drain` and `upgrade` connect to; absent:
+    /// none.
     #[garde(dive)]
     pub control: Option<Control>,
-    /// How it logs.
+    /// The log's level and format.
     #[garde(dive)]
     pub log: Log,
     /// Upgrades under load; absent: rejected.
     #[garde(dive)]
     pub upgrade: Option<Upgrade>,
-    /// Gossip with other instances, and observations of this instance's past; absent: off.
+    /// Gossip with other instances, and stored observations of earlier processes; absent: off.
     #[garde(dive)]
     pub learning: Option<Learning>,
     /// Callers may speak uwsgi as well as FastCGI, on the same address.
     #[garde(skip)]
     pub uwsgi: bool,
-    /// Several dependencies with several servers each, and which operation calls which; absent: all
-    /// calls go to the platform's one catalogue. Reloaded with SIGHUP.
+    /// The downstream dependencies with their servers, and the calls that each operation makes to
+    /// them; absent: all calls go to the platform's catalogue. Reloaded on SIGHUP.
     #[garde(inner(custom(validate_dependencies)))]
     pub dependencies: Option<Dependencies>,
-    /// One policy for all instances of an installation, changed while they serve by its agents;
-    /// absent: off.
+    /// The policy that the installation's agents distribute to all instances and change at run
+    /// time; absent: off.
     #[garde(dive)]
     pub policy: Option<PolicySettings>,
 }
 
-/// How an instance takes part in the installation's policy.
+/// The instance's settings for the installation's policy.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields, default)]
 #[schemars(rename = "PolicyOf")]
 pub struct PolicySettings {
-    /// The policy without a lease: the same for the installation at all times.
+    /// The policy that applies without a lease. Must be the same on all instances and never change.
     #[garde(dive)]
     pub base: Policy,
-    /// What an instance does without a lease.
+    /// The behaviour of the instance without a lease.
     #[garde(skip)]
     pub without: LeaseExpiryMode,
-    /// How much the clocks of two processes may differ in rate, as a fraction: leases end earlier
-    /// for their holder by it, and later for their grantor.
+    /// The maximum difference between the clock rates of two processes, as a fraction. By this
+    /// margin, leases expire earlier for their holder and later for their grantor.
     #[garde(range(min = 0.0, max = 0.2))]
     #[schemars(range(min = 0.0, max = 0.2))]
     pub drift: f64,
-    /// How long an instance that starts waits for a policy lease before it serves without one, in
+    /// How long a starting instance waits for a policy lease before it serves without one, in
     /// milliseconds.
     #[garde(range(max = 600_000))]
     #[schemars(range(max = 600_000))]
     pub wait_ms: u64,
-    /// How long a quota lease lasts, in milliseconds: as long as the installation's policy lease.
+    /// The duration of a quota lease, in milliseconds. Must equal that of the policy lease.
     #[garde(range(min = 100, max = 600_000))]
     #[schemars(range(min = 100, max = 600_000))]
     pub lease_ms: u64,
-    /// The folder shared by all instances of this host, in which they record how much of the quota
-    /// that the base policy reserves for the host is spent; absent: none of it is spent here.
+    /// The folder, shared by all instances of this host, in which they record how much of the
+    /// host's quota reserve (set in the base policy) they have spent; absent: this instance does
+    /// not use the reserve.
     #[garde(skip)]
     pub aside: Option<PathBuf>,
 }
@@ -110,7 +112,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct Control {
-    /// The path of the Unix socket, at most 100 bytes; it is created with mode 0600.
+    /// The path of the Unix socket, at most 100 bytes. The socket is created with mode 0600.
     #[garde(custom(validate_socket_path))]
     pub socket: PathBuf,
 }
@@ -119,7 +121,8 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields, default)]
 pub struct Log {
-    /// The least important level that is logged; the variable MERLINSHELF_LOG takes precedence.
+    /// The least severe level that is logged. The environment variable MERLINSHELF_LOG takes
+    /// precedence.
     #[garde(skip)]
     pub level: Option<Level>,
     /// The format of the lines.
@@ -127,7 +130,7 @@
     pub format: Format,
 }
 
-/// The least important level that is logged.
+/// The least severe level that is logged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 #[allow(
@@ -148,7 +151,7 @@
     /// Time, level, part and text.
     #[default]
     Text,
-    /// One JSON object a line, with all key-values.
+    /// One JSON object per line, with all key-value pairs.
     Json,
 }
 
@@ -164,37 +167,40 @@
     }
 }
 
-/// Upgrades under load: how long each stage may take, and the limits of two processes together.
+/// Upgrades under load: the timeout of each stage, and the combined resource limits of both
+/// processes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields, default)]
 pub struct Upgrade {
-    /// The successor's program; absent: the file that this process was started from, as it is by
-    /// then.
+    /// The path of the successor's program; absent: the path that this process was started from,
+    /// with the file's content at the time of the upgrade.
     #[garde(skip)]
     pub program: Option<PathBuf>,
-    /// Until the successor has read its configuration and is ready, in milliseconds.
+    /// The timeout for the successor to read its configuration and become ready, in milliseconds.
     #[garde(range(min = 10, max = 600_000))]
     #[schemars(range(min = 10, max = 600_000))]
     pub ready_ms: u64,
-    /// From the freeze until the successor has restored everything, in milliseconds: nobody is
-    /// served meanwhile.
+    /// The timeout from the freeze until the successor has restored all state, in milliseconds. No
+    /// requests are served during this time.
     #[garde(range(min = 10, max = 10_000))]
     #[schemars(range(min = 10, max = 10_000))]
     pub taken_ms: u64,
-    /// The probation of the successor after it took over, in milliseconds.
+    /// The duration of the successor's probation after the takeover, in milliseconds.
     #[garde(range(min = 100, max = 3_600_000))]
     #[schemars(range(min = 100, max = 3_600_000))]
     pub watched_ms: u64,
-    /// After how long without a heartbeat the successor is killed and everything recovered, in
-    /// milliseconds: less than twice the usual interval of 50 would kill one that is only busy.
+    /// The time without a heartbeat after which the successor is killed and the predecessor
+    /// recovers, in milliseconds. Heartbeats are usually 50 ms apart; less than twice that would
+    /// kill a successor that is only busy.
     #[garde(range(min = 100, max = 60_000))]
     #[schemars(range(min = 100, max = 60_000))]
     pub silent_ms: u64,
-    /// Descriptors that both processes together may have open; absent: the platform's limit for
-    /// one.
+    /// The maximum number of file descriptors that both processes together may have open; absent:
+    /// the platform's limit for one process.
     #[garde(inner(range(min = 32)))]
     pub descriptors: Option<u64>,
-    /// Memory that both processes together may use, in MB; absent: the platform's limit for one.
+    /// The maximum memory that both processes together may use, in MB; absent: the platform's limit
+    /// for one process.
     #[garde(inner(range(min = 16)))]
     pub memory_mb: Option<u64>,
 }
@@ -214,7 +220,7 @@
 }
 
 impl Upgrade {
-    /// How long each stage of a handover may take.
+    /// The timeout of each stage of a handover.
     pub fn stage_timeouts(&self) -> StageTimeouts {
         StageTimeouts {
             ready: Duration::from_millis(self.ready_ms),
@@ -225,28 +231,29 @@
     }
 }
 
-/// Gossip: with whom, about what, and where observations are stored.
+/// Gossip: its peers, the subjects of observations, and where observations are stored.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields, default)]
 pub struct Learning {
-    /// The kind of the engine's machine: observations of engines hold for those of one kind only.
-    /// Absent: observations of the engine are stored for this instance alone.
+    /// The type of the engine's machine: observations of an engine apply only to engines on
+    /// machines of the same type. Absent: observations of the engine are stored for this instance
+    /// only.
     #[garde(inner(length(min = 1, max = 64)))]
     #[schemars(length(min = 1, max = 64))]
     pub engine: Option<String>,
-    /// The name of the downstream dependency; observations of it hold for all instances that name
-    /// it alike.
+    /// The name of the downstream dependency. Observations of it apply to all instances that use
+    /// the same name.
     #[garde(length(min = 1, max = 64))]
     #[schemars(length(min = 1, max = 64))]
     pub dependency: String,
-    /// The folder in which observations outlive the process; absent: they do not.
+    /// The folder in which observations are stored across restarts; absent: they are not stored.
     #[garde(skip)]
     pub folder: Option<PathBuf>,
-    /// Between two writes of the store, in milliseconds.
+    /// The interval between writes of the store, in milliseconds.
     #[garde(range(min = 100, max = 600_000))]
     #[schemars(range(min = 100, max = 600_000))]
     pub save_ms: u64,
-    /// The fraction of one core that gossip may take.
+    /// The maximum fraction of one core that gossip may use.
     #[garde(range(min = 0.0, max = 0.5))]
     #[schemars(range(min = 0.0, max = 0.5))]
     pub share: f64,
@@ -255,16 +262,16 @@
     pub peers: Option<GossipPeers>,
 }
 
-/// Other instances.
+/// The instances to gossip with.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
 #[schemars(rename = "PeersOfLearning")]
 pub struct GossipPeers {
-    /// The address at which others reach this one: on the loopback interface, since nothing is
-    /// encrypted yet.
+    /// The address on which this instance listens for gossip. Must be a loopback address because
+    /// gossip is not encrypted.
     #[garde(custom(validate_loopback))]
     pub listen: String,
-    /// Addresses of some others, from which all are discovered.
+    /// Addresses of some other instances, through which the rest are discovered.
     #[garde(length(max = 64), inner(custom(validate_loopback)))]
     #[schemars(length(max = 64))]
     #[serde(default)]
@@ -292,10 +299,11 @@
 }
 
 impl Operator {
-    /// Reads the file. Without a path everything is off.
+    /// Reads the file. Without a path, all features are off.
     ///
     /// # Errors
-    /// The file can't be read or used; the text names the file, the line, the field and the reason.
+    /// The file can't be read or is invalid; the message names the file, the line, the field and
+    /// the reason.
     pub fn load(path: Option<&Path>) -> Result<Operator, OperatorFileError> {
         let Some(path) = path else {
             return Ok(Operator::default());
--- a/crates/merlinshelf-dependencies/src/config.rs
+++ b/crates/merlinshelf-dependencies/src/config.rs
@@ -1,8 +1,9 @@
-//! The operators' settings of dependencies: their servers, which operation calls which, with which
-//! share of its time, and the fallbacks. [`Dependencies::check`] validates them as a whole before
-//! any of them applies.
+//! The operators' settings of dependencies: their servers, the calls that operations make to them,
+//! the share of time that each call may take, and the fallbacks. [`Dependencies::check`] validates
+//! all settings before any of them takes effect.
 //!
-//! Keys of the operators' file stay what they were before the fields were renamed.
+//! `#[serde(rename = "...")]` keeps the keys of the operators' file where a field has another name.
+//! The doc comments are the descriptions in the file's schema.
 
 use std::collections::BTreeMap;
 
@@ -13,13 +14,13 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Dependencies {
-    /// The zone of this instance; servers in it are preferred unless they cost more than twice what
-    /// others do.
+    /// The zone of this instance. Servers in the same zone are preferred unless their cost is more
+    /// than twice that of other servers.
     pub zone: String,
-    /// By name.
+    /// The dependencies by name.
     pub dependencies: BTreeMap<String, Dependency>,
-    /// By the operation's name in the platform's settings: the calls that its runs make. Calls of
-    /// other operations go to the platform's catalogue.
+    /// The calls that the runs of each operation make, by the operation's name in the platform's
+    /// settings. Calls of operations that are not listed go to the platform's catalogue.
     pub operations: BTreeMap<String, Operation>,
 }
 
@@ -27,15 +28,15 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Dependency {
-    /// Its servers.
+    /// The servers of the service.
     pub servers: Vec<ServerConfig>,
-    /// The share of the servers that may be ejected at one time, 0 to 1.
+    /// The maximum share of the servers that may be ejected at the same time, 0 to 1.
     #[serde(rename = "out_most", default = "default_max_ejected_share")]
     pub max_ejected_share: f64,
-    /// How many of the servers one instance uses; absent: all.
+    /// The number of servers that one instance uses; absent: all.
     #[serde(rename = "subset", default)]
     pub subset_size: Option<usize>,
-    /// The dependency that is called where this one can't be.
+    /// The dependency that is called when this one can't be called; absent: none.
     #[serde(rename = "instead", default)]
     pub fallback_dependency: Option<String>,
 }
@@ -46,21 +47,21 @@
 pub struct ServerConfig {
     /// IP address and port.
     pub address: String,
-    /// Its zone; empty: none.
+    /// The zone of the server; empty: none.
     #[serde(default)]
     pub zone: String,
-    /// Its capacity relative to the others', above 0.
+    /// The capacity relative to that of the other servers, above 0.
     #[serde(default = "default_weight")]
     pub weight: f64,
 }
 
-/// The calls of an operation's runs.
+/// The calls that each run of an operation makes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Operation {
-    /// In the order in which they are made.
+    /// The calls, in the order in which they are made.
     pub calls: Vec<Call>,
-    /// All calls concurrently instead of one after the other; not supported yet.
+    /// Whether all calls are made concurrently instead of one after the other; not supported yet.
     #[serde(rename = "at_once", default)]
     pub is_concurrent: bool,
 }
@@ -72,34 +73,36 @@
     /// The dependency that is called.
     #[serde(rename = "to")]
     pub dependency: String,
-    /// The share of the caller's remaining time that the call may take, 0 to 1; absent: by measured
-    /// durations.
+    /// The share of the caller's remaining time that the call may take, 0 to 1; absent: derived
+    /// from measured durations.
     #[serde(rename = "share", default)]
     pub deadline_share: Option<f64>,
-    /// The run fails without it.
+    /// Whether the run fails without the call.
     #[serde(rename = "needed", default)]
     pub is_required: bool,
-    /// The part of the billed value that is lost without it, 0 to 1.
+    /// The fraction of the billed value that is lost without the call, 0 to 1.
     #[serde(rename = "cost", default)]
     pub value_loss: f64,
-    /// The result where the call can't be made; the run's result is then marked as partial.
+    /// The result that is used when the call can't be made. The run's result is then marked as
+    /// partial.
     #[serde(rename = "instead", default)]
     pub fallback: Fallback,
 }
 
-/// The result in place of a reply.
+/// The result that replaces the reply to a call.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum Fallback {
-    /// None: the run continues without the call, or fails where it is required.
+    /// No result: the run continues without the call, or fails if the call is required.
     #[default]
     Nothing,
-    /// This text.
+    /// The given text.
     Fixed(String),
-    /// The last good reply to the same request, up to a maximal age; without one, nothing.
+    /// The last successful reply to the same request, up to a maximum age; as `nothing` if there is
+    /// none.
     #[serde(rename = "kept")]
     Cached {
-        /// The maximal age of the reply in seconds, above 0.
+        /// The maximum age of the reply in seconds, above 0.
         #[serde(rename = "within_s")]
         max_age_seconds: f64,
     },
--- a/crates/merlinshelf-fleet/src/fleet_spec.rs
+++ b/crates/merlinshelf-fleet/src/fleet_spec.rs
@@ -11,27 +11,27 @@
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// The fleet's file.
+/// The operators' fleet file, in JSON5.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
 #[schemars(title = "The fleet's file of merlinshelf")]
 pub struct FleetSpec {
-    /// Folder of the agent's files and those of the instances.
+    /// Folder for the files of the agent and of the instances.
     #[garde(skip)]
     pub folder: PathBuf,
     /// The host's capacity for all instances together.
     #[garde(dive)]
     #[serde(default)]
     pub host: Host,
-    /// How changes are made.
+    /// Limits and durations for changes of instances.
     #[garde(dive)]
     #[serde(default)]
     pub change: Change,
-    /// How instances are started again after crashes.
+    /// How crashed and hanging instances are restarted.
     #[garde(dive)]
     #[serde(default)]
     pub restarts: Restarts,
-    /// The consensus group of agents that decides on the policy; absent: there is none
+    /// The consensus group of agents that decides on the policy; absent: no group
     /// (docs/policy.md).
     #[garde(dive)]
     #[serde(default)]
@@ -48,20 +48,20 @@
     /// The name of this agent.
     #[garde(length(min = 1, max = 40))]
     pub name: String,
-    /// Where this agent listens for the others: on the loopback interface, since nothing is
-    /// encrypted yet.
+    /// Address on which this agent listens for the others. Must be a loopback address because the
+    /// connections are not encrypted.
     #[garde(custom(check_loopback))]
     pub listen: String,
-    /// The addresses of all agents by name, this one among them.
+    /// The addresses of all agents by name, including this one.
     #[garde(length(min = 1, max = 9), custom(check_all_loopback))]
     pub agents: BTreeMap<String, String>,
-    /// Duration of a lease on a policy, in milliseconds: the longest time that a change waits for
-    /// an agent that does not answer, and that an instance without connection applies the former
-    /// policy. Agreed once for the installation.
+    /// Duration of a policy lease, in milliseconds. It limits how long a change waits for an agent
+    /// that does not answer, and how long a disconnected instance applies the previous policy.
+    /// Agreed once for the installation.
     #[garde(range(min = 500, max = 600_000))]
     #[serde(default = "default_lease_ms")]
     pub lease_ms: u64,
-    /// Most by which the rates of two processes' clocks differ, as a fraction.
+    /// Maximum difference between the clock rates of two processes, as a fraction.
     #[garde(range(min = 0.0, max = 0.2))]
     #[serde(default = "default_drift")]
     pub drift: f64,
@@ -69,20 +69,20 @@
     #[garde(length(max = 40))]
     #[serde(default)]
     pub zone: String,
-    /// The base policy, which applies without a lease. Agreed once for the installation.
+    /// The base policy, which applies when there is no lease. Agreed once for the installation.
     #[garde(dive)]
     #[serde(default)]
     pub base: Policy,
-    /// What instances do without a lease.
+    /// The behaviour of instances without a lease.
     #[garde(skip)]
     #[serde(default, rename = "without")]
     pub lease_expiry_mode: LeaseExpiryMode,
-    /// How long service is watched after a change and compared with before, in milliseconds; 0: not
-    /// at all.
+    /// Time after a policy change for which the success ratio is compared with that before the
+    /// change, in milliseconds; 0: no comparison.
     #[garde(range(max = 60_000))]
     #[serde(default)]
     pub watch_ms: u64,
-    /// Decrease of the success ratio above which the former policy is restored.
+    /// Decrease of the success ratio above which the previous policy is restored.
     #[garde(range(min = 0.0, max = 1.0))]
     #[serde(default = "default_worse")]
     pub worse: f64,
@@ -104,7 +104,7 @@
     match text.parse::<std::net::SocketAddr>() {
         Ok(address) if address.ip().is_loopback() && address.port() > 0 => Ok(()),
         _ => Err(garde::Error::new(format!(
-            "{text:?} is no loopback address with a port, like 127.0.0.1:7700"
+            "{text:?} is not a loopback address with a port, like 127.0.0.1:7700"
         ))),
     }
 }
@@ -115,7 +115,7 @@
         .try_for_each(|address| check_loopback(address, &()))
 }
 
-/// Capacity of the host; instances that do not fit are not started.
+/// Capacity of the host. Instances that would exceed it are not started.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields, default)]
 pub struct Host {
@@ -140,21 +140,21 @@
     }
 }
 
-/// How changes of several instances are made.
+/// Limits and durations for changes of instances.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields, default)]
 pub struct Change {
-    /// Most instances that a change takes out of service at one time.
+    /// Maximum number of instances that a change takes out of service at the same time.
     #[garde(range(min = 1))]
     pub out_at_once: u32,
-    /// Fraction of the serving capacity that stays in service, weighted by what each instance
-    /// serves.
+    /// Minimum fraction of the serving capacity that stays in service, with each instance weighted
+    /// by its rate of service.
     #[garde(range(min = 0.0, max = 1.0))]
     pub floor: f64,
-    /// Time for which an instance must be healthy to be warm, in milliseconds.
+    /// Time for which an instance must be healthy to count as warm, in milliseconds.
     #[garde(range(min = 0, max = 3_600_000))]
     pub warm_ms: u64,
-    /// Longest time for an instance to get warm, in milliseconds.
+    /// Timeout for an instance to become warm, in milliseconds.
     #[garde(range(min = 100, max = 3_600_000))]
     pub warm_within_ms: u64,
     /// Time for which service is observed before and after each instance's change, in milliseconds.
@@ -178,24 +178,24 @@
     }
 }
 
-/// How instances are started again.
+/// How crashed and hanging instances are restarted.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields, default)]
 pub struct Restarts {
-    /// Backoff before the start after a first crash, in milliseconds; each further crash doubles
-    /// it.
+    /// Backoff before the restart after the first crash, in milliseconds. Each further crash
+    /// doubles it.
     #[garde(range(min = 10, max = 600_000))]
     pub pause_ms: u64,
-    /// Longest backoff, in milliseconds.
+    /// Maximum backoff, in milliseconds.
     #[garde(range(min = 10, max = 3_600_000))]
     pub pause_most_ms: u64,
-    /// Uptime after which earlier crashes do not count, in milliseconds.
+    /// Uptime after which earlier crashes no longer count, in milliseconds.
     #[garde(range(min = 100, max = 3_600_000))]
     pub steady_ms: u64,
-    /// Most instances that start at one time.
+    /// Maximum number of instances that start at the same time.
     #[garde(range(min = 1))]
     pub at_once: u32,
-    /// Time without an answer after which an instance counts as hanging, in milliseconds.
+    /// Time without a response after which an instance is considered to hang, in milliseconds.
     #[garde(range(min = 100, max = 600_000))]
     pub hangs_ms: u64,
 }
@@ -222,26 +222,27 @@
     /// Path of the program.
     #[garde(skip)]
     pub program: PathBuf,
-    /// Path of the platform's configuration; name, listen and seed are set for each instance.
+    /// Path of the platform's configuration, in which the agent sets name, listen and seed for each
+    /// instance.
     #[garde(skip)]
     pub config: PathBuf,
-    /// Whether the instances gossip about what they observe, and store it (docs/learning.md).
+    /// Whether the instances gossip about their observations and store them (docs/learning.md).
     #[garde(skip)]
     #[serde(default, rename = "learning")]
     pub is_gossiping: bool,
     /// Address of the first instance; each further one has the next port.
     #[garde(custom(check_address))]
     pub listen: String,
-    /// Address of the first instance's engine; each further one has the next port. Absent: the
-    /// configuration's for all.
+    /// Address of the first instance's engine; each further one has the next port. Absent: all
+    /// instances use the configuration's engine.
     #[garde(inner(custom(check_address)))]
     #[serde(default)]
     pub engine: Option<String>,
-    /// Weight of an instance in the capacity, until its rate of service is known.
+    /// Weight of an instance in the serving capacity, until its rate of service is known.
     #[garde(range(min = 0.0))]
     #[serde(default = "default_weight")]
     pub weight: f64,
-    /// Labels that commands select instances by.
+    /// Labels by which commands select instances.
     #[garde(skip)]
     #[serde(default)]
     pub labels: BTreeMap<String, String>,
@@ -279,7 +280,7 @@
     match text.parse::<std::net::SocketAddr>() {
         Ok(address) if address.port() > 0 => Ok(()),
         _ => Err(garde::Error::new(format!(
-            "{text:?} is no address with a port, like 127.0.0.1:6565"
+            "{text:?} is not an address with a port, like 127.0.0.1:6565"
         ))),
     }
 }
@@ -289,7 +290,7 @@
         let plain = |byte: u8| byte.is_ascii_lowercase() || byte.is_ascii_digit() || byte == b'-';
         if name.is_empty() || name.len() > 40 || !name.bytes().all(plain) {
             return Err(garde::Error::new(format!(
-                "{name:?} is no name of a group: up to 40 small letters, digits and hyphens"
+                "{name:?} is not a valid group name: use 1 to 40 lowercase letters, digits and hyphens"
             )));
         }
     }
--- a/crates/merlinshelf-policy/src/document.rs
+++ b/crates/merlinshelf-policy/src/document.rs
@@ -23,39 +23,39 @@
 /// The maximum number of operations, of dependencies and of budgeted dependencies in a policy.
 const MAX_NAMES: usize = 64;
 
-/// What a service may change without a restart. Whatever is not named stays as each instance's
-/// configuration has it.
+/// Settings that can change without a restart. A setting that is absent keeps the value from each
+/// instance's configuration.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields, default)]
 #[schemars(title = "A policy of merlinshelf")]
 pub struct Policy {
-    /// What the policy is for, for the history.
+    /// The purpose of the policy, shown in the history.
     #[garde(length(max = MAX_NOTE_BYTES))]
     #[schemars(length(max = MAX_NOTE_BYTES))]
     pub note: String,
-    /// By the operation's name in the platform's settings.
+    /// The policies of operations, by the operation's name in the platform's settings.
     #[garde(dive, length(max = MAX_NAMES))]
     pub operations: BTreeMap<String, OperationPolicy>,
-    /// By the tenant's name or number: its fraction of the sum of all quotas, 0 to 1. Together they
-    /// are at most 1.
+    /// Each tenant's fraction of the sum of all quotas, 0 to 1, by the tenant's name or number. The
+    /// fractions add up to at most 1.
     #[garde(custom(validate_tenant_fractions))]
     pub tenants: BTreeMap<String, f64>,
-    /// The mean number of downstream calls that one instance may have open.
+    /// The maximum mean number of downstream calls that one instance may have in flight.
     #[garde(inner(custom(validate_positive)))]
     pub call_share: Option<f64>,
-    /// By the dependency's name in the operators' file.
+    /// The policies of dependencies, by the dependency's name in the operators' file.
     #[garde(dive, length(max = MAX_NAMES))]
     pub dependencies: BTreeMap<String, DependencyPolicy>,
-    /// By the dependency's name in the operators' file, or `catalogue` for the one that the
-    /// platform names: calls per second of the whole fleet. `again`: retries and hedged requests;
-    /// `probes`: calls while the dependency fails; `first`: first calls while it recovers;
-    /// `opened`: new connections. `callers` has only `opened`: connections of callers that are
-    /// accepted. In the base policy: the reserve of each host, which it may spend without hearing
-    /// of any other.
+    /// Budgets in calls per second of the whole fleet, by the dependency's name in the operators'
+    /// file, or `catalogue` for the platform's dependency. `again`: retries and hedged requests;
+    /// `probes`: calls while the dependency is Failing; `first`: first attempts while it is
+    /// Recovering; `opened`: new connections. `callers` has only `opened`: connections accepted
+    /// from callers. In the base policy, the budgets are the reserve of each host, which it may
+    /// spend without contact to other hosts.
     #[garde(custom(validate_budgets), length(max = MAX_NAMES))]
     #[schemars(schema_with = "budgets_schema")]
-    // Program versions before budgets reject unknown fields, and can still read a policy without
-    // any.
+    // Versions without support for budgets reject unknown fields. Omitting an empty map lets them
+    // read policies that have no budgets.
     #[serde(skip_serializing_if = "BTreeMap::is_empty")]
     pub budgets: Budgets,
 }
@@ -77,14 +77,14 @@
     /// The latency objective, in milliseconds.
     #[garde(inner(custom(validate_positive)))]
     pub aim_ms: Option<f64>,
-    /// The billed value of a response, which is its priority weight.
+    /// The billed value of a response, used as the priority weight.
     #[garde(inner(custom(validate_non_negative)))]
     pub worth: Option<f64>,
-    /// The fraction of the billed value that a response past the objective still has, 0 to 1.
+    /// The fraction of the billed value that a response later than the objective retains, 0 to 1.
     #[garde(inner(custom(validate_ratio)))]
     pub late: Option<f64>,
-    /// By the dependency's name: the fraction of the caller's time that calls to it may take, above
-    /// 0 and up to 1.
+    /// The fraction of the caller's time that calls to a dependency may take, above 0 and up to 1,
+    /// by the dependency's name.
     #[garde(custom(validate_time_fractions))]
     pub calls: BTreeMap<String, f64>,
 }
@@ -93,10 +93,10 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields, default)]
 pub struct DependencyPolicy {
-    /// The fraction of the servers that may be ejected at one time, 0 to 1.
+    /// The maximum fraction of the servers that may be ejected at the same time, 0 to 1.
     #[garde(inner(custom(validate_ratio)))]
     pub out_most: Option<f64>,
-    /// How many of the servers one instance uses.
+    /// The number of servers that one instance uses.
     #[garde(inner(range(min = 1)))]
     pub subset: Option<usize>,
 }
--- a/crates/merlinshelf-policy/src/lease_holder.rs
+++ b/crates/merlinshelf-policy/src/lease_holder.rs
@@ -18,15 +18,15 @@
 
 // The encoded names are those of the operators' file, and the comments are the descriptions in its
 // schema.
-/// What an instance does without a lease.
+/// The behaviour of an instance without a lease.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum LeaseExpiryMode {
-    /// Serve by the base policy.
+    /// Apply the base policy.
     #[default]
     #[serde(rename = "base")]
     BasePolicy,
-    /// Reject all invocations, with a Retry-After.
+    /// Reject all invocations, with a time after which to retry.
     #[serde(rename = "turn_away")]
     RejectAll,
 }
